--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -117,7 +117,7 @@
 	current    *action.Owner
 	epoch      int
 	owners     map[ident.Incarnation]*action.Owner
-	adopted    map[ident.Incarnation]*action.Adopted
+	adopted    map[ident.Incarnation]*action.AdoptedTable
 	waiters    map[action.Waiter]chan action.Result
 	nextWaiter action.Waiter
 	closed     bool
@@ -151,7 +151,7 @@
 		seals:    rate.NewLimiter(sealsPerSecond, sealBurst),
 		wake:     make(chan struct{}, 1),
 		owners:   map[ident.Incarnation]*action.Owner{},
-		adopted:  map[ident.Incarnation]*action.Adopted{},
+		adopted:  map[ident.Incarnation]*action.AdoptedTable{},
 		waiters:  map[action.Waiter]chan action.Result{},
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
@@ -232,7 +232,7 @@
 		}
 	}
 	for name, a := range s.adopted {
-		if a.Expired(now, s.cfg.Owner(name).TokenLifetime) {
+		if a.AllKeysExpired(now, s.cfg.Owner(name).TokenLifetime) {
 			delete(s.adopted, name)
 		}
 	}
@@ -302,7 +302,7 @@
 	result := s.send(ctx, d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(o, o.Finished(s.now(), d.ID, result))
+	s.apply(o, o.HandleFinished(s.now(), d.ID, result))
 }
 
 // write creates a journal entry. An error other than a conflict leaves it open
@@ -319,7 +319,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(o, o.Written(s.now(), written))
+	s.apply(o, o.HandleWritten(s.now(), written))
 }
 
 func (s *Service) collect(o *action.Owner, c journal.Collect) {
@@ -434,14 +434,14 @@
 		return r, false
 	default:
 	}
-	o.Detach(id, w)
+	o.DetachWaiter(id, w)
 	delete(s.waiters, w)
 	return action.Result{}, true
 }
 
 func (s *Service) abandon(o *action.Owner, id actionkey.ID, w action.Waiter, ch chan action.Result) action.Result {
 	s.mu.Lock()
-	s.apply(o, o.Abandon(s.now(), id, w))
+	s.apply(o, o.AbandonWait(s.now(), id, w))
 	delete(s.waiters, w)
 	s.mu.Unlock()
 	select {
@@ -487,11 +487,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o, found := s.owners[owner]; found {
-		r, pending = o.Ask(id)
+		r, pending = o.Lookup(id)
 		return r, pending, true
 	}
 	if a, found := s.adopted[owner]; found {
-		r, ok = a.Answer(id, hash)
+		r, ok = a.Lookup(id, hash)
 		return r, false, ok
 	}
 	return action.Result{}, false, false
--- a/daemon/actions/drain.go
+++ b/daemon/actions/drain.go
@@ -95,7 +95,7 @@
 }
 
 func (s *Service) drain(ctx context.Context) error {
-	s.eachOwner(func(o *action.Owner) { o.Close() })
+	s.eachOwner(func(o *action.Owner) { o.StopAccepting() })
 	s.waitIdle(ctx)
 	successor, found := s.successor()
 	s.endOwners(ctx, successor.Incarnation)
@@ -131,7 +131,7 @@
 		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/drainShare)
 		defer cancel()
 	}
-	s.waitFor(ctx, func(o *action.Owner) bool { return o.Busy() == 0 })
+	s.waitFor(ctx, func(o *action.Owner) bool { return o.DispatchedCount() == 0 })
 }
 
 // waitFor polls until all owners satisfy done.
@@ -149,11 +149,11 @@
 // endOwners seals the logs, and stops the owners in any case: with the service
 // down the seal comes later, from the successor.
 func (s *Service) endOwners(ctx context.Context, successor ident.Incarnation) {
-	s.eachOwner(func(o *action.Owner) { s.apply(o, o.End(s.now(), successor)) })
+	s.eachOwner(func(o *action.Owner) { s.apply(o, o.Seal(s.now(), successor)) })
 	sealCtx, cancel := context.WithTimeout(ctx, s.cfg.Times.Seal)
 	defer cancel()
 	s.waitFor(sealCtx, (*action.Owner).Ended)
-	s.eachOwner(func(o *action.Owner) { s.apply(o, o.Quit(s.now())) })
+	s.eachOwner(func(o *action.Owner) { s.apply(o, o.EndUnsealed(s.now())) })
 }
 
 // successor is the same for every attempt: the live daemon in another failure
@@ -250,11 +250,11 @@
 	}
 	a, ok := s.adopted[owner]
 	if !ok {
-		a = action.NewAdopted(owner)
+		a = action.NewAdoptedTable(owner)
 		s.adopted[owner] = a
 	}
 	before := a.Complete()
-	a.Add(partFrom(m))
+	a.AddPart(partFrom(m))
 	if a.Complete() && !before {
 		s.counters.inc(handOffAdopted)
 		s.spawn(func() { s.sealAdopted(owner) })
@@ -265,7 +265,7 @@
 func (s *Service) adoptedBytes() int {
 	total := 0
 	for _, a := range s.adopted {
-		total += a.Bytes()
+		total += a.SizeBytes()
 	}
 	return total
 }
@@ -283,8 +283,8 @@
 	}
 }
 
-func partFrom(m *actionv1.HandOffRequest) action.Part {
-	part := action.Part{Number: m.GetPart(), Last: m.GetLast(), Complete: time.UnixMilli(m.GetCompleteUnixMs())}
+func partFrom(m *actionv1.HandOffRequest) action.TablePart {
+	part := action.TablePart{Number: m.GetPart(), Last: m.GetLast(), Complete: time.UnixMilli(m.GetCompleteUnixMs())}
 	for _, r := range m.GetRecords() {
 		result := resultOf(r.GetOutcome())
 		if r.GetOutcome() == nil {
--- a/daemon/actions/seal.go
+++ b/daemon/actions/seal.go
@@ -52,7 +52,7 @@
 	if r, ok := s.askSuccessor(ctx, log, owner, id, hash); ok {
 		return r
 	}
-	return action.FromVerdict(log.Verdict(s.now(), id, hash))
+	return action.ResultFromVerdict(log.Verdict(s.now(), id, hash))
 }
 
 // askSuccessor asks the one daemon that the seal names, while it lives.
--- a/protocol/action/adopted.go
+++ b/protocol/action/adopted.go
@@ -31,7 +31,7 @@
 }
 
 func (r *record) export() Record {
-	out := Record{ID: r.id, BodyHash: r.bodyHash, State: r.state, Result: r.kept()}
+	out := Record{ID: r.id, BodyHash: r.bodyHash, State: r.state, Result: r.retainedResult()}
 	if !r.state.final() {
 		// Its runner's answer, if one comes, reaches only the old owner.
 		out.State = Unknown
@@ -41,9 +41,9 @@
 	return out
 }
 
-// Adopted is the table of an ended owner at its one successor. Nothing in it
+// AdoptedTable is the table of an ended owner at its one successor. Nothing in it
 // is ever dispatched.
-type Adopted struct {
+type AdoptedTable struct {
 	owner    ident.Incarnation
 	records  map[actionkey.ID]Record
 	parts    map[uint32]bool
@@ -52,13 +52,13 @@
 	bytes    int
 }
 
-// NewAdopted returns a table of which no part has come yet.
-func NewAdopted(owner ident.Incarnation) *Adopted {
-	return &Adopted{owner: owner, records: map[actionkey.ID]Record{}, parts: map[uint32]bool{}}
+// NewAdoptedTable returns a table of which no part has come yet.
+func NewAdoptedTable(owner ident.Incarnation) *AdoptedTable {
+	return &AdoptedTable{owner: owner, records: map[actionkey.ID]Record{}, parts: map[uint32]bool{}}
 }
 
-// Part is one piece of a table. Parts may come in any order and twice.
-type Part struct {
+// TablePart is one piece of a table. Parts may come in any order and twice.
+type TablePart struct {
 	Number uint32
 	// Last has the highest number and carries Complete.
 	Last     bool
@@ -66,8 +66,8 @@
 	Records  []Record
 }
 
-// Add takes a part in.
-func (a *Adopted) Add(p Part) {
+// AddPart takes a part in.
+func (a *AdoptedTable) AddPart(p TablePart) {
 	if a.parts[p.Number] {
 		return
 	}
@@ -83,22 +83,22 @@
 }
 
 // Complete tells whether every part has come.
-func (a *Adopted) Complete() bool { return a.total > 0 && uint32(len(a.parts)) == a.total }
+func (a *AdoptedTable) Complete() bool { return a.total > 0 && uint32(len(a.parts)) == a.total }
 
-// Bytes is about what the table holds.
-func (a *Adopted) Bytes() int { return a.bytes }
+// SizeBytes is about what the table holds.
+func (a *AdoptedTable) SizeBytes() int { return a.bytes }
 
-// Expired tells whether all its keys are over at wall-clock time now.
-func (a *Adopted) Expired(now time.Time, lifetime time.Duration) bool {
+// AllKeysExpired tells whether all its keys are over at wall-clock time now.
+func (a *AdoptedTable) AllKeysExpired(now time.Time, lifetime time.Duration) bool {
 	return a.Complete() && now.After(a.complete.Add(lifetime))
 }
 
-// Answer tells what is known of an action; an empty hash asks by key alone. It
+// Lookup tells what is known of an action; an empty hash asks by key alone. It
 // returns false where the table proves nothing, since a part of it is missing.
 //
 // A key that is not in a whole table was never dispatched: its owner ended
 // before it passed the table on. Only an expired one may have been dropped.
-func (a *Adopted) Answer(id actionkey.ID, bodyHash string) (Result, bool) {
+func (a *AdoptedTable) Lookup(id actionkey.ID, bodyHash string) (Result, bool) {
 	if !a.Complete() {
 		return Result{}, false
 	}
@@ -115,5 +115,5 @@
 	if !a.complete.Before(key.Expires()) {
 		return Result{Refusal: refusal.New(refusal.KeyExpired, "key is over").Unknown()}, true
 	}
-	return Result{Refusal: refusal.New(refusal.OwnerGone, "owner has ended; take a new token").After(shortRetry)}, true
+	return Result{Refusal: refusal.New(refusal.OwnerGone, "owner has ended; take a new token").After(newKeyRetryAfter)}, true
 }
--- a/protocol/action/gateway_test.go
+++ b/protocol/action/gateway_test.go
@@ -13,155 +13,155 @@
 )
 
 const (
-	attempts     = 3
-	attemptTime  = 1500 * time.Millisecond
-	sealAttempts = 4
+	attempts       = 3
+	attemptTimeout = 1500 * time.Millisecond
+	sealAttempts   = 4
 )
 
-var silence = refusal.New(refusal.OwnerUnreachable, "no answer").Unknown()
+var unreachableRefusal = refusal.New(refusal.OwnerUnreachable, "no answer").Unknown()
 
-// asking is one copy of a call at one gateway.
-type asking struct {
+// gatewayCall is one copy of a call at one gateway.
+type gatewayCall struct {
 	n       *node
 	owner   ident.Incarnation
 	request action.Request
 	// readOnly asks for the outcome without running anything.
 	readOnly bool
 	done     func(action.Result)
-	over     bool
+	finished bool
 }
 
-func (a *asking) finish(r action.Result) {
-	if !a.over {
-		a.over = true
-		a.done(r)
+func (gc *gatewayCall) finish(r action.Result) {
+	if !gc.finished {
+		gc.finished = true
+		gc.done(r)
 	}
 }
 
 // serve is what a gateway does with a call: run it, forward it, or speak for
 // an owner that has ended.
-func (n *node) serve(a *asking) {
-	if n.answerHere(a, a.finish) {
+func (n *node) serve(gc *gatewayCall) {
+	if n.answerLocally(gc, gc.finish) {
 		return
 	}
-	n.forward(a, attempts)
+	n.forward(gc, attempts)
 }
 
-// answerHere answers from this incarnation's own tables.
-func (n *node) answerHere(a *asking, done func(action.Result)) bool {
-	if o, ok := n.owners[a.owner]; ok {
-		if a.readOnly {
-			if r, pending := o.Ask(a.request.ID); !pending {
+// answerLocally answers from this incarnation's own tables.
+func (n *node) answerLocally(gc *gatewayCall, done func(action.Result)) bool {
+	if o, ok := n.owners[gc.owner]; ok {
+		if gc.readOnly {
+			if r, pending := o.Lookup(gc.request.ID); !pending {
 				done(r)
 			} else {
-				done(refusedWith(silence))
+				done(refusedWith(unreachableRefusal))
 			}
 			return true
 		}
-		request := a.request
-		n.waiters++
-		request.Waiter = n.waiters
-		n.waiting[request.Waiter] = done
+		request := gc.request
+		n.lastWaiter++
+		request.Waiter = n.lastWaiter
+		n.replyHandlers[request.Waiter] = done
 		n.apply(o, o.Submit(n.clock(), request))
 		return true
 	}
-	if r, ok := n.byAdopted(a); ok {
+	if r, ok := n.answerFromAdopted(gc); ok {
 		done(r)
 		return true
 	}
 	return false
 }
 
-func (n *node) byAdopted(a *asking) (action.Result, bool) {
-	t, found := n.adopted[a.owner]
+func (n *node) answerFromAdopted(gc *gatewayCall) (action.Result, bool) {
+	t, found := n.adopted[gc.owner]
 	if !found {
 		return action.Result{}, false
 	}
-	r, ok := t.Answer(a.request.ID, a.request.BodyHash)
+	r, ok := t.Lookup(gc.request.ID, gc.request.BodyHash)
 	if ok {
-		n.w.reached.adopted++
+		n.sim.coverage.adopted++
 	}
-	if !ok && n.w.guard == guardPartialTable {
+	if !ok && n.sim.guard == guardCompleteTable {
 		return refusedWith(refusal.New(refusal.OwnerGone, "not in the table")), true
 	}
 	return r, ok
 }
 
-func daemonOf(owner ident.Incarnation) ident.Incarnation {
+func daemonIncarnation(owner ident.Incarnation) ident.Incarnation {
 	name, _, _ := strings.Cut(string(owner), "+")
 	return ident.Incarnation(name)
 }
 
-func (n *node) forward(a *asking, left int) {
-	w := n.w
-	name := daemonOf(a.owner)
-	target := w.nodes[name]
-	gone := target == nil || target.dead && w.places[target.place] != target
-	if gone || n.mistaken[name].has(w.now) {
-		n.speakFor(a)
+func (n *node) forward(gc *gatewayCall, attemptsLeft int) {
+	sim := n.sim
+	name := daemonIncarnation(gc.owner)
+	target := sim.nodes[name]
+	gone := target == nil || target.dead && sim.currentNodes[target.index] != target
+	if gone || n.mistakenlyDown[name].contains(sim.now) {
+		n.answerForEndedOwner(gc)
 		return
 	}
-	if left == 0 {
-		a.finish(refusedWith(silence))
+	if attemptsLeft == 0 {
+		gc.finish(refusedWith(unreachableRefusal))
 		return
 	}
 	answered := false
-	w.message(n, target, func() {
-		target.answerHere(a, func(r action.Result) {
-			w.message(target, n, func() {
+	sim.sendMessage(n, target, func() {
+		target.answerLocally(gc, func(r action.Result) {
+			sim.sendMessage(target, n, func() {
 				answered = true
-				a.finish(r)
+				gc.finish(r)
 			})
 		})
 	})
-	w.after(attemptTime, n, func() {
-		if !answered && !a.over {
-			n.forward(a, left-1)
+	sim.schedule(attemptTimeout, n, func() {
+		if !answered && !gc.finished {
+			n.forward(gc, attemptsLeft-1)
 		}
 	})
 }
 
-// speakFor answers from the ended owner's sealed log, or its successor.
-func (n *node) speakFor(a *asking) {
-	if log, ok := n.logs[a.owner]; ok {
-		n.bySealedLog(a, log)
+// answerForEndedOwner answers from the ended owner's sealed log, or its successor.
+func (n *node) answerForEndedOwner(gc *gatewayCall) {
+	if log, ok := n.logs[gc.owner]; ok {
+		n.answerFromSealedLog(gc, log)
 		return
 	}
-	n.seal(a.owner, "", sealAttempts, func(log *journal.Log) {
+	n.seal(gc.owner, "", sealAttempts, func(log *journal.Log) {
 		if log == nil {
-			a.finish(refusedWith(refusal.New(refusal.JournalUnavailable, "seal").Unknown()))
+			gc.finish(refusedWith(refusal.New(refusal.JournalUnavailable, "seal").Unknown()))
 			return
 		}
-		n.logs[a.owner] = log
-		n.bySealedLog(a, log)
+		n.logs[gc.owner] = log
+		n.answerFromSealedLog(gc, log)
 	})
 }
 
-func (n *node) bySealedLog(a *asking, log *journal.Log) {
-	verdict := action.FromVerdict(log.Verdict(n.clock(), a.request.ID, a.request.BodyHash))
-	successor := n.w.nodes[log.Seal().Successor]
+func (n *node) answerFromSealedLog(gc *gatewayCall, log *journal.Log) {
+	verdict := action.ResultFromVerdict(log.Verdict(n.clock(), gc.request.ID, gc.request.BodyHash))
+	successor := n.sim.nodes[log.Seal().Successor]
 	if successor == nil || successor == n {
-		a.finish(verdict)
+		gc.finish(verdict)
 		return
 	}
-	n.w.message(n, successor, func() {
-		if r, ok := successor.byAdopted(a); ok {
-			n.w.message(successor, n, func() { a.finish(r) })
+	n.sim.sendMessage(n, successor, func() {
+		if r, ok := successor.answerFromAdopted(gc); ok {
+			n.sim.sendMessage(successor, n, func() { gc.finish(r) })
 		}
 	})
-	n.w.after(attemptTime, n, func() { a.finish(verdict) })
+	n.sim.schedule(attemptTimeout, n, func() { gc.finish(verdict) })
 }
 
 // seal reads the log and creates its end; done gets nil if that fails.
-func (n *node) seal(owner, successor ident.Incarnation, left int, done func(*journal.Log)) {
-	n.read(owner, func(log *journal.Log, ok bool) {
+func (n *node) seal(owner, successor ident.Incarnation, attemptsLeft int, done func(*journal.Log)) {
+	n.readLog(owner, func(log *journal.Log, ok bool) {
 		switch {
-		case !ok || left == 0:
+		case !ok || attemptsLeft == 0:
 			done(nil)
 		case log.Seal() != nil:
-			n.w.reached.sealed++
+			n.sim.coverage.sealed++
 			done(log)
-		case n.w.guard == guardSeal:
+		case n.sim.guard == guardSealBeforeAnswer:
 			log.Add(log.Next(), journal.Entry{Seal: &journal.Seal{By: n.name}})
 			done(log)
 		default:
@@ -174,27 +174,27 @@
 					done(nil)
 					return
 				}
-				n.seal(owner, successor, left-1, done)
+				n.seal(owner, successor, attemptsLeft-1, done)
 			})
 		}
 	})
 }
 
-func (n *node) read(owner ident.Incarnation, done func(*journal.Log, bool)) {
-	w := n.w
-	if w.down() || n.cutOff.has(w.now) || w.chance(w.doubt) {
-		w.after(storeAnswer, n, func() { done(nil, false) })
+func (n *node) readLog(owner ident.Incarnation, done func(*journal.Log, bool)) {
+	sim := n.sim
+	if sim.storeDown() || n.cutOff.contains(sim.now) || sim.chance(sim.doubtfulProbability) {
+		sim.schedule(storeTimeout, n, func() { done(nil, false) })
 		return
 	}
-	w.after(w.upTo(4*time.Millisecond), nil, func() {
-		log := w.logNow(owner)
-		w.after(w.upTo(4*time.Millisecond), n, func() { done(log, true) })
+	sim.schedule(sim.randomDuration(4*time.Millisecond), nil, func() {
+		log := sim.storedLog(owner)
+		sim.schedule(sim.randomDuration(4*time.Millisecond), n, func() { done(log, true) })
 	})
 }
 
-func (w *world) logNow(owner ident.Incarnation) *journal.Log {
+func (sim *simulation) storedLog(owner ident.Incarnation) *journal.Log {
 	var keys []string
-	for key := range w.entries {
+	for key := range sim.entries {
 		if strings.HasPrefix(key, journal.Prefix(owner)) {
 			keys = append(keys, key)
 		}
@@ -203,7 +203,7 @@
 	log := journal.NewLog(owner)
 	for _, key := range keys {
 		index, _ := journal.Index(owner, key)
-		entry, _ := journal.Decode(key, w.entries[key])
+		entry, _ := journal.Decode(key, sim.entries[key])
 		log.Add(index, entry)
 	}
 	return log
@@ -215,18 +215,18 @@
 		return
 	}
 	n.draining = true
-	successor := n.w.places[(n.place+1+n.w.rng.IntN(len(n.w.places)-1))%len(n.w.places)]
-	for _, o := range n.ownersInOrder() {
-		o.Close()
-		n.w.after(n.w.upTo(second), n, func() { n.apply(o, o.End(n.clock(), successor.name)) })
-		n.w.after(second+n.w.upTo(2*second), n, func() {
-			n.apply(o, o.Quit(n.clock()))
+	successor := n.sim.currentNodes[(n.index+1+n.sim.rng.IntN(len(n.sim.currentNodes)-1))%len(n.sim.currentNodes)]
+	for _, o := range n.sortedOwners() {
+		o.StopAccepting()
+		n.sim.schedule(n.sim.randomDuration(second), n, func() { n.apply(o, o.Seal(n.clock(), successor.name)) })
+		n.sim.schedule(second+n.sim.randomDuration(2*second), n, func() {
+			n.apply(o, o.EndUnsealed(n.clock()))
 			n.handOff(o, successor)
 		})
 	}
 }
 
-func (n *node) ownersInOrder() []*action.Owner {
+func (n *node) sortedOwners() []*action.Owner {
 	var owners []*action.Owner
 	for _, o := range n.owners {
 		owners = append(owners, o)
@@ -240,40 +240,40 @@
 	records, complete, _ := o.Export(n.clock())
 	sort.Slice(records, func(i, j int) bool { return records[i].ID.Key < records[j].ID.Key })
 	for i := range len(records) + 1 {
-		part := action.Part{Number: uint32(i)}
+		part := action.TablePart{Number: uint32(i)}
 		if i < len(records) {
 			part.Records = records[i : i+1]
 		} else {
 			part.Last = true
 			part.Complete = complete
 		}
-		n.w.after(n.w.upTo(second), n, func() { n.sendPart(o.Incarnation(), successor, part, attempts) })
+		n.sim.schedule(n.sim.randomDuration(second), n, func() { n.sendPart(o.Incarnation(), successor, part, attempts) })
 	}
 }
 
-func (n *node) sendPart(owner ident.Incarnation, successor *node, part action.Part, left int) {
-	if left == 0 {
+func (n *node) sendPart(owner ident.Incarnation, successor *node, part action.TablePart, attemptsLeft int) {
+	if attemptsLeft == 0 {
 		return
 	}
 	acknowledged := false
-	n.w.message(n, successor, func() {
+	n.sim.sendMessage(n, successor, func() {
 		successor.adopt(owner, part)
-		n.w.message(successor, n, func() { acknowledged = true })
+		n.sim.sendMessage(successor, n, func() { acknowledged = true })
 	})
-	n.w.after(200*time.Millisecond, n, func() {
+	n.sim.schedule(200*time.Millisecond, n, func() {
 		if !acknowledged {
-			n.sendPart(owner, successor, part, left-1)
+			n.sendPart(owner, successor, part, attemptsLeft-1)
 		}
 	})
 }
 
-func (n *node) adopt(owner ident.Incarnation, part action.Part) {
+func (n *node) adopt(owner ident.Incarnation, part action.TablePart) {
 	t, ok := n.adopted[owner]
 	if !ok {
-		t = action.NewAdopted(owner)
+		t = action.NewAdoptedTable(owner)
 		n.adopted[owner] = t
 	}
-	t.Add(part)
+	t.AddPart(part)
 	if t.Complete() {
 		n.seal(owner, n.name, sealAttempts, func(log *journal.Log) {
 			if log != nil {
@@ -284,10 +284,10 @@
 }
 
 // crash ends an incarnation; another takes its place and address.
-func (w *world) crash(place int) {
-	w.places[place].dead = true
-	w.after(w.upTo(2*second), nil, func() { w.boot(place) })
+func (sim *simulation) crash(index int) {
+	sim.currentNodes[index].dead = true
+	sim.schedule(sim.randomDuration(2*second), nil, func() { sim.boot(index) })
 }
 
-// idOf names an action of the histories' one workspace.
-func idOf(key string) actionkey.ID { return actionkey.ID{Workspace: "huaman", Key: key} }
+// actionID names an action of the histories' one workspace.
+func actionID(key string) actionkey.ID { return actionkey.ID{Workspace: "huaman", Key: key} }
--- a/protocol/action/history_test.go
+++ b/protocol/action/history_test.go
@@ -24,118 +24,124 @@
 	workers   = flag.Int("workers", min(3, runtime.NumCPU()), "how many histories run at once")
 )
 
-// play runs one history: callers with duplicates through several gateways,
+// runHistory runs one history: callers with duplicates through several gateways,
 // under any mix of the faults.
-func play(o options) *world {
-	w := newWorld(o)
-	w.plan()
-	for caller := range 4 + w.rng.IntN(8) {
-		w.after(w.upTo(20*second), nil, func() { w.call(fmt.Sprintf("c%d", caller)) })
-	}
-	w.run()
-	return w
+func runHistory(o options) *simulation {
+	sim := newSimulation(o)
+	sim.scheduleFaults()
+	for caller := range 4 + sim.rng.IntN(8) {
+		sim.schedule(sim.randomDuration(20*second), nil, func() { sim.simulateCaller(fmt.Sprintf("c%d", caller)) })
+	}
+	sim.run()
+	return sim
 }
 
-// plan draws the history's faults; any two and more come together.
-func (w *world) plan() {
-	at := func() time.Duration { return w.upTo(25 * second) }
-	if w.chance(0.3) {
-		w.lossy = 0.2 * w.rng.Float64()
+// scheduleFaults draws the history's faults; any two and more come together.
+func (sim *simulation) scheduleFaults() {
+	at := func() time.Duration { return sim.randomDuration(25 * second) }
+	if sim.chance(0.3) {
+		sim.lossProbability = 0.2 * sim.rng.Float64()
 	}
-	if w.chance(0.4) {
-		w.doubt = 0.4 * w.rng.Float64()
+	if sim.chance(0.4) {
+		sim.doubtfulProbability = 0.4 * sim.rng.Float64()
 	}
-	if w.chance(0.4) {
-		from := w.now.Add(at())
-		w.outages = append(w.outages, span{from: from, to: from.Add(w.upTo(20 * second))})
+	if sim.chance(0.4) {
+		from := sim.now.Add(at())
+		sim.outages = append(sim.outages, interval{from: from, to: from.Add(sim.randomDuration(20 * second))})
 	}
-	for w.chance(0.5) {
-		w.after(at(), nil, func() { w.crash(w.rng.IntN(len(w.places))) })
+	for sim.chance(0.5) {
+		sim.schedule(at(), nil, func() { sim.crash(sim.rng.IntN(len(sim.currentNodes))) })
 	}
-	for w.chance(0.5) {
-		w.after(at(), nil, func() { w.places[w.rng.IntN(len(w.places))].pausedTil = w.now.Add(w.upTo(15 * second)) })
+	for sim.chance(0.5) {
+		sim.schedule(at(), nil, func() {
+			sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))].pausedUntil = sim.now.Add(sim.randomDuration(15 * second))
+		})
 	}
-	for w.chance(0.4) {
-		w.after(at(), nil, func() { w.places[w.rng.IntN(len(w.places))].cutOff = w.span(10 * second) })
+	for sim.chance(0.4) {
+		sim.schedule(at(), nil, func() { sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))].cutOff = sim.randomInterval(10 * second) })
 	}
-	for w.chance(0.4) {
-		w.after(at(), nil, func() { w.silent[[2]int{0, 1 + w.rng.IntN(len(w.places)-1)}] = w.span(15 * second) })
+	for sim.chance(0.4) {
+		sim.schedule(at(), nil, func() {
+			sim.partitions[[2]int{0, 1 + sim.rng.IntN(len(sim.currentNodes)-1)}] = sim.randomInterval(15 * second)
+		})
 	}
-	for w.chance(0.4) {
-		w.after(at(), nil, w.mistake)
+	for sim.chance(0.4) {
+		sim.schedule(at(), nil, sim.markDaemonDown)
 	}
-	if w.chance(0.4) {
-		w.planDrain(at())
+	if sim.chance(0.4) {
+		sim.scheduleDrains(at())
 	}
 }
 
-func (w *world) span(d time.Duration) span { return span{from: w.now, to: w.now.Add(w.upTo(d))} }
+func (sim *simulation) randomInterval(d time.Duration) interval {
+	return interval{from: sim.now, to: sim.now.Add(sim.randomDuration(d))}
+}
 
-// mistake makes a gateway take a live or paused daemon for gone.
-func (w *world) mistake() {
-	n := w.places[w.rng.IntN(len(w.places))]
-	n.mistaken[w.places[w.rng.IntN(len(w.places))].name] = w.span(10 * second)
+// markDaemonDown makes a gateway take a live or paused daemon for gone.
+func (sim *simulation) markDaemonDown() {
+	n := sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))]
+	n.mistakenlyDown[sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))].name] = sim.randomInterval(10 * second)
 }
 
-// planDrain lets two operators drain at once, two daemons perhaps, and crashes
+// scheduleDrains lets two operators drain at once, two daemons perhaps, and crashes
 // one in the middle now and then.
-func (w *world) planDrain(at time.Duration) {
-	for range 1 + w.rng.IntN(2) {
-		place := w.rng.IntN(len(w.places))
-		w.after(at+w.upTo(second), nil, func() {
-			n := w.places[place]
+func (sim *simulation) scheduleDrains(at time.Duration) {
+	for range 1 + sim.rng.IntN(2) {
+		index := sim.rng.IntN(len(sim.currentNodes))
+		sim.schedule(at+sim.randomDuration(second), nil, func() {
+			n := sim.currentNodes[index]
 			if n.dead {
 				return
 			}
 			n.drain()
-			w.after(w.upTo(8*second), n, func() { w.crash(place) })
+			sim.schedule(sim.randomDuration(8*second), n, func() { sim.crash(index) })
 		})
 	}
 }
 
-// call is a caller that takes a token somewhere, then sends copies of one call
+// simulateCaller is a caller that takes a token somewhere, then sends copies of one simulateCaller
 // through several gateways, some of them late, and asks for the outcome.
-func (w *world) call(name string) {
-	issuer := w.places[w.rng.IntN(len(w.places))]
-	if issuer.dead || w.now.Before(issuer.pausedTil) {
+func (sim *simulation) simulateCaller(name string) {
+	issuer := sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))]
+	if issuer.dead || sim.now.Before(issuer.pausedUntil) {
 		return
 	}
 	key := issuer.current.Token(issuer.clock()).String() + name
 	policy := manifest.OutageRun
-	if w.chance(0.3) {
+	if sim.chance(0.3) {
 		policy = manifest.OutageRefuse
 	}
-	copies := 1 + w.rng.IntN(4)
+	copies := 1 + sim.rng.IntN(4)
 	for range copies {
-		delay := w.upTo(3 * second)
-		if w.chance(0.2) {
-			delay = w.upTo(lifetime + 4*second)
+		delay := sim.randomDuration(3 * second)
+		if sim.chance(0.2) {
+			delay = sim.randomDuration(lifetime + 4*second)
 		}
 		body := name
-		if w.chance(0.05) {
+		if sim.chance(0.05) {
 			body = name + "-other"
 		}
-		readOnly := w.chance(0.2)
-		w.after(delay, nil, func() { w.send(key, body, policy, readOnly) })
+		readOnly := sim.chance(0.2)
+		sim.schedule(delay, nil, func() { sim.submitCopy(key, body, policy, readOnly) })
 	}
 }
 
-func (w *world) send(key, body string, policy manifest.OutagePolicy, readOnly bool) {
-	n := w.places[w.rng.IntN(len(w.places))]
+func (sim *simulation) submitCopy(key, body string, policy manifest.OutagePolicy, readOnly bool) {
+	n := sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))]
 	if n.dead {
 		return
 	}
-	from := w.now
-	id := idOf(key)
+	from := sim.now
+	id := actionID(key)
 	owner, _ := actionkey.Parse(key)
-	a := &asking{n: n, owner: owner.Owner, readOnly: readOnly}
-	a.request = action.Request{ID: id, BodyHash: body, Policy: policy, Call: call.ServiceCall{Body: []byte(body)}}
+	gc := &gatewayCall{n: n, owner: owner.Owner, readOnly: readOnly}
+	gc.request = action.Request{ID: id, BodyHash: body, Policy: policy, Call: call.ServiceCall{Body: []byte(body)}}
 	if readOnly {
-		a.request.BodyHash = ""
+		gc.request.BodyHash = ""
 		body = ""
 	}
-	a.done = func(r action.Result) { w.history.Told(from, w.now, id, body, r) }
-	w.after(0, n, func() { n.serve(a) })
+	gc.done = func(r action.Result) { sim.history.Told(from, sim.now, id, body, r) }
+	sim.schedule(0, n, func() { n.serve(gc) })
 }
 
 // Story: a booking runs twice, or its caller is told "not run" and it was. Any
@@ -143,7 +149,7 @@
 func TestHistories(t *testing.T) {
 	var yes, no, unknown, runs atomic.Int64
 	var mu sync.Mutex
-	var came reached
+	var total eventCounts
 	var wg sync.WaitGroup
 	var next atomic.Int64
 	for range *workers {
@@ -154,16 +160,16 @@
 					return
 				}
 				seed := *firstSeed + uint64(i)
-				w := play(options{seed: seed})
-				if !w.history.Legal() {
+				sim := runHistory(options{seed: seed})
+				if !sim.history.Legal() {
 					t.Errorf("seed %d: history is not legal", seed)
 				}
-				yes.Add(int64(w.history.Yes))
-				no.Add(int64(w.history.No))
-				unknown.Add(int64(w.history.Unknown))
-				runs.Add(int64(w.history.Runs))
+				yes.Add(int64(sim.history.Yes))
+				no.Add(int64(sim.history.No))
+				unknown.Add(int64(sim.history.Unknown))
+				runs.Add(int64(sim.history.Runs))
 				mu.Lock()
-				came.add(w.reached)
+				total.add(sim.coverage)
 				mu.Unlock()
 			}
 		})
@@ -171,8 +177,8 @@
 	wg.Wait()
 	t.Logf("%d histories: %d runs; callers were told yes %d, no %d, unknown %d times",
 		*histories, runs.Load(), yes.Load(), no.Load(), unknown.Load())
-	t.Logf("they came to %+v", came)
-	if yes.Load() == 0 || no.Load() == 0 || unknown.Load() == 0 || !came.all() {
+	t.Logf("they came to %+v", total)
+	if yes.Load() == 0 || no.Load() == 0 || unknown.Load() == 0 || !total.all() {
 		t.Error("histories don't reach every kind of answer and event")
 	}
 }
@@ -182,13 +188,13 @@
 func TestCheckerSeesEachBrokenGuard(t *testing.T) {
 	const tries = 3000
 	broken := []options{
-		{fault: action.FaultDispatchFirst},
-		{fault: action.FaultExpiredNo},
-		{fault: action.FaultForgetRefused},
-		{fault: action.FaultBreakPromise},
-		{guard: guardSeal},
-		{guard: guardTransportRetry},
-		{guard: guardPartialTable},
+		{fault: action.FaultDispatchBeforeJournal},
+		{fault: action.FaultExpiredNotExecuted},
+		{fault: action.FaultNoTombstones},
+		{fault: action.FaultUnjournaledPromise},
+		{guard: guardSealBeforeAnswer},
+		{guard: guardNoTransportRetry},
+		{guard: guardCompleteTable},
 	}
 	for _, o := range broken {
 		t.Run(string(o.fault)+string(o.guard), func(t *testing.T) {
@@ -196,7 +202,7 @@
 			seen := 0
 			for seed := uint64(1); seed <= tries && seen == 0; seed++ {
 				o.seed = seed
-				if !play(o).history.Legal() {
+				if !runHistory(o).history.Legal() {
 					seen = int(seed)
 				}
 			}
@@ -207,10 +213,10 @@
 }
 
 // The same seed gives the same history, so that a failure can be looked into.
-func TestHistoriesRepeat(t *testing.T) {
+func TestHistoriesAreDeterministic(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 5; seed++ {
-		a, b := play(options{seed: seed}), play(options{seed: seed})
+		a, b := runHistory(options{seed: seed}), runHistory(options{seed: seed})
 		is.Equal(a.history.Len(), b.history.Len())
 		is.Equal(a.history.Runs, b.history.Runs)
 	}
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -13,19 +13,19 @@
 )
 
 type record struct {
-	id        actionkey.ID
-	bodyHash  string
-	state     State
-	expires   time.Time
-	journaled bool // the token's promise
-	durable   bool
-	policy    manifest.OutagePolicy
+	id              actionkey.ID
+	bodyHash        string
+	state           State
+	expires         time.Time
+	journalPromised bool // the token's promise
+	durable         bool
+	policy          manifest.OutagePolicy
 	// call is dropped once it has been dispatched.
-	call    *call.ServiceCall
-	result  Result
-	notKept bool
-	bytes   int
-	waiters []Waiter
+	call          *call.ServiceCall
+	result        Result
+	answerDropped bool
+	bytes         int
+	waiters       []Waiter
 }
 
 // Owner is the table of the actions that one incarnation alone may dispatch.
@@ -40,7 +40,7 @@
 	dispatched int
 	bytes      int
 	tombstones tombstones
-	closing    bool
+	draining   bool
 	ended      bool
 	effects    []Effect
 }
@@ -72,8 +72,8 @@
 // Ended tells whether the owner dispatches nothing any more.
 func (o *Owner) Ended() bool { return o.ended }
 
-// Busy tells how many actions are dispatched without a result.
-func (o *Owner) Busy() int { return o.dispatched }
+// DispatchedCount tells how many actions are dispatched without a result.
+func (o *Owner) DispatchedCount() int { return o.dispatched }
 
 // Len tells how many actions the table holds.
 func (o *Owner) Len() int { return len(o.records) }
@@ -81,10 +81,10 @@
 // Submit takes a caller's request in.
 func (o *Owner) Submit(now time.Time, r Request) []Effect {
 	if rec, ok := o.records[r.ID]; ok {
-		o.join(rec, r)
+		o.attachDuplicate(rec, r)
 		return o.flush(now)
 	}
-	if refused := o.refuse(now, r); refused != nil {
+	if refused := o.refusalForNewKey(now, r); refused != nil {
 		o.reply(r.Waiter, Result{Refusal: refused})
 		return o.flush(now)
 	}
@@ -92,8 +92,8 @@
 	return o.flush(now)
 }
 
-// join attaches a duplicate to the one execution.
-func (o *Owner) join(rec *record, r Request) {
+// attachDuplicate attaches a duplicate to the one execution.
+func (o *Owner) attachDuplicate(rec *record, r Request) {
 	if rec.bodyHash != r.BodyHash {
 		// Unknown, not "no": its caller may take it for a repetition of the
 		// call that holds the key, and that one may have run.
@@ -102,15 +102,15 @@
 		return
 	}
 	if rec.state.final() {
-		o.reply(r.Waiter, rec.kept())
+		o.reply(r.Waiter, rec.retainedResult())
 		return
 	}
 	rec.waiters = append(rec.waiters, r.Waiter)
 }
 
-// kept is the result as far as it was kept.
-func (r *record) kept() Result {
-	if r.notKept {
+// retainedResult is the result as far as it was retainedResult.
+func (r *record) retainedResult() Result {
+	if r.answerDropped {
 		refused := refusal.New(refusal.AnswerNotKept, "it ran; its answer was too large to keep")
 		refused.Executed = refusal.ExecutedYes
 		return Result{Refusal: refused}
@@ -118,11 +118,11 @@
 	return r.result
 }
 
-// refuse returns why a key that is not in the table can't be accepted, or nil.
+// refusalForNewKey returns why a key that is not in the table can't be accepted, or nil.
 // Whatever is refused with executed "no" is remembered or can never be
 // accepted later: a copy of the same request may still be under way through
 // another gateway, and it must not run after this one's caller was told "no".
-func (o *Owner) refuse(now time.Time, r Request) *refusal.Refusal {
+func (o *Owner) refusalForNewKey(now time.Time, r Request) *refusal.Refusal {
 	key, err := actionkey.Parse(r.ID.Key)
 	if err != nil {
 		return refusal.New(refusal.KeyMalformed, "%v", err)
@@ -135,38 +135,38 @@
 		return refusal.New(refusal.KeyMalformed, "token was not issued here").Unknown()
 	}
 	if !now.Before(key.Expires()) {
-		return o.refuseExpired()
+		return o.expiredRefusal()
 	}
 	if o.tombstones.has(r.ID) {
-		return refusal.New(refusal.ActionTableFull, "refused before").After(shortRetry)
+		return refusal.New(refusal.ActionTableFull, "refused before").After(newKeyRetryAfter)
 	}
-	if o.full(r) {
-		return o.refuseFull(r.ID, key)
+	if o.atCapacity(r) {
+		return o.tableFullRefusal(r.ID, key)
 	}
 	return nil
 }
 
-// refuseExpired doesn't say "no": an expired key's record may have been
+// expiredRefusal doesn't say "no": an expired key's record may have been
 // dropped after the action ran.
-func (o *Owner) refuseExpired() *refusal.Refusal {
+func (o *Owner) expiredRefusal() *refusal.Refusal {
 	expired := refusal.New(refusal.KeyExpired, "key is over; nothing is known of it")
-	if o.cfg.Fault == FaultExpiredNo {
+	if o.cfg.Fault == FaultExpiredNotExecuted {
 		return expired
 	}
 	return expired.Unknown()
 }
 
-func (o *Owner) full(r Request) bool {
+func (o *Owner) atCapacity(r Request) bool {
 	return len(o.records) >= o.cfg.MaxRecords ||
 		o.bytes+len(r.Call.Body)+o.cfg.AnswerReserve > o.cfg.MaxBytes
 }
 
-// shortRetry is when a caller may come back with a new key.
-const shortRetry = time.Second
+// newKeyRetryAfter is when a caller may come back with a new key.
+const newKeyRetryAfter = time.Second
 
-func (o *Owner) refuseFull(id actionkey.ID, key actionkey.Key) *refusal.Refusal {
-	refused := refusal.New(refusal.ActionTableFull, "too many actions").After(shortRetry)
-	if o.cfg.Fault == FaultForgetRefused || o.tombstones.add(id, key.Expires()) {
+func (o *Owner) tableFullRefusal(id actionkey.ID, key actionkey.Key) *refusal.Refusal {
+	refused := refusal.New(refusal.ActionTableFull, "too many actions").After(newKeyRetryAfter)
+	if o.cfg.Fault == FaultNoTombstones || o.tombstones.add(id, key.Expires()) {
 		return refused
 	}
 	return refused.Unknown()
@@ -178,63 +178,63 @@
 		return // refuse has looked at it
 	}
 	rec := &record{
-		id:        r.ID,
-		bodyHash:  r.BodyHash,
-		state:     Received,
-		expires:   key.Expires(),
-		journaled: key.Journaled,
-		policy:    r.Policy,
-		call:      &r.Call,
-		bytes:     len(r.Call.Body) + o.cfg.AnswerReserve,
-		waiters:   []Waiter{r.Waiter},
+		id:              r.ID,
+		bodyHash:        r.BodyHash,
+		state:           Received,
+		expires:         key.Expires(),
+		journalPromised: key.Journaled,
+		policy:          r.Policy,
+		call:            &r.Call,
+		bytes:           len(r.Call.Body) + o.cfg.AnswerReserve,
+		waiters:         []Waiter{r.Waiter},
 	}
 	o.bytes += rec.bytes
 	o.records[r.ID] = rec
-	heap.Push(&o.expiry, expiring{rec: rec, at: rec.expires.Add(o.cfg.Grace).UnixMilli()})
-	if refused := o.inadmissible(r); refused != nil {
+	heap.Push(&o.expiry, expiryEntry{rec: rec, at: rec.expires.Add(o.cfg.Grace).UnixMilli()})
+	if refused := o.admissionRefusal(r); refused != nil {
 		o.settle(rec, NotExecuted, Result{Refusal: refused})
 		return
 	}
 	o.received = append(o.received, rec)
 	o.writer.Intend(journal.Intent{ID: rec.id, BodyHash: rec.bodyHash})
-	if o.cfg.Fault == FaultDispatchFirst {
+	if o.cfg.Fault == FaultDispatchBeforeJournal {
 		o.dispatch(rec)
 	}
 }
 
-func (o *Owner) inadmissible(r Request) *refusal.Refusal {
+func (o *Owner) admissionRefusal(r Request) *refusal.Refusal {
 	switch {
 	case r.Inadmissible != nil:
 		return r.Inadmissible
 	case o.ended:
-		return refusal.New(refusal.OwnerGone, "owner has ended; take a new token").After(shortRetry)
-	case o.closing:
-		return refusal.New(refusal.Draining, "VM is leaving; take a new token").After(shortRetry)
+		return refusal.New(refusal.OwnerGone, "owner has ended; take a new token").After(newKeyRetryAfter)
+	case o.draining:
+		return refusal.New(refusal.Draining, "VM is leaving; take a new token").After(newKeyRetryAfter)
 	}
 	return nil
 }
 
-// Finished takes the end of a dispatch in.
-func (o *Owner) Finished(now time.Time, id actionkey.ID, r Result) []Effect {
+// HandleFinished takes the end of a dispatch in.
+func (o *Owner) HandleFinished(now time.Time, id actionkey.ID, r Result) []Effect {
 	rec, ok := o.records[id]
 	if !ok || rec.state != Dispatched {
 		return nil
 	}
 	o.dispatched--
-	o.settle(rec, stateOf(r), r)
-	o.writer.Record(now, outcomeOf(rec))
-	o.keep(rec)
+	o.settle(rec, stateForResult(r), r)
+	o.writer.Record(now, journalOutcome(rec))
+	o.retainAnswer(rec)
 	return o.flush(now)
 }
 
-// Abandon ends the wait of a caller. An action that was not dispatched and
+// AbandonWait ends the wait of a caller. An action that was not dispatched and
 // that nobody else waits for never runs.
-func (o *Owner) Abandon(now time.Time, id actionkey.ID, w Waiter) []Effect {
+func (o *Owner) AbandonWait(now time.Time, id actionkey.ID, w Waiter) []Effect {
 	rec, ok := o.records[id]
 	if !ok || rec.state.final() {
 		return nil
 	}
-	rec.drop(w)
+	rec.removeWaiter(w)
 	if rec.state != Received || len(rec.waiters) > 0 {
 		o.reply(w, Result{Refusal: refusal.New(refusal.DeadlineExceeded,
 			"still in progress; ask for its outcome").Unknown()})
@@ -246,7 +246,7 @@
 	return o.flush(now)
 }
 
-func (r *record) drop(w Waiter) {
+func (r *record) removeWaiter(w Waiter) {
 	for i := range r.waiters {
 		if r.waiters[i] == w {
 			r.waiters = append(r.waiters[:i], r.waiters[i+1:]...)
@@ -255,10 +255,10 @@
 	}
 }
 
-// Ask tells what is known of an action, without running it.
-func (o *Owner) Ask(id actionkey.ID) (r Result, pending bool) {
+// Lookup tells what is known of an action, without running it.
+func (o *Owner) Lookup(id actionkey.ID) (r Result, pending bool) {
 	if rec, ok := o.records[id]; ok {
-		return rec.kept(), !rec.state.final()
+		return rec.retainedResult(), !rec.state.final()
 	}
 	if o.tombstones.has(id) {
 		return Result{Refusal: refusal.New(refusal.ActionTableFull, "refused before")}, false
@@ -267,19 +267,19 @@
 	return Result{Refusal: refusal.New(refusal.UnknownRequest, "nothing is known of this key").Unknown()}, false
 }
 
-// Written takes the result of a journal write in.
-func (o *Owner) Written(now time.Time, w journal.Written) []Effect {
+// HandleWritten takes the result of a journal write in.
+func (o *Owner) HandleWritten(now time.Time, w journal.Written) []Effect {
 	progress := o.writer.Done(now, w)
 	for _, id := range progress.Durable {
 		if rec, ok := o.records[id]; ok {
 			rec.durable = true
-			o.dispatchDurable(now, rec)
+			o.dispatchUnlessExpired(now, rec)
 		}
 	}
 	if progress.Sealed {
-		o.end()
+		o.markEnded()
 	}
-	o.compact()
+	o.pruneReceived()
 	return o.flush(now)
 }
 
@@ -289,14 +289,14 @@
 	return o.flush(now)
 }
 
-// Close stops the acceptance of new actions. End follows when Busy is zero or
+// StopAccepting stops the acceptance of new actions. End follows when Busy is zero or
 // time is short.
-func (o *Owner) Close() { o.closing = true }
+func (o *Owner) StopAccepting() { o.draining = true }
 
-// End seals the log, naming the successor that will get the table; Ended
+// Seal seals the log, naming the successor that will get the table; Ended
 // follows when the seal stands.
-func (o *Owner) End(now time.Time, successor ident.Incarnation) []Effect {
-	o.closing = true
+func (o *Owner) Seal(now time.Time, successor ident.Incarnation) []Effect {
+	o.draining = true
 	o.writer.End(successor)
 	return o.flush(now)
 }
@@ -305,42 +305,42 @@
 func (o *Owner) Due(now time.Time) time.Time {
 	due := o.writer.Due(now)
 	if len(o.received) > 0 && !o.writer.Unavailable(now) {
-		due = earlier(due, o.writer.UnavailableAt())
+		due = earliest(due, o.writer.UnavailableAt())
 	}
 	if len(o.expiry) > 0 {
-		due = earlier(due, time.UnixMilli(o.expiry[0].at))
+		due = earliest(due, time.UnixMilli(o.expiry[0].at))
 	}
 	return due
 }
 
-func earlier(a, b time.Time) time.Time {
+func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// Quit ends the owner without its seal, when the service is down or time is
+// EndUnsealed ends the owner without its seal, when the service is down or time is
 // over: it dispatches nothing any more.
-func (o *Owner) Quit(now time.Time) []Effect {
-	o.end()
+func (o *Owner) EndUnsealed(now time.Time) []Effect {
+	o.markEnded()
 	return o.flush(now)
 }
 
-// Detach drops a waiter that asks again later; the action goes on.
-func (o *Owner) Detach(id actionkey.ID, w Waiter) {
+// DetachWaiter drops a waiter that asks again later; the action goes on.
+func (o *Owner) DetachWaiter(id actionkey.ID, w Waiter) {
 	if rec, ok := o.records[id]; ok {
-		rec.drop(w)
+		rec.removeWaiter(w)
 	}
 }
 
-// Unavailable tells whether the journal can't be written for the time being.
-func (o *Owner) Unavailable(now time.Time) bool { return o.writer.Unavailable(now) }
+// JournalUnavailable tells whether the journal can't be written for the time being.
+func (o *Owner) JournalUnavailable(now time.Time) bool { return o.writer.Unavailable(now) }
 
 // flush applies the outage policies, then hands out the effects.
 func (o *Owner) flush(now time.Time) []Effect {
 	if !o.ended && o.writer.Unavailable(now) {
-		o.serveWithoutJournal(now)
+		o.applyOutagePolicies(now)
 	}
 	if write, ok := o.writer.Flush(now); ok {
 		o.effects = append(o.effects, &Write{write})
@@ -353,33 +353,33 @@
 	return effects
 }
 
-// serveWithoutJournal ends the wait of every received action while the
+// applyOutagePolicies ends the wait of every received action while the
 // journal can't be written. What carries the token's promise never runs
 // unjournaled: a gateway that seals the log would tell its caller "no". If the
 // entry in flight takes effect after all, its keys are intents without an
 // outcome, and the gateway says "unknown".
-func (o *Owner) serveWithoutJournal(now time.Time) {
+func (o *Owner) applyOutagePolicies(now time.Time) {
 	for _, rec := range o.received {
 		if rec.state != Received {
 			continue
 		}
-		promised := rec.journaled && o.cfg.Fault != FaultBreakPromise
+		promised := rec.journalPromised && o.cfg.Fault != FaultUnjournaledPromise
 		if rec.policy == manifest.OutageRun && !promised {
 			o.dispatch(rec)
 			continue
 		}
 		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.JournalUnavailable,
-			"journal is unavailable; take a new token").After(shortRetry)})
+			"journal is unavailable; take a new token").After(newKeyRetryAfter)})
 	}
 	clear(o.received)
 	o.received = o.received[:0]
 	o.writer.Withdraw()
 }
 
-// dispatchDurable doesn't dispatch an expired key. The seal that would have kept
+// dispatchUnlessExpired doesn't dispatch an expired key. The seal that would have kept
 // it out of the log may have been collected while this owner was paused, and
 // the key's caller been told "not executed".
-func (o *Owner) dispatchDurable(now time.Time, rec *record) {
+func (o *Owner) dispatchUnlessExpired(now time.Time, rec *record) {
 	if rec.state == Received && !now.Before(rec.expires) {
 		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.KeyExpired, "key was over before its dispatch")})
 		return
@@ -394,10 +394,10 @@
 	rec.state = Dispatched
 	o.dispatched++
 	o.effects = append(o.effects, &Dispatch{ID: rec.id, Call: *rec.call, Journaled: rec.durable})
-	o.dropCall(rec)
+	o.releaseCall(rec)
 }
 
-func (o *Owner) dropCall(rec *record) {
+func (o *Owner) releaseCall(rec *record) {
 	if rec.call == nil {
 		return
 	}
@@ -406,8 +406,8 @@
 	rec.call = nil
 }
 
-// end settles what was not dispatched: nobody else can dispatch it.
-func (o *Owner) end() {
+// markEnded settles what was not dispatched: nobody else can dispatch it.
+func (o *Owner) markEnded() {
 	if o.ended {
 		return
 	}
@@ -415,7 +415,7 @@
 	for _, rec := range o.received {
 		if rec.state == Received {
 			o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.OwnerGone,
-				"owner was sealed; take a new token").After(shortRetry)})
+				"owner was sealed; take a new token").After(newKeyRetryAfter)})
 		}
 	}
 	o.received = nil
@@ -429,15 +429,15 @@
 		o.reply(w, r)
 	}
 	rec.waiters = nil
-	o.dropCall(rec)
+	o.releaseCall(rec)
 }
 
-// keep accounts for the answer, or drops one over the reserve.
-func (o *Owner) keep(rec *record) {
+// retainAnswer accounts for the answer, or drops one over the reserve.
+func (o *Owner) retainAnswer(rec *record) {
 	size := answerSize(rec.result.Answer)
 	if size > o.cfg.AnswerReserve && o.bytes+size-rec.bytes > o.cfg.MaxBytes {
 		rec.result = Result{}
-		rec.notKept = true
+		rec.answerDropped = true
 		size = 0
 	}
 	o.bytes += size - rec.bytes
@@ -448,8 +448,8 @@
 	o.effects = append(o.effects, &Reply{Waiter: w, Result: r})
 }
 
-// compact drops what no longer waits for the journal from the list.
-func (o *Owner) compact() {
+// pruneReceived drops what no longer waits for the journal from the list.
+func (o *Owner) pruneReceived() {
 	waiting := o.received[:0]
 	for _, rec := range o.received {
 		if rec.state == Received {
@@ -464,9 +464,9 @@
 	o.tombstones.expire(now)
 	ms := now.UnixMilli()
 	for len(o.expiry) > 0 && o.expiry[0].at <= ms {
-		rec := heap.Pop(&o.expiry).(expiring).rec
+		rec := heap.Pop(&o.expiry).(expiryEntry).rec
 		if !rec.state.final() {
-			heap.Push(&o.expiry, expiring{rec: rec, at: now.Add(o.cfg.Grace).UnixMilli()})
+			heap.Push(&o.expiry, expiryEntry{rec: rec, at: now.Add(o.cfg.Grace).UnixMilli()})
 			continue
 		}
 		o.bytes -= rec.bytes
--- a/protocol/action/owner_test.go
+++ b/protocol/action/owner_test.go
@@ -17,8 +17,8 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// hand drives one owner step by step.
-type hand struct {
+// ownerDriver drives one owner step by step.
+type ownerDriver struct {
 	now     time.Time
 	owner   *action.Owner
 	waiters action.Waiter
@@ -27,13 +27,13 @@
 	write   *action.Write
 }
 
-func newHand(change func(*action.Config)) *hand {
+func newOwnerDriver(change func(*action.Config)) *ownerDriver {
 	cfg := action.DefaultConfig("entry-1~aa")
 	if change != nil {
 		change(&cfg)
 	}
 	start := time.Unix(1_700_000_000, 0)
-	return &hand{
+	return &ownerDriver{
 		now:     start,
 		owner:   action.NewOwner(start, cfg),
 		replies: map[action.Waiter]action.Result{},
@@ -41,121 +41,125 @@
 	}
 }
 
-func (h *hand) take(effects []action.Effect) {
+func (drv *ownerDriver) recordEffects(effects []action.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case *action.Reply:
-			h.replies[e.Waiter] = e.Result
+			drv.replies[e.Waiter] = e.Result
 		case *action.Dispatch:
-			h.sent[e.ID.Key]++
+			drv.sent[e.ID.Key]++
 		case *action.Write:
-			h.write = e
+			drv.write = e
 		}
 	}
 }
 
-func (h *hand) key(suffix string) string { return h.owner.Token(h.now).String() + suffix }
+func (drv *ownerDriver) newKey(suffix string) string {
+	return drv.owner.Token(drv.now).String() + suffix
+}
 
-func (h *hand) submit(key, body string) action.Waiter {
-	h.waiters++
-	h.take(h.owner.Submit(h.now, action.Request{
-		Waiter: h.waiters, ID: idOf(key), BodyHash: body, Policy: manifest.OutageRun,
+func (drv *ownerDriver) submit(key, body string) action.Waiter {
+	drv.waiters++
+	drv.recordEffects(drv.owner.Submit(drv.now, action.Request{
+		Waiter: drv.waiters, ID: actionID(key), BodyHash: body, Policy: manifest.OutageRun,
 		Call: call.ServiceCall{Body: []byte(body)},
 	}))
-	return h.waiters
+	return drv.waiters
 }
 
-func (h *hand) written(s journal.Status, standing journal.Entry) {
-	w := h.write
-	h.write = nil
-	h.take(h.owner.Written(h.now, journal.Written{Index: w.Index, Status: s, Standing: standing}))
+func (drv *ownerDriver) finishWrite(s journal.Status, standing journal.Entry) {
+	w := drv.write
+	drv.write = nil
+	drv.recordEffects(drv.owner.HandleWritten(drv.now, journal.Written{Index: w.Index, Status: s, Standing: standing}))
 }
 
-func (h *hand) pass(d time.Duration) {
-	h.now = h.now.Add(d)
-	h.take(h.owner.Tick(h.now))
+func (drv *ownerDriver) advance(d time.Duration) {
+	drv.now = drv.now.Add(d)
+	drv.recordEffects(drv.owner.Tick(drv.now))
 }
 
-func (h *hand) told(w action.Waiter) refusal.Executed { return h.replies[w].Executed() }
+func (drv *ownerDriver) executedOf(w action.Waiter) refusal.Executed {
+	return drv.replies[w].Executed()
+}
 
-func TestDispatchOnlyAfterTheJournal(t *testing.T) {
+func TestDispatchOnlyAfterIntentIsJournaled(t *testing.T) {
 	is := is.New(t)
-	h := newHand(nil)
-	key := h.key("a")
-	first, second := h.submit(key, "x"), h.submit(key, "x")
-	is.Equal(h.sent[key], 0)
-	h.written(journal.Created, journal.Entry{})
-	is.Equal(h.sent[key], 1)
-	h.take(h.owner.Finished(h.now, idOf(key), action.Result{Answer: call.Answer{Body: []byte("ok")}}))
-	is.Equal(string(h.replies[first].Answer.Body), "ok")
-	is.Equal(string(h.replies[second].Answer.Body), "ok")
-	is.Equal(h.told(h.submit(key, "y")), refusal.ExecutedUnknown) // another body
+	drv := newOwnerDriver(nil)
+	key := drv.newKey("a")
+	first, second := drv.submit(key, "x"), drv.submit(key, "x")
+	is.Equal(drv.sent[key], 0)
+	drv.finishWrite(journal.Created, journal.Entry{})
+	is.Equal(drv.sent[key], 1)
+	drv.recordEffects(drv.owner.HandleFinished(drv.now, actionID(key), action.Result{Answer: call.Answer{Body: []byte("ok")}}))
+	is.Equal(string(drv.replies[first].Answer.Body), "ok")
+	is.Equal(string(drv.replies[second].Answer.Body), "ok")
+	is.Equal(drv.executedOf(drv.submit(key, "y")), refusal.ExecutedUnknown) // another body
 }
 
 // Story: a pledge waits a second in an outage and its caller is told "not
 // run". Later the journal entry takes effect after all, and the pledge runs.
 func TestLateJournalEntryDoesNotDispatch(t *testing.T) {
 	is := is.New(t)
-	h := newHand(nil)
-	key := h.key("a")
-	w := h.submit(key, "x")
-	h.pass(time.Second)
-	is.Equal(h.replies[w].Refusal.Reason, refusal.JournalUnavailable)
-	is.Equal(h.told(w), refusal.ExecutedNo)
-	h.written(journal.Created, journal.Entry{})
-	is.Equal(h.sent[key], 0)
-	is.Equal(h.told(h.submit(key, "x")), refusal.ExecutedNo) // also when asked again
+	drv := newOwnerDriver(nil)
+	key := drv.newKey("a")
+	w := drv.submit(key, "x")
+	drv.advance(time.Second)
+	is.Equal(drv.replies[w].Refusal.Reason, refusal.JournalUnavailable)
+	is.Equal(drv.executedOf(w), refusal.ExecutedNo)
+	drv.finishWrite(journal.Created, journal.Entry{})
+	is.Equal(drv.sent[key], 0)
+	is.Equal(drv.executedOf(drv.submit(key, "x")), refusal.ExecutedNo) // also when asked again
 }
 
 // Story: a VM is suspended for a day with a booking that waits for the journal.
 // Its log was sealed, the caller told "not run", the seal collected. The VM
 // wakes, its journal entry is created, and the booking runs.
-func TestKeyThatExpiredInTheJournalDoesNotRun(t *testing.T) {
+func TestKeyThatExpiredDuringJournalWriteDoesNotRun(t *testing.T) {
 	is := is.New(t)
-	h := newHand(nil)
-	key := h.key("a")
-	w := h.submit(key, "x")
-	h.now = h.now.Add(24 * time.Hour)
-	h.written(journal.Created, journal.Entry{})
-	is.Equal(h.sent[key], 0)
-	is.Equal(h.told(w), refusal.ExecutedNo)
+	drv := newOwnerDriver(nil)
+	key := drv.newKey("a")
+	w := drv.submit(key, "x")
+	drv.now = drv.now.Add(24 * time.Hour)
+	drv.finishWrite(journal.Created, journal.Entry{})
+	is.Equal(drv.sent[key], 0)
+	is.Equal(drv.executedOf(w), refusal.ExecutedNo)
 }
 
 // Story: a booking is refused for lack of memory; a copy of it that was slow
 // on another way is accepted a moment later and runs.
-func TestRefusedAtTheBoundStaysRefused(t *testing.T) {
+func TestKeyRefusedByFullTableStaysRefused(t *testing.T) {
 	is := is.New(t)
-	h := newHand(func(c *action.Config) { c.MaxRecords, c.MaxTombstones = 1, 1 })
-	h.submit(h.key("a"), "x")
-	refused := h.submit(h.key("b"), "x")
-	is.Equal(h.replies[refused].Refusal.Reason, refusal.ActionTableFull)
-	is.Equal(h.told(refused), refusal.ExecutedNo)
-	is.Equal(h.told(h.submit(h.key("c"), "x")), refusal.ExecutedUnknown) // not remembered
-	is.Equal(h.told(h.submit(h.key("b"), "x")), refusal.ExecutedNo)
+	drv := newOwnerDriver(func(c *action.Config) { c.MaxRecords, c.MaxTombstones = 1, 1 })
+	drv.submit(drv.newKey("a"), "x")
+	refused := drv.submit(drv.newKey("b"), "x")
+	is.Equal(drv.replies[refused].Refusal.Reason, refusal.ActionTableFull)
+	is.Equal(drv.executedOf(refused), refusal.ExecutedNo)
+	is.Equal(drv.executedOf(drv.submit(drv.newKey("c"), "x")), refusal.ExecutedUnknown) // not remembered
+	is.Equal(drv.executedOf(drv.submit(drv.newKey("b"), "x")), refusal.ExecutedNo)
 }
 
 func TestExpiredKeyIsUnknown(t *testing.T) {
 	is := is.New(t)
-	h := newHand(nil)
-	key := h.key("a")
-	h.pass(3 * time.Minute)
-	w := h.submit(key, "x")
-	is.Equal(h.told(w), refusal.ExecutedUnknown)
-	is.Equal(h.replies[w].Refusal.Reason, refusal.KeyExpired)
+	drv := newOwnerDriver(nil)
+	key := drv.newKey("a")
+	drv.advance(3 * time.Minute)
+	w := drv.submit(key, "x")
+	is.Equal(drv.executedOf(w), refusal.ExecutedUnknown)
+	is.Equal(drv.replies[w].Refusal.Reason, refusal.KeyExpired)
 }
 
-func TestAnswerOverTheBoundIsForgottenNotDenied(t *testing.T) {
+func TestOversizedAnswerIsDroppedButReportedExecuted(t *testing.T) {
 	is := is.New(t)
-	h := newHand(func(c *action.Config) { c.MaxBytes, c.AnswerReserve = 1000, 100 })
-	key := h.key("a")
-	first := h.submit(key, "x")
-	h.written(journal.Created, journal.Entry{})
+	drv := newOwnerDriver(func(c *action.Config) { c.MaxBytes, c.AnswerReserve = 1000, 100 })
+	key := drv.newKey("a")
+	first := drv.submit(key, "x")
+	drv.finishWrite(journal.Created, journal.Entry{})
 	large := strings.Repeat("y", 2000)
-	h.take(h.owner.Finished(h.now, idOf(key), action.Result{Answer: call.Answer{Body: []byte(large)}}))
-	is.Equal(string(h.replies[first].Answer.Body), large)
-	again := h.submit(key, "x")
-	is.Equal(h.replies[again].Refusal.Reason, refusal.AnswerNotKept)
-	is.Equal(h.told(again), refusal.ExecutedYes)
+	drv.recordEffects(drv.owner.HandleFinished(drv.now, actionID(key), action.Result{Answer: call.Answer{Body: []byte(large)}}))
+	is.Equal(string(drv.replies[first].Answer.Body), large)
+	again := drv.submit(key, "x")
+	is.Equal(drv.replies[again].Refusal.Reason, refusal.AnswerNotKept)
+	is.Equal(drv.executedOf(again), refusal.ExecutedYes)
 }
 
 // Under any order of calls an owner dispatches each key at most once, keeps
@@ -163,39 +167,39 @@
 // that spins.
 func TestOwnerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHand(func(c *action.Config) { c.MaxRecords, c.TokenLifetime = 4, 5*time.Second })
+		drv := newOwnerDriver(func(c *action.Config) { c.MaxRecords, c.TokenLifetime = 4, 5*time.Second })
 		var keys []string
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(t *rapid.T) {
 				if len(keys) == 0 || rapid.Bool().Draw(t, "new") {
-					keys = append(keys, h.key(fmt.Sprint("k", len(keys))))
+					keys = append(keys, drv.newKey(fmt.Sprint("k", len(keys))))
 				}
-				h.submit(rapid.SampledFrom(keys).Draw(t, "key"), "x")
+				drv.submit(rapid.SampledFrom(keys).Draw(t, "key"), "x")
 			},
 			"written": func(t *rapid.T) {
-				if h.write == nil {
+				if drv.write == nil {
 					t.Skip("nothing in flight")
 				}
-				h.written(rapid.SampledFrom([]journal.Status{journal.Created, journal.Doubtful}).Draw(t, "status"), journal.Entry{})
+				drv.finishWrite(rapid.SampledFrom([]journal.Status{journal.Created, journal.Doubtful}).Draw(t, "status"), journal.Entry{})
 			},
 			"finished": func(t *rapid.T) {
 				if len(keys) == 0 {
 					t.Skip("no keys")
 				}
-				h.take(h.owner.Finished(h.now, idOf(rapid.SampledFrom(keys).Draw(t, "key")), action.Result{}))
+				drv.recordEffects(drv.owner.HandleFinished(drv.now, actionID(rapid.SampledFrom(keys).Draw(t, "key")), action.Result{}))
 			},
 			"pass": func(t *rapid.T) {
-				h.pass(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
+				drv.advance(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"": func(t *rapid.T) {
-				h.take(h.owner.Tick(h.now))
-				if due := h.owner.Due(h.now); !due.IsZero() && !due.After(h.now) && h.write == nil {
-					t.Fatalf("due %v ago after a tick", h.now.Sub(due))
+				drv.recordEffects(drv.owner.Tick(drv.now))
+				if due := drv.owner.Due(drv.now); !due.IsZero() && !due.After(drv.now) && drv.write == nil {
+					t.Fatalf("due %v ago after a tick", drv.now.Sub(due))
 				}
-				if h.owner.Len() > 4 {
-					t.Fatalf("%d records", h.owner.Len())
+				if drv.owner.Len() > 4 {
+					t.Fatalf("%d records", drv.owner.Len())
 				}
-				for key, n := range h.sent {
+				for key, n := range drv.sent {
 					if n > 1 {
 						t.Fatalf("%s dispatched %d times", key, n)
 					}
--- a/protocol/action/record.go
+++ b/protocol/action/record.go
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-func stateOf(r Result) State {
+func stateForResult(r Result) State {
 	switch r.Executed() {
 	case refusal.ExecutedYes:
 		return Executed
@@ -21,7 +21,7 @@
 	}
 }
 
-func outcomeOf(rec *record) journal.Outcome {
+func journalOutcome(rec *record) journal.Outcome {
 	out := journal.Outcome{ID: rec.id, BodyHash: rec.bodyHash, Executed: rec.result.Executed()}
 	if refused := rec.result.Refusal; refused != nil {
 		out.Reason = refused.Reason
@@ -36,8 +36,8 @@
 	return out
 }
 
-// FromVerdict is what a caller gets by the verdict of a sealed log.
-func FromVerdict(v journal.Verdict) Result {
+// ResultFromVerdict is what a caller gets by the verdict of a sealed log.
+func ResultFromVerdict(v journal.Verdict) Result {
 	o := v.Outcome
 	if o == nil {
 		return Result{Refusal: &refusal.Refusal{Reason: v.Reason, Executed: v.Executed,
@@ -65,22 +65,22 @@
 	return size
 }
 
-// expiring is an action with the time, in Unix milliseconds, at which its
+// expiryEntry is an action with the time, in Unix milliseconds, at which its
 // record may be dropped. A tombstone's record holds nothing but the ID.
-type expiring struct {
+type expiryEntry struct {
 	rec *record
 	at  int64
 }
 
 // expiryQueue is a heap by time.
-type expiryQueue []expiring
+type expiryQueue []expiryEntry
 
 func (q expiryQueue) Len() int           { return len(q) }
 func (q expiryQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q expiryQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
 // Push is for container/heap.
-func (q *expiryQueue) Push(x any) { *q = append(*q, x.(expiring)) }
+func (q *expiryQueue) Push(x any) { *q = append(*q, x.(expiryEntry)) }
 
 // Pop is for container/heap.
 func (q *expiryQueue) Pop() any {
@@ -112,14 +112,14 @@
 		return false
 	}
 	t.ids[id] = struct{}{}
-	heap.Push(&t.expiry, expiring{rec: &record{id: id}, at: expires.UnixMilli()})
+	heap.Push(&t.expiry, expiryEntry{rec: &record{id: id}, at: expires.UnixMilli()})
 	return true
 }
 
 // expire drops keys that would be refused as expired.
 func (t *tombstones) expire(now time.Time) {
 	for len(t.expiry) > 0 && t.expiry[0].at <= now.UnixMilli() {
-		e := heap.Pop(&t.expiry).(expiring)
+		e := heap.Pop(&t.expiry).(expiryEntry)
 		delete(t.ids, e.rec.id)
 	}
 }
--- /dev/null
+++ b/protocol/action/simulation_test.go
@@ -0,0 +1,368 @@
+package action_test
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"geraniumstack.org/geraniumstack/coordination/journal"
+	"geraniumstack.org/geraniumstack/internal/actionhistory"
+	"geraniumstack.org/geraniumstack/protocol/action"
+	"geraniumstack.org/geraniumstack/protocol/call"
+	"geraniumstack.org/geraniumstack/state/ident"
+	"geraniumstack.org/geraniumstack/state/refusal"
+)
+
+// brokenGuard names what a history breaks on purpose; the empty one breaks nothing.
+type brokenGuard string
+
+const (
+	guardSealBeforeAnswer brokenGuard = "speak for an owner without a seal"
+	guardNoTransportRetry brokenGuard = "transport retries"
+	guardCompleteTable    brokenGuard = "absence from a partial table is no"
+)
+
+// options choose a history and which guard is broken in it.
+type options struct {
+	seed  uint64
+	fault action.Fault
+	guard brokenGuard
+}
+
+const (
+	second        = time.Second
+	lifetime      = 8 * second
+	historyLength = 40 * second
+	storeTimeout  = second
+)
+
+// event is something that happens at a time. One that belongs to an
+// incarnation is lost with it and waits while it is paused.
+type event struct {
+	at    time.Time
+	seq   int
+	owner *node
+	run   func()
+}
+
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at.Equal(q[j].at) {
+		return q[i].seq < q[j].seq
+	}
+	return q[i].at.Before(q[j].at)
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	e := (*q)[last]
+	*q = (*q)[:last]
+	return e
+}
+
+// interval is a stretch of time in which something fails.
+type interval struct{ from, to time.Time }
+
+func (s interval) contains(t time.Time) bool { return !t.Before(s.from) && t.Before(s.to) }
+
+// simulation runs the pure machines of a few daemons against small fakes of the
+// key-value service, the network and the runners, in one order by one seed.
+type simulation struct {
+	options
+	rng                 *rand.Rand
+	now                 time.Time
+	queue               eventQueue
+	seq                 int
+	currentNodes        []*node // the incarnation that is at each place now
+	nodes               map[ident.Incarnation]*node
+	entries             map[string][]byte
+	entryOrder          []string // keys of entries, as created
+	outages             []interval
+	partitions          map[[2]int]interval
+	history             actionhistory.History
+	coverage            eventCounts
+	lossProbability     float64
+	doubtfulProbability float64
+	smallTables         bool
+}
+
+// eventCounts counts what a history came to, to show that the faults do their work.
+type eventCounts struct {
+	unjournaled, collected, sealed, reopened, adopted int
+}
+
+func (r *eventCounts) add(o eventCounts) {
+	r.unjournaled += o.unjournaled
+	r.collected += o.collected
+	r.sealed += o.sealed
+	r.reopened += o.reopened
+	r.adopted += o.adopted
+}
+
+func (r eventCounts) all() bool {
+	return min(r.unjournaled, r.collected, r.sealed, r.reopened, r.adopted) > 0
+}
+
+// node is one incarnation of a daemon.
+type node struct {
+	sim            *simulation
+	index          int
+	name           ident.Incarnation
+	clockOffset    time.Duration // of its clock
+	dead           bool
+	pausedUntil    time.Time
+	current        *action.Owner
+	owners         map[ident.Incarnation]*action.Owner
+	adopted        map[ident.Incarnation]*action.AdoptedTable
+	logs           map[ident.Incarnation]*journal.Log
+	replyHandlers  map[action.Waiter]func(action.Result)
+	lastWaiter     action.Waiter
+	scheduledTicks map[*action.Owner]time.Time
+	epoch          int
+	draining       bool
+	cutOff         interval // from the key-value service
+	mistakenlyDown map[ident.Incarnation]interval
+}
+
+func newSimulation(o options) *simulation {
+	sim := &simulation{
+		options:    o,
+		rng:        rand.New(rand.NewPCG(o.seed, 7)),
+		now:        time.Unix(1_700_000_000, 0),
+		nodes:      map[ident.Incarnation]*node{},
+		entries:    map[string][]byte{},
+		partitions: map[[2]int]interval{},
+	}
+	sim.smallTables = sim.chance(0.2)
+	for index := range 3 + sim.rng.IntN(2) {
+		sim.currentNodes = append(sim.currentNodes, nil)
+		sim.boot(index)
+	}
+	return sim
+}
+
+func (sim *simulation) chance(p float64) bool { return sim.rng.Float64() < p }
+
+func (sim *simulation) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(sim.rng.Int64N(int64(d) + 1))
+}
+
+func (sim *simulation) boot(index int) *node {
+	random := []byte{byte(sim.rng.Uint32()), byte(sim.rng.Uint32()), byte(sim.rng.Uint32()), byte(index)}
+	n := &node{
+		sim:            sim,
+		index:          index,
+		name:           ident.NewIncarnation(ident.DaemonID(fmt.Sprintf("entry-%d", index)), random),
+		clockOffset:    sim.randomDuration(10*second) - 5*second,
+		owners:         map[ident.Incarnation]*action.Owner{},
+		adopted:        map[ident.Incarnation]*action.AdoptedTable{},
+		logs:           map[ident.Incarnation]*journal.Log{},
+		replyHandlers:  map[action.Waiter]func(action.Result){},
+		scheduledTicks: map[*action.Owner]time.Time{},
+		mistakenlyDown: map[ident.Incarnation]interval{},
+	}
+	n.openOwner()
+	sim.currentNodes[index] = n
+	sim.nodes[n.name] = n
+	return n
+}
+
+func (n *node) clock() time.Time { return n.sim.now.Add(n.clockOffset) }
+
+func (n *node) openOwner() {
+	name := n.name
+	if n.epoch > 0 {
+		name = ident.Incarnation(fmt.Sprintf("%s+%d", n.name, n.epoch))
+	}
+	n.epoch++
+	cfg := action.DefaultConfig(name)
+	cfg.TokenLifetime = lifetime
+	cfg.Grace = second
+	cfg.Journal.Grace = second
+	cfg.Fault = n.sim.fault
+	if n.sim.smallTables {
+		cfg.MaxRecords = 3
+		cfg.MaxTombstones = 2
+	}
+	n.current = action.NewOwner(n.clock(), cfg)
+	n.owners[name] = n.current
+}
+
+// schedule schedules an event; of is nil for what no daemon does.
+func (sim *simulation) schedule(d time.Duration, of *node, do func()) {
+	sim.seq++
+	heap.Push(&sim.queue, event{at: sim.now.Add(d), seq: sim.seq, owner: of, run: do})
+}
+
+func (sim *simulation) run() {
+	for len(sim.queue) > 0 {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
+		if e.owner != nil && e.owner.dead {
+			continue
+		}
+		if e.owner != nil && sim.now.Before(e.owner.pausedUntil) {
+			sim.schedule(e.owner.pausedUntil.Sub(sim.now), e.owner, e.run)
+			continue
+		}
+		e.run()
+	}
+}
+
+// processingDelay is how long a daemon takes between deciding and doing: time in which it
+// can crash or be paused.
+func (sim *simulation) processingDelay() time.Duration {
+	return sim.randomDuration(2 * time.Millisecond)
+}
+
+func (n *node) apply(o *action.Owner, effects []action.Effect) {
+	for _, e := range effects {
+		switch e := e.(type) {
+		case *action.Reply:
+			n.sim.schedule(n.sim.processingDelay(), n, func() { n.deliver(e) })
+		case *action.Dispatch:
+			n.sim.schedule(n.sim.processingDelay(), n, func() { n.dispatch(o, e) })
+		case *action.Write:
+			n.sim.schedule(n.sim.processingDelay(), n, func() { n.write(o, e) })
+		case *action.Collect:
+			n.sim.coverage.collected++
+			n.sim.schedule(n.sim.processingDelay(), nil, func() { n.sim.remove(journal.EntryKey(o.Incarnation(), e.Index)) })
+		case *action.Ended:
+			if o == n.current && !n.draining {
+				n.sim.coverage.reopened++
+				n.openOwner()
+			}
+		}
+	}
+	n.scheduleTick(o)
+}
+
+// scheduleTick ticks the owner when it is due.
+func (n *node) scheduleTick(o *action.Owner) {
+	due := o.Due(n.clock())
+	if due.IsZero() {
+		return
+	}
+	d := max(time.Millisecond, due.Sub(n.clock()))
+	at := n.sim.now.Add(d)
+	if planned, ok := n.scheduledTicks[o]; ok && planned.After(n.sim.now) && !at.Before(planned) {
+		return
+	}
+	n.scheduledTicks[o] = at
+	if at.Sub(time.Unix(1_700_000_000, 0)) > 2*historyLength {
+		return
+	}
+	n.sim.schedule(d, n, func() { n.apply(o, o.Tick(n.clock())) })
+}
+
+func (n *node) deliver(r *action.Reply) {
+	if done, ok := n.replyHandlers[r.Waiter]; ok {
+		delete(n.replyHandlers, r.Waiter)
+		done(r.Result)
+	}
+}
+
+// dispatch runs the action at a runner, which may be unreachable, refuse, break
+// the connection after it has run the action, or stay silent.
+func (n *node) dispatch(o *action.Owner, d *action.Dispatch) {
+	sim := n.sim
+	if !d.Journaled {
+		sim.coverage.unjournaled++
+	}
+	finish := func(after time.Duration, r action.Result) {
+		sim.schedule(after, n, func() { n.apply(o, o.HandleFinished(n.clock(), d.ID, r)) })
+	}
+	switch p := sim.rng.Float64(); {
+	case p < 0.05:
+		finish(sim.processingDelay(), refusedWith(refusal.New(refusal.NoRunner, "dial")))
+	case p < 0.10:
+		finish(sim.processingDelay(), refusedWith(refusal.New(refusal.RunnerRefused, "busy")))
+	case p < 0.20:
+		sim.execute(d)
+		if sim.guard == guardNoTransportRetry {
+			sim.schedule(sim.processingDelay(), nil, func() { sim.execute(d) })
+		}
+		finish(sim.randomDuration(second), refusedWith(refusal.New(refusal.RunnerFailed, "broken").Unknown()))
+	default:
+		delay := sim.randomDuration(50 * time.Millisecond)
+		sim.schedule(delay, nil, func() {
+			answer := sim.execute(d)
+			finish(sim.randomDuration(20*time.Millisecond), action.Result{Answer: answer})
+		})
+	}
+}
+
+func refusedWith(r *refusal.Refusal) action.Result { return action.Result{Refusal: r} }
+
+func (sim *simulation) execute(d *action.Dispatch) call.Answer {
+	body := fmt.Sprintf("%s#%d", d.Call.Body, sim.history.Runs)
+	sim.history.Ran(sim.now, d.ID, string(d.Call.Body), body)
+	return call.Answer{Status: 200, Body: []byte(body)}
+}
+
+// write creates a journal entry. The request or its answer can be lost, and the
+// request can take effect long after the answer has been given up.
+func (n *node) write(o *action.Owner, e *action.Write) {
+	key := journal.EntryKey(o.Incarnation(), e.Index)
+	n.create(key, e.Value, func(status journal.Status, standing []byte) {
+		entry, _ := journal.Decode(key, standing)
+		n.apply(o, o.HandleWritten(n.clock(), journal.Written{Index: e.Index, Status: status, Standing: entry}))
+	})
+}
+
+func (n *node) create(key string, value []byte, done func(journal.Status, []byte)) {
+	sim := n.sim
+	doubtful := func() { sim.schedule(storeTimeout, n, func() { done(journal.Doubtful, nil) }) }
+	if n.cutOff.contains(sim.now) {
+		doubtful()
+		return
+	}
+	if sim.storeDown() || sim.chance(sim.doubtfulProbability) {
+		doubtful()
+		if sim.chance(0.5) {
+			sim.schedule(sim.randomDuration(3*second), nil, func() { sim.applyCreate(key, value) })
+		}
+		return
+	}
+	sim.schedule(sim.randomDuration(4*time.Millisecond), nil, func() {
+		status, standing := sim.applyCreate(key, value)
+		sim.schedule(sim.randomDuration(4*time.Millisecond), n, func() { done(status, standing) })
+	})
+}
+
+func (sim *simulation) storeDown() bool {
+	for _, s := range sim.outages {
+		if s.contains(sim.now) {
+			return true
+		}
+	}
+	return false
+}
+
+func (sim *simulation) applyCreate(key string, value []byte) (journal.Status, []byte) {
+	if standing, ok := sim.entries[key]; ok {
+		return journal.Conflict, standing
+	}
+	sim.entries[key] = value
+	sim.entryOrder = append(sim.entryOrder, key)
+	return journal.Created, nil
+}
+
+func (sim *simulation) remove(key string) { delete(sim.entries, key) }
+
+// sendMessage carries do to another incarnation, unless it is lost on the way.
+func (sim *simulation) sendMessage(from, to *node, do func()) {
+	pair := [2]int{min(from.index, to.index), max(from.index, to.index)}
+	if sim.partitions[pair].contains(sim.now) || sim.chance(sim.lossProbability) {
+		return
+	}
+	delay := sim.randomDuration(3 * time.Millisecond)
+	if sim.chance(0.02) {
+		delay = sim.randomDuration(4 * second) // a copy that arrives very late
+	}
+	sim.schedule(delay, to, do)
+}
--- a/protocol/action/types.go
+++ b/protocol/action/types.go
@@ -123,15 +123,15 @@
 
 // Guards that tests break.
 const (
-	// FaultDispatchFirst dispatches before the intent is journaled.
-	FaultDispatchFirst Fault = "dispatch_before_journal"
-	// FaultExpiredNo tells the caller of an expired key "not executed".
-	FaultExpiredNo Fault = "expired_is_no"
-	// FaultBreakPromise dispatches unjournaled what the token promises to
+	// FaultDispatchBeforeJournal dispatches before the intent is journaled.
+	FaultDispatchBeforeJournal Fault = "dispatch_before_journal"
+	// FaultExpiredNotExecuted tells the caller of an expired key "not executed".
+	FaultExpiredNotExecuted Fault = "expired_is_no"
+	// FaultUnjournaledPromise dispatches unjournaled what the token promises to
 	// journal.
-	FaultBreakPromise Fault = "run_promised_unjournaled"
-	// FaultForgetRefused remembers no refused keys.
-	FaultForgetRefused Fault = "forget_refused"
+	FaultUnjournaledPromise Fault = "run_promised_unjournaled"
+	// FaultNoTombstones remembers no refused keys.
+	FaultNoTombstones Fault = "forget_refused"
 )
 
 // DefaultConfig suits an entry VM of today: 400 actions a second at about half
