--- a/protocol/action/adopted.go
+++ b/protocol/action/adopted.go
@@ -8,7 +8,8 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Record is one final or doubtful action of an owner that has ended.
+// Record is one action of an owner that has ended. Its state is final; an action
+// that was still in progress is recorded as Unknown.
 type Record struct {
 	ID       actionkey.ID
 	BodyHash string
@@ -16,9 +17,10 @@
 	Result   Result
 }
 
-// Export returns the whole table of an owner that has ended and the time, by
-// its clock, from which on no expired key can be missing from it. Before the
-// end it returns false: a table that can still grow proves nothing.
+// Export returns the whole table of an owner that has ended and the time of the
+// export by the owner's clock. The table holds every key that the owner accepted
+// and that had not expired by that time. Before the owner has ended, Export
+// returns false: absence from a table that can still grow proves nothing.
 func (o *Owner) Export(now time.Time) (records []Record, complete time.Time, ok bool) {
 	if !o.ended {
 		return nil, time.Time{}, false
@@ -33,7 +35,7 @@
 func (r *record) export() Record {
 	out := Record{ID: r.id, BodyHash: r.bodyHash, State: r.state, Result: r.retainedResult()}
 	if !r.state.final() {
-		// Its runner's answer, if one comes, reaches only the old owner.
+		// If the runner still answers, the answer reaches only the ended owner.
 		out.State = Unknown
 		out.Result = Result{Refusal: refusal.New(refusal.OutcomeUnknown,
 			"in progress when its owner ended").Unknown()}
@@ -41,8 +43,8 @@
 	return out
 }
 
-// AdoptedTable is the table of an ended owner at its one successor. Nothing in it
-// is ever dispatched.
+// AdoptedTable is the copy of an ended owner's table at the successor of that
+// owner. It answers questions about the actions; it never dispatches them.
 type AdoptedTable struct {
 	owner    ident.Incarnation
 	records  map[actionkey.ID]Record
@@ -52,21 +54,24 @@
 	bytes    int
 }
 
-// NewAdoptedTable returns a table of which no part has come yet.
+// NewAdoptedTable returns a table that has received no parts yet.
 func NewAdoptedTable(owner ident.Incarnation) *AdoptedTable {
 	return &AdoptedTable{owner: owner, records: map[actionkey.ID]Record{}, parts: map[uint32]bool{}}
 }
 
-// TablePart is one piece of a table. Parts may come in any order and twice.
+// TablePart is one piece of an exported table. Parts may arrive in any order and
+// more than once.
 type TablePart struct {
 	Number uint32
-	// Last has the highest number and carries Complete.
-	Last     bool
+	// Last marks the part with the highest number.
+	Last bool
+	// Complete is the time of the export by the clock of the exporting owner. It
+	// is set only in the last part.
 	Complete time.Time
 	Records  []Record
 }
 
-// AddPart takes a part in.
+// AddPart adds the records of a part unless the table already holds that part.
 func (a *AdoptedTable) AddPart(p TablePart) {
 	if a.parts[p.Number] {
 		return
@@ -82,22 +87,25 @@
 	}
 }
 
-// Complete tells whether every part has come.
+// Complete reports whether every part has been received.
 func (a *AdoptedTable) Complete() bool { return a.total > 0 && uint32(len(a.parts)) == a.total }
 
-// SizeBytes is about what the table holds.
+// SizeBytes returns the approximate memory size of the keys and answers.
 func (a *AdoptedTable) SizeBytes() int { return a.bytes }
 
-// AllKeysExpired tells whether all its keys are over at wall-clock time now.
+// AllKeysExpired reports whether all keys of the ended owner have expired at
+// wall-clock time now, given the lifetime of its tokens.
 func (a *AdoptedTable) AllKeysExpired(now time.Time, lifetime time.Duration) bool {
 	return a.Complete() && now.After(a.complete.Add(lifetime))
 }
 
-// Lookup tells what is known of an action; an empty hash asks by key alone. It
-// returns false where the table proves nothing, since a part of it is missing.
+// Lookup returns what is known about an action. An empty bodyHash looks the
+// action up by its key alone. Lookup returns false if the table can't tell: a
+// part of it is missing, or the key does not belong to its owner.
 //
-// A key that is not in a whole table was never dispatched: its owner ended
-// before it passed the table on. Only an expired one may have been dropped.
+// A key that is absent from a complete table was never dispatched, since its
+// owner exported the table only after it had ended. The exception are keys that
+// expired before the export: their records may have been dropped.
 func (a *AdoptedTable) Lookup(id actionkey.ID, bodyHash string) (Result, bool) {
 	if !a.Complete() {
 		return Result{}, false
--- a/protocol/action/gateway_test.go
+++ b/protocol/action/gateway_test.go
@@ -20,7 +20,7 @@
 
 var unreachableRefusal = refusal.New(refusal.OwnerUnreachable, "no answer").Unknown()
 
-// gatewayCall is one copy of a call at one gateway.
+// gatewayCall is one copy of a caller's request at one gateway.
 type gatewayCall struct {
 	n       *node
 	owner   ident.Incarnation
@@ -38,8 +38,8 @@
 	}
 }
 
-// serve is what a gateway does with a call: run it, forward it, or speak for
-// an owner that has ended.
+// serve handles a call at a gateway: it runs the call, forwards it to the owner,
+// or answers for an owner that has ended.
 func (n *node) serve(gc *gatewayCall) {
 	if n.answerLocally(gc, gc.finish) {
 		return
@@ -47,7 +47,8 @@
 	n.forward(gc, attempts)
 }
 
-// answerLocally answers from this incarnation's own tables.
+// answerLocally answers the call if this incarnation owns it or has adopted the
+// table of its owner. It returns false otherwise.
 func (n *node) answerLocally(gc *gatewayCall, done func(action.Result)) bool {
 	if o, ok := n.owners[gc.owner]; ok {
 		if gc.readOnly {
@@ -121,7 +122,8 @@
 	})
 }
 
-// answerForEndedOwner answers from the ended owner's sealed log, or its successor.
+// answerForEndedOwner seals the journal of the ended owner, if that hasn't been
+// done, and answers from it or from the successor's table.
 func (n *node) answerForEndedOwner(gc *gatewayCall) {
 	if log, ok := n.logs[gc.owner]; ok {
 		n.answerFromSealedLog(gc, log)
@@ -152,7 +154,8 @@
 	n.sim.schedule(attemptTimeout, n, func() { gc.finish(verdict) })
 }
 
-// seal reads the log and creates its end; done gets nil if that fails.
+// seal reads the journal and creates its seal unless it has one. It passes the
+// sealed journal to done, or nil if that fails.
 func (n *node) seal(owner, successor ident.Incarnation, attemptsLeft int, done func(*journal.Log)) {
 	n.readLog(owner, func(log *journal.Log, ok bool) {
 		switch {
@@ -209,7 +212,8 @@
 	return log
 }
 
-// drain is a planned stop: two operators may ask for it at once.
+// drain stops the daemon as planned and hands its tables to a successor. Two
+// operators may request it at once; the second request has no effect.
 func (n *node) drain() {
 	if n.draining {
 		return
@@ -235,7 +239,8 @@
 	return owners
 }
 
-// handOff sends a record a part, each until it is acknowledged.
+// handOff sends the table to the successor with one record per part, and repeats
+// each part until it is acknowledged or the attempts are used up.
 func (n *node) handOff(o *action.Owner, successor *node) {
 	records, complete, _ := o.Export(n.clock())
 	sort.Slice(records, func(i, j int) bool { return records[i].ID.Key < records[j].ID.Key })
@@ -283,11 +288,12 @@
 	}
 }
 
-// crash ends an incarnation; another takes its place and address.
+// crash kills the current incarnation of a daemon. A new incarnation starts soon
+// after with the same index and address.
 func (sim *simulation) crash(index int) {
 	sim.currentNodes[index].dead = true
 	sim.schedule(sim.randomDuration(2*second), nil, func() { sim.boot(index) })
 }
 
-// actionID names an action of the histories' one workspace.
+// actionID returns the ID of an action in the only workspace of the histories.
 func actionID(key string) actionkey.ID { return actionkey.ID{Workspace: "huaman", Key: key} }
--- a/protocol/action/history_test.go
+++ b/protocol/action/history_test.go
@@ -17,15 +17,15 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// The longer run: go test ./protocol/action -run TestHistories -histories=100000
+// A longer run: go test ./protocol/action -run TestHistories -histories=100000
 var (
 	histories = flag.Int("histories", 400, "how many histories TestHistories checks")
 	firstSeed = flag.Uint64("first-seed", 1, "the first history's seed")
 	workers   = flag.Int("workers", min(3, runtime.NumCPU()), "how many histories run at once")
 )
 
-// runHistory runs one history: callers with duplicates through several gateways,
-// under any mix of the faults.
+// runHistory simulates one history: callers send duplicate requests through
+// several gateways while a random mix of faults is active.
 func runHistory(o options) *simulation {
 	sim := newSimulation(o)
 	sim.scheduleFaults()
@@ -36,7 +36,8 @@
 	return sim
 }
 
-// scheduleFaults draws the history's faults; any two and more come together.
+// scheduleFaults draws the faults of the history at random. Any of them can
+// coincide.
 func (sim *simulation) scheduleFaults() {
 	at := func() time.Duration { return sim.randomDuration(25 * second) }
 	if sim.chance(0.3) {
@@ -77,14 +78,15 @@
 	return interval{from: sim.now, to: sim.now.Add(sim.randomDuration(d))}
 }
 
-// markDaemonDown makes a gateway take a live or paused daemon for gone.
+// markDaemonDown makes a gateway mistake a running or paused daemon for a dead
+// one.
 func (sim *simulation) markDaemonDown() {
 	n := sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))]
 	n.mistakenlyDown[sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))].name] = sim.randomInterval(10 * second)
 }
 
-// scheduleDrains lets two operators drain at once, two daemons perhaps, and crashes
-// one in the middle now and then.
+// scheduleDrains makes one or two operators drain the same or different daemons
+// at about the same time. The daemon may crash before its drain completes.
 func (sim *simulation) scheduleDrains(at time.Duration) {
 	for range 1 + sim.rng.IntN(2) {
 		index := sim.rng.IntN(len(sim.currentNodes))
@@ -99,8 +101,9 @@
 	}
 }
 
-// simulateCaller is a caller that takes a token somewhere, then sends copies of one simulateCaller
-// through several gateways, some of them late, and asks for the outcome.
+// simulateCaller takes a token from a random daemon and sends copies of one call
+// through several gateways. Some copies arrive late, and some only ask for the
+// outcome.
 func (sim *simulation) simulateCaller(name string) {
 	issuer := sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))]
 	if issuer.dead || sim.now.Before(issuer.pausedUntil) {
@@ -144,8 +147,10 @@
 	sim.schedule(0, n, func() { n.serve(gc) })
 }
 
-// Story: a booking runs twice, or its caller is told "not run" and it was. Any
-// of the failures of the brief comes at any moment, together or twice.
+// Guards against an action that runs twice, or that runs although its caller was
+// told that it was not executed. Crashes, pauses, outages, lost messages,
+// partitions, mistaken failure detection and drains occur at random times, also
+// at once and repeatedly.
 func TestHistories(t *testing.T) {
 	var yes, no, unknown, runs atomic.Int64
 	var mu sync.Mutex
@@ -177,14 +182,14 @@
 	wg.Wait()
 	t.Logf("%d histories: %d runs; callers were told yes %d, no %d, unknown %d times",
 		*histories, runs.Load(), yes.Load(), no.Load(), unknown.Load())
-	t.Logf("they came to %+v", total)
+	t.Logf("event counts: %+v", total)
 	if yes.Load() == 0 || no.Load() == 0 || unknown.Load() == 0 || !total.all() {
 		t.Error("histories don't reach every kind of answer and event")
 	}
 }
 
-// A checker that has never failed proves little: each guard broken on purpose
-// must show in some history.
+// Checks the history checker: with each safety check disabled in turn, some
+// history must be reported as illegal.
 func TestCheckerSeesEachBrokenGuard(t *testing.T) {
 	const tries = 3000
 	broken := []options{
@@ -206,13 +211,13 @@
 					seen = int(seed)
 				}
 			}
-			is.True(seen > 0) // no history showed the broken guard
+			is.True(seen > 0) // no history revealed the disabled safety check
 			t.Logf("first seen with seed %d", seen)
 		})
 	}
 }
 
-// The same seed gives the same history, so that a failure can be looked into.
+// The same seed must give the same history, so that a failure can be reproduced.
 func TestHistoriesAreDeterministic(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 5; seed++ {
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -13,14 +13,17 @@
 )
 
 type record struct {
-	id              actionkey.ID
-	bodyHash        string
-	state           State
-	expires         time.Time
-	journalPromised bool // the token's promise
-	durable         bool
-	policy          manifest.OutagePolicy
-	// call is dropped once it has been dispatched.
+	id       actionkey.ID
+	bodyHash string
+	state    State
+	expires  time.Time
+	// journalPromised is set if the token promises that the action is journaled
+	// before it is dispatched.
+	journalPromised bool
+	// durable is set once the journal holds the intent.
+	durable bool
+	policy  manifest.OutagePolicy
+	// call is set to nil once the action has been dispatched or settled.
 	call          *call.ServiceCall
 	result        Result
 	answerDropped bool
@@ -28,14 +31,14 @@
 	waiters       []Waiter
 }
 
-// Owner is the table of the actions that one incarnation alone may dispatch.
-// It is not safe for concurrent use.
+// Owner holds the table of actions that only one daemon incarnation may
+// dispatch. It is not safe for concurrent use.
 type Owner struct {
 	cfg     Config
 	writer  *journal.Writer
 	records map[actionkey.ID]*record
 	expiry  expiryQueue
-	// received lists actions that wait for the journal, oldest first.
+	// received lists the actions that wait for the journal, oldest first.
 	received   []*record
 	dispatched int
 	bytes      int
@@ -55,11 +58,12 @@
 	}
 }
 
-// Incarnation names the owner.
+// Incarnation returns the daemon incarnation that owns the actions.
 func (o *Owner) Incarnation() ident.Incarnation { return o.cfg.Owner }
 
-// Token returns a token of this owner. While the journal can't be written it
-// doesn't promise that its keys are journaled before they are dispatched.
+// Token issues a token from which callers make keys for this owner. While the
+// journal can't be written, the token doesn't promise that actions are journaled
+// before they are dispatched.
 func (o *Owner) Token(now time.Time) actionkey.Token {
 	return actionkey.Token{
 		Owner:     o.cfg.Owner,
@@ -69,16 +73,18 @@
 	}
 }
 
-// Ended tells whether the owner dispatches nothing any more.
+// Ended reports whether the owner has stopped dispatching for good.
 func (o *Owner) Ended() bool { return o.ended }
 
-// DispatchedCount tells how many actions are dispatched without a result.
+// DispatchedCount returns the number of dispatched actions whose result is not
+// known yet.
 func (o *Owner) DispatchedCount() int { return o.dispatched }
 
-// Len tells how many actions the table holds.
+// Len returns the number of actions in the table.
 func (o *Owner) Len() int { return len(o.records) }
 
-// Submit takes a caller's request in.
+// Submit accepts a request, attaches it to the action that already has its key,
+// or refuses it.
 func (o *Owner) Submit(now time.Time, r Request) []Effect {
 	if rec, ok := o.records[r.ID]; ok {
 		o.attachDuplicate(rec, r)
@@ -92,11 +98,13 @@
 	return o.flush(now)
 }
 
-// attachDuplicate attaches a duplicate to the one execution.
+// attachDuplicate handles a request whose key is already in the table: it
+// replies with the final result or waits for the running execution.
 func (o *Owner) attachDuplicate(rec *record, r Request) {
 	if rec.bodyHash != r.BodyHash {
-		// Unknown, not "no": its caller may take it for a repetition of the
-		// call that holds the key, and that one may have run.
+		// The reply must not say "not executed": the caller may regard this
+		// request as a repetition of the call that holds the key, and that
+		// call may have run.
 		o.reply(r.Waiter, Result{Refusal: refusal.New(refusal.KeyReused,
 			"another call holds this key; use a new suffix").Unknown()})
 		return
@@ -108,7 +116,8 @@
 	rec.waiters = append(rec.waiters, r.Waiter)
 }
 
-// retainedResult is the result as far as it was retainedResult.
+// retainedResult returns the stored result. If the answer was too large to
+// store, it returns a refusal that says that the action was executed.
 func (r *record) retainedResult() Result {
 	if r.answerDropped {
 		refused := refusal.New(refusal.AnswerNotKept, "it ran; its answer was too large to keep")
@@ -118,10 +127,11 @@
 	return r.result
 }
 
-// refusalForNewKey returns why a key that is not in the table can't be accepted, or nil.
-// Whatever is refused with executed "no" is remembered or can never be
-// accepted later: a copy of the same request may still be under way through
-// another gateway, and it must not run after this one's caller was told "no".
+// refusalForNewKey returns the refusal of a key that is not in the table, or nil
+// if the key can be accepted. A key refused as "not executed" must either be
+// remembered or never become acceptable later: a copy of the same request may
+// still arrive through another gateway, and that copy must not run after a
+// caller was told that the action was not executed.
 func (o *Owner) refusalForNewKey(now time.Time, r Request) *refusal.Refusal {
 	key, err := actionkey.Parse(r.ID.Key)
 	if err != nil {
@@ -131,7 +141,8 @@
 		return refusal.New(refusal.OwnerGone, "not the key's owner").Unknown()
 	}
 	if key.Issued.After(now) || key.Lifetime > o.cfg.TokenLifetime {
-		// Not "no": time could make the same key good.
+		// The refusal must not say "not executed": the same key may become
+		// valid later, for example when a clock that runs behind catches up.
 		return refusal.New(refusal.KeyMalformed, "token was not issued here").Unknown()
 	}
 	if !now.Before(key.Expires()) {
@@ -146,8 +157,8 @@
 	return nil
 }
 
-// expiredRefusal doesn't say "no": an expired key's record may have been
-// dropped after the action ran.
+// expiredRefusal leaves open whether the action ran: the record of an expired
+// key may have been dropped after its action ran.
 func (o *Owner) expiredRefusal() *refusal.Refusal {
 	expired := refusal.New(refusal.KeyExpired, "key is over; nothing is known of it")
 	if o.cfg.Fault == FaultExpiredNotExecuted {
@@ -161,7 +172,8 @@
 		o.bytes+len(r.Call.Body)+o.cfg.AnswerReserve > o.cfg.MaxBytes
 }
 
-// newKeyRetryAfter is when a caller may come back with a new key.
+// newKeyRetryAfter is how long a refused caller should wait before it submits
+// the call again with a new key.
 const newKeyRetryAfter = time.Second
 
 func (o *Owner) tableFullRefusal(id actionkey.ID, key actionkey.Key) *refusal.Refusal {
@@ -175,7 +187,7 @@
 func (o *Owner) accept(r Request) {
 	key, err := actionkey.Parse(r.ID.Key)
 	if err != nil {
-		return // refuse has looked at it
+		return // can't happen: refusalForNewKey has parsed the same key
 	}
 	rec := &record{
 		id:              r.ID,
@@ -214,7 +226,7 @@
 	return nil
 }
 
-// HandleFinished takes the end of a dispatch in.
+// HandleFinished processes the result of a Dispatch effect.
 func (o *Owner) HandleFinished(now time.Time, id actionkey.ID, r Result) []Effect {
 	rec, ok := o.records[id]
 	if !ok || rec.state != Dispatched {
@@ -227,8 +239,9 @@
 	return o.flush(now)
 }
 
-// AbandonWait ends the wait of a caller. An action that was not dispatched and
-// that nobody else waits for never runs.
+// AbandonWait ends the wait of a caller whose deadline has passed. An action
+// that has not been dispatched and has no other waiter is settled as not
+// executed.
 func (o *Owner) AbandonWait(now time.Time, id actionkey.ID, w Waiter) []Effect {
 	rec, ok := o.records[id]
 	if !ok || rec.state.final() {
@@ -255,7 +268,8 @@
 	}
 }
 
-// Lookup tells what is known of an action, without running it.
+// Lookup returns what is known about an action without running it. If pending is
+// true, the action has no result yet.
 func (o *Owner) Lookup(id actionkey.ID) (r Result, pending bool) {
 	if rec, ok := o.records[id]; ok {
 		return rec.retainedResult(), !rec.state.final()
@@ -263,11 +277,12 @@
 	if o.tombstones.has(id) {
 		return Result{Refusal: refusal.New(refusal.ActionTableFull, "refused before")}, false
 	}
-	// A key that is not in the table may still be on its way here.
+	// The result must not say "not executed": a request with this key may still
+	// arrive.
 	return Result{Refusal: refusal.New(refusal.UnknownRequest, "nothing is known of this key").Unknown()}, false
 }
 
-// HandleWritten takes the result of a journal write in.
+// HandleWritten processes the result of a Write effect.
 func (o *Owner) HandleWritten(now time.Time, w journal.Written) []Effect {
 	progress := o.writer.Done(now, w)
 	for _, id := range progress.Durable {
@@ -283,25 +298,25 @@
 	return o.flush(now)
 }
 
-// Tick lets time pass.
+// Tick drops expired records and performs other work that has become due.
 func (o *Owner) Tick(now time.Time) []Effect {
 	o.expire(now)
 	return o.flush(now)
 }
 
-// StopAccepting stops the acceptance of new actions. End follows when Busy is zero or
-// time is short.
+// StopAccepting makes the owner refuse new actions. The caller should call Seal
+// once DispatchedCount is zero or little time is left.
 func (o *Owner) StopAccepting() { o.draining = true }
 
-// Seal seals the log, naming the successor that will get the table; Ended
-// follows when the seal stands.
+// Seal starts to seal the journal with the name of the successor that will
+// receive the table. The Ended effect follows once the seal has been written.
 func (o *Owner) Seal(now time.Time, successor ident.Incarnation) []Effect {
 	o.draining = true
 	o.writer.End(successor)
 	return o.flush(now)
 }
 
-// Due returns when Tick is to be called next; zero is never.
+// Due returns when Tick must be called next. The zero time means never.
 func (o *Owner) Due(now time.Time) time.Time {
 	due := o.writer.Due(now)
 	if len(o.received) > 0 && !o.writer.Unavailable(now) {
@@ -320,24 +335,25 @@
 	return a
 }
 
-// EndUnsealed ends the owner without its seal, when the service is down or time is
-// over: it dispatches nothing any more.
+// EndUnsealed stops the owner for good without a seal in the journal, for use
+// when the key-value service is down or no time is left.
 func (o *Owner) EndUnsealed(now time.Time) []Effect {
 	o.markEnded()
 	return o.flush(now)
 }
 
-// DetachWaiter drops a waiter that asks again later; the action goes on.
+// DetachWaiter removes a waiter that will ask again later. The action continues.
 func (o *Owner) DetachWaiter(id actionkey.ID, w Waiter) {
 	if rec, ok := o.records[id]; ok {
 		rec.removeWaiter(w)
 	}
 }
 
-// JournalUnavailable tells whether the journal can't be written for the time being.
+// JournalUnavailable reports whether the journal currently can't be written.
 func (o *Owner) JournalUnavailable(now time.Time) bool { return o.writer.Unavailable(now) }
 
-// flush applies the outage policies, then hands out the effects.
+// flush applies the outage policies if the journal is unavailable, collects due
+// journal operations, and returns all pending effects.
 func (o *Owner) flush(now time.Time) []Effect {
 	if !o.ended && o.writer.Unavailable(now) {
 		o.applyOutagePolicies(now)
@@ -353,11 +369,12 @@
 	return effects
 }
 
-// applyOutagePolicies ends the wait of every received action while the
-// journal can't be written. What carries the token's promise never runs
-// unjournaled: a gateway that seals the log would tell its caller "no". If the
-// entry in flight takes effect after all, its keys are intents without an
-// outcome, and the gateway says "unknown".
+// applyOutagePolicies dispatches or refuses every received action while the
+// journal can't be written. An action whose token promises journaling is never
+// dispatched unjournaled: a gateway that seals the journal would find no intent
+// and answer "not executed". If the journal write in flight takes effect after
+// all, its keys become intents without an outcome, and such a gateway answers
+// "unknown".
 func (o *Owner) applyOutagePolicies(now time.Time) {
 	for _, rec := range o.received {
 		if rec.state != Received {
@@ -376,9 +393,10 @@
 	o.writer.Withdraw()
 }
 
-// dispatchUnlessExpired doesn't dispatch an expired key. The seal that would have kept
-// it out of the log may have been collected while this owner was paused, and
-// the key's caller been told "not executed".
+// dispatchUnlessExpired dispatches a journaled action unless its key has expired.
+// If this owner was paused, another gateway may have sealed the journal, told
+// the caller "not executed", and then deleted the seal that would have made this
+// owner's journal write fail.
 func (o *Owner) dispatchUnlessExpired(now time.Time, rec *record) {
 	if rec.state == Received && !now.Before(rec.expires) {
 		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.KeyExpired, "key was over before its dispatch")})
@@ -406,7 +424,8 @@
 	rec.call = nil
 }
 
-// markEnded settles what was not dispatched: nobody else can dispatch it.
+// markEnded stops the owner and settles every action that has not been
+// dispatched as not executed, since no other daemon can dispatch it.
 func (o *Owner) markEnded() {
 	if o.ended {
 		return
@@ -432,7 +451,8 @@
 	o.releaseCall(rec)
 }
 
-// retainAnswer accounts for the answer, or drops one over the reserve.
+// retainAnswer accounts for the size of the answer. An answer over AnswerReserve
+// is dropped if it would exceed MaxBytes.
 func (o *Owner) retainAnswer(rec *record) {
 	size := answerSize(rec.result.Answer)
 	if size > o.cfg.AnswerReserve && o.bytes+size-rec.bytes > o.cfg.MaxBytes {
@@ -448,7 +468,8 @@
 	o.effects = append(o.effects, &Reply{Waiter: w, Result: r})
 }
 
-// pruneReceived drops what no longer waits for the journal from the list.
+// pruneReceived removes the actions that no longer wait for the journal from the
+// received list.
 func (o *Owner) pruneReceived() {
 	waiting := o.received[:0]
 	for _, rec := range o.received {
--- a/protocol/action/owner_test.go
+++ b/protocol/action/owner_test.go
@@ -17,7 +17,7 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// ownerDriver drives one owner step by step.
+// ownerDriver calls one Owner with a simulated clock and records its effects.
 type ownerDriver struct {
 	now     time.Time
 	owner   *action.Owner
@@ -96,8 +96,9 @@
 	is.Equal(drv.executedOf(drv.submit(key, "y")), refusal.ExecutedUnknown) // another body
 }
 
-// Story: a pledge waits a second in an outage and its caller is told "not
-// run". Later the journal entry takes effect after all, and the pledge runs.
+// Guards against an action that runs after its caller was told "not executed":
+// the action is refused during a journal outage, and its journal entry takes
+// effect later.
 func TestLateJournalEntryDoesNotDispatch(t *testing.T) {
 	is := is.New(t)
 	drv := newOwnerDriver(nil)
@@ -111,9 +112,10 @@
 	is.Equal(drv.executedOf(drv.submit(key, "x")), refusal.ExecutedNo) // also when asked again
 }
 
-// Story: a VM is suspended for a day with a booking that waits for the journal.
-// Its log was sealed, the caller told "not run", the seal collected. The VM
-// wakes, its journal entry is created, and the booking runs.
+// Guards against an action that runs long after its caller was told "not
+// executed": a VM is suspended for a day while an action waits for the journal.
+// Meanwhile another gateway seals the journal, answers the caller, and deletes
+// the seal, so that the resumed VM can create its journal entry.
 func TestKeyThatExpiredDuringJournalWriteDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	drv := newOwnerDriver(nil)
@@ -125,8 +127,8 @@
 	is.Equal(drv.executedOf(w), refusal.ExecutedNo)
 }
 
-// Story: a booking is refused for lack of memory; a copy of it that was slow
-// on another way is accepted a moment later and runs.
+// Guards against an action that runs after it was refused because the table was
+// full: a delayed copy of the same request arrives when there is room again.
 func TestKeyRefusedByFullTableStaysRefused(t *testing.T) {
 	is := is.New(t)
 	drv := newOwnerDriver(func(c *action.Config) { c.MaxRecords, c.MaxTombstones = 1, 1 })
@@ -162,9 +164,9 @@
 	is.Equal(drv.executedOf(again), refusal.ExecutedYes)
 }
 
-// Under any order of calls an owner dispatches each key at most once, keeps
-// its bound, and never asks to be ticked in the past: that would be a loop
-// that spins.
+// In any order of calls an owner dispatches each key at most once, keeps to
+// MaxRecords, and after a tick is never due at once, which would make its driver
+// spin.
 func TestOwnerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drv := newOwnerDriver(func(c *action.Config) { c.MaxRecords, c.TokenLifetime = 4, 5*time.Second })
--- a/protocol/action/record.go
+++ b/protocol/action/record.go
@@ -36,7 +36,8 @@
 	return out
 }
 
-// ResultFromVerdict is what a caller gets by the verdict of a sealed log.
+// ResultFromVerdict converts the verdict of a sealed journal to the result that
+// the caller receives.
 func ResultFromVerdict(v journal.Verdict) Result {
 	o := v.Outcome
 	if o == nil {
@@ -65,24 +66,24 @@
 	return size
 }
 
-// expiryEntry is an action with the time, in Unix milliseconds, at which its
-// record may be dropped. A tombstone's record holds nothing but the ID.
+// expiryEntry holds a record and the time, in Unix milliseconds, at which it
+// may be dropped. The record of a tombstone holds only the ID.
 type expiryEntry struct {
 	rec *record
 	at  int64
 }
 
-// expiryQueue is a heap by time.
+// expiryQueue is a min-heap ordered by expiry time.
 type expiryQueue []expiryEntry
 
 func (q expiryQueue) Len() int           { return len(q) }
 func (q expiryQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q expiryQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *expiryQueue) Push(x any) { *q = append(*q, x.(expiryEntry)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *expiryQueue) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
@@ -90,7 +91,8 @@
 	return e
 }
 
-// tombstones remember refused keys for little memory, up to a bound.
+// tombstones remembers the keys refused because the table was full. A tombstone
+// takes much less memory than a record, and their number is bounded.
 type tombstones struct {
 	limit  int
 	ids    map[actionkey.ID]struct{}
@@ -106,7 +108,8 @@
 	return ok
 }
 
-// add tells whether the key is remembered.
+// add remembers the key until it expires. It returns false if the limit is
+// reached.
 func (t *tombstones) add(id actionkey.ID, expires time.Time) bool {
 	if len(t.ids) >= t.limit {
 		return false
@@ -116,7 +119,7 @@
 	return true
 }
 
-// expire drops keys that would be refused as expired.
+// expire drops the keys that have expired: Submit refuses these anyway.
 func (t *tombstones) expire(now time.Time) {
 	for len(t.expiry) > 0 && t.expiry[0].at <= now.UnixMilli() {
 		e := heap.Pop(&t.expiry).(expiryEntry)
--- a/protocol/action/simulation_test.go
+++ b/protocol/action/simulation_test.go
@@ -14,16 +14,18 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// brokenGuard names what a history breaks on purpose; the empty one breaks nothing.
+// brokenGuard names a safety rule of the gateways that a history violates on
+// purpose. The empty value violates none.
 type brokenGuard string
 
 const (
-	guardSealBeforeAnswer brokenGuard = "speak for an owner without a seal"
+	guardSealBeforeAnswer brokenGuard = "answer for an owner without sealing its journal"
 	guardNoTransportRetry brokenGuard = "transport retries"
-	guardCompleteTable    brokenGuard = "absence from a partial table is no"
+	guardCompleteTable    brokenGuard = "absence from an incomplete table counts as not executed"
 )
 
-// options choose a history and which guard is broken in it.
+// options selects the random seed of a history and the safety check that is
+// disabled in it.
 type options struct {
 	seed  uint64
 	fault action.Fault
@@ -37,8 +39,8 @@
 	storeTimeout  = second
 )
 
-// event is something that happens at a time. One that belongs to an
-// incarnation is lost with it and waits while it is paused.
+// event is a function to run at a simulated time. If it has an owner, it is
+// discarded when that incarnation has crashed and delayed while it is paused.
 type event struct {
 	at    time.Time
 	seq   int
@@ -64,20 +66,21 @@
 	return e
 }
 
-// interval is a stretch of time in which something fails.
+// interval is a half-open time interval in which a fault is active.
 type interval struct{ from, to time.Time }
 
 func (s interval) contains(t time.Time) bool { return !t.Before(s.from) && t.Before(s.to) }
 
-// simulation runs the pure machines of a few daemons against small fakes of the
-// key-value service, the network and the runners, in one order by one seed.
+// simulation runs the action state machines of a few daemons against fakes of
+// the key-value service, the network and the runners. The seed determines the
+// order of all events.
 type simulation struct {
 	options
 	rng                 *rand.Rand
 	now                 time.Time
 	queue               eventQueue
 	seq                 int
-	currentNodes        []*node // the incarnation that is at each place now
+	currentNodes        []*node // the current incarnation of each daemon, by index
 	nodes               map[ident.Incarnation]*node
 	entries             map[string][]byte
 	entryOrder          []string // keys of entries, as created
@@ -90,7 +93,8 @@
 	smallTables         bool
 }
 
-// eventCounts counts what a history came to, to show that the faults do their work.
+// eventCounts counts the rare events of a history, to show that the injected
+// faults cause them.
 type eventCounts struct {
 	unjournaled, collected, sealed, reopened, adopted int
 }
@@ -107,7 +111,7 @@
 	return min(r.unjournaled, r.collected, r.sealed, r.reopened, r.adopted) > 0
 }
 
-// node is one incarnation of a daemon.
+// node is one incarnation of a simulated daemon.
 type node struct {
 	sim            *simulation
 	index          int
@@ -192,7 +196,8 @@
 	n.owners[name] = n.current
 }
 
-// schedule schedules an event; of is nil for what no daemon does.
+// schedule queues an event to run after d. The node that runs the event is nil
+// if the event doesn't depend on any daemon.
 func (sim *simulation) schedule(d time.Duration, of *node, do func()) {
 	sim.seq++
 	heap.Push(&sim.queue, event{at: sim.now.Add(d), seq: sim.seq, owner: of, run: do})
@@ -213,8 +218,8 @@
 	}
 }
 
-// processingDelay is how long a daemon takes between deciding and doing: time in which it
-// can crash or be paused.
+// processingDelay returns a random delay between the decision of a daemon and
+// its execution. The daemon can crash or be paused in between.
 func (sim *simulation) processingDelay() time.Duration {
 	return sim.randomDuration(2 * time.Millisecond)
 }
@@ -241,7 +246,7 @@
 	n.scheduleTick(o)
 }
 
-// scheduleTick ticks the owner when it is due.
+// scheduleTick schedules a Tick of the owner for the time at which it is due.
 func (n *node) scheduleTick(o *action.Owner) {
 	due := o.Due(n.clock())
 	if due.IsZero() {
@@ -266,8 +271,8 @@
 	}
 }
 
-// dispatch runs the action at a runner, which may be unreachable, refuse, break
-// the connection after it has run the action, or stay silent.
+// dispatch sends the action to a fake runner. The runner answers, is
+// unreachable, refuses, or breaks the connection after it has run the action.
 func (n *node) dispatch(o *action.Owner, d *action.Dispatch) {
 	sim := n.sim
 	if !d.Journaled {
@@ -304,8 +309,8 @@
 	return call.Answer{Status: 200, Body: []byte(body)}
 }
 
-// write creates a journal entry. The request or its answer can be lost, and the
-// request can take effect long after the answer has been given up.
+// write creates a journal entry. The request or its answer can be lost, and a
+// lost request can still take effect long after the writer has timed out.
 func (n *node) write(o *action.Owner, e *action.Write) {
 	key := journal.EntryKey(o.Incarnation(), e.Index)
 	n.create(key, e.Value, func(status journal.Status, standing []byte) {
@@ -354,7 +359,8 @@
 
 func (sim *simulation) remove(key string) { delete(sim.entries, key) }
 
-// sendMessage carries do to another incarnation, unless it is lost on the way.
+// sendMessage runs do at another incarnation after a network delay, unless the
+// message is lost.
 func (sim *simulation) sendMessage(from, to *node, do func()) {
 	pair := [2]int{min(from.index, to.index), max(from.index, to.index)}
 	if sim.partitions[pair].contains(sim.now) || sim.chance(sim.lossProbability) {
@@ -362,7 +368,7 @@
 	}
 	delay := sim.randomDuration(3 * time.Millisecond)
 	if sim.chance(0.02) {
-		delay = sim.randomDuration(4 * second) // a copy that arrives very late
+		delay = sim.randomDuration(4 * second) // a message that arrives very late
 	}
 	sim.schedule(delay, to, do)
 }
--- a/protocol/action/types.go
+++ b/protocol/action/types.go
@@ -1,6 +1,7 @@
-// Package action holds the life of actions: calls that run at most once. An
-// Owner is a state machine without I/O and without a clock of its own; inputs
-// are its methods, outputs are effects.
+// Package action implements the lifecycle of actions, which are calls that run
+// at most once. An Owner is a deterministic state machine that performs no I/O
+// and reads no clock: each method takes an input, with the current time where
+// it matters, and returns the effects that the caller must carry out.
 package action
 
 import (
@@ -14,32 +15,33 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// State is how far an action has come.
+// State is the stage that an action has reached in its lifecycle.
 type State string
 
 // States of actions.
 const (
-	// Received ones wait for the journal; nothing has been sent.
+	// Received actions wait for their journal entry; nothing has been sent to a
+	// runner.
 	Received State = "received"
-	// Dispatched ones may be running.
+	// Dispatched actions have been sent to a runner and may be running.
 	Dispatched State = "dispatched"
-	// Executed ones ran and their answer is known.
+	// Executed actions ran and their answer is known.
 	Executed State = "executed"
-	// NotExecuted ones never run, also when they are asked for again.
+	// NotExecuted actions never run, even if the same key is submitted again.
 	NotExecuted State = "not_executed"
-	// Unknown ones were dispatched and no answer came.
+	// Unknown actions were dispatched, but no answer arrived.
 	Unknown State = "unknown"
 )
 
 func (s State) final() bool { return s == Executed || s == NotExecuted || s == Unknown }
 
-// Result is the answer of a runner, or a refusal.
+// Result is either the answer of a runner or, if Refusal is set, a refusal.
 type Result struct {
 	Answer  call.Answer
 	Refusal *refusal.Refusal
 }
 
-// Executed tells what the result says of the execution.
+// Executed reports whether the action ran, did not run, or may have run.
 func (r Result) Executed() refusal.Executed {
 	if r.Refusal == nil {
 		return refusal.ExecutedYes
@@ -47,45 +49,49 @@
 	return r.Refusal.Executed
 }
 
-// Waiter names a caller that waits for a result.
+// Waiter identifies a caller that waits for a result.
 type Waiter uint64
 
-// Request asks an owner for an action.
+// Request asks an Owner to run an action.
 type Request struct {
 	Waiter   Waiter
 	ID       actionkey.ID
 	BodyHash string
 	Call     call.ServiceCall
 	Policy   manifest.OutagePolicy
-	// Inadmissible is why the call can't be dispatched, whatever its key.
+	// Inadmissible, if set, is the reason why the call must not be dispatched
+	// even though its key may be valid.
 	Inadmissible *refusal.Refusal
 }
 
-// Effect is what an Owner wants done: *Reply, *Dispatch, *Write, *Collect or
-// *Ended.
+// Effect is an operation that an Owner asks its caller to carry out: *Reply,
+// *Dispatch, *Write, *Collect or *Ended.
 type Effect interface{ effect() }
 
-// Reply gives a waiter its result.
+// Reply delivers a result to a waiter.
 type Reply struct {
 	Waiter Waiter
 	Result Result
 }
 
-// Dispatch sends an action to a runner, once; its end goes to Owner.Finished.
+// Dispatch sends an action to a runner exactly once, without retries. Its
+// result must be passed to Owner.HandleFinished.
 type Dispatch struct {
 	ID   actionkey.ID
 	Call call.ServiceCall
-	// Journaled says that the log holds the intent.
+	// Journaled reports whether the journal holds the intent to run the action.
 	Journaled bool
 }
 
-// Write writes a journal entry; its result goes to Owner.Written.
+// Write creates a journal entry. Its result must be passed to
+// Owner.HandleWritten.
 type Write struct{ journal.Write }
 
-// Collect deletes a journal entry that is over.
+// Collect deletes a journal entry that is no longer needed.
 type Collect struct{ journal.Collect }
 
-// Ended says that the owner's log is sealed: it dispatches nothing any more.
+// Ended reports that the owner has stopped for good and dispatches nothing any
+// more. Its journal is sealed, except after EndUnsealed.
 type Ended struct{ Owner ident.Incarnation }
 
 func (*Reply) effect()    {}
@@ -94,48 +100,53 @@
 func (*Collect) effect()  {}
 func (*Ended) effect()    {}
 
-// Config sets an owner's bounds.
+// Config holds the identity, lifetimes and size limits of an Owner.
 type Config struct {
 	Owner   ident.Incarnation
 	Journal journal.Config
-	// TokenLifetime is how long a key may be used and repeated.
+	// TokenLifetime is how long a key may be submitted, for the first time or
+	// as a repetition.
 	TokenLifetime time.Duration
-	// Grace is how long after its expiry a key's record is still kept.
+	// Grace is how long the record of a key is kept after the key expired.
 	Grace time.Duration
-	// MaxRecords bounds the table's actions.
+	// MaxRecords is the maximum number of actions in the table.
 	MaxRecords int
-	// MaxBytes bounds the bodies and answers in the table.
+	// MaxBytes is the maximum total size of the bodies and answers in the table.
 	MaxBytes int
-	// AnswerReserve is set aside for the answer when an action is accepted;
-	// larger answers reach their callers and are then forgotten.
+	// AnswerReserve is the number of bytes reserved for the answer when an
+	// action is accepted. A larger answer is delivered to its waiting callers,
+	// but is kept in the table only if MaxBytes leaves room for it.
 	AnswerReserve int
-	// MaxTombstones bounds the refused keys that are remembered beyond
-	// MaxRecords.
+	// MaxTombstones is the maximum number of keys remembered as refused because
+	// the table was full. They don't count towards MaxRecords.
 	MaxTombstones int
 
-	// Fault breaks a guard on purpose, so that a test can show that its
-	// checker sees it; empty in the product.
+	// Fault disables one safety check so that a test can show that its history
+	// checker detects the violation. It is empty outside of tests.
 	Fault Fault
 }
 
-// Fault names a guard to break.
+// Fault names a safety check to disable in a test.
 type Fault string
 
-// Guards that tests break.
+// Faults that tests inject.
 const (
 	// FaultDispatchBeforeJournal dispatches before the intent is journaled.
 	FaultDispatchBeforeJournal Fault = "dispatch_before_journal"
-	// FaultExpiredNotExecuted tells the caller of an expired key "not executed".
+	// FaultExpiredNotExecuted answers "not executed" for an expired key, whose
+	// action may have run.
 	FaultExpiredNotExecuted Fault = "expired_is_no"
-	// FaultUnjournaledPromise dispatches unjournaled what the token promises to
-	// journal.
+	// FaultUnjournaledPromise dispatches without a journal entry an action whose
+	// token promises that it is journaled first.
 	FaultUnjournaledPromise Fault = "run_promised_unjournaled"
-	// FaultNoTombstones remembers no refused keys.
+	// FaultNoTombstones does not remember keys refused because the table was
+	// full.
 	FaultNoTombstones Fault = "forget_refused"
 )
 
-// DefaultConfig suits an entry VM of today: 400 actions a second at about half
-// a kilobyte each, and a window of three minutes for repetitions.
+// DefaultConfig is sized for an entry VM that serves 400 actions per second of
+// about half a kilobyte each, with three minutes in which a call may be
+// repeated.
 func DefaultConfig(owner ident.Incarnation) Config {
 	return Config{
 		Owner:         owner,
