--- a/bench/actions/run.go
+++ b/bench/actions/run.go
@@ -300,7 +300,7 @@
 			delete(j.waiting, e.Waiter)
 			done(e.Result)
 		case *action.Dispatch:
-			j.r.dispatched(e.ID, func(res action.Result) { j.apply(j.owner.HandleFinished(j.r.wall(), e.ID, res)) })
+			j.r.dispatched(e.ID, func(res action.Result) { j.apply(j.owner.Finished(j.r.wall(), e.ID, res)) })
 		case *action.Write:
 			j.write(e)
 		case *action.Collect:
@@ -321,7 +321,7 @@
 		if !ok {
 			status = journal.Doubtful
 		}
-		j.apply(j.owner.HandleWritten(j.r.wall(), journal.Written{Index: w.Index, Status: status}))
+		j.apply(j.owner.Written(j.r.wall(), journal.Written{Index: w.Index, Status: status}))
 	})
 }
 
--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -302,7 +302,7 @@
 	result := s.send(ctx, d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(o, o.HandleFinished(s.now(), d.ID, result))
+	s.apply(o, o.Finished(s.now(), d.ID, result))
 }
 
 // write creates a journal entry. An error other than a conflict leaves it open
@@ -319,7 +319,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(o, o.HandleWritten(s.now(), written))
+	s.apply(o, o.Written(s.now(), written))
 }
 
 func (s *Service) collect(o *action.Owner, c journal.Collect) {
--- a/daemon/actions/drain.go
+++ b/daemon/actions/drain.go
@@ -149,7 +149,7 @@
 // endOwners seals the logs, and stops the owners in any case: with the service
 // down the seal comes later, from the successor.
 func (s *Service) endOwners(ctx context.Context, successor ident.Incarnation) {
-	s.eachOwner(func(o *action.Owner) { s.apply(o, o.Seal(s.now(), successor)) })
+	s.eachOwner(func(o *action.Owner) { s.apply(o, o.End(s.now(), successor)) })
 	sealCtx, cancel := context.WithTimeout(ctx, s.cfg.Times.Seal)
 	defer cancel()
 	s.waitFor(sealCtx, (*action.Owner).Ended)
--- a/protocol/action/gateway_test.go
+++ b/protocol/action/gateway_test.go
@@ -80,9 +80,9 @@
 	}
 	r, ok := t.Lookup(gc.request.ID, gc.request.BodyHash)
 	if ok {
-		n.sim.coverage.adopted++
+		n.sim.eventCounts.adopted++
 	}
-	if !ok && n.sim.guard == guardCompleteTable {
+	if !ok && n.sim.brokenGuard == guardCompleteTable {
 		return refusedWith(refusal.New(refusal.OwnerGone, "not in the table")), true
 	}
 	return r, ok
@@ -115,7 +115,7 @@
 			})
 		})
 	})
-	sim.schedule(attemptTimeout, n, func() {
+	sim.after(attemptTimeout, n, func() {
 		if !answered && !gc.finished {
 			n.forward(gc, attemptsLeft-1)
 		}
@@ -151,7 +151,7 @@
 			n.sim.sendMessage(successor, n, func() { gc.finish(r) })
 		}
 	})
-	n.sim.schedule(attemptTimeout, n, func() { gc.finish(verdict) })
+	n.sim.after(attemptTimeout, n, func() { gc.finish(verdict) })
 }
 
 // seal reads the journal and creates its seal unless it has one. It passes the
@@ -162,9 +162,9 @@
 		case !ok || attemptsLeft == 0:
 			done(nil)
 		case log.Seal() != nil:
-			n.sim.coverage.sealed++
+			n.sim.eventCounts.sealed++
 			done(log)
-		case n.sim.guard == guardSealBeforeAnswer:
+		case n.sim.brokenGuard == guardSealBeforeAnswer:
 			log.Add(log.Next(), journal.Entry{Seal: &journal.Seal{By: n.name}})
 			done(log)
 		default:
@@ -186,12 +186,12 @@
 func (n *node) readLog(owner ident.Incarnation, done func(*journal.Log, bool)) {
 	sim := n.sim
 	if sim.storeDown() || n.cutOff.contains(sim.now) || sim.chance(sim.doubtfulProbability) {
-		sim.schedule(storeTimeout, n, func() { done(nil, false) })
+		sim.after(storeTimeout, n, func() { done(nil, false) })
 		return
 	}
-	sim.schedule(sim.randomDuration(4*time.Millisecond), nil, func() {
+	sim.after(sim.randomDuration(4*time.Millisecond), nil, func() {
 		log := sim.storedLog(owner)
-		sim.schedule(sim.randomDuration(4*time.Millisecond), n, func() { done(log, true) })
+		sim.after(sim.randomDuration(4*time.Millisecond), n, func() { done(log, true) })
 	})
 }
 
@@ -222,8 +222,8 @@
 	successor := n.sim.currentNodes[(n.index+1+n.sim.rng.IntN(len(n.sim.currentNodes)-1))%len(n.sim.currentNodes)]
 	for _, o := range n.sortedOwners() {
 		o.StopAccepting()
-		n.sim.schedule(n.sim.randomDuration(second), n, func() { n.apply(o, o.Seal(n.clock(), successor.name)) })
-		n.sim.schedule(second+n.sim.randomDuration(2*second), n, func() {
+		n.sim.after(n.sim.randomDuration(second), n, func() { n.apply(o, o.End(n.clock(), successor.name)) })
+		n.sim.after(second+n.sim.randomDuration(2*second), n, func() {
 			n.apply(o, o.EndUnsealed(n.clock()))
 			n.handOff(o, successor)
 		})
@@ -252,7 +252,7 @@
 			part.Last = true
 			part.Complete = complete
 		}
-		n.sim.schedule(n.sim.randomDuration(second), n, func() { n.sendPart(o.Incarnation(), successor, part, attempts) })
+		n.sim.after(n.sim.randomDuration(second), n, func() { n.sendPart(o.Incarnation(), successor, part, attempts) })
 	}
 }
 
@@ -265,7 +265,7 @@
 		successor.adopt(owner, part)
 		n.sim.sendMessage(successor, n, func() { acknowledged = true })
 	})
-	n.sim.schedule(200*time.Millisecond, n, func() {
+	n.sim.after(200*time.Millisecond, n, func() {
 		if !acknowledged {
 			n.sendPart(owner, successor, part, attemptsLeft-1)
 		}
@@ -292,7 +292,7 @@
 // after with the same index and address.
 func (sim *simulation) crash(index int) {
 	sim.currentNodes[index].dead = true
-	sim.schedule(sim.randomDuration(2*second), nil, func() { sim.boot(index) })
+	sim.after(sim.randomDuration(2*second), nil, func() { sim.boot(index) })
 }
 
 // actionID returns the ID of an action in the only workspace of the histories.
--- a/protocol/action/history_test.go
+++ b/protocol/action/history_test.go
@@ -30,7 +30,7 @@
 	sim := newSimulation(o)
 	sim.scheduleFaults()
 	for caller := range 4 + sim.rng.IntN(8) {
-		sim.schedule(sim.randomDuration(20*second), nil, func() { sim.simulateCaller(fmt.Sprintf("c%d", caller)) })
+		sim.after(sim.randomDuration(20*second), nil, func() { sim.simulateCaller(fmt.Sprintf("c%d", caller)) })
 	}
 	sim.run()
 	return sim
@@ -51,30 +51,30 @@
 		sim.outages = append(sim.outages, interval{from: from, to: from.Add(sim.randomDuration(20 * second))})
 	}
 	for sim.chance(0.5) {
-		sim.schedule(at(), nil, func() { sim.crash(sim.rng.IntN(len(sim.currentNodes))) })
+		sim.after(at(), nil, func() { sim.crash(sim.rng.IntN(len(sim.currentNodes))) })
 	}
 	for sim.chance(0.5) {
-		sim.schedule(at(), nil, func() {
+		sim.after(at(), nil, func() {
 			sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))].pausedUntil = sim.now.Add(sim.randomDuration(15 * second))
 		})
 	}
 	for sim.chance(0.4) {
-		sim.schedule(at(), nil, func() { sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))].cutOff = sim.randomInterval(10 * second) })
+		sim.after(at(), nil, func() { sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))].cutOff = sim.interval(10 * second) })
 	}
 	for sim.chance(0.4) {
-		sim.schedule(at(), nil, func() {
-			sim.partitions[[2]int{0, 1 + sim.rng.IntN(len(sim.currentNodes)-1)}] = sim.randomInterval(15 * second)
+		sim.after(at(), nil, func() {
+			sim.partitions[[2]int{0, 1 + sim.rng.IntN(len(sim.currentNodes)-1)}] = sim.interval(15 * second)
 		})
 	}
 	for sim.chance(0.4) {
-		sim.schedule(at(), nil, sim.markDaemonDown)
+		sim.after(at(), nil, sim.markDaemonDown)
 	}
 	if sim.chance(0.4) {
 		sim.scheduleDrains(at())
 	}
 }
 
-func (sim *simulation) randomInterval(d time.Duration) interval {
+func (sim *simulation) interval(d time.Duration) interval {
 	return interval{from: sim.now, to: sim.now.Add(sim.randomDuration(d))}
 }
 
@@ -82,7 +82,7 @@
 // one.
 func (sim *simulation) markDaemonDown() {
 	n := sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))]
-	n.mistakenlyDown[sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))].name] = sim.randomInterval(10 * second)
+	n.mistakenlyDown[sim.currentNodes[sim.rng.IntN(len(sim.currentNodes))].name] = sim.interval(10 * second)
 }
 
 // scheduleDrains makes one or two operators drain the same or different daemons
@@ -90,13 +90,13 @@
 func (sim *simulation) scheduleDrains(at time.Duration) {
 	for range 1 + sim.rng.IntN(2) {
 		index := sim.rng.IntN(len(sim.currentNodes))
-		sim.schedule(at+sim.randomDuration(second), nil, func() {
+		sim.after(at+sim.randomDuration(second), nil, func() {
 			n := sim.currentNodes[index]
 			if n.dead {
 				return
 			}
 			n.drain()
-			sim.schedule(sim.randomDuration(8*second), n, func() { sim.crash(index) })
+			sim.after(sim.randomDuration(8*second), n, func() { sim.crash(index) })
 		})
 	}
 }
@@ -125,7 +125,7 @@
 			body = name + "-other"
 		}
 		readOnly := sim.chance(0.2)
-		sim.schedule(delay, nil, func() { sim.submitCopy(key, body, policy, readOnly) })
+		sim.after(delay, nil, func() { sim.submitCopy(key, body, policy, readOnly) })
 	}
 }
 
@@ -144,7 +144,7 @@
 		body = ""
 	}
 	gc.done = func(r action.Result) { sim.history.Told(from, sim.now, id, body, r) }
-	sim.schedule(0, n, func() { n.serve(gc) })
+	sim.after(0, n, func() { n.serve(gc) })
 }
 
 // Guards against an action that runs twice, or that runs although its caller was
@@ -174,7 +174,7 @@
 				unknown.Add(int64(sim.history.Unknown))
 				runs.Add(int64(sim.history.Runs))
 				mu.Lock()
-				total.add(sim.coverage)
+				total.add(sim.eventCounts)
 				mu.Unlock()
 			}
 		})
@@ -197,12 +197,12 @@
 		{fault: action.FaultExpiredNotExecuted},
 		{fault: action.FaultNoTombstones},
 		{fault: action.FaultUnjournaledPromise},
-		{guard: guardSealBeforeAnswer},
-		{guard: guardNoTransportRetry},
-		{guard: guardCompleteTable},
+		{brokenGuard: guardSealBeforeAnswer},
+		{brokenGuard: guardNoTransportRetry},
+		{brokenGuard: guardCompleteTable},
 	}
 	for _, o := range broken {
-		t.Run(string(o.fault)+string(o.guard), func(t *testing.T) {
+		t.Run(string(o.fault)+string(o.brokenGuard), func(t *testing.T) {
 			is := is.New(t)
 			seen := 0
 			for seed := uint64(1); seed <= tries && seen == 0; seed++ {
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -226,8 +226,8 @@
 	return nil
 }
 
-// HandleFinished processes the result of a Dispatch effect.
-func (o *Owner) HandleFinished(now time.Time, id actionkey.ID, r Result) []Effect {
+// Finished processes the result of a Dispatch effect.
+func (o *Owner) Finished(now time.Time, id actionkey.ID, r Result) []Effect {
 	rec, ok := o.records[id]
 	if !ok || rec.state != Dispatched {
 		return nil
@@ -282,8 +282,8 @@
 	return Result{Refusal: refusal.New(refusal.UnknownRequest, "nothing is known of this key").Unknown()}, false
 }
 
-// HandleWritten processes the result of a Write effect.
-func (o *Owner) HandleWritten(now time.Time, w journal.Written) []Effect {
+// Written processes the result of a Write effect.
+func (o *Owner) Written(now time.Time, w journal.Written) []Effect {
 	progress := o.writer.Done(now, w)
 	for _, id := range progress.Durable {
 		if rec, ok := o.records[id]; ok {
@@ -308,9 +308,9 @@
 // once DispatchedCount is zero or little time is left.
 func (o *Owner) StopAccepting() { o.draining = true }
 
-// Seal starts to seal the journal with the name of the successor that will
+// End starts to seal the journal with the name of the successor that will
 // receive the table. The Ended effect follows once the seal has been written.
-func (o *Owner) Seal(now time.Time, successor ident.Incarnation) []Effect {
+func (o *Owner) End(now time.Time, successor ident.Incarnation) []Effect {
 	o.draining = true
 	o.writer.End(successor)
 	return o.flush(now)
@@ -349,8 +349,8 @@
 	}
 }
 
-// JournalUnavailable reports whether the journal currently can't be written.
-func (o *Owner) JournalUnavailable(now time.Time) bool { return o.writer.Unavailable(now) }
+// Unavailable reports whether the journal currently can't be written.
+func (o *Owner) Unavailable(now time.Time) bool { return o.writer.Unavailable(now) }
 
 // flush applies the outage policies if the journal is unavailable, collects due
 // journal operations, and returns all pending effects.
--- a/protocol/action/owner_test.go
+++ b/protocol/action/owner_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func (drv *ownerDriver) newKey(suffix string) string {
+func (drv *ownerDriver) key(suffix string) string {
 	return drv.owner.Token(drv.now).String() + suffix
 }
 
@@ -70,7 +70,7 @@
 func (drv *ownerDriver) finishWrite(s journal.Status, standing journal.Entry) {
 	w := drv.write
 	drv.write = nil
-	drv.recordEffects(drv.owner.HandleWritten(drv.now, journal.Written{Index: w.Index, Status: s, Standing: standing}))
+	drv.recordEffects(drv.owner.Written(drv.now, journal.Written{Index: w.Index, Status: s, Standing: standing}))
 }
 
 func (drv *ownerDriver) advance(d time.Duration) {
@@ -85,12 +85,12 @@
 func TestDispatchOnlyAfterIntentIsJournaled(t *testing.T) {
 	is := is.New(t)
 	drv := newOwnerDriver(nil)
-	key := drv.newKey("a")
+	key := drv.key("a")
 	first, second := drv.submit(key, "x"), drv.submit(key, "x")
 	is.Equal(drv.sent[key], 0)
 	drv.finishWrite(journal.Created, journal.Entry{})
 	is.Equal(drv.sent[key], 1)
-	drv.recordEffects(drv.owner.HandleFinished(drv.now, actionID(key), action.Result{Answer: call.Answer{Body: []byte("ok")}}))
+	drv.recordEffects(drv.owner.Finished(drv.now, actionID(key), action.Result{Answer: call.Answer{Body: []byte("ok")}}))
 	is.Equal(string(drv.replies[first].Answer.Body), "ok")
 	is.Equal(string(drv.replies[second].Answer.Body), "ok")
 	is.Equal(drv.executedOf(drv.submit(key, "y")), refusal.ExecutedUnknown) // another body
@@ -102,7 +102,7 @@
 func TestLateJournalEntryDoesNotDispatch(t *testing.T) {
 	is := is.New(t)
 	drv := newOwnerDriver(nil)
-	key := drv.newKey("a")
+	key := drv.key("a")
 	w := drv.submit(key, "x")
 	drv.advance(time.Second)
 	is.Equal(drv.replies[w].Refusal.Reason, refusal.JournalUnavailable)
@@ -119,7 +119,7 @@
 func TestKeyThatExpiredDuringJournalWriteDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	drv := newOwnerDriver(nil)
-	key := drv.newKey("a")
+	key := drv.key("a")
 	w := drv.submit(key, "x")
 	drv.now = drv.now.Add(24 * time.Hour)
 	drv.finishWrite(journal.Created, journal.Entry{})
@@ -132,18 +132,18 @@
 func TestKeyRefusedByFullTableStaysRefused(t *testing.T) {
 	is := is.New(t)
 	drv := newOwnerDriver(func(c *action.Config) { c.MaxRecords, c.MaxTombstones = 1, 1 })
-	drv.submit(drv.newKey("a"), "x")
-	refused := drv.submit(drv.newKey("b"), "x")
+	drv.submit(drv.key("a"), "x")
+	refused := drv.submit(drv.key("b"), "x")
 	is.Equal(drv.replies[refused].Refusal.Reason, refusal.ActionTableFull)
 	is.Equal(drv.executedOf(refused), refusal.ExecutedNo)
-	is.Equal(drv.executedOf(drv.submit(drv.newKey("c"), "x")), refusal.ExecutedUnknown) // not remembered
-	is.Equal(drv.executedOf(drv.submit(drv.newKey("b"), "x")), refusal.ExecutedNo)
+	is.Equal(drv.executedOf(drv.submit(drv.key("c"), "x")), refusal.ExecutedUnknown) // not remembered
+	is.Equal(drv.executedOf(drv.submit(drv.key("b"), "x")), refusal.ExecutedNo)
 }
 
 func TestExpiredKeyIsUnknown(t *testing.T) {
 	is := is.New(t)
 	drv := newOwnerDriver(nil)
-	key := drv.newKey("a")
+	key := drv.key("a")
 	drv.advance(3 * time.Minute)
 	w := drv.submit(key, "x")
 	is.Equal(drv.executedOf(w), refusal.ExecutedUnknown)
@@ -153,11 +153,11 @@
 func TestOversizedAnswerIsDroppedButReportedExecuted(t *testing.T) {
 	is := is.New(t)
 	drv := newOwnerDriver(func(c *action.Config) { c.MaxBytes, c.AnswerReserve = 1000, 100 })
-	key := drv.newKey("a")
+	key := drv.key("a")
 	first := drv.submit(key, "x")
 	drv.finishWrite(journal.Created, journal.Entry{})
 	large := strings.Repeat("y", 2000)
-	drv.recordEffects(drv.owner.HandleFinished(drv.now, actionID(key), action.Result{Answer: call.Answer{Body: []byte(large)}}))
+	drv.recordEffects(drv.owner.Finished(drv.now, actionID(key), action.Result{Answer: call.Answer{Body: []byte(large)}}))
 	is.Equal(string(drv.replies[first].Answer.Body), large)
 	again := drv.submit(key, "x")
 	is.Equal(drv.replies[again].Refusal.Reason, refusal.AnswerNotKept)
@@ -174,7 +174,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(t *rapid.T) {
 				if len(keys) == 0 || rapid.Bool().Draw(t, "new") {
-					keys = append(keys, drv.newKey(fmt.Sprint("k", len(keys))))
+					keys = append(keys, drv.key(fmt.Sprint("k", len(keys))))
 				}
 				drv.submit(rapid.SampledFrom(keys).Draw(t, "key"), "x")
 			},
@@ -188,7 +188,7 @@
 				if len(keys) == 0 {
 					t.Skip("no keys")
 				}
-				drv.recordEffects(drv.owner.HandleFinished(drv.now, actionID(rapid.SampledFrom(keys).Draw(t, "key")), action.Result{}))
+				drv.recordEffects(drv.owner.Finished(drv.now, actionID(rapid.SampledFrom(keys).Draw(t, "key")), action.Result{}))
 			},
 			"pass": func(t *rapid.T) {
 				drv.advance(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
--- a/protocol/action/simulation_test.go
+++ b/protocol/action/simulation_test.go
@@ -27,9 +27,9 @@
 // options selects the random seed of a history and the safety check that is
 // disabled in it.
 type options struct {
-	seed  uint64
-	fault action.Fault
-	guard brokenGuard
+	seed        uint64
+	fault       action.Fault
+	brokenGuard brokenGuard
 }
 
 const (
@@ -45,7 +45,7 @@
 	at    time.Time
 	seq   int
 	owner *node
-	run   func()
+	do    func()
 }
 
 type eventQueue []event
@@ -87,7 +87,7 @@
 	outages             []interval
 	partitions          map[[2]int]interval
 	history             actionhistory.History
-	coverage            eventCounts
+	eventCounts         eventCounts
 	lossProbability     float64
 	doubtfulProbability float64
 	smallTables         bool
@@ -196,11 +196,11 @@
 	n.owners[name] = n.current
 }
 
-// schedule queues an event to run after d. The node that runs the event is nil
+// after queues an event to run after d. The node that runs the event is nil
 // if the event doesn't depend on any daemon.
-func (sim *simulation) schedule(d time.Duration, of *node, do func()) {
+func (sim *simulation) after(d time.Duration, owner *node, do func()) {
 	sim.seq++
-	heap.Push(&sim.queue, event{at: sim.now.Add(d), seq: sim.seq, owner: of, run: do})
+	heap.Push(&sim.queue, event{at: sim.now.Add(d), seq: sim.seq, owner: owner, do: do})
 }
 
 func (sim *simulation) run() {
@@ -211,10 +211,10 @@
 			continue
 		}
 		if e.owner != nil && sim.now.Before(e.owner.pausedUntil) {
-			sim.schedule(e.owner.pausedUntil.Sub(sim.now), e.owner, e.run)
+			sim.after(e.owner.pausedUntil.Sub(sim.now), e.owner, e.do)
 			continue
 		}
-		e.run()
+		e.do()
 	}
 }
 
@@ -228,17 +228,17 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case *action.Reply:
-			n.sim.schedule(n.sim.processingDelay(), n, func() { n.deliver(e) })
+			n.sim.after(n.sim.processingDelay(), n, func() { n.deliver(e) })
 		case *action.Dispatch:
-			n.sim.schedule(n.sim.processingDelay(), n, func() { n.dispatch(o, e) })
+			n.sim.after(n.sim.processingDelay(), n, func() { n.dispatch(o, e) })
 		case *action.Write:
-			n.sim.schedule(n.sim.processingDelay(), n, func() { n.write(o, e) })
+			n.sim.after(n.sim.processingDelay(), n, func() { n.write(o, e) })
 		case *action.Collect:
-			n.sim.coverage.collected++
-			n.sim.schedule(n.sim.processingDelay(), nil, func() { n.sim.remove(journal.EntryKey(o.Incarnation(), e.Index)) })
+			n.sim.eventCounts.collected++
+			n.sim.after(n.sim.processingDelay(), nil, func() { n.sim.remove(journal.EntryKey(o.Incarnation(), e.Index)) })
 		case *action.Ended:
 			if o == n.current && !n.draining {
-				n.sim.coverage.reopened++
+				n.sim.eventCounts.reopened++
 				n.openOwner()
 			}
 		}
@@ -261,7 +261,7 @@
 	if at.Sub(time.Unix(1_700_000_000, 0)) > 2*historyLength {
 		return
 	}
-	n.sim.schedule(d, n, func() { n.apply(o, o.Tick(n.clock())) })
+	n.sim.after(d, n, func() { n.apply(o, o.Tick(n.clock())) })
 }
 
 func (n *node) deliver(r *action.Reply) {
@@ -276,10 +276,10 @@
 func (n *node) dispatch(o *action.Owner, d *action.Dispatch) {
 	sim := n.sim
 	if !d.Journaled {
-		sim.coverage.unjournaled++
+		sim.eventCounts.unjournaled++
 	}
 	finish := func(after time.Duration, r action.Result) {
-		sim.schedule(after, n, func() { n.apply(o, o.HandleFinished(n.clock(), d.ID, r)) })
+		sim.after(after, n, func() { n.apply(o, o.Finished(n.clock(), d.ID, r)) })
 	}
 	switch p := sim.rng.Float64(); {
 	case p < 0.05:
@@ -288,13 +288,13 @@
 		finish(sim.processingDelay(), refusedWith(refusal.New(refusal.RunnerRefused, "busy")))
 	case p < 0.20:
 		sim.execute(d)
-		if sim.guard == guardNoTransportRetry {
-			sim.schedule(sim.processingDelay(), nil, func() { sim.execute(d) })
+		if sim.brokenGuard == guardNoTransportRetry {
+			sim.after(sim.processingDelay(), nil, func() { sim.execute(d) })
 		}
 		finish(sim.randomDuration(second), refusedWith(refusal.New(refusal.RunnerFailed, "broken").Unknown()))
 	default:
 		delay := sim.randomDuration(50 * time.Millisecond)
-		sim.schedule(delay, nil, func() {
+		sim.after(delay, nil, func() {
 			answer := sim.execute(d)
 			finish(sim.randomDuration(20*time.Millisecond), action.Result{Answer: answer})
 		})
@@ -315,13 +315,13 @@
 	key := journal.EntryKey(o.Incarnation(), e.Index)
 	n.create(key, e.Value, func(status journal.Status, standing []byte) {
 		entry, _ := journal.Decode(key, standing)
-		n.apply(o, o.HandleWritten(n.clock(), journal.Written{Index: e.Index, Status: status, Standing: entry}))
+		n.apply(o, o.Written(n.clock(), journal.Written{Index: e.Index, Status: status, Standing: entry}))
 	})
 }
 
 func (n *node) create(key string, value []byte, done func(journal.Status, []byte)) {
 	sim := n.sim
-	doubtful := func() { sim.schedule(storeTimeout, n, func() { done(journal.Doubtful, nil) }) }
+	doubtful := func() { sim.after(storeTimeout, n, func() { done(journal.Doubtful, nil) }) }
 	if n.cutOff.contains(sim.now) {
 		doubtful()
 		return
@@ -329,13 +329,13 @@
 	if sim.storeDown() || sim.chance(sim.doubtfulProbability) {
 		doubtful()
 		if sim.chance(0.5) {
-			sim.schedule(sim.randomDuration(3*second), nil, func() { sim.applyCreate(key, value) })
+			sim.after(sim.randomDuration(3*second), nil, func() { sim.applyCreate(key, value) })
 		}
 		return
 	}
-	sim.schedule(sim.randomDuration(4*time.Millisecond), nil, func() {
+	sim.after(sim.randomDuration(4*time.Millisecond), nil, func() {
 		status, standing := sim.applyCreate(key, value)
-		sim.schedule(sim.randomDuration(4*time.Millisecond), n, func() { done(status, standing) })
+		sim.after(sim.randomDuration(4*time.Millisecond), n, func() { done(status, standing) })
 	})
 }
 
@@ -370,5 +370,5 @@
 	if sim.chance(0.02) {
 		delay = sim.randomDuration(4 * second) // a message that arrives very late
 	}
-	sim.schedule(delay, to, do)
+	sim.after(delay, to, do)
 }
