--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -304,7 +304,7 @@
 	return o.flush(now)
 }
 
-// StopAccepting makes the owner refuse new actions. The caller should call Seal
+// StopAccepting makes the owner refuse new actions. The caller should call End
 // once DispatchedCount is zero or little time is left.
 func (o *Owner) StopAccepting() { o.draining = true }
 
--- a/protocol/action/simulation_test.go
+++ b/protocol/action/simulation_test.go
@@ -196,8 +196,8 @@
 	n.owners[name] = n.current
 }
 
-// after queues an event to run after d. The node that runs the event is nil
-// if the event doesn't depend on any daemon.
+// after schedules do to run when d has passed. The owner is nil if the event does
+// not depend on any daemon.
 func (sim *simulation) after(d time.Duration, owner *node, do func()) {
 	sim.seq++
 	heap.Push(&sim.queue, event{at: sim.now.Add(d), seq: sim.seq, owner: owner, do: do})
--- a/protocol/action/types.go
+++ b/protocol/action/types.go
@@ -75,7 +75,7 @@
 }
 
 // Dispatch sends an action to a runner exactly once, without retries. Its
-// result must be passed to Owner.HandleFinished.
+// result must be passed to Owner.Finished.
 type Dispatch struct {
 	ID   actionkey.ID
 	Call call.ServiceCall
@@ -84,7 +84,7 @@
 }
 
 // Write creates a journal entry. Its result must be passed to
-// Owner.HandleWritten.
+// Owner.Written.
 type Write struct{ journal.Write }
 
 // Collect deletes a journal entry that is no longer needed.
