--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -74,7 +74,7 @@
 	}
 	s.table = routing.New(r)
 	a := cfg.Policy.Admission
-	a.Count = func(reason refusal.Reason, ws ident.Workspace, class string) {
+	a.OnRefusal = func(reason refusal.Reason, ws ident.Workspace, class string) {
 		cfg.count(name, "refused."+string(reason)+"."+class)
 		cfg.count(name, "refused_by_workspace."+string(ws))
 	}
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -64,46 +64,46 @@
 	// MaxQueued and MaxQueuedBytes bound the items that wait.
 	MaxQueued      int
 	MaxQueuedBytes int
-	// LowerShare is the share of admitted cost that a class with work waiting
+	// MinClassShare is the share of admitted cost that a class with work waiting
 	// gets whatever the classes above it have: without it an overload of
 	// urgent work would hold accepted long work up for ever.
-	LowerShare float64
-	// Reserve is the share of the limit that all but the highest class leave
+	MinClassShare float64
+	// ReservedShare is the share of the limit that all but the highest class leave
 	// free, since places are not spread evenly over the runners.
-	Reserve float64
-	// Headroom is how many standard deviations above their mean need the
+	ReservedShare float64
+	// HeadroomDeviations is how many standard deviations above their mean need the
 	// places are that lower classes leave to higher ones; see Controller.room.
-	Headroom float64
-	// OverShare and UnderShare are multiples of a workspace's share of what was
+	HeadroomDeviations float64
+	// OverShareRatio and UnderShare are multiples of a workspace's share of what was
 	// lately admitted. Below the highest class, a workspace over the one gives
 	// its turn to lower work of a workspace under the other.
-	OverShare  float64
-	UnderShare float64
-	// MaxLead bounds, in seconds of the whole rate, how far use in higher
+	OverShareRatio  float64
+	UnderShareRatio float64
+	// MaxVirtualLead bounds, in seconds of the whole rate, how far use in higher
 	// classes can set a workspace back in a lower one.
-	MaxLead time.Duration
+	MaxVirtualLead time.Duration
 	// RateBurst is how long a workspace may run ahead of its tokens per second.
 	RateBurst time.Duration
 	// MaxRetryAfter bounds what refusals ask for.
 	MaxRetryAfter time.Duration
-	// Count is called for every refusal; nil is allowed.
-	Count func(refusal.Reason, ident.Workspace, string)
+	// OnRefusal is called for every refusal; nil is allowed.
+	OnRefusal func(refusal.Reason, ident.Workspace, string)
 }
 
 // Default returns the policy in use; docs/design/limits.md gives the reasons.
 func Default() Config {
 	return Config{
-		Limiter:        DefaultLimiter(),
-		MaxQueued:      4096,
-		MaxQueuedBytes: 16 << 20,
-		LowerShare:     0.05,
-		Reserve:        0.1,
-		Headroom:       1,
-		OverShare:      1.1,
-		UnderShare:     0.9,
-		MaxLead:        10 * time.Second,
-		RateBurst:      2 * time.Second,
-		MaxRetryAfter:  30 * time.Second,
+		Limiter:            DefaultLimiter(),
+		MaxQueued:          4096,
+		MaxQueuedBytes:     16 << 20,
+		MinClassShare:      0.05,
+		ReservedShare:      0.1,
+		HeadroomDeviations: 1,
+		OverShareRatio:     1.1,
+		UnderShareRatio:    0.9,
+		MaxVirtualLead:     10 * time.Second,
+		RateBurst:          2 * time.Second,
+		MaxRetryAfter:      30 * time.Second,
 	}
 }
 
@@ -119,27 +119,27 @@
 
 // flow is the work of one workspace in one class.
 type flow struct {
-	workspace *workspace
-	class     *class
-	items     []*entry
-	cost      float64
+	workspace  *workspace
+	class      *class
+	items      []*entry
+	queuedCost float64
 	// start is the virtual time at which the next item starts.
 	start float64
 }
 
 type class struct {
 	manifest.Class
-	flows   map[ident.Workspace]*flow
-	active  []*flow
-	virtual float64
-	cost    float64
+	flows       map[ident.Workspace]*flow
+	active      []*flow
+	virtualTime float64
+	queuedCost  float64
 	// credit is the cost to be admitted before higher classes.
 	credit   float64
-	admitted meter
-	refused  meter
-	offered  meter
+	admitted decayingRate
+	refused  decayingRate
+	offered  decayingRate
 	// served is the admitted cost over a longer time.
-	served  meter
+	served  decayingRate
 	running int
 	// residence is the mean seconds from admission to the end.
 	residence float64
@@ -147,27 +147,27 @@
 
 type workspace struct {
 	manifest.Workspace
-	running int
-	queued  int
-	tokens  bucket
-	used    meter
+	running   int
+	queued    int
+	tokens    bucket
+	recentUse decayingRate
 }
 
 // Controller admits the requests of one service at one gateway. It is not safe
 // for concurrent use.
 type Controller struct {
-	cfg        Config
-	limiter    *Limiter
-	classes    map[string]*class
-	order      []*class
-	workspaces map[ident.Workspace]*workspace
-	weights    float64
-	entries    map[ID]*entry
-	running    int
-	queued     int
-	bytes      int
-	rate       rate
-	used       meter
+	cfg         Config
+	limiter     *Limiter
+	classes     map[string]*class
+	byPriority  []*class
+	workspaces  map[ident.Workspace]*workspace
+	totalWeight float64
+	entries     map[ID]*entry
+	running     int
+	queued      int
+	bytes       int
+	throughput  throughput
+	recentUse   decayingRate
 }
 
 // New returns a controller that knows no class and no workspace.
@@ -178,7 +178,7 @@
 		classes:    map[string]*class{},
 		workspaces: map[ident.Workspace]*workspace{},
 		entries:    map[ID]*entry{},
-		used:       meter{halfLife: useHalfLife},
+		recentUse:  decayingRate{halfLife: useHalfLife},
 	}
 }
 
@@ -186,24 +186,24 @@
 	return &class{
 		Class:    k,
 		flows:    map[ident.Workspace]*flow{},
-		admitted: meter{halfLife: rateHalfLife},
-		refused:  meter{halfLife: rateHalfLife},
-		offered:  meter{halfLife: rateHalfLife},
-		served:   meter{halfLife: useHalfLife},
+		admitted: decayingRate{halfLife: rateHalfLife},
+		refused:  decayingRate{halfLife: rateHalfLife},
+		offered:  decayingRate{halfLife: rateHalfLife},
+		served:   decayingRate{halfLife: useHalfLife},
 	}
 }
 
 // SetLimits takes in the workspaces and classes in force. Work of a workspace
 // that is no longer listed ends under its old limits; then it is forgotten.
 func (c *Controller) SetLimits(workspaces []manifest.Workspace, classes []manifest.Class) {
-	c.weights = 0
+	c.totalWeight = 0
 	for _, w := range workspaces {
-		c.weights += w.Weight
+		c.totalWeight += w.Weight
 		if known, ok := c.workspaces[w.Name]; ok {
 			known.Workspace = w
 			continue
 		}
-		c.workspaces[w.Name] = &workspace{Workspace: w, used: meter{halfLife: useHalfLife}}
+		c.workspaces[w.Name] = &workspace{Workspace: w, recentUse: decayingRate{halfLife: useHalfLife}}
 	}
 	for _, k := range classes {
 		if known, ok := c.classes[k.Name]; ok {
@@ -212,17 +212,17 @@
 		}
 		c.classes[k.Name] = newClass(k)
 	}
-	c.forget(workspaces)
-	c.order = c.order[:0]
+	c.removeUnlisted(workspaces)
+	c.byPriority = c.byPriority[:0]
 	for _, k := range c.classes {
-		c.order = append(c.order, k)
+		c.byPriority = append(c.byPriority, k)
 	}
-	slices.SortFunc(c.order, func(a, b *class) int {
+	slices.SortFunc(c.byPriority, func(a, b *class) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-func (c *Controller) forget(listed []manifest.Workspace) {
+func (c *Controller) removeUnlisted(listed []manifest.Workspace) {
 	for name, w := range c.workspaces {
 		if w.running > 0 || w.queued > 0 || slices.ContainsFunc(listed, func(l manifest.Workspace) bool { return l.Name == name }) {
 			continue
@@ -238,7 +238,7 @@
 // own reports: requests at a time and cost per second.
 func (c *Controller) SetCapacity(requests, costPerSecond float64) {
 	c.limiter.SetHint(requests)
-	c.rate.hint(costPerSecond)
+	c.throughput.setHint(costPerSecond)
 }
 
 // Limit is the number of requests that may be in progress now.
@@ -258,39 +258,39 @@
 	if !ok || !known {
 		return c.refuse(dst, it, 0, refusal.New(refusal.BadRequest, "unknown class %q or workspace", it.Class))
 	}
-	e := &entry{Item: it, flow: c.flowOf(k, w), offered: now, expires: expiry(now, k, it)}
-	k.note(now, it)
-	if r := c.check(now, e); r != nil {
+	e := &entry{Item: it, flow: c.flowOf(k, w), offered: now, expires: admissionDeadline(now, k, it)}
+	k.recordOffer(now, it)
+	if r := c.offerRefusal(now, e); r != nil {
 		k.refused.add(now, it.Cost)
-		return c.admit(now, c.refuse(dst, it, 0, r))
+		return c.admitEligible(now, c.refuse(dst, it, 0, r))
 	}
 	c.enqueue(e)
-	return c.admit(now, dst)
+	return c.admitEligible(now, dst)
 }
 
-// waitShare is the part of the time until it expires that an item may be
+// maxWaitFraction is the part of the time until it expires that an item may be
 // expected to wait. Under overload the queue grows until the expected wait meets
 // this bound; at 1 many items would expire in the queue, since the wait is not
 // known exactly.
-const waitShare = 0.85
+const maxWaitFraction = 0.85
 
-// minSlack is the part of its target that an item may wait even if its own
+// minWaitDivisor is the part of its target that an item may wait even if its own
 // prompt takes longer than the target: it would be refused for ever otherwise.
-const minSlack = 4
+const minWaitDivisor = 4
 
-// note counts an offered item.
-func (k *class) note(now time.Time, it Item) {
+// recordOffer counts an offered item.
+func (k *class) recordOffer(now time.Time, it Item) {
 	if k.residence == 0 {
 		k.residence = it.Service.Seconds()
 	}
 	k.offered.add(now, 1)
 }
 
-// expiry is when it is too late for the item to keep its target.
-func expiry(now time.Time, k *class, it Item) time.Time {
+// admissionDeadline is when it is too late for the item to keep its target.
+func admissionDeadline(now time.Time, k *class, it Item) time.Time {
 	var at time.Time
 	if !k.Deferrable {
-		at = now.Add(max(k.target()/minSlack, k.target()-it.FirstToken))
+		at = now.Add(max(k.target()/minWaitDivisor, k.target()-it.FirstToken))
 	}
 	if it.Deadline.IsZero() {
 		return at
@@ -312,33 +312,33 @@
 	return f
 }
 
-// check returns the refusal of an item that can't be served, or nil.
-func (c *Controller) check(now time.Time, e *entry) *refusal.Refusal {
+// offerRefusal returns the refusal of an item that can't be served, or nil.
+func (c *Controller) offerRefusal(now time.Time, e *entry) *refusal.Refusal {
 	k, w := e.flow.class, e.flow.workspace
 	if !k.Deferrable {
-		if r := w.over(now, c.cfg.RateBurst); r != nil {
+		if r := w.limitRefusal(now, c.cfg.RateBurst); r != nil {
 			return r
 		}
 	}
-	if c.queued >= c.mayQueue(w) || c.bytes+e.Bytes > c.cfg.MaxQueuedBytes {
+	if c.queued >= c.queueLimit(w) || c.bytes+e.Bytes > c.cfg.MaxQueuedBytes {
 		return refusal.New(refusal.Overloaded, "too much work waits").After(c.retryAfter(now, k, 0))
 	}
-	wait := c.wait(now, e)
-	at := now.Add(wait)
+	expectedWait := c.expectedWait(now, e)
+	at := now.Add(expectedWait)
 	if !e.Deadline.IsZero() && at.Add(e.Service).After(e.Deadline) {
-		return refusal.New(refusal.DeadlineUnreachable, "the answer would take %s", (wait + e.Service).Round(time.Millisecond)).After(c.retryAfter(now, k, wait))
+		return refusal.New(refusal.DeadlineUnreachable, "the answer would take %s", (expectedWait + e.Service).Round(time.Millisecond)).After(c.retryAfter(now, k, expectedWait))
 	}
-	if !e.expires.IsZero() && wait > time.Duration(waitShare*float64(e.expires.Sub(now))) {
-		return refusal.New(refusal.Overloaded, "the first token would take %s", (wait + e.FirstToken).Round(time.Millisecond)).After(c.retryAfter(now, k, at.Sub(e.expires)))
+	if !e.expires.IsZero() && expectedWait > time.Duration(maxWaitFraction*float64(e.expires.Sub(now))) {
+		return refusal.New(refusal.Overloaded, "the first token would take %s", (expectedWait + e.FirstToken).Round(time.Millisecond)).After(c.retryAfter(now, k, at.Sub(e.expires)))
 	}
 	return nil
 }
 
-// mayQueue bounds what waits in all before an item of the workspace is
+// queueLimit bounds what waits in all before an item of the workspace is
 // refused. Up to half of the room is anyone's; of the rest a workspace that
 // already has more than its share waiting gets nothing.
-func (c *Controller) mayQueue(w *workspace) int {
-	if float64(w.queued) < float64(c.cfg.MaxQueued)*w.Weight/c.weights {
+func (c *Controller) queueLimit(w *workspace) int {
+	if float64(w.queued) < float64(c.cfg.MaxQueued)*w.Weight/c.totalWeight {
 		return c.cfg.MaxQueued
 	}
 	return c.cfg.MaxQueued / 2
@@ -357,53 +357,53 @@
 	return min(max(after, 100*time.Millisecond), c.cfg.MaxRetryAfter)
 }
 
-// lateGrowth is how much faster than of late a class is expected to go on.
-const lateGrowth = 1.25
+// maxServedGrowth is how much faster than of late a class is expected to go on.
+const maxServedGrowth = 1.25
 
-// wait is the expected time until the item is admitted.
-func (c *Controller) wait(now time.Time, e *entry) time.Duration {
+// expectedWait is the expected time until the item is admitted.
+func (c *Controller) expectedWait(now time.Time, e *entry) time.Duration {
 	k := e.flow.class
-	if c.room(now, k) && !c.anyWaits(k) {
+	if c.hasRoom(now, k) && !c.anyWaitsAtOrAbove(k) {
 		return 0
 	}
-	perSecond := c.rate.perSecond
+	perSecond := c.throughput.perSecond
 	if perSecond <= 0 {
 		return 0
 	}
 	higher, taken := 0.0, 0.0
-	for _, o := range c.order {
+	for _, o := range c.byPriority {
 		if o.Priority > k.Priority {
-			higher += o.cost
+			higher += o.queuedCost
 			taken += o.admitted.perSecond(now)
 		}
 	}
 	left := perSecond - taken
-	if k != c.order[0] && len(k.active) > 0 {
+	if k != c.byPriority[0] && len(k.active) > 0 {
 		// What the class had of late tells of turns that it loses, too.
-		left = min(left, lateGrowth*k.served.perSecond(now))
+		left = min(left, maxServedGrowth*k.served.perSecond(now))
 	}
-	perSecond = max(left, c.cfg.LowerShare*perSecond)
-	seconds := (higher + k.ahead(e.flow) + c.meanCost()) / perSecond
-	wait := time.Duration(min(seconds, time.Hour.Seconds()) * float64(time.Second))
+	perSecond = max(left, c.cfg.MinClassShare*perSecond)
+	seconds := (higher + k.costAhead(e.flow) + c.meanCost()) / perSecond
+	expectedWait := time.Duration(min(seconds, time.Hour.Seconds()) * float64(time.Second))
 	if len(e.flow.items) == 0 {
-		return wait
+		return expectedWait
 	}
 	// At a steady rate who comes now waits as long as the first in the queue
 	// has waited. It shows what the rates above leave out.
-	return max(wait, now.Sub(e.flow.items[0].offered))
+	return max(expectedWait, now.Sub(e.flow.items[0].offered))
 }
 
 // meanCost is the mean cost of the finished requests: over the rate, the time
 // until the next one finishes.
 func (c *Controller) meanCost() float64 {
-	if c.rate.finished == 0 {
+	if c.throughput.finishedCount == 0 {
 		return 0
 	}
-	return c.rate.total / float64(c.rate.finished)
+	return c.throughput.finishedCost / float64(c.throughput.finishedCount)
 }
 
-func (c *Controller) anyWaits(k *class) bool {
-	for _, o := range c.order {
+func (c *Controller) anyWaitsAtOrAbove(k *class) bool {
+	for _, o := range c.byPriority {
 		if o.Priority >= k.Priority && len(o.active) > 0 {
 			return true
 		}
@@ -411,53 +411,53 @@
 	return false
 }
 
-// ahead is the cost that goes before a new item of the flow: its own queue and
+// costAhead is the cost that goes before a new item of the flow: its own queue and
 // what the other flows have with an earlier virtual start.
-func (k *class) ahead(f *flow) float64 {
-	start := max(f.start, k.virtual) + f.cost/f.workspace.Weight
-	ahead := f.cost
+func (k *class) costAhead(f *flow) float64 {
+	start := max(f.start, k.virtualTime) + f.queuedCost/f.workspace.Weight
+	costAhead := f.queuedCost
 	for _, o := range k.active {
 		if o != f {
-			ahead += min(o.cost, max(0, start-o.start)*o.workspace.Weight)
+			costAhead += min(o.queuedCost, max(0, start-o.start)*o.workspace.Weight)
 		}
 	}
-	return ahead
+	return costAhead
 }
 
-// room tells whether the limit lets an item of the class in. A lower class
+// hasRoom tells whether the limit lets an item of the class in. A lower class
 // leaves the places free that the higher ones need by Little's law (their rate
 // of arrival times their time in a place): answers are long beside the target
 // for the first token, so that urgent work can't wait for one to end. A class
 // always has LowerShare of the limit.
-func (c *Controller) room(now time.Time, k *class) bool {
+func (c *Controller) hasRoom(now time.Time, k *class) bool {
 	limit := float64(c.limiter.Limit())
 	if float64(c.running) >= limit {
 		return false
 	}
-	if float64(k.running) < c.cfg.LowerShare*limit {
+	if float64(k.running) < c.cfg.MinClassShare*limit {
 		return true
 	}
-	if k == c.order[0] {
+	if k == c.byPriority[0] {
 		return true
 	}
-	kept := c.cfg.Reserve * limit
-	for _, o := range c.order {
+	reserved := c.cfg.ReservedShare * limit
+	for _, o := range c.byPriority {
 		if o.Priority > k.Priority {
-			kept += max(0, o.need(now, c.cfg.Headroom)-float64(o.running))
+			reserved += max(0, o.expectedPlaces(now, c.cfg.HeadroomDeviations)-float64(o.running))
 		}
 	}
-	return float64(c.running)+kept < limit
+	return float64(c.running)+reserved < limit
 }
 
-// need is the places that the class takes if all that is offered gets one.
-func (k *class) need(now time.Time, headroom float64) float64 {
+// expectedPlaces is the places that the class takes if all that is offered gets one.
+func (k *class) expectedPlaces(now time.Time, headroom float64) float64 {
 	mean := k.offered.perSecond(now) * k.residence
 	return mean + headroom*math.Sqrt(mean)
 }
 
 func (c *Controller) refuse(dst []Effect, it Item, waited time.Duration, r *refusal.Refusal) []Effect {
-	if c.cfg.Count != nil {
-		c.cfg.Count(r.Reason, it.Workspace, it.Class)
+	if c.cfg.OnRefusal != nil {
+		c.cfg.OnRefusal(r.Reason, it.Workspace, it.Class)
 	}
 	return append(dst, Effect{Kind: Refuse, ID: it.ID, Refusal: r, Waited: waited})
 }
--- a/protocol/admission/admission_test.go
+++ b/protocol/admission/admission_test.go
@@ -22,7 +22,7 @@
 	{Name: "bulletin", Priority: 1, TTFTMillis: 60000, TBTMillis: 200, Deferrable: true},
 }
 
-func controller(limit float64, workspaces ...manifest.Workspace) *Controller {
+func newTestController(limit float64, workspaces ...manifest.Workspace) *Controller {
 	cfg := Default()
 	cfg.Limiter.Min = limit
 	c := New(cfg)
@@ -31,35 +31,35 @@
 	return c
 }
 
-func item(id ID, ws ident.Workspace, class string) Item {
+func newItem(id ID, ws ident.Workspace, class string) Item {
 	return Item{ID: id, Workspace: ws, Class: class, Cost: 100, FirstToken: 100 * time.Millisecond, Service: time.Second}
 }
 
 // An operator asks for a case and waits for seconds: long bulletins have taken
 // every place at the runners, and none ends soon.
-func TestPlacesAreKeptForUrgentWork(t *testing.T) {
+func TestCapacityIsReservedForUrgentWork(t *testing.T) {
 	is := is.New(t)
-	c := controller(20, manifest.Workspace{Name: "a", Weight: 1})
-	is.Equal(len(c.Offer(start, item(1, "a", "chat"), nil)), 1)
-	is.Equal(len(c.Offer(start, item(2, "a", "chat"), nil)), 1)
+	c := newTestController(20, manifest.Workspace{Name: "a", Weight: 1})
+	is.Equal(len(c.Offer(start, newItem(1, "a", "chat"), nil)), 1)
+	is.Equal(len(c.Offer(start, newItem(2, "a", "chat"), nil)), 1)
 	for id := ID(3); id < 40; id++ {
-		c.Offer(start, item(id, "a", "bulletin"), nil)
+		c.Offer(start, newItem(id, "a", "bulletin"), nil)
 	}
 	is.True(c.Running() >= 15 && c.Running() <= 18)
-	is.Equal(len(c.Offer(start, item(50, "a", "chat"), nil)), 1)
-	is.Equal(len(c.Offer(start, item(51, "a", "chat"), nil)), 1)
-	c = controller(1, manifest.Workspace{Name: "a", Weight: 1})
-	c.Offer(start, item(1, "a", "bulletin"), nil)
-	c.Offer(start, item(2, "a", "bulletin"), nil)
-	c.Offer(start, item(3, "a", "chat"), nil)
+	is.Equal(len(c.Offer(start, newItem(50, "a", "chat"), nil)), 1)
+	is.Equal(len(c.Offer(start, newItem(51, "a", "chat"), nil)), 1)
+	c = newTestController(1, manifest.Workspace{Name: "a", Weight: 1})
+	c.Offer(start, newItem(1, "a", "bulletin"), nil)
+	c.Offer(start, newItem(2, "a", "bulletin"), nil)
+	c.Offer(start, newItem(3, "a", "chat"), nil)
 	is.Equal(c.Finish(start.Add(50*time.Millisecond), 1, 100, nil)[0].ID, ID(3))
 }
 
 // A small workspace's bulletins wait for hours: a large one has reviews for
 // more than the whole capacity, and reviews go before bulletins.
-func TestLargeWorkspaceDoesNotHoldUpLowerClassesOfOthers(t *testing.T) {
+func TestLargeWorkspaceDoesNotStarveLowerClassesOfOthers(t *testing.T) {
 	is := is.New(t)
-	c := controller(4, manifest.Workspace{Name: "large", Weight: 1}, manifest.Workspace{Name: "small", Weight: 1})
+	c := newTestController(4, manifest.Workspace{Name: "large", Weight: 1}, manifest.Workspace{Name: "small", Weight: 1})
 	now := start
 	served := map[ident.Workspace]int{}
 	owner := map[ID]ident.Workspace{}
@@ -67,8 +67,8 @@
 	for id := ID(1); id < 400; id += 2 {
 		now = now.Add(25 * time.Millisecond)
 		owner[id], owner[id+1] = "large", "small"
-		effects := c.Offer(now, item(id, "large", "review"), nil)
-		effects = c.Offer(now, item(id+1, "small", "bulletin"), effects)
+		effects := c.Offer(now, newItem(id, "large", "review"), nil)
+		effects = c.Offer(now, newItem(id+1, "small", "bulletin"), effects)
 		if len(running) > 0 {
 			effects = c.Finish(now, running[0], 100, effects)
 			running = running[1:]
@@ -85,20 +85,20 @@
 
 // A caller waits for seconds only to be told that there was no room. The queue
 // ahead of it was known to be too long when it came.
-func TestRefusedAtOnceWhatCannotBeInTime(t *testing.T) {
+func TestRefusesAtOnceWhatCannotMeetItsTarget(t *testing.T) {
 	is := is.New(t)
 	counted := map[refusal.Reason]int{}
-	c := controller(1, manifest.Workspace{Name: "a", Weight: 1})
-	c.cfg.Count = func(r refusal.Reason, _ ident.Workspace, _ string) { counted[r]++ }
+	c := newTestController(1, manifest.Workspace{Name: "a", Weight: 1})
+	c.cfg.OnRefusal = func(r refusal.Reason, _ ident.Workspace, _ string) { counted[r]++ }
 	for i := range 5 {
-		c.Offer(start, item(ID(i), "a", "chat"), nil)
+		c.Offer(start, newItem(ID(i), "a", "chat"), nil)
 	}
-	effects := c.Offer(start, item(9, "a", "chat"), nil)
+	effects := c.Offer(start, newItem(9, "a", "chat"), nil)
 	is.Equal(len(effects), 1)
 	is.Equal(effects[0].Refusal.Reason, refusal.Overloaded)
 	is.Equal(effects[0].Refusal.Executed, refusal.ExecutedNo)
 	is.True(effects[0].Refusal.RetryAfter > 0)
-	late := item(10, "a", "bulletin")
+	late := newItem(10, "a", "bulletin")
 	late.Deadline = start.Add(time.Second)
 	effects = c.Offer(start, late, nil)
 	is.Equal(effects[0].Refusal.Reason, refusal.DeadlineUnreachable)
@@ -111,15 +111,15 @@
 
 func TestWorkspaceLimits(t *testing.T) {
 	is := is.New(t)
-	c := controller(100, manifest.Workspace{Name: "a", Weight: 1, MaxConcurrent: 1}, manifest.Workspace{Name: "b", Weight: 1, TokensPerSecond: 50})
-	c.Offer(start, item(1, "a", "chat"), nil)
-	effects := c.Offer(start, item(2, "a", "chat"), nil)
+	c := newTestController(100, manifest.Workspace{Name: "a", Weight: 1, MaxConcurrent: 1}, manifest.Workspace{Name: "b", Weight: 1, TokensPerSecond: 50})
+	c.Offer(start, newItem(1, "a", "chat"), nil)
+	effects := c.Offer(start, newItem(2, "a", "chat"), nil)
 	is.Equal(effects[0].Refusal.Reason, refusal.WorkspaceLimit)
-	is.Equal(len(c.Offer(start, item(3, "a", "bulletin"), nil)), 0) // waits for the first to end
+	is.Equal(len(c.Offer(start, newItem(3, "a", "bulletin"), nil)), 0) // waits for the first to end
 	is.Equal(c.Finish(start, 1, 100, nil)[0].ID, ID(3))
-	is.Equal(c.Offer(start, item(4, "b", "chat"), nil)[0].Kind, Admit)
-	is.Equal(c.Offer(start, item(5, "b", "chat"), nil)[0].Refusal.Reason, refusal.WorkspaceLimit)
-	is.Equal(len(c.Offer(start, item(6, "b", "bulletin"), nil)), 0)
+	is.Equal(c.Offer(start, newItem(4, "b", "chat"), nil)[0].Kind, Admit)
+	is.Equal(c.Offer(start, newItem(5, "b", "chat"), nil)[0].Refusal.Reason, refusal.WorkspaceLimit)
+	is.Equal(len(c.Offer(start, newItem(6, "b", "bulletin"), nil)), 0)
 	is.Equal(c.Tick(start.Add(100*time.Millisecond), nil)[0].ID, ID(6))
 	c.Finish(start.Add(time.Second), 4, 10, nil) // it cost less than was charged
 	is.Equal(len(c.Cancel(start, 6, nil)), 0)
@@ -137,7 +137,7 @@
 			total += w
 			list = append(list, manifest.Workspace{Name: ident.Workspace(fmt.Sprint(i)), Weight: w})
 		}
-		c := controller(4, list...)
+		c := newTestController(4, list...)
 		costs := rapid.IntRange(1, 50)
 		served := make([]float64, n)
 		owner, cost := map[ID]int{}, map[ID]float64{}
@@ -145,10 +145,10 @@
 		next := ID(0)
 		offer := func(w int) {
 			next++
-			it := item(next, list[w].Name, "bulletin")
+			it := newItem(next, list[w].Name, "bulletin")
 			it.Cost = float64(costs.Draw(t, "cost"))
 			owner[next], cost[next] = w, it.Cost
-			running = take(t, running, c.Offer(start, it, nil))
+			running = appendAdmitted(t, running, c.Offer(start, it, nil))
 		}
 		for w := range n {
 			for range 6 {
@@ -159,7 +159,7 @@
 			id := running[0]
 			running = running[1:]
 			served[owner[id]] += cost[id]
-			running = take(t, running, c.Finish(start, id, cost[id], nil))
+			running = appendAdmitted(t, running, c.Finish(start, id, cost[id], nil))
 			offer(owner[id])
 		}
 		sum := 0.0
@@ -175,7 +175,7 @@
 	})
 }
 
-func take(t *rapid.T, running []ID, effects []Effect) []ID {
+func appendAdmitted(t *rapid.T, running []ID, effects []Effect) []ID {
 	for _, e := range effects {
 		if e.Kind != Admit {
 			t.Fatalf("refused: %v", e.Refusal)
@@ -185,13 +185,13 @@
 	return running
 }
 
-// TestWorkConserving makes any sequence of calls: no class waits while the
+// TestSchedulerIsWorkConserving makes any sequence of calls: no class waits while the
 // limit has room for it, every offered item has one outcome, and the counts
 // and bounds hold.
-func TestWorkConserving(t *testing.T) {
+func TestSchedulerIsWorkConserving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 6).Draw(t, "limit")
-		c := controller(float64(limit), manifest.Workspace{Name: "a", Weight: 1}, manifest.Workspace{Name: "b", Weight: 3})
+		c := newTestController(float64(limit), manifest.Workspace{Name: "a", Weight: 1}, manifest.Workspace{Name: "b", Weight: 3})
 		c.cfg.MaxQueued = 8
 		waiting, running := map[ID]bool{}, map[ID]bool{}
 		now := start
@@ -203,7 +203,7 @@
 				waiting[id] = true
 				ws := rapid.SampledFrom([]ident.Workspace{"a", "b"}).Draw(t, "workspace")
 				k := rapid.SampledFrom(classes).Draw(t, "class")
-				effects = c.Offer(now, item(id, ws, k.Name), nil)
+				effects = c.Offer(now, newItem(id, ws, k.Name), nil)
 			case call == 3:
 				effects = c.Tick(now, nil)
 			case call == 4:
@@ -229,8 +229,8 @@
 			if c.Queued() != len(waiting) || c.Running() != len(running) || len(running) > limit || len(waiting) > 8 {
 				t.Fatalf("queued %d of %d, running %d of %d", c.Queued(), len(waiting), c.Running(), len(running))
 			}
-			for _, k := range c.order {
-				if len(k.active) > 0 && c.room(now, k) {
+			for _, k := range c.byPriority {
+				if len(k.active) > 0 && c.hasRoom(now, k) {
 					t.Fatalf("class %s waits with room left", k.Name)
 				}
 			}
@@ -240,13 +240,13 @@
 
 func TestLowerClassesAreNotStarved(t *testing.T) {
 	is := is.New(t)
-	c := controller(1, manifest.Workspace{Name: "a", Weight: 1})
-	c.Offer(start, item(1, "a", "chat"), nil)
-	c.Offer(start, item(2, "a", "bulletin"), nil)
+	c := newTestController(1, manifest.Workspace{Name: "a", Weight: 1})
+	c.Offer(start, newItem(1, "a", "chat"), nil)
+	c.Offer(start, newItem(2, "a", "bulletin"), nil)
 	served := 0
 	running := ID(1)
 	for id := ID(3); id < 100 && served == 0; id++ {
-		c.Offer(start, item(id, "a", "chat"), nil)
+		c.Offer(start, newItem(id, "a", "chat"), nil)
 		for _, e := range c.Finish(start, running, 100, nil) {
 			running = e.ID
 			if e.ID == 2 {
@@ -264,7 +264,7 @@
 	now := start
 	step := func(ratio float64) {
 		now = now.Add(time.Second)
-		l.Reached(now.Add(-time.Millisecond))
+		l.MarkReached(now.Add(-time.Millisecond))
 		l.Sample(now, ratio)
 	}
 	step(0.5)
@@ -285,13 +285,13 @@
 	for i := range 50 {
 		workspaces = append(workspaces, manifest.Workspace{Name: ident.Workspace(fmt.Sprint(i)), Weight: 1})
 	}
-	c := controller(16, workspaces...)
+	c := newTestController(16, workspaces...)
 	for id := ID(0); id < 4096; id++ {
-		c.Offer(start, item(id, workspaces[id%50].Name, "bulletin"), nil)
+		c.Offer(start, newItem(id, workspaces[id%50].Name, "bulletin"), nil)
 	}
 	var effects []Effect
 	b.ReportAllocs()
 	for b.Loop() {
-		effects = c.Offer(start, item(5000, "1", "chat"), effects[:0])
+		effects = c.Offer(start, newItem(5000, "1", "chat"), effects[:0])
 	}
 }
--- a/protocol/admission/limiter.go
+++ b/protocol/admission/limiter.go
@@ -5,13 +5,13 @@
 // LimiterConfig sets how the concurrency limit adapts.
 type LimiterConfig struct {
 	Min float64
-	// MaxOfHint is the most of what the runners say they can carry.
-	MaxOfHint float64
+	// MaxHintRatio is the most of what the runners say they can carry.
+	MaxHintRatio float64
 	// Window is how long latencies are gathered before the limit changes.
 	Window time.Duration
-	// Congested is the share of a window's latencies over their target above
+	// CongestionThreshold is the share of a window's latencies over their target above
 	// which the limit falls.
-	Congested float64
+	CongestionThreshold float64
 	// Decrease multiplies the limit, Increase is the share of it that is added.
 	Decrease float64
 	Increase float64
@@ -20,12 +20,12 @@
 // DefaultLimiter is the policy in use; docs/design/limits.md gives the reasons.
 func DefaultLimiter() LimiterConfig {
 	return LimiterConfig{
-		Min:       1,
-		MaxOfHint: 1,
-		Window:    500 * time.Millisecond,
-		Congested: 0.05,
-		Decrease:  0.9,
-		Increase:  0.04,
+		Min:                 1,
+		MaxHintRatio:        1,
+		Window:              500 * time.Millisecond,
+		CongestionThreshold: 0.05,
+		Decrease:            0.9,
+		Increase:            0.04,
 	}
 }
 
@@ -33,13 +33,13 @@
 // additive increase while the limit is reached and latencies keep their
 // targets, multiplicative decrease when they don't.
 type Limiter struct {
-	cfg     LimiterConfig
-	limit   float64
-	hint    float64
-	samples int
-	late    int
-	reached bool
-	ends    time.Time
+	cfg        LimiterConfig
+	limit      float64
+	hint       float64
+	samples    int
+	overTarget int
+	reached    bool
+	windowEnd  time.Time
 }
 
 // NewLimiter returns a limiter at the minimum.
@@ -56,7 +56,7 @@
 	case requests <= 0:
 		return
 	case l.hint == 0:
-		l.limit = requests * l.cfg.MaxOfHint
+		l.limit = requests * l.cfg.MaxHintRatio
 	default:
 		l.limit *= requests / l.hint
 	}
@@ -68,30 +68,30 @@
 func (l *Limiter) Sample(now time.Time, ratio float64) {
 	l.samples++
 	if ratio > 1 {
-		l.late++
+		l.overTarget++
 	}
-	l.tick(now)
+	l.adjustAtWindowEnd(now)
 }
 
-// Reached notes that work waited for the limit.
-func (l *Limiter) Reached(now time.Time) {
+// MarkReached notes that work waited for the limit.
+func (l *Limiter) MarkReached(now time.Time) {
 	l.reached = true
-	l.tick(now)
+	l.adjustAtWindowEnd(now)
 }
 
-func (l *Limiter) tick(now time.Time) {
-	if now.Before(l.ends) {
+func (l *Limiter) adjustAtWindowEnd(now time.Time) {
+	if now.Before(l.windowEnd) {
 		return
 	}
 	switch {
-	case float64(l.late) > l.cfg.Congested*float64(l.samples):
+	case float64(l.overTarget) > l.cfg.CongestionThreshold*float64(l.samples):
 		l.limit *= l.cfg.Decrease
 	case l.reached && l.samples > 0:
 		l.limit += max(1, l.cfg.Increase*l.limit)
 	}
 	l.clamp()
-	l.samples, l.late, l.reached = 0, 0, false
-	l.ends = now.Add(l.cfg.Window)
+	l.samples, l.overTarget, l.reached = 0, 0, false
+	l.windowEnd = now.Add(l.cfg.Window)
 }
 
-func (l *Limiter) clamp() { l.limit = max(min(l.limit, l.hint*l.cfg.MaxOfHint), l.cfg.Min) }
+func (l *Limiter) clamp() { l.limit = max(min(l.limit, l.hint*l.cfg.MaxHintRatio), l.cfg.Min) }
--- a/protocol/admission/meter.go
+++ b/protocol/admission/meter.go
@@ -12,27 +12,27 @@
 	useHalfLife  = 10 * time.Second
 )
 
-// meter measures a rate with exponential forgetting.
-type meter struct {
+// decayingRate measures a rate with exponential forgetting.
+type decayingRate struct {
 	halfLife time.Duration
 	sum      float64
 	at       time.Time
 }
 
-func (m *meter) age(now time.Time) {
+func (m *decayingRate) decay(now time.Time) {
 	if now.After(m.at) {
 		m.sum *= math.Exp2(-now.Sub(m.at).Seconds() / m.halfLife.Seconds())
 		m.at = now
 	}
 }
 
-func (m *meter) add(now time.Time, cost float64) {
-	m.age(now)
+func (m *decayingRate) add(now time.Time, cost float64) {
+	m.decay(now)
 	m.sum += cost
 }
 
-func (m *meter) perSecond(now time.Time) float64 {
-	m.age(now)
+func (m *decayingRate) perSecond(now time.Time) float64 {
+	m.decay(now)
 	return m.sum * math.Ln2 / m.halfLife.Seconds()
 }
 
@@ -42,10 +42,10 @@
 	at     time.Time
 }
 
-func (b *bucket) take(cost float64) { b.tokens -= cost }
+func (b *bucket) spend(cost float64) { b.tokens -= cost }
 
-// empty refills the bucket and returns how long until it has tokens again.
-func (b *bucket) empty(now time.Time, perSecond float64, burst time.Duration) time.Duration {
+// timeUntilTokens refills the bucket and returns how long until it has tokens again.
+func (b *bucket) timeUntilTokens(now time.Time, perSecond float64, burst time.Duration) time.Duration {
 	if perSecond <= 0 {
 		b.tokens, b.at = 0, now
 		return 0
@@ -63,55 +63,55 @@
 	return time.Duration((1 - b.tokens) / perSecond * float64(time.Second))
 }
 
-// rateWindow is how long finished cost is gathered for one measurement.
-const rateWindow = 500 * time.Millisecond
+// throughputWindow is how long finished cost is gathered for one measurement.
+const throughputWindow = 500 * time.Millisecond
 
-// rateGain is the weight of the latest measurement.
-const rateGain = 0.3
+// throughputGain is the weight of the latest measurement.
+const throughputGain = 0.3
 
-// rate measures the cost per second that runners finish while work waits.
-type rate struct {
-	perSecond float64
-	hinted    float64
-	finished  int
-	total     float64
-	window    float64
-	began     time.Time
-	saturated bool
+// throughput measures the cost per second that runners finish while work waits.
+type throughput struct {
+	perSecond     float64
+	hintPerSecond float64
+	finishedCount int
+	finishedCost  float64
+	windowCost    float64
+	windowStart   time.Time
+	saturated     bool
 }
 
-// hint sets the rate, or moves a measured one in proportion.
-func (r *rate) hint(perSecond float64) {
+// setHint sets the rate, or moves a measured one in proportion.
+func (r *throughput) setHint(perSecond float64) {
 	switch {
 	case perSecond <= 0:
 		return
-	case r.hinted == 0:
+	case r.hintPerSecond == 0:
 		r.perSecond = perSecond
 	default:
-		r.perSecond *= perSecond / r.hinted
+		r.perSecond *= perSecond / r.hintPerSecond
 	}
-	r.hinted = perSecond
+	r.hintPerSecond = perSecond
 }
 
-func (r *rate) finish(now time.Time, cost float64, waits bool) {
-	r.finished++
-	r.total += cost
-	if r.began.IsZero() || !waits && r.saturated {
-		r.restart(now, waits)
+func (r *throughput) finish(now time.Time, cost float64, workWaits bool) {
+	r.finishedCount++
+	r.finishedCost += cost
+	if r.windowStart.IsZero() || !workWaits && r.saturated {
+		r.startWindow(now, workWaits)
 		return
 	}
-	r.saturated = waits
-	r.window += cost
-	passed := now.Sub(r.began)
-	if passed < rateWindow {
+	r.saturated = workWaits
+	r.windowCost += cost
+	passed := now.Sub(r.windowStart)
+	if passed < throughputWindow {
 		return
 	}
-	if measured := r.window / passed.Seconds(); waits {
-		r.perSecond += rateGain * (measured - r.perSecond)
+	if measured := r.windowCost / passed.Seconds(); workWaits {
+		r.perSecond += throughputGain * (measured - r.perSecond)
 	}
-	r.restart(now, waits)
+	r.startWindow(now, workWaits)
 }
 
-func (r *rate) restart(now time.Time, saturated bool) {
-	r.began, r.window, r.saturated = now, 0, saturated
+func (r *throughput) startWindow(now time.Time, saturated bool) {
+	r.windowStart, r.windowCost, r.saturated = now, 0, saturated
 }
--- a/protocol/admission/queue.go
+++ b/protocol/admission/queue.go
@@ -7,21 +7,21 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// residenceGain is the weight of the latest answer in a class's mean time in a
+// residenceWeight is the weight of the latest answer in a class's mean time in a
 // place.
-const residenceGain = 0.05
+const residenceWeight = 0.05
 
 func (c *Controller) enqueue(e *entry) {
 	f := e.flow
 	if len(f.items) == 0 {
 		// A flow that comes back starts at the present virtual time: time in
 		// which it asked for nothing is not saved up.
-		f.start = max(f.start, f.class.virtual)
+		f.start = max(f.start, f.class.virtualTime)
 		f.class.active = append(f.class.active, f)
 	}
 	f.items = append(f.items, e)
-	f.cost += e.Cost
-	f.class.cost += e.Cost
+	f.queuedCost += e.Cost
+	f.class.queuedCost += e.Cost
 	f.workspace.queued++
 	c.entries[e.ID] = e
 	c.queued++
@@ -29,48 +29,48 @@
 }
 
 // dequeue takes the entry at the place out of its flow's queue.
-func (c *Controller) dequeue(f *flow, place int) *entry {
-	e := f.items[place]
-	f.items = slices.Delete(f.items, place, place+1)
-	f.cost -= e.Cost
-	f.class.cost -= e.Cost
+func (c *Controller) dequeue(f *flow, index int) *entry {
+	e := f.items[index]
+	f.items = slices.Delete(f.items, index, index+1)
+	f.queuedCost -= e.Cost
+	f.class.queuedCost -= e.Cost
 	f.workspace.queued--
 	c.queued--
 	c.bytes -= e.Bytes
 	if len(f.items) == 0 {
-		f.cost = 0
+		f.queuedCost = 0
 		f.class.active = slices.DeleteFunc(f.class.active, func(o *flow) bool { return o == f })
 	}
 	if len(f.class.active) == 0 {
-		f.class.cost, f.class.credit = 0, 0
+		f.class.queuedCost, f.class.credit = 0, 0
 	}
 	return e
 }
 
-// admit lets in what the limit has room for.
-func (c *Controller) admit(now time.Time, dst []Effect) []Effect {
+// admitEligible lets in what the limit has room for.
+func (c *Controller) admitEligible(now time.Time, dst []Effect) []Effect {
 	for {
-		f := c.next(now)
+		f := c.nextFlow(now)
 		if f == nil {
 			break
 		}
 		dst = append(dst, c.start(now, f))
 	}
 	if c.queued > 0 {
-		c.limiter.Reached(now)
+		c.limiter.MarkReached(now)
 	}
 	return dst
 }
 
-// next returns the flow to serve: that of a lower class whose credit is due,
+// nextFlow returns the flow to serve: that of a lower class whose credit is due,
 // else that of the highest class with anything eligible, or what has its turn.
-func (c *Controller) next(now time.Time) *flow {
+func (c *Controller) nextFlow(now time.Time) *flow {
 	var first *flow
-	for _, k := range c.order {
-		if !c.room(now, k) {
+	for _, k := range c.byPriority {
+		if !c.hasRoom(now, k) {
 			continue
 		}
-		f := c.fairest(now, k)
+		f := c.fairestFlow(now, k)
 		if f == nil {
 			continue
 		}
@@ -86,60 +86,60 @@
 	if first == nil {
 		return nil
 	}
-	c.payLower(first)
-	return c.giveTurn(now, first)
+	c.creditOtherClasses(first)
+	return c.yieldIfOverShare(now, first)
 }
 
-// giveTurn returns the flow itself or, where its workspace is over its share,
+// yieldIfOverShare returns the flow itself or, where its workspace is over its share,
 // lower work of one that is under it. Without this a large workspace with work
 // of a middle class for more than the whole capacity would hold up the lower
 // classes of all others for ever.
-func (c *Controller) giveTurn(now time.Time, f *flow) *flow {
-	if f.class == c.order[0] || c.shareUsed(now, f.workspace) <= c.cfg.OverShare {
+func (c *Controller) yieldIfOverShare(now time.Time, f *flow) *flow {
+	if f.class == c.byPriority[0] || c.usedShareRatio(now, f.workspace) <= c.cfg.OverShareRatio {
 		return f
 	}
-	for _, k := range c.order {
+	for _, k := range c.byPriority {
 		if k.Priority >= f.class.Priority {
 			continue
 		}
-		o := c.fairest(now, k)
-		if o != nil && c.shareUsed(now, o.workspace) < c.cfg.UnderShare {
+		o := c.fairestFlow(now, k)
+		if o != nil && c.usedShareRatio(now, o.workspace) < c.cfg.UnderShareRatio {
 			return o
 		}
 	}
 	return f
 }
 
-// shareUsed is what the workspace lately had as a multiple of its share of what
+// usedShareRatio is what the workspace lately had as a multiple of its share of what
 // all had.
-func (c *Controller) shareUsed(now time.Time, w *workspace) float64 {
-	all := c.used.perSecond(now)
+func (c *Controller) usedShareRatio(now time.Time, w *workspace) float64 {
+	all := c.recentUse.perSecond(now)
 	if all == 0 {
 		return 0
 	}
-	return w.used.perSecond(now) / all * c.weights / w.Weight
+	return w.recentUse.perSecond(now) / all * c.totalWeight / w.Weight
 }
 
-// payLower pays the classes below the served one, where work waits, their
+// creditOtherClasses pays the classes below the served one, where work waits, their
 // share of the cost, and those of the same priority as much as it had itself.
-func (c *Controller) payLower(served *flow) {
-	for _, k := range c.order {
+func (c *Controller) creditOtherClasses(served *flow) {
+	for _, k := range c.byPriority {
 		switch {
 		case k == served.class || len(k.active) == 0:
 		case k.Priority < served.class.Priority:
-			k.credit += c.cfg.LowerShare * served.items[0].Cost
+			k.credit += c.cfg.MinClassShare * served.items[0].Cost
 		case k.Priority == served.class.Priority:
 			k.credit += served.items[0].Cost
 		}
 	}
 }
 
-// fairest returns the eligible flow with the least virtual start, by name
+// fairestFlow returns the eligible flow with the least virtual start, by name
 // among equals.
-func (c *Controller) fairest(now time.Time, k *class) *flow {
+func (c *Controller) fairestFlow(now time.Time, k *class) *flow {
 	var best *flow
 	for _, f := range k.active {
-		if f.workspace.over(now, c.cfg.RateBurst) != nil {
+		if f.workspace.limitRefusal(now, c.cfg.RateBurst) != nil {
 			continue
 		}
 		if best == nil || f.start < best.start || f.start == best.start && f.workspace.Name < best.workspace.Name {
@@ -151,15 +151,15 @@
 
 func (c *Controller) start(now time.Time, f *flow) Effect {
 	e := c.dequeue(f, 0)
-	f.class.virtual = max(f.class.virtual, f.start)
+	f.class.virtualTime = max(f.class.virtualTime, f.start)
 	f.start += e.Cost / f.workspace.Weight
 	f.class.admitted.add(now, e.Cost)
 	f.class.served.add(now, e.Cost)
 	f.workspace.running++
-	f.workspace.tokens.take(e.Cost)
-	f.workspace.used.add(now, e.Cost)
-	c.used.add(now, e.Cost)
-	c.setBack(f, e.Cost)
+	f.workspace.tokens.spend(e.Cost)
+	f.workspace.recentUse.add(now, e.Cost)
+	c.recentUse.add(now, e.Cost)
+	c.delayLowerFlows(f, e.Cost)
 	e.admitted = true
 	e.started = now
 	f.class.running++
@@ -167,17 +167,17 @@
 	return Effect{Kind: Admit, ID: e.ID, Waited: now.Sub(e.offered)}
 }
 
-// setBack lets what a workspace uses in one class count in the classes below,
+// delayLowerFlows lets what a workspace uses in one class count in the classes below,
 // so that its use in all of them together nears its share: a large workspace's
 // urgent work would come on top of its full share of the rest otherwise.
-func (c *Controller) setBack(f *flow, cost float64) {
+func (c *Controller) delayLowerFlows(f *flow, cost float64) {
 	w := f.workspace
-	for _, k := range c.order {
+	for _, k := range c.byPriority {
 		if k.Priority >= f.class.Priority {
 			continue
 		}
 		o := c.flowOf(k, w)
-		most := k.virtual + c.cfg.MaxLead.Seconds()*c.rate.perSecond/w.Weight
+		most := k.virtualTime + c.cfg.MaxVirtualLead.Seconds()*c.throughput.perSecond/w.Weight
 		o.start = max(o.start, min(o.start+cost/w.Weight, most))
 	}
 }
@@ -209,11 +209,11 @@
 	w.running--
 	c.running--
 	e.flow.class.running--
-	e.flow.class.residence += residenceGain * (now.Sub(e.started).Seconds() - e.flow.class.residence)
-	w.tokens.take(cost - e.Cost)
+	e.flow.class.residence += residenceWeight * (now.Sub(e.started).Seconds() - e.flow.class.residence)
+	w.tokens.spend(cost - e.Cost)
 	e.flow.start += (cost - e.Cost) / w.Weight
-	c.rate.finish(now, cost, c.queued > 0)
-	return c.admit(now, dst)
+	c.throughput.finish(now, cost, c.queued > 0)
+	return c.admitEligible(now, dst)
 }
 
 // Cancel takes out an item whose caller gave it up.
@@ -227,20 +227,20 @@
 	}
 	c.dequeue(e.flow, slices.Index(e.flow.items, e))
 	delete(c.entries, id)
-	return c.admit(now, dst)
+	return c.admitEligible(now, dst)
 }
 
 // Tick refuses what can no longer keep its target and admits what may go.
 func (c *Controller) Tick(now time.Time, dst []Effect) []Effect {
-	for _, k := range c.order {
+	for _, k := range c.byPriority {
 		for _, f := range slices.Clone(k.active) {
-			dst = c.expire(now, f, dst)
+			dst = c.refuseExpired(now, f, dst)
 		}
 	}
-	return c.admit(now, dst)
+	return c.admitEligible(now, dst)
 }
 
-func (c *Controller) expire(now time.Time, f *flow, dst []Effect) []Effect {
+func (c *Controller) refuseExpired(now time.Time, f *flow, dst []Effect) []Effect {
 	for i := 0; i < len(f.items); {
 		e := f.items[i]
 		if e.expires.IsZero() || now.Before(e.expires) {
@@ -250,12 +250,12 @@
 		c.dequeue(f, i)
 		delete(c.entries, e.ID)
 		f.class.refused.add(now, e.Cost)
-		dst = c.refuse(dst, e.Item, now.Sub(e.offered), c.late(now, e))
+		dst = c.refuse(dst, e.Item, now.Sub(e.offered), c.expiredRefusal(now, e))
 	}
 	return dst
 }
 
-func (c *Controller) late(now time.Time, e *entry) *refusal.Refusal {
+func (c *Controller) expiredRefusal(now time.Time, e *entry) *refusal.Refusal {
 	k := e.flow.class
 	reason := refusal.Overloaded
 	if !e.Deadline.IsZero() && now.Add(e.Service).After(e.Deadline) {
@@ -264,12 +264,12 @@
 	return refusal.New(reason, "waited %s in vain", now.Sub(e.offered).Round(time.Millisecond)).After(c.retryAfter(now, k, 0))
 }
 
-// over returns the refusal of a workspace that is at one of its own limits.
-func (w *workspace) over(now time.Time, burst time.Duration) *refusal.Refusal {
+// limitRefusal returns the refusal of a workspace that is at one of its own limits.
+func (w *workspace) limitRefusal(now time.Time, burst time.Duration) *refusal.Refusal {
 	if w.MaxConcurrent > 0 && w.running >= w.MaxConcurrent {
 		return refusal.New(refusal.WorkspaceLimit, "%d requests in progress", w.running).After(time.Second)
 	}
-	if left := w.tokens.empty(now, w.TokensPerSecond, burst); left > 0 {
+	if left := w.tokens.timeUntilTokens(now, w.TokensPerSecond, burst); left > 0 {
 		return refusal.New(refusal.WorkspaceLimit, "over %g tokens per second", w.TokensPerSecond).After(left)
 	}
 	return nil
