--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -1,10 +1,12 @@
-// Package admission decides which requests of one service go to runners now,
-// which wait and which are refused.
+// Package admission decides which requests of a service are sent to runners
+// now, which are queued and which are refused.
 //
-// Classes go by priority. Within a class the workspaces share by weight
-// (start-time fair queuing over the cost in tokens); what one doesn't use, the
-// others borrow. Work that can't meet its target is refused at once. The
-// package is pure: time comes with each call and effects are returned.
+// Classes are served by priority. Within a class, workspaces share the
+// capacity by weight: start-time fair queuing over the cost in tokens.
+// Capacity that one workspace doesn't use is available to the others. A
+// request that can't meet its target is refused at once. The package performs
+// no I/O and reads no clock: the time is passed to each call, and the
+// resulting effects are returned.
 package admission
 
 import (
@@ -18,79 +20,89 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// ID names an item for its life in one controller.
+// ID identifies an item within one controller, until the item is finished,
+// refused or cancelled.
 type ID uint64
 
-// Item is a request for admission.
+// Item is a request that asks for admission.
 type Item struct {
 	ID        ID
 	Workspace ident.Workspace
 	Class     string
-	// Cost is in output tokens; prompt tokens count as the part of one that
-	// their prefill takes. See Cost.
+	// Cost is the cost in output tokens. A prompt token counts as the fraction
+	// of an output token that its prefill takes.
 	Cost float64
-	// Bytes is the memory that the item holds while it waits.
+	// Bytes is the memory that the item occupies while it is queued.
 	Bytes int
-	// FirstToken is the expected time to first token once admitted, Service
-	// the expected time to the last one.
+	// FirstToken is the expected time from admission to the first token.
 	FirstToken time.Duration
-	Service    time.Duration
-	// Deadline is when the answer is of no more use; zero is never.
+	// Service is the expected time from admission to the last token.
+	Service time.Duration
+	// Deadline is the time after which the answer is useless to the caller. The
+	// zero time means that there is none.
 	Deadline time.Time
 }
 
-// Kind is what became of an item.
+// Kind is the decision on an item.
 type Kind string
 
-// Kinds of effects.
+// Decisions on items.
 const (
 	Admit  Kind = "admit"
 	Refuse Kind = "refuse"
 )
 
-// Effect tells what became of an item that was offered.
+// Effect is the decision on an item that was offered.
 type Effect struct {
 	Kind Kind
 	ID   ID
-	// Refusal is set for Refuse; nothing ran.
+	// Refusal is set if Kind is Refuse. A refused item was never sent to a
+	// runner.
 	Refusal *refusal.Refusal
-	// Waited is how long the item was queued.
+	// Waited is how long the item was queued before the decision.
 	Waited time.Duration
 }
 
-// Config sets a controller's policy.
+// Config holds the policy of a controller.
 type Config struct {
 	Limiter LimiterConfig
-	// MaxQueued and MaxQueuedBytes bound the items that wait.
+	// MaxQueued and MaxQueuedBytes limit the number and the total size of the
+	// queued items.
 	MaxQueued      int
 	MaxQueuedBytes int
-	// MinClassShare is the share of admitted cost that a class with work waiting
-	// gets whatever the classes above it have: without it an overload of
-	// urgent work would hold accepted long work up for ever.
+	// MinClassShare is the share of the admitted cost that a class with queued
+	// work gets regardless of the classes above it. Without it, an overload of
+	// urgent work would block accepted long work indefinitely.
 	MinClassShare float64
-	// ReservedShare is the share of the limit that all but the highest class leave
-	// free, since places are not spread evenly over the runners.
+	// ReservedShare is the share of the concurrency limit that all classes but
+	// the highest leave free, since requests are not distributed evenly over
+	// the runners.
 	ReservedShare float64
-	// HeadroomDeviations is how many standard deviations above their mean need the
-	// places are that lower classes leave to higher ones; see Controller.room.
+	// HeadroomDeviations is the number of standard deviations above the mean
+	// for which lower classes leave places free for higher classes. See
+	// Controller.hasRoom.
 	HeadroomDeviations float64
-	// OverShareRatio and UnderShare are multiples of a workspace's share of what was
-	// lately admitted. Below the highest class, a workspace over the one gives
-	// its turn to lower work of a workspace under the other.
+	// OverShareRatio and UnderShareRatio are multiples of a workspace's share
+	// of what was recently admitted. In all classes but the highest, a
+	// workspace above OverShareRatio yields its turn to work of a lower class
+	// of a workspace below UnderShareRatio.
 	OverShareRatio  float64
 	UnderShareRatio float64
-	// MaxVirtualLead bounds, in seconds of the whole rate, how far use in higher
-	// classes can set a workspace back in a lower one.
+	// MaxVirtualLead limits how far the use in higher classes can delay a
+	// workspace in a lower class. It is given as time at the full throughput.
 	MaxVirtualLead time.Duration
-	// RateBurst is how long a workspace may run ahead of its tokens per second.
+	// RateBurst is how long a workspace may run ahead of its tokens-per-second
+	// limit.
 	RateBurst time.Duration
-	// MaxRetryAfter bounds what refusals ask for.
+	// MaxRetryAfter is the longest retry delay that a refusal asks for.
 	MaxRetryAfter time.Duration
-	// OnRefusal is called for every refusal; nil is allowed.
+	// OnRefusal is called with the reason, the workspace and the class of every
+	// refusal. It may be nil.
 	OnRefusal func(refusal.Reason, ident.Workspace, string)
 }
 
-// Default returns the policy in use; docs/design/limits.md gives the reasons.
+// Default returns the policy used in production; docs/design/limits.md gives
+// the reasons for it.
 func Default() Config {
 	return Config{
 		Limiter:            DefaultLimiter(),
@@ -107,17 +119,19 @@
 	}
 }
 
+// entry is an item that is queued or admitted.
 type entry struct {
 	Item
 	flow    *flow
 	offered time.Time
 	started time.Time
-	// expires is when it is too late to admit it; zero is never.
+	// expires is the time after which it is too late to admit the item. The
+	// zero time means never.
 	expires  time.Time
 	admitted bool
 }
 
-// flow is the work of one workspace in one class.
+// flow is the queue of one workspace in one class.
 type flow struct {
 	workspace  *workspace
 	class      *class
@@ -127,24 +141,28 @@
 	start float64
 }
 
+// class is the state of one service class.
 type class struct {
 	manifest.Class
 	flows       map[ident.Workspace]*flow
 	active      []*flow
 	virtualTime float64
 	queuedCost  float64
-	// credit is the cost to be admitted before higher classes.
+	// credit is the cost that this class may have admitted ahead of higher
+	// classes.
 	credit   float64
 	admitted decayingRate
 	refused  decayingRate
 	offered  decayingRate
-	// served is the admitted cost over a longer time.
+	// served is the admitted cost, averaged over a longer time than admitted.
 	served  decayingRate
 	running int
-	// residence is the mean seconds from admission to the end.
+	// residence is the mean time in seconds from admission to the end of a
+	// request.
 	residence float64
 }
 
+// workspace is the state of one workspace over all classes.
 type workspace struct {
 	manifest.Workspace
 	running   int
@@ -170,7 +188,7 @@
 	recentUse   decayingRate
 }
 
-// New returns a controller that knows no class and no workspace.
+// New returns a controller without classes and workspaces.
 func New(cfg Config) *Controller {
 	return &Controller{
 		cfg:        cfg,
@@ -193,8 +211,9 @@
 	}
 }
 
-// SetLimits takes in the workspaces and classes in force. Work of a workspace
-// that is no longer listed ends under its old limits; then it is forgotten.
+// SetLimits sets the workspaces and classes in force. A workspace that is no
+// longer listed keeps its old limits until its work has ended; then it is
+// removed.
 func (c *Controller) SetLimits(workspaces []manifest.Workspace, classes []manifest.Class) {
 	c.totalWeight = 0
 	for _, w := range workspaces {
@@ -234,24 +253,26 @@
 	}
 }
 
-// SetCapacity tells what this gateway's share of the runners carries by their
-// own reports: requests at a time and cost per second.
+// SetCapacity sets the capacity of this gateway's share of the runners, as
+// they report it: the number of concurrent requests and the cost per second.
 func (c *Controller) SetCapacity(requests, costPerSecond float64) {
 	c.limiter.SetHint(requests)
 	c.throughput.setHint(costPerSecond)
 }
 
-// Limit is the number of requests that may be in progress now.
+// Limit returns the number of requests that may be in progress at once.
 func (c *Controller) Limit() int { return c.limiter.Limit() }
 
-// Running counts the requests that were admitted and have not ended.
+// Running returns the number of requests that were admitted and have not
+// ended.
 func (c *Controller) Running() int { return c.running }
 
-// Queued counts the requests that wait.
+// Queued returns the number of queued requests.
 func (c *Controller) Queued() int { return c.queued }
 
-// Offer asks for admission and appends what became of it and of others to dst.
-// An item without an effect waits.
+// Offer asks for the admission of an item. It appends the decision on this
+// item, and on others that the call affects, to dst. An item without an effect
+// is queued.
 func (c *Controller) Offer(now time.Time, it Item, dst []Effect) []Effect {
 	k, ok := c.classes[it.Class]
 	w, known := c.workspaces[it.Workspace]
@@ -268,17 +289,19 @@
 	return c.admitEligible(now, dst)
 }
 
-// maxWaitFraction is the part of the time until it expires that an item may be
-// expected to wait. Under overload the queue grows until the expected wait meets
-// this bound; at 1 many items would expire in the queue, since the wait is not
-// known exactly.
+// maxWaitFraction is the fraction of the time until an item expires that its
+// expected wait may take up. Under overload the queue grows until the expected
+// wait reaches this bound. With 1, many items would expire in the queue, since
+// the wait is only an estimate.
 const maxWaitFraction = 0.85
 
-// minWaitDivisor is the part of its target that an item may wait even if its own
-// prompt takes longer than the target: it would be refused for ever otherwise.
+// minWaitDivisor sets the shortest wait allowed to an item: its target divided
+// by minWaitDivisor, even if the prefill of its prompt takes longer than the
+// target. Otherwise such an item would always be refused.
 const minWaitDivisor = 4
 
-// recordOffer counts an offered item.
+// recordOffer updates the arrival rate of the class. The first item also
+// provides the initial estimate of the residence time.
 func (k *class) recordOffer(now time.Time, it Item) {
 	if k.residence == 0 {
 		k.residence = it.Service.Seconds()
@@ -286,7 +309,9 @@
 	k.offered.add(now, 1)
 }
 
-// admissionDeadline is when it is too late for the item to keep its target.
+// admissionDeadline returns the latest time of admission at which the item can
+// still meet its target and its deadline. The zero time means that there is
+// none.
 func admissionDeadline(now time.Time, k *class, it Item) time.Time {
 	var at time.Time
 	if !k.Deferrable {
@@ -312,7 +337,8 @@
 	return f
 }
 
-// offerRefusal returns the refusal of an item that can't be served, or nil.
+// offerRefusal returns the refusal of an item that can't be served in time or
+// exceeds a limit, or nil.
 func (c *Controller) offerRefusal(now time.Time, e *entry) *refusal.Refusal {
 	k, w := e.flow.class, e.flow.workspace
 	if !k.Deferrable {
@@ -334,9 +360,9 @@
 	return nil
 }
 
-// queueLimit bounds what waits in all before an item of the workspace is
-// refused. Up to half of the room is anyone's; of the rest a workspace that
-// already has more than its share waiting gets nothing.
+// queueLimit returns the queue length at which items of the workspace are
+// refused. The first half of the queue is open to every workspace. The second
+// half is closed to a workspace that already has more than its share queued.
 func (c *Controller) queueLimit(w *workspace) int {
 	if float64(w.queued) < float64(c.cfg.MaxQueued)*w.Weight/c.totalWeight {
 		return c.cfg.MaxQueued
@@ -344,9 +370,10 @@
 	return c.cfg.MaxQueued / 2
 }
 
-// retryAfter is when a request like the refused one may find room: the excess
-// and, as long as much is refused, a multiple of the target, so that callers
-// that come back don't keep the overload up.
+// retryAfter estimates when a request like the refused one may be accepted:
+// the excess wait plus a multiple of the target that grows with the ratio of
+// refused to admitted work, so that returning callers don't sustain the
+// overload.
 func (c *Controller) retryAfter(now time.Time, k *class, excess time.Duration) time.Duration {
 	admitted, refused := k.admitted.perSecond(now), k.refused.perSecond(now)
 	times := 1.0
@@ -357,10 +384,11 @@
 	return min(max(after, 100*time.Millisecond), c.cfg.MaxRetryAfter)
 }
 
-// maxServedGrowth is how much faster than of late a class is expected to go on.
+// maxServedGrowth is the factor over its recent rate of admission at which a
+// class is expected to be served at most.
 const maxServedGrowth = 1.25
 
-// expectedWait is the expected time until the item is admitted.
+// expectedWait estimates the time until the item is admitted.
 func (c *Controller) expectedWait(now time.Time, e *entry) time.Duration {
 	k := e.flow.class
 	if c.hasRoom(now, k) && !c.anyWaitsAtOrAbove(k) {
@@ -379,7 +407,8 @@
 	}
 	left := perSecond - taken
 	if k != c.byPriority[0] && len(k.active) > 0 {
-		// What the class had of late tells of turns that it loses, too.
+		// The recent rate of the class also reflects the turns that it yields to
+		// lower classes.
 		left = min(left, maxServedGrowth*k.served.perSecond(now))
 	}
 	perSecond = max(left, c.cfg.MinClassShare*perSecond)
@@ -388,13 +417,14 @@
 	if len(e.flow.items) == 0 {
 		return expectedWait
 	}
-	// At a steady rate who comes now waits as long as the first in the queue
-	// has waited. It shows what the rates above leave out.
+	// At a steady rate, a new item waits as long as the item at the head of the
+	// queue has waited. This accounts for effects that the rates above don't
+	// capture.
 	return max(expectedWait, now.Sub(e.flow.items[0].offered))
 }
 
-// meanCost is the mean cost of the finished requests: over the rate, the time
-// until the next one finishes.
+// meanCost returns the mean cost of the finished requests. Divided by the
+// throughput, it is the mean time until the next request finishes.
 func (c *Controller) meanCost() float64 {
 	if c.throughput.finishedCount == 0 {
 		return 0
@@ -402,6 +432,8 @@
 	return c.throughput.finishedCost / float64(c.throughput.finishedCount)
 }
 
+// anyWaitsAtOrAbove reports whether the class, or any class of the same or a
+// higher priority, has queued items.
 func (c *Controller) anyWaitsAtOrAbove(k *class) bool {
 	for _, o := range c.byPriority {
 		if o.Priority >= k.Priority && len(o.active) > 0 {
@@ -411,8 +443,9 @@
 	return false
 }
 
-// costAhead is the cost that goes before a new item of the flow: its own queue and
-// what the other flows have with an earlier virtual start.
+// costAhead returns the cost that is served before a new item of the flow: the
+// queue of the flow itself and the items of other flows with an earlier
+// virtual start time.
 func (k *class) costAhead(f *flow) float64 {
 	start := max(f.start, k.virtualTime) + f.queuedCost/f.workspace.Weight
 	costAhead := f.queuedCost
@@ -424,11 +457,12 @@
 	return costAhead
 }
 
-// hasRoom tells whether the limit lets an item of the class in. A lower class
-// leaves the places free that the higher ones need by Little's law (their rate
-// of arrival times their time in a place): answers are long beside the target
-// for the first token, so that urgent work can't wait for one to end. A class
-// always has LowerShare of the limit.
+// hasRoom reports whether the concurrency limit allows another item of the
+// class. A lower class leaves free the places that the higher classes need by
+// Little's law (arrival rate times residence time). It must do so because
+// answers take long compared to the target for the first token, so that urgent
+// work can't wait until one of them ends. Each class may always use
+// MinClassShare of the limit.
 func (c *Controller) hasRoom(now time.Time, k *class) bool {
 	limit := float64(c.limiter.Limit())
 	if float64(c.running) >= limit {
@@ -449,7 +483,9 @@
 	return float64(c.running)+reserved < limit
 }
 
-// expectedPlaces is the places that the class takes if all that is offered gets one.
+// expectedPlaces returns the number of places that the class occupies if
+// everything offered is admitted: the mean plus headroom standard deviations
+// of a Poisson distribution.
 func (k *class) expectedPlaces(now time.Time, headroom float64) float64 {
 	mean := k.offered.perSecond(now) * k.residence
 	return mean + headroom*math.Sqrt(mean)
--- a/protocol/admission/admission_test.go
+++ b/protocol/admission/admission_test.go
@@ -35,8 +35,8 @@
 	return Item{ID: id, Workspace: ws, Class: class, Cost: 100, FirstToken: 100 * time.Millisecond, Service: time.Second}
 }
 
-// An operator asks for a case and waits for seconds: long bulletins have taken
-// every place at the runners, and none ends soon.
+// Guards against urgent requests that wait for seconds because long deferrable
+// requests occupy every place at the runners and none of these ends soon.
 func TestCapacityIsReservedForUrgentWork(t *testing.T) {
 	is := is.New(t)
 	c := newTestController(20, manifest.Workspace{Name: "a", Weight: 1})
@@ -55,8 +55,8 @@
 	is.Equal(c.Finish(start.Add(50*time.Millisecond), 1, 100, nil)[0].ID, ID(3))
 }
 
-// A small workspace's bulletins wait for hours: a large one has reviews for
-// more than the whole capacity, and reviews go before bulletins.
+// Guards against a small workspace whose low-priority work never runs because
+// a large workspace has more work of a middle class than the whole capacity.
 func TestLargeWorkspaceDoesNotStarveLowerClassesOfOthers(t *testing.T) {
 	is := is.New(t)
 	c := newTestController(4, manifest.Workspace{Name: "large", Weight: 1}, manifest.Workspace{Name: "small", Weight: 1})
@@ -83,8 +83,8 @@
 	is.True(served["small"] > served["large"]/2)
 }
 
-// A caller waits for seconds only to be told that there was no room. The queue
-// ahead of it was known to be too long when it came.
+// Guards against callers that wait for seconds only to be refused, although
+// the queue was known to be too long when their request arrived.
 func TestRefusesAtOnceWhatCannotMeetItsTarget(t *testing.T) {
 	is := is.New(t)
 	counted := map[refusal.Reason]int{}
@@ -102,7 +102,7 @@
 	late.Deadline = start.Add(time.Second)
 	effects = c.Offer(start, late, nil)
 	is.Equal(effects[0].Refusal.Reason, refusal.DeadlineUnreachable)
-	// What waits in vain is refused when its time is over.
+	// Queued items are refused when they expire.
 	effects = c.Tick(start.Add(time.Second), nil)
 	is.Equal(len(effects), 4)
 	is.Equal(counted[refusal.Overloaded], 5)
@@ -126,7 +126,8 @@
 	is.Equal(c.Running(), 1)
 }
 
-// TestSharesConvergeToWeights keeps all workspaces backlogged.
+// TestSharesConvergeToWeights checks that, while all workspaces always have
+// queued work, the cost served to each approaches its share by weight.
 func TestSharesConvergeToWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "workspaces")
@@ -185,9 +186,9 @@
 	return running
 }
 
-// TestSchedulerIsWorkConserving makes any sequence of calls: no class waits while the
-// limit has room for it, every offered item has one outcome, and the counts
-// and bounds hold.
+// TestSchedulerIsWorkConserving makes random sequences of calls and checks
+// that no class has queued items while the limit has room for it, that each
+// item is decided once, and that the counts and limits hold.
 func TestSchedulerIsWorkConserving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 6).Draw(t, "limit")
@@ -279,7 +280,8 @@
 	is.True(l.Limit() <= before/2+1)
 }
 
-// BenchmarkRefusal refuses urgent work at a gateway whose queue is full.
+// BenchmarkRefusal measures the refusal of urgent requests at a gateway whose
+// queue is full.
 func BenchmarkRefusal(b *testing.B) {
 	var workspaces []manifest.Workspace
 	for i := range 50 {
--- a/protocol/admission/limiter.go
+++ b/protocol/admission/limiter.go
@@ -2,22 +2,27 @@
 
 import "time"
 
-// LimiterConfig sets how the concurrency limit adapts.
+// LimiterConfig holds the parameters by which the concurrency limit adapts.
 type LimiterConfig struct {
+	// Min is the lowest limit.
 	Min float64
-	// MaxHintRatio is the most of what the runners say they can carry.
+	// MaxHintRatio is the highest limit as a multiple of the concurrency that
+	// the runners report they can carry.
 	MaxHintRatio float64
-	// Window is how long latencies are gathered before the limit changes.
+	// Window is how long latencies are collected before the limit changes.
 	Window time.Duration
-	// CongestionThreshold is the share of a window's latencies over their target above
-	// which the limit falls.
+	// CongestionThreshold is the fraction of a window's latencies that may
+	// exceed their target. Above it the limit is decreased.
 	CongestionThreshold float64
-	// Decrease multiplies the limit, Increase is the share of it that is added.
+	// Decrease is the factor by which the limit is multiplied when it is
+	// decreased.
 	Decrease float64
+	// Increase is the fraction of the limit that is added when it is increased.
 	Increase float64
 }
 
-// DefaultLimiter is the policy in use; docs/design/limits.md gives the reasons.
+// DefaultLimiter returns the parameters used in production;
+// docs/design/limits.md gives the reasons for them.
 func DefaultLimiter() LimiterConfig {
 	return LimiterConfig{
 		Min:                 1,
@@ -29,9 +34,9 @@
 	}
 }
 
-// Limiter adapts the number of requests in progress to what the runners carry:
-// additive increase while the limit is reached and latencies keep their
-// targets, multiplicative decrease when they don't.
+// Limiter adapts the number of concurrent requests to the capacity of the
+// runners. It increases the limit while the limit is reached and latencies
+// meet their targets, and decreases the limit by a factor when they don't.
 type Limiter struct {
 	cfg        LimiterConfig
 	limit      float64
@@ -42,15 +47,15 @@
 	windowEnd  time.Time
 }
 
-// NewLimiter returns a limiter at the minimum.
+// NewLimiter returns a limiter whose limit is the minimum.
 func NewLimiter(cfg LimiterConfig) *Limiter { return &Limiter{cfg: cfg, limit: cfg.Min} }
 
-// Limit is the number of requests that may be in progress.
+// Limit returns the number of requests that may be in progress at once.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// SetHint tells how many requests the runners in the table can carry by their
-// own reports. A change moves the limit in proportion, so that the loss of a
-// failure domain lowers it before latencies tell.
+// SetHint sets the number of concurrent requests that the known runners report
+// they can carry. A changed hint scales the limit in proportion, so that the
+// loss of a failure domain lowers the limit before latencies rise.
 func (l *Limiter) SetHint(requests float64) {
 	switch {
 	case requests <= 0:
@@ -64,7 +69,7 @@
 	l.clamp()
 }
 
-// Sample takes in a latency as a multiple of its target.
+// Sample records a latency as a multiple of its target.
 func (l *Limiter) Sample(now time.Time, ratio float64) {
 	l.samples++
 	if ratio > 1 {
@@ -73,12 +78,14 @@
 	l.adjustAtWindowEnd(now)
 }
 
-// MarkReached notes that work waited for the limit.
+// MarkReached records that work had to wait because the limit was reached.
 func (l *Limiter) MarkReached(now time.Time) {
 	l.reached = true
 	l.adjustAtWindowEnd(now)
 }
 
+// adjustAtWindowEnd changes the limit by the latencies of the window once the
+// window has ended, and starts the next window.
 func (l *Limiter) adjustAtWindowEnd(now time.Time) {
 	if now.Before(l.windowEnd) {
 		return
--- a/protocol/admission/meter.go
+++ b/protocol/admission/meter.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// Half-lives of what is measured: rates of a class, and the use that decides
-// whether a workspace is over its share.
+// Half-lives of the exponentially decaying rates: rateHalfLife for the rates
+// of a class, and useHalfLife for the recent use that decides whether a
+// workspace is over its share.
 const (
 	rateHalfLife = time.Second
 	useHalfLife  = 10 * time.Second
 )
 
-// decayingRate measures a rate with exponential forgetting.
+// decayingRate measures a rate as an exponentially decaying sum.
 type decayingRate struct {
 	halfLife time.Duration
 	sum      float64
 	at       time.Time
 }
 
+// decay reduces the sum by the time that has passed since the last update.
 func (m *decayingRate) decay(now time.Time) {
 	if now.After(m.at) {
 		m.sum *= math.Exp2(-now.Sub(m.at).Seconds() / m.halfLife.Seconds())
@@ -36,7 +38,7 @@
 	return m.sum * math.Ln2 / m.halfLife.Seconds()
 }
 
-// bucket is a token bucket that may be overdrawn by the last taker.
+// bucket is a token bucket. The last spender may overdraw it.
 type bucket struct {
 	tokens float64
 	at     time.Time
@@ -44,7 +46,8 @@
 
 func (b *bucket) spend(cost float64) { b.tokens -= cost }
 
-// timeUntilTokens refills the bucket and returns how long until it has tokens again.
+// timeUntilTokens refills the bucket and returns how long it takes until the
+// bucket has tokens, or zero if it has some now.
 func (b *bucket) timeUntilTokens(now time.Time, perSecond float64, burst time.Duration) time.Duration {
 	if perSecond <= 0 {
 		b.tokens, b.at = 0, now
@@ -63,13 +66,16 @@
 	return time.Duration((1 - b.tokens) / perSecond * float64(time.Second))
 }
 
-// throughputWindow is how long finished cost is gathered for one measurement.
+// throughputWindow is the length of one throughput measurement.
 const throughputWindow = 500 * time.Millisecond
 
-// throughputGain is the weight of the latest measurement.
+// throughputGain is the weight of the latest measurement in the moving
+// average.
 const throughputGain = 0.3
 
-// throughput measures the cost per second that runners finish while work waits.
+// throughput measures the cost per second that the runners complete at full
+// load. A window counts only if work is queued when it ends; a window in which
+// the queue becomes empty is discarded.
 type throughput struct {
 	perSecond     float64
 	hintPerSecond float64
@@ -80,7 +86,8 @@
 	saturated     bool
 }
 
-// setHint sets the rate, or moves a measured one in proportion.
+// setHint sets the throughput that the runners report. The first hint becomes
+// the estimate; later hints scale the measured estimate in proportion.
 func (r *throughput) setHint(perSecond float64) {
 	switch {
 	case perSecond <= 0:
@@ -93,6 +100,8 @@
 	r.hintPerSecond = perSecond
 }
 
+// finish records the cost of a finished request. workWaits tells whether
+// requests are queued.
 func (r *throughput) finish(now time.Time, cost float64, workWaits bool) {
 	r.finishedCount++
 	r.finishedCost += cost
--- a/protocol/admission/queue.go
+++ b/protocol/admission/queue.go
@@ -7,15 +7,16 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// residenceWeight is the weight of the latest answer in a class's mean time in a
-// place.
+// residenceWeight is the weight of the latest answer in the moving average of
+// a class's residence time, which is the time that a request of the class
+// occupies a place.
 const residenceWeight = 0.05
 
 func (c *Controller) enqueue(e *entry) {
 	f := e.flow
 	if len(f.items) == 0 {
-		// A flow that comes back starts at the present virtual time: time in
-		// which it asked for nothing is not saved up.
+		// A flow that becomes active again starts at the current virtual time,
+		// so that it gains no credit for the time in which it had no work.
 		f.start = max(f.start, f.class.virtualTime)
 		f.class.active = append(f.class.active, f)
 	}
@@ -28,7 +29,7 @@
 	c.bytes += e.Bytes
 }
 
-// dequeue takes the entry at the place out of its flow's queue.
+// dequeue removes the entry at the index from the queue of its flow.
 func (c *Controller) dequeue(f *flow, index int) *entry {
 	e := f.items[index]
 	f.items = slices.Delete(f.items, index, index+1)
@@ -47,7 +48,8 @@
 	return e
 }
 
-// admitEligible lets in what the limit has room for.
+// admitEligible admits queued items until the concurrency limit is reached or
+// no item is eligible.
 func (c *Controller) admitEligible(now time.Time, dst []Effect) []Effect {
 	for {
 		f := c.nextFlow(now)
@@ -62,8 +64,10 @@
 	return dst
 }
 
-// nextFlow returns the flow to serve: that of a lower class whose credit is due,
-// else that of the highest class with anything eligible, or what has its turn.
+// nextFlow returns the flow to serve next, or nil if none is eligible. A lower
+// class whose credit covers its next item goes first; otherwise the highest
+// class with an eligible flow is served, unless yieldIfOverShare passes its
+// turn on.
 func (c *Controller) nextFlow(now time.Time) *flow {
 	var first *flow
 	for _, k := range c.byPriority {
@@ -90,10 +94,10 @@
 	return c.yieldIfOverShare(now, first)
 }
 
-// yieldIfOverShare returns the flow itself or, where its workspace is over its share,
-// lower work of one that is under it. Without this a large workspace with work
-// of a middle class for more than the whole capacity would hold up the lower
-// classes of all others for ever.
+// yieldIfOverShare returns the given flow or, if the workspace of that flow is
+// over its share, a flow of a lower class whose workspace is under its share.
+// Without this rule, a large workspace with more work of a middle class than
+// the whole capacity would starve the lower classes of all other workspaces.
 func (c *Controller) yieldIfOverShare(now time.Time, f *flow) *flow {
 	if f.class == c.byPriority[0] || c.usedShareRatio(now, f.workspace) <= c.cfg.OverShareRatio {
 		return f
@@ -110,8 +114,8 @@
 	return f
 }
 
-// usedShareRatio is what the workspace lately had as a multiple of its share of what
-// all had.
+// usedShareRatio returns the workspace's recent use divided by its weighted
+// share of the recent use of all workspaces.
 func (c *Controller) usedShareRatio(now time.Time, w *workspace) float64 {
 	all := c.recentUse.perSecond(now)
 	if all == 0 {
@@ -120,8 +124,9 @@
 	return w.recentUse.perSecond(now) / all * c.totalWeight / w.Weight
 }
 
-// creditOtherClasses pays the classes below the served one, where work waits, their
-// share of the cost, and those of the same priority as much as it had itself.
+// creditOtherClasses credits the other classes that have work waiting: a class
+// of lower priority gets MinClassShare of the cost of the item to be served,
+// and a class of the same priority gets the full cost.
 func (c *Controller) creditOtherClasses(served *flow) {
 	for _, k := range c.byPriority {
 		switch {
@@ -134,8 +139,8 @@
 	}
 }
 
-// fairestFlow returns the eligible flow with the least virtual start, by name
-// among equals.
+// fairestFlow returns the eligible flow of the class with the lowest virtual
+// start time. Ties are broken by workspace name.
 func (c *Controller) fairestFlow(now time.Time, k *class) *flow {
 	var best *flow
 	for _, f := range k.active {
@@ -149,6 +154,8 @@
 	return best
 }
 
+// start admits the item at the head of the flow and charges its cost to the
+// flow, the class and the workspace.
 func (c *Controller) start(now time.Time, f *flow) Effect {
 	e := c.dequeue(f, 0)
 	f.class.virtualTime = max(f.class.virtualTime, f.start)
@@ -167,9 +174,11 @@
 	return Effect{Kind: Admit, ID: e.ID, Waited: now.Sub(e.offered)}
 }
 
-// delayLowerFlows lets what a workspace uses in one class count in the classes below,
-// so that its use in all of them together nears its share: a large workspace's
-// urgent work would come on top of its full share of the rest otherwise.
+// delayLowerFlows advances the virtual start times of the workspace's flows in
+// all classes below the class of the given flow, so that the total use of the
+// workspace over all classes approaches its share. Otherwise the urgent work
+// of a large workspace would come on top of its full share of the lower
+// classes.
 func (c *Controller) delayLowerFlows(f *flow, cost float64) {
 	w := f.workspace
 	for _, k := range c.byPriority {
@@ -182,14 +191,16 @@
 	}
 }
 
-// FirstToken takes in the time from admission to the first token.
+// FirstToken records the time from admission to the first token of an item.
+// The limiter compares it to the target of the item's class.
 func (c *Controller) FirstToken(now time.Time, id ID, took time.Duration) {
 	if e, ok := c.entries[id]; ok && !e.flow.class.Deferrable {
 		c.limiter.Sample(now, took.Seconds()/e.flow.class.target().Seconds())
 	}
 }
 
-// BetweenTokens takes in the mean time between an answer's tokens.
+// BetweenTokens records the mean time between the tokens of an answer. The
+// limiter compares it to the target of the item's class.
 func (c *Controller) BetweenTokens(now time.Time, id ID, mean time.Duration) {
 	if e, ok := c.entries[id]; ok && e.flow.class.TBTMillis > 0 {
 		target := time.Duration(e.flow.class.TBTMillis) * time.Millisecond
@@ -197,8 +208,8 @@
 	}
 }
 
-// Finish takes an admitted item out with what it really cost, and appends what
-// may go now.
+// Finish removes an admitted item, corrects the charges by its actual cost,
+// and appends the effects for items that can be admitted now.
 func (c *Controller) Finish(now time.Time, id ID, cost float64, dst []Effect) []Effect {
 	e, ok := c.entries[id]
 	if !ok || !e.admitted {
@@ -216,7 +227,8 @@
 	return c.admitEligible(now, dst)
 }
 
-// Cancel takes out an item whose caller gave it up.
+// Cancel removes an item that its caller no longer wants and appends the
+// effects for items that can be admitted now.
 func (c *Controller) Cancel(now time.Time, id ID, dst []Effect) []Effect {
 	e, ok := c.entries[id]
 	if !ok {
@@ -230,7 +242,8 @@
 	return c.admitEligible(now, dst)
 }
 
-// Tick refuses what can no longer keep its target and admits what may go.
+// Tick refuses the queued items that can no longer meet their target and
+// admits those that have become eligible.
 func (c *Controller) Tick(now time.Time, dst []Effect) []Effect {
 	for _, k := range c.byPriority {
 		for _, f := range slices.Clone(k.active) {
@@ -264,7 +277,8 @@
 	return refusal.New(reason, "waited %s in vain", now.Sub(e.offered).Round(time.Millisecond)).After(c.retryAfter(now, k, 0))
 }
 
-// limitRefusal returns the refusal of a workspace that is at one of its own limits.
+// limitRefusal returns a refusal if the workspace has reached one of its own
+// limits, or nil.
 func (w *workspace) limitRefusal(now time.Time, burst time.Duration) *refusal.Refusal {
 	if w.MaxConcurrent > 0 && w.running >= w.MaxConcurrent {
 		return refusal.New(refusal.WorkspaceLimit, "%d requests in progress", w.running).After(time.Second)
