--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -48,8 +48,8 @@
 	Slack   float64
 }
 
-// Use is what one daemon tells of one workspace.
-type Use struct {
+// BucketState is what one daemon tells of one workspace.
+type BucketState struct {
 	// Taken is all that the daemon took since it started, less what it gave back.
 	Taken float64
 	// Level is its copy of the bucket.
@@ -57,86 +57,86 @@
 }
 
 const (
-	// Interval is how often daemons hear of each other at the least, with one
+	// BudgetInterval is how often daemons hear of each other at the least, with one
 	// lost message.
-	Interval = 250 * time.Millisecond
+	BudgetInterval = 250 * time.Millisecond
 	// SilentAfter is how long a daemon may be unheard before its part is left to
 	// it. Five messages of 100 ms each are then missing.
 	SilentAfter = 600 * time.Millisecond
 	// ForgetAfter is how long an unheard daemon keeps its part.
 	ForgetAfter = 10 * time.Second
-	// leastShare is the part of what the rate gives in an interval that a daemon
+	// minRateShare is the part of what the rate gives in an interval that a daemon
 	// may take at any time: below the quota a workspace whose callers all use one
 	// daemon needs it. Beyond smallFleet daemons, which together may so take four
 	// times what the rate gives, it falls with their number: 33 could else take six
 	// seconds' worth before any hears of the others. A workspace whose callers use
 	// few of many daemons then lives on its share of the use.
-	leastShare = 0.7
-	smallFleet = 6
-	// bridgeShare of an equal part may be taken once while another daemon has just fallen
+	minRateShare        = 0.7
+	fullMinShareDaemons = 6
+	// uninformedShare of an equal part may be taken once while another daemon has just fallen
 	// silent.
-	bridgeShare = 1.0
-	// bridgeMost times that part may be taken for a single prompt that is longer.
-	bridgeMost = 2.0
-	// useMemory is the time constant of the recent use that shares are taken by.
+	uninformedShare = 1.0
+	// uninformedMaxShares times that part may be taken for a single prompt that is longer.
+	uninformedMaxShares = 2.0
+	// usageDecay is the time constant of the recent use that shares are taken by.
 	// It is several intervals long, so that one request more or less changes little.
-	useMemory = time.Second
-	// lenience is the part of the tolerance that is added to the burst, since a
+	usageDecay = time.Second
+	// burstTolerance is the part of the tolerance that is added to the burst, since a
 	// prompt may be a third of a second's worth and a level is partly guessed; the
 	// rest covers what daemons take without knowing of each other.
-	lenience = 0.38
-	// leastWait keeps a refusal from asking its caller back at once.
-	leastWait = 5 * time.Millisecond
-	// steadyShare is the part of what a window may hold beyond the rate that is given
+	burstTolerance = 0.38
+	// minRetryWait keeps a refusal from asking its caller back at once.
+	minRetryWait = 5 * time.Millisecond
+	// steadyFraction is the part of what a window may hold beyond the rate that is given
 	// out steadily, the rest at once. A workspace that sends a little over its rate
 	// all the time is within its quota in every window, and would be refused by a
 	// bucket as large as the burst that is refilled at the bare rate. What is left
 	// holds several of the longest prompts.
-	steadyShare = 0.5
-	// adoptFor is how long after its start a daemon takes the others' level for
+	steadyFraction = 0.5
+	// syncPeriod is how long after its start a daemon takes the others' level for
 	// its own knowledge.
-	adoptFor = 3 * time.Second
+	syncPeriod = 3 * time.Second
 )
 
 // bucket is the copy of one workspace's.
 type bucket struct {
-	limit Limit
-	known bool
-	level float64
-	// at is when level was last refilled.
-	at time.Duration
+	limit       Limit
+	initialized bool
+	level       float64
+	// refilledAt is when level was last refilled.
+	refilledAt time.Duration
 	// taken counts own requests since the start.
 	taken float64
 	// budget is what may still be taken in the interval that ends at ends.
-	budget float64
-	ends   time.Duration
-	// bridged says that a part for such a time was added since the daemon was informed last.
-	bridged bool
-	// used is the own recent use.
-	used recent
+	budget     float64
+	budgetEnds time.Duration
+	// uninformedBudgetUsed says that a part for such a time was added since the daemon was informed last.
+	uninformedBudgetUsed bool
+	// recentUsage is the own recent use.
+	recentUsage decayingSum
 }
 
-// recent is an amount that fades with useMemory.
-type recent struct {
+// decayingSum is an amount that fades with useMemory.
+type decayingSum struct {
 	amount float64
 	at     time.Duration
 }
 
-func (r *recent) add(now time.Duration, amount float64) {
-	*r = recent{r.value(now) + amount, now}
+func (r *decayingSum) add(now time.Duration, amount float64) {
+	*r = decayingSum{r.value(now) + amount, now}
 }
 
-func (r *recent) value(now time.Duration) float64 {
-	return r.amount * math.Exp(-(now-r.at).Seconds()/useMemory.Seconds())
+func (r *decayingSum) value(now time.Duration) float64 {
+	return r.amount * math.Exp(-(now-r.at).Seconds()/usageDecay.Seconds())
 }
 
-type peer struct {
-	heard time.Duration
-	taken map[ident.Workspace]float64
-	// used is its recent use.
-	used map[ident.Workspace]*recent
-	// own is what this daemon had taken itself when it last heard the other.
-	own map[ident.Workspace]float64
+type peerState struct {
+	lastHeard time.Duration
+	taken     map[ident.Workspace]float64
+	// recentUsage is its recent use.
+	recentUsage map[ident.Workspace]*decayingSum
+	// ownTaken is what this daemon had taken itself when it last heard the other.
+	ownTaken map[ident.Workspace]float64
 	// silent says that it has been unheard for SilentAfter, reserved what was
 	// left to it since.
 	silent   bool
@@ -145,40 +145,40 @@
 
 // Limiter holds the copies of one daemon.
 type Limiter struct {
-	window    time.Duration
-	tolerance Tolerance
-	started   time.Duration
-	first     bool
-	buckets   map[ident.Workspace]*bucket
-	peers     map[ident.Incarnation]*peer
-	// expected is how many daemons there may be, this one included, whether or not
+	window     time.Duration
+	tolerance  Tolerance
+	started    time.Duration
+	firstStart bool
+	buckets    map[ident.Workspace]*bucket
+	peers      map[ident.Incarnation]*peerState
+	// expectedDaemons is how many daemons there may be, this one included, whether or not
 	// they have been heard.
-	expected int
-	// isolated is how many parts the buckets have while no other daemon is heard at all;
-	// zero is not isolated.
-	isolated int
-	// adopted says that an older daemon's levels were taken over.
-	adopted bool
+	expectedDaemons int
+	// isolatedParts is how many parts the buckets have while no other daemon is heard at all;
+	// zero is not isolatedParts.
+	isolatedParts int
+	// synced says that an older daemon's levels were taken over.
+	synced bool
 }
 
 // New returns a limiter that knows no workspace and no other daemon. firstStart
 // says that the fleet has not served before.
 func New(now, window time.Duration, tolerance Tolerance, firstStart bool) *Limiter {
 	return &Limiter{
-		window: window, tolerance: tolerance, started: now, first: firstStart,
-		buckets: map[ident.Workspace]*bucket{}, peers: map[ident.Incarnation]*peer{},
+		window: window, tolerance: tolerance, started: now, firstStart: firstStart,
+		buckets: map[ident.Workspace]*bucket{}, peers: map[ident.Incarnation]*peerState{},
 	}
 }
 
-// extra is what a window may hold beyond the rate: the burst and the lenient part of
+// windowBurst is what a window may hold beyond the rate: the burst and the lenient part of
 // the tolerance.
-func (l *Limiter) extra(limit Limit) float64 {
+func (l *Limiter) windowBurst(limit Limit) float64 {
 	quota := limit.PerSecond*l.window.Seconds() + limit.Burst
-	return limit.Burst + lenience*(l.tolerance.Overage*quota+l.tolerance.Slack)
+	return limit.Burst + burstTolerance*(l.tolerance.Overage*quota+l.tolerance.Slack)
 }
 
 // capacity is the most that a bucket holds.
-func (l *Limiter) capacity(limit Limit) float64 { return (1 - steadyShare) * l.extra(limit) }
+func (l *Limiter) capacity(limit Limit) float64 { return (1 - steadyFraction) * l.windowBurst(limit) }
 
 // rate is what a bucket gains in a second. A full bucket and a window's gain are
 // together what a window may hold.
@@ -186,7 +186,7 @@
 	if limit.PerSecond <= 0 {
 		return 0
 	}
-	return limit.PerSecond + steadyShare*l.extra(limit)/l.window.Seconds()
+	return limit.PerSecond + steadyFraction*l.windowBurst(limit)/l.window.Seconds()
 }
 
 // SetLimits replaces the limits. A lowered one takes what is above its capacity
@@ -200,9 +200,9 @@
 	}
 	for ws, limit := range limits {
 		b := l.bucket(ws)
-		if !b.known && limit.PerSecond > 0 {
-			b.known, b.at = true, now
-			if l.first {
+		if !b.initialized && limit.PerSecond > 0 {
+			b.initialized, b.refilledAt = true, now
+			if l.firstStart {
 				b.level = l.capacity(limit)
 			}
 		}
@@ -232,33 +232,33 @@
 	// A request over all that a bucket holds needs a full one.
 	need := min(cost, l.capacity(b.limit))
 	if b.level < need {
-		return max(leastWait, secondsOf((need-b.level)/l.rate(b.limit))), false
+		return max(minRetryWait, secondsToDuration((need-b.level)/l.rate(b.limit))), false
 	}
-	switch informed := l.informed(now); {
-	case now < b.ends:
-	case !informed && !b.bridged && l.sharers() > 1:
-		b.bridged = true
-		part := bridgeShare * b.level / float64(l.sharers())
-		if need <= bridgeMost*part {
+	switch informed := l.allPeersRecent(now); {
+	case now < b.budgetEnds:
+	case !informed && !b.uninformedBudgetUsed && l.daemonCount() > 1:
+		b.uninformedBudgetUsed = true
+		part := uninformedShare * b.level / float64(l.daemonCount())
+		if need <= uninformedMaxShares*part {
 			part = max(part, need)
 		}
 		b.budget = max(b.budget, part)
 	case informed:
-		b.bridged = false
-		b.ends = now + Interval
+		b.uninformedBudgetUsed = false
+		b.budgetEnds = now + BudgetInterval
 		b.budget = b.level
-		if n := l.sharers(); n > 1 {
-			least := leastShare * min(1, smallFleet/float64(n))
-			b.budget = max(need, b.level*l.share(now, ws, b), least*Interval.Seconds()*l.rate(b.limit))
+		if n := l.daemonCount(); n > 1 {
+			minBudget := minRateShare * min(1, fullMinShareDaemons/float64(n))
+			b.budget = max(need, b.level*l.budgetShare(now, ws, b), minBudget*BudgetInterval.Seconds()*l.rate(b.limit))
 		}
 	}
 	if b.budget < need {
-		return max(b.ends-now, Interval), false
+		return max(b.budgetEnds-now, BudgetInterval), false
 	}
 	b.budget -= cost
 	b.level -= cost
 	b.taken += cost
-	b.used.add(now, cost)
+	b.recentUsage.add(now, cost)
 	return 0, true
 }
 
@@ -270,44 +270,44 @@
 	return b.level >= min(cost, l.capacity(b.limit))
 }
 
-// share is the part of a bucket that this daemon may take in an interval: that of
+// budgetShare is the part of a bucket that this daemon may take in an interval: that of
 // the workspace's recent use which came here, so that callers who use few of the
 // daemons find what they need, and an equal one at the least. Shares of the use add
 // up to one, whatever the number of daemons. One that has just started knows too
 // little of the others' use.
-func (l *Limiter) share(now time.Duration, ws ident.Workspace, b *bucket) float64 {
-	equal := 1 / float64(l.sharers())
-	own := b.used.value(now)
-	if now-l.started < adoptFor || own <= 0 {
-		return equal
+func (l *Limiter) budgetShare(now time.Duration, ws ident.Workspace, b *bucket) float64 {
+	equalShare := 1 / float64(l.daemonCount())
+	ownUsage := b.recentUsage.value(now)
+	if now-l.started < syncPeriod || ownUsage <= 0 {
+		return equalShare
 	}
-	all := own
+	totalUsage := ownUsage
 	for _, p := range l.peers {
-		if used, ok := p.used[ws]; ok {
-			all += used.value(now)
+		if used, ok := p.recentUsage[ws]; ok {
+			totalUsage += used.value(now)
 		}
 	}
-	return max(equal, own/all)
+	return max(equalShare, ownUsage/totalUsage)
 }
 
-func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// informed tells whether every daemon that is not silent was heard within an
+// allPeersRecent tells whether every daemon that is not silent was heard within an
 // interval. Until then the former budget must last, and a part of an equal one: with a new
 // one in each interval daemons that have just lost each other would take the same tokens
 // again; without any, a daemon's end would have the others refuse for as long as it
 // isn't taken for silent whom they had not served a moment before.
-func (l *Limiter) informed(now time.Duration) bool {
+func (l *Limiter) allPeersRecent(now time.Duration) bool {
 	for _, p := range l.peers {
-		if !p.silent && now-p.heard > Interval {
+		if !p.silent && now-p.lastHeard > BudgetInterval {
 			return false
 		}
 	}
 	return true
 }
 
-// Return gives back what a request took that has not run and never will.
-func (l *Limiter) Return(ws ident.Workspace, cost float64) {
+// Refund gives back what a request took that has not run and never will.
+func (l *Limiter) Refund(ws ident.Workspace, cost float64) {
 	b := l.bucket(ws)
 	b.taken -= cost
 	b.budget += cost
@@ -319,15 +319,15 @@
 // refill adds what the time since the last refill is worth, less the parts of
 // the silent daemons.
 func (l *Limiter) refill(now time.Duration, ws ident.Workspace, b *bucket) {
-	l.silence(now)
-	elapsed := (now - b.at).Seconds()
+	l.markSilentPeers(now)
+	elapsed := (now - b.refilledAt).Seconds()
 	if elapsed <= 0 {
 		return
 	}
-	b.at = now
+	b.refilledAt = now
 	gained := l.rate(b.limit) * elapsed
-	part := gained / float64(l.sharers())
-	gained -= part * float64(max(0, l.isolated-1-len(l.peers)))
+	part := gained / float64(l.daemonCount())
+	gained -= part * float64(max(0, l.isolatedParts-1-len(l.peers)))
 	for _, p := range l.peers {
 		if p.silent {
 			p.reserved[ws] += part
@@ -337,118 +337,118 @@
 	b.level = min(l.capacity(b.limit), b.level+gained)
 }
 
-// silence finds the daemons that have just become silent and leaves each its
+// markSilentPeers finds the daemons that have just become silent and leaves each its
 // part of what the buckets hold. Since it was last heard it is taken to have
 // done as this daemon did: a flood comes to all daemons alike.
-func (l *Limiter) silence(now time.Duration) {
+func (l *Limiter) markSilentPeers(now time.Duration) {
 	for _, p := range l.peers {
-		if p.silent || now-p.heard <= SilentAfter {
+		if p.silent || now-p.lastHeard <= SilentAfter {
 			continue
 		}
 		p.silent = true
 		for ws, b := range l.buckets {
-			part := max(0, b.taken-p.own[ws])
-			part += max(0, b.level-part) / float64(l.sharers())
+			part := max(0, b.taken-p.ownTaken[ws])
+			part += max(0, b.level-part) / float64(l.daemonCount())
 			b.level -= part
 			p.reserved[ws] += part
 		}
 	}
 }
 
-// sharers counts the daemons that may take from the buckets, this one included.
-func (l *Limiter) sharers() int {
-	if l.first {
-		return max(1+len(l.peers), l.isolated)
+// daemonCount counts the daemons that may take from the buckets, this one included.
+func (l *Limiter) daemonCount() int {
+	if l.firstStart {
+		return max(1+len(l.peers), l.isolatedParts)
 	}
-	return max(1+len(l.peers), l.expected, l.isolated)
+	return max(1+len(l.peers), l.expectedDaemons, l.isolatedParts)
 }
 
 // Age is how long this daemon has known how full the buckets are, as far as it matters
 // to others: one that has taken an older one's level knows as much as that.
 func (l *Limiter) Age(now time.Duration) time.Duration {
-	if l.adopted {
-		return max(adoptFor, now-l.started)
+	if l.synced {
+		return max(syncPeriod, now-l.started)
 	}
 	return now - l.started
 }
 
-// Isolate tells into how many parts the buckets are to be divided while this daemon
+// SetIsolatedParts tells into how many parts the buckets are to be divided while this daemon
 // hears no other, its own included; zero ends that.
-func (l *Limiter) Isolate(parts int) { l.isolated = parts }
+func (l *Limiter) SetIsolatedParts(parts int) { l.isolatedParts = parts }
 
-func (p *peer) use(now time.Duration, ws ident.Workspace, amount float64) {
-	used, ok := p.used[ws]
+func (p *peerState) addUsage(now time.Duration, ws ident.Workspace, amount float64) {
+	used, ok := p.recentUsage[ws]
 	if !ok {
-		used = &recent{}
-		p.used[ws] = used
+		used = &decayingSum{}
+		p.recentUsage[ws] = used
 	}
 	used.add(now, max(0, amount))
 }
 
-// Expect tells how many daemons there may be, this one included. One that has just
+// SetExpectedDaemons tells how many daemons there may be, this one included. One that has just
 // started and hears nobody yet must not give out the others' parts, too.
-func (l *Limiter) Expect(now time.Duration, daemons int) {
-	l.expected = daemons
-	if now-l.started >= adoptFor {
-		l.expected = 0
+func (l *Limiter) SetExpectedDaemons(now time.Duration, daemons int) {
+	l.expectedDaemons = daemons
+	if now-l.started >= syncPeriod {
+		l.expectedDaemons = 0
 	}
 }
 
-// Heard takes in what another daemon, which has run for age, tells of itself.
+// ApplyPeerState takes in what another daemon, which has run for age, tells of itself.
 // Messages of one daemon must come in the order in which it made them.
-func (l *Limiter) Heard(now time.Duration, id ident.Incarnation, age time.Duration, uses map[ident.Workspace]Use) {
+func (l *Limiter) ApplyPeerState(now time.Duration, id ident.Incarnation, age time.Duration, states map[ident.Workspace]BucketState) {
 	p, known := l.peers[id]
 	if !known {
-		p = &peer{
-			taken: map[ident.Workspace]float64{}, used: map[ident.Workspace]*recent{},
-			own: map[ident.Workspace]float64{}, reserved: map[ident.Workspace]float64{},
+		p = &peerState{
+			taken: map[ident.Workspace]float64{}, recentUsage: map[ident.Workspace]*decayingSum{},
+			ownTaken: map[ident.Workspace]float64{}, reserved: map[ident.Workspace]float64{},
 		}
 		l.peers[id] = p
-		p.heard = now
+		p.lastHeard = now
 	}
 	for ws, b := range l.buckets {
 		l.refill(now, ws, b)
 	}
-	for ws, use := range uses {
+	for ws, state := range states {
 		b := l.bucket(ws)
 		if known {
-			b.level += p.reserved[ws] - (use.Taken - p.taken[ws])
+			b.level += p.reserved[ws] - (state.Taken - p.taken[ws])
 			b.level = min(b.level, l.capacity(b.limit))
-			p.use(now, ws, use.Taken-p.taken[ws])
-		} else if now-l.started < adoptFor && b.limit.PerSecond > 0 {
-			l.adopt(b, use, age)
+			p.addUsage(now, ws, state.Taken-p.taken[ws])
+		} else if now-l.started < syncPeriod && b.limit.PerSecond > 0 {
+			l.syncLevel(b, state, age)
 		}
-		p.taken[ws] = use.Taken
+		p.taken[ws] = state.Taken
 	}
-	if !known && age >= adoptFor {
-		l.adopted = true
+	if !known && age >= syncPeriod {
+		l.synced = true
 	}
-	p.heard, p.silent = now, false
+	p.lastHeard, p.silent = now, false
 	clear(p.reserved)
 	for ws, b := range l.buckets {
-		p.own[ws] = b.taken
+		p.ownTaken[ws] = b.taken
 	}
 }
 
-// adopt takes in what a daemon knows that is heard for the first time. An older
+// syncLevel takes in what a daemon knows that is heard for the first time. An older
 // one's level is taken over; it does not know yet what was taken here. One that is
 // as new knows no more than this one, but all that it took is news: an older daemon
 // that was heard before has told that already.
-func (l *Limiter) adopt(b *bucket, use Use, age time.Duration) {
+func (l *Limiter) syncLevel(b *bucket, state BucketState, age time.Duration) {
 	switch {
-	case l.first:
+	case l.firstStart:
 		// All buckets start full, so none may be fuller than another.
-		b.level = min(b.level, use.Level)
-	case age >= adoptFor:
-		b.level = min(use.Level-b.taken, l.capacity(b.limit))
-	case !l.adopted:
-		b.level -= use.Taken
+		b.level = min(b.level, state.Level)
+	case age >= syncPeriod:
+		b.level = min(state.Level-b.taken, l.capacity(b.limit))
+	case !l.synced:
+		b.level -= state.Taken
 	}
 }
 
-// Left forgets a daemon that goes on but takes from no bucket any more. What was left to
+// PeerLeft forgets a daemon that goes on but takes from no bucket any more. What was left to
 // it while it was unheard was not taken.
-func (l *Limiter) Left(id ident.Incarnation) {
+func (l *Limiter) PeerLeft(id ident.Incarnation) {
 	p, known := l.peers[id]
 	if !known {
 		return
@@ -460,24 +460,24 @@
 	delete(l.peers, id)
 }
 
-// Gone forgets a daemon that has ended.
-func (l *Limiter) Gone(id ident.Incarnation) { delete(l.peers, id) }
+// PeerEnded forgets a daemon that has ended.
+func (l *Limiter) PeerEnded(id ident.Incarnation) { delete(l.peers, id) }
 
-// Tick forgets daemons that have been silent for long.
-func (l *Limiter) Tick(now time.Duration) {
+// ExpirePeers forgets daemons that have been silent for long.
+func (l *Limiter) ExpirePeers(now time.Duration) {
 	for id, p := range l.peers {
-		if now-p.heard > ForgetAfter {
+		if now-p.lastHeard > ForgetAfter {
 			delete(l.peers, id)
 		}
 	}
 }
 
-// Uses is what to tell the other daemons.
-func (l *Limiter) Uses(now time.Duration) map[ident.Workspace]Use {
-	uses := make(map[ident.Workspace]Use, len(l.buckets))
+// BucketStates is what to tell the other daemons.
+func (l *Limiter) BucketStates(now time.Duration) map[ident.Workspace]BucketState {
+	states := make(map[ident.Workspace]BucketState, len(l.buckets))
 	for ws, b := range l.buckets {
 		l.refill(now, ws, b)
-		uses[ws] = Use{Taken: b.taken, Level: b.level}
+		states[ws] = BucketState{Taken: b.taken, Level: b.level}
 	}
-	return uses
+	return states
 }
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -22,7 +22,7 @@
 
 // Of a rate of 100 a second and a burst of 200 a window of 8 s may hold 1,000: half
 // of the burst at once, and 112.5 a second.
-func TestBucketAlone(t *testing.T) {
+func TestSingleDaemonBucket(t *testing.T) {
 	is := is.New(t)
 	l := quota.New(0, window, quota.Tolerance{}, true)
 	l.SetLimits(0, limits(100, 200))
@@ -33,7 +33,7 @@
 	is.Equal(wait, 400*time.Millisecond)
 	_, ok = l.Take(400*time.Millisecond, ws, 45)
 	is.True(ok)
-	l.Return(ws, 45) // it was refused elsewhere and has not run
+	l.Refund(ws, 45) // it was refused elsewhere and has not run
 	_, ok = l.Take(400*time.Millisecond, ws, 45)
 	is.True(ok)
 	taken := 145.0
@@ -60,7 +60,7 @@
 
 // A quota is lowered while its bucket is full. What the old one had saved up
 // must not be spent under the new one.
-func TestLoweredLimitTakesSavings(t *testing.T) {
+func TestLoweredLimitCapsSavedTokens(t *testing.T) {
 	is := is.New(t)
 	l := quota.New(0, window, quota.Tolerance{}, true)
 	l.SetLimits(0, limits(1000, 5000))
@@ -98,33 +98,33 @@
 			for _, s := range slots[max(0, len(slots)-int(window/step)):] {
 				sum += s
 			}
-			is.True(sum <= tolerated)
+			is.True(sum <= toleratedPerWindow)
 		}
 	}
-	calm := quota.New(0, window, tolerance, false)
-	calm.SetLimits(0, limits(perSecond, burst))
+	afterRestart := quota.New(0, window, tolerance, false)
+	afterRestart.SetLimits(0, limits(perSecond, burst))
 	for now := window / 32; now < window; now += step {
-		_, ok := calm.Take(now, ws, perSecond*step.Seconds()*0.7)
+		_, ok := afterRestart.Take(now, ws, perSecond*step.Seconds()*0.7)
 		is.True(ok)
 	}
 }
 
 // fleet is several daemons that hear each other every step unless cut off.
 type fleet struct {
-	now     time.Duration
-	members []*quota.Limiter
-	ids     []ident.Incarnation
-	began   []time.Duration
-	cut     []bool
+	now          time.Duration
+	members      []*quota.Limiter
+	ids          []ident.Incarnation
+	startedAt    []time.Duration
+	disconnected []bool
 }
 
 func newFleet(n int, perSecond, burst float64, tolerance quota.Tolerance) *fleet {
-	f := &fleet{cut: make([]bool, n), began: make([]time.Duration, n)}
+	f := &fleet{disconnected: make([]bool, n), startedAt: make([]time.Duration, n)}
 	for i := range n {
 		f.ids = append(f.ids, ident.Incarnation(rune('a'+i)))
 		f.members = append(f.members, quota.New(0, window, tolerance, true))
 	}
-	f.exchange()
+	f.exchangeStates()
 	for _, m := range f.members {
 		m.SetLimits(0, limits(perSecond, burst))
 	}
@@ -135,20 +135,20 @@
 func (f *fleet) restart() {
 	for i := range f.members {
 		f.ids[i] += "+"
-		f.began[i] = f.now
+		f.startedAt[i] = f.now
 		f.members[i] = quota.New(f.now, window, quota.Tolerance{Overage: overage, Slack: slack}, false)
 		f.members[i].SetLimits(f.now, limits(perSecond, burst))
-		f.members[i].Expect(f.now, len(f.members))
+		f.members[i].SetExpectedDaemons(f.now, len(f.members))
 	}
 }
 
-func (f *fleet) exchange() {
+func (f *fleet) exchangeStates() {
 	for i, from := range f.members {
 		for j, to := range f.members {
-			if i == j || f.cut[i] || f.cut[j] {
+			if i == j || f.disconnected[i] || f.disconnected[j] {
 				continue
 			}
-			to.Heard(f.now, f.ids[i], f.now-f.began[i], from.Uses(f.now))
+			to.ApplyPeerState(f.now, f.ids[i], f.now-f.startedAt[i], from.BucketStates(f.now))
 		}
 	}
 }
@@ -163,42 +163,42 @@
 // flood is one workspace that sends a multiple of its rate to all daemons, the
 // first cut of which are cut off from the others for a while.
 type flood struct {
-	daemons int
-	times   float64
-	cost    float64
-	cut     int
-	cutFrom time.Duration
-	cutFor  time.Duration
+	daemons        int
+	rateMultiple   float64
+	cost           float64
+	disconnected   int
+	disconnectFrom time.Duration
+	disconnectFor  time.Duration
 }
 
-// worst plays the flood and returns the most that was taken in any window.
-func (f flood) worst() float64 {
+// worstWindow plays the flood and returns the most that was taken in any window.
+func (f flood) worstWindow() float64 {
 	const step = 100 * time.Millisecond
-	fl := newFleet(f.daemons, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
+	fleet := newFleet(f.daemons, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
 	type taken struct {
 		at   time.Duration
 		cost float64
 	}
-	var log []taken
-	per := 1 + int(f.times*perSecond*step.Seconds()/f.cost/float64(f.daemons))
-	for fl.now = 0; fl.now < 20*time.Second; fl.now += step {
-		for i := range f.cut {
-			fl.cut[i] = fl.now >= f.cutFrom && fl.now < f.cutFrom+f.cutFor
+	var grants []taken
+	perDaemon := 1 + int(f.rateMultiple*perSecond*step.Seconds()/f.cost/float64(f.daemons))
+	for fleet.now = 0; fleet.now < 20*time.Second; fleet.now += step {
+		for i := range f.disconnected {
+			fleet.disconnected[i] = fleet.now >= f.disconnectFrom && fleet.now < f.disconnectFrom+f.disconnectFor
 		}
-		fl.exchange()
-		for _, m := range fl.members {
-			for range per {
-				if _, ok := m.Take(fl.now, ws, f.cost); ok {
-					log = append(log, taken{fl.now, f.cost})
+		fleet.exchangeStates()
+		for _, m := range fleet.members {
+			for range perDaemon {
+				if _, ok := m.Take(fleet.now, ws, f.cost); ok {
+					grants = append(grants, taken{fleet.now, f.cost})
 				}
 			}
 		}
 	}
 	sum, worst, first := 0.0, 0.0, 0
-	for _, e := range log {
+	for _, e := range grants {
 		sum += e.cost
-		for log[first].at <= e.at-window {
-			sum -= log[first].cost
+		for grants[first].at <= e.at-window {
+			sum -= grants[first].cost
 			first++
 		}
 		worst = max(worst, sum)
@@ -206,7 +206,7 @@
 	return worst
 }
 
-const tolerated = (perSecond*8+burst)*(1+overage) + slack
+const toleratedPerWindow = (perSecond*8+burst)*(1+overage) + slack
 
 // One workspace floods all daemons, some of which are cut off from the others
 // for a while. In no window may the daemons together let through more than the
@@ -216,15 +216,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "daemons")
 		f := flood{
-			daemons: n,
-			times:   rapid.Float64Range(0.5, 8).Draw(t, "times"),
-			cost:    rapid.Float64Range(2000, 20_000).Draw(t, "cost"),
-			cut:     rapid.IntRange(0, n).Draw(t, "cut"),
-			cutFrom: time.Duration(rapid.IntRange(0, 10_000).Draw(t, "cut from")) * time.Millisecond,
-			cutFor:  time.Duration(rapid.IntRange(0, 8_000).Draw(t, "cut for")) * time.Millisecond,
+			daemons:        n,
+			rateMultiple:   rapid.Float64Range(0.5, 8).Draw(t, "times"),
+			cost:           rapid.Float64Range(2000, 20_000).Draw(t, "cost"),
+			disconnected:   rapid.IntRange(0, n).Draw(t, "cut"),
+			disconnectFrom: time.Duration(rapid.IntRange(0, 10_000).Draw(t, "cut from")) * time.Millisecond,
+			disconnectFor:  time.Duration(rapid.IntRange(0, 8_000).Draw(t, "cut for")) * time.Millisecond,
 		}
-		if w := f.worst(); w > tolerated {
-			t.Fatalf("%.0f tokens in a window; tolerated are %.0f", w, tolerated)
+		if w := f.worstWindow(); w > toleratedPerWindow {
+			t.Fatalf("%.0f tokens in a window; tolerated are %.0f", w, toleratedPerWindow)
 		}
 	})
 }
@@ -232,7 +232,7 @@
 // Floods that once put too much into a window: a silent daemon's part was given
 // out again; a guess was taken back from the wrong slot; daemons that had just
 // lost each other each took a new part of the same room.
-func TestFloodsThatOnceWereLetThrough(t *testing.T) {
+func TestFloodRegressions(t *testing.T) {
 	is := is.New(t)
 	ms := time.Millisecond
 	for _, f := range []flood{
@@ -247,7 +247,7 @@
 		{6, 4.5, 2023.25, 4, 7401 * ms, 500 * ms},
 		{6, 4.5, 2007, 5, 7301 * ms, 500 * ms},
 	} {
-		is.True(f.worst() <= tolerated)
+		is.True(f.worstWindow() <= toleratedPerWindow)
 	}
 }
 
@@ -260,8 +260,8 @@
 	const (
 		step, heardEvery = 50 * time.Millisecond, 200 * time.Millisecond
 		killed, down     = 13 * time.Second, time.Second
-		// unheard is how long after their start the daemons hear nothing.
-		unheard = 500 * time.Millisecond
+		// disconnectedAfterStart is how long after their start the daemons hear nothing.
+		disconnectedAfterStart = 500 * time.Millisecond
 	)
 	for _, n := range []int{2, 5, 12, 33} {
 		for _, times := range []float64{1.2, 3, 6, 12} {
@@ -273,8 +273,8 @@
 				if f.now == killed+down {
 					f.restart()
 				}
-				if f.now%heardEvery == 0 && (f.now < killed || f.now >= killed+down+unheard) {
-					f.exchange()
+				if f.now%heardEvery == 0 && (f.now < killed || f.now >= killed+down+disconnectedAfterStart) {
+					f.exchangeStates()
 				}
 				const cost = 5000
 				requests := times * perSecond * step.Seconds() / cost
@@ -293,8 +293,8 @@
 				}
 				worst = max(worst, sum)
 			}
-			t.Logf("%d daemons, %.1f times the rate: %.0f of %.0f", n, times, worst, tolerated)
-			is.True(worst <= tolerated)
+			t.Logf("%d daemons, %.1f times the rate: %.0f of %.0f", n, times, worst, toleratedPerWindow)
+			is.True(worst <= toleratedPerWindow)
 		}
 	}
 }
@@ -307,7 +307,7 @@
 		f := newFleet(n, 1000, 1000, quota.Tolerance{})
 		use := rapid.Float64Range(0.1, 0.55).Draw(t, "use")
 		for f.now = time.Second; f.now < 20*time.Second; f.now += step {
-			f.exchange()
+			f.exchangeStates()
 			m := f.members[rapid.IntRange(0, n-1).Draw(t, "daemon")]
 			if wait, ok := m.Take(f.now, ws, 1000*use*step.Seconds()); !ok {
 				t.Fatalf("refused at %v for %v", f.now, wait)
@@ -332,17 +332,17 @@
 	)
 	f := newFleet(daemons, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
 	var slots []float64
-	most := func(span time.Duration) float64 {
+	usageOver := func(span time.Duration) float64 {
 		sum := 0.0
 		for _, s := range slots[max(0, len(slots)-int(span/step)):] {
 			sum += s
 		}
 		return sum
 	}
-	second, worst := 0.0, 0.0
+	worstSecond, worstWindow := 0.0, 0.0
 	for f.now = 0; f.now < 20*time.Second; f.now += step {
 		if f.now%heardEvery == 0 {
-			f.exchange()
+			f.exchangeStates()
 		}
 		taken := 0.0
 		for i := range int(4 * perSecond * step.Seconds() / cost) {
@@ -351,14 +351,14 @@
 			}
 		}
 		slots = append(slots, taken)
-		worst = max(worst, most(window))
+		worstWindow = max(worstWindow, usageOver(window))
 		if f.now > 4*time.Second {
-			second = max(second, most(time.Second))
+			worstSecond = max(worstSecond, usageOver(time.Second))
 		}
 	}
-	t.Logf("most in a second %.0f, in a window %.0f of %.0f", second, worst, tolerated)
-	is.True(second <= 1.4*perSecond)
-	is.True(worst <= tolerated)
+	t.Logf("most in a second %.0f, in a window %.0f of %.0f", worstSecond, worstWindow, toleratedPerWindow)
+	is.True(worstSecond <= 1.4*perSecond)
+	is.True(worstWindow <= toleratedPerWindow)
 }
 
 // The callers of one workspace keep their connections to one of 33 daemons. Below
@@ -371,7 +371,7 @@
 		refused, asked := 0, 0
 		for f.now = step; f.now < 20*time.Second; f.now += step {
 			if f.now%(2*step) == 0 {
-				f.exchange()
+				f.exchangeStates()
 			}
 			if f.now < 5*time.Second {
 				continue
@@ -388,7 +388,7 @@
 
 // A daemon that has just started knows nothing of what the others gave out. It
 // takes their level instead of starting with savings of its own, or with none.
-func TestNewDaemonAdoptsLevel(t *testing.T) {
+func TestNewDaemonSyncsLevel(t *testing.T) {
 	is := is.New(t)
 	old := quota.New(0, window, quota.Tolerance{}, true)
 	old.SetLimits(0, limits(100, 200))
@@ -397,7 +397,7 @@
 	for _, first := range []bool{true, false} {
 		fresh := quota.New(0, window, quota.Tolerance{}, first)
 		fresh.SetLimits(0, limits(100, 200))
-		fresh.Heard(0, "old", time.Minute, old.Uses(0))
+		fresh.ApplyPeerState(0, "old", time.Minute, old.BucketStates(0))
 		_, ok = fresh.Take(0, ws, 51)
 		is.True(!ok)
 		_, ok = fresh.Take(0, ws, 40)
@@ -411,18 +411,18 @@
 	is := is.New(t)
 	const step = 100 * time.Millisecond
 	f := newFleet(4, 1000, 1000, quota.Tolerance{})
-	f.cut[0] = true
-	given := 0.0
+	f.disconnected[0] = true
+	granted := 0.0
 	for f.now = step; f.now < 8*time.Second; f.now += step {
-		f.exchange()
+		f.exchangeStates()
 		for range 50 {
 			if _, ok := f.members[0].Take(f.now, ws, 20); ok && f.now >= 2*time.Second {
-				given += 20
+				granted += 20
 			}
 		}
 	}
-	is.True(given >= 6*1000/4*0.9)
-	is.True(given <= 6*1000/4*1.3)
+	is.True(granted >= 6*1000/4*0.9)
+	is.True(granted <= 6*1000/4*1.3)
 }
 
 // Four daemons lose each other for half a second under a flood, before any can tell
@@ -431,30 +431,30 @@
 	is := is.New(t)
 	const step = 50 * time.Millisecond
 	f := newFleet(4, 1000, 10_000, quota.Tolerance{})
-	f.exchange()
-	for i := range f.cut {
-		f.cut[i] = true
+	f.exchangeStates()
+	for i := range f.disconnected {
+		f.disconnected[i] = true
 	}
-	given := 0.0
+	granted := 0.0
 	for f.now = step; f.now <= 550*time.Millisecond; f.now += step {
 		for _, m := range f.members {
 			for range 100 {
 				if _, ok := m.Take(f.now, ws, 100); ok {
-					given += 100
+					granted += 100
 				}
 			}
 		}
 	}
-	is.True(given <= 10_000+4*(1000*0.55)+4*100)
+	is.True(granted <= 10_000+4*(1000*0.55)+4*100)
 }
 
 // Guards against daemons that lose all others at once and each give out the whole quota.
-func TestIsolatedDaemonGivesOutItsPart(t *testing.T) {
+func TestIsolatedDaemonTakesOnlyItsPart(t *testing.T) {
 	is := is.New(t)
 	const daemons, cost = 120, 2000.0
 	l := quota.New(0, window, quota.Tolerance{Overage: overage, Slack: slack}, false)
 	l.SetLimits(0, limits(perSecond, burst))
-	l.Isolate(daemons)
+	l.SetIsolatedParts(daemons)
 	taken := 0.0
 	for now := time.Duration(0); now < window; now += 10 * time.Millisecond {
 		if _, ok := l.Take(now, ws, cost); ok {
@@ -462,20 +462,20 @@
 		}
 	}
 	is.True(taken > 0)
-	is.True(taken*daemons <= tolerated)
+	is.True(taken*daemons <= toleratedPerWindow)
 }
 
 // Guards against workspaces within their limits that are refused for a while whenever
 // any daemon ends.
-func TestEndOfADaemonRefusesNobodyWithinTheLimit(t *testing.T) {
+func TestDaemonEndCausesNoRefusalsWithinLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
 	for f.now = 0; f.now < 3*time.Second; f.now += 100 * time.Millisecond {
-		f.exchange()
+		f.exchangeStates()
 	}
-	f.cut[3] = true // it has ended
+	f.disconnected[3] = true // it has ended
 	for until := f.now + 700*time.Millisecond; f.now < until; f.now += 100 * time.Millisecond {
-		f.exchange()
+		f.exchangeStates()
 		_, ok := f.members[0].Take(f.now, ws, 10_000)
 		is.True(ok)
 	}
--- a/daemon/edge/hear.go
+++ b/daemon/edge/hear.go
@@ -142,7 +142,7 @@
 // hear of it again would keep a part for it. Called with mu held.
 func (e *Edge) followElsewhere(rows []peers.Row) {
 	for _, r := range rows {
-		e.limiter.Left(r.Incarnation)
+		e.limiter.PeerLeft(r.Incarnation)
 	}
 }
 
@@ -153,18 +153,18 @@
 		return
 	}
 	if !h.Relay {
-		e.limiter.Left(id)
+		e.limiter.PeerLeft(id)
 		return
 	}
 	if !e.plan.Direct && !e.elects(id) {
 		// It takes itself for a relay, as any daemon does that has just started, and gives
 		// out nothing until another one takes it for one, too; or it doesn't know yet that
 		// the fleet is no small one any more, and gives out its small part a moment longer.
-		e.limiter.Left(id)
+		e.limiter.PeerLeft(id)
 		return
 	}
 	if h.Elects || e.plan.Direct {
-		e.limiter.Heard(now, id, time.Duration(h.AgeNs), usesOf(h))
+		e.limiter.ApplyPeerState(now, id, time.Duration(h.AgeNs), usesOf(h))
 	}
 }
 
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -61,9 +61,9 @@
 	}
 	e.elect(now)
 	e.told.noteComplete(now, len(e.plan.Others))
-	e.limiter.Expect(now, e.expected(now))
-	e.limiter.Isolate(e.isolated(now))
-	e.limiter.Tick(now)
+	e.limiter.SetExpectedDaemons(now, e.expected(now))
+	e.limiter.SetIsolatedParts(e.isolated(now))
+	e.limiter.ExpirePeers(now)
 	e.book.Tick(e.wall.At(now))
 	e.refreshPhase(now)
 }
@@ -173,7 +173,7 @@
 // forget drops a daemon that has ended; its counts of usage stay. Called with mu
 // held.
 func (e *Edge) forget(id ident.Incarnation, why string) {
-	e.limiter.Gone(id)
+	e.limiter.PeerEnded(id)
 	e.wall.Gone(id)
 	delete(e.stamps, id)
 	delete(e.followers, id)
