--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -174,22 +174,22 @@
 // worstWindow plays the flood and returns the most that was taken in any window.
 func (f flood) worstWindow() float64 {
 	const step = 100 * time.Millisecond
-	fleet := newFleet(f.daemons, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
+	members := newFleet(f.daemons, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
 	type taken struct {
 		at   time.Duration
 		cost float64
 	}
 	var grants []taken
 	perDaemon := 1 + int(f.rateMultiple*perSecond*step.Seconds()/f.cost/float64(f.daemons))
-	for fleet.now = 0; fleet.now < 20*time.Second; fleet.now += step {
+	for members.now = 0; members.now < 20*time.Second; members.now += step {
 		for i := range f.disconnected {
-			fleet.disconnected[i] = fleet.now >= f.disconnectFrom && fleet.now < f.disconnectFrom+f.disconnectFor
+			members.disconnected[i] = members.now >= f.disconnectFrom && members.now < f.disconnectFrom+f.disconnectFor
 		}
-		fleet.exchangeStates()
-		for _, m := range fleet.members {
+		members.exchangeStates()
+		for _, m := range members.members {
 			for range perDaemon {
-				if _, ok := m.Take(fleet.now, ws, f.cost); ok {
-					grants = append(grants, taken{fleet.now, f.cost})
+				if _, ok := m.Take(members.now, ws, f.cost); ok {
+					grants = append(grants, taken{members.now, f.cost})
 				}
 			}
 		}
