--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -1,30 +1,31 @@
-// Package quota shares each workspace's quota over all daemons without asking
-// anybody on a request's way.
+// Package quota enforces each workspace's quota across all daemons without a remote call on
+// the request path.
 //
-// A quota is a rate with a burst: in any window a workspace may use what the rate
-// gives in it and one burst. Every daemon keeps a copy of the workspace's one
-// token bucket. It takes its own requests out at once and what the others took as
-// soon as it hears of it, a moment later. Three guards bound what the copies can
-// give out together:
+// A quota is a rate with a burst: in any window a workspace may use what the rate yields in
+// that window plus one burst. Every daemon keeps a replica of the workspace's token bucket.
+// A daemon takes its own requests out of its replica at once, and takes out what the other
+// daemons used as soon as their messages arrive, a moment later. The following rules bound
+// what the replicas can grant together:
 //
-//   - In one Interval a daemon takes no more than its part of what the bucket
-//     held at the interval's start. Without it a flood of one workspace over all
-//     daemons would take the same tokens at each of them before any hears of the
-//     others.
-//   - A daemon that has been silent may go on taking. The others leave it its
-//     part of the bucket and of the refill until it is heard again or forgotten,
-//     and take it to have done as they did since it was last heard.
-//   - A daemon that hears none of the others that it knows of gives out its part only.
-//     It can't tell whether they are down or go on without it.
-//   - A daemon that starts takes the others' level. Where there is nobody to ask
-//     and the fleet has served before, its bucket starts empty: whatever was given
-//     out a moment ago, no window then holds more than without the restart. A
-//     count of the use in the last window would have to refuse for that long.
-//     Daemons that start together each give out what comes in until they hear of
-//     each other; all that they took is taken out then, so it is paid back.
+//   - Within one BudgetInterval a daemon takes no more than its share of what the bucket
+//     held at the start of the interval. Otherwise a workspace that floods all daemons
+//     would take the same tokens at each of them before any daemon hears of the others.
+//   - A daemon that has become silent may still be granting requests. The other daemons
+//     reserve its share of the bucket and of the refill until it is heard again or
+//     forgotten, and assume that since it was last heard it has taken as much as they have
+//     themselves.
+//   - A daemon that hears none of the daemons that it knows of grants only its own share,
+//     because it can't tell whether they are down or go on without it.
+//   - A daemon that starts takes over the bucket levels of the others. If no other daemon
+//     answers and the fleet has served before, its bucket starts empty. Whatever was
+//     granted a moment ago, no window then holds more than it would have without the
+//     restart; counting the use of the last window instead would mean refusing requests
+//     for a whole window. Daemons that start together each grant what the refill yields
+//     until they hear of each other. All that they took is then subtracted, so any excess
+//     is paid back.
 //
-// The package does no I/O and reads no clock: times are offsets of a clock that
-// runs on while the VM is suspended. It is not safe for concurrent use.
+// The package does no I/O and reads no clock: times are offsets of a monotonic clock that
+// keeps running while the VM is suspended. A Limiter is not safe for concurrent use.
 package quota
 
 import (
@@ -34,89 +35,93 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Limit is one workspace's quota; a zero PerSecond is none.
+// Limit is the quota of one workspace. A zero PerSecond means that there is no limit.
 type Limit struct {
 	PerSecond float64
 	Burst     float64
 }
 
-// Tolerance is by how much the use of a window may exceed the quota. It is there
-// because daemons don't know at once what the others take.
+// Tolerance is the amount by which the use in a window may exceed the quota. It exists
+// because daemons learn of each other's use with a delay.
 type Tolerance struct {
-	// Overage is a part of the quota, Slack an amount on top.
+	// Overage is a fraction of the quota; Slack is an absolute amount on top of it.
 	Overage float64
 	Slack   float64
 }
 
-// BucketState is what one daemon tells of one workspace.
+// BucketState is what a daemon tells the others about its replica of one workspace's
+// bucket.
 type BucketState struct {
-	// Taken is all that the daemon took since it started, less what it gave back.
+	// Taken is the sum of all costs that the daemon took since it started, less refunds.
 	Taken float64
-	// Level is its copy of the bucket.
+	// Level is the number of tokens in the daemon's replica of the bucket.
 	Level float64
 }
 
 const (
-	// BudgetInterval is how often daemons hear of each other at the least, with one
-	// lost message.
+	// BudgetInterval is the longest time between two messages of a daemon if one message is
+	// lost. Each daemon gets a new budget once in this interval.
 	BudgetInterval = 250 * time.Millisecond
-	// SilentAfter is how long a daemon may be unheard before its part is left to
-	// it. Five messages of 100 ms each are then missing.
+	// SilentAfter is how long a daemon may go unheard before its share is reserved for it.
+	// By then five messages, sent every 100 ms, are missing.
 	SilentAfter = 600 * time.Millisecond
-	// ForgetAfter is how long an unheard daemon keeps its part.
+	// ForgetAfter is how long the share of an unheard daemon stays reserved.
 	ForgetAfter = 10 * time.Second
-	// minRateShare is the part of what the rate gives in an interval that a daemon
-	// may take at any time: below the quota a workspace whose callers all use one
-	// daemon needs it. Beyond smallFleet daemons, which together may so take four
-	// times what the rate gives, it falls with their number: 33 could else take six
-	// seconds' worth before any hears of the others. A workspace whose callers use
-	// few of many daemons then lives on its share of the use.
+	// minRateShare is the fraction of the refill of one interval that a daemon may take at
+	// any time. A workspace below its quota whose callers all use one daemon needs it.
+	// Above fullMinShareDaemons daemons, which can together take four times the rate in
+	// this way, the fraction falls with their number: otherwise 33 daemons could take six
+	// seconds' worth of the rate before any hears of the others. A workspace whose callers
+	// use few of many daemons then depends on its share of the recent use.
 	minRateShare        = 0.7
 	fullMinShareDaemons = 6
-	// uninformedShare of an equal part may be taken once while another daemon has just fallen
-	// silent.
+	// uninformedShare is the fraction of an equal share that a daemon may take once while
+	// it is uninformed, i.e. while a peer has just stopped sending.
 	uninformedShare = 1.0
-	// uninformedMaxShares times that part may be taken for a single prompt that is longer.
+	// uninformedMaxShares is how many such shares a single long prompt may take.
 	uninformedMaxShares = 2.0
-	// usageDecay is the time constant of the recent use that shares are taken by.
-	// It is several intervals long, so that one request more or less changes little.
+	// usageDecay is the time constant with which recent use decays when shares are
+	// computed. It is several intervals long, so that a single request changes little.
 	usageDecay = time.Second
-	// burstTolerance is the part of the tolerance that is added to the burst, since a
-	// prompt may be a third of a second's worth and a level is partly guessed; the
-	// rest covers what daemons take without knowing of each other.
+	// burstTolerance is the fraction of the tolerance that is added to the burst, because a
+	// single prompt may cost a third of a second's worth of the rate and a level is partly
+	// an estimate. The rest of the tolerance covers what daemons take before they hear of
+	// each other.
 	burstTolerance = 0.38
-	// minRetryWait keeps a refusal from asking its caller back at once.
+	// minRetryWait is the shortest wait that a refusal reports, so that callers don't retry
+	// at once.
 	minRetryWait = 5 * time.Millisecond
-	// steadyFraction is the part of what a window may hold beyond the rate that is given
-	// out steadily, the rest at once. A workspace that sends a little over its rate
-	// all the time is within its quota in every window, and would be refused by a
-	// bucket as large as the burst that is refilled at the bare rate. What is left
-	// holds several of the longest prompts.
+	// steadyFraction is the fraction of a window's allowance beyond the rate that is
+	// granted as additional refill; the rest is the bucket's capacity. A workspace that
+	// constantly sends a little over its rate is within its quota in every window, but a
+	// bucket as large as the burst that is refilled at the bare rate would refuse it. The
+	// remaining capacity holds several of the longest prompts.
 	steadyFraction = 0.5
-	// syncPeriod is how long after its start a daemon takes the others' level for
-	// its own knowledge.
+	// syncPeriod is how long after its start a daemon takes over the bucket levels of the
+	// others.
 	syncPeriod = 3 * time.Second
 )
 
-// bucket is the copy of one workspace's.
+// bucket is this daemon's replica of one workspace's token bucket.
 type bucket struct {
 	limit       Limit
 	initialized bool
 	level       float64
 	// refilledAt is when level was last refilled.
 	refilledAt time.Duration
-	// taken counts own requests since the start.
+	// taken is the sum of this daemon's own costs since its start, less refunds.
 	taken float64
-	// budget is what may still be taken in the interval that ends at ends.
+	// budget is what may still be taken in the interval that ends at budgetEnds.
 	budget     float64
 	budgetEnds time.Duration
-	// uninformedBudgetUsed says that a part for such a time was added since the daemon was informed last.
+	// uninformedBudgetUsed is set once the share for uninformed times was added to the
+	// budget, until the daemon is informed again.
 	uninformedBudgetUsed bool
-	// recentUsage is the own recent use.
+	// recentUsage is the recent use by this daemon's own requests.
 	recentUsage decayingSum
 }
 
-// decayingSum is an amount that fades with useMemory.
+// decayingSum is an amount that decays exponentially with time constant usageDecay.
 type decayingSum struct {
 	amount float64
 	at     time.Duration
@@ -133,17 +138,17 @@
 type peerState struct {
 	lastHeard time.Duration
 	taken     map[ident.Workspace]float64
-	// recentUsage is its recent use.
+	// recentUsage is the recent use by the peer's requests.
 	recentUsage map[ident.Workspace]*decayingSum
-	// ownTaken is what this daemon had taken itself when it last heard the other.
+	// ownTaken is the value of bucket.taken when the peer was last heard.
 	ownTaken map[ident.Workspace]float64
-	// silent says that it has been unheard for SilentAfter, reserved what was
-	// left to it since.
+	// silent is set when the peer has been unheard for SilentAfter. reserved is what has
+	// been set aside for it since then.
 	silent   bool
 	reserved map[ident.Workspace]float64
 }
 
-// Limiter holds the copies of one daemon.
+// Limiter holds a daemon's replicas of all token buckets.
 type Limiter struct {
 	window     time.Duration
 	tolerance  Tolerance
@@ -151,18 +156,18 @@
 	firstStart bool
 	buckets    map[ident.Workspace]*bucket
 	peers      map[ident.Incarnation]*peerState
-	// expectedDaemons is how many daemons there may be, this one included, whether or not
+	// expectedDaemons is how many daemons may exist, including this one, whether or not
 	// they have been heard.
 	expectedDaemons int
-	// isolatedParts is how many parts the buckets have while no other daemon is heard at all;
-	// zero is not isolatedParts.
+	// isolatedParts is the number of parts into which the buckets are divided while no
+	// other daemon is heard. Zero means that this daemon is not isolated.
 	isolatedParts int
-	// synced says that an older daemon's levels were taken over.
+	// synced is set once the bucket levels of an older daemon were taken over.
 	synced bool
 }
 
-// New returns a limiter that knows no workspace and no other daemon. firstStart
-// says that the fleet has not served before.
+// New returns a limiter without workspaces and peers. firstStart states that the fleet has
+// never served before.
 func New(now, window time.Duration, tolerance Tolerance, firstStart bool) *Limiter {
 	return &Limiter{
 		window: window, tolerance: tolerance, started: now, firstStart: firstStart,
@@ -170,18 +175,18 @@
 	}
 }
 
-// windowBurst is what a window may hold beyond the rate: the burst and the lenient part of
+// windowBurst is what a window may hold beyond the rate: the burst and burstTolerance of
 // the tolerance.
 func (l *Limiter) windowBurst(limit Limit) float64 {
 	quota := limit.PerSecond*l.window.Seconds() + limit.Burst
 	return limit.Burst + burstTolerance*(l.tolerance.Overage*quota+l.tolerance.Slack)
 }
 
-// capacity is the most that a bucket holds.
+// capacity is the maximum level of a bucket.
 func (l *Limiter) capacity(limit Limit) float64 { return (1 - steadyFraction) * l.windowBurst(limit) }
 
-// rate is what a bucket gains in a second. A full bucket and a window's gain are
-// together what a window may hold.
+// rate is the refill of a bucket per second. A full bucket and the refill of one window add
+// up to what a window may hold.
 func (l *Limiter) rate(limit Limit) float64 {
 	if limit.PerSecond <= 0 {
 		return 0
@@ -189,8 +194,8 @@
 	return limit.PerSecond + steadyFraction*l.windowBurst(limit)/l.window.Seconds()
 }
 
-// SetLimits replaces the limits. A lowered one takes what is above its capacity
-// away at once.
+// SetLimits replaces the limits. If a limit is lowered, the level is cut to the new
+// capacity at once.
 func (l *Limiter) SetLimits(now time.Duration, limits map[ident.Workspace]Limit) {
 	for ws, b := range l.buckets {
 		l.refill(now, ws, b)
@@ -220,8 +225,9 @@
 	return b
 }
 
-// Take takes cost out of the workspace's bucket. If there is too little it takes
-// nothing and returns false with the time in which there will be enough.
+// Take takes cost out of the workspace's bucket and returns true. If the bucket or this
+// daemon's budget holds too little, Take changes nothing and returns false with the time
+// after which a retry may succeed.
 func (l *Limiter) Take(now time.Duration, ws ident.Workspace, cost float64) (time.Duration, bool) {
 	b := l.bucket(ws)
 	if b.limit.PerSecond <= 0 {
@@ -229,7 +235,7 @@
 		return 0, true
 	}
 	l.refill(now, ws, b)
-	// A request over all that a bucket holds needs a full one.
+	// A request that costs more than the capacity needs a full bucket.
 	need := min(cost, l.capacity(b.limit))
 	if b.level < need {
 		return max(minRetryWait, secondsToDuration((need-b.level)/l.rate(b.limit))), false
@@ -262,19 +268,19 @@
 	return 0, true
 }
 
-// Covers tells whether the workspace's bucket holds a cost, though this daemon may have
-// used up its part of it. Another daemon may give it out then.
+// Covers reports whether the workspace's bucket holds cost, even if this daemon has used up
+// its own share of it. In that case another daemon may be able to grant the request.
 func (l *Limiter) Covers(now time.Duration, ws ident.Workspace, cost float64) bool {
 	b := l.bucket(ws)
 	l.refill(now, ws, b)
 	return b.level >= min(cost, l.capacity(b.limit))
 }
 
-// budgetShare is the part of a bucket that this daemon may take in an interval: that of
-// the workspace's recent use which came here, so that callers who use few of the
-// daemons find what they need, and an equal one at the least. Shares of the use add
-// up to one, whatever the number of daemons. One that has just started knows too
-// little of the others' use.
+// budgetShare is the fraction of a bucket that this daemon may take in an interval. It
+// equals the fraction of the workspace's recent use that came to this daemon, so that
+// callers who use only a few daemons get what they need, and is at least an equal share.
+// The fractions of the use add up to one for any number of daemons. A daemon that has just
+// started gets an equal share, because it knows too little of the use at the others.
 func (l *Limiter) budgetShare(now time.Duration, ws ident.Workspace, b *bucket) float64 {
 	equalShare := 1 / float64(l.daemonCount())
 	ownUsage := b.recentUsage.value(now)
@@ -292,11 +298,12 @@
 
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// allPeersRecent tells whether every daemon that is not silent was heard within an
-// interval. Until then the former budget must last, and a part of an equal one: with a new
-// one in each interval daemons that have just lost each other would take the same tokens
-// again; without any, a daemon's end would have the others refuse for as long as it
-// isn't taken for silent whom they had not served a moment before.
+// allPeersRecent reports whether every daemon that is not silent was heard within the last
+// BudgetInterval. Otherwise the daemon keeps its previous budget and gets one additional
+// part of an equal share. With a new budget in each interval, daemons that have just lost
+// contact would take the same tokens again. Without the additional part, the end of one
+// daemon would make the others refuse requests of workspaces that they had not served a
+// moment before, until that daemon counts as silent.
 func (l *Limiter) allPeersRecent(now time.Duration) bool {
 	for _, p := range l.peers {
 		if !p.silent && now-p.lastHeard > BudgetInterval {
@@ -316,8 +323,7 @@
 	}
 }
 
-// refill adds what the time since the last refill is worth, less the parts of
-// the silent daemons.
+// refill adds the refill since refilledAt, less the shares reserved for silent daemons.
 func (l *Limiter) refill(now time.Duration, ws ident.Workspace, b *bucket) {
 	l.markSilentPeers(now)
 	elapsed := (now - b.refilledAt).Seconds()
@@ -337,9 +343,9 @@
 	b.level = min(l.capacity(b.limit), b.level+gained)
 }
 
-// markSilentPeers finds the daemons that have just become silent and leaves each its
-// part of what the buckets hold. Since it was last heard it is taken to have
-// done as this daemon did: a flood comes to all daemons alike.
+// markSilentPeers finds the peers that have just become silent and reserves for each its
+// share of the buckets. Such a peer is assumed to have taken as much as this daemon since
+// it was last heard, because a flood reaches all daemons alike.
 func (l *Limiter) markSilentPeers(now time.Duration) {
 	for _, p := range l.peers {
 		if p.silent || now-p.lastHeard <= SilentAfter {
@@ -355,7 +361,7 @@
 	}
 }
 
-// daemonCount counts the daemons that may take from the buckets, this one included.
+// daemonCount is the number of daemons that may take from the buckets, including this one.
 func (l *Limiter) daemonCount() int {
 	if l.firstStart {
 		return max(1+len(l.peers), l.isolatedParts)
@@ -363,8 +369,9 @@
 	return max(1+len(l.peers), l.expectedDaemons, l.isolatedParts)
 }
 
-// Age is how long this daemon has known how full the buckets are, as far as it matters
-// to others: one that has taken an older one's level knows as much as that.
+// Age is for how long this daemon has known the levels of the buckets, as reported to the
+// other daemons. A daemon that took over the levels of an older one reports at least
+// syncPeriod, because it knows as much as the older one.
 func (l *Limiter) Age(now time.Duration) time.Duration {
 	if l.synced {
 		return max(syncPeriod, now-l.started)
@@ -372,8 +379,8 @@
 	return now - l.started
 }
 
-// SetIsolatedParts tells into how many parts the buckets are to be divided while this daemon
-// hears no other, its own included; zero ends that.
+// SetIsolatedParts sets the number of parts into which the buckets are divided while this
+// daemon hears no other; its own part is included. Zero ends the division.
 func (l *Limiter) SetIsolatedParts(parts int) { l.isolatedParts = parts }
 
 func (p *peerState) addUsage(now time.Duration, ws ident.Workspace, amount float64) {
@@ -385,8 +392,9 @@
 	used.add(now, max(0, amount))
 }
 
-// SetExpectedDaemons tells how many daemons there may be, this one included. One that has just
-// started and hears nobody yet must not give out the others' parts, too.
+// SetExpectedDaemons sets how many daemons may exist, including this one. A daemon that has
+// just started and hears no other yet must not grant the others' shares. After syncPeriod
+// the number has no effect.
 func (l *Limiter) SetExpectedDaemons(now time.Duration, daemons int) {
 	l.expectedDaemons = daemons
 	if now-l.started >= syncPeriod {
@@ -394,8 +402,8 @@
 	}
 }
 
-// ApplyPeerState takes in what another daemon, which has run for age, tells of itself.
-// Messages of one daemon must come in the order in which it made them.
+// ApplyPeerState applies the bucket states that another daemon sent, which has been running
+// for age. Messages of one daemon must be applied in the order in which it made them.
 func (l *Limiter) ApplyPeerState(now time.Duration, id ident.Incarnation, age time.Duration, states map[ident.Workspace]BucketState) {
 	p, known := l.peers[id]
 	if !known {
@@ -430,14 +438,15 @@
 	}
 }
 
-// syncLevel takes in what a daemon knows that is heard for the first time. An older
-// one's level is taken over; it does not know yet what was taken here. One that is
-// as new knows no more than this one, but all that it took is news: an older daemon
-// that was heard before has told that already.
+// syncLevel applies the state of a peer that is heard for the first time. The level of an
+// older peer is taken over; it doesn't yet include what this daemon took. A peer as new as
+// this daemon knows no more than it does, but all that the peer took must be subtracted
+// here, unless an older daemon was heard before, whose level already includes it.
 func (l *Limiter) syncLevel(b *bucket, state BucketState, age time.Duration) {
 	switch {
 	case l.firstStart:
-		// All buckets start full, so none may be fuller than another.
+		// All buckets start full on the first start, so the lower level is the better
+		// estimate.
 		b.level = min(b.level, state.Level)
 	case age >= syncPeriod:
 		b.level = min(state.Level-b.taken, l.capacity(b.limit))
@@ -446,8 +455,8 @@
 	}
 }
 
-// PeerLeft forgets a daemon that goes on but takes from no bucket any more. What was left to
-// it while it was unheard was not taken.
+// PeerLeft removes a daemon that keeps running but takes from no bucket any more. What was
+// reserved for it while it was silent was not taken and is returned to the buckets.
 func (l *Limiter) PeerLeft(id ident.Incarnation) {
 	p, known := l.peers[id]
 	if !known {
@@ -460,10 +469,10 @@
 	delete(l.peers, id)
 }
 
-// PeerEnded forgets a daemon that has ended.
+// PeerEnded removes a daemon that has ended.
 func (l *Limiter) PeerEnded(id ident.Incarnation) { delete(l.peers, id) }
 
-// ExpirePeers forgets daemons that have been silent for long.
+// ExpirePeers removes the peers that have not been heard for ForgetAfter.
 func (l *Limiter) ExpirePeers(now time.Duration) {
 	for id, p := range l.peers {
 		if now-p.lastHeard > ForgetAfter {
@@ -472,7 +481,7 @@
 	}
 }
 
-// BucketStates is what to tell the other daemons.
+// BucketStates returns the states to send to the other daemons.
 func (l *Limiter) BucketStates(now time.Duration) map[ident.Workspace]BucketState {
 	states := make(map[ident.Workspace]BucketState, len(l.buckets))
 	for ws, b := range l.buckets {
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -20,8 +20,8 @@
 
 const window = 8 * time.Second
 
-// Of a rate of 100 a second and a burst of 200 a window of 8 s may hold 1,000: half
-// of the burst at once, and 112.5 a second.
+// With a rate of 100/s and a burst of 200, a window of 8 s may hold 1,000: half of the
+// burst at once and a refill of 112.5/s.
 func TestSingleDaemonBucket(t *testing.T) {
 	is := is.New(t)
 	l := quota.New(0, window, quota.Tolerance{}, true)
@@ -33,7 +33,7 @@
 	is.Equal(wait, 400*time.Millisecond)
 	_, ok = l.Take(400*time.Millisecond, ws, 45)
 	is.True(ok)
-	l.Refund(ws, 45) // it was refused elsewhere and has not run
+	l.Refund(ws, 45) // another daemon refused the request, so it has not run
 	_, ok = l.Take(400*time.Millisecond, ws, 45)
 	is.True(ok)
 	taken := 145.0
@@ -46,8 +46,8 @@
 	is.True(taken <= 1000)
 }
 
-// A workspace sends a little over its rate all the time. No window holds more than
-// its quota, so none of its requests may be refused.
+// A workspace constantly sends a little over its rate. No window holds more than its quota,
+// so none of its requests may be refused.
 func TestSteadyUseWithinWindowIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	l := quota.New(0, window, quota.Tolerance{}, true)
@@ -58,8 +58,8 @@
 	}
 }
 
-// A quota is lowered while its bucket is full. What the old one had saved up
-// must not be spent under the new one.
+// The quota is lowered while the bucket is full. Tokens saved under the old quota must not
+// be spent under the new one.
 func TestLoweredLimitCapsSavedTokens(t *testing.T) {
 	is := is.New(t)
 	l := quota.New(0, window, quota.Tolerance{}, true)
@@ -71,9 +71,9 @@
 	is.True(!ok)
 }
 
-// All daemons are killed under a flood of one workspace and start again with
-// empty memories. What they give out then must not add a second quota to the
-// window, and a workspace within its rate must not be refused.
+// All daemons are killed while one workspace floods them, and start again without their
+// state. What they grant after the restart must not add a second quota to the window, and a
+// workspace within its rate must not be refused.
 func TestRestartedFleetKeepsWindow(t *testing.T) {
 	is := is.New(t)
 	tolerance := quota.Tolerance{Overage: overage, Slack: slack}
@@ -109,7 +109,7 @@
 	}
 }
 
-// fleet is several daemons that hear each other every step unless cut off.
+// fleet is a set of daemons that exchange their states at every step unless disconnected.
 type fleet struct {
 	now          time.Duration
 	members      []*quota.Limiter
@@ -131,7 +131,7 @@
 	return f
 }
 
-// restart replaces all daemons by new ones, which have not heard of each other.
+// restart replaces all daemons by new ones that have not heard of each other.
 func (f *fleet) restart() {
 	for i := range f.members {
 		f.ids[i] += "+"
@@ -160,8 +160,8 @@
 	slack     = 190_000.0
 )
 
-// flood is one workspace that sends a multiple of its rate to all daemons, the
-// first cut of which are cut off from the others for a while.
+// flood is one workspace that sends a multiple of its rate to all daemons. The first
+// `disconnected` daemons are disconnected from the others for a while.
 type flood struct {
 	daemons        int
 	rateMultiple   float64
@@ -171,7 +171,7 @@
 	disconnectFor  time.Duration
 }
 
-// worstWindow plays the flood and returns the most that was taken in any window.
+// worstWindow runs the flood and returns the highest sum taken in any window.
 func (f flood) worstWindow() float64 {
 	const step = 100 * time.Millisecond
 	members := newFleet(f.daemons, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
@@ -208,10 +208,9 @@
 
 const toleratedPerWindow = (perSecond*8+burst)*(1+overage) + slack
 
-// One workspace floods all daemons, some of which are cut off from the others
-// for a while. In no window may the daemons together let through more than the
-// quota with the users' tolerance: a tenth and a fixed slack of less than one
-// second's worth.
+// One workspace floods all daemons, some of which are disconnected from the others for a
+// while. In no window may the daemons together grant more than the quota plus the tolerance
+// that users were promised: 10% and a fixed slack of less than one second's worth.
 func TestWindowHoldsOverDaemons(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "daemons")
@@ -229,9 +228,9 @@
 	})
 }
 
-// Floods that once put too much into a window: a silent daemon's part was given
-// out again; a guess was taken back from the wrong slot; daemons that had just
-// lost each other each took a new part of the same room.
+// Inputs that once put too much into a window, for three reasons: the share of a silent
+// daemon was granted a second time; an estimate was subtracted from the wrong time slot;
+// daemons that had just lost contact each took another share of the same tokens.
 func TestFloodRegressions(t *testing.T) {
 	is := is.New(t)
 	ms := time.Millisecond
@@ -251,16 +250,16 @@
 	}
 }
 
-// All of a larger fleet's daemons are killed under a flood of one workspace and start
-// again at the same moment. Until they hear of each other, each gives out what has
-// come in since; one that took another's level for its own then forgot what it and all
-// others had given out, and the window held too much. It must be paid back.
+// All daemons of a larger fleet are killed while one workspace floods them, and start again
+// at the same moment. Until they hear of each other, each grants what the refill has
+// yielded since. A daemon that took over the level of another one used to forget what it
+// and the others had granted, so the window held too much. That excess must be paid back.
 func TestFleetThatRestartsAtOnceKeepsWindow(t *testing.T) {
 	is := is.New(t)
 	const (
 		step, heardEvery = 50 * time.Millisecond, 200 * time.Millisecond
 		killed, down     = 13 * time.Second, time.Second
-		// disconnectedAfterStart is how long after their start the daemons hear nothing.
+		// disconnectedAfterStart is how long after their start the daemons receive nothing.
 		disconnectedAfterStart = 500 * time.Millisecond
 	)
 	for _, n := range []int{2, 5, 12, 33} {
@@ -299,7 +298,7 @@
 	}
 }
 
-// A calm workspace below its quota is never refused, whatever daemon it asks.
+// A workspace with steady use below its quota is never refused, whichever daemon it asks.
 func TestNoRefusalBelowLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const step = 100 * time.Millisecond
@@ -317,12 +316,13 @@
 }
 
 // One workspace sends four times its rate to 33 daemons, which hear of each other five
-// times a second. Each could take a good part of an interval's worth before it heard of
-// the others: for half a second everything was let through, then for a second and more
-// nothing, and the windows that began and ended in such a rush held too much. What is
-// given out must come evenly.
+// times a second. Each daemon could take a large part of an interval's worth before it
+// heard of the others: for half a second everything was granted, then nothing for more than
+// a second, and windows that began and ended in such a rush held too much. Tokens must be
+// granted evenly.
 //
-// Most in any second after the burst, of a rate of 300,000: 468,000 before, 396,000 now.
+// Highest use in any second after the burst at a rate of 300,000: 468,000 before the fix,
+// 396,000 with it.
 func TestFloodOfALargeFleetIsLetThroughEvenly(t *testing.T) {
 	is := is.New(t)
 	const (
@@ -361,8 +361,9 @@
 	is.True(worstWindow <= toleratedPerWindow)
 }
 
-// The callers of one workspace keep their connections to one of 33 daemons. Below
-// its quota it must not be refused because the others might take the rest.
+// The callers of one workspace keep their connections to one of 33 daemons. Below its quota
+// the workspace must not be refused on the grounds that the other daemons might take the
+// rest.
 func TestConcentratedUseInALargeFleetIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	const step = 100 * time.Millisecond
@@ -386,8 +387,8 @@
 	}
 }
 
-// A daemon that has just started knows nothing of what the others gave out. It
-// takes their level instead of starting with savings of its own, or with none.
+// A daemon that has just started doesn't know what the others granted. It must take over
+// their level instead of starting with a full or an empty bucket.
 func TestNewDaemonSyncsLevel(t *testing.T) {
 	is := is.New(t)
 	old := quota.New(0, window, quota.Tolerance{}, true)
@@ -405,7 +406,7 @@
 	}
 }
 
-// A daemon loses all others for good. It must go on giving out its part of the
+// A daemon loses contact with all others for good. It must go on granting its share of the
 // quota, and no more than that.
 func TestCutOffDaemonGivesItsPart(t *testing.T) {
 	is := is.New(t)
@@ -425,8 +426,9 @@
 	is.True(granted <= 6*1000/4*1.3)
 }
 
-// Four daemons lose each other for half a second under a flood, before any can tell
-// that the others are gone. They must not each give out the rest of the bucket.
+// Four daemons lose contact with each other for half a second during a flood, before any of
+// them can tell that the others are silent. They must not each grant the rest of the
+// bucket.
 func TestBlindMomentGivesOutTheBucketOnce(t *testing.T) {
 	is := is.New(t)
 	const step = 50 * time.Millisecond
@@ -448,7 +450,8 @@
 	is.True(granted <= 10_000+4*(1000*0.55)+4*100)
 }
 
-// Guards against daemons that lose all others at once and each give out the whole quota.
+// Guards against daemons that lose contact with all others at once and each grant the whole
+// quota.
 func TestIsolatedDaemonTakesOnlyItsPart(t *testing.T) {
 	is := is.New(t)
 	const daemons, cost = 120, 2000.0
@@ -465,15 +468,15 @@
 	is.True(taken*daemons <= toleratedPerWindow)
 }
 
-// Guards against workspaces within their limits that are refused for a while whenever
-// any daemon ends.
+// Guards against refusals of workspaces within their limits for a while whenever any daemon
+// ends.
 func TestDaemonEndCausesNoRefusalsWithinLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
 	for f.now = 0; f.now < 3*time.Second; f.now += 100 * time.Millisecond {
 		f.exchangeStates()
 	}
-	f.disconnected[3] = true // it has ended
+	f.disconnected[3] = true // daemon 3 has ended
 	for until := f.now + 700*time.Millisecond; f.now < until; f.now += 100 * time.Millisecond {
 		f.exchangeStates()
 		_, ok := f.members[0].Take(f.now, ws, 10_000)
