--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -150,12 +150,12 @@
 
 // Limiter holds a daemon's replicas of all token buckets.
 type Limiter struct {
-	window     time.Duration
-	tolerance  Tolerance
-	started    time.Duration
-	firstStart bool
-	buckets    map[ident.Workspace]*bucket
-	peers      map[ident.Incarnation]*peerState
+	window          time.Duration
+	tolerance       Tolerance
+	started         time.Duration
+	firstFleetStart bool
+	buckets         map[ident.Workspace]*bucket
+	peers           map[ident.Incarnation]*peerState
 	// expectedDaemons is how many daemons may exist, including this one, whether or not
 	// they have been heard.
 	expectedDaemons int
@@ -170,7 +170,7 @@
 // never served before.
 func New(now, window time.Duration, tolerance Tolerance, firstStart bool) *Limiter {
 	return &Limiter{
-		window: window, tolerance: tolerance, started: now, firstStart: firstStart,
+		window: window, tolerance: tolerance, started: now, firstFleetStart: firstStart,
 		buckets: map[ident.Workspace]*bucket{}, peers: map[ident.Incarnation]*peerState{},
 	}
 }
@@ -207,7 +207,7 @@
 		b := l.bucket(ws)
 		if !b.initialized && limit.PerSecond > 0 {
 			b.initialized, b.refilledAt = true, now
-			if l.firstStart {
+			if l.firstFleetStart {
 				b.level = l.capacity(limit)
 			}
 		}
@@ -240,16 +240,16 @@
 	if b.level < need {
 		return max(minRetryWait, secondsToDuration((need-b.level)/l.rate(b.limit))), false
 	}
-	switch informed := l.allPeersRecent(now); {
+	switch allPeersRecent := l.allPeersRecent(now); {
 	case now < b.budgetEnds:
-	case !informed && !b.uninformedBudgetUsed && l.daemonCount() > 1:
+	case !allPeersRecent && !b.uninformedBudgetUsed && l.daemonCount() > 1:
 		b.uninformedBudgetUsed = true
 		part := uninformedShare * b.level / float64(l.daemonCount())
 		if need <= uninformedMaxShares*part {
 			part = max(part, need)
 		}
 		b.budget = max(b.budget, part)
-	case informed:
+	case allPeersRecent:
 		b.uninformedBudgetUsed = false
 		b.budgetEnds = now + BudgetInterval
 		b.budget = b.level
@@ -289,8 +289,8 @@
 	}
 	totalUsage := ownUsage
 	for _, p := range l.peers {
-		if used, ok := p.recentUsage[ws]; ok {
-			totalUsage += used.value(now)
+		if recentUsage, ok := p.recentUsage[ws]; ok {
+			totalUsage += recentUsage.value(now)
 		}
 	}
 	return max(equalShare, ownUsage/totalUsage)
@@ -363,7 +363,7 @@
 
 // daemonCount is the number of daemons that may take from the buckets, including this one.
 func (l *Limiter) daemonCount() int {
-	if l.firstStart {
+	if l.firstFleetStart {
 		return max(1+len(l.peers), l.isolatedParts)
 	}
 	return max(1+len(l.peers), l.expectedDaemons, l.isolatedParts)
@@ -383,13 +383,13 @@
 // daemon hears no other; its own part is included. Zero ends the division.
 func (l *Limiter) SetIsolatedParts(parts int) { l.isolatedParts = parts }
 
-func (p *peerState) addUsage(now time.Duration, ws ident.Workspace, amount float64) {
-	used, ok := p.recentUsage[ws]
+func (p *peerState) record(now time.Duration, ws ident.Workspace, amount float64) {
+	recentUsage, ok := p.recentUsage[ws]
 	if !ok {
-		used = &decayingSum{}
-		p.recentUsage[ws] = used
+		recentUsage = &decayingSum{}
+		p.recentUsage[ws] = recentUsage
 	}
-	used.add(now, max(0, amount))
+	recentUsage.add(now, max(0, amount))
 }
 
 // SetExpectedDaemons sets how many daemons may exist, including this one. A daemon that has
@@ -417,16 +417,16 @@
 	for ws, b := range l.buckets {
 		l.refill(now, ws, b)
 	}
-	for ws, state := range states {
+	for ws, record := range states {
 		b := l.bucket(ws)
 		if known {
-			b.level += p.reserved[ws] - (state.Taken - p.taken[ws])
+			b.level += p.reserved[ws] - (record.Taken - p.taken[ws])
 			b.level = min(b.level, l.capacity(b.limit))
-			p.addUsage(now, ws, state.Taken-p.taken[ws])
+			p.record(now, ws, record.Taken-p.taken[ws])
 		} else if now-l.started < syncPeriod && b.limit.PerSecond > 0 {
-			l.syncLevel(b, state, age)
+			l.syncLevel(b, record, age)
 		}
-		p.taken[ws] = state.Taken
+		p.taken[ws] = record.Taken
 	}
 	if !known && age >= syncPeriod {
 		l.synced = true
@@ -444,7 +444,7 @@
 // here, unless an older daemon was heard before, whose level already includes it.
 func (l *Limiter) syncLevel(b *bucket, state BucketState, age time.Duration) {
 	switch {
-	case l.firstStart:
+	case l.firstFleetStart:
 		// All buckets start full on the first start, so the lower level is the better
 		// estimate.
 		b.level = min(b.level, state.Level)
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -194,16 +194,16 @@
 			}
 		}
 	}
-	sum, worst, first := 0.0, 0.0, 0
+	sum, worstWindow, first := 0.0, 0.0, 0
 	for _, e := range grants {
 		sum += e.cost
 		for grants[first].at <= e.at-window {
 			sum -= grants[first].cost
 			first++
 		}
-		worst = max(worst, sum)
+		worstWindow = max(worstWindow, sum)
 	}
-	return worst
+	return worstWindow
 }
 
 const toleratedPerWindow = (perSecond*8+burst)*(1+overage) + slack
