--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -174,22 +174,22 @@
 // worstWindow runs the flood and returns the highest sum taken in any window.
 func (f flood) worstWindow() float64 {
 	const step = 100 * time.Millisecond
-	members := newFleet(f.daemons, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
+	simulation := newFleet(f.daemons, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
 	type taken struct {
 		at   time.Duration
 		cost float64
 	}
 	var grants []taken
 	perDaemon := 1 + int(f.rateMultiple*perSecond*step.Seconds()/f.cost/float64(f.daemons))
-	for members.now = 0; members.now < 20*time.Second; members.now += step {
+	for simulation.now = 0; simulation.now < 20*time.Second; simulation.now += step {
 		for i := range f.disconnected {
-			members.disconnected[i] = members.now >= f.disconnectFrom && members.now < f.disconnectFrom+f.disconnectFor
+			simulation.disconnected[i] = simulation.now >= f.disconnectFrom && simulation.now < f.disconnectFrom+f.disconnectFor
 		}
-		members.exchangeStates()
-		for _, m := range members.members {
+		simulation.exchangeStates()
+		for _, m := range simulation.members {
 			for range perDaemon {
-				if _, ok := m.Take(members.now, ws, f.cost); ok {
-					grants = append(grants, taken{members.now, f.cost})
+				if _, ok := m.Take(simulation.now, ws, f.cost); ok {
+					grants = append(grants, taken{simulation.now, f.cost})
 				}
 			}
 		}
