--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -49,10 +49,10 @@
 	Slack   float64
 }
 
-// BucketState is what a daemon tells the others about its replica of one workspace's
+// Use is what a daemon tells the others about its replica of one workspace's
 // bucket.
-type BucketState struct {
-	// Taken is the sum of all costs that the daemon took since it started, less refunds.
+type Use struct {
+	// Taken is the sum of all costs that the daemon took since it started, less what was released.
 	Taken float64
 	// Level is the number of tokens in the daemon's replica of the bucket.
 	Level float64
@@ -109,7 +109,7 @@
 	level       float64
 	// refilledAt is when level was last refilled.
 	refilledAt time.Duration
-	// taken is the sum of this daemon's own costs since its start, less refunds.
+	// taken is the sum of this daemon's own costs since its start, less what was released.
 	taken float64
 	// budget is what may still be taken in the interval that ends at budgetEnds.
 	budget     float64
@@ -313,8 +313,8 @@
 	return true
 }
 
-// Refund gives back what a request took that has not run and never will.
-func (l *Limiter) Refund(ws ident.Workspace, cost float64) {
+// Release gives back what a request took that has not run and never will.
+func (l *Limiter) Release(ws ident.Workspace, cost float64) {
 	b := l.bucket(ws)
 	b.taken -= cost
 	b.budget += cost
@@ -404,7 +404,7 @@
 
 // ApplyPeerState applies the bucket states that another daemon sent, which has been running
 // for age. Messages of one daemon must be applied in the order in which it made them.
-func (l *Limiter) ApplyPeerState(now time.Duration, id ident.Incarnation, age time.Duration, states map[ident.Workspace]BucketState) {
+func (l *Limiter) ApplyPeerState(now time.Duration, id ident.Incarnation, age time.Duration, states map[ident.Workspace]Use) {
 	p, known := l.peers[id]
 	if !known {
 		p = &peerState{
@@ -442,7 +442,7 @@
 // older peer is taken over; it doesn't yet include what this daemon took. A peer as new as
 // this daemon knows no more than it does, but all that the peer took must be subtracted
 // here, unless an older daemon was heard before, whose level already includes it.
-func (l *Limiter) syncLevel(b *bucket, state BucketState, age time.Duration) {
+func (l *Limiter) syncLevel(b *bucket, state Use, age time.Duration) {
 	switch {
 	case l.firstFleetStart:
 		// All buckets start full on the first start, so the lower level is the better
@@ -472,8 +472,8 @@
 // PeerEnded removes a daemon that has ended.
 func (l *Limiter) PeerEnded(id ident.Incarnation) { delete(l.peers, id) }
 
-// ExpirePeers removes the peers that have not been heard for ForgetAfter.
-func (l *Limiter) ExpirePeers(now time.Duration) {
+// Tick removes the peers that have not been heard for ForgetAfter.
+func (l *Limiter) Tick(now time.Duration) {
 	for id, p := range l.peers {
 		if now-p.lastHeard > ForgetAfter {
 			delete(l.peers, id)
@@ -481,12 +481,12 @@
 	}
 }
 
-// BucketStates returns the states to send to the other daemons.
-func (l *Limiter) BucketStates(now time.Duration) map[ident.Workspace]BucketState {
-	states := make(map[ident.Workspace]BucketState, len(l.buckets))
+// Uses returns the states to send to the other daemons.
+func (l *Limiter) Uses(now time.Duration) map[ident.Workspace]Use {
+	states := make(map[ident.Workspace]Use, len(l.buckets))
 	for ws, b := range l.buckets {
 		l.refill(now, ws, b)
-		states[ws] = BucketState{Taken: b.taken, Level: b.level}
+		states[ws] = Use{Taken: b.taken, Level: b.level}
 	}
 	return states
 }
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -33,7 +33,7 @@
 	is.Equal(wait, 400*time.Millisecond)
 	_, ok = l.Take(400*time.Millisecond, ws, 45)
 	is.True(ok)
-	l.Refund(ws, 45) // another daemon refused the request, so it has not run
+	l.Release(ws, 45) // another daemon refused the request, so it has not run
 	_, ok = l.Take(400*time.Millisecond, ws, 45)
 	is.True(ok)
 	taken := 145.0
@@ -148,7 +148,7 @@
 			if i == j || f.disconnected[i] || f.disconnected[j] {
 				continue
 			}
-			to.ApplyPeerState(f.now, f.ids[i], f.now-f.startedAt[i], from.BucketStates(f.now))
+			to.ApplyPeerState(f.now, f.ids[i], f.now-f.startedAt[i], from.Uses(f.now))
 		}
 	}
 }
@@ -398,7 +398,7 @@
 	for _, first := range []bool{true, false} {
 		fresh := quota.New(0, window, quota.Tolerance{}, first)
 		fresh.SetLimits(0, limits(100, 200))
-		fresh.ApplyPeerState(0, "old", time.Minute, old.BucketStates(0))
+		fresh.ApplyPeerState(0, "old", time.Minute, old.Uses(0))
 		_, ok = fresh.Take(0, ws, 51)
 		is.True(!ok)
 		_, ok = fresh.Take(0, ws, 40)
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -286,7 +286,7 @@
 func (e *Edge) returnQuota(relay string, ws ident.Workspace, cost float64) {
 	if relay == "" {
 		e.mu.Lock()
-		e.limiter.Refund(ws, cost)
+		e.limiter.Release(ws, cost)
 		e.mu.Unlock()
 		return
 	}
@@ -301,6 +301,6 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.plan.Relay {
-		e.limiter.Refund(ident.Workspace(r.Workspace), r.Cost)
+		e.limiter.Release(ident.Workspace(r.Workspace), r.Cost)
 	}
 }
--- a/daemon/edge/hello.go
+++ b/daemon/edge/hello.go
@@ -51,7 +51,7 @@
 
 // addUses tells what this relay took of the quotas; called with mu held.
 func (e *Edge) addUses(now time.Duration, h *peersv1.Hello) {
-	for ws, use := range e.limiter.BucketStates(now) {
+	for ws, use := range e.limiter.Uses(now) {
 		h.Uses = append(h.Uses, &peersv1.Use{Workspace: string(ws), Taken: use.Taken, Level: use.Level})
 	}
 }
@@ -95,10 +95,10 @@
 	}}
 }
 
-func usesOf(h *peersv1.Hello) map[ident.Workspace]quota.BucketState {
-	uses := make(map[ident.Workspace]quota.BucketState, len(h.Uses))
+func usesOf(h *peersv1.Hello) map[ident.Workspace]quota.Use {
+	uses := make(map[ident.Workspace]quota.Use, len(h.Uses))
 	for _, u := range h.Uses {
-		uses[ident.Workspace(u.Workspace)] = quota.BucketState{Taken: u.Taken, Level: u.Level}
+		uses[ident.Workspace(u.Workspace)] = quota.Use{Taken: u.Taken, Level: u.Level}
 	}
 	return uses
 }
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -63,7 +63,7 @@
 	e.told.noteComplete(now, len(e.plan.Others))
 	e.limiter.SetExpectedDaemons(now, e.expected(now))
 	e.limiter.SetIsolatedParts(e.isolated(now))
-	e.limiter.ExpirePeers(now)
+	e.limiter.Tick(now)
 	e.book.Tick(e.wall.At(now))
 	e.refreshPhase(now)
 }
