--- a/bench/overload/gateway.go
+++ b/bench/overload/gateway.go
@@ -230,7 +230,7 @@
 func (g *gateway) finished(now time.Time, r *request) []admission.Effect {
 	if t, ok := g.tickets[r.id]; ok {
 		g.table.Finished(now, t)
-		g.table.Answered(r.output)
+		g.table.RecordOutputLength(r.output)
 		delete(g.tickets, r.id)
 		g.used(r.engine)
 	}
--- a/bench/placement/placement.go
+++ b/bench/placement/placement.go
@@ -330,7 +330,7 @@
 		}
 		delete(v.running, q)
 		w.table.Finished(t, &q.ticket)
-		w.table.Answered(q.left)
+		w.table.RecordOutputLength(q.left)
 		if q.long && t.After(w.from) {
 			w.cost += v.PricePerHour * t.Sub(q.began).Hours() / places
 		}
--- a/coordination/routing/hazard.go
+++ b/coordination/routing/hazard.go
@@ -29,10 +29,10 @@
 }
 
 type exposure struct {
-	vms      int
-	reclaims float64
-	hours    float64
-	counted  time.Time
+	vms       int
+	reclaims  float64
+	hours     float64
+	updatedAt time.Time
 }
 
 // Hazard estimates the rate of reclaims of each failure domain and VM class:
@@ -41,36 +41,36 @@
 type Hazard struct {
 	cfg   HazardConfig
 	pools map[pool]*exposure
-	// staying maps the reclaimable VMs that are not known to go to their pool.
-	staying map[ident.RunnerID]pool
+	// tracked maps the reclaimable VMs that are not known to go to their pool.
+	tracked map[ident.RunnerID]pool
 }
 
 // NewHazard returns an estimate that knows only its prior.
 func NewHazard(cfg HazardConfig) *Hazard {
-	return &Hazard{cfg: cfg, pools: map[pool]*exposure{}, staying: map[ident.RunnerID]pool{}}
+	return &Hazard{cfg: cfg, pools: map[pool]*exposure{}, tracked: map[ident.RunnerID]pool{}}
 }
 
-// Present tells how many VMs of a pool there are from now on.
-func (h *Hazard) Present(now time.Time, d ident.FailureDomain, class string, vms int) {
-	e := h.at(now, d, class)
+// SetVMCount tells how many VMs of a pool there are from now on.
+func (h *Hazard) SetVMCount(now time.Time, d ident.FailureDomain, class string, vms int) {
+	e := h.exposureAt(now, d, class)
 	e.vms = vms
 }
 
-// Reclaimed counts the reclaim of one VM.
-func (h *Hazard) Reclaimed(now time.Time, d ident.FailureDomain, class string) {
-	h.at(now, d, class).reclaims++
+// CountReclaim counts the reclaim of one VM.
+func (h *Hazard) CountReclaim(now time.Time, d ident.FailureDomain, class string) {
+	h.exposureAt(now, d, class).reclaims++
 }
 
-// PerHour is the expected rate of reclaims of one VM of the pool.
-func (h *Hazard) PerHour(now time.Time, d ident.FailureDomain, class string) float64 {
-	e := h.at(now, d, class)
+// RatePerHour is the expected rate of reclaims of one VM of the pool.
+func (h *Hazard) RatePerHour(now time.Time, d ident.FailureDomain, class string) float64 {
+	e := h.exposureAt(now, d, class)
 	return (h.cfg.PriorRate*h.cfg.PriorHours + e.reclaims) / (h.cfg.PriorHours + e.hours)
 }
 
 // observe counts the pools of a list of runners, and as reclaimed those that
 // were on the list before and are now leaving, gone or not listed.
 func (h *Hazard) observe(now time.Time, runners []view.Runner) {
-	staying := make(map[ident.RunnerID]pool, len(runners))
+	current := make(map[ident.RunnerID]pool, len(runners))
 	counts := map[pool]int{}
 	for p := range h.pools {
 		counts[p] = 0
@@ -79,36 +79,36 @@
 		r := &runners[i]
 		if r.Reclaimable && (r.State == view.Live || r.State == view.Suspect) {
 			p := pool{r.FailureDomain, r.VMClass}
-			staying[r.ID] = p
+			current[r.ID] = p
 			counts[p]++
 		}
 	}
-	for id, p := range h.staying {
-		if _, ok := staying[id]; !ok {
-			h.Reclaimed(now, p.domain, p.class)
+	for id, p := range h.tracked {
+		if _, ok := current[id]; !ok {
+			h.CountReclaim(now, p.domain, p.class)
 		}
 	}
 	for p, n := range counts {
-		h.Present(now, p.domain, p.class, n)
+		h.SetVMCount(now, p.domain, p.class, n)
 	}
-	h.staying = staying
+	h.tracked = current
 }
 
-// at returns the pool's counts, aged up to now.
-func (h *Hazard) at(now time.Time, d ident.FailureDomain, class string) *exposure {
+// exposureAt returns the pool's counts, aged up to now.
+func (h *Hazard) exposureAt(now time.Time, d ident.FailureDomain, class string) *exposure {
 	key := pool{d, class}
 	e, ok := h.pools[key]
 	if !ok {
-		e = &exposure{counted: now}
+		e = &exposure{updatedAt: now}
 		h.pools[key] = e
 	}
-	passed := now.Sub(e.counted)
-	if passed <= 0 {
+	elapsed := now.Sub(e.updatedAt)
+	if elapsed <= 0 {
 		return e
 	}
-	keep := math.Exp2(-passed.Hours() / h.cfg.HalfLife.Hours())
-	e.reclaims *= keep
-	e.hours = e.hours*keep + float64(e.vms)*passed.Hours()
-	e.counted = now
+	decay := math.Exp2(-elapsed.Hours() / h.cfg.HalfLife.Hours())
+	e.reclaims *= decay
+	e.hours = e.hours*decay + float64(e.vms)*elapsed.Hours()
+	e.updatedAt = now
 	return e
 }
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -48,10 +48,10 @@
 	CachedBlocks int
 	// Uncached is the prompt tokens that are to be computed.
 	Uncached int
-	// Ahead is the prompt tokens that are to be computed there before, Running the
+	// QueuedAhead is the prompt tokens that are to be computed there before, Running the
 	// requests that are in progress there.
-	Ahead   int
-	Running int
+	QueuedAhead int
+	Running     int
 	// FetchFrom is the address of a runner to copy the shared part from; empty is
 	// none.
 	FetchFrom string
@@ -98,16 +98,16 @@
 	if err != nil {
 		return Choice{}, err
 	}
-	t.match(r)
+	t.matchPrefix(r)
 	t.homeSlot = t.home(r, eligible)
 	var estimates [MaxRunners]float64
 	if !r.Long || t.cfg.IgnoreRisk {
-		best := t.fastest(t.bound(t.sample(eligible)), r, &estimates)
+		best := t.fastest(t.withinLoadBound(t.sample(eligible)), r, &estimates)
 		return t.choice(best, r), nil
 	}
-	candidates := t.bound(eligible)
+	candidates := t.withinLoadBound(eligible)
 	best := t.fastest(candidates, r, &estimates)
-	safe := t.safest(candidates, r, &estimates, estimates[best]+r.Slack.Seconds())
+	safe := t.lowestRisk(candidates, r, &estimates, estimates[best]+r.Slack.Seconds())
 	best = t.fastest(t.sample(safe), r, &estimates)
 	return t.choice(best, r), nil
 }
@@ -119,7 +119,7 @@
 	if !ok {
 		return Choice{}, false
 	}
-	t.match(r)
+	t.matchPrefix(r)
 	t.homeSlot = noHome
 	return t.choice(i, r), true
 }
@@ -134,7 +134,7 @@
 	}
 	estimate := t.estimate(i, r)
 	s := &t.slots[i]
-	uncached, from := t.uncached(i, r), t.source(i, r)
+	uncached, from := t.uncached(i, r), t.fetchSource(i, r)
 	if from != "" {
 		uncached = max(1, r.PromptTokens-r.SharedTokens)
 	}
@@ -145,16 +145,16 @@
 		Estimate:     time.Duration(estimate * float64(time.Second)),
 		CachedBlocks: t.cachedBlocks(i),
 		Uncached:     uncached,
-		Ahead:        int(t.scores[i].ahead),
-		Running:      s.present(t.scores[i].inFlight),
+		QueuedAhead:  int(t.scores[i].queuedTokens),
+		Running:      s.requestsInProgress(t.scores[i].inFlight),
 		slot:         i,
 		epoch:        s.epoch,
 	}
 }
 
-// source is the address of a runner that is known to hold the shared part, which
+// fetchSource is the address of a runner that is known to hold the shared part, which
 // the chosen one lacks. One that is leaving will do: its cache is lost otherwise.
-func (t *Table) source(i int, r *Request) string {
+func (t *Table) fetchSource(i int, r *Request) string {
 	if !r.Fetchable || r.Shared == 0 || t.cachedTokens(i, r) >= r.SharedTokens {
 		return ""
 	}
@@ -180,7 +180,7 @@
 	if usable.Less(r.Exclude).Empty() {
 		return prefix.Set{}, errAllTried
 	}
-	p := t.placed[placement{r.Model, r.Adapter}]
+	p := t.loadedOn[modelKey{r.Model, r.Adapter}]
 	for _, states := range [...]prefix.Set{t.live.Less(t.ejected), usable} {
 		states = states.Less(r.Exclude)
 		for _, loaded := range [...]prefix.Set{p.wanted, p.other, t.reported.Not()} {
@@ -195,7 +195,7 @@
 	return prefix.Set{}, errNotLoaded
 }
 
-func (t *Table) match(r *Request) {
+func (t *Table) matchPrefix(r *Request) {
 	t.depths.Held, t.depths.Deepest = prefix.Set{}, prefix.Set{}
 	if !t.cfg.IgnorePrefix {
 		t.index.Match(r.Prefix, &t.depths)
@@ -232,10 +232,10 @@
 	return from.First()
 }
 
-// bound leaves out runners that have far more of this gateway's requests than
+// withinLoadBound leaves out runners that have far more of this gateway's requests than
 // the mean, whatever their reports say: a report that lags or lies would draw
 // all work to one runner.
-func (t *Table) bound(from prefix.Set) prefix.Set {
+func (t *Table) withinLoadBound(from prefix.Set) prefix.Set {
 	if t.cfg.LoadBound <= 0 {
 		return from
 	}
@@ -259,11 +259,11 @@
 // fastest fills in the candidates' estimates and returns the least one. The
 // search starts at a random slot so that gateways differ among equals.
 func (t *Table) fastest(candidates prefix.Set, r *Request, estimates *[MaxRunners]float64) int {
-	turn := t.rng.IntN(MaxRunners)
+	tieBreak := t.rng.IntN(MaxRunners)
 	best := -1
 	for i := range candidates.All() {
 		estimates[i] = t.estimate(i, r)
-		if best < 0 || estimates[i] < estimates[best] || estimates[i] == estimates[best] && best < turn && i >= turn {
+		if best < 0 || estimates[i] < estimates[best] || estimates[i] == estimates[best] && best < tieBreak && i >= tieBreak {
 			best = i
 		}
 	}
@@ -275,8 +275,8 @@
 // the batch and for room in the KV cache, and the way there.
 func (t *Table) estimate(i int, r *Request) float64 {
 	s := &t.scores[i]
-	seconds := s.remote + s.place + (s.ahead+float64(t.uncached(i, r)))*s.perToken
-	if missing := float64(r.PromptTokens+r.OutputTokens) - s.free; missing > 0 {
+	seconds := s.remotePenalty + s.batchWait + (s.queuedTokens+float64(t.uncached(i, r)))*s.perToken
+	if missing := float64(r.PromptTokens+r.OutputTokens) - s.freeTokens; missing > 0 {
 		seconds += missing * s.perOutput
 	}
 	return seconds
@@ -351,24 +351,24 @@
 	return x ^ x>>31
 }
 
-// equalRisk is the difference in risk that is none.
-const equalRisk = 0.0005
+// riskTolerance is the difference in risk that is none.
+const riskTolerance = 0.0005
 
-// safest returns the candidates with the least risk among those whose estimate
+// lowestRisk returns the candidates with the least risk among those whose estimate
 // is within the limit.
-func (t *Table) safest(candidates prefix.Set, r *Request, estimates *[MaxRunners]float64, limit float64) prefix.Set {
+func (t *Table) lowestRisk(candidates prefix.Set, r *Request, estimates *[MaxRunners]float64, limit float64) prefix.Set {
 	var risks [MaxRunners]float64
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for i := range candidates.All() {
 		risks[i] = math.Inf(1)
 		if estimates[i] <= limit {
 			risks[i] = t.risk(i, r)
 		}
-		least = min(least, risks[i])
+		lowest = min(lowest, risks[i])
 	}
 	var safe prefix.Set
 	for i := range candidates.All() {
-		if risks[i] <= least+equalRisk {
+		if risks[i] <= lowest+riskTolerance {
 			safe = safe.With(i)
 		}
 	}
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func table(n int) *Table {
+func newTable(n int) *Table {
 	cfg := Default("g1", "d0")
 	cfg.Samples = 0
 	cfg.LoadBound = 0
@@ -64,7 +64,7 @@
 
 func TestEstimateCorrectsALaggingReport(t *testing.T) {
 	is := is.New(t)
-	tb := table(1)
+	tb := newTable(1)
 	r := &Request{Model: "m", PromptTokens: 5000, OutputTokens: 10}
 	c, err := tb.Pick(start, r)
 	is.NoErr(err)
@@ -87,9 +87,9 @@
 	is.Equal(tb.slots[0].pendingKV, 0.0)
 }
 
-func TestPrefixDrawsUntilTheQueueIsLonger(t *testing.T) {
+func TestCachedPrefixIsPreferredUntilQueueIsLonger(t *testing.T) {
 	is := is.New(t)
-	tb := table(4)
+	tb := newTable(4)
 	chain := make([]prefix.Hash, 100)
 	for i := range chain {
 		chain[i] = prefix.Hash(i + 1)
@@ -110,7 +110,7 @@
 
 func TestPlacementByVersionAndAdapter(t *testing.T) {
 	is := is.New(t)
-	tb := table(2)
+	tb := newTable(2)
 	old := report(start.Add(time.Second), 0)
 	old.Models = []load.Model{{Name: "m", Version: "0"}}
 	tb.Report(start, "r00000", old)
@@ -131,9 +131,9 @@
 // A long review is cut off half way and its deposit window is lost. VMs of one
 // failure domain were being reclaimed all day, yet the review went there since
 // its queue was a little shorter.
-func TestLongWorkKeepsOffReclaims(t *testing.T) {
+func TestLongRequestAvoidsReclaims(t *testing.T) {
 	is := is.New(t)
-	tb := table(8)
+	tb := newTable(8)
 	list := runners(8)
 	list[0].State = view.Leaving
 	tb.SetRunners(start.Add(time.Minute), list)
@@ -157,7 +157,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 70).Draw(t, "runners")
 		list := runners(n)
-		tb := table(n)
+		tb := newTable(n)
 		left := map[ident.RunnerID]bool{}
 		now := start
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestIdlePlacesAreBorrowed(t *testing.T) {
+func TestShareBorrowsIdleBatchSlots(t *testing.T) {
 	is := is.New(t)
 	busy := Capacity{Runners: 10, Batch: 100, Free: 20, DecodeRate: 5000}
 	places, perSecond := busy.Share(5, 30)
@@ -209,10 +209,10 @@
 // Two daemons serve the same 130 runners. One sends a long prompt to a runner and
 // tells the other. If the other deals with only some of the runners it can't send
 // the next request with this prompt there, and the prompt is computed once more.
-func TestToldPlacementIsFollowedAmongManyRunners(t *testing.T) {
+func TestAssumedPrefixIsFollowedAmongManyRunners(t *testing.T) {
 	is := is.New(t)
 	const n = 130
-	tb := table(n)
+	tb := newTable(n)
 	for i, r := range runners(n) {
 		chain := []prefix.Hash{prefix.Hash(2*i + 1), prefix.Hash(2*i + 2)}
 		tb.Assume(r.ID, chain)
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestSubsetIsStableAndSpread(t *testing.T) {
+func TestSubsetIsStableAndSpreadOverFailureDomains(t *testing.T) {
 	is := is.New(t)
 	all := runners(1000)
 	before := Subset("g7", all, 64)
@@ -257,7 +257,7 @@
 
 // Keeping only the first few of each failure domain must choose what a whole
 // sort would.
-func TestSubsetIsThatOfAWholeSort(t *testing.T) {
+func TestSubsetMatchesFullSort(t *testing.T) {
 	is := is.New(t)
 	all := runners(300)
 	for size := 1; size < 300; size += 23 {
@@ -268,7 +268,7 @@
 		var want []view.Runner
 		for _, list := range byDomain {
 			slices.SortFunc(list, func(a, b view.Runner) int {
-				return cmp.Compare(rendezvous("g7", b.ID), rendezvous("g7", a.ID))
+				return cmp.Compare(rendezvousHash("g7", b.ID), rendezvousHash("g7", a.ID))
 			})
 		}
 		for place := 0; len(want) < size; place++ {
@@ -282,8 +282,8 @@
 	}
 }
 
-func full(samples int) (*Table, *Request) {
-	tb := table(MaxRunners)
+func newFullTable(samples int) (*Table, *Request) {
+	tb := newTable(MaxRunners)
 	tb.cfg.Samples = samples
 	tb.cfg.LoadBound = 2
 	chain := make([]prefix.Hash, 3*MaxRunners)
@@ -299,7 +299,7 @@
 func TestPickAllocatesNothing(t *testing.T) {
 	is := is.New(t)
 	for _, long := range []bool{false, true} {
-		tb, r := full(2)
+		tb, r := newFullTable(2)
 		r.Long, r.Slack = long, time.Second
 		is.Equal(testing.AllocsPerRun(1000, func() {
 			c, _ := tb.Pick(start, r)
@@ -316,7 +316,7 @@
 		long    bool
 	}{{"best_of_2", 2, false}, {"best_of_all", 0, false}, {"long_of_all", 2, true}} {
 		b.Run(c.name, func(b *testing.B) {
-			tb, r := full(c.samples)
+			tb, r := newFullTable(c.samples)
 			r.Long, r.Slack = c.long, time.Second
 			b.ReportAllocs()
 			for b.Loop() {
@@ -337,7 +337,7 @@
 // BenchmarkSetRunners is all that a change of one runner costs a table.
 func BenchmarkSetRunners(b *testing.B) {
 	all := runners(10000)
-	tb := table(0)
+	tb := newTable(0)
 	for n := 0; b.Loop(); n++ {
 		r := &all[n%len(all)]
 		r.State = view.Leaving
@@ -350,7 +350,7 @@
 // each other. They must pick the same runner, or the part is computed twice. Once
 // it is known to be cached somewhere, a runner that has just started and has the
 // better hash must not be taken to hold it.
-func TestSharedPartHasOneHomeUntilItIsPlaced(t *testing.T) {
+func TestSharedPrefixHasOneHomeUntilCached(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	runners := func(n int) []view.Runner {
@@ -398,7 +398,7 @@
 // A prompt has to go where its shared part is not cached. Where another runner is
 // known to have it the choice names that one, also one that is leaving, and the
 // prompt counts for what is left to read.
-func TestSharedPartIsCopiedFromWhoHasIt(t *testing.T) {
+func TestSharedPrefixIsFetchedFromHolder(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	list := []view.Runner{
@@ -453,7 +453,7 @@
 // first minute counted for nothing, too few runners were ordered, and prompts were
 // sent behind others that nobody knew to be there. Homes may only be trusted where
 // the runners hold what nobody remembers, as after a restart of the daemons.
-func TestPromptsThatNobodyHoldsCountAsWork(t *testing.T) {
+func TestUncachedPromptsCountAsWork(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	cfg := Default("g", "x")
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// firstOutput is the mean output taken for granted at first, outputGain the
+// defaultMeanOutput is the mean output taken for granted at first, meanOutputWeight the
 // weight of each answer's length after that.
 const (
-	firstOutput = 200
-	outputGain  = 0.02
+	defaultMeanOutput = 200
+	meanOutputWeight  = 0.02
 )
 
-// changes bounds the own dispatches and completions that are remembered for
+// changeLogSize bounds the own dispatches and completions that are remembered for
 // the correction of a report; older ones are taken as reported.
-const changes = 128
+const changeLogSize = 128
 
 // change is what one own dispatch or completion did to a runner.
 type change struct {
@@ -26,33 +26,33 @@
 
 // changeLog is a ring of the last own changes.
 type changeLog struct {
-	entries [changes]change
+	entries [changeLogSize]change
 	next    int
 }
 
 // score is what a choice reads of a slot; it is kept apart and small because
 // every choice reads all candidates' scores.
 type score struct {
-	// remote is the way there in seconds.
-	remote float64
+	// remotePenalty is the way there in seconds.
+	remotePenalty float64
 	// perToken is seconds of prefill per token, perOutput seconds until the
 	// batch frees room for one token in the KV cache.
 	perToken  float64
 	perOutput float64
-	// ahead is the prompt tokens queued, free the room in the KV cache in
+	// queuedTokens is the prompt tokens queued, free the room in the KV cache in
 	// tokens, own changes since the report included.
-	ahead float64
-	free  float64
-	// place is the seconds until a place in the batch is free.
-	place    float64
-	inFlight int
+	queuedTokens float64
+	freeTokens   float64
+	// batchWait is the seconds until a batchWait in the batch is free.
+	batchWait float64
+	inFlight  int
 	// hazard is the probability of a reclaim per output token, price the
 	// price's part of the risk.
 	hazard float64
 	price  float64
 }
 
-func (t *Table) sumSince(i int) {
+func (t *Table) sumChangesSinceReport(i int) {
 	s := &t.slots[i]
 	s.sincePrefill, s.sinceKV, s.sinceRequests = 0, 0, 0
 	log := &t.logs[i].entries
@@ -65,10 +65,10 @@
 	}
 }
 
-func (t *Table) note(i int, c change) {
+func (t *Table) recordChange(i int, c change) {
 	log := &t.logs[i]
 	log.entries[log.next] = c
-	log.next = (log.next + 1) % changes
+	log.next = (log.next + 1) % changeLogSize
 	s := &t.slots[i]
 	s.sincePrefill += c.prefill
 	s.sinceKV += c.kv
@@ -82,36 +82,36 @@
 // rescore derives what choices read from the last report and own changes.
 func (t *Table) rescore(i int) {
 	s, c := &t.slots[i], &t.scores[i]
-	c.perToken = 1 / s.prefill
-	c.perOutput = 1 / (s.decode * float64(max(1, s.report.Running)))
-	c.ahead = max(s.pendingPrefill, float64(s.report.QueuedTokens)+s.sincePrefill)
-	c.free = math.Inf(1)
+	c.perToken = 1 / s.prefillRate
+	c.perOutput = 1 / (s.decodeRate * float64(max(1, s.report.Running)))
+	c.queuedTokens = max(s.pendingPrefill, float64(s.report.QueuedTokens)+s.sincePrefill)
+	c.freeTokens = math.Inf(1)
 	if s.reported && s.report.KVBlocksTotal > 0 {
-		c.free = s.free - s.sinceKV
+		c.freeTokens = s.freeTokens - s.sinceKV
 	}
-	c.place = t.placeWait(s, c.inFlight)
-	c.hazard = s.hazard / s.decode
+	c.batchWait = t.waitForBatch(s, c.inFlight)
+	c.hazard = s.hazard / s.decodeRate
 	c.price = 0
 	if t.maxPrice > 0 {
 		c.price = t.cfg.PriceWeight * s.runner.PricePerHour / t.maxPrice
 	}
 }
 
-// present is the requests in progress at the runner, of which own are this
+// requestsInProgress is the requests in progress at the runner, of which own are this
 // gateway's.
-func (s *slot) present(own int) int {
+func (s *slot) requestsInProgress(own int) int {
 	return max(own, s.report.Running+s.report.Waiting+s.sinceRequests)
 }
 
-// placeWait is the seconds until a request that comes now has a place in the
+// waitForBatch is the seconds until a request that comes now has a place in the
 // batch. Prompts may be short and their tokens few, so that the queue of tokens
 // says nothing of it. Places fall free as the batch's answers end.
-func (t *Table) placeWait(s *slot, own int) float64 {
-	ahead := s.present(own) - s.places + 1
+func (t *Table) waitForBatch(s *slot, own int) float64 {
+	ahead := s.requestsInProgress(own) - s.batchSize + 1
 	if ahead <= 0 {
 		return 0
 	}
-	perSecond := float64(s.places) * s.decode / t.output
+	perSecond := float64(s.batchSize) * s.decodeRate / t.meanOutput
 	return float64(ahead) / perSecond
 }
 
@@ -129,12 +129,12 @@
 }
 
 // A gateway may take borrowedShare of the free places beyond its equal share:
-// were it all of them, every gateway would take the same ones. The keptFree
+// were it all of them, every gateway would take the same ones. The reservedFraction
 // part of all places is not counted as free: under overload it is what gateways
 // leave for urgent work.
 const (
-	borrowedShare = 0.5
-	keptFree      = 0.25
+	borrowedShare    = 0.5
+	reservedFraction = 0.25
 )
 
 // Share returns the places and the output tokens per second that one of so many
@@ -146,7 +146,7 @@
 		return 0, 0
 	}
 	equal := float64(c.Batch) / float64(max(1, gateways))
-	free := max(0, float64(c.Free)-keptFree*float64(c.Batch))
+	free := max(0, float64(c.Free)-reservedFraction*float64(c.Batch))
 	places = equal
 	if free > 0 {
 		places = max(equal, float64(running)+borrowedShare*free)
@@ -161,10 +161,10 @@
 	for i := range t.live.Less(t.ejected).All() {
 		s := &t.slots[i]
 		c.Runners++
-		c.Batch += s.places
-		c.Free += max(0, s.places-s.report.Running-s.report.Waiting-s.sinceRequests)
-		c.DecodeRate += float64(s.places) * s.decode
-		prefill += s.prefill
+		c.Batch += s.batchSize
+		c.Free += max(0, s.batchSize-s.report.Running-s.report.Waiting-s.sinceRequests)
+		c.DecodeRate += float64(s.batchSize) * s.decodeRate
+		prefill += s.prefillRate
 	}
 	if prefill > 0 {
 		c.PromptCost = c.DecodeRate / prefill
--- a/coordination/routing/subset.go
+++ b/coordination/routing/subset.go
@@ -11,8 +11,8 @@
 )
 
 type ranked struct {
-	// at is the runner's place in the list.
-	at    int
+	// index is the runner's place in the list.
+	index int
 	score uint64
 }
 
@@ -34,7 +34,7 @@
 	for place := 0; len(chosen) < size; place++ {
 		for _, name := range names {
 			if best := domains[name].best; place < len(best) && len(chosen) < size {
-				chosen = append(chosen, runners[best[place].at])
+				chosen = append(chosen, runners[best[place].index])
 			}
 		}
 	}
@@ -49,36 +49,36 @@
 // change of the list costs little more than its hashes.
 func rankByDomain(self ident.DaemonID, runners []view.Runner, size int) map[ident.FailureDomain]*ranking {
 	domains := map[ident.FailureDomain]*ranking{}
-	var last *ranking
+	var current *ranking
 	for i := range runners {
 		name := runners[i].FailureDomain
 		if i == 0 || name != runners[i-1].FailureDomain {
-			last = domains[name]
+			current = domains[name]
 		}
-		if last == nil {
-			last = &ranking{best: make([]ranked, 0, size)}
-			domains[name] = last
+		if current == nil {
+			current = &ranking{best: make([]ranked, 0, size)}
+			domains[name] = current
 		}
-		last.offer(runners, ranked{i, rendezvous(self, runners[i].ID)}, size)
+		current.insert(runners, ranked{i, rendezvousHash(self, runners[i].ID)}, size)
 	}
 	return domains
 }
 
-func (r *ranking) offer(runners []view.Runner, one ranked, size int) {
+func (r *ranking) insert(runners []view.Runner, candidate ranked, size int) {
 	compare := func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(runners[a.at].ID, runners[b.at].ID))
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(runners[a.index].ID, runners[b.index].ID))
 	}
 	if len(r.best) == size {
-		if compare(one, r.best[size-1]) >= 0 {
+		if compare(candidate, r.best[size-1]) >= 0 {
 			return
 		}
 		r.best = r.best[:size-1]
 	}
-	at, _ := slices.BinarySearchFunc(r.best, one, compare)
-	r.best = slices.Insert(r.best, at, one)
+	at, _ := slices.BinarySearchFunc(r.best, candidate, compare)
+	r.best = slices.Insert(r.best, at, candidate)
 }
 
-func rendezvous(self ident.DaemonID, id ident.RunnerID) uint64 {
+func rendezvousHash(self ident.DaemonID, id ident.RunnerID) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(self))
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -71,7 +71,7 @@
 		PriceWeight:    0.005,
 		PrefillRate:    8000,
 		DecodeRate:     50,
-		Output:         firstOutput,
+		Output:         defaultMeanOutput,
 		Batch:          16,
 		PrefixCapacity: 1 << 16,
 		Hazard:         DefaultHazard(),
@@ -82,15 +82,15 @@
 	used  bool
 	epoch uint32
 	// hash of the runner's id.
-	hash     uint64
-	runner   view.Runner
-	reported bool
-	report   load.Report
-	prefill  float64
-	decode   float64
-	free     float64
-	// places is the size of the batch.
-	places int
+	hash        uint64
+	runner      view.Runner
+	reported    bool
+	report      load.Report
+	prefillRate float64
+	decodeRate  float64
+	freeTokens  float64
+	// batchSize is the size of the batch.
+	batchSize int
 	// pendingPrefill and pendingKV count own work in progress.
 	pendingPrefill float64
 	pendingKV      float64
@@ -101,9 +101,9 @@
 	hazard        float64
 }
 
-type placement struct{ model, adapter string }
+type modelKey struct{ model, adapter string }
 
-type placed struct{ wanted, other prefix.Set }
+type loadedSlots struct{ wanted, other prefix.Set }
 
 // Table routes the requests of one service. It is not safe for concurrent use.
 type Table struct {
@@ -116,16 +116,16 @@
 	hazard   *Hazard
 	rng      *rand.Rand
 	models   []manifest.Model
-	placed   map[placement]placed
+	loadedOn map[modelKey]loadedSlots
 	used     prefix.Set
 	live     prefix.Set
 	suspect  prefix.Set
 	ejected  prefix.Set
 	reported prefix.Set
 	maxPrice float64
-	// output is the mean output tokens of a request.
-	output float64
-	depths prefix.Depths
+	// meanOutput is the mean meanOutput tokens of a request.
+	meanOutput float64
+	depths     prefix.Depths
 	// homeSlot is the home of the request that is being placed.
 	homeSlot   int
 	trustHomes bool
@@ -134,13 +134,13 @@
 // New returns a table without runners.
 func New(cfg Config) *Table {
 	return &Table{
-		cfg:    cfg,
-		byID:   map[ident.RunnerID]int{},
-		index:  prefix.NewIndex(cfg.PrefixCapacity),
-		hazard: NewHazard(cfg.Hazard),
-		rng:    rand.New(rand.NewPCG(cfg.Seed, 1)),
-		placed: map[placement]placed{},
-		output: cfg.Output,
+		cfg:        cfg,
+		byID:       map[ident.RunnerID]int{},
+		index:      prefix.NewIndex(cfg.PrefixCapacity),
+		hazard:     NewHazard(cfg.Hazard),
+		rng:        rand.New(rand.NewPCG(cfg.Seed, 1)),
+		loadedOn:   map[modelKey]loadedSlots{},
+		meanOutput: cfg.Output,
 		// No request is being placed yet.
 		homeSlot: noHome,
 	}
@@ -149,7 +149,7 @@
 // SetModels tells the versions that should serve from now on.
 func (t *Table) SetModels(models []manifest.Model) {
 	t.models = models
-	t.place()
+	t.indexModels()
 }
 
 // SetRunners replaces the list of the service's runners, of which the table
@@ -160,7 +160,7 @@
 	subset := Subset(t.cfg.Self, runners, MaxRunners)
 	t.removeUnlisted(subset)
 	for i := range subset {
-		t.set(subset[i])
+		t.setRunner(subset[i])
 	}
 	t.refresh(now)
 }
@@ -187,7 +187,7 @@
 	}
 }
 
-func (t *Table) set(r view.Runner) {
+func (t *Table) setRunner(r view.Runner) {
 	if r.State == view.Gone {
 		return
 	}
@@ -196,7 +196,7 @@
 		i = t.used.Not().First()
 		t.byID[r.ID] = i
 		t.used = t.used.With(i)
-		t.slots[i] = slot{used: true, epoch: t.slots[i].epoch + 1, hash: xxhash.Sum64String(string(r.ID)), prefill: t.cfg.PrefillRate, decode: t.cfg.DecodeRate, places: t.cfg.Batch}
+		t.slots[i] = slot{used: true, epoch: t.slots[i].epoch + 1, hash: xxhash.Sum64String(string(r.ID)), prefillRate: t.cfg.PrefillRate, decodeRate: t.cfg.DecodeRate, batchSize: t.cfg.Batch}
 	}
 	s := &t.slots[i]
 	if s.runner.State == view.Leaving {
@@ -204,9 +204,9 @@
 		r.State = view.Leaving
 	}
 	s.runner = r
-	t.scores[i].remote = 0
+	t.scores[i].remotePenalty = 0
 	if r.FailureDomain != t.cfg.FailureDomain {
-		t.scores[i].remote = t.cfg.RemotePenalty.Seconds()
+		t.scores[i].remotePenalty = t.cfg.RemotePenalty.Seconds()
 	}
 	t.rescore(i)
 }
@@ -221,7 +221,7 @@
 		s := &t.slots[i]
 		s.hazard = 0
 		if s.runner.Reclaimable {
-			s.hazard = t.hazard.PerHour(now, s.runner.FailureDomain, s.runner.VMClass) / time.Hour.Seconds()
+			s.hazard = t.hazard.RatePerHour(now, s.runner.FailureDomain, s.runner.VMClass) / time.Hour.Seconds()
 		}
 		t.rescore(i)
 		switch s.runner.State {
@@ -231,41 +231,41 @@
 			t.suspect = t.suspect.With(i)
 		}
 	}
-	t.place()
+	t.indexModels()
 }
 
-// place derives which slots serve which model and adapter.
-func (t *Table) place() {
-	clear(t.placed)
+// indexModels derives which slots serve which model and adapter.
+func (t *Table) indexModels() {
+	clear(t.loadedOn)
 	for i := range t.reported.All() {
 		for j := range t.slots[i].report.Models {
-			t.placeModel(i, &t.slots[i].report.Models[j])
+			t.indexModel(i, &t.slots[i].report.Models[j])
 		}
 	}
 }
 
-func (t *Table) placeModel(i int, m *load.Model) {
+func (t *Table) indexModel(i int, m *load.Model) {
 	if m.Loading {
 		return
 	}
-	wanted := t.wants(m.Name, m.Version)
-	t.placeOne(i, placement{m.Name, ""}, wanted)
+	wanted := t.isWantedVersion(m.Name, m.Version)
+	t.indexModelKey(i, modelKey{m.Name, ""}, wanted)
 	for _, a := range m.Adapters {
-		t.placeOne(i, placement{m.Name, a}, wanted)
+		t.indexModelKey(i, modelKey{m.Name, a}, wanted)
 	}
 }
 
-func (t *Table) placeOne(i int, p placement, wanted bool) {
-	at := t.placed[p]
+func (t *Table) indexModelKey(i int, p modelKey, wanted bool) {
+	at := t.loadedOn[p]
 	if wanted {
 		at.wanted = at.wanted.With(i)
 	} else {
 		at.other = at.other.With(i)
 	}
-	t.placed[p] = at
+	t.loadedOn[p] = at
 }
 
-func (t *Table) wants(name, version string) bool {
+func (t *Table) isWantedVersion(name, version string) bool {
 	for i := range t.models {
 		m := &t.models[i]
 		if m.Name != name {
@@ -305,17 +305,17 @@
 		s.runner.State = view.Leaving
 	}
 	if r.PrefillRate > 0 {
-		s.prefill = r.PrefillRate
+		s.prefillRate = r.PrefillRate
 	}
 	if r.DecodeRate > 0 {
-		s.decode = r.DecodeRate
+		s.decodeRate = r.DecodeRate
 	}
-	s.places = max(s.places, r.Running)
+	s.batchSize = max(s.batchSize, r.Running)
 	if r.MaxRunning > 0 {
-		s.places = r.MaxRunning
+		s.batchSize = r.MaxRunning
 	}
-	s.free = float64(max(r.KVBlocksFree*prefix.BlockTokens, r.KVBlocksTotal*prefix.BlockTokens-r.RunningTokens))
-	t.sumSince(i)
+	s.freeTokens = float64(max(r.KVBlocksFree*prefix.BlockTokens, r.KVBlocksTotal*prefix.BlockTokens-r.RunningTokens))
+	t.sumChangesSinceReport(i)
 	t.rescore(i)
 	if replaced {
 		t.refresh(now)
--- a/coordination/routing/room.go
+++ b/coordination/routing/targets.go
@@ -6,8 +6,8 @@
 	"geraniumstack.org/geraniumstack/coordination/reclaim"
 )
 
-// unknownFree stands in for the free KV cache of a runner that has not reported.
-const unknownFree = 1 << 14
+// defaultFreeTokens stands in for the free KV cache of a runner that has not reported.
+const defaultFreeTokens = 1 << 14
 
 // Targets lists the live runners as targets for streams that have to leave
 // theirs, with the room that reports and own changes since leave. Ejected ones
@@ -21,16 +21,16 @@
 			places = t.cfg.Batch
 		}
 		present := max(c.inFlight, s.report.Running+s.report.Waiting+s.sinceRequests)
-		free := unknownFree
+		free := defaultFreeTokens
 		if s.reported && s.report.KVBlocksTotal > 0 {
-			free = max(int(c.free), 0)
+			free = max(int(c.freeTokens), 0)
 		}
 		targets = append(targets, reclaim.Target{
 			Runner:       s.runner.ID,
 			Slots:        max(places-present, 0),
 			FreeTokens:   free,
-			PrefillRate:  s.prefill,
-			QueuedTokens: max(int(c.ahead), 0),
+			PrefillRate:  s.prefillRate,
+			QueuedTokens: max(int(c.queuedTokens), 0),
 			Risk:         s.hazard * time.Hour.Seconds(),
 		})
 	}
--- a/coordination/routing/room_test.go
+++ b/coordination/routing/targets_test.go
@@ -8,9 +8,9 @@
 	"geraniumstack.org/geraniumstack/coordination/view"
 )
 
-func TestTargetsAreWhatReportsAndOwnWorkLeave(t *testing.T) {
+func TestTargetsSubtractReportedAndOwnLoad(t *testing.T) {
 	is := is.New(t)
-	tb := table(4)
+	tb := newTable(4)
 	list := runners(4)
 	list[1].State = view.Leaving
 	tb.SetRunners(start, list)
--- a/coordination/routing/ticket.go
+++ b/coordination/routing/ticket.go
@@ -17,12 +17,12 @@
 // Ticket follows one dispatch through the table's counts. The zero value is
 // not dispatched; calls out of order change nothing.
 type Ticket struct {
-	slot     int
-	epoch    uint32
-	phase    phase
-	uncached int
-	kv       int
-	kept     int
+	slot       int
+	epoch      uint32
+	phase      phase
+	uncached   int
+	kv         int
+	heldBlocks int
 }
 
 // Dispatch counts the request at the chosen runner and assumes that it will
@@ -32,8 +32,8 @@
 	if s.epoch != c.epoch {
 		return Ticket{}
 	}
-	k := Ticket{slot: c.slot, epoch: c.epoch, phase: phasePrefill, uncached: c.Uncached, kv: r.PromptTokens + r.OutputTokens, kept: c.CachedBlocks}
-	t.note(k.slot, change{now, float64(k.uncached), float64(k.kv), 1})
+	k := Ticket{slot: c.slot, epoch: c.epoch, phase: phasePrefill, uncached: c.Uncached, kv: r.PromptTokens + r.OutputTokens, heldBlocks: c.CachedBlocks}
+	t.recordChange(k.slot, change{now, float64(k.uncached), float64(k.kv), 1})
 	t.index.Assume(c.slot, r.Prefix)
 	return k
 }
@@ -45,7 +45,7 @@
 		return
 	}
 	k.phase = phaseDecode
-	t.note(k.slot, change{at: now, prefill: -float64(k.uncached)})
+	t.recordChange(k.slot, change{at: now, prefill: -float64(k.uncached)})
 }
 
 // Finished counts the request out.
@@ -56,12 +56,12 @@
 		return
 	}
 	k.phase = phaseNone
-	t.note(k.slot, change{at: now, kv: -float64(k.kv), requests: -1})
+	t.recordChange(k.slot, change{at: now, kv: -float64(k.kv), requests: -1})
 }
 
-// Answered takes in the length of a whole answer.
-func (t *Table) Answered(tokens int) {
-	t.output = max(1, t.output+outputGain*(float64(tokens)-t.output))
+// RecordOutputLength takes in the length of a whole answer.
+func (t *Table) RecordOutputLength(tokens int) {
+	t.meanOutput = max(1, t.meanOutput+meanOutputWeight*(float64(tokens)-t.meanOutput))
 }
 
 // NotStarted counts a request out that the runner did not start, and takes the
@@ -70,7 +70,7 @@
 	if t.ticketSlot(k) == nil || k.phase == phaseNone {
 		return
 	}
-	t.index.Withdraw(k.slot, chain, k.kept)
+	t.index.Withdraw(k.slot, chain, k.heldBlocks)
 	t.Finished(now, k)
 }
 
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -240,7 +240,7 @@
 		at.grant.between = now.Sub(at.first) / time.Duration(a.Tokens-1)
 	}
 	if a.Answered {
-		s.table.Answered(j.Offset)
+		s.table.RecordOutputLength(j.Offset)
 		s.learn(at.grant.class, j.Offset, at.grant.between)
 	}
 }
--- a/daemon/edge/advice.go
+++ b/daemon/edge/advice.go
@@ -107,7 +107,7 @@
 func (p *pool) wait(id ident.RunnerID, tokens int) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Wait(id, tokens)
+	return p.table.QueueWait(id, tokens)
 }
 
 // lastTold is when the table heard of the others' work last.
@@ -135,7 +135,7 @@
 	}
 	told := make([]*peersv1.Candidate, 0, len(best))
 	for _, c := range best {
-		told = append(told, &peersv1.Candidate{Runner: string(c.Runner), AloneNs: int64(c.Alone), UncachedTokens: uint32(c.Uncached)})
+		told = append(told, &peersv1.Candidate{Runner: string(c.Runner), AloneNs: int64(c.IdleEstimate), UncachedTokens: uint32(c.Uncached)})
 	}
 	return told
 }
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -231,7 +231,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.TrustHomes(p.forgetful())
-	c, ok := p.table.PickFrom(advised, r)
+	c, ok := p.table.PickCandidate(advised, r)
 	var err error
 	if !ok {
 		c, err = p.table.Pick(now, r)
@@ -283,7 +283,7 @@
 		return
 	}
 	if c.FetchFrom == "" && p.edge.set.Policy.Uses(LearnSpeed) {
-		p.engines.Observe(prefill.Sample{Tokens: c.Uncached, Ahead: c.Ahead, Took: took})
+		p.engines.Observe(prefill.Sample{Tokens: c.Uncached, Ahead: c.QueuedAhead, Took: took})
 	}
 }
 
@@ -292,7 +292,7 @@
 	defer p.mu.Unlock()
 	p.table.Finished(time.Now(), k)
 	if tokens > 0 {
-		p.table.Answered(tokens)
+		p.table.RecordOutputLength(tokens)
 	}
 }
 
--- a/daemon/edge/relay.go
+++ b/daemon/edge/relay.go
@@ -155,7 +155,7 @@
 	a.ticket = s.pool.dispatch(now, choice, &s.place, s.exchange.Sent() == 0)
 	s.dispatched()
 	s.note("dispatched", decisions.F("runner", choice.Runner), decisions.F("estimate", choice.Estimate),
-		decisions.F("uncached", choice.Uncached), decisions.F("ahead", choice.Ahead), decisions.F("running", choice.Running), decisions.F("fetch_from", choice.FetchFrom), decisions.F("attempt", s.exchange.Sent()+1), decisions.F("cost", s.cost))
+		decisions.F("uncached", choice.Uncached), decisions.F("ahead", choice.QueuedAhead), decisions.F("running", choice.Running), decisions.F("fetch_from", choice.FetchFrom), decisions.F("attempt", s.exchange.Sent()+1), decisions.F("cost", s.cost))
 	return a, nil
 }
 
