--- a/coordination/routing/candidates.go
+++ b/coordination/routing/candidates.go
@@ -10,17 +10,17 @@
 	"geraniumstack.org/geraniumstack/state/prefix"
 )
 
-// Candidate is a runner that a request may go to.
+// Candidate is a runner that a request may be sent to.
 type Candidate struct {
 	Runner ident.RunnerID
-	// IdleEstimate is the expected time to first token there if it had nothing else to do.
+	// IdleEstimate is the expected time to first token if the runner had no other work.
 	IdleEstimate time.Duration
-	// Uncached is the prompt tokens that are to be computed.
+	// Uncached is the number of prompt tokens that the runner would have to compute.
 	Uncached int
 }
 
-// Candidates returns the n best runners for a request, the best first, so that somebody
-// who knows their load better may choose among them. Errors are *NoRunnerError.
+// Candidates returns the n best runners for a request, best first, so that a caller with
+// more recent load information can choose among them. Errors are *NoRunnerError.
 func (t *Table) Candidates(r *Request, n int) ([]Candidate, error) {
 	eligible, err := t.eligible(r)
 	if err != nil {
@@ -46,9 +46,9 @@
 	return list, nil
 }
 
-// QueueWait is the expected time until a runner begins to read a prompt that is sent to it
-// now, if so many tokens are to be read there beside those that are known; false if it
-// takes no new work.
+// QueueWait returns the expected time until a runner starts the prefill of a prompt that
+// is sent to it now. The tokens are prompt tokens queued at the runner in addition to
+// those in the table. It returns false if the runner accepts no new requests.
 func (t *Table) QueueWait(id ident.RunnerID, tokens int) (time.Duration, bool) {
 	i, ok := t.byID[id]
 	if !ok || !t.live.Less(t.ejected).Has(i) {
@@ -58,15 +58,16 @@
 	return secondsToDuration(s.batchWait + (s.queuedTokens+float64(tokens))*s.perToken), true
 }
 
-// maxEstimate bounds a time that is told in seconds.
+// maxEstimate caps estimates so that their conversion from seconds to a Duration can't
+// overflow.
 const maxEstimate = time.Hour
 
 func secondsToDuration(s float64) time.Duration {
 	return time.Duration(math.Min(s, maxEstimate.Seconds()) * float64(time.Second))
 }
 
-// PickCandidate returns the choice of a runner that was chosen among the candidates; false if
-// it is not in the table any more or excluded.
+// PickCandidate returns the Choice for a runner that the caller selected among the
+// candidates. It returns false if the runner is no longer in the table or is excluded.
 func (t *Table) PickCandidate(id ident.RunnerID, r *Request) (Choice, bool) {
 	i, ok := t.byID[id]
 	if !ok || r.Exclude.Has(i) || !t.live.Has(i) {
--- a/coordination/routing/hazard.go
+++ b/coordination/routing/hazard.go
@@ -8,17 +8,17 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// HazardConfig sets how reclaims are counted.
+// HazardConfig sets how reclaim rates are estimated.
 type HazardConfig struct {
-	// PriorRate is the reclaims per VM and hour taken for granted before any
-	// was seen, PriorHours the VM hours that this belief weighs.
+	// PriorRate is the reclaim rate per VM and hour that is assumed before any
+	// reclaim has been observed. PriorHours is the weight of that prior in VM hours.
 	PriorRate  float64
 	PriorHours float64
-	// HalfLife is how long a count takes to lose half of its weight.
+	// HalfLife is the time after which a count has lost half of its weight.
 	HalfLife time.Duration
 }
 
-// DefaultHazard fits VMs of which a few in a hundred go in an hour.
+// DefaultHazard suits VMs of which about five in a hundred are reclaimed per hour.
 func DefaultHazard() HazardConfig {
 	return HazardConfig{PriorRate: 0.05, PriorHours: 4, HalfLife: time.Hour}
 }
@@ -35,22 +35,22 @@
 	updatedAt time.Time
 }
 
-// Hazard estimates the rate of reclaims of each failure domain and VM class:
-// reclaims per VM hour with a prior (a Gamma-Poisson estimate) and exponential
-// forgetting, so that a wave shows at once and is forgotten in hours.
+// Hazard estimates the reclaim rate of each failure domain and VM class: reclaims
+// per VM hour with a Gamma-Poisson prior and exponential decay, so that a wave of
+// reclaims raises the estimate at once and stops counting after a few hours.
 type Hazard struct {
 	cfg   HazardConfig
 	pools map[pool]*exposure
-	// tracked maps the reclaimable VMs that are not known to go to their pool.
+	// tracked maps each reclaimable VM that is live or suspect to its pool.
 	tracked map[ident.RunnerID]pool
 }
 
-// NewHazard returns an estimate that knows only its prior.
+// NewHazard returns an estimator that starts from its prior.
 func NewHazard(cfg HazardConfig) *Hazard {
 	return &Hazard{cfg: cfg, pools: map[pool]*exposure{}, tracked: map[ident.RunnerID]pool{}}
 }
 
-// SetVMCount tells how many VMs of a pool there are from now on.
+// SetVMCount sets the number of VMs in a pool from now on.
 func (h *Hazard) SetVMCount(now time.Time, d ident.FailureDomain, class string, vms int) {
 	e := h.exposureAt(now, d, class)
 	e.vms = vms
@@ -61,14 +61,14 @@
 	h.exposureAt(now, d, class).reclaims++
 }
 
-// RatePerHour is the expected rate of reclaims of one VM of the pool.
+// RatePerHour returns the expected reclaims per hour for one VM of the pool.
 func (h *Hazard) RatePerHour(now time.Time, d ident.FailureDomain, class string) float64 {
 	e := h.exposureAt(now, d, class)
 	return (h.cfg.PriorRate*h.cfg.PriorHours + e.reclaims) / (h.cfg.PriorHours + e.hours)
 }
 
-// observe counts the pools of a list of runners, and as reclaimed those that
-// were on the list before and are now leaving, gone or not listed.
+// observe sets the VM counts of the pools from a runner list. It counts a reclaim for
+// each tracked VM that is now leaving, gone or missing from the list.
 func (h *Hazard) observe(now time.Time, runners []view.Runner) {
 	current := make(map[ident.RunnerID]pool, len(runners))
 	counts := map[pool]int{}
@@ -94,7 +94,7 @@
 	h.tracked = current
 }
 
-// exposureAt returns the pool's counts, aged up to now.
+// exposureAt returns the pool's counts, decayed up to now.
 func (h *Hazard) exposureAt(now time.Time, d ident.FailureDomain, class string) *exposure {
 	key := pool{d, class}
 	e, ok := h.pools[key]
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -9,63 +9,64 @@
 	"geraniumstack.org/geraniumstack/state/prefix"
 )
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that routing depends on.
 type Request struct {
 	Model   string
 	Adapter string
-	// Prefix is the hashes of the prompt's whole blocks, or of its whole parts
-	// where PrefixTokens is set.
+	// Prefix holds the hashes of the prompt's complete blocks, or of its complete
+	// segments if PrefixTokens is set.
 	Prefix []prefix.Hash
-	// PrefixTokens is the tokens up to the end of each element of Prefix; nil
-	// means blocks of prefix.BlockTokens.
+	// PrefixTokens holds the number of tokens up to the end of each element of Prefix.
+	// Nil means blocks of prefix.BlockTokens tokens.
 	PrefixTokens []int
 	PromptTokens int
-	// Shared is the element of Prefix up to which other requests have the same
-	// prompt, zero for none, and SharedTokens its tokens. See Table.home.
+	// Shared is the last element of Prefix that other requests have in common with
+	// this one; zero if there is none. SharedTokens is the number of tokens up to it.
+	// See Table.home.
 	Shared       prefix.Hash
 	SharedTokens int
-	// OutputTokens is how many are expected.
+	// OutputTokens is the expected number of output tokens.
 	OutputTokens int
-	// Long work goes where a reclaim is least likely, as long as its first
-	// token comes at most Slack later than at the fastest runner.
+	// Long requests go to the runners with the lowest reclaim risk whose expected time
+	// to first token is at most Slack above that of the fastest runner.
 	Long  bool
 	Slack time.Duration
-	// Fetchable says that a runner can copy the shared part from another one that
-	// has it cached.
+	// Fetchable says that a runner can copy the KV cache of the shared prefix from
+	// another runner.
 	Fetchable bool
-	// Exclude are runners not to choose; see Table.Exclude.
+	// Exclude holds the runners that must not be chosen; see Table.Exclude.
 	Exclude prefix.Set
 }
 
-// Choice is the runner that a request should go to.
+// Choice is the runner chosen for a request.
 type Choice struct {
 	Runner  ident.RunnerID
 	Address string
 	// Estimate is the expected time to first token.
 	Estimate time.Duration
-	// CachedBlocks is how many elements of the prefix the runner is thought to
-	// hold.
+	// CachedBlocks is the number of elements of Prefix that the runner is expected to
+	// have cached.
 	CachedBlocks int
-	// Uncached is the prompt tokens that are to be computed.
+	// Uncached is the number of prompt tokens that the runner has to compute.
 	Uncached int
-	// QueuedAhead is the prompt tokens that are to be computed there before, Running the
-	// requests that are in progress there.
+	// QueuedAhead is the number of prompt tokens queued at the runner before this
+	// request. Running is the number of requests in progress there.
 	QueuedAhead int
 	Running     int
-	// FetchFrom is the address of a runner to copy the shared part from; empty is
-	// none.
+	// FetchFrom is the address of a runner to copy the shared prefix from; empty if
+	// there is none.
 	FetchFrom string
 	slot      int
 	epoch     uint32
 }
 
-// NoRunnerError says that no runner can take a request.
+// NoRunnerError reports that no runner can take a request.
 type NoRunnerError struct{ Cause Cause }
 
-// Cause tells why no runner can take a request.
+// Cause is the reason why no runner can take a request.
 type Cause string
 
-// Causes of NoRunnerError.
+// Values of NoRunnerError.Cause.
 const (
 	NoneLive  Cause = "none_live"
 	NotLoaded Cause = "not_loaded"
@@ -80,7 +81,7 @@
 	errAllTried  = &NoRunnerError{AllTried}
 )
 
-// Exclude returns the set of the given runners.
+// Exclude returns the set of slots of the given runners, for Request.Exclude.
 func (t *Table) Exclude(ids ...ident.RunnerID) prefix.Set {
 	var s prefix.Set
 	for _, id := range ids {
@@ -91,7 +92,7 @@
 	return s
 }
 
-// Pick chooses the runner for a request. It allocates nothing. Errors are
+// Pick chooses the runner for a request. It allocates no memory. Errors are
 // *NoRunnerError.
 func (t *Table) Pick(_ time.Time, r *Request) (Choice, error) {
 	eligible, err := t.eligible(r)
@@ -112,8 +113,8 @@
 	return t.choice(best, r), nil
 }
 
-// Choose returns the choice of a runner that was picked elsewhere; false if it
-// is not in the table.
+// Choose returns the Choice for a runner that the caller has already selected. It
+// returns false if the runner is not in the table.
 func (t *Table) Choose(id ident.RunnerID, r *Request) (Choice, bool) {
 	i, ok := t.byID[id]
 	if !ok {
@@ -124,10 +125,10 @@
 	return t.choice(i, r), true
 }
 
-// choice describes the chosen runner as it is known to be. Unless homes are trusted
-// the guess that one holds a prompt is over: nobody has told of it, so the prompt has
-// to be read, and taken for cached it would hide the largest work there is from
-// whoever counts it.
+// choice describes slot i as the runner chosen for a request. Unless trustHomes is
+// set, a shared prefix counts as uncached at its home: no daemon has reported that the
+// runner holds it, so the runner has to compute it. Counting it as cached would hide
+// a large part of the queued work from the load figures.
 func (t *Table) choice(i int, r *Request) Choice {
 	if !t.trustHomes {
 		t.homeSlot = noHome
@@ -152,8 +153,9 @@
 	}
 }
 
-// fetchSource is the address of a runner that is known to hold the shared part, which
-// the chosen one lacks. One that is leaving will do: its cache is lost otherwise.
+// fetchSource returns the address of a runner that is known to hold the shared prefix
+// if the chosen runner lacks it. Live runners are preferred, but a leaving runner also
+// qualifies, because its cache is lost otherwise.
 func (t *Table) fetchSource(i int, r *Request) string {
 	if !r.Fetchable || r.Shared == 0 || t.cachedTokens(i, r) >= r.SharedTokens {
 		return ""
@@ -168,10 +170,10 @@
 	return t.slots[t.random(holders)].runner.Address
 }
 
-// eligible returns the slots that may serve the request: live ones that have
-// the wanted version, else any version, else ones that have not reported yet.
-// Suspect and ejected runners are used only where no other is left: the caller
-// is better served by a try, which the retry budget bounds, than by a refusal.
+// eligible returns the slots that may serve the request: live runners that have loaded
+// the wanted version, else any version of the model, else runners that have not
+// reported yet. Suspect and ejected runners are used only if no other runner is left:
+// an attempt, which the retry budget limits, serves the caller better than a refusal.
 func (t *Table) eligible(r *Request) (prefix.Set, error) {
 	usable := t.live.Or(t.suspect)
 	if usable.Empty() {
@@ -202,9 +204,9 @@
 	}
 }
 
-// sample keeps the runners with the longest cached prefix and a few random
-// ones. Were all gateways to take the best of all by the same lagging reports,
-// they would all send to the same runner until its next report.
+// sample keeps the runners with the longest cached prefix and a few random ones. If all
+// gateways took the best of all runners by the same lagging reports, they would all send
+// to the same runner until its next report.
 func (t *Table) sample(from prefix.Set) prefix.Set {
 	if t.cfg.Samples <= 0 || from.Len() <= t.cfg.Samples {
 		return from
@@ -222,7 +224,7 @@
 	return chosen
 }
 
-// SetSamples changes how many random candidates a choice looks at; see Config.Samples.
+// SetSamples changes how many random candidates a choice considers; see Config.Samples.
 func (t *Table) SetSamples(n int) { t.cfg.Samples = n }
 
 func (t *Table) random(from prefix.Set) int {
@@ -232,9 +234,9 @@
 	return from.First()
 }
 
-// withinLoadBound leaves out runners that have far more of this gateway's requests than
-// the mean, whatever their reports say: a report that lags or lies would draw
-// all work to one runner.
+// withinLoadBound removes runners that have far more of this gateway's requests than
+// the mean, regardless of their reports: a runner with a late or wrong report would
+// otherwise attract all requests.
 func (t *Table) withinLoadBound(from prefix.Set) prefix.Set {
 	if t.cfg.LoadBound <= 0 {
 		return from
@@ -256,8 +258,9 @@
 	return within
 }
 
-// fastest fills in the candidates' estimates and returns the least one. The
-// search starts at a random slot so that gateways differ among equals.
+// fastest fills in the candidates' estimates and returns the slot with the lowest one.
+// Ties go to the first slot from a random position on, so that gateways don't all choose
+// the same one of several equal runners.
 func (t *Table) fastest(candidates prefix.Set, r *Request, estimates *[MaxRunners]float64) int {
 	tieBreak := t.rng.IntN(MaxRunners)
 	best := -1
@@ -270,9 +273,9 @@
 	return best
 }
 
-// estimate is the expected time to first token in seconds: the tokens queued
-// ahead and the own uncached ones at the prefill rate, the wait for a place in
-// the batch and for room in the KV cache, and the way there.
+// estimate returns the expected time to first token in seconds: the prefill time of the
+// queued tokens and of the request's uncached tokens, the wait for a slot in the batch
+// and for free KV cache, and the penalty for a remote failure domain.
 func (t *Table) estimate(i int, r *Request) float64 {
 	s := &t.scores[i]
 	seconds := s.remotePenalty + s.batchWait + (s.queuedTokens+float64(t.uncached(i, r)))*s.perToken
@@ -289,7 +292,8 @@
 	return int(t.depths.Blocks[i])
 }
 
-// uncached is at least one token: an engine computes the last one anew.
+// uncached returns the number of prompt tokens that slot i would have to compute. It is
+// at least one, because an inference engine always recomputes the last prompt token.
 func (t *Table) uncached(i int, r *Request) int {
 	return max(1, r.PromptTokens-t.cachedTokens(i, r))
 }
@@ -307,22 +311,22 @@
 	return cached
 }
 
-// noHome is the home of a prompt that shares nothing.
+// noHome is the home slot of a prompt that has no home.
 const noHome = -1
 
-// home is the runner at which daemons that have not told each other expect a
-// shared prompt to be cached: the one with the highest hash of both. Each daemon
-// knows only where it sent the prompt itself; without a common guess every one
-// of them would have it computed at a runner of its own first. Once a runner is
-// known to hold it there is nothing to guess: the hash may point at one that has
-// just started and holds nothing.
+// home returns the slot at which daemons that have not yet exchanged placements expect a
+// shared prefix to be cached: the one with the highest rendezvous hash of prefix and
+// runner. Each daemon knows only where it sent the prefix itself, so without a common
+// guess each of them would have it computed at a different runner first. Once a runner is
+// known to hold the prefix, home returns noHome: the hash could point to a runner that
+// has just started with an empty cache.
 func (t *Table) home(r *Request, from prefix.Set) int {
 	if r.Shared == 0 || t.cfg.IgnorePrefix {
 		return noHome
 	}
 	known := from
 	if r.Fetchable {
-		// What a leaving runner holds can still be copied.
+		// A leaving runner also counts: its cached prefix can still be copied.
 		known = t.used
 	}
 	if !t.index.Holders(r.Shared).And(known).Empty() {
@@ -337,12 +341,12 @@
 	return best
 }
 
-// TrustHomes says whether a shared prompt that no runner is known to hold counts as
-// cached at its home. It does while too little is known, as after a restart: runners
-// hold then what nobody remembers to have sent them.
+// TrustHomes sets whether a shared prefix that no runner is known to hold counts as
+// cached at its home. Callers turn this on while little is known, as after a restart of
+// the daemons: the runners then hold prefixes of which the daemons have no record.
 func (t *Table) TrustHomes(trust bool) { t.trustHomes = trust }
 
-// mix spreads the bits of a number over all of it (the finalizer of splitmix64).
+// mix distributes the entropy of x over all its bits (the finalizer of splitmix64).
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -351,10 +355,10 @@
 	return x ^ x>>31
 }
 
-// riskTolerance is the difference in risk that is none.
+// riskTolerance is the difference in risk below which two runners count as equally safe.
 const riskTolerance = 0.0005
 
-// lowestRisk returns the candidates with the least risk among those whose estimate
+// lowestRisk returns the candidates with the lowest risk among those whose estimate
 // is within the limit.
 func (t *Table) lowestRisk(candidates prefix.Set, r *Request, estimates *[MaxRunners]float64, limit float64) prefix.Set {
 	var risks [MaxRunners]float64
@@ -375,8 +379,8 @@
 	return safe
 }
 
-// risk is the probability of a reclaim while the request runs, plus the price
-// in the same unit.
+// risk returns the probability of a reclaim while the request runs, plus the runner's
+// price expressed in the same unit.
 func (t *Table) risk(i int, r *Request) float64 {
 	s := &t.scores[i]
 	return s.hazard*float64(r.OutputTokens) + s.price
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -70,11 +70,11 @@
 	is.NoErr(err)
 	is.Equal(c.Estimate, 500*time.Millisecond)
 	k := tb.Dispatch(start.Add(time.Second), c, r)
-	// A report drawn up before the dispatch does not know of it.
+	// This report was made before the dispatch and doesn't include it.
 	tb.Report(start.Add(2*time.Second), "r00000", report(start.Add(500*time.Millisecond), 1000))
 	c, _ = tb.Pick(start, r)
 	is.Equal(c.Estimate, 1100*time.Millisecond)
-	// One drawn up after it counts it among the queued.
+	// This report was made after the dispatch and includes it in the queued tokens.
 	tb.Report(start.Add(3*time.Second), "r00000", report(start.Add(2*time.Second), 6000))
 	c, _ = tb.Pick(start, r)
 	is.Equal(c.Estimate, 1100*time.Millisecond)
@@ -97,7 +97,7 @@
 	r := &Request{Model: "m", Adapter: "a", Prefix: chain, PromptTokens: 1600, OutputTokens: 10}
 	first, err := tb.Pick(start, r)
 	is.NoErr(err)
-	is.Equal(first.Runner, ident.RunnerID("r00000")) // the own failure domain among equals
+	is.Equal(first.Runner, ident.RunnerID("r00000")) // the gateway's failure domain wins among equals
 	k := tb.Dispatch(start, first, r)
 	tb.FirstToken(start, &k)
 	again, _ := tb.Pick(start, r)
@@ -121,16 +121,15 @@
 	}
 	c, err := tb.Pick(start, &Request{Model: "m", PromptTokens: 1, Exclude: tb.Exclude("r00001")})
 	is.NoErr(err)
-	is.Equal(c.Runner, ident.RunnerID("r00000")) // an old version rather than none
+	is.Equal(c.Runner, ident.RunnerID("r00000")) // an old version is better than none
 	_, err = tb.Pick(start, &Request{Model: "m", Adapter: "b", PromptTokens: 1})
 	var none *NoRunnerError
 	is.True(errors.As(err, &none))
 	is.Equal(none.Cause, NotLoaded)
 }
 
-// A long review is cut off half way and its deposit window is lost. VMs of one
-// failure domain were being reclaimed all day, yet the review went there since
-// its queue was a little shorter.
+// Guards against a long request that is cut off by a reclaim because it was sent to a
+// failure domain with many recent reclaims whose queue was slightly shorter.
 func TestLongRequestAvoidsReclaims(t *testing.T) {
 	is := is.New(t)
 	tb := newTable(8)
@@ -140,7 +139,7 @@
 	short := &Request{Model: "m", PromptTokens: 100, OutputTokens: 10}
 	c, err := tb.Pick(start, short)
 	is.NoErr(err)
-	is.Equal(c.Runner, ident.RunnerID("r00004")) // d0, the own failure domain
+	is.Equal(c.Runner, ident.RunnerID("r00004")) // r00004 is in d0, the gateway's failure domain
 	long := &Request{Model: "m", PromptTokens: 100, OutputTokens: 3000, Long: true, Slack: time.Second}
 	c, err = tb.Pick(start, long)
 	is.NoErr(err)
@@ -148,11 +147,11 @@
 	long.Slack = 0
 	c, err = tb.Pick(start, long)
 	is.NoErr(err)
-	is.Equal(c.Runner, ident.RunnerID("r00004")) // no slack, no choice
+	is.Equal(c.Runner, ident.RunnerID("r00004")) // without slack only the fastest runner qualifies
 }
 
-// A caller's request breaks off again and again although other runners are
-// free. A VM has its notice; the list, which lags, still calls it live.
+// Guards against requests that are sent to a VM with a reclaim notice because an
+// outdated runner list still shows it as live.
 func TestLeavingIsNeverPicked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 70).Draw(t, "runners")
@@ -199,16 +198,16 @@
 	is := is.New(t)
 	busy := Capacity{Runners: 10, Batch: 100, Free: 20, DecodeRate: 5000}
 	places, perSecond := busy.Share(5, 30)
-	is.Equal(places, 20.0) // what others keep for urgent work is not idle
+	is.Equal(places, 20.0) // the quarter reserved for urgent requests is not free
 	is.Equal(perSecond, 1000.0)
 	idle := Capacity{Runners: 10, Batch: 100, Free: 85, DecodeRate: 5000}
 	places, _ = idle.Share(5, 15)
 	is.Equal(places, 45.0)
 }
 
-// Two daemons serve the same 130 runners. One sends a long prompt to a runner and
-// tells the other. If the other deals with only some of the runners it can't send
-// the next request with this prompt there, and the prompt is computed once more.
+// Two daemons serve the same 130 runners. One daemon sends a long prompt to a runner and
+// announces it to the other. If the other daemon's table holds only some of the runners,
+// it can't send the next request with this prompt there, and the prompt is computed twice.
 func TestAssumedPrefixIsFollowedAmongManyRunners(t *testing.T) {
 	is := is.New(t)
 	const n = 130
@@ -255,8 +254,8 @@
 	is.Equal(changed, 1)
 }
 
-// Keeping only the first few of each failure domain must choose what a whole
-// sort would.
+// Keeping only the first few runners of each failure domain must give the same result as
+// sorting the whole list.
 func TestSubsetMatchesFullSort(t *testing.T) {
 	is := is.New(t)
 	all := runners(300)
@@ -326,7 +325,7 @@
 	}
 }
 
-// BenchmarkSubset cuts the runners of the two-year target.
+// BenchmarkSubset measures the subset of 10,000 runners, the scale planned for in two years.
 func BenchmarkSubset(b *testing.B) {
 	all := runners(10000)
 	for b.Loop() {
@@ -334,7 +333,7 @@
 	}
 }
 
-// BenchmarkSetRunners is all that a change of one runner costs a table.
+// BenchmarkSetRunners measures the whole cost of a change of one runner for a table.
 func BenchmarkSetRunners(b *testing.B) {
 	all := runners(10000)
 	tb := newTable(0)
@@ -346,10 +345,10 @@
 	}
 }
 
-// Two gateways place prompts with the same shared part before they have heard of
-// each other. They must pick the same runner, or the part is computed twice. Once
-// it is known to be cached somewhere, a runner that has just started and has the
-// better hash must not be taken to hold it.
+// Two gateways route prompts with the same shared prefix before they have exchanged
+// placements. Both must pick the same runner, or the prefix is computed twice. Once a
+// runner is known to hold the prefix, a newly started runner with a higher hash must not
+// be assumed to hold it.
 func TestSharedPrefixHasOneHomeUntilCached(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -384,7 +383,7 @@
 		first.Finished(now, &k)
 		first.SetRunners(now, runners(8))
 		next := *r
-		next.Prefix = []prefix.Hash{part, part + 2000} // another prompt of its own
+		next.Prefix = []prefix.Hash{part, part + 2000} // another prompt with the same shared prefix
 		c, err := first.Pick(now, &next)
 		is.NoErr(err)
 		is.Equal(c.Runner, a.Runner)
@@ -392,12 +391,12 @@
 			moved++
 		}
 	}
-	is.True(moved > 0) // the hash did point elsewhere for some
+	is.True(moved > 0) // for some prefixes the hash points to another of the eight runners
 }
 
-// A prompt has to go where its shared part is not cached. Where another runner is
-// known to have it the choice names that one, also one that is leaving, and the
-// prompt counts for what is left to read.
+// Covers a prompt that is sent to a runner without its shared prefix. If another runner,
+// live or leaving, is known to hold the prefix, the choice names that runner as the source
+// for a copy, and only the rest of the prompt counts as uncached.
 func TestSharedPrefixIsFetchedFromHolder(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -413,13 +412,13 @@
 		Shared: 7, SharedTokens: 13_000, Fetchable: true}
 	first, err := tab.Pick(now, r)
 	is.NoErr(err)
-	is.Equal(first.FetchFrom, "") // nobody has it
+	is.Equal(first.FetchFrom, "") // no runner has cached it yet
 	k := tab.Dispatch(now, first, r)
 	tab.Finished(now, &k)
 	again, err := tab.Pick(now, r)
 	is.NoErr(err)
 	is.Equal(again.Runner, first.Runner)
-	is.Equal(again.FetchFrom, "") // it has it itself
+	is.Equal(again.FetchFrom, "") // the chosen runner has cached it already
 	next := *r
 	next.Prefix = []prefix.Hash{7, 9}
 	next.Exclude = tab.Exclude(first.Runner)
@@ -441,18 +440,18 @@
 	other, err = tab.Pick(now, &next)
 	is.NoErr(err)
 	is.Equal(other.FetchFrom, "")
-	is.Equal(other.Uncached, 14_000) // no live runner has it
+	is.Equal(other.Uncached, 14_000) // no live runner has cached it
 	tab.TrustHomes(true)
 	other, err = tab.Pick(now, &next)
 	is.NoErr(err)
-	is.Equal(other.Uncached, 1000) // its home is taken to hold it
+	is.Equal(other.Uncached, 1000) // its home is assumed to hold it
 }
 
-// A fleet starts and its runners' caches are empty. Each case file is asked for once
-// and has to be read, but its home was taken to hold it: the largest work of the
-// first minute counted for nothing, too few runners were ordered, and prompts were
-// sent behind others that nobody knew to be there. Homes may only be trusted where
-// the runners hold what nobody remembers, as after a restart of the daemons.
+// In a new fleet the caches of all runners are empty, so each shared prefix has to be
+// computed once. When its home was assumed to hold it, the largest work of the first
+// minute was not counted: too few runners were started, and prompts were queued behind
+// uncounted ones. Homes may only be trusted when the runners hold prefixes that the
+// daemons don't know of, as after a restart of the daemons.
 func TestUncachedPromptsCountAsWork(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// defaultMeanOutput is the mean output taken for granted at first, meanOutputWeight the
-// weight of each answer's length after that.
+// defaultMeanOutput is the initial estimate of the mean output length in tokens.
+// meanOutputWeight is the weight of each new answer in the moving average.
 const (
 	defaultMeanOutput = 200
 	meanOutputWeight  = 0.02
 )
 
-// changeLogSize bounds the own dispatches and completions that are remembered for
-// the correction of a report; older ones are taken as reported.
+// changeLogSize bounds the number of own dispatches and completions per runner that
+// are kept to correct a report. Older ones are assumed to be part of the report.
 const changeLogSize = 128
 
-// change is what one own dispatch or completion did to a runner.
+// change is the effect of one own dispatch or completion on a runner's load.
 type change struct {
 	at       time.Time
 	prefill  float64
@@ -24,30 +24,30 @@
 	requests int
 }
 
-// changeLog is a ring of the last own changes.
+// changeLog is a ring buffer of the latest own changes.
 type changeLog struct {
 	entries [changeLogSize]change
 	next    int
 }
 
-// score is what a choice reads of a slot; it is kept apart and small because
-// every choice reads all candidates' scores.
+// score holds the values of a slot that a choice reads. It is separate from slot and
+// small because every choice reads the scores of all candidates.
 type score struct {
-	// remotePenalty is the way there in seconds.
+	// remotePenalty is added for a runner in another failure domain, in seconds.
 	remotePenalty float64
-	// perToken is seconds of prefill per token, perOutput seconds until the
-	// batch frees room for one token in the KV cache.
+	// perToken is the prefill time per token in seconds. perOutput is the time in
+	// seconds until the batch frees KV cache for one token.
 	perToken  float64
 	perOutput float64
-	// queuedTokens is the prompt tokens queued, free the room in the KV cache in
-	// tokens, own changes since the report included.
+	// queuedTokens is the number of prompt tokens queued, freeTokens the free KV cache
+	// in tokens. Both include own changes since the last report.
 	queuedTokens float64
 	freeTokens   float64
-	// batchWait is the seconds until a batchWait in the batch is free.
+	// batchWait is the time in seconds until a slot in the batch is free.
 	batchWait float64
 	inFlight  int
-	// hazard is the probability of a reclaim per output token, price the
-	// price's part of the risk.
+	// hazard is the probability of a reclaim per output token. price is the
+	// contribution of the runner's price to the risk.
 	hazard float64
 	price  float64
 }
@@ -79,7 +79,7 @@
 	t.rescore(i)
 }
 
-// rescore derives what choices read from the last report and own changes.
+// rescore computes the score of slot i from the last report and own changes.
 func (t *Table) rescore(i int) {
 	s, c := &t.slots[i], &t.scores[i]
 	c.perToken = 1 / s.prefillRate
@@ -97,15 +97,15 @@
 	}
 }
 
-// requestsInProgress is the requests in progress at the runner, of which own are this
-// gateway's.
+// requestsInProgress returns the number of requests at the runner, of which own come
+// from this gateway.
 func (s *slot) requestsInProgress(own int) int {
 	return max(own, s.report.Running+s.report.Waiting+s.sinceRequests)
 }
 
-// waitForBatch is the seconds until a request that comes now has a place in the
-// batch. Prompts may be short and their tokens few, so that the queue of tokens
-// says nothing of it. Places fall free as the batch's answers end.
+// waitForBatch returns the time in seconds until a request that arrives now gets a slot
+// in the batch. The queued prompt tokens don't tell this, because many queued prompts can
+// be short. Slots become free at the rate at which the running requests finish.
 func (t *Table) waitForBatch(s *slot, own int) float64 {
 	ahead := s.requestsInProgress(own) - s.batchSize + 1
 	if ahead <= 0 {
@@ -115,32 +115,32 @@
 	return float64(ahead) / perSecond
 }
 
-// Capacity is what the runners in use carry by their reports.
+// Capacity is the total capacity of the usable runners according to their reports.
 type Capacity struct {
 	Runners int
-	// Batch is the requests that run at a time, DecodeRate the output tokens
-	// per second, both in all.
+	// Batch is the total number of requests that can run at a time. DecodeRate is the
+	// total number of output tokens per second.
 	Batch      int
 	DecodeRate float64
-	// Free is the places that the reports and own changes since leave.
+	// Free is the number of batch slots left by the reports and own changes since.
 	Free int
-	// PromptCost is how many output tokens one uncached prompt token costs.
+	// PromptCost is the cost of one uncached prompt token in output tokens.
 	PromptCost float64
 }
 
-// A gateway may take borrowedShare of the free places beyond its equal share:
-// were it all of them, every gateway would take the same ones. The reservedFraction
-// part of all places is not counted as free: under overload it is what gateways
-// leave for urgent work.
+// A gateway may use borrowedShare of the free batch slots beyond its equal share. It
+// may not use all of them, because every gateway would then claim the same slots.
+// reservedFraction of all slots does not count as free: gateways leave those slots to
+// urgent requests under overload.
 const (
 	borrowedShare    = 0.5
 	reservedFraction = 0.25
 )
 
-// Share returns the places and the output tokens per second that one of so many
-// gateways may use: its equal part, or what it uses and a part of what is free.
-// Callers are not spread evenly, and the gateway that has them must not refuse
-// while the runners are idle.
+// Share returns the batch slots and the output tokens per second that one of the given
+// number of gateways may use: its equal share or, if more, what it uses now plus part of
+// what is free. Callers are not spread evenly over the gateways, and a gateway with many
+// callers must not refuse requests while runners are idle.
 func (c Capacity) Share(gateways, running int) (places, perSecond float64) {
 	if c.Batch == 0 {
 		return 0, 0
@@ -154,7 +154,7 @@
 	return places, c.DecodeRate * places / float64(c.Batch)
 }
 
-// Capacity sums up the runners that are live and not ejected.
+// Capacity returns the total capacity of the runners that are live and not ejected.
 func (t *Table) Capacity() Capacity {
 	var c Capacity
 	prefill := 0.0
--- a/coordination/routing/subset.go
+++ b/coordination/routing/subset.go
@@ -11,15 +11,15 @@
 )
 
 type ranked struct {
-	// index is the runner's place in the list.
+	// index is the runner's position in the list.
 	index int
 	score uint64
 }
 
-// Subset returns the runners that one gateway deals with: at most size of them,
-// the same for the same list, spread over the failure domains. Within a failure
-// domain the runners with the highest rendezvous hash of gateway and runner go
-// first, so that one runner's coming or going changes one place only.
+// Subset returns at most size runners for one gateway. It is deterministic for the same
+// list and spreads the runners over the failure domains. Within a failure domain it takes
+// the runners with the highest rendezvous hash of gateway and runner, so that adding or
+// removing one runner changes at most one entry.
 func Subset(self ident.DaemonID, runners []view.Runner, size int) []view.Runner {
 	if len(runners) <= size {
 		return slices.Clone(runners)
@@ -41,12 +41,12 @@
 	return chosen
 }
 
-// ranking holds the first few runners of a failure domain, the highest first.
+// ranking holds the highest-scored runners of a failure domain, highest first.
 type ranking struct{ best []ranked }
 
-// rankByDomain keeps the first size of each failure domain. Most runners of a
-// long list are told from their hash alone not to be among them, so that a
-// change of the list costs little more than its hashes.
+// rankByDomain keeps the size highest-scored runners of each failure domain. Most runners
+// of a long list are rejected by comparing their hash with the lowest one kept, so a
+// changed list costs little more than hashing its entries.
 func rankByDomain(self ident.DaemonID, runners []view.Runner, size int) map[ident.FailureDomain]*ranking {
 	domains := map[ident.FailureDomain]*ranking{}
 	var current *ranking
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -1,9 +1,9 @@
-// Package routing decides which runner of one model service gets a request.
+// Package routing decides which runner of a service gets a request.
 //
-// It is pure: it reads no clock and does no I/O. The table learns of runners
-// from the directory, of their load from reports that lag, and of their prefix
-// caches from events that are late and gappy; it corrects all three by what
-// this gateway itself has dispatched and seen completed since.
+// The package reads no clock and does no I/O. A Table learns about runners from the
+// directory, about their load from reports that lag behind, and about their prefix caches
+// from events that can be late or missing. It corrects all three by the requests that
+// this gateway has dispatched and seen completed since.
 package routing
 
 import (
@@ -20,47 +20,47 @@
 	"geraniumstack.org/geraniumstack/state/prefix"
 )
 
-// MaxRunners is the most runners that one table deals with.
+// MaxRunners is the maximum number of runners in one table.
 const MaxRunners = prefix.Slots
 
-// Config sets a table's policy.
+// Config sets the routing policy of a table.
 type Config struct {
-	// Self names the gateway; it decides which runners of a long list are its.
+	// Self is the ID of the gateway. It determines the gateway's subset of a long runner list.
 	Self ident.DaemonID
-	// FailureDomain is the gateway's own.
+	// FailureDomain is the failure domain of the gateway.
 	FailureDomain ident.FailureDomain
-	// Samples is how many random candidates a choice looks at besides the
-	// runners with the longest cached prefix; zero looks at all.
+	// Samples is the number of random candidates that a choice considers in addition
+	// to the runners with the longest cached prefix; zero considers all runners.
 	Samples int
-	// IgnorePrefix leaves the prefix index out of the choice.
+	// IgnorePrefix routes without regard to cached prefixes.
 	IgnorePrefix bool
-	// IgnoreRisk places long work as any other.
+	// IgnoreRisk routes long requests like all others, without regard to reclaim risk.
 	IgnoreRisk bool
-	// LoadBound excludes a runner on which this gateway has more than this
-	// many times the mean of requests in progress; zero is no bound.
+	// LoadBound excludes a runner on which this gateway has more than this multiple
+	// of the mean number of requests in progress; zero means no bound.
 	LoadBound float64
-	// RemotePenalty is what a runner in another failure domain adds to the
-	// time to first token.
+	// RemotePenalty is added to the expected time to first token of a runner in
+	// another failure domain.
 	RemotePenalty time.Duration
-	// PriceWeight is the probability of a reclaim that a long request accepts
-	// to run at no price instead of at the highest in the table.
+	// PriceWeight is the increase in reclaim probability that a long request accepts
+	// to run at price zero instead of at the highest price in the table.
 	PriceWeight float64
-	// PrefillRate and DecodeRate, in tokens per second, stand in until a
-	// runner reports its own.
+	// PrefillRate and DecodeRate, in tokens per second, apply until a runner reports
+	// its own rates.
 	PrefillRate float64
 	DecodeRate  float64
-	// Output is the mean output of a request, in tokens, until answers have been seen.
+	// Output is the initial mean output length of a request, in tokens.
 	Output float64
-	// Batch is the places in a runner's batch until it reports them, or more
-	// requests than that.
+	// Batch is the batch size of a runner until it reports its own or reports more
+	// running requests than that.
 	Batch int
-	// PrefixCapacity bounds the prefix index, in blocks.
+	// PrefixCapacity is the maximum size of the prefix index, in blocks.
 	PrefixCapacity int
 	Hazard         HazardConfig
 	Seed           uint64
 }
 
-// Default returns the policy in use; docs/design/routing.md gives the reasons.
+// Default returns the policy used in production; docs/design/routing.md gives the reasons.
 func Default(self ident.DaemonID, domain ident.FailureDomain) Config {
 	return Config{
 		Self:           self,
@@ -81,7 +81,7 @@
 type slot struct {
 	used  bool
 	epoch uint32
-	// hash of the runner's id.
+	// hash is the hash of the runner's ID.
 	hash        uint64
 	runner      view.Runner
 	reported    bool
@@ -89,12 +89,12 @@
 	prefillRate float64
 	decodeRate  float64
 	freeTokens  float64
-	// batchSize is the size of the batch.
+	// batchSize is the number of requests that the runner serves at a time.
 	batchSize int
-	// pendingPrefill and pendingKV count own work in progress.
+	// pendingPrefill and pendingKV count the tokens of own requests in progress.
 	pendingPrefill float64
 	pendingKV      float64
-	// sincePrefill and the others sum the changes after the last report.
+	// sincePrefill, sinceKV and sinceRequests sum the own changes after the last report.
 	sincePrefill  float64
 	sinceKV       float64
 	sinceRequests int
@@ -123,10 +123,10 @@
 	ejected  prefix.Set
 	reported prefix.Set
 	maxPrice float64
-	// meanOutput is the mean meanOutput tokens of a request.
+	// meanOutput is the mean output length of a request, in tokens.
 	meanOutput float64
 	depths     prefix.Depths
-	// homeSlot is the home of the request that is being placed.
+	// homeSlot is the home slot of the request that is being routed, or noHome.
 	homeSlot   int
 	trustHomes bool
 }
@@ -141,20 +141,20 @@
 		rng:        rand.New(rand.NewPCG(cfg.Seed, 1)),
 		loadedOn:   map[modelKey]loadedSlots{},
 		meanOutput: cfg.Output,
-		// No request is being placed yet.
+		// No request is being routed yet.
 		homeSlot: noHome,
 	}
 }
 
-// SetModels tells the versions that should serve from now on.
+// SetModels sets the model versions that should be served from now on.
 func (t *Table) SetModels(models []manifest.Model) {
 	t.models = models
 	t.indexModels()
 }
 
-// SetRunners replaces the list of the service's runners, of which the table
-// deals with a Subset. One that is leaving, gone or no longer listed gets no
-// request from this call on.
+// SetRunners replaces the list of the service's runners. The table keeps only the Subset
+// for this gateway. From this call on, runners that are leaving, gone or not listed get
+// no requests.
 func (t *Table) SetRunners(now time.Time, runners []view.Runner) {
 	t.hazard.observe(now, runners)
 	subset := Subset(t.cfg.Self, runners, MaxRunners)
@@ -200,7 +200,7 @@
 	}
 	s := &t.slots[i]
 	if s.runner.State == view.Leaving {
-		// A lagging list may still call it live; leaving is final.
+		// An outdated list may still show the runner as live; Leaving is final.
 		r.State = view.Leaving
 	}
 	s.runner = r
@@ -211,7 +211,7 @@
 	t.rescore(i)
 }
 
-// refresh derives from the slots what choices read.
+// refresh recomputes the runner sets, reclaim hazards and scores from the slots.
 func (t *Table) refresh(now time.Time) {
 	t.live, t.suspect, t.maxPrice = prefix.Set{}, prefix.Set{}, 0
 	for i := range t.used.All() {
@@ -234,7 +234,7 @@
 	t.indexModels()
 }
 
-// indexModels derives which slots serve which model and adapter.
+// indexModels recomputes which slots serve which model and adapter.
 func (t *Table) indexModels() {
 	clear(t.loadedOn)
 	for i := range t.reported.All() {
@@ -276,7 +276,7 @@
 	return false
 }
 
-// SetEjected takes a runner out of the choice or back in.
+// SetEjected excludes a runner from routing or includes it again.
 func (t *Table) SetEjected(id ident.RunnerID, ejected bool) {
 	i, ok := t.byID[id]
 	switch {
@@ -288,7 +288,7 @@
 	}
 }
 
-// Report takes in what a runner published, corrected by own changes since.
+// Report applies a runner's load report, corrected by own changes since its AsOf time.
 func (t *Table) Report(now time.Time, id ident.RunnerID, r load.Report) {
 	i, ok := t.byID[id]
 	if !ok {
@@ -346,7 +346,7 @@
 	return true
 }
 
-// CacheEvents takes in a page of a runner's cache events; see prefix.Index.
+// CacheEvents applies a page of a runner's cache events; see prefix.Index.
 func (t *Table) CacheEvents(id ident.RunnerID, p prefix.Page) error {
 	i, ok := t.byID[id]
 	if !ok {
@@ -358,14 +358,14 @@
 	return nil
 }
 
-// Assume notes that another daemon has sent a prompt with the prefix to a runner.
+// Assume records that another daemon has sent a prompt with this prefix to a runner.
 func (t *Table) Assume(id ident.RunnerID, chain []prefix.Hash) {
 	if i, ok := t.byID[id]; ok {
 		t.index.Assume(i, chain)
 	}
 }
 
-// Cursor is the sequence number from which to read a runner's cache events.
+// Cursor returns the sequence number from which to read a runner's next cache events.
 func (t *Table) Cursor(id ident.RunnerID) uint64 {
 	i, ok := t.byID[id]
 	if !ok {
@@ -374,10 +374,10 @@
 	return t.index.Cursor(i)
 }
 
-// PrefixBlocks is the number of blocks in the prefix index.
+// PrefixBlocks returns the number of blocks in the prefix index.
 func (t *Table) PrefixBlocks() int { return t.index.Len() }
 
-// Runners appends the listed runners that are not leaving to dst.
+// Runners appends the runners in the table that are not leaving to dst.
 func (t *Table) Runners(dst []view.Runner) []view.Runner {
 	for i := range t.live.Or(t.suspect).All() {
 		dst = append(dst, t.slots[i].runner)
@@ -385,17 +385,17 @@
 	return dst
 }
 
-// OwnLoad is this daemon's own work at one runner.
+// OwnLoad is the load that this daemon's own requests put on one runner.
 type OwnLoad struct {
 	Runner ident.RunnerID
-	// Prefill is prompt tokens that wait for their first token, KV all tokens of
-	// the requests in progress.
+	// Prefill is the number of prompt tokens of requests without a first token. KV is
+	// the number of all tokens of the requests in progress.
 	Prefill  int
 	KV       int
 	Requests int
 }
 
-// OwnLoads appends the own work at every runner in the table to dst.
+// OwnLoads appends the own load on every runner in the table to dst.
 func (t *Table) OwnLoads(dst []OwnLoad) []OwnLoad {
 	for i := range t.used.All() {
 		s := &t.slots[i]
--- a/coordination/routing/targets.go
+++ b/coordination/routing/targets.go
@@ -6,12 +6,14 @@
 	"geraniumstack.org/geraniumstack/coordination/reclaim"
 )
 
-// defaultFreeTokens stands in for the free KV cache of a runner that has not reported.
+// defaultFreeTokens is the free KV cache, in tokens, assumed for a runner that has not
+// reported.
 const defaultFreeTokens = 1 << 14
 
-// Targets lists the live runners as targets for streams that have to leave
-// theirs, with the room that reports and own changes since leave. Ejected ones
-// are left out: a move to one that fails would only be followed by another.
+// Targets returns the live runners to which streams can move from a runner that is being
+// reclaimed, with the capacity left by the reports and by this gateway's requests since.
+// Ejected runners are left out: a stream that moved to a failing runner would have to
+// move again.
 func (t *Table) Targets() []reclaim.Target {
 	var targets []reclaim.Target
 	for i := range t.live.Less(t.ejected).All() {
--- a/coordination/routing/ticket.go
+++ b/coordination/routing/ticket.go
@@ -14,8 +14,8 @@
 	phaseDecode
 )
 
-// Ticket follows one dispatch through the table's counts. The zero value is
-// not dispatched; calls out of order change nothing.
+// Ticket identifies one dispatched request in the load counts of a table. The zero value
+// stands for a request that was not dispatched. Calls in the wrong order have no effect.
 type Ticket struct {
 	slot       int
 	epoch      uint32
@@ -25,8 +25,8 @@
 	heldBlocks int
 }
 
-// Dispatch counts the request at the chosen runner and assumes that it will
-// hold the request's prefix.
+// Dispatch counts the request at the chosen runner and assumes that the runner will
+// cache the request's prefix.
 func (t *Table) Dispatch(now time.Time, c Choice, r *Request) Ticket {
 	s := &t.slots[c.slot]
 	if s.epoch != c.epoch {
@@ -38,7 +38,7 @@
 	return k
 }
 
-// FirstToken counts the prefill as done.
+// FirstToken records that the prefill of the request is done.
 func (t *Table) FirstToken(now time.Time, k *Ticket) {
 	s := t.ticketSlot(k)
 	if s == nil || k.phase != phasePrefill {
@@ -48,7 +48,7 @@
 	t.recordChange(k.slot, change{at: now, prefill: -float64(k.uncached)})
 }
 
-// Finished counts the request out.
+// Finished removes the request from the load counts.
 func (t *Table) Finished(now time.Time, k *Ticket) {
 	t.FirstToken(now, k)
 	s := t.ticketSlot(k)
@@ -59,13 +59,13 @@
 	t.recordChange(k.slot, change{at: now, kv: -float64(k.kv), requests: -1})
 }
 
-// RecordOutputLength takes in the length of a whole answer.
+// RecordOutputLength adds the length of a complete answer to the mean output length.
 func (t *Table) RecordOutputLength(tokens int) {
 	t.meanOutput = max(1, t.meanOutput+meanOutputWeight*(float64(tokens)-t.meanOutput))
 }
 
-// NotStarted counts a request out that the runner did not start, and takes the
-// assumption of its prefix back.
+// NotStarted removes a request that the runner did not start from the load counts and
+// withdraws the assumption that the runner has its prefix cached.
 func (t *Table) NotStarted(now time.Time, k *Ticket, chain []prefix.Hash) {
 	if t.ticketSlot(k) == nil || k.phase == phaseNone {
 		return
