--- a/coordination/routing/hazard.go
+++ b/coordination/routing/hazard.go
@@ -70,7 +70,7 @@
 // observe sets the VM counts of the pools from a runner list. It counts a reclaim for
 // each tracked VM that is now leaving, gone or missing from the list.
 func (h *Hazard) observe(now time.Time, runners []view.Runner) {
-	current := make(map[ident.RunnerID]pool, len(runners))
+	tracked := make(map[ident.RunnerID]pool, len(runners))
 	counts := map[pool]int{}
 	for p := range h.pools {
 		counts[p] = 0
@@ -79,19 +79,19 @@
 		r := &runners[i]
 		if r.Reclaimable && (r.State == view.Live || r.State == view.Suspect) {
 			p := pool{r.FailureDomain, r.VMClass}
-			current[r.ID] = p
+			tracked[r.ID] = p
 			counts[p]++
 		}
 	}
 	for id, p := range h.tracked {
-		if _, ok := current[id]; !ok {
+		if _, ok := tracked[id]; !ok {
 			h.CountReclaim(now, p.domain, p.class)
 		}
 	}
 	for p, n := range counts {
 		h.SetVMCount(now, p.domain, p.class, n)
 	}
-	h.tracked = current
+	h.tracked = tracked
 }
 
 // exposureAt returns the pool's counts, decayed up to now.
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -157,17 +157,17 @@
 // Capacity returns the total capacity of the runners that are live and not ejected.
 func (t *Table) Capacity() Capacity {
 	var c Capacity
-	prefill := 0.0
+	prefillRate := 0.0
 	for i := range t.live.Less(t.ejected).All() {
 		s := &t.slots[i]
 		c.Runners++
 		c.Batch += s.batchSize
 		c.Free += max(0, s.batchSize-s.report.Running-s.report.Waiting-s.sinceRequests)
 		c.DecodeRate += float64(s.batchSize) * s.decodeRate
-		prefill += s.prefillRate
+		prefillRate += s.prefillRate
 	}
-	if prefill > 0 {
-		c.PromptCost = c.DecodeRate / prefill
+	if prefillRate > 0 {
+		c.PromptCost = c.DecodeRate / prefillRate
 	}
 	return c
 }
--- a/coordination/routing/subset.go
+++ b/coordination/routing/subset.go
@@ -74,8 +74,8 @@
 		}
 		r.best = r.best[:size-1]
 	}
-	at, _ := slices.BinarySearchFunc(r.best, candidate, compare)
-	r.best = slices.Insert(r.best, at, candidate)
+	index, _ := slices.BinarySearchFunc(r.best, candidate, compare)
+	r.best = slices.Insert(r.best, index, candidate)
 }
 
 func rendezvousHash(self ident.DaemonID, id ident.RunnerID) uint64 {
--- a/coordination/routing/targets.go
+++ b/coordination/routing/targets.go
@@ -23,14 +23,14 @@
 			places = t.cfg.Batch
 		}
 		present := max(c.inFlight, s.report.Running+s.report.Waiting+s.sinceRequests)
-		free := defaultFreeTokens
+		freeTokens := defaultFreeTokens
 		if s.reported && s.report.KVBlocksTotal > 0 {
-			free = max(int(c.freeTokens), 0)
+			freeTokens = max(int(c.freeTokens), 0)
 		}
 		targets = append(targets, reclaim.Target{
 			Runner:       s.runner.ID,
 			Slots:        max(places-present, 0),
-			FreeTokens:   free,
+			FreeTokens:   freeTokens,
 			PrefillRate:  s.prefillRate,
 			QueuedTokens: max(int(c.queuedTokens), 0),
 			Risk:         s.hazard * time.Hour.Seconds(),
