--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -182,7 +182,7 @@
 	if usable.Less(r.Exclude).Empty() {
 		return prefix.Set{}, errAllTried
 	}
-	p := t.loadedOn[modelKey{r.Model, r.Adapter}]
+	p := t.loadedSlots[modelKey{r.Model, r.Adapter}]
 	for _, states := range [...]prefix.Set{t.live.Less(t.ejected), usable} {
 		states = states.Less(r.Exclude)
 		for _, loaded := range [...]prefix.Set{p.wanted, p.other, t.reported.Not()} {
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -107,22 +107,22 @@
 
 // Table routes the requests of one service. It is not safe for concurrent use.
 type Table struct {
-	cfg      Config
-	slots    [MaxRunners]slot
-	scores   [MaxRunners]score
-	logs     [MaxRunners]changeLog
-	byID     map[ident.RunnerID]int
-	index    *prefix.Index
-	hazard   *Hazard
-	rng      *rand.Rand
-	models   []manifest.Model
-	loadedOn map[modelKey]loadedSlots
-	used     prefix.Set
-	live     prefix.Set
-	suspect  prefix.Set
-	ejected  prefix.Set
-	reported prefix.Set
-	maxPrice float64
+	cfg         Config
+	slots       [MaxRunners]slot
+	scores      [MaxRunners]score
+	logs        [MaxRunners]changeLog
+	byID        map[ident.RunnerID]int
+	index       *prefix.Index
+	hazard      *Hazard
+	rng         *rand.Rand
+	models      []manifest.Model
+	loadedSlots map[modelKey]loadedSlots
+	used        prefix.Set
+	live        prefix.Set
+	suspect     prefix.Set
+	ejected     prefix.Set
+	reported    prefix.Set
+	maxPrice    float64
 	// meanOutput is the mean output length of a request, in tokens.
 	meanOutput float64
 	depths     prefix.Depths
@@ -134,13 +134,13 @@
 // New returns a table without runners.
 func New(cfg Config) *Table {
 	return &Table{
-		cfg:        cfg,
-		byID:       map[ident.RunnerID]int{},
-		index:      prefix.NewIndex(cfg.PrefixCapacity),
-		hazard:     NewHazard(cfg.Hazard),
-		rng:        rand.New(rand.NewPCG(cfg.Seed, 1)),
-		loadedOn:   map[modelKey]loadedSlots{},
-		meanOutput: cfg.Output,
+		cfg:         cfg,
+		byID:        map[ident.RunnerID]int{},
+		index:       prefix.NewIndex(cfg.PrefixCapacity),
+		hazard:      NewHazard(cfg.Hazard),
+		rng:         rand.New(rand.NewPCG(cfg.Seed, 1)),
+		loadedSlots: map[modelKey]loadedSlots{},
+		meanOutput:  cfg.Output,
 		// No request is being routed yet.
 		homeSlot: noHome,
 	}
@@ -236,7 +236,7 @@
 
 // indexModels recomputes which slots serve which model and adapter.
 func (t *Table) indexModels() {
-	clear(t.loadedOn)
+	clear(t.loadedSlots)
 	for i := range t.reported.All() {
 		for j := range t.slots[i].report.Models {
 			t.indexModel(i, &t.slots[i].report.Models[j])
@@ -256,13 +256,13 @@
 }
 
 func (t *Table) indexModelKey(i int, p modelKey, wanted bool) {
-	at := t.loadedOn[p]
+	at := t.loadedSlots[p]
 	if wanted {
 		at.wanted = at.wanted.With(i)
 	} else {
 		at.other = at.other.With(i)
 	}
-	t.loadedOn[p] = at
+	t.loadedSlots[p] = at
 }
 
 func (t *Table) isWantedVersion(name, version string) bool {
