--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -185,10 +185,10 @@
 			long := rapid.Bool().Draw(t, "long")
 			c, err := tb.Pick(now, &Request{Model: "m", PromptTokens: 10, OutputTokens: 10, Long: long, Slack: time.Second})
 			if err == nil && left[c.Runner] {
-				t.Fatalf("picked %s, which leaves", c.Runner)
+				t.Fatalf("picked leaving runner %s", c.Runner)
 			}
 			if err != nil && !tb.live.Or(tb.suspect).Empty() {
-				t.Fatalf("%v with runners left", err)
+				t.Fatalf("%v although runners are left", err)
 			}
 		}
 	})
