--- a/coordination/canary/canary_test.go
+++ b/coordination/canary/canary_test.go
@@ -13,8 +13,8 @@
 
 var seeds = flag.Uint64("seeds", 12, "orders played of each kind")
 
-// rolledBackIn is how long after its fiftieth bad answer a bad version may get requests.
-const rolledBackIn = 5 * time.Second
+// rollbackTime is how long after its fiftieth bad answer a bad version may get requests.
+const rollbackTime = 5 * time.Second
 
 var badVersions = map[string]version{
 	"fails all":        {fails: 1},
@@ -31,10 +31,10 @@
 	"slow under load":  {slow: 1, times: 5, load: 3},
 }
 
-// within tells whether a bad version got no more than its share, and nothing late.
-func (p *play) within() bool {
+// withinBounds tells whether a bad version got no more than its share, and nothing late.
+func (p *simulation) withinBounds() bool {
 	return float64(p.exposed) <= share*float64(p.total)+slack &&
-		(p.fiftieth == 0 || p.lastNew <= p.fiftieth+rolledBackIn) && !p.turned
+		(p.fiftiethBadAt == 0 || p.lastNewAt <= p.fiftiethBadAt+rollbackTime) && !p.verdictChanged
 }
 
 // Guards against a bad version that is put into use, or that gets more than its share before
@@ -44,11 +44,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range *seeds {
-				p := newPlay(seed)
+				p := newSimulation(seed)
 				p.bad = v
 				p.run()
 				is.Equal(p.record.State, canary.RolledBack)
-				is.True(p.within())
+				is.True(p.withinBounds())
 				is.Equal(p.refused, 0)
 			}
 		})
@@ -60,10 +60,10 @@
 func TestGoodVersionsAreCompleted(t *testing.T) {
 	is := is.New(t)
 	for seed := range *seeds {
-		p := newPlay(seed).run()
+		p := newSimulation(seed).run()
 		is.Equal(p.record.State, canary.Completed)
-		is.Equal(p.cut+p.refused, 0)
-		is.True(p.finalAt < p.duration)
+		is.Equal(p.interrupted+p.refused, 0)
+		is.True(p.completedAt < p.duration)
 	}
 }
 
@@ -71,11 +71,11 @@
 // messages are lost, daemons start anew and holders change while the former goes on for a while.
 func TestExposureHoldsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlay(rapid.Uint64().Draw(t, "seed"))
+		p := newSimulation(rapid.Uint64().Draw(t, "seed"))
 		p.daemons = rapid.IntRange(1, 60).Draw(t, "daemons")
-		p.loss = rapid.Float64Range(0, 0.5).Draw(t, "loss")
+		p.messageLoss = rapid.Float64Range(0, 0.5).Draw(t, "loss")
 		p.daemonEnds = rapid.Float64Range(0, 0.5).Draw(t, "ends")
-		p.boot = time.Duration(rapid.IntRange(0, 60).Draw(t, "boot")) * 100 * time.Millisecond
+		p.bootTime = time.Duration(rapid.IntRange(0, 60).Draw(t, "boot")) * 100 * time.Millisecond
 		p.new = rapid.IntRange(1, 6).Draw(t, "runners")
 		for at := time.Duration(0); len(p.holderEnds) < rapid.IntRange(0, 3).Draw(t, "holders"); {
 			at += time.Duration(rapid.IntRange(5, 40).Draw(t, "tenure")) * 100 * time.Millisecond
@@ -83,8 +83,8 @@
 		}
 		p.bad = version{fails: rapid.Float64Range(0.3, 1).Draw(t, "fails"), from: time.Duration(rapid.IntRange(0, 4).Draw(t, "from")) * time.Second}
 		p.run()
-		if !p.within() {
-			t.Fatalf("%d of %d exposed, %d bad, fiftieth at %v, last at %v, turned %v", p.exposed, p.total, p.bads, p.fiftieth, p.lastNew, p.turned)
+		if !p.withinBounds() {
+			t.Fatalf("%d of %d exposed, %d bad, fiftieth at %v, last at %v, turned %v", p.exposed, p.total, p.badAnswers, p.fiftiethBadAt, p.lastNewAt, p.verdictChanged)
 		}
 		if p.record.State != canary.RolledBack {
 			t.Fatalf("bad version is %s", p.record.State)
@@ -94,19 +94,19 @@
 
 // Guards against a slower comparison of versions than the one that is measured beside it:
 // fixed steps let more requests go to a bad version.
-func TestSumsExposeLessThanSteps(t *testing.T) {
+func TestCUSUMExposesLessThanFixedSteps(t *testing.T) {
 	is := is.New(t)
 	exposed := func(compare func() canary.Comparison) (sum int) {
 		for _, v := range badVersions {
 			for seed := range *seeds {
-				p := newPlay(seed)
+				p := newSimulation(seed)
 				p.bad, p.compare = v, compare
 				sum += p.run().exposed
 			}
 		}
 		return sum
 	}
-	sums := exposed(func() canary.Comparison { return canary.NewJudge() })
+	sums := exposed(func() canary.Comparison { return canary.NewCUSUM() })
 	short := exposed(func() canary.Comparison { return newSteps(15) })
 	long := exposed(func() canary.Comparison { return newSteps(30) })
 	t.Logf("exposed in all: sums %d, steps of 15 %d, steps of 30 %d", sums, short, long)
@@ -139,10 +139,10 @@
 	first := g.Report(0, 0)
 	g.Report(time.Second/4, 0)
 	g.Allow(canary.Allowance{Order: 1, Ask: first.Ask, Ceiling: 5, Share: 1, Runners: 1})
-	is.Equal(g.Enter(time.Second/4, "r", 0), canary.OldOnly)
+	is.Equal(g.PlaceRequest(time.Second/4, "r", 0), canary.OldOnly)
 	third := g.Report(time.Second/2, 0)
 	g.Allow(canary.Allowance{Order: 1, Ask: third.Ask, Ceiling: 1, Share: 1, Runners: 1})
-	is.Equal(g.Enter(2*time.Second, "r", 0), canary.OldOnly)
-	is.Equal(g.Enter(time.Second, "r", 0), canary.Trial)
-	is.Equal(g.Enter(time.Second, "r", 0), canary.OldOnly)
+	is.Equal(g.PlaceRequest(2*time.Second, "r", 0), canary.OldOnly)
+	is.Equal(g.PlaceRequest(time.Second, "r", 0), canary.Trial)
+	is.Equal(g.PlaceRequest(time.Second, "r", 0), canary.OldOnly)
 }
--- a/coordination/canary/judge.go
+++ b/coordination/canary/cusum.go
@@ -6,48 +6,48 @@
 )
 
 const (
-	// evidenceEnough is the log likelihood ratio at which a difference is believed.
-	evidenceEnough = 7.5
-	// moreFailing and moreSlow are the shares of answers, beyond the old version's, that are
+	// evidenceThreshold is the log likelihood ratio at which a difference is believed.
+	evidenceThreshold = 7.5
+	// failureShift and moreSlow are the shares of answers, beyond the old version's, that are
 	// taken for a bad version's. What lies under half of them is taken for chance.
-	moreFailing = 0.2
-	moreSlow    = 0.3
-	// leastShare stands in for a smaller share of the old version's, so that no single
+	failureShift = 0.2
+	slowShift    = 0.3
+	// minBaselineShare stands in for a smaller share of the old version's, so that no single
 	// answer decides.
-	leastShare = 0.04
-	// slowShare of the old version's answers take longer than usual, and slowBuckets beyond
+	minBaselineShare = 0.04
+	// usualSlowShare of the old version's answers take longer than usual, and slowBuckets beyond
 	// that they are slow.
-	slowShare   = 0.1
-	slowBuckets = 2
-	// excessEnough, in standard deviations, is the difference of all failures at which one is
+	usualSlowShare = 0.1
+	slowBuckets    = 2
+	// excessThreshold, in standard deviations, is the difference of all failures at which one is
 	// believed, if there are at least fewestCompared answers of both, and fewestFailed of the
 	// new one's failed. leastExcess stands in for a smaller share of failures.
-	excessEnough   = 4.0
-	fewestCompared = 15
-	fewestFailed   = 4
-	leastExcess    = 0.01
-	// forgetAfter is the time in which the old version's answers lose half of their weight:
+	excessThreshold = 4.0
+	minCompared     = 15
+	minFailed       = 4
+	minFailureShare = 0.01
+	// baselineHalfLife is the time in which the old version's answers lose half of their weight:
 	// what makes both versions fail for a while must not count against the new one.
-	forgetAfter = 4 * time.Second
+	baselineHalfLife = 4 * time.Second
 )
 
 // Comparison tells from the answers of two versions whether the new one is bad.
 type Comparison interface {
-	// Take takes in the answers of a series that came since the last call.
-	Take(s Series, old, fresh *Counts)
-	// Forget lets older answers of the old version count less.
-	Forget(now time.Duration)
+	// Add takes in the answers of a series that came since the last call.
+	Add(s Series, old, fresh *Counts)
+	// Decay lets older answers of the old version count less.
+	Decay(now time.Duration)
 	// Bad tells which series shows that the new version is bad, and how; false is none.
 	Bad() (Series, Reason, bool)
 }
 
-// Judge compares the answers of two versions as they come, series by series. It keeps a
+// CUSUM compares the answers of two versions as they come, series by series. It keeps a
 // cumulative sum of the log likelihood ratio of "bad" against "as the old version" that never
 // falls below zero (CUSUM), so that a version that turns bad late is found as soon as one that
 // is bad at once: what it did well before doesn't speak for it.
-type Judge struct {
-	series map[Series]*evidence
-	looked time.Duration
+type CUSUM struct {
+	series    map[Series]*evidence
+	decayedAt time.Duration
 }
 
 type evidence struct {
@@ -57,22 +57,22 @@
 	// failing and slow are the sums.
 	failing, slow float64
 	// allOld and allNew are all answers, old ones at their full weight.
-	allOld, allNew tried
+	allOld, allNew outcomes
 }
 
-// tried is a number of answers and of those that failed.
-type tried struct{ answers, failed float64 }
+// outcomes is a number of answers and of those that failed.
+type outcomes struct{ answers, failed float64 }
 
-func (t *tried) add(c *Counts) {
+func (t *outcomes) add(c *Counts) {
 	t.answers += float64(c.Answers)
 	t.failed += float64(c.Failed)
 }
 
-// NewJudge returns a judge that has seen nothing.
-func NewJudge() *Judge { return &Judge{series: map[Series]*evidence{}} }
+// NewCUSUM returns a judge that has seen nothing.
+func NewCUSUM() *CUSUM { return &CUSUM{series: map[Series]*evidence{}} }
 
-// Take implements Comparison.
-func (j *Judge) Take(s Series, old, fresh *Counts) {
+// Add implements Comparison.
+func (j *CUSUM) Add(s Series, old, fresh *Counts) {
 	e, ok := j.series[s]
 	if !ok {
 		e = &evidence{}
@@ -88,13 +88,13 @@
 	if fresh.Answers == 0 {
 		return
 	}
-	e.failing = cusum(e.failing, e.failed/max(1, e.answers), moreFailing, fresh.Failed, fresh.Answers)
+	e.failing = cusum(e.failing, e.failed/max(1, e.answers), failureShift, fresh.Failed, fresh.Answers)
 	limit, share := e.slowLimit()
 	slow := 0
 	for _, n := range fresh.Times[limit:] {
 		slow += n
 	}
-	e.slow = cusum(e.slow, share, moreSlow, slow, fresh.Answers-fresh.Failed)
+	e.slow = cusum(e.slow, share, slowShift, slow, fresh.Answers-fresh.Failed)
 }
 
 // slowLimit is the first bucket of slow answers, and the share of the old version's there.
@@ -104,7 +104,7 @@
 		return timeBuckets, 0
 	}
 	above, i := 0.0, timeBuckets
-	for i > 0 && above+e.times[i-1] <= slowShare*total {
+	for i > 0 && above+e.times[i-1] <= usualSlowShare*total {
 		i--
 		above += e.times[i]
 	}
@@ -118,10 +118,10 @@
 
 // cusum adds the evidence of some answers, of which hits speak against the version. The order
 // of those that come together isn't known; they are spread evenly.
-func cusum(sum, share, more float64, hits, answers int) float64 {
-	share = min(max(share, leastShare), 1-more-leastShare)
-	against := math.Log((share + more) / share)
-	inFavour := math.Log((1 - share - more) / (1 - share))
+func cusum(sum, share, shift float64, hits, answers int) float64 {
+	share = min(max(share, minBaselineShare), 1-shift-minBaselineShare)
+	against := math.Log((share + shift) / share)
+	inFavour := math.Log((1 - share - shift) / (1 - share))
 	for i := range answers {
 		// Evenly: as many hits up to here as their part of all.
 		if (i+1)*hits/answers > i*hits/answers {
@@ -129,22 +129,22 @@
 		} else {
 			sum = max(0, sum+inFavour)
 		}
-		if sum >= evidenceEnough {
+		if sum >= evidenceThreshold {
 			return sum
 		}
 	}
 	return sum
 }
 
-// Forget implements Comparison.
-func (j *Judge) Forget(now time.Duration) {
-	keep := math.Exp2(-float64(now-j.looked) / float64(forgetAfter))
-	j.looked = now
+// Decay implements Comparison.
+func (j *CUSUM) Decay(now time.Duration) {
+	decay := math.Exp2(-float64(now-j.decayedAt) / float64(baselineHalfLife))
+	j.decayedAt = now
 	for _, e := range j.series {
-		e.answers *= keep
-		e.failed *= keep
+		e.answers *= decay
+		e.failed *= decay
 		for i := range e.times {
-			e.times[i] *= keep
+			e.times[i] *= decay
 		}
 	}
 }
@@ -153,21 +153,21 @@
 // all that there were: a small part that fails all the while never adds up in the sums.
 func (e *evidence) excess() float64 {
 	n, m := e.allNew.answers, e.allOld.answers
-	if n < fewestCompared || m < fewestCompared || e.allNew.failed < fewestFailed {
+	if n < minCompared || m < minCompared || e.allNew.failed < minFailed {
 		return 0
 	}
 	both := (e.allNew.failed + e.allOld.failed) / (n + m)
-	both = min(max(both, leastExcess), 1-leastExcess)
+	both = min(max(both, minFailureShare), 1-minFailureShare)
 	return (e.allNew.failed/n - e.allOld.failed/m) / math.Sqrt(both*(1-both)*(1/n+1/m))
 }
 
 // Bad implements Comparison.
-func (j *Judge) Bad() (Series, Reason, bool) {
+func (j *CUSUM) Bad() (Series, Reason, bool) {
 	for s, e := range j.series {
 		switch {
-		case e.failing >= evidenceEnough || e.excess() >= excessEnough:
+		case e.failing >= evidenceThreshold || e.excess() >= excessThreshold:
 			return s, MoreFailures, true
-		case e.slow >= evidenceEnough:
+		case e.slow >= evidenceThreshold:
 			return s, Slower, true
 		}
 	}
--- a/coordination/canary/export_test.go
+++ b/coordination/canary/export_test.go
@@ -1,4 +1,4 @@
 package canary
 
-// Compare has a holder decide by another comparison.
-func (h *Holder) Compare(c Comparison) { h.judge = c }
+// SetComparison has a holder decide by another comparison.
+func (h *Holder) SetComparison(c Comparison) { h.comparison = c }
--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// allowedFor is how long an allowance lets requests through after it was asked for. A
+	// allowanceTTL is how long an allowance lets requests through after it was asked for. A
 	// verdict is in force everywhere after this time, whoever hears of it.
-	allowedFor = time.Second
-	// preferFor is how long after it was completed an order's old runners, which are being
+	allowanceTTL = time.Second
+	// preferNewFor is how long after it was completed an order's old runners, which are being
 	// stopped, are still used last. Their entries lapse meanwhile.
-	preferFor = 10 * time.Second
-	// favoured and others times its share are tried of the route of which the least is known,
+	preferNewFor = 10 * time.Second
+	// favouredFactor and others times its share are tried of the route of which the least is known,
 	// and of the others meanwhile.
-	favoured = 3.0
-	others   = 0.75
+	favouredFactor = 3.0
+	otherFactor    = 0.75
 )
 
-// Side says which runners a request may go to.
-type Side int
+// Placement says which runners a request may go to.
+type Placement int
 
 // Sides.
 const (
-	// Either is every runner.
-	Either Side = iota
+	// AnyVersion is every runner.
+	AnyVersion Placement = iota
 	// OldOnly keeps to the version that serves, and never goes to the new one.
 	OldOnly
-	// NewFirst goes to the new version, to others only where it has no runner.
-	NewFirst
+	// NewPreferred goes to the new version, to others only where it has no runner.
+	NewPreferred
 	// Trial is a request that an allowance lets through to the new version.
 	Trial
 )
@@ -37,14 +37,14 @@
 type Gate struct {
 	order  Order
 	record Record
-	// finalAt is when the order was seen to be completed.
-	finalAt time.Duration
+	// completedAt is when the order was seen to be completed.
+	completedAt time.Duration
 	// sent is all that went to the new version while Running, total all requests.
 	sent, total int
 	ask         uint64
 	asked       time.Duration
 	allowance   Allowance
-	until       time.Duration
+	expiresAt   time.Duration
 	tally       Tally
 }
 
@@ -59,8 +59,8 @@
 	// runners to use: so many take the load that each has when the new version has it all.
 	Share   float64
 	Runners int
-	// Favour is the route of which the least is known; empty is none.
-	Favour string
+	// FavouredRoute is the route of which the least is known; empty is none.
+	FavouredRoute string
 	// Halt stops everything to the new version: a verdict against it is being written.
 	Halt bool
 }
@@ -102,59 +102,59 @@
 	before := g.State()
 	g.record = r
 	if g.State() == Completed && before != Completed {
-		g.finalAt = now
+		g.completedAt = now
 	}
 }
 
-// Begun tells whether a holder has taken the order up.
-func (g *Gate) Begun() bool { return g.record.Order == g.order.Revision }
+// TakenUp tells whether a holder has taken the order up.
+func (g *Gate) TakenUp() bool { return g.record.Order == g.order.Revision }
 
 // Avoids tells whether runners of a version get no new requests: while the order is open or
 // after it was taken back, those of its target and of earlier targets that were not completed.
 func (g *Gate) Avoids(v Version) bool {
 	if g.record.Order != g.order.Revision {
-		return v == g.order.Target || slices.Contains(g.record.avoidedBy(g.order.Target), v)
+		return v == g.order.Target || slices.Contains(g.record.versionsToAvoid(g.order.Target), v)
 	}
 	return v == g.order.Target || slices.Contains(g.record.Avoid, v)
 }
 
-// Enter decides where a new request of a route goes. luck is drawn evenly from 0 to 1.
-func (g *Gate) Enter(now time.Duration, route string, luck float64) Side {
-	side := g.Again(now)
+// PlaceRequest decides where a new request of a route goes. luck is drawn evenly from 0 to 1.
+func (g *Gate) PlaceRequest(now time.Duration, route string, random float64) Placement {
+	side := g.PlaceRetry(now)
 	if side != OldOnly || g.State() != Running {
 		return side
 	}
-	if now >= g.until || g.sent >= g.allowance.Ceiling || luck >= g.share(route) {
+	if now >= g.expiresAt || g.sent >= g.allowance.Ceiling || random >= g.trialShare(route) {
 		return OldOnly
 	}
 	g.sent++
 	return Trial
 }
 
-// share is the part of a route's requests to try.
-func (g *Gate) share(route string) float64 {
-	switch g.allowance.Favour {
+// trialShare is the part of a route's requests to try.
+func (g *Gate) trialShare(route string) float64 {
+	switch g.allowance.FavouredRoute {
 	case "":
 		return g.allowance.Share
 	case route:
-		return g.allowance.Share * favoured
+		return g.allowance.Share * favouredFactor
 	}
-	return g.allowance.Share * others
+	return g.allowance.Share * otherFactor
 }
 
-// Again decides where a request goes once more after an attempt has failed.
-func (g *Gate) Again(now time.Duration) Side {
+// PlaceRetry decides where a request goes once more after an attempt has failed.
+func (g *Gate) PlaceRetry(now time.Duration) Placement {
 	switch g.State() {
 	case Promoting:
 		if g.allowance.Halt {
 			return OldOnly
 		}
-		return NewFirst
+		return NewPreferred
 	case Completed:
-		if now-g.finalAt < preferFor {
-			return NewFirst
+		if now-g.completedAt < preferNewFor {
+			return NewPreferred
 		}
-		return Either
+		return AnyVersion
 	}
 	return OldOnly
 }
@@ -177,7 +177,7 @@
 		Order: g.order.Revision, Ask: g.ask, Total: g.total, Sent: g.sent,
 		Knows: g.State(), OldInFlight: oldInFlight, Tally: g.tally.clone(),
 	}
-	if now < g.until {
+	if now < g.expiresAt {
 		r.Ceiling = g.allowance.Ceiling
 	}
 	return r
@@ -189,5 +189,5 @@
 		return
 	}
 	a.Halt = a.Halt || g.allowance.Halt
-	g.allowance, g.until = a, g.asked+allowedFor
+	g.allowance, g.expiresAt = a, g.asked+allowanceTTL
 }
--- a/coordination/canary/order.go
+++ b/coordination/canary/order.go
@@ -83,8 +83,8 @@
 	return avoid && reflect.DeepEqual(r, other)
 }
 
-// avoidedBy are the versions to avoid once a newer order stands, beside the newer target.
-func (r *Record) avoidedBy(target Version) []Version {
+// versionsToAvoid are the versions to avoid once a newer order stands, beside the newer target.
+func (r *Record) versionsToAvoid(target Version) []Version {
 	avoid := slices.Clone(r.Avoid)
 	if r.State != Completed && r.Target != "" {
 		avoid = append(avoid, r.Target)
--- a/coordination/canary/series.go
+++ b/coordination/canary/series.go
@@ -10,7 +10,7 @@
 const (
 	timeBuckets      = 80
 	bucketsPerOctave = 4
-	shortestTime     = 100 * time.Microsecond
+	firstBucketEnd   = 100 * time.Microsecond
 )
 
 // Counts are the answers of one version to one series of requests.
@@ -21,30 +21,30 @@
 	Times [timeBuckets]int
 }
 
-// Took counts a whole answer.
-func (c *Counts) Took(d time.Duration) {
+// CountAnswer counts a whole answer.
+func (c *Counts) CountAnswer(d time.Duration) {
 	c.Answers++
 	c.Times[bucketOf(d)]++
 }
 
-// Fail counts a failure.
-func (c *Counts) Fail() {
+// CountFailure counts a failure.
+func (c *Counts) CountFailure() {
 	c.Answers++
 	c.Failed++
 }
 
 func bucketOf(d time.Duration) int {
-	if d <= shortestTime {
+	if d <= firstBucketEnd {
 		return 0
 	}
-	return min(timeBuckets-1, int(bucketsPerOctave*math.Log2(float64(d)/float64(shortestTime))))
+	return min(timeBuckets-1, int(bucketsPerOctave*math.Log2(float64(d)/float64(firstBucketEnd))))
 }
 
-// since is what came after a former state.
-func (c *Counts) since(former *Counts) Counts {
-	d := Counts{Answers: max(0, c.Answers-former.Answers), Failed: max(0, c.Failed-former.Failed)}
+// minus is what came after a former state.
+func (c *Counts) minus(earlier *Counts) Counts {
+	d := Counts{Answers: max(0, c.Answers-earlier.Answers), Failed: max(0, c.Failed-earlier.Failed)}
 	for i := range c.Times {
-		d.Times[i] = max(0, c.Times[i]-former.Times[i])
+		d.Times[i] = max(0, c.Times[i]-earlier.Times[i])
 	}
 	return d
 }
@@ -58,16 +58,16 @@
 }
 
 // Tally is what one daemon has counted of an order, from its beginning on.
-type Tally map[Series]*Both
+type Tally map[Series]*VersionCounts
 
-// Both are the answers of both versions.
-type Both struct{ Old, New Counts }
+// VersionCounts are the answers of both versions.
+type VersionCounts struct{ Old, New Counts }
 
 // Of returns the counts of a version in a series.
 func (t Tally) Of(s Series, isNew bool) *Counts {
 	b, ok := t[s]
 	if !ok {
-		b = &Both{}
+		b = &VersionCounts{}
 		t[s] = b
 	}
 	if isNew {
--- /dev/null
+++ b/coordination/canary/simulation_test.go
@@ -0,0 +1,303 @@
+package canary_test
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"geraniumstack.org/geraniumstack/coordination/canary"
+)
+
+// requestKind is a requestKind of requests to the service that is played.
+type requestKind struct {
+	route     string
+	perSecond float64
+	fails     float64
+}
+
+// version is how a version's runners answer.
+type version struct {
+	// fails and slow are the shares of answers that fail, or take times as long, from a time
+	// on, on one route (empty is all) and from a number of requests at once at a runner on.
+	fails, slow, times float64
+	from               time.Duration
+	route              string
+	load               int
+}
+
+// simulation is one order of a service, from request to request: its daemons, runners and messages.
+type simulation struct {
+	rng         *rand.Rand
+	kinds       []requestKind
+	daemons     int
+	old, new    int
+	slots       int
+	bootTime    time.Duration
+	duration    time.Duration
+	bad         version
+	messageLoss float64
+	// holderEnds are when the holder ends and another daemon takes over.
+	holderEnds []time.Duration
+	// daemonEnds is the share of the daemons that start anew in each second.
+	daemonEnds float64
+	compare    func() canary.Comparison
+
+	now          time.Duration
+	gates        []*canary.Gate
+	oldInFlight  map[*canary.Gate]int
+	incarnations []int
+	holder       *canary.Holder
+	// previousHolder is a holder that doesn't know yet that its time is over.
+	previousHolder *canary.Holder
+	previousEnds   time.Duration
+	holders        int
+	record         canary.Record
+	runners        map[bool][]*backend
+	pendingAnswer  []pendingAnswer
+	total          int
+	exposed        int
+	refused        int
+	badAnswers     int
+	fiftiethBadAt  time.Duration
+	lastNewAt      time.Duration
+	completedAt    time.Duration
+	verdictChanged bool
+	interrupted    int
+}
+
+type backend struct{ free []time.Duration }
+
+// inFlight is the requests at the runner.
+func (b *backend) inFlight(now time.Duration) int {
+	n := 0
+	for _, at := range b.free {
+		if at > now {
+			n++
+		}
+	}
+	return n
+}
+
+type pendingAnswer struct {
+	at       time.Duration
+	gate     *canary.Gate
+	series   canary.Series
+	isNew    bool
+	duration time.Duration
+	failed   bool
+}
+
+const (
+	tick        = 10 * time.Millisecond
+	reportEvery = 250 * time.Millisecond
+	holderEvery = 200 * time.Millisecond
+	meanWork    = 60 * time.Millisecond
+	// leaseLeft is how long a former holder may go on giving out allowances.
+	leaseLeft  = 2 * time.Second
+	workSpread = 0.5
+	slack      = 50
+	share      = 0.1
+)
+
+func newSimulation(seed uint64) *simulation {
+	return &simulation{
+		rng:     rand.New(rand.NewPCG(seed, 0)),
+		kinds:   []requestKind{{"pledge", 134, 0.004}, {"lookup", 31, 0.14}},
+		daemons: 33, old: 4, new: 4, slots: 6, bootTime: 1500 * time.Millisecond, duration: 12 * time.Second,
+		compare:     func() canary.Comparison { return canary.NewCUSUM() },
+		oldInFlight: map[*canary.Gate]int{},
+	}
+}
+
+func (p *simulation) order() canary.Order {
+	return canary.Order{Service: "app", Target: "v2", Duration: p.duration, Revision: 7}
+}
+
+func (p *simulation) run() *simulation {
+	p.runners = map[bool][]*backend{false: p.backends(p.old)}
+	for range p.daemons {
+		p.gates = append(p.gates, canary.NewGate(p.order()))
+		p.incarnations = append(p.incarnations, 0)
+	}
+	p.newHolder()
+	for ; p.now < p.duration+2*time.Second; p.now += tick {
+		if p.runners[true] == nil && p.now >= p.bootTime {
+			p.runners[true] = p.backends(p.new)
+		}
+		p.completeRequests()
+		p.generateRequests()
+		p.sendReports()
+		if p.now%holderEvery == 0 {
+			p.tickHolder()
+		}
+		p.replaceHoldersAndDaemons()
+	}
+	return p
+}
+
+func (p *simulation) backends(n int) []*backend {
+	var list []*backend
+	for range n {
+		list = append(list, &backend{free: make([]time.Duration, p.slots)})
+	}
+	return list
+}
+
+func (p *simulation) newHolder() {
+	p.holders++
+	p.previousHolder, p.previousEnds = p.holder, p.now+leaseLeft
+	p.holder = canary.NewHolder(canary.Bounds{Share: share, Slack: slack}, p.order(), p.record, p.self(), p.now.Milliseconds())
+	p.holder.SetComparison(p.compare())
+}
+
+func (p *simulation) self() string { return fmt.Sprint("holder-", p.holders) }
+
+// replaceHoldersAndDaemons ends holders and daemons.
+func (p *simulation) replaceHoldersAndDaemons() {
+	if len(p.holderEnds) > 0 && p.now >= p.holderEnds[0] {
+		p.holderEnds = p.holderEnds[1:]
+		p.newHolder()
+	}
+	for i := range p.gates {
+		if p.rng.Float64() < p.daemonEnds*tick.Seconds() {
+			p.gates[i] = canary.NewGate(p.order())
+			p.gates[i].SetRecord(p.now, p.record)
+			p.incarnations[i]++
+		}
+	}
+}
+
+func (p *simulation) generateRequests() {
+	for _, k := range p.kinds {
+		for n := p.poisson(k.perSecond * tick.Seconds()); n > 0; n-- {
+			p.serve(k)
+		}
+	}
+}
+
+func (p *simulation) poisson(mean float64) int {
+	n, limit := 0, math.Exp(-mean)
+	for product := p.rng.Float64(); product > limit; product *= p.rng.Float64() {
+		n++
+	}
+	return n
+}
+
+// serve sends one request where its daemon's gate lets it go.
+func (p *simulation) serve(k requestKind) {
+	gate := p.gates[p.rng.IntN(len(p.gates))]
+	if p.now <= p.duration {
+		p.total++
+	}
+	side := gate.PlaceRequest(p.now, k.route, p.rng.Float64())
+	isNew := side == canary.Trial || side == canary.NewPreferred && len(p.runners[true]) > 0
+	list := p.runners[isNew]
+	if side == canary.Trial {
+		list = list[:min(len(list), gate.TrialRunners())]
+	}
+	if p.record.State == canary.Completed && !isNew || len(list) == 0 {
+		p.refused++
+		return
+	}
+	b := slices.MinFunc(list, func(x, y *backend) int { return x.inFlight(p.now) - y.inFlight(p.now) })
+	gate.Dispatched()
+	p.dispatch(k, gate, b, isNew)
+}
+
+func (p *simulation) dispatch(k requestKind, gate *canary.Gate, b *backend, isNew bool) {
+	work := time.Duration(float64(meanWork) * math.Exp(workSpread*p.rng.NormFloat64()-workSpread*workSpread/2))
+	fails := k.fails
+	if v := p.bad; isNew && p.now >= v.from && (v.route == "" || v.route == k.route) && b.inFlight(p.now) >= v.load {
+		fails = max(fails, v.fails)
+		if p.rng.Float64() < v.slow {
+			work = time.Duration(v.times * float64(work))
+		}
+	}
+	slot := slices.Index(b.free, slices.Min(b.free))
+	b.free[slot] = max(b.free[slot], p.now) + work
+	failed := p.rng.Float64() < fails
+	if isNew {
+		p.countNewVersionRequest(failed)
+	} else {
+		p.oldInFlight[gate]++
+	}
+	p.pendingAnswer = append(p.pendingAnswer, pendingAnswer{b.free[slot], gate, canary.Series{Route: k.route}, isNew, b.free[slot] - p.now, failed})
+}
+
+// countNewVersionRequest counts a request that the new version got.
+func (p *simulation) countNewVersionRequest(failed bool) {
+	if p.now <= p.duration {
+		p.exposed++
+	}
+	p.lastNewAt = p.now
+	if failed {
+		p.badAnswers++
+		if p.badAnswers == 50 {
+			p.fiftiethBadAt = p.now
+		}
+	}
+}
+
+func (p *simulation) completeRequests() {
+	p.pendingAnswer = slices.DeleteFunc(p.pendingAnswer, func(e pendingAnswer) bool {
+		if e.at > p.now {
+			return false
+		}
+		if !e.isNew {
+			p.oldInFlight[e.gate]--
+		}
+		c := e.gate.Tally().Of(e.series, e.isNew)
+		if e.failed {
+			c.CountFailure()
+		} else {
+			c.CountAnswer(e.duration)
+		}
+		return true
+	})
+}
+
+// sendReports has the daemons report, each in its turn.
+func (p *simulation) sendReports() {
+	turn := int(p.now/tick) % int(reportEvery/tick)
+	for i, g := range p.gates {
+		if i%int(reportEvery/tick) != turn {
+			continue
+		}
+		g.SetRecord(p.now, p.record)
+		if p.record.Holder == "" || p.record.State.Final() {
+			continue
+		}
+		r := g.Report(p.now, p.oldInFlight[g])
+		if p.rng.Float64() < p.messageLoss {
+			continue
+		}
+		holder := p.holder
+		if p.previousHolder != nil && p.now < p.previousEnds && p.rng.Float64() < 0.5 {
+			holder = p.previousHolder
+		}
+		a, ok := holder.HandleReport(p.now, fmt.Sprint(i, "~", p.incarnations[i]), r)
+		if ok && p.rng.Float64() >= p.messageLoss {
+			g.Allow(a)
+		}
+	}
+}
+
+func (p *simulation) tickHolder() {
+	r := p.holder.Tick(p.now, p.now.Milliseconds(), p.self(), canary.Fleet{Reporting: 1, OldRunners: p.old, NewRunners: len(p.runners[true])})
+	if !p.holder.Unwritten() && r.Equal(p.holder.Record()) {
+		return
+	}
+	if p.record.State.Final() && r.State != p.record.State {
+		p.verdictChanged = true
+	}
+	if r.State.Final() && !p.record.State.Final() {
+		p.completedAt = p.now
+		if r.State == canary.Completed {
+			p.interrupted = len(slices.DeleteFunc(slices.Clone(p.pendingAnswer), func(e pendingAnswer) bool { return e.isNew }))
+		}
+	}
+	p.record = r
+	p.holder.SetWritten(r)
+}
--- a/coordination/canary/steps_test.go
+++ b/coordination/canary/steps_test.go
@@ -6,14 +6,14 @@
 	"geraniumstack.org/geraniumstack/coordination/canary"
 )
 
-// steps is another way to compare: fixed steps of so many answers a series, each judged by
+// fixedSteps is another way to compare: fixed fixedSteps of so many answers a series, each judged by
 // thresholds on its own. It is measured beside the one that the holder uses.
-type steps struct {
+type fixedSteps struct {
 	size   int
-	series map[canary.Series]*step
+	series map[canary.Series]*seriesStep
 }
 
-type step struct {
+type seriesStep struct {
 	old, fresh canary.Counts
 	reason     canary.Reason
 }
@@ -23,9 +23,9 @@
 	stepSlow    = 0.25
 )
 
-func newSteps(size int) *steps { return &steps{size, map[canary.Series]*step{}} }
+func newSteps(size int) *fixedSteps { return &fixedSteps{size, map[canary.Series]*seriesStep{}} }
 
-func add(to, c *canary.Counts) {
+func addCounts(to, c *canary.Counts) {
 	to.Answers += c.Answers
 	to.Failed += c.Failed
 	for i, n := range c.Times {
@@ -33,18 +33,18 @@
 	}
 }
 
-func (j *steps) Take(s canary.Series, old, fresh *canary.Counts) {
+func (j *fixedSteps) Add(s canary.Series, old, fresh *canary.Counts) {
 	e, ok := j.series[s]
 	if !ok {
-		e = &step{}
+		e = &seriesStep{}
 		j.series[s] = e
 	}
-	add(&e.old, old)
-	add(&e.fresh, fresh)
+	addCounts(&e.old, old)
+	addCounts(&e.fresh, fresh)
 	if e.fresh.Answers < j.size || e.reason != "" {
 		return
 	}
-	if rate(&e.fresh) > rate(&e.old)+stepFailing {
+	if failureRate(&e.fresh) > failureRate(&e.old)+stepFailing {
 		e.reason = canary.MoreFailures
 	} else if slowShare(&e.fresh, &e.old) > stepSlow {
 		e.reason = canary.Slower
@@ -52,7 +52,7 @@
 	e.fresh = canary.Counts{}
 }
 
-func rate(c *canary.Counts) float64 { return float64(c.Failed) / float64(max(1, c.Answers)) }
+func failureRate(c *canary.Counts) float64 { return float64(c.Failed) / float64(max(1, c.Answers)) }
 
 // slowShare is the part of a version's answers that take over twice as long as nine tenths of
 // the old one's.
@@ -69,9 +69,9 @@
 	return float64(slow) / float64(max(1, c.Answers-c.Failed))
 }
 
-func (j *steps) Forget(time.Duration) {}
+func (j *fixedSteps) Decay(time.Duration) {}
 
-func (j *steps) Bad() (canary.Series, canary.Reason, bool) {
+func (j *fixedSteps) Bad() (canary.Series, canary.Reason, bool) {
 	for s, e := range j.series {
 		if e.reason != "" {
 			return s, e.reason, true
--- a/daemon/edge/trialduty.go
+++ b/daemon/edge/trialduty.go
@@ -92,7 +92,7 @@
 	unix := e.unixMillis()
 	e.trials.mu.Lock()
 	next := d.holder.Tick(e.deps.Steady(), unix, e.set.PeerAddress, fleet)
-	due := d.holder.Fresh() || !next.Equal(d.holder.Record())
+	due := d.holder.Unwritten() || !next.Equal(d.holder.Record())
 	sent := d.holder.Sent()
 	answers, failed := d.holder.Answers()
 	e.trials.mu.Unlock()
@@ -115,7 +115,7 @@
 		return false
 	}
 	e.log.Count("trials." + string(next.State) + "." + string(next.Reason))
-	d.holder.Wrote(next)
+	d.holder.SetWritten(next)
 	d.revision = revision
 	return true
 }
@@ -198,7 +198,7 @@
 	var allowance canary.Allowance
 	known := false
 	if d != nil && d.holder.Record().Holder == e.set.PeerAddress {
-		allowance, known = d.holder.Hear(e.deps.Steady(), r.Incarnation, reportOf(r))
+		allowance, known = d.holder.HandleReport(e.deps.Steady(), r.Incarnation, reportOf(r))
 	}
 	e.trials.mu.Unlock()
 	if known {
@@ -263,13 +263,13 @@
 func tellAllowance(service string, a canary.Allowance) *peersv1.TrialAllowance {
 	return &peersv1.TrialAllowance{
 		Service: service, Order: a.Order, Ask: a.Ask, Ceiling: uint64(a.Ceiling), Share: a.Share,
-		Runners: uint32(a.Runners), Favour: a.Favour, Halt: a.Halt,
+		Runners: uint32(a.Runners), Favour: a.FavouredRoute, Halt: a.Halt,
 	}
 }
 
 func allowanceOf(a *peersv1.TrialAllowance) canary.Allowance {
 	return canary.Allowance{
 		Order: a.Order, Ask: a.Ask, Ceiling: int(a.Ceiling), Share: a.Share,
-		Runners: int(a.Runners), Favour: a.Favour, Halt: a.Halt,
+		Runners: int(a.Runners), FavouredRoute: a.Favour, Halt: a.Halt,
 	}
 }
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -132,17 +132,17 @@
 }
 
 // enter decides where a new request goes.
-func (e *Edge) enter(g *canary.Gate, route string) canary.Side {
+func (e *Edge) enter(g *canary.Gate, route string) canary.Placement {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
-	return g.Enter(e.deps.Steady(), route, rand.Float64())
+	return g.PlaceRequest(e.deps.Steady(), route, rand.Float64())
 }
 
 // again decides where a request goes that is not new.
-func (e *Edge) again(g *canary.Gate) canary.Side {
+func (e *Edge) again(g *canary.Gate) canary.Placement {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
-	return g.Again(e.deps.Steady())
+	return g.PlaceRetry(e.deps.Steady())
 }
 
 // outOfContact tells whether this daemon has no way to the key-value service, by itself or by
@@ -157,7 +157,7 @@
 
 // barred is the set of a service's runners that a side keeps requests from; called with the
 // pool's lock held.
-func (p *pool) barred(g *canary.Gate, side canary.Side) prefix.Set {
+func (p *pool) barred(g *canary.Gate, side canary.Placement) prefix.Set {
 	var ids []ident.RunnerID
 	p.edge.trials.mu.Lock()
 	defer p.edge.trials.mu.Unlock()
@@ -169,7 +169,7 @@
 				ids = append(ids, id)
 			}
 		}
-	case canary.NewFirst:
+	case canary.NewPreferred:
 		for id, r := range p.runners {
 			if r.Version != target {
 				ids = append(ids, id)
@@ -205,9 +205,9 @@
 
 // bar keeps a request from the runners that a side doesn't use, and from those that have
 // failed it.
-func (p *pool) bar(r *routing.Request, failed prefix.Set, g *canary.Gate, side canary.Side) {
+func (p *pool) bar(r *routing.Request, failed prefix.Set, g *canary.Gate, side canary.Placement) {
 	r.Exclude = failed
-	if g == nil || side == canary.Either {
+	if g == nil || side == canary.AnyVersion {
 		return
 	}
 	p.mu.Lock()
@@ -231,14 +231,14 @@
 	s.pool.bar(&s.place, s.failed, s.gate, side)
 	choice, err := s.pool.pick(now, &s.place, s.advised, first)
 	late := err == nil && choice.Estimate > s.useful(now)
-	if err == nil && !late || side == canary.Either {
+	if err == nil && !late || side == canary.AnyVersion {
 		return choice, err
 	}
 	switch {
 	case side == canary.Trial:
 		s.pool.bar(&s.place, s.failed, s.gate, canary.OldOnly)
-	case side == canary.NewFirst || !late && (s.edge.outOfContact(ctx) || s.pool.inUse(s.gate)):
-		s.pool.bar(&s.place, s.failed, s.gate, canary.Either)
+	case side == canary.NewPreferred || !late && (s.edge.outOfContact(ctx) || s.pool.inUse(s.gate)):
+		s.pool.bar(&s.place, s.failed, s.gate, canary.AnyVersion)
 	default:
 		return choice, err
 	}
@@ -252,7 +252,7 @@
 	defer p.mu.Unlock()
 	p.edge.trials.mu.Lock()
 	defer p.edge.trials.mu.Unlock()
-	if g.Begun() {
+	if g.TakenUp() {
 		return false
 	}
 	for _, r := range p.runners {
@@ -385,7 +385,7 @@
 
 // took counts a whole answer, or with pace the time between its events.
 func (a *attempt) took(d time.Duration, pace bool) {
-	a.judge(pace, func(c *canary.Counts) { c.Took(d) })
+	a.judge(pace, func(c *canary.Counts) { c.CountAnswer(d) })
 }
 
 // tookStream counts a whole stream. Prompts differ in length and in what is cached of them, so
@@ -403,7 +403,7 @@
 }
 
 // failed counts an answer that was none.
-func (a *attempt) failed() { a.judge(false, func(c *canary.Counts) { c.Fail() }) }
+func (a *attempt) failed() { a.judge(false, func(c *canary.Counts) { c.CountFailure() }) }
 
 func (a *attempt) judge(pace bool, count func(*canary.Counts)) {
 	if a.trial.gate == nil {
