--- a/coordination/routing/subset.go
+++ b/coordination/routing/subset.go
@@ -11,15 +11,15 @@
 )
 
 type ranked struct {
-	// at is the runner's place in the list.
-	at    int
+	// index is the runner's position in the list.
+	index int
 	score uint64
 }
 
-// Subset returns the runners that one gateway deals with: at most size of them,
-// the same for the same list, spread over the failure domains. Within a failure
-// domain the runners with the highest rendezvous hash of gateway and runner go
-// first, so that one runner's coming or going changes one place only.
+// Subset returns at most size runners for one gateway. It is deterministic for the same
+// list and spreads the runners over the failure domains. Within a failure domain it takes
+// the runners with the highest rendezvous hash of gateway and runner, so that adding or
+// removing one runner changes at most one entry.
 func Subset(self ident.DaemonID, runners []view.Runner, size int) []view.Runner {
 	if len(runners) <= size {
 		return slices.Clone(runners)
@@ -34,51 +34,51 @@
 	for place := 0; len(chosen) < size; place++ {
 		for _, name := range names {
 			if best := domains[name].best; place < len(best) && len(chosen) < size {
-				chosen = append(chosen, runners[best[place].at])
+				chosen = append(chosen, runners[best[place].index])
 			}
 		}
 	}
 	return chosen
 }
 
-// ranking holds the first few runners of a failure domain, the highest first.
+// ranking holds the highest-scored runners of a failure domain, highest first.
 type ranking struct{ best []ranked }
 
-// rankByDomain keeps the first size of each failure domain. Most runners of a
-// long list are told from their hash alone not to be among them, so that a
-// change of the list costs little more than its hashes.
+// rankByDomain keeps the size highest-scored runners of each failure domain. Most runners
+// of a long list are rejected by comparing their hash with the lowest one kept, so a
+// changed list costs little more than hashing its entries.
 func rankByDomain(self ident.DaemonID, runners []view.Runner, size int) map[ident.FailureDomain]*ranking {
 	domains := map[ident.FailureDomain]*ranking{}
-	var last *ranking
+	var current *ranking
 	for i := range runners {
 		name := runners[i].FailureDomain
 		if i == 0 || name != runners[i-1].FailureDomain {
-			last = domains[name]
+			current = domains[name]
 		}
-		if last == nil {
-			last = &ranking{best: make([]ranked, 0, size)}
-			domains[name] = last
+		if current == nil {
+			current = &ranking{best: make([]ranked, 0, size)}
+			domains[name] = current
 		}
-		last.offer(runners, ranked{i, rendezvous(self, runners[i].ID)}, size)
+		current.insert(runners, ranked{i, rendezvousHash(self, runners[i].ID)}, size)
 	}
 	return domains
 }
 
-func (r *ranking) offer(runners []view.Runner, one ranked, size int) {
+func (r *ranking) insert(runners []view.Runner, candidate ranked, size int) {
 	compare := func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(runners[a.at].ID, runners[b.at].ID))
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(runners[a.index].ID, runners[b.index].ID))
 	}
 	if len(r.best) == size {
-		if compare(one, r.best[size-1]) >= 0 {
+		if compare(candidate, r.best[size-1]) >= 0 {
 			return
 		}
 		r.best = r.best[:size-1]
 	}
-	at, _ := slices.BinarySearchFunc(r.best, one, compare)
-	r.best = slices.Insert(r.best, at, one)
+	index, _ := slices.BinarySearchFunc(r.best, candidate, compare)
+	r.best = slices.Insert(r.best, index, candidate)
 }
 
-func rendezvous(self ident.DaemonID, id ident.RunnerID) uint64 {
+func rendezvousHash(self ident.DaemonID, id ident.RunnerID) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(self))
