--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// firstOutput is the mean output taken for granted at first, outputGain the
-// weight of each answer's length after that.
+// defaultMeanOutput is the initial estimate of the mean output length in tokens.
+// meanOutputWeight is the weight of each new answer in the moving average.
 const (
-	firstOutput = 200
-	outputGain  = 0.02
+	defaultMeanOutput = 200
+	meanOutputWeight  = 0.02
 )
 
-// changes bounds the own dispatches and completions that are remembered for
-// the correction of a report; older ones are taken as reported.
-const changes = 128
+// changeLogSize bounds the number of own dispatches and completions per runner that
+// are kept to correct a report. Older ones are assumed to be part of the report.
+const changeLogSize = 128
 
-// change is what one own dispatch or completion did to a runner.
+// change is the effect of one own dispatch or completion on a runner's load.
 type change struct {
 	at       time.Time
 	prefill  float64
@@ -24,35 +24,35 @@
 	requests int
 }
 
-// changeLog is a ring of the last own changes.
+// changeLog is a ring buffer of the latest own changes.
 type changeLog struct {
-	entries [changes]change
+	entries [changeLogSize]change
 	next    int
 }
 
-// score is what a choice reads of a slot; it is kept apart and small because
-// every choice reads all candidates' scores.
+// score holds the values of a slot that a choice reads. It is separate from slot and
+// small because every choice reads the scores of all candidates.
 type score struct {
-	// remote is the way there in seconds.
-	remote float64
-	// perToken is seconds of prefill per token, perOutput seconds until the
-	// batch frees room for one token in the KV cache.
+	// remotePenalty is added for a runner in another failure domain, in seconds.
+	remotePenalty float64
+	// perToken is the prefill time per token in seconds. perOutput is the time in
+	// seconds until the batch frees KV cache for one token.
 	perToken  float64
 	perOutput float64
-	// ahead is the prompt tokens queued, free the room in the KV cache in
-	// tokens, own changes since the report included.
-	ahead float64
-	free  float64
-	// place is the seconds until a place in the batch is free.
-	place    float64
-	inFlight int
-	// hazard is the probability of a reclaim per output token, price the
-	// price's part of the risk.
+	// queuedTokens is the number of prompt tokens queued, freeTokens the free KV cache
+	// in tokens. Both include own changes since the last report.
+	queuedTokens float64
+	freeTokens   float64
+	// batchWait is the time in seconds until a slot in the batch is free.
+	batchWait float64
+	inFlight  int
+	// hazard is the probability of a reclaim per output token. price is the
+	// contribution of the runner's price to the risk.
 	hazard float64
 	price  float64
 }
 
-func (t *Table) sumSince(i int) {
+func (t *Table) sumChangesSinceReport(i int) {
 	s := &t.slots[i]
 	s.sincePrefill, s.sinceKV, s.sinceRequests = 0, 0, 0
 	log := &t.logs[i].entries
@@ -65,10 +65,10 @@
 	}
 }
 
-func (t *Table) note(i int, c change) {
+func (t *Table) recordChange(i int, c change) {
 	log := &t.logs[i]
 	log.entries[log.next] = c
-	log.next = (log.next + 1) % changes
+	log.next = (log.next + 1) % changeLogSize
 	s := &t.slots[i]
 	s.sincePrefill += c.prefill
 	s.sinceKV += c.kv
@@ -79,74 +79,74 @@
 	t.rescore(i)
 }
 
-// rescore derives what choices read from the last report and own changes.
+// rescore computes the score of slot i from the last report and own changes.
 func (t *Table) rescore(i int) {
 	s, c := &t.slots[i], &t.scores[i]
-	c.perToken = 1 / s.prefill
-	c.perOutput = 1 / (s.decode * float64(max(1, s.report.Running)))
-	c.ahead = max(s.pendingPrefill, float64(s.report.QueuedTokens)+s.sincePrefill)
-	c.free = math.Inf(1)
+	c.perToken = 1 / s.prefillRate
+	c.perOutput = 1 / (s.decodeRate * float64(max(1, s.report.Running)))
+	c.queuedTokens = max(s.pendingPrefill, float64(s.report.QueuedTokens)+s.sincePrefill)
+	c.freeTokens = math.Inf(1)
 	if s.reported && s.report.KVBlocksTotal > 0 {
-		c.free = s.free - s.sinceKV
+		c.freeTokens = s.freeTokens - s.sinceKV
 	}
-	c.place = t.placeWait(s, c.inFlight)
-	c.hazard = s.hazard / s.decode
+	c.batchWait = t.waitForBatch(s, c.inFlight)
+	c.hazard = s.hazard / s.decodeRate
 	c.price = 0
 	if t.maxPrice > 0 {
 		c.price = t.cfg.PriceWeight * s.runner.PricePerHour / t.maxPrice
 	}
 }
 
-// present is the requests in progress at the runner, of which own are this
-// gateway's.
-func (s *slot) present(own int) int {
+// requestsInProgress returns the number of requests at the runner, of which own come
+// from this gateway.
+func (s *slot) requestsInProgress(own int) int {
 	return max(own, s.report.Running+s.report.Waiting+s.sinceRequests)
 }
 
-// placeWait is the seconds until a request that comes now has a place in the
-// batch. Prompts may be short and their tokens few, so that the queue of tokens
-// says nothing of it. Places fall free as the batch's answers end.
-func (t *Table) placeWait(s *slot, own int) float64 {
-	ahead := s.present(own) - s.places + 1
+// waitForBatch returns the time in seconds until a request that arrives now gets a slot
+// in the batch. The queued prompt tokens don't tell this, because many queued prompts can
+// be short. Slots become free at the rate at which the running requests finish.
+func (t *Table) waitForBatch(s *slot, own int) float64 {
+	ahead := s.requestsInProgress(own) - s.batchSize + 1
 	if ahead <= 0 {
 		return 0
 	}
-	perSecond := float64(s.places) * s.decode / t.output
+	perSecond := float64(s.batchSize) * s.decodeRate / t.meanOutput
 	return float64(ahead) / perSecond
 }
 
-// Capacity is what the runners in use carry by their reports.
+// Capacity is the total capacity of the usable runners according to their reports.
 type Capacity struct {
 	Runners int
-	// Batch is the requests that run at a time, DecodeRate the output tokens
-	// per second, both in all.
+	// Batch is the total number of requests that can run at a time. DecodeRate is the
+	// total number of output tokens per second.
 	Batch      int
 	DecodeRate float64
-	// Free is the places that the reports and own changes since leave.
+	// Free is the number of batch slots left by the reports and own changes since.
 	Free int
-	// PromptCost is how many output tokens one uncached prompt token costs.
+	// PromptCost is the cost of one uncached prompt token in output tokens.
 	PromptCost float64
 }
 
-// A gateway may take borrowedShare of the free places beyond its equal share:
-// were it all of them, every gateway would take the same ones. The keptFree
-// part of all places is not counted as free: under overload it is what gateways
-// leave for urgent work.
+// A gateway may use borrowedShare of the free batch slots beyond its equal share. It
+// may not use all of them, because every gateway would then claim the same slots.
+// reservedFraction of all slots does not count as free: gateways leave those slots to
+// urgent requests under overload.
 const (
-	borrowedShare = 0.5
-	keptFree      = 0.25
+	borrowedShare    = 0.5
+	reservedFraction = 0.25
 )
 
-// Share returns the places and the output tokens per second that one of so many
-// gateways may use: its equal part, or what it uses and a part of what is free.
-// Callers are not spread evenly, and the gateway that has them must not refuse
-// while the runners are idle.
+// Share returns the batch slots and the output tokens per second that one of the given
+// number of gateways may use: its equal share or, if more, what it uses now plus part of
+// what is free. Callers are not spread evenly over the gateways, and a gateway with many
+// callers must not refuse requests while runners are idle.
 func (c Capacity) Share(gateways, running int) (places, perSecond float64) {
 	if c.Batch == 0 {
 		return 0, 0
 	}
 	equal := float64(c.Batch) / float64(max(1, gateways))
-	free := max(0, float64(c.Free)-keptFree*float64(c.Batch))
+	free := max(0, float64(c.Free)-reservedFraction*float64(c.Batch))
 	places = equal
 	if free > 0 {
 		places = max(equal, float64(running)+borrowedShare*free)
@@ -154,20 +154,20 @@
 	return places, c.DecodeRate * places / float64(c.Batch)
 }
 
-// Capacity sums up the runners that are live and not ejected.
+// Capacity returns the total capacity of the runners that are live and not ejected.
 func (t *Table) Capacity() Capacity {
 	var c Capacity
-	prefill := 0.0
+	prefillRate := 0.0
 	for i := range t.live.Less(t.ejected).All() {
 		s := &t.slots[i]
 		c.Runners++
-		c.Batch += s.places
-		c.Free += max(0, s.places-s.report.Running-s.report.Waiting-s.sinceRequests)
-		c.DecodeRate += float64(s.places) * s.decode
-		prefill += s.prefill
+		c.Batch += s.batchSize
+		c.Free += max(0, s.batchSize-s.report.Running-s.report.Waiting-s.sinceRequests)
+		c.DecodeRate += float64(s.batchSize) * s.decodeRate
+		prefillRate += s.prefillRate
 	}
-	if prefill > 0 {
-		c.PromptCost = c.DecodeRate / prefill
+	if prefillRate > 0 {
+		c.PromptCost = c.DecodeRate / prefillRate
 	}
 	return c
 }
