--- a/bench/reclaim/machine.go
+++ b/bench/reclaim/machine.go
@@ -123,7 +123,7 @@
 
 func (m *machines) arrived(j *job) {
 	limits := request.DefaultLimits()
-	limits.Silence = silence
+	limits.SilenceTimeout = silence
 	j.machine = request.New(request.Spec{
 		ID: j.request, Epoch: 1, MaxTokens: j.limit,
 		Deferrable: !j.class.urgent, Deadline: at(m.w.now + deadline),
@@ -144,13 +144,13 @@
 	case request.Generate:
 		m.w.after(0, func() { m.generate(j, e) })
 		j.attempt = e.Attempt
-	case request.Abandon:
+	case request.AbandonAttempt:
 		m.abandon(j)
 	case request.ExportCache:
 		m.export(j, e)
 	case request.Answered:
 		m.w.finish(j, false)
-	case request.GivenUp:
+	case request.Failed:
 		m.w.finish(j, true)
 	case request.WakeAt:
 		m.wakeAt(j, e.Time.Sub(epoch))
@@ -210,7 +210,7 @@
 		imported = j.exported
 	}
 	if !m.w.dispatch(j, m.choices[g.Runner], j.machine.Answer().Offset(), imported) {
-		m.step(j, request.Closed{Attempt: g.Attempt, NotStarted: true, Cause: request.Unreachable})
+		m.step(j, request.StreamClosed{Attempt: g.Attempt, NotStarted: true, Cause: request.Unreachable})
 	}
 }
 
@@ -227,7 +227,7 @@
 		t.first = true
 		m.table.FirstToken(at(m.w.now), &t.Ticket)
 	}
-	m.step(j, request.Arrived{Event: stream.Event{Request: j.request, Attempt: j.attempt, Offset: ev.Emitted - 1, Token: "w"}})
+	m.step(j, request.EventArrived{Event: stream.Event{Request: j.request, Attempt: j.attempt, Offset: ev.Emitted - 1, Token: "w"}})
 }
 
 func (m *machines) finished(j *job) {
@@ -235,11 +235,11 @@
 		m.table.Finished(at(m.w.now), &t.Ticket)
 		delete(m.tickets, j.id)
 	}
-	m.step(j, request.Arrived{Event: stream.Event{Request: j.request, Attempt: j.attempt, Offset: j.output, Done: true}})
+	m.step(j, request.EventArrived{Event: stream.Event{Request: j.request, Attempt: j.attempt, Offset: j.output, Done: true}})
 }
 
 func (m *machines) lost(j *job) {
-	m.step(j, request.Closed{Attempt: j.machine.Attempt(), Cause: request.Truncated})
+	m.step(j, request.StreamClosed{Attempt: j.machine.Attempt(), Cause: request.Truncated})
 }
 
 // export carries a transfer out on the link that all of the wave share. It
@@ -251,7 +251,7 @@
 	m.linkFree = max(m.linkFree, m.w.now) + takes
 	failed := m.w.rng.Float64() < m.w.wave.fault.exports
 	m.w.after(m.linkFree-m.w.now, func() {
-		in := request.Exported{Attempt: e.Attempt, Target: e.To, Handle: "h"}
+		in := request.CacheExported{Attempt: e.Attempt, Target: e.To, Handle: "h"}
 		if failed || from.dead || to.dead || to.State != view.Live {
 			in.Handle = ""
 		}
--- a/daemon/models/live.go
+++ b/daemon/models/live.go
@@ -135,7 +135,7 @@
 	for _, e := range l.machine.Step(time.Now(), in) {
 		l.carryOut(e)
 	}
-	over := l.machine.Over() && l.ended.IsZero()
+	over := l.machine.Ended() && l.ended.IsZero()
 	if over {
 		l.ended = time.Now()
 		l.stopTimers()
@@ -164,7 +164,7 @@
 		l.m.spawn(func() { l.pick(job) })
 	case request.Generate:
 		l.generate(e)
-	case request.Abandon:
+	case request.AbandonAttempt:
 		l.abandon(e)
 	case request.ExportCache:
 		l.m.spawn(func() { l.export(e) })
@@ -176,7 +176,7 @@
 		l.m.count("requests.answered." + l.req.Class)
 		l.endAttempt(l.answeredAttempt(), true, "")
 		l.wakeReaders()
-	case request.GivenUp:
+	case request.Failed:
 		l.m.count("requests.given_up." + string(e.Refusal.Reason))
 		l.wakeReaders()
 	case request.Yielded:
@@ -297,7 +297,7 @@
 	if leaving(err) {
 		l.m.c.Directory.NoteLeaving(choice.Address, 0)
 	}
-	in := request.Closed{Attempt: id, Cause: closedBy(err), NotStarted: notStarted(err)}
+	in := request.StreamClosed{Attempt: id, Cause: closedBy(err), NotStarted: notStarted(err)}
 	l.mu.Lock()
 	l.endAttempt(id, false, in.Cause)
 	l.mu.Unlock()
@@ -320,7 +320,7 @@
 		}
 		l.mu.Unlock()
 	}
-	l.step(request.Arrived{Event: stream.Event{
+	l.step(request.EventArrived{Event: stream.Event{
 		Request:      ident.RequestID(e.RequestID),
 		Attempt:      ident.AttemptID(e.AttemptID),
 		Offset:       e.Offset,
@@ -356,7 +356,7 @@
 
 // abandon closes the attempt's connection and tells the runner, which would
 // otherwise go on computing for no one.
-func (l *live) abandon(e request.Abandon) {
+func (l *live) abandon(e request.AbandonAttempt) {
 	if e.Cause != "" {
 		l.m.count("attempts.abandoned." + string(e.Cause))
 	}
@@ -380,7 +380,7 @@
 	if err != nil {
 		l.m.count("attempts.export_failed")
 	}
-	l.step(request.Exported{Attempt: e.Attempt, Target: e.To, Handle: handle})
+	l.step(request.CacheExported{Attempt: e.Attempt, Target: e.To, Handle: handle})
 }
 
 func (l *live) moveCache(e request.ExportCache) (string, error) {
--- a/protocol/request/messages.go
+++ b/protocol/request/messages.go
@@ -20,11 +20,11 @@
 // PickRefused answers Pick where there is no runner for the request now.
 type PickRefused struct{ Refusal *refusal.Refusal }
 
-// Arrived is one event of an engine's stream.
-type Arrived struct{ Event stream.Event }
+// EventArrived is one event of an engine's stream.
+type EventArrived struct{ Event stream.Event }
 
-// Closed says that an attempt's stream is over without its end.
-type Closed struct {
+// StreamClosed says that an attempt's stream is over without its end.
+type StreamClosed struct {
 	Attempt ident.AttemptID
 	// NotStarted says that no byte of the attempt can have reached the runner,
 	// or that the runner itself refused to start it.
@@ -47,8 +47,8 @@
 // picks one, or the request waits.
 type Evict struct{ Attempt ident.AttemptID }
 
-// Exported answers ExportCache.
-type Exported struct {
+// CacheExported answers ExportCache.
+type CacheExported struct {
 	Attempt ident.AttemptID
 	Target  ident.RunnerID
 	// Handle names the cache at the target; empty if the move failed.
@@ -77,11 +77,11 @@
 func (Start) input()         {}
 func (Picked) input()        {}
 func (PickRefused) input()   {}
-func (Arrived) input()       {}
-func (Closed) input()        {}
+func (EventArrived) input()  {}
+func (StreamClosed) input()  {}
 func (Relocate) input()      {}
 func (Evict) input()         {}
-func (Exported) input()      {}
+func (CacheExported) input() {}
 func (RunnerLeaving) input() {}
 func (Tick) input()          {}
 func (Cancel) input()        {}
@@ -134,8 +134,8 @@
 	Handle string
 }
 
-// Abandon closes an attempt's connection and cancels it at the runner.
-type Abandon struct {
+// AbandonAttempt closes an attempt's connection and cancels it at the runner.
+type AbandonAttempt struct {
 	Attempt ident.AttemptID
 	Runner  ident.RunnerID
 	Cause   Cause
@@ -157,8 +157,8 @@
 // Answered ends the request with its whole answer.
 type Answered struct{}
 
-// GivenUp ends the request with a refusal.
-type GivenUp struct{ Refusal *refusal.Refusal }
+// Failed ends the request with a refusal.
+type Failed struct{ Refusal *refusal.Refusal }
 
 // Yielded ends the request here without an answer: another daemon has it.
 type Yielded struct{}
@@ -166,13 +166,13 @@
 // WakeAt asks for a Tick at that time; the latest one holds.
 type WakeAt struct{ Time time.Time }
 
-func (Pick) effect()        {}
-func (Generate) effect()    {}
-func (Abandon) effect()     {}
-func (ExportCache) effect() {}
-func (Emitted) effect()     {}
-func (Dropped) effect()     {}
-func (Answered) effect()    {}
-func (GivenUp) effect()     {}
-func (Yielded) effect()     {}
-func (WakeAt) effect()      {}
+func (Pick) effect()           {}
+func (Generate) effect()       {}
+func (AbandonAttempt) effect() {}
+func (ExportCache) effect()    {}
+func (Emitted) effect()        {}
+func (Dropped) effect()        {}
+func (Answered) effect()       {}
+func (Failed) effect()         {}
+func (Yielded) effect()        {}
+func (WakeAt) effect()         {}
--- a/protocol/request/request.go
+++ b/protocol/request/request.go
@@ -15,16 +15,16 @@
 
 // Limits bound how long and how often a request tries.
 type Limits struct {
-	// Silence is how long an engine's connection may carry nothing. Engines
+	// SilenceTimeout is how long an engine's connection may carry nothing. Engines
 	// send a heartbeat each second.
-	Silence time.Duration
-	// Reopens is how often a connection is opened anew to the same runner before the
+	SilenceTimeout time.Duration
+	// MaxReopens is how often a connection is opened anew to the same runner before the
 	// runner is given up on. One that brings tokens for as long as Silence forgives
 	// those before.
-	Reopens int
-	// Failures is how many runners may fail a request without progress; a
+	MaxReopens int
+	// MaxFailures is how many runners may fail a request without progress; a
 	// deferrable one is not bound by it.
-	Failures int
+	MaxFailures int
 	// BackoffMin and BackoffMax bound the wait for capacity.
 	BackoffMin, BackoffMax time.Duration
 	// RetryAfter is told to callers whose request was given up on.
@@ -34,12 +34,12 @@
 // DefaultLimits fit engines that send a heartbeat each second.
 func DefaultLimits() Limits {
 	return Limits{
-		Silence:    3 * time.Second,
-		Reopens:    2,
-		Failures:   4,
-		BackoffMin: 100 * time.Millisecond,
-		BackoffMax: 5 * time.Second,
-		RetryAfter: 2 * time.Second,
+		SilenceTimeout: 3 * time.Second,
+		MaxReopens:     2,
+		MaxFailures:    4,
+		BackoffMin:     100 * time.Millisecond,
+		BackoffMax:     5 * time.Second,
+		RetryAfter:     2 * time.Second,
 	}
 }
 
@@ -63,7 +63,7 @@
 type phase int
 
 const (
-	idle phase = iota
+	notStarted phase = iota
 	picking
 	running
 	waiting
@@ -78,25 +78,25 @@
 	answer *stream.Splice
 	phase  phase
 
-	attempts int
-	attempt  ident.AttemptID
-	runner   ident.RunnerID
-	heard    time.Time
-	// began is when the current attempt did.
-	began time.Time
-	// started counts the attempts that may have run.
-	started  int
-	reopens  int
-	failures int
-	excluded []ident.RunnerID
-	leaving  map[ident.RunnerID]bool
-	// target is where the current attempt's KV cache is being moved.
-	target  ident.RunnerID
-	wake    time.Time
-	backoff time.Duration
-	final   *refusal.Refusal
-
-	out []Effect
+	attempts     int
+	attempt      ident.AttemptID
+	runner       ident.RunnerID
+	lastActivity time.Time
+	// attemptStarted is when the current attempt did.
+	attemptStarted time.Time
+	// startedAttempts counts the attempts that may have run.
+	startedAttempts int
+	reopens         int
+	failures        int
+	excluded        []ident.RunnerID
+	leaving         map[ident.RunnerID]bool
+	// moveTarget is where the current attempt's KV cache is being moved.
+	moveTarget ident.RunnerID
+	retryAt    time.Time
+	backoff    time.Duration
+	failure    *refusal.Refusal
+
+	effects []Effect
 }
 
 // New returns a machine that waits for Start.
@@ -108,7 +108,7 @@
 		leaving: map[ident.RunnerID]bool{},
 	}
 	if spec.MayHaveRun {
-		m.started = 1
+		m.startedAttempts = 1
 	}
 	return m
 }
@@ -124,11 +124,11 @@
 // Answer is the output so far.
 func (m *Machine) Answer() *stream.Splice { return m.answer }
 
-// Over tells whether the request has its final answer or is run elsewhere.
-func (m *Machine) Over() bool { return m.phase == over }
+// Ended tells whether the request has its final answer or is run elsewhere.
+func (m *Machine) Ended() bool { return m.phase == over }
 
 // Refusal is why the request was given up on; nil if it was not.
-func (m *Machine) Refusal() *refusal.Refusal { return m.final }
+func (m *Machine) Refusal() *refusal.Refusal { return m.failure }
 
 // Runner is where the current attempt runs; empty if none does.
 func (m *Machine) Runner() ident.RunnerID {
@@ -155,15 +155,15 @@
 }
 
 // MayHaveRun tells whether an attempt can have reached a runner.
-func (m *Machine) MayHaveRun() bool { return m.started > 0 }
+func (m *Machine) MayHaveRun() bool { return m.startedAttempts > 0 }
 
-// Moving is where the KV cache is being moved; empty if it is not.
-func (m *Machine) Moving() ident.RunnerID { return m.target }
+// MoveTarget is where the KV cache is being moved; empty if it is not.
+func (m *Machine) MoveTarget() ident.RunnerID { return m.moveTarget }
 
 // Step takes one input and returns what is to be done; the slice is good until
 // the next call. Inputs after the final answer have no effect.
 func (m *Machine) Step(now time.Time, in Input) []Effect {
-	m.out = m.out[:0]
+	m.effects = m.effects[:0]
 	if m.phase == over {
 		return nil
 	}
@@ -171,25 +171,25 @@
 	case Start:
 		m.start(now)
 	case Picked:
-		m.picked(now, in.Runner)
+		m.handlePicked(now, in.Runner)
 	case PickRefused:
-		m.pickRefused(now, in.Refusal)
-	case Arrived:
-		m.arrived(now, in.Event)
-	case Closed:
-		m.closed(now, in)
+		m.handlePickRefused(now, in.Refusal)
+	case EventArrived:
+		m.handleEvent(now, in.Event)
+	case StreamClosed:
+		m.handleClosed(now, in)
 	case Relocate:
 		m.relocate(now, in)
 	case Evict:
 		m.evict(in)
-	case Exported:
-		m.exported(now, in)
+	case CacheExported:
+		m.handleExported(now, in)
 	case RunnerLeaving:
 		m.leaving[in.Runner] = true
 	case Tick:
 		m.tick(now)
 	case Cancel:
-		m.giveUp(refusal.New(refusal.Cancelled, "cancelled by the caller"))
+		m.fail(refusal.New(refusal.Cancelled, "cancelled by the caller"))
 	case Suspend:
 		m.suspend()
 	case Resume:
@@ -201,18 +201,18 @@
 	if m.phase != over {
 		m.emit(WakeAt{m.nextWake(now)})
 	}
-	return m.out
+	return m.effects
 }
 
-func (m *Machine) emit(e Effect) { m.out = append(m.out, e) }
+func (m *Machine) emit(e Effect) { m.effects = append(m.effects, e) }
 
 func (m *Machine) nextWake(now time.Time) time.Time {
 	next := now.Add(time.Minute)
 	switch m.phase {
 	case running:
-		next = m.heard.Add(m.limits.Silence)
+		next = m.lastActivity.Add(m.limits.SilenceTimeout)
 	case waiting:
-		next = m.wake
+		next = m.retryAt
 	}
 	if d := m.spec.Deadline; !d.IsZero() && d.Before(next) {
 		return d
@@ -220,31 +220,31 @@
 	return next
 }
 
-func (m *Machine) pick(after Cause) {
+func (m *Machine) requestRunner(after Cause) {
 	m.phase = picking
-	m.target = ""
-	m.emit(Pick{Exclude: m.avoid(), After: after})
+	m.moveTarget = ""
+	m.emit(Pick{Exclude: m.excludedRunners(), After: after})
 }
 
 // start goes first to the runner of an earlier owner, which may still hold the
 // request's KV cache.
 func (m *Machine) start(now time.Time) {
-	if m.phase != idle {
+	if m.phase != notStarted {
 		return
 	}
 	if m.spec.Runner != "" {
 		m.generate(now, m.spec.Runner, "")
 		return
 	}
-	m.pick("")
+	m.requestRunner("")
 }
 
 func (m *Machine) suspend() {
 	if m.phase == running {
-		m.emit(Abandon{Attempt: m.attempt, Runner: m.runner})
+		m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner})
 	}
 	m.answer.Stop()
-	m.target = ""
+	m.moveTarget = ""
 	m.phase = suspended
 }
 
@@ -256,18 +256,18 @@
 		m.generate(now, m.runner, "")
 		return
 	}
-	m.pick("")
+	m.requestRunner("")
 }
 
-func (m *Machine) avoid() []ident.RunnerID {
-	avoid := append([]ident.RunnerID(nil), m.excluded...)
+func (m *Machine) excludedRunners() []ident.RunnerID {
+	excludedRunners := append([]ident.RunnerID(nil), m.excluded...)
 	for r := range m.leaving {
-		avoid = append(avoid, r)
+		excludedRunners = append(excludedRunners, r)
 	}
-	return avoid
+	return excludedRunners
 }
 
-func (m *Machine) picked(now time.Time, runner ident.RunnerID) {
+func (m *Machine) handlePicked(now time.Time, runner ident.RunnerID) {
 	if m.phase != picking {
 		return
 	}
@@ -278,16 +278,16 @@
 	m.attempts++
 	m.attempt = ident.AttemptID(fmt.Sprintf("%s.%d.%d", m.spec.ID, m.spec.Epoch, m.attempts))
 	m.runner = runner
-	m.target = ""
-	m.heard, m.began = now, now
+	m.moveTarget = ""
+	m.lastActivity, m.attemptStarted = now, now
 	m.phase = running
-	m.started++
+	m.startedAttempts++
 	m.answer.Begin(m.attempt)
 	m.emit(Generate{Attempt: m.attempt, Runner: runner, Handle: handle})
 }
 
-// hopeless refusals stay the same however long the request waits.
-func hopeless(r refusal.Reason) bool {
+// permanentRefusal refusals stay the same however long the request waits.
+func permanentRefusal(r refusal.Reason) bool {
 	switch r {
 	case refusal.BadRequest, refusal.UnknownModel, refusal.Unauthenticated, refusal.Cancelled:
 		return true
@@ -295,49 +295,49 @@
 	return false
 }
 
-// pickRefused waits or ends the request. An accepted deferrable request was
+// handlePickRefused waits or ends the request. An accepted deferrable request was
 // promised its answer: dropping it because a wave of reclaims left no capacity
 // would break the promise, so it waits until its deadline. Any other is told
 // at once, so that its caller can go elsewhere.
-func (m *Machine) pickRefused(now time.Time, r *refusal.Refusal) {
+func (m *Machine) handlePickRefused(now time.Time, r *refusal.Refusal) {
 	if m.phase != picking {
 		return
 	}
 	m.failures++
-	if hopeless(r.Reason) || (!m.spec.Deferrable && m.mustGiveUp()) {
-		m.giveUp(r)
+	if permanentRefusal(r.Reason) || (!m.spec.Deferrable && m.retriesExhausted()) {
+		m.fail(r)
 		return
 	}
-	m.wait(now, r.RetryAfter)
+	m.waitForCapacity(now, r.RetryAfter)
 }
 
-// mustGiveUp bounds the tries of requests that don't wait. One without any
+// retriesExhausted bounds the tries of requests that don't wait. One without any
 // output is told of a lack of capacity at once.
-func (m *Machine) mustGiveUp() bool {
-	return m.answer.Offset() == 0 || m.failures >= m.limits.Failures
+func (m *Machine) retriesExhausted() bool {
+	return m.answer.Offset() == 0 || m.failures >= m.limits.MaxFailures
 }
 
-func (m *Machine) wait(now time.Time, atLeast time.Duration) {
+func (m *Machine) waitForCapacity(now time.Time, atLeast time.Duration) {
 	m.backoff = min(max(m.backoff*2, m.limits.BackoffMin), m.limits.BackoffMax)
 	m.phase = waiting
-	m.wake = now.Add(min(max(m.backoff, atLeast), m.limits.BackoffMax))
+	m.retryAt = now.Add(min(max(m.backoff, atLeast), m.limits.BackoffMax))
 	// A runner that failed before the wait may be well after it.
 	m.excluded = nil
 }
 
-func (m *Machine) arrived(now time.Time, e stream.Event) {
+func (m *Machine) handleEvent(now time.Time, e stream.Event) {
 	v := m.answer.Apply(e)
 	if v.Dropped != "" {
 		m.emit(Dropped{v.Dropped})
 	}
 	if v.Alive {
-		m.heard = now
+		m.lastActivity = now
 	}
 	if v.Emitted {
 		m.failures, m.backoff = 0, 0
 		// A few tokens on each connection before it falls silent are no progress that
 		// a caller could wait for.
-		if now.Sub(m.began) >= m.limits.Silence {
+		if now.Sub(m.attemptStarted) >= m.limits.SilenceTimeout {
 			m.reopens = 0
 		}
 		m.emit(Emitted{})
@@ -347,61 +347,61 @@
 		m.emit(Answered{})
 	}
 	if v.Broken {
-		m.attemptFailed(now, Malformed)
+		m.handleAttemptFailure(now, Malformed)
 	}
 }
 
-func (m *Machine) closed(now time.Time, in Closed) {
+func (m *Machine) handleClosed(now time.Time, in StreamClosed) {
 	if m.phase != running || in.Attempt != m.attempt {
 		return
 	}
 	if !in.NotStarted {
-		m.attemptFailed(now, in.Cause)
+		m.handleAttemptFailure(now, in.Cause)
 		return
 	}
-	m.started--
+	m.startedAttempts--
 	m.answer.Stop()
-	m.runnerFailed(now, in.Cause)
+	m.handleRunnerFailure(now, in.Cause)
 }
 
-// attemptFailed opens a new connection to the same runner, a bounded number of
+// handleAttemptFailure opens a new connection to the same runner, a bounded number of
 // times: something between the two ends can lose track of a connection while
 // the runner is well and holds the request's KV cache, and going elsewhere
 // would compute it all again.
-func (m *Machine) attemptFailed(now time.Time, cause Cause) {
-	m.emit(Abandon{Attempt: m.attempt, Runner: m.runner, Cause: cause})
+func (m *Machine) handleAttemptFailure(now time.Time, cause Cause) {
+	m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner, Cause: cause})
 	m.answer.Stop()
-	if m.target != "" {
-		m.generate(now, m.target, "")
+	if m.moveTarget != "" {
+		m.generate(now, m.moveTarget, "")
 		return
 	}
-	if m.reopens < m.limits.Reopens && !m.leaving[m.runner] && cause != EngineError {
+	if m.reopens < m.limits.MaxReopens && !m.leaving[m.runner] && cause != EngineError {
 		m.reopens++
 		m.generate(now, m.runner, "")
 		return
 	}
-	m.runnerFailed(now, cause)
+	m.handleRunnerFailure(now, cause)
 }
 
-func (m *Machine) runnerFailed(now time.Time, cause Cause) {
+func (m *Machine) handleRunnerFailure(now time.Time, cause Cause) {
 	m.reopens = 0
 	m.excluded = append(m.excluded, m.runner)
-	if m.target != "" {
-		m.generate(now, m.target, "")
+	if m.moveTarget != "" {
+		m.generate(now, m.moveTarget, "")
 		return
 	}
 	if cause != Preempted && !m.leaving[m.runner] {
 		m.failures++
 	}
-	if m.failures < m.limits.Failures {
-		m.pick(cause)
+	if m.failures < m.limits.MaxFailures {
+		m.requestRunner(cause)
 		return
 	}
 	if m.spec.Deferrable {
-		m.wait(now, 0)
+		m.waitForCapacity(now, 0)
 		return
 	}
-	m.giveUp(refusal.New(refusal.RunnerFailed, "%d runners failed, the last one: %s", m.failures, cause))
+	m.fail(refusal.New(refusal.RunnerFailed, "%d runners failed, the last one: %s", m.failures, cause))
 }
 
 func (m *Machine) relocate(now time.Time, in Relocate) {
@@ -411,7 +411,7 @@
 	m.leaving[m.runner] = true
 	delete(m.leaving, in.Target)
 	if in.Export {
-		m.target = in.Target
+		m.moveTarget = in.Target
 		m.emit(ExportCache{Attempt: m.attempt, From: m.runner, To: in.Target})
 		return
 	}
@@ -422,16 +422,16 @@
 	if m.phase != running || in.Attempt != m.attempt {
 		return
 	}
-	m.emit(Abandon{Attempt: m.attempt, Runner: m.runner, Cause: Preempted})
+	m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner, Cause: Preempted})
 	m.answer.Stop()
 	m.leaving[m.runner] = true
-	m.pick(Preempted)
+	m.requestRunner(Preempted)
 }
 
-// exported switches to the target, with or without the KV cache. An answer to
+// handleExported switches to the target, with or without the KV cache. An answer to
 // an export that a later plan replaced, or whose attempt is over, is ignored.
-func (m *Machine) exported(now time.Time, in Exported) {
-	if m.phase != running || in.Attempt != m.attempt || in.Target != m.target {
+func (m *Machine) handleExported(now time.Time, in CacheExported) {
+	if m.phase != running || in.Attempt != m.attempt || in.Target != m.moveTarget {
 		return
 	}
 	cause := Preempted
@@ -442,43 +442,43 @@
 }
 
 func (m *Machine) switchTo(now time.Time, target ident.RunnerID, handle string, cause Cause) {
-	m.emit(Abandon{Attempt: m.attempt, Runner: m.runner, Cause: cause})
+	m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner, Cause: cause})
 	m.reopens = 0
 	m.generate(now, target, handle)
 }
 
 func (m *Machine) tick(now time.Time) {
 	if d := m.spec.Deadline; !d.IsZero() && !now.Before(d) {
-		m.giveUp(refusal.New(refusal.DeadlineExceeded, "not answered by its deadline"))
+		m.fail(refusal.New(refusal.DeadlineExceeded, "not answered by its deadline"))
 		return
 	}
 	switch {
-	case m.phase == waiting && !now.Before(m.wake):
-		m.pick(NoCapacity)
-	case m.phase == running && !now.Before(m.heard.Add(m.limits.Silence)):
-		m.attemptFailed(now, Silent)
+	case m.phase == waiting && !now.Before(m.retryAt):
+		m.requestRunner(NoCapacity)
+	case m.phase == running && !now.Before(m.lastActivity.Add(m.limits.SilenceTimeout)):
+		m.handleAttemptFailure(now, Silent)
 	}
 }
 
-// giveUp ends the request now: a refusal that is held back until some later
+// fail ends the request now: a refusal that is held back until some later
 // step would leave the caller waiting for nothing. It says executed "no" only
 // if no attempt can have reached a runner.
-func (m *Machine) giveUp(r *refusal.Refusal) {
-	final := *r
-	if m.started > 0 {
-		final.Executed = refusal.ExecutedUnknown
+func (m *Machine) fail(r *refusal.Refusal) {
+	failure := *r
+	if m.startedAttempts > 0 {
+		failure.Executed = refusal.ExecutedUnknown
 	}
-	if final.RetryAfter == 0 && !hopeless(final.Reason) {
-		final.RetryAfter = m.limits.RetryAfter
+	if failure.RetryAfter == 0 && !permanentRefusal(failure.Reason) {
+		failure.RetryAfter = m.limits.RetryAfter
 	}
 	m.end()
-	m.final = &final
-	m.emit(GivenUp{&final})
+	m.failure = &failure
+	m.emit(Failed{&failure})
 }
 
 func (m *Machine) end() {
 	if m.phase == running {
-		m.emit(Abandon{Attempt: m.attempt, Runner: m.runner})
+		m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner})
 	}
 	m.answer.Stop()
 	m.phase = over
--- a/protocol/request/request_test.go
+++ b/protocol/request/request_test.go
@@ -17,10 +17,10 @@
 
 const id = ident.RequestID("r1")
 
-func epoch() time.Time { return time.Unix(1_000_000, 0) }
+func startTime() time.Time { return time.Unix(1_000_000, 0) }
 
-// driver answers the machine as a fleet would and keeps what it was told.
-type driver struct {
+// machineDriver answers the machine as a fleet would and keeps what it was told.
+type machineDriver struct {
 	m        *request.Machine
 	now      time.Time
 	attempt  ident.AttemptID
@@ -32,15 +32,15 @@
 	exports  []request.ExportCache
 }
 
-func newDriver(s request.Spec) *driver {
+func newMachineDriver(s request.Spec) *machineDriver {
 	s.ID, s.Epoch = id, 1
 	if s.MaxTokens == 0 {
 		s.MaxTokens = 8
 	}
-	return &driver{m: request.New(s, request.DefaultLimits()), now: epoch()}
+	return &machineDriver{m: request.New(s, request.DefaultLimits()), now: startTime()}
 }
 
-func (d *driver) step(in request.Input) {
+func (d *machineDriver) step(in request.Input) {
 	for _, e := range d.m.Step(d.now, in) {
 		switch e := e.(type) {
 		case request.Pick:
@@ -51,7 +51,7 @@
 			d.exports = append(d.exports, e)
 		case request.Answered:
 			d.answered++
-		case request.GivenUp:
+		case request.Failed:
 			d.refusals = append(d.refusals, e.Refusal)
 		case request.WakeAt:
 			d.wake = e.Time
@@ -59,16 +59,16 @@
 	}
 }
 
-func (d *driver) token() {
-	d.step(request.Arrived{Event: stream.Event{Request: id, Attempt: d.attempt, Offset: d.m.Answer().Offset(), Token: "w"}})
+func (d *machineDriver) token() {
+	d.step(request.EventArrived{Event: stream.Event{Request: id, Attempt: d.attempt, Offset: d.m.Answer().Offset(), Token: "w"}})
 }
 
-func (d *driver) sleep() {
+func (d *machineDriver) advanceToWake() {
 	d.now = d.wake
 	d.step(request.Tick{})
 }
 
-func (d *driver) run(runner ident.RunnerID) {
+func (d *machineDriver) startOn(runner ident.RunnerID) {
 	d.step(request.Start{})
 	d.step(request.Picked{Runner: runner})
 }
@@ -76,48 +76,48 @@
 // A reader waits for a stream whose connection went silent. The runner still
 // holds the KV cache, so the connection is opened anew there first; a runner
 // that stays silent is given up on.
-func TestSilenceReopensBeforeTheRunnerIsGivenUpOn(t *testing.T) {
+func TestSilentConnectionIsReopenedBeforeRunnerIsReplaced(t *testing.T) {
 	is := is.New(t)
-	d := newDriver(request.Spec{})
-	d.run("a")
+	d := newMachineDriver(request.Spec{})
+	d.startOn("a")
 	d.token()
-	for range request.DefaultLimits().Reopens {
-		d.sleep()
+	for range request.DefaultLimits().MaxReopens {
+		d.advanceToWake()
 		is.Equal(d.runner, ident.RunnerID("a"))
 		is.Equal(d.picks, 1)
 	}
-	d.sleep()
+	d.advanceToWake()
 	is.Equal(d.picks, 2)
 }
 
 // Guards against a stream that goes on by a few tokens each few seconds: the runner
 // answers each new connection and falls silent on it again.
-func TestRunnerThatStallsAgainAndAgainIsGivenUpOn(t *testing.T) {
+func TestRepeatedlyStallingRunnerIsReplaced(t *testing.T) {
 	is := is.New(t)
-	d := newDriver(request.Spec{MaxTokens: 100})
-	d.run("a")
-	for range request.DefaultLimits().Reopens {
+	d := newMachineDriver(request.Spec{MaxTokens: 100})
+	d.startOn("a")
+	for range request.DefaultLimits().MaxReopens {
 		d.token()
-		d.sleep()
+		d.advanceToWake()
 		is.Equal(d.picks, 1)
 	}
 	d.token()
-	d.sleep()
+	d.advanceToWake()
 	is.Equal(d.picks, 2)
 }
 
 // Guards against a long stream that is moved though its connection was only lost now
 // and then: what has gone well for a while forgives what was before.
-func TestConnectionsLostNowAndThenAreReopened(t *testing.T) {
+func TestOccasionallyLostConnectionsAreReopened(t *testing.T) {
 	is := is.New(t)
-	d := newDriver(request.Spec{MaxTokens: 1000})
-	d.run("a")
-	for range 3 * request.DefaultLimits().Reopens {
+	d := newMachineDriver(request.Spec{MaxTokens: 1000})
+	d.startOn("a")
+	for range 3 * request.DefaultLimits().MaxReopens {
 		for range 8 {
 			d.token()
-			d.now = d.now.Add(request.DefaultLimits().Silence / 4)
+			d.now = d.now.Add(request.DefaultLimits().SilenceTimeout / 4)
 		}
-		d.sleep()
+		d.advanceToWake()
 		is.Equal(d.runner, ident.RunnerID("a"))
 	}
 	is.Equal(d.picks, 1)
@@ -126,9 +126,9 @@
 // A caller would wait for nothing: its request was given up on, but the refusal
 // comes only with a later event. It comes in the same step, with a time to come
 // back.
-func TestGivenUpIsToldAtOnce(t *testing.T) {
+func TestFailureIsReportedInTheSameStep(t *testing.T) {
 	is := is.New(t)
-	d := newDriver(request.Spec{})
+	d := newMachineDriver(request.Spec{})
 	d.step(request.Start{})
 	d.step(request.PickRefused{Refusal: refusal.New(refusal.NoRunner, "none")})
 	is.Equal(len(d.refusals), 1)
@@ -138,95 +138,95 @@
 
 // An accepted bulletin would be dropped: a wave took every runner for minutes.
 // It waits, is tried again, and completes when there is capacity.
-func TestDeferrableRequestOutlastsAWave(t *testing.T) {
+func TestDeferrableRequestOutlastsLackOfRunners(t *testing.T) {
 	is := is.New(t)
-	d := newDriver(request.Spec{Deferrable: true, Deadline: epoch().Add(time.Hour), MaxTokens: 1})
+	d := newMachineDriver(request.Spec{Deferrable: true, Deadline: startTime().Add(time.Hour), MaxTokens: 1})
 	d.step(request.Start{})
-	for d.now.Before(epoch().Add(10 * time.Minute)) {
+	for d.now.Before(startTime().Add(10 * time.Minute)) {
 		d.step(request.PickRefused{Refusal: refusal.New(refusal.NoRunner, "none")})
 		is.Equal(len(d.refusals), 0)
-		d.sleep()
+		d.advanceToWake()
 	}
 	d.step(request.Picked{Runner: "a"})
 	d.token()
-	d.step(request.Arrived{Event: stream.Event{Request: id, Attempt: d.attempt, Offset: 1, Done: true}})
+	d.step(request.EventArrived{Event: stream.Event{Request: id, Attempt: d.attempt, Offset: 1, Done: true}})
 	is.Equal(d.answered, 1)
 }
 
-func TestDeadlineEndsTheWait(t *testing.T) {
+func TestDeadlineEndsWaitForCapacity(t *testing.T) {
 	is := is.New(t)
-	d := newDriver(request.Spec{Deferrable: true, Deadline: epoch().Add(time.Minute)})
+	d := newMachineDriver(request.Spec{Deferrable: true, Deadline: startTime().Add(time.Minute)})
 	d.step(request.Start{})
 	for len(d.refusals) == 0 {
 		d.step(request.PickRefused{Refusal: refusal.New(refusal.NoRunner, "none")})
-		d.sleep()
+		d.advanceToWake()
 	}
 	is.Equal(d.refusals[0].Reason, refusal.DeadlineExceeded)
-	is.Equal(d.now, epoch().Add(time.Minute))
+	is.Equal(d.now, startTime().Add(time.Minute))
 }
 
 // The runner dies while its KV cache is under way: the answer goes on at the
 // target that the plan chose, by the tokens, and the late export is ignored.
-func TestRunnerDiesDuringTheMove(t *testing.T) {
+func TestRunnerDiesDuringCacheExport(t *testing.T) {
 	is := is.New(t)
-	d := newDriver(request.Spec{})
-	d.run("a")
+	d := newMachineDriver(request.Spec{})
+	d.startOn("a")
 	d.token()
 	old := d.attempt
 	d.step(request.Relocate{Attempt: d.attempt, Target: "b", Export: true})
 	is.Equal(len(d.exports), 1)
 	d.token() // the old attempt goes on meanwhile
-	d.step(request.Closed{Attempt: old, Cause: request.Truncated})
+	d.step(request.StreamClosed{Attempt: old, Cause: request.Truncated})
 	is.Equal(d.runner, ident.RunnerID("b"))
 	current := d.attempt
-	d.step(request.Exported{Attempt: old, Target: "b", Handle: "late"})
+	d.step(request.CacheExported{Attempt: old, Target: "b", Handle: "late"})
 	is.Equal(d.attempt, current)
 	is.Equal(d.m.Answer().Offset(), 2)
 }
 
 // A second notice hits the target of a move under way: the stream goes to the
 // new target, and what the first export brings is not used.
-func TestSecondNoticeHitsTheTarget(t *testing.T) {
+func TestSecondRelocationReplacesTheFirst(t *testing.T) {
 	is := is.New(t)
-	d := newDriver(request.Spec{})
-	d.run("a")
+	d := newMachineDriver(request.Spec{})
+	d.startOn("a")
 	d.step(request.Relocate{Attempt: d.attempt, Target: "b", Export: true})
 	d.step(request.Relocate{Attempt: d.attempt, Target: "c", Export: true})
-	d.step(request.Exported{Attempt: d.attempt, Target: "b", Handle: "h"})
+	d.step(request.CacheExported{Attempt: d.attempt, Target: "b", Handle: "h"})
 	is.Equal(d.runner, ident.RunnerID("a"))
-	d.step(request.Exported{Attempt: d.attempt, Target: "c", Handle: "h"})
+	d.step(request.CacheExported{Attempt: d.attempt, Target: "c", Handle: "h"})
 	is.Equal(d.runner, ident.RunnerID("c"))
 }
 
-func TestFailedExportResumesAtTheTarget(t *testing.T) {
+func TestFailedExportResumesAtTarget(t *testing.T) {
 	is := is.New(t)
-	d := newDriver(request.Spec{})
-	d.run("a")
+	d := newMachineDriver(request.Spec{})
+	d.startOn("a")
 	d.step(request.Relocate{Attempt: d.attempt, Target: "b", Export: true})
-	d.step(request.Exported{Attempt: d.attempt, Target: "b"})
+	d.step(request.CacheExported{Attempt: d.attempt, Target: "b"})
 	is.Equal(d.runner, ident.RunnerID("b"))
 }
 
 // Whatever happens in whatever order, a request ends once at most, never
 // without a whole answer or a refusal, and says executed "no" only if every
 // attempt was refused before it started.
-func TestOneTruthfulEnd(t *testing.T) {
+func TestRequestEndsOnceAndTruthfully(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDriver(request.Spec{
+		d := newMachineDriver(request.Spec{
 			MaxTokens:  3,
 			Deferrable: rapid.Bool().Draw(t, "deferrable"),
-			Deadline:   epoch().Add(time.Minute),
+			Deadline:   startTime().Add(time.Minute),
 		})
 		generated, notStarted := map[ident.AttemptID]bool{}, map[ident.AttemptID]bool{}
 		d.step(request.Start{})
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
-			d.step(draw(t, d, notStarted))
+			d.step(drawInput(t, d, notStarted))
 			if d.attempt != "" {
 				generated[d.attempt] = true
 			}
 			d.now = d.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 		}
-		d.now = epoch().Add(time.Minute)
+		d.now = startTime().Add(time.Minute)
 		d.step(request.Tick{})
 		if d.answered+len(d.refusals) != 1 {
 			t.Fatalf("%d answers and %d refusals", d.answered, len(d.refusals))
@@ -240,7 +240,7 @@
 	})
 }
 
-func draw(t *rapid.T, d *driver, notStarted map[ident.AttemptID]bool) request.Input {
+func drawInput(t *rapid.T, d *machineDriver, notStarted map[ident.AttemptID]bool) request.Input {
 	runner := ident.RunnerID(fmt.Sprintf("n%d", rapid.IntRange(0, 3).Draw(t, "runner")))
 	switch rapid.IntRange(0, 9).Draw(t, "input") {
 	case 0:
@@ -248,34 +248,34 @@
 	case 1:
 		if d.m.Attempt() == d.attempt && d.attempt != "" && d.m.Answer().Offset() == 0 {
 			notStarted[d.attempt] = true
-			return request.Closed{Attempt: d.attempt, NotStarted: true, Cause: request.Refused}
+			return request.StreamClosed{Attempt: d.attempt, NotStarted: true, Cause: request.Refused}
 		}
 		return request.Tick{}
 	case 2:
-		return request.Closed{Attempt: d.attempt, Cause: request.Truncated}
+		return request.StreamClosed{Attempt: d.attempt, Cause: request.Truncated}
 	case 3:
 		return request.Relocate{Attempt: d.attempt, Target: runner, Export: rapid.Bool().Draw(t, "export")}
 	case 4:
-		return request.Exported{Attempt: d.attempt, Target: d.m.Moving(), Handle: rapid.SampledFrom([]string{"", "h"}).Draw(t, "handle")}
+		return request.CacheExported{Attempt: d.attempt, Target: d.m.MoveTarget(), Handle: rapid.SampledFrom([]string{"", "h"}).Draw(t, "handle")}
 	case 5:
 		return request.Evict{Attempt: d.attempt}
 	case 6:
 		n := rapid.IntRange(0, 3).Draw(t, "end")
-		return request.Arrived{Event: stream.Event{Request: id, Attempt: d.attempt, Offset: n, Done: n == 3}}
+		return request.EventArrived{Event: stream.Event{Request: id, Attempt: d.attempt, Offset: n, Done: n == 3}}
 	case 7:
 		return rapid.SampledFrom([]request.Input{request.Suspend{}, request.Resume{}}).Draw(t, "pause")
 	case 8:
 		return request.Picked{Runner: runner}
 	}
-	return request.Arrived{Event: stream.Event{Request: id, Attempt: d.attempt, Offset: d.m.Answer().Offset(), Token: "w"}}
+	return request.EventArrived{Event: stream.Event{Request: id, Attempt: d.attempt, Offset: d.m.Answer().Offset(), Token: "w"}}
 }
 
 func BenchmarkToken(b *testing.B) {
 	b.ReportAllocs()
 	const length = 1 << 12
 	for b.Loop() {
-		d := newDriver(request.Spec{MaxTokens: length})
-		d.run("a")
+		d := newMachineDriver(request.Spec{MaxTokens: length})
+		d.startOn("a")
 		for range length {
 			d.token()
 		}
