--- a/protocol/request/messages.go
+++ b/protocol/request/messages.go
@@ -8,70 +8,72 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Input is something that happened to a request.
+// Input is an event that the state machine of a request processes.
 type Input interface{ input() }
 
-// Start begins an accepted request.
+// Start begins the processing of an accepted request.
 type Start struct{}
 
-// Picked answers Pick with a runner.
+// Picked answers the Pick effect with a runner.
 type Picked struct{ Runner ident.RunnerID }
 
-// PickRefused answers Pick where there is no runner for the request now.
+// PickRefused answers the Pick effect if no runner can take the request now.
 type PickRefused struct{ Refusal *refusal.Refusal }
 
-// EventArrived is one event of an engine's stream.
+// EventArrived carries one event of an engine's output stream.
 type EventArrived struct{ Event stream.Event }
 
-// StreamClosed says that an attempt's stream is over without its end.
+// StreamClosed reports that the stream of an attempt closed before its end.
 type StreamClosed struct {
 	Attempt ident.AttemptID
-	// NotStarted says that no byte of the attempt can have reached the runner,
-	// or that the runner itself refused to start it.
+	// NotStarted is set if no byte of the attempt can have reached the runner,
+	// or if the runner refused to start it.
 	NotStarted bool
-	// Cause is counted.
+	// Cause is the reason for the closure, which is counted in the metrics.
 	Cause Cause
 }
 
-// Relocate moves the request off its runner as the reclaim's plan decided.
+// Relocate moves the request to the runner that the plan for a reclaim chose.
 type Relocate struct {
-	// Attempt is the one that the plan was made for; a later one stays.
+	// Attempt is the attempt that the plan was made for. The machine ignores
+	// the input if a later attempt is current.
 	Attempt ident.AttemptID
 	Target  ident.RunnerID
-	// Export takes the KV cache along; without it the target computes the
-	// prompt and the emitted tokens anew.
+	// Export moves the KV cache to the target. Without it, the target
+	// recomputes the KV cache from the prompt and the emitted tokens.
 	Export bool
 }
 
-// Evict takes the request off its leaving runner without a target: routing
-// picks one, or the request waits.
+// Evict removes the request from a leaving runner for which the plan has no
+// target. The router picks another runner, or the request waits for capacity.
 type Evict struct{ Attempt ident.AttemptID }
 
-// CacheExported answers ExportCache.
+// CacheExported answers the ExportCache effect.
 type CacheExported struct {
 	Attempt ident.AttemptID
 	Target  ident.RunnerID
-	// Handle names the cache at the target; empty if the move failed.
+	// Handle identifies the KV cache at the target. It is empty if the export
+	// failed.
 	Handle string
 }
 
-// RunnerLeaving says that a runner takes no new attempt.
+// RunnerLeaving reports that a runner accepts no new attempts.
 type RunnerLeaving struct{ Runner ident.RunnerID }
 
-// Tick lets time pass.
+// Tick reports that the time of the latest WakeAt effect has come.
 type Tick struct{}
 
-// Cancel is the caller's wish to end the request.
+// Cancel ends the request because its caller no longer wants the answer.
 type Cancel struct{}
 
-// Superseded says that a daemon with a higher epoch runs the request.
+// Superseded reports that another daemon runs the request with a higher epoch.
 type Superseded struct{}
 
-// Suspend ends the current attempt and starts no other until Resume: the
-// request is being passed to another daemon.
+// Suspend ends the current attempt and prevents new ones until Resume, while
+// the request is handed over to another daemon.
 type Suspend struct{}
 
-// Resume goes on after Suspend, at the same runner if it can.
+// Resume continues the request after Suspend, at the same runner if possible.
 type Resume struct{}
 
 func (Start) input()         {}
@@ -89,44 +91,49 @@
 func (Suspend) input()       {}
 func (Resume) input()        {}
 
-// Cause is why an attempt was given up or a runner is asked anew; each has a
-// counter.
+// Cause is the reason why an attempt was abandoned or a runner is requested
+// again. Each cause has a counter in the metrics.
 type Cause string
 
-// Causes.
+// Causes of abandoned attempts and repeated runner requests.
 const (
-	// Truncated streams were closed without their end.
+	// Truncated means that the stream closed without an end event.
 	Truncated Cause = "truncated"
-	// Silent connections carried neither tokens nor heartbeats for too long.
+	// Silent means that the connection carried neither tokens nor heartbeats
+	// for too long.
 	Silent Cause = "silent"
-	// Malformed streams broke the numbering of offsets.
+	// Malformed means that the token offsets in the stream were invalid.
 	Malformed Cause = "malformed"
-	// Unreachable runners could not be connected to.
+	// Unreachable means that no connection to the runner could be made.
 	Unreachable Cause = "unreachable"
-	// Refused attempts were not started by the runner.
+	// Refused means that the runner refused to start the attempt.
 	Refused Cause = "refused"
-	// EngineError is the runner's own word that the attempt failed.
+	// EngineError means that the runner reported that the attempt failed.
 	EngineError Cause = "engine_error"
-	// Preempted attempts were moved off a leaving runner.
+	// Preempted means that the attempt was moved off a leaving runner.
 	Preempted Cause = "preempted"
-	// ExportFailed moves go on without the KV cache.
+	// ExportFailed means that the attempt was moved without its KV cache
+	// because the export of the cache failed.
 	ExportFailed Cause = "export_failed"
-	// NoCapacity means that no runner could be had for now.
+	// NoCapacity means that no runner was available.
 	NoCapacity Cause = "no_capacity"
 )
 
-// Effect is something that the driver must do.
+// Effect is an operation that the caller of the state machine must carry out.
 type Effect interface{ effect() }
 
-// Pick asks the routing for a runner.
+// Pick asks the router for a runner.
 type Pick struct {
-	// Exclude lists runners that failed this request.
+	// Exclude lists the runners that failed this request and those that are
+	// leaving.
 	Exclude []ident.RunnerID
-	// After is why another runner is needed; empty for the first.
+	// After is the cause for which another runner is needed. It is empty for
+	// the first one.
 	After Cause
 }
 
-// Generate opens an attempt at a runner, after the tokens emitted so far.
+// Generate starts an attempt at a runner that continues after the tokens
+// emitted so far.
 type Generate struct {
 	Attempt ident.AttemptID
 	Runner  ident.RunnerID
@@ -134,36 +141,40 @@
 	Handle string
 }
 
-// AbandonAttempt closes an attempt's connection and cancels it at the runner.
+// AbandonAttempt closes the connection of an attempt and cancels the attempt
+// at the runner.
 type AbandonAttempt struct {
 	Attempt ident.AttemptID
 	Runner  ident.RunnerID
 	Cause   Cause
 }
 
-// ExportCache moves an attempt's KV cache to another runner while the attempt
-// goes on.
+// ExportCache copies the KV cache of an attempt to another runner while the
+// attempt continues.
 type ExportCache struct {
 	Attempt  ident.AttemptID
 	From, To ident.RunnerID
 }
 
-// Emitted says that readers have something to read.
+// Emitted reports that new output is available to readers.
 type Emitted struct{}
 
-// Dropped counts an event that was not used.
+// Dropped reports that an event of the stream was ignored, which is counted in
+// the metrics.
 type Dropped struct{ Reason stream.Reason }
 
-// Answered ends the request with its whole answer.
+// Answered ends the request with its complete answer.
 type Answered struct{}
 
 // Failed ends the request with a refusal.
 type Failed struct{ Refusal *refusal.Refusal }
 
-// Yielded ends the request here without an answer: another daemon has it.
+// Yielded ends the request at this daemon without an answer because another
+// daemon runs it.
 type Yielded struct{}
 
-// WakeAt asks for a Tick at that time; the latest one holds.
+// WakeAt asks for a Tick at the given time. Each WakeAt replaces the previous
+// one.
 type WakeAt struct{ Time time.Time }
 
 func (Pick) effect()           {}
--- a/protocol/request/request.go
+++ b/protocol/request/request.go
@@ -1,7 +1,9 @@
-// Package request is the life of one accepted model request as a pure state
-// machine: attempts at runners, silence, resumption at the offset, moves off
-// leaving runners, retries, and the one final answer. Inputs come with the
-// time; effects are for the driver.
+// Package request implements the lifecycle of an accepted model request as a
+// deterministic state machine. It covers attempts at runners, silent
+// connections, resumption at the current token offset, moves off leaving
+// runners, retries, and the single final answer or refusal. The machine
+// performs no I/O and reads no clock: each input carries the current time, and
+// the returned effects are carried out by the caller.
 package request
 
 import (
@@ -13,25 +15,25 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Limits bound how long and how often a request tries.
+// Limits holds the timeouts and the retry limits of a request.
 type Limits struct {
-	// SilenceTimeout is how long an engine's connection may carry nothing. Engines
-	// send a heartbeat each second.
+	// SilenceTimeout is how long the connection to an engine may carry no data.
+	// Engines send a heartbeat every second.
 	SilenceTimeout time.Duration
-	// MaxReopens is how often a connection is opened anew to the same runner before the
-	// runner is given up on. One that brings tokens for as long as Silence forgives
-	// those before.
+	// MaxReopens is how often the connection to the same runner is reopened
+	// before another runner is used. The count starts anew once a connection
+	// has delivered tokens for as long as SilenceTimeout.
 	MaxReopens int
-	// MaxFailures is how many runners may fail a request without progress; a
-	// deferrable one is not bound by it.
+	// MaxFailures is how many runner failures without progress end a request.
+	// Deferrable requests wait and try again instead.
 	MaxFailures int
-	// BackoffMin and BackoffMax bound the wait for capacity.
+	// BackoffMin and BackoffMax limit the wait for capacity.
 	BackoffMin, BackoffMax time.Duration
-	// RetryAfter is told to callers whose request was given up on.
+	// RetryAfter is the retry delay that callers of failed requests are given.
 	RetryAfter time.Duration
 }
 
-// DefaultLimits fit engines that send a heartbeat each second.
+// DefaultLimits returns limits for engines that send a heartbeat every second.
 func DefaultLimits() Limits {
 	return Limits{
 		SilenceTimeout: 3 * time.Second,
@@ -43,23 +45,27 @@
 	}
 }
 
-// Spec is what the machine must know of a request.
+// Spec describes a request to the state machine.
 type Spec struct {
 	ID        ident.RequestID
 	Epoch     uint64
 	MaxTokens int
-	// Deadline is when the answer is of no more use; zero is never.
+	// Deadline is the time after which the answer is useless to the caller. The
+	// zero time means that there is none.
 	Deadline time.Time
 	// Deferrable requests wait for capacity until their deadline.
 	Deferrable bool
-	// Emitted are the tokens that an earlier owner is known to have emitted.
+	// Emitted holds the tokens that an earlier owner is known to have emitted.
 	Emitted []string
-	// MayHaveRun says that an earlier owner may have started it.
+	// MayHaveRun is set if an earlier owner may have started the request at a
+	// runner.
 	MayHaveRun bool
-	// Runner is where an earlier owner ran it: its KV cache may be there.
+	// Runner is the runner at which an earlier owner ran the request and where
+	// its KV cache may still be.
 	Runner ident.RunnerID
 }
 
+// phase is the stage of a request's lifecycle.
 type phase int
 
 const (
@@ -71,7 +77,8 @@
 	over
 )
 
-// Machine is one request. It is not safe for concurrent use.
+// Machine is the state machine of one request. It is not safe for concurrent
+// use.
 type Machine struct {
 	spec   Spec
 	limits Limits
@@ -82,7 +89,7 @@
 	attempt      ident.AttemptID
 	runner       ident.RunnerID
 	lastActivity time.Time
-	// attemptStarted is when the current attempt did.
+	// attemptStarted is the start time of the current attempt.
 	attemptStarted time.Time
 	// startedAttempts counts the attempts that may have run.
 	startedAttempts int
@@ -90,7 +97,8 @@
 	failures        int
 	excluded        []ident.RunnerID
 	leaving         map[ident.RunnerID]bool
-	// moveTarget is where the current attempt's KV cache is being moved.
+	// moveTarget is the runner to which the KV cache of the current attempt is
+	// being moved.
 	moveTarget ident.RunnerID
 	retryAt    time.Time
 	backoff    time.Duration
@@ -99,7 +107,7 @@
 	effects []Effect
 }
 
-// New returns a machine that waits for Start.
+// New returns a machine that waits for the Start input.
 func New(spec Spec, limits Limits) *Machine {
 	m := &Machine{
 		spec:    spec,
@@ -113,7 +121,8 @@
 	return m
 }
 
-// NewFinished returns the machine of a request whose whole answer is known.
+// NewFinished returns the machine of a request whose complete answer is known.
+// The answer consists of spec.Emitted.
 func NewFinished(spec Spec, finishReason string) *Machine {
 	m := New(spec, Limits{})
 	m.answer.Finish(finishReason)
@@ -121,16 +130,18 @@
 	return m
 }
 
-// Answer is the output so far.
+// Answer returns the output so far.
 func (m *Machine) Answer() *stream.Splice { return m.answer }
 
-// Ended tells whether the request has its final answer or is run elsewhere.
+// Ended reports whether the request has its final answer or refusal, or has
+// been taken over by another daemon.
 func (m *Machine) Ended() bool { return m.phase == over }
 
-// Refusal is why the request was given up on; nil if it was not.
+// Refusal returns the refusal with which the request ended, or nil.
 func (m *Machine) Refusal() *refusal.Refusal { return m.failure }
 
-// Runner is where the current attempt runs; empty if none does.
+// Runner returns the runner of the current attempt, or an empty ID if there is
+// none.
 func (m *Machine) Runner() ident.RunnerID {
 	if m.phase != running {
 		return ""
@@ -138,7 +149,7 @@
 	return m.runner
 }
 
-// Attempt is the current attempt; empty if there is none.
+// Attempt returns the current attempt, or an empty ID if there is none.
 func (m *Machine) Attempt() ident.AttemptID {
 	if m.phase != running {
 		return ""
@@ -146,7 +157,8 @@
 	return m.attempt
 }
 
-// LastRunner is where the latest attempt ran; empty if there was none.
+// LastRunner returns the runner of the latest attempt, or an empty ID if there
+// was none.
 func (m *Machine) LastRunner() ident.RunnerID {
 	if m.runner == "" {
 		return m.spec.Runner
@@ -154,14 +166,16 @@
 	return m.runner
 }
 
-// MayHaveRun tells whether an attempt can have reached a runner.
+// MayHaveRun reports whether any attempt may have reached a runner.
 func (m *Machine) MayHaveRun() bool { return m.startedAttempts > 0 }
 
-// MoveTarget is where the KV cache is being moved; empty if it is not.
+// MoveTarget returns the runner to which the KV cache is being moved, or an
+// empty ID if no move is in progress.
 func (m *Machine) MoveTarget() ident.RunnerID { return m.moveTarget }
 
-// Step takes one input and returns what is to be done; the slice is good until
-// the next call. Inputs after the final answer have no effect.
+// Step processes one input and returns the resulting effects. The slice is
+// valid until the next call. Inputs after the end of the request have no
+// effect.
 func (m *Machine) Step(now time.Time, in Input) []Effect {
 	m.effects = m.effects[:0]
 	if m.phase == over {
@@ -226,8 +240,8 @@
 	m.emit(Pick{Exclude: m.excludedRunners(), After: after})
 }
 
-// start goes first to the runner of an earlier owner, which may still hold the
-// request's KV cache.
+// start uses the runner of an earlier owner first, since that runner may still
+// hold the KV cache of the request.
 func (m *Machine) start(now time.Time) {
 	if m.phase != notStarted {
 		return
@@ -286,7 +300,7 @@
 	m.emit(Generate{Attempt: m.attempt, Runner: runner, Handle: handle})
 }
 
-// permanentRefusal refusals stay the same however long the request waits.
+// permanentRefusal reports whether waiting can't change the refusal.
 func permanentRefusal(r refusal.Reason) bool {
 	switch r {
 	case refusal.BadRequest, refusal.UnknownModel, refusal.Unauthenticated, refusal.Cancelled:
@@ -295,10 +309,11 @@
 	return false
 }
 
-// handlePickRefused waits or ends the request. An accepted deferrable request was
-// promised its answer: dropping it because a wave of reclaims left no capacity
-// would break the promise, so it waits until its deadline. Any other is told
-// at once, so that its caller can go elsewhere.
+// handlePickRefused waits for capacity or ends the request. An accepted
+// deferrable request waits until its deadline even if reclaims have left no
+// runners, since its caller was promised an answer. Any other request is
+// refused at once if it has no output yet, so that its caller can go
+// elsewhere.
 func (m *Machine) handlePickRefused(now time.Time, r *refusal.Refusal) {
 	if m.phase != picking {
 		return
@@ -311,8 +326,8 @@
 	m.waitForCapacity(now, r.RetryAfter)
 }
 
-// retriesExhausted bounds the tries of requests that don't wait. One without any
-// output is told of a lack of capacity at once.
+// retriesExhausted reports whether a request that can't wait must end. Without
+// any output, it ends at the first lack of capacity.
 func (m *Machine) retriesExhausted() bool {
 	return m.answer.Offset() == 0 || m.failures >= m.limits.MaxFailures
 }
@@ -321,7 +336,7 @@
 	m.backoff = min(max(m.backoff*2, m.limits.BackoffMin), m.limits.BackoffMax)
 	m.phase = waiting
 	m.retryAt = now.Add(min(max(m.backoff, atLeast), m.limits.BackoffMax))
-	// A runner that failed before the wait may be well after it.
+	// A runner that failed before the wait may work again afterwards.
 	m.excluded = nil
 }
 
@@ -335,8 +350,8 @@
 	}
 	if v.Emitted {
 		m.failures, m.backoff = 0, 0
-		// A few tokens on each connection before it falls silent are no progress that
-		// a caller could wait for.
+		// A connection that delivers a few tokens and then falls silent is not
+		// enough progress to allow further reopens.
 		if now.Sub(m.attemptStarted) >= m.limits.SilenceTimeout {
 			m.reopens = 0
 		}
@@ -364,10 +379,10 @@
 	m.handleRunnerFailure(now, in.Cause)
 }
 
-// handleAttemptFailure opens a new connection to the same runner, a bounded number of
-// times: something between the two ends can lose track of a connection while
-// the runner is well and holds the request's KV cache, and going elsewhere
-// would compute it all again.
+// handleAttemptFailure reopens the connection to the same runner up to
+// MaxReopens times. A connection can be lost between the two ends while the
+// runner works and still holds the KV cache of the request. Another runner
+// would have to recompute that cache.
 func (m *Machine) handleAttemptFailure(now time.Time, cause Cause) {
 	m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner, Cause: cause})
 	m.answer.Stop()
@@ -428,8 +443,9 @@
 	m.requestRunner(Preempted)
 }
 
-// handleExported switches to the target, with or without the KV cache. An answer to
-// an export that a later plan replaced, or whose attempt is over, is ignored.
+// handleExported switches to the target with the exported KV cache, or without
+// it if the export failed. It ignores results of exports that a later
+// relocation replaced or whose attempt has ended.
 func (m *Machine) handleExported(now time.Time, in CacheExported) {
 	if m.phase != running || in.Attempt != m.attempt || in.Target != m.moveTarget {
 		return
@@ -460,9 +476,9 @@
 	}
 }
 
-// fail ends the request now: a refusal that is held back until some later
-// step would leave the caller waiting for nothing. It says executed "no" only
-// if no attempt can have reached a runner.
+// fail ends the request with a refusal in the same step, since a delayed
+// refusal would leave the caller waiting for nothing. The refusal says "not
+// executed" only if no attempt can have reached a runner.
 func (m *Machine) fail(r *refusal.Refusal) {
 	failure := *r
 	if m.startedAttempts > 0 {
--- a/protocol/request/request_test.go
+++ b/protocol/request/request_test.go
@@ -19,7 +19,8 @@
 
 func startTime() time.Time { return time.Unix(1_000_000, 0) }
 
-// machineDriver answers the machine as a fleet would and keeps what it was told.
+// machineDriver answers the effects of a machine as a fleet would and records
+// them.
 type machineDriver struct {
 	m        *request.Machine
 	now      time.Time
@@ -73,9 +74,9 @@
 	d.step(request.Picked{Runner: runner})
 }
 
-// A reader waits for a stream whose connection went silent. The runner still
-// holds the KV cache, so the connection is opened anew there first; a runner
-// that stays silent is given up on.
+// Guards against a needless recomputation and against an endless wait after a
+// connection falls silent. The runner still holds the KV cache, so the
+// connection to it is reopened first. A runner that stays silent is replaced.
 func TestSilentConnectionIsReopenedBeforeRunnerIsReplaced(t *testing.T) {
 	is := is.New(t)
 	d := newMachineDriver(request.Spec{})
@@ -90,8 +91,8 @@
 	is.Equal(d.picks, 2)
 }
 
-// Guards against a stream that goes on by a few tokens each few seconds: the runner
-// answers each new connection and falls silent on it again.
+// Guards against a stream that advances by only a few tokens every few seconds
+// because the runner answers each new connection and falls silent on it again.
 func TestRepeatedlyStallingRunnerIsReplaced(t *testing.T) {
 	is := is.New(t)
 	d := newMachineDriver(request.Spec{MaxTokens: 100})
@@ -106,8 +107,9 @@
 	is.Equal(d.picks, 2)
 }
 
-// Guards against a long stream that is moved though its connection was only lost now
-// and then: what has gone well for a while forgives what was before.
+// Guards against moving a long stream to another runner only because its
+// connection was lost now and then. A period of progress resets the count of
+// reopens.
 func TestOccasionallyLostConnectionsAreReopened(t *testing.T) {
 	is := is.New(t)
 	d := newMachineDriver(request.Spec{MaxTokens: 1000})
@@ -123,9 +125,9 @@
 	is.Equal(d.picks, 1)
 }
 
-// A caller would wait for nothing: its request was given up on, but the refusal
-// comes only with a later event. It comes in the same step, with a time to come
-// back.
+// Guards against a caller that waits for nothing because the refusal of its
+// request is delayed until a later input. The refusal must come in the same
+// step, with a retry delay.
 func TestFailureIsReportedInTheSameStep(t *testing.T) {
 	is := is.New(t)
 	d := newMachineDriver(request.Spec{})
@@ -136,8 +138,9 @@
 	is.True(d.refusals[0].RetryAfter > 0)
 }
 
-// An accepted bulletin would be dropped: a wave took every runner for minutes.
-// It waits, is tried again, and completes when there is capacity.
+// Guards against dropping an accepted deferrable request when reclaims leave
+// no runners for minutes. The request waits, asks again, and completes when
+// there is capacity.
 func TestDeferrableRequestOutlastsLackOfRunners(t *testing.T) {
 	is := is.New(t)
 	d := newMachineDriver(request.Spec{Deferrable: true, Deadline: startTime().Add(time.Hour), MaxTokens: 1})
@@ -165,8 +168,9 @@
 	is.Equal(d.now, startTime().Add(time.Minute))
 }
 
-// The runner dies while its KV cache is under way: the answer goes on at the
-// target that the plan chose, by the tokens, and the late export is ignored.
+// The runner dies while its KV cache is being exported. The answer must
+// continue at the target that the plan chose, from the emitted tokens, and the
+// late result of the export must be ignored.
 func TestRunnerDiesDuringCacheExport(t *testing.T) {
 	is := is.New(t)
 	d := newMachineDriver(request.Spec{})
@@ -175,7 +179,7 @@
 	old := d.attempt
 	d.step(request.Relocate{Attempt: d.attempt, Target: "b", Export: true})
 	is.Equal(len(d.exports), 1)
-	d.token() // the old attempt goes on meanwhile
+	d.token() // the old attempt continues meanwhile
 	d.step(request.StreamClosed{Attempt: old, Cause: request.Truncated})
 	is.Equal(d.runner, ident.RunnerID("b"))
 	current := d.attempt
@@ -184,8 +188,9 @@
 	is.Equal(d.m.Answer().Offset(), 2)
 }
 
-// A second notice hits the target of a move under way: the stream goes to the
-// new target, and what the first export brings is not used.
+// A second reclaim notice affects the target of a move in progress. The stream
+// must move to the new target, and the result of the first export must be
+// ignored.
 func TestSecondRelocationReplacesTheFirst(t *testing.T) {
 	is := is.New(t)
 	d := newMachineDriver(request.Spec{})
@@ -207,9 +212,9 @@
 	is.Equal(d.runner, ident.RunnerID("b"))
 }
 
-// Whatever happens in whatever order, a request ends once at most, never
-// without a whole answer or a refusal, and says executed "no" only if every
-// attempt was refused before it started.
+// For any sequence of inputs, a request ends exactly once by its deadline,
+// with a complete answer or a refusal, and the refusal says "not executed"
+// only if every attempt was refused before it started.
 func TestRequestEndsOnceAndTruthfully(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newMachineDriver(request.Spec{
