--- a/daemon/edge/advice_test.go
+++ b/daemon/edge/advice_test.go
@@ -36,7 +36,7 @@
 	time.Sleep(time.Until(until))
 }
 
-func (w *world) addReader(id string, domain ident.FailureDomain, rate float64) {
+func (w *testFleet) addReader(id string, domain ident.FailureDomain, rate float64) {
 	engine := &reader{}
 	w.runners.add(id).play(func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
 		engine.read(time.Duration(float64(a.Request.Prompt.PromptTokens) / rate * float64(time.Second)))
@@ -63,7 +63,7 @@
 	c.Services = []route.Service{{Name: "app", Engine: &route.Engine{Slots: 32, KVTokens: 500_000}}}
 	c.Workspaces[0].Quota = route.Quota{PerSecond: quota, Burst: quota, InTokens: true}
 	late := 0
-	inLargeFleet(t, daemons, c, func(w *world) {
+	withRelayFleet(t, daemons, c, func(w *testFleet) {
 		for i := range engines {
 			w.addReader(fmt.Sprintf("r%d", i), w.domains[i%len(w.domains)], rate)
 		}
@@ -75,7 +75,7 @@
 			d := w.daemons[random.IntN(daemons)]
 			wg.Go(func() {
 				asked := time.Now()
-				a := &answer{}
+				a := &recordedReply{}
 				d.Serve(context.Background(), &edge.Request{
 					ID: fmt.Sprintf("advised-%d", i), Host: host, Path: "/match/", Method: http.MethodPost, Target: "/match/",
 					Header: http.Header{}, Key: key, Received: time.Now(),
@@ -100,7 +100,7 @@
 	const daemons, prompts, mostBytes = 40, 40, 24 << 10
 	c := config(1)
 	c.Services = []route.Service{{Name: "app", Engine: &route.Engine{Slots: 32, KVTokens: 500_000}}}
-	inLargeFleet(t, daemons, c, func(w *world) {
+	withRelayFleet(t, daemons, c, func(w *testFleet) {
 		for i := range 60 {
 			w.addReader(fmt.Sprintf("i-0123456789~%013d", i), w.domains[i%len(w.domains)], 64_000)
 		}
@@ -117,7 +117,7 @@
 							PromptTokens: 200, OutputTokens: 10, ExpectedOutput: 10,
 							Prefix: []prefix.Hash{1, shared, shared + 1<<32}, PrefixTokens: []int{50, 100, 200},
 						},
-					}, &answer{})
+					}, &recordedReply{})
 				})
 			}
 		}
--- a/daemon/edge/cloud_test.go
+++ b/daemon/edge/cloud_test.go
@@ -9,43 +9,43 @@
 	"geraniumstack.org/geraniumstack/daemon/edge"
 )
 
-// cloud records reports and orders.
-type cloud struct {
+// fakeCloud records reports and orders.
+type fakeCloud struct {
 	mu      sync.Mutex
-	reports []report
+	reports []usageReport
 	orders  []edge.Order
-	// lose lets a report be taken and its answer be lost.
-	lose int
-	// dry lets orders of reclaimable runners be refused, which refusals counts.
-	dry      bool
-	refusals int
+	// lostAnswers lets a report be taken and its answer be lost.
+	lostAnswers int
+	// noReclaimable lets orders of reclaimable runners be refused, which refusals counts.
+	noReclaimable bool
+	refusals      int
 }
 
-type report struct {
+type usageReport struct {
 	duty   edge.Duty
 	window accounting.Window
 	counts string
 }
 
-func (c *cloud) ReportUsage(_ context.Context, d edge.Duty, w accounting.Window, counts accounting.Counts) error {
+func (c *fakeCloud) ReportUsage(_ context.Context, d edge.Duty, w accounting.Window, counts accounting.Counts) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	data, err := json.Marshal(counts)
 	if err != nil {
 		return err
 	}
-	c.reports = append(c.reports, report{d, w, string(data)})
-	if c.lose > 0 {
-		c.lose--
+	c.reports = append(c.reports, usageReport{d, w, string(data)})
+	if c.lostAnswers > 0 {
+		c.lostAnswers--
 		return context.DeadlineExceeded
 	}
 	return nil
 }
 
-func (c *cloud) Order(_ context.Context, _ edge.Duty, o edge.Order) error {
+func (c *fakeCloud) Order(_ context.Context, _ edge.Duty, o edge.Order) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dry && o.Reclaimable {
+	if c.noReclaimable && o.Reclaimable {
 		c.refusals++
 		return &edge.NoneAvailableError{Order: o}
 	}
@@ -53,17 +53,17 @@
 	return nil
 }
 
-func (c *cloud) taken() []report {
+func (c *fakeCloud) receivedReports() []usageReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]report{}, c.reports...)
+	return append([]usageReport{}, c.reports...)
 }
 
-// reported adds up all requests of the reports, each window once.
-func (w *world) reported() int64 {
+// totalReported adds up all requests of the reports, each window once.
+func (w *testFleet) totalReported() int64 {
 	sum := int64(0)
 	seen := map[accounting.Window]bool{}
-	for _, r := range w.cloud.taken() {
+	for _, r := range w.cloud.receivedReports() {
 		if seen[r.window] {
 			continue
 		}
@@ -74,7 +74,7 @@
 }
 
 // requests adds up a report's counts.
-func (r report) requests(w *world) int64 {
+func (r usageReport) requests(w *testFleet) int64 {
 	var counts accounting.Counts
 	w.NoErr(json.Unmarshal([]byte(r.counts), &counts))
 	sum := int64(0)
--- a/daemon/edge/config_test.go
+++ b/daemon/edge/config_test.go
@@ -15,10 +15,10 @@
 // the revision has moved on. A daemon that watches on from there never hears of
 // the route that was added meanwhile, until the next change.
 func TestChangeDuringBlindWatch(t *testing.T) {
-	inWorld(t, 3, config(1), func(w *world) {
+	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		for _, d := range w.daemons {
-			d.store.set(false, true)
+			d.store.setFaults(false, true)
 		}
 		next := config(2)
 		next.Routes = append(next.Routes, route.Route{
@@ -28,7 +28,7 @@
 		w.configure(next)
 		time.Sleep(time.Second)
 		for _, d := range w.daemons {
-			d.store.set(false, false)
+			d.store.setFaults(false, false)
 		}
 		time.Sleep(4 * time.Second)
 		for _, d := range w.daemons {
@@ -40,11 +40,11 @@
 // A key is taken away while one daemon can't reach the service. The daemon goes
 // on for as long as its peers vouch for its configuration, and no longer.
 func TestRevokedKeyAtCutOffDaemon(t *testing.T) {
-	inWorld(t, 3, config(1), func(w *world) {
+	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(100 * time.Millisecond)
 		cutOff := w.daemons[2]
-		cutOff.store.set(true, false)
+		cutOff.store.setFaults(true, false)
 		time.Sleep(8 * time.Second)
 		w.Equal(w.ask(cutOff, "/read/1", key).status, 200) // vouched for
 		revoked := config(2)
@@ -60,7 +60,7 @@
 		}
 		w.True(!cutOff.Ready())
 		w.Equal(w.ask(w.daemons[0], "/read/1", key).reason(), refusal.Unauthenticated)
-		cutOff.store.set(false, false)
+		cutOff.store.setFaults(false, false)
 		time.Sleep(3 * time.Second)
 		w.True(cutOff.Ready())
 		w.Equal(w.ask(cutOff, "/read/1", key).reason(), refusal.Unauthenticated)
@@ -70,11 +70,11 @@
 
 // A daemon loses the service and its peers at once. Nobody vouches for it.
 func TestKeyAtIsolatedDaemon(t *testing.T) {
-	inWorld(t, 2, config(1), func(w *world) {
+	withFleet(t, 2, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(100 * time.Millisecond)
 		d := w.daemons[1]
-		d.store.set(true, false)
+		d.store.setFaults(true, false)
 		w.network.isolate("10.0.0.2:7600", true)
 		time.Sleep(5 * time.Second)
 		a := w.ask(d, "/read/1", key)
@@ -87,16 +87,16 @@
 // A caller uses a route or a key that was added a moment before the daemon heard
 // of it. It must be served, not be told that there is none.
 func TestUnknownIsReadAnewBeforeItIsDenied(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(1500 * time.Millisecond)
 		d := w.daemons[0]
-		d.store.set(false, true)
+		d.store.setFaults(false, true)
 		added := config(2)
 		added.Workspaces[0].Keys = append(added.Workspaces[0].Keys, "key-2")
 		w.configure(added)
 		time.Sleep(900 * time.Millisecond)
-		d.store.set(false, false)
+		d.store.setFaults(false, false)
 		w.Equal(w.ask(d, "/read/1", "key-2").status, 200)
 		w.Equal(w.ask(d, "/nowhere/", key).reason(), refusal.UnknownRoute)
 	})
@@ -104,7 +104,7 @@
 
 // An older version is written by an operator who lost a race, or read late.
 func TestOlderVersionIsNotTaken(t *testing.T) {
-	inWorld(t, 1, config(5), func(w *world) {
+	withFleet(t, 1, config(5), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		old := config(4)
 		old.Workspaces[0].Keys = []string{"old"}
@@ -119,7 +119,7 @@
 // while the watch replaced them, which may show it half of each; only the race detector
 // tells.
 func TestConfigurationsComeWhileRequestsArePlaced(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(100 * time.Millisecond)
 		var asking sync.WaitGroup
@@ -143,15 +143,15 @@
 // configuration, waited while the new one was put into force, and then found that the
 // configuration had just been proved to be the newest: the key worked once more.
 func TestRevokedKeyWhileTheConfigurationIsReplaced(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(100 * time.Millisecond)
 		d := w.daemons[0]
-		d.store.set(true, false)
+		d.store.setFaults(true, false)
 		time.Sleep(6 * time.Second)
 		next := config(2)
 		next.Workspaces[0].Keys = []string{"key-2"}
-		answered := make(chan *answer)
+		answered := make(chan *recordedReply)
 		d.PutInForceWhile(next, 1000, func() {
 			go func() { answered <- w.ask(d, "/read/", key) }()
 			// A request that waits for a lock doesn't let virtual time go on.
@@ -168,7 +168,7 @@
 // goes on answering, with and without changes, and that was taken for a proof that the
 // version in force is the newest: the key worked for as long as nobody looked.
 func TestUnreadableConfigurationIsNoProof(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(100 * time.Millisecond)
 		w.put(configKey, "no configuration")
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -12,16 +12,16 @@
 const (
 	// dutyName is the one responsibility that covers all calls to the cloud.
 	dutyName = "cloud"
-	// dutyEvery is the least time between two looks at the duties.
-	dutyEvery = 200 * time.Millisecond
+	// dutyInterval is the least time between two looks at the duties.
+	dutyInterval = 200 * time.Millisecond
 	// callTimeout bounds a call to the cloud; the holder's own lease has that
 	// much left when it begins. It covers a cloud that answers fifty times more
 	// slowly than usual.
 	callTimeout = 500 * time.Millisecond
-	// renewals in a lease's life, so that one or two may fail.
-	renewals = 4
-	// drift is the share by which clocks may run apart.
-	drift = 0.01
+	// renewalsPerLease in a lease's life, so that one or two may fail.
+	renewalsPerLease = 4
+	// clockDrift is the share by which clocks may run apart.
+	clockDrift = 0.01
 	// rankDelay keeps the daemons from all writing for a responsibility that has
 	// fallen free: each waits its place in the order of names times this.
 	rankDelay = 150 * time.Millisecond
@@ -30,26 +30,26 @@
 // duties are what this daemon does while it holds the responsibility.
 type duties struct {
 	holder *holder.Holder
-	usage  usageDuty
+	usage  usageReportState
 	saved  savedCounts
 	fleets map[string]*fleetDuty
-	// token of the tenure that the duties were begun in.
-	token uint64
-	// due is told when it may be time to look at the duties.
-	due chan struct{}
+	// tenureToken of the tenure that the duties were begun in.
+	tenureToken uint64
+	// wakeup is told when it may be time to look at the duties.
+	wakeup chan struct{}
 }
 
 // wake has the duties looked at, unless that is still going on.
 func (d *duties) wake() {
 	select {
-	case d.due <- struct{}{}:
+	case d.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 func (d *duties) init(e *Edge) {
 	d.fleets = map[string]*fleetDuty{}
-	d.due = make(chan struct{}, 1)
+	d.wakeup = make(chan struct{}, 1)
 	ttl := e.set.Bounds.LeaseTTL
 	d.holder = holder.New(holder.Options{
 		Name:  dutyName,
@@ -57,10 +57,10 @@
 		Store: e.deps.Store,
 		Timing: lease.Timing{
 			TTL:      ttl,
-			Renew:    ttl / renewals,
+			Renew:    ttl / renewalsPerLease,
 			MaxOrder: callTimeout,
 			MaxPause: e.set.Bounds.FreezeSlack,
-			Drift:    drift,
+			Drift:    clockDrift,
 			Retry:    ttl / 10,
 			Look:     ttl / 2,
 		},
@@ -74,15 +74,15 @@
 // runDuties stands for the responsibility and does what it asks for. It looks when tickLoop
 // does, so a daemon that is no candidate looks less often.
 func (e *Edge) runDuties(ctx context.Context) {
-	looked := -dutyEvery
+	lastRun := -dutyInterval
 	for {
 		select {
-		case <-e.duties.due:
+		case <-e.duties.wakeup:
 			now := e.deps.Steady()
-			if now-looked < dutyEvery {
+			if now-lastRun < dutyInterval {
 				continue
 			}
-			looked = now
+			lastRun = now
 		case <-ctx.Done():
 			stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 			e.duties.holder.Stop(stopCtx)
@@ -90,15 +90,15 @@
 			return
 		}
 		_, draining := e.drainedFor()
-		e.duties.holder.Tick(ctx, !draining && e.candidate())
+		e.duties.holder.Tick(ctx, !draining && e.shouldHoldDuties())
 		e.saveCounts(ctx)
 		if e.duties.holder.Token() != 0 {
-			e.perform(ctx)
+			e.performDuties(ctx)
 		}
 	}
 }
 
-// candidate tells whether this daemon should hold the duties: it does already, or
+// shouldHoldDuties tells whether this daemon should hold the duties: it does already, or
 // they have been free for long enough that those before it in the order of names
 // would have taken them. The watch tells who holds them, so standing by costs no
 // call.
@@ -106,7 +106,7 @@
 // Only relays hear all counts of usage and all work. One that no other counts takes itself
 // for the first in the order, and would report its own counts as all; one that follows
 // again hears those of others no more.
-func (e *Edge) candidate() bool {
+func (e *Edge) shouldHoldDuties() bool {
 	if e.duties.holder.Token() != 0 {
 		return e.relaying.Load()
 	}
@@ -115,7 +115,7 @@
 	}
 	now := e.deps.Steady()
 	e.mu.Lock()
-	shares := e.shares(now)
+	shares := e.sharesQuotas(now)
 	rank, _ := placeAmong(e.set.ID, e.plan.Others)
 	e.mu.Unlock()
 	e.dir.mu.Lock()
@@ -123,11 +123,11 @@
 	return shares && e.dir.dutyHolder == "" && e.dir.dutyFree != 0 && now-e.dir.dutyFree >= time.Duration(rank)*rankDelay
 }
 
-// perform does the duties of the present tenure.
-func (e *Edge) perform(ctx context.Context) {
-	if token := e.duties.holder.Token(); token != e.duties.token {
-		e.duties.token = token
-		e.duties.usage = usageDuty{}
+// performDuties does the duties of the present tenure.
+func (e *Edge) performDuties(ctx context.Context) {
+	if token := e.duties.holder.Token(); token != e.duties.tenureToken {
+		e.duties.tenureToken = token
+		e.duties.usage = usageReportState{}
 		clear(e.duties.fleets)
 		e.trials.forgetDuties()
 	}
--- a/daemon/edge/duties_test.go
+++ b/daemon/edge/duties_test.go
@@ -8,9 +8,9 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// holder is the daemon that reported last.
-func (w *world) holder() *daemon {
-	taken := w.cloud.taken()
+// lastReporter is the daemon that reported last.
+func (w *testFleet) lastReporter() *daemon {
+	taken := w.cloud.receivedReports()
 	if len(taken) == 0 {
 		return nil
 	}
@@ -25,11 +25,11 @@
 
 // checkReports checks what the platform must never see: two counts for one window,
 // tokens that fall, or two holders with one token.
-func (w *world) checkReports() map[accounting.Window]string {
+func (w *testFleet) checkReports() map[accounting.Window]string {
 	counts := map[accounting.Window]string{}
 	holders := map[uint64]ident.DaemonID{}
 	token := uint64(0)
-	for _, r := range w.cloud.taken() {
+	for _, r := range w.cloud.receivedReports() {
 		if former, ok := counts[r.window]; ok {
 			w.Equal(former, r.counts)
 		}
@@ -48,21 +48,21 @@
 // More requests of the window become known meanwhile. Its successor must repeat the
 // same counts, and every window must be reported.
 func TestHolderDiesBetweenReportAndAnswer(t *testing.T) {
-	inWorld(t, 3, config(1), func(w *world) {
+	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		for i := 0; time.Since(w.start) < 40*time.Second; i++ {
 			if i%50 == 20 {
 				w.cloud.mu.Lock()
-				w.cloud.lose = 1
+				w.cloud.lostAnswers = 1
 				w.cloud.mu.Unlock()
 			}
 			if i == 150 {
-				dead := w.holder()
+				dead := w.lastReporter()
 				w.cloud.mu.Lock()
-				w.cloud.lose = 1
+				w.cloud.lostAnswers = 1
 				w.cloud.mu.Unlock()
-				before := len(w.cloud.taken())
-				for len(w.cloud.taken()) == before {
+				before := len(w.cloud.receivedReports())
+				for len(w.cloud.receivedReports()) == before {
 					time.Sleep(10 * time.Millisecond)
 				}
 				dead.kill()
@@ -88,7 +88,7 @@
 
 // What a daemon counted is reported although it died before its window ended.
 func TestUsageOfDeadDaemonIsReported(t *testing.T) {
-	inWorld(t, 2, config(1), func(w *world) {
+	withFleet(t, 2, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		// Begin a window anew so that all requests lie in it.
 		for time.Now().UnixMilli()%5000 > 200 {
@@ -109,14 +109,14 @@
 // The holder loses the service and only it. It must have stopped acting before
 // another can have taken over, and no daemon may act without holding.
 func TestHolderLosesService(t *testing.T) {
-	inWorld(t, 3, config(1), func(w *world) {
+	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(12 * time.Second)
-		cut := w.holder()
-		cut.store.set(true, false)
+		cut := w.lastReporter()
+		cut.store.setFaults(true, false)
 		time.Sleep(15 * time.Second)
-		w.True(w.holder() != cut)
-		cut.store.set(false, false)
+		w.True(w.lastReporter() != cut)
+		cut.store.setFaults(false, false)
 		time.Sleep(15 * time.Second)
 		counts := w.checkReports()
 		w.True(len(counts) >= 7)
@@ -126,7 +126,7 @@
 // One daemon counts requests and dies, the other one is restarted and takes the
 // duties over: it has never heard the dead one. A third one knows its counts.
 func TestRestartedHolderKnowsDeadDaemonsCounts(t *testing.T) {
-	inWorld(t, 3, config(1), func(w *world) {
+	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		for time.Now().UnixMilli()%5000 > 200 {
 			time.Sleep(50 * time.Millisecond)
@@ -143,7 +143,7 @@
 		w.daemons[2].Drain() // so that the restarted one is the only candidate
 		time.Sleep(10 * time.Second)
 		w.Equal(w.checkReports()[window], `{"shelter":7}`)
-		w.True(w.holder() == fresh)
+		w.True(w.lastReporter() == fresh)
 	})
 }
 
@@ -151,20 +151,20 @@
 // window without them, the answer is lost and the holder dies. Then the cut heals and
 // the successor knows more than was reported: it must repeat the report all the same.
 func TestReportIsRepeatedThoughMoreIsKnown(t *testing.T) {
-	inWorld(t, 3, config(1), func(w *world) {
+	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		for time.Now().UnixMilli()%5000 > 200 {
 			time.Sleep(50 * time.Millisecond)
 		}
 		window := accounting.Window(time.Now().UnixMilli() / 5000)
 		w.network.isolate("10.0.0.3:7600", true)
-		w.daemons[2].store.set(true, false) // or it saves its counts, and the holder reads them
+		w.daemons[2].store.setFaults(true, false) // or it saves its counts, and the holder reads them
 		for range 5 {
 			w.Equal(w.ask(w.daemons[2], "/read/1", key).status, 200)
 			w.Equal(w.ask(w.daemons[1], "/read/1", key).status, 200)
 		}
 		reported := func() bool {
-			for _, r := range w.cloud.taken() {
+			for _, r := range w.cloud.receivedReports() {
 				if r.window == window {
 					return true
 				}
@@ -172,20 +172,20 @@
 			return false
 		}
 		w.cloud.mu.Lock()
-		w.cloud.lose = 1000
+		w.cloud.lostAnswers = 1000
 		w.cloud.mu.Unlock()
 		for !reported() {
 			time.Sleep(20 * time.Millisecond)
 		}
-		first := w.holder()
+		first := w.lastReporter()
 		first.kill()
 		w.cloud.mu.Lock()
-		w.cloud.lose = 0
+		w.cloud.lostAnswers = 0
 		w.cloud.mu.Unlock()
 		w.network.isolate("10.0.0.3:7600", false)
-		w.daemons[2].store.set(false, false)
+		w.daemons[2].store.setFaults(false, false)
 		time.Sleep(8 * time.Second)
-		w.True(w.holder() != first)
+		w.True(w.lastReporter() != first)
 		w.Equal(w.checkReports()[window], `{"shelter":5}`)
 	})
 }
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -109,7 +109,7 @@
 	trials     trials
 	told       toldLoads
 	placements placements
-	asks       asker
+	asks       pendingGrants
 	advised    advice
 	resolved   udpAddresses
 	confirms   confirmer
@@ -188,7 +188,7 @@
 	e.log.Note("start", decisions.F("daemon", e.set.ID), decisions.F("incarnation", e.self),
 		decisions.F("failure_domain", e.set.FailureDomain), decisions.F("first_start", e.set.FirstStart), decisions.F("without", e.set.Policy), decisions.F("direct_fleet", e.set.Policy.DirectFleet()))
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return e.receive(ctx) })
+	group.Go(func() error { return e.receiveDatagrams(ctx) })
 	group.Go(func() error { e.tickLoop(ctx); return nil })
 	group.Go(func() error { e.follow(ctx); return nil })
 	group.Go(func() error { e.keepRegistered(ctx); return nil })
@@ -214,7 +214,7 @@
 	e.peers.SetPhase(peers.Draining)
 	e.mu.Unlock()
 	e.log.Note("drain", decisions.F("in_flight", e.inFlight.Load()))
-	e.tellTurn(0)
+	e.sendRound(0)
 }
 
 // drainedFor is how long ago Drain was called; false if it was not.
--- a/daemon/edge/export_test.go
+++ b/daemon/edge/export_test.go
@@ -24,12 +24,12 @@
 	return p.engines.Rate()
 }
 
-// KnowsWork tells whether the work of most of the fleet is known for long enough for
+// KnowsFleetWork tells whether the work of most of the fleet is known for long enough for
 // runners to be given back.
-func (e *Edge) KnowsWork() bool { return e.complete(e.deps.Steady(), knownFor) }
+func (e *Edge) KnowsFleetWork() bool { return e.complete(e.deps.Steady(), knownFor) }
 
-// Leaving is the number of runners that the daemon knows to be leaving.
-func (e *Edge) Leaving() int {
+// LeavingRunners is the number of runners that the daemon knows to be leaving.
+func (e *Edge) LeavingRunners() int {
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
 	n := 0
@@ -51,14 +51,14 @@
 	return e.elects(other.self)
 }
 
-// Holds tells whether the daemon holds the duties.
-func (e *Edge) Holds() bool { return e.duties.holder.Token() != 0 }
+// HoldsDuties tells whether the daemon holds the duties.
+func (e *Edge) HoldsDuties() bool { return e.duties.holder.Token() != 0 }
 
 // FleetSize is the number of daemons that the daemon counts on.
 func (e *Edge) FleetSize() int { return e.fleetSize() }
 
-// Alive is the number of other daemons that the daemon takes to be alive.
-func (e *Edge) Alive() int {
+// AlivePeers is the number of other daemons that the daemon takes to be alive.
+func (e *Edge) AlivePeers() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.alive)
--- a/daemon/edge/feed.go
+++ b/daemon/edge/feed.go
@@ -16,29 +16,29 @@
 // does not answer the watches of a whole fleet.
 
 const (
-	// feedBytes is passed on in one message; a wave of runners takes a few.
-	feedBytes = 8 << 10
-	// wholeBytes is the longest value that is passed on at all. A longer configuration
+	// maxFeedBytes is passed on in one message; a wave of runners takes a few.
+	maxFeedBytes = 8 << 10
+	// maxFeedValueBytes is the longest value that is passed on at all. A longer configuration
 	// is read from the service, as a newer one that is heard of is.
-	wholeBytes = 32 << 10
-	// fedShare is the part of the time in which a runner's notice must be known up to which
+	maxFeedValueBytes = 32 << 10
+	// feedAgeShare is the part of the time in which a runner's notice must be known up to which
 	// a follower's copy of the service may be old before it watches itself. The rest covers
 	// a first watch of its own.
-	fedShare = 0.55
-	// fedLook is between two looks at whether relays still pass changes on.
-	fedLook = 500 * time.Millisecond
+	feedAgeShare = 0.55
+	// feedCheckInterval is between two looks at whether relays still pass changes on.
+	feedCheckInterval = 500 * time.Millisecond
 )
 
-// fed tells whether relays pass on what is written. A relay that has lost the service goes
-// on speaking, and so does one that is fed by such a one: what counts is the age of what is
+// feedIsCurrent tells whether relays pass on what is written. A relay that has lost the service goes
+// on speaking, and so does one that is feedIsCurrent by such a one: what counts is the age of what is
 // known.
-func (e *Edge) fed() bool {
+func (e *Edge) feedIsCurrent() bool {
 	e.mu.Lock()
 	watches := e.plan.Watches
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	oldest := e.deps.Steady() - time.Duration(fedShare*float64(e.set.Bounds.DrainWithin))
+	oldest := e.deps.Steady() - time.Duration(feedAgeShare*float64(e.set.Bounds.DrainWithin))
 	return !watches && !e.dir.incomplete && e.dir.at != 0 && e.dir.current >= oldest
 }
 
@@ -49,21 +49,21 @@
 	}
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	part, ok := e.dir.log.Since(at, feedBytes)
+	part, ok := e.dir.log.Since(at, maxFeedBytes)
 	if !ok {
 		return &peersv1.Feed{After: at, Gap: e.dir.log.At() != 0}
 	}
 	told := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.log.At(), AgeNs: int64(now - e.dir.current)}
 	for _, c := range part.Changes {
-		if len(c.Value) <= wholeBytes {
+		if len(c.Value) <= maxFeedValueBytes {
 			told.Changes = append(told.Changes, &peersv1.Change{Key: c.Key, Value: c.Value, Revision: c.Revision, Deleted: c.Deleted})
 		}
 	}
 	return told
 }
 
-// takeFeed takes in what a relay passes on.
-func (e *Edge) takeFeed(f *peersv1.Feed) {
+// applyFeed takes in what a relay passes on.
+func (e *Edge) applyFeed(f *peersv1.Feed) {
 	now := e.deps.Steady()
 	e.dir.mu.Lock()
 	at, age := uint64(e.dir.at), time.Duration(f.AgeNs)
@@ -90,8 +90,8 @@
 	e.apply(events, kv.Revision(f.Through), freshness.Never)
 }
 
-// passedOn tells whether followers need a key.
-func (e *Edge) passedOn(key string) bool {
+// fedToFollowers tells whether followers need a key.
+func (e *Edge) fedToFollowers(key string) bool {
 	if key == e.deps.Codec.ConfigKey() {
 		return true
 	}
@@ -103,11 +103,11 @@
 	return false
 }
 
-// changesOf are the events that are passed on.
-func (e *Edge) changesOf(events []kv.Event) []feed.Change {
+// feedChanges are the events that are passed on.
+func (e *Edge) feedChanges(events []kv.Event) []feed.Change {
 	var changes []feed.Change
 	for _, event := range events {
-		if e.passedOn(event.Key) {
+		if e.fedToFollowers(event.Key) {
 			changes = append(changes, feed.Change{
 				Key: event.Key, Value: event.Value, Revision: uint64(event.Revision), Deleted: event.Deleted,
 			})
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -32,7 +32,7 @@
 }
 
 // addFleet adds runners of each failure domain.
-func (w *world) addFleet(perDomain int, reclaimable bool) {
+func (w *testFleet) addFleet(perDomain int, reclaimable bool) {
 	for _, domain := range domains {
 		for i := range perDomain {
 			w.addRunnerOf(domain, string(domain)+string(rune('a'+i)), reclaimable)
@@ -40,7 +40,7 @@
 	}
 }
 
-func (w *world) addRunnerOf(domain ident.FailureDomain, id string, reclaimable bool) {
+func (w *testFleet) addRunnerOf(domain ident.FailureDomain, id string, reclaimable bool) {
 	w.put(runnerPrefix+id, edge.Runner{Runner: view.Runner{
 		ID: ident.RunnerID(id), Address: id, Service: "app", FailureDomain: domain, State: view.Live, Reclaimable: reclaimable,
 	}, Slots: 64})
@@ -52,7 +52,7 @@
 // failure domain, so the dear ones ran on for seconds after the cheap ones were to be
 // had again. Each failure domain must be asked again soon, and nobody flooded with calls.
 func TestReclaimableRunnersAreAskedForAgainSoon(t *testing.T) {
-	inWorld(t, 1, scaled(), func(w *world) {
+	withFleet(t, 1, scaled(), func(w *testFleet) {
 		w.addFleet(3, false)
 		w.cloud.runDry(true)
 		time.Sleep(20 * time.Second)
@@ -77,7 +77,7 @@
 	for _, rate := range []float64{0, 0.9} {
 		c := scaled()
 		c.Services[0].Scaling.ReclaimableRate = rate
-		inWorld(t, 1, c, func(w *world) {
+		withFleet(t, 1, c, func(w *testFleet) {
 			w.addFleet(3, false)
 			time.Sleep(5 * time.Second)
 			w.True(len(w.cloud.ordered()) > 0)
@@ -92,11 +92,11 @@
 // order runners again took what it saw in its first moments for all there is and gave
 // runners back that the load, still to be measured, needed.
 func TestRestartedDaemonsGiveNothingBackUnmeasured(t *testing.T) {
-	inWorld(t, 1, scaled(), func(w *world) {
+	withFleet(t, 1, scaled(), func(w *testFleet) {
 		w.addFleet(3, true)
 		w.daemons[0].kill()
 		w.cloud.forget()
-		w.notFirst = true
+		w.servedBefore = true
 		w.restart(0)
 		time.Sleep(30 * time.Second)
 		for _, o := range w.cloud.ordered() {
@@ -110,7 +110,7 @@
 // in for these; then, as runners register one after the other, the first that were seen
 // were taken for all there are, and too many were given back.
 func TestFirstRunnersAtTheFullPriceAreGivenBackOnceAllAreSeen(t *testing.T) {
-	inWorld(t, 1, scaled(), func(w *world) {
+	withFleet(t, 1, scaled(), func(w *testFleet) {
 		w.addDomain("north", 5)
 		time.Sleep(1200 * time.Millisecond)
 		for _, o := range w.cloud.ordered() {
@@ -130,7 +130,7 @@
 // back. The speed must be known again after some tens of prompts.
 func TestSpeedOfEnginesIsLearnedRightAfterARestart(t *testing.T) {
 	const rate, prompt = 100_000, 4000
-	inWorld(t, 1, scaled(), func(w *world) {
+	withFleet(t, 1, scaled(), func(w *testFleet) {
 		w.addFleet(1, true)
 		for _, domain := range domains {
 			w.runners.add(string(domain) + "a").play(func(context.Context, *edge.Attempt) (*edge.Answer, error) {
@@ -139,7 +139,7 @@
 			})
 		}
 		w.daemons[0].kill()
-		w.notFirst = true
+		w.servedBefore = true
 		d := w.restart(0)
 		time.Sleep(time.Second)
 		for i := range 80 {
@@ -151,16 +151,16 @@
 }
 
 // prompt sends a prompt that shares nothing to the stream's route.
-func (w *world) prompt(d *daemon, tokens, i int) {
+func (w *testFleet) prompt(d *daemon, tokens, i int) {
 	d.Serve(context.Background(), &edge.Request{
 		ID: fmt.Sprintf("prompt-%d", i), Host: host, Path: "/match/", Method: http.MethodPost, Target: "/match/",
 		Header: http.Header{}, Key: key, Received: time.Now(),
 		Prompt: edge.Prompt{PromptTokens: tokens, OutputTokens: 10, ExpectedOutput: 10, Prefix: []prefix.Hash{prefix.Hash(i + 1)}, PrefixTokens: []int{tokens}},
-	}, &answer{})
+	}, &recordedReply{})
 }
 
 // addDomain adds runners of one failure domain at the full price.
-func (w *world) addDomain(domain ident.FailureDomain, n int) {
+func (w *testFleet) addDomain(domain ident.FailureDomain, n int) {
 	for i := range n {
 		w.addRunnerOf(domain, string(domain)+string(rune('a'+i)), false)
 	}
@@ -168,7 +168,7 @@
 
 // wantedAtFullPrice is what the last orders ask for in all failure domains that were
 // ordered from, where five were at first.
-func (c *cloud) wantedAtFullPrice() int {
+func (c *fakeCloud) wantedAtFullPrice() int {
 	wanted := map[ident.FailureDomain]int{}
 	for _, domain := range domains {
 		wanted[domain] = 5
@@ -186,25 +186,25 @@
 }
 
 // runDry lets reclaimable runners be hard to get.
-func (c *cloud) runDry(dry bool) {
+func (c *fakeCloud) runDry(dry bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dry = dry
+	c.noReclaimable = dry
 }
 
-func (c *cloud) refused() int {
+func (c *fakeCloud) refused() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.refusals
 }
 
-func (c *cloud) ordered() []edge.Order {
+func (c *fakeCloud) ordered() []edge.Order {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]edge.Order{}, c.orders...)
 }
 
-func (c *cloud) forget() {
+func (c *fakeCloud) forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.orders = nil
--- a/daemon/edge/follow.go
+++ b/daemon/edge/follow.go
@@ -111,8 +111,8 @@
 	backoff := firstBackoff
 	reachable := true
 	for ctx.Err() == nil {
-		if e.fed() {
-			pause.For(ctx, fedLook)
+		if e.feedIsCurrent() {
+			pause.For(ctx, feedCheckInterval)
 			continue
 		}
 		err := e.catchUp(ctx)
@@ -220,7 +220,7 @@
 		}
 	}
 	e.noteDuty(holding)
-	e.dir.log.Reset(e.changesOf(events), uint64(from))
+	e.dir.log.Reset(e.feedChanges(events), uint64(from))
 	e.dir.at = max(e.dir.at, from)
 	e.dir.incomplete = false
 	e.dir.mu.Unlock()
@@ -229,7 +229,7 @@
 		case entry.Key == e.deps.Codec.ConfigKey():
 			e.takeConfig(kv.Event{Entry: entry}, sent)
 		case strings.HasPrefix(entry.Key, daemonPrefix):
-			e.registered(entry.Key, entry.Value)
+			e.handleRegistration(entry.Key, entry.Value)
 		}
 	}
 	e.publishRunners()
@@ -245,7 +245,7 @@
 // proof of anything either.
 func (e *Edge) watch(ctx context.Context) error {
 	together := true
-	for ctx.Err() == nil && !e.fed() {
+	for ctx.Err() == nil && !e.feedIsCurrent() {
 		at := kv.Revision(e.dir.reached())
 		wait := e.watchWait(together)
 		sent := e.deps.Steady()
@@ -351,7 +351,7 @@
 	e.dir.mu.Lock()
 	for _, event := range events {
 		through = max(through, event.Revision)
-		if !e.passedOn(event.Key) || !e.dir.newer(event.Key, event.Revision) {
+		if !e.fedToFollowers(event.Key) || !e.dir.newer(event.Key, event.Revision) {
 			continue
 		}
 		switch {
@@ -368,7 +368,7 @@
 			e.noteDuty(ident.Incarnation(event.Value))
 		}
 	}
-	e.dir.log.Apply(e.changesOf(events), uint64(through))
+	e.dir.log.Apply(e.feedChanges(events), uint64(through))
 	e.dir.at = max(e.dir.at, through)
 	e.dir.mu.Unlock()
 	for _, event := range events {
@@ -376,7 +376,7 @@
 		case event.Key == e.deps.Codec.ConfigKey():
 			e.takeConfig(event, sent)
 		case strings.HasPrefix(event.Key, daemonPrefix) && !event.Deleted:
-			e.registered(event.Key, event.Value)
+			e.handleRegistration(event.Key, event.Value)
 		}
 	}
 	if changed {
--- a/daemon/edge/follow_test.go
+++ b/daemon/edge/follow_test.go
@@ -37,10 +37,10 @@
 // gatherChanges has a runner come or go each 100 ms before daemons in some failure domains.
 func gatherChanges(t *testing.T, domains []ident.FailureDomain) {
 	const daemons = gatheringDaemons
-	inWorld(t, 0, config(1), func(w *world) {
+	withFleet(t, 0, config(1), func(w *testFleet) {
 		w.domains = domains
 		for range daemons {
-			w.add()
+			w.addDaemon()
 		}
 		time.Sleep(time.Second)
 		kept := w.addRunner("kept", "app")
@@ -49,7 +49,7 @@
 			id := fmt.Sprintf("r%d", i)
 			w.addRunner(id, "app")
 			time.Sleep(100 * time.Millisecond)
-			w.leaving(id, "app")
+			w.markLeaving(id, "app")
 			time.Sleep(100 * time.Millisecond)
 		}
 		watches := w.store.Calls()[kvserver.CallWatch]
@@ -73,7 +73,7 @@
 // Reads of this test beside its own: 21 before answers with changes were a proof,
 // 3 since.
 func TestChangesProveTheConfiguration(t *testing.T) {
-	inWorld(t, 3, config(1), func(w *world) {
+	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.store.ResetCalls()
 		for i := range 50 {
 			w.addRunner(fmt.Sprintf("r%d", i), "app")
@@ -92,13 +92,13 @@
 // runner gives notice. It went on sending requests there, whose streams broke off when
 // the runner left. The others have read the notice and tell it.
 func TestNoticeIsHeardFromPeers(t *testing.T) {
-	inWorld(t, 2, config(1), func(w *world) {
+	withFleet(t, 2, config(1), func(w *testFleet) {
 		going := w.addRunner("going", "app")
 		w.addRunner("staying", "app")
 		time.Sleep(200 * time.Millisecond)
 		cutOff := w.daemons[1]
-		cutOff.store.set(true, false)
-		w.leaving("going", "app")
+		cutOff.store.setFaults(true, false)
+		w.markLeaving("going", "app")
 		time.Sleep(400 * time.Millisecond)
 		before := going.count()
 		for range 20 {
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -21,26 +21,26 @@
 // and not used, or not heard of, is only lost to the workspace.
 
 const (
-	// grantWait is how long the primary may take to answer before the other relay is
+	// grantTimeout is how long the primary may take to answer before the other relay is
 	// asked, too; a relay answers in a millisecond, or after a pause of its VM.
-	grantWait = 40 * time.Millisecond
-	// lastGrantWait is how long the answers may take after that.
-	lastGrantWait = 80 * time.Millisecond
-	// maxAsked bounds the relays that are asked for one request. The part of one may be
+	grantTimeout = 40 * time.Millisecond
+	// lastGrantTimeout is how long the answers may take after that.
+	lastGrantTimeout = 80 * time.Millisecond
+	// maxAskedRelays bounds the relays that are asked for one request. The part of one may be
 	// used up while another's is not; while relays change, some of those that are known
 	// have ended and others don't know yet that they are ones.
-	maxAsked = 5
-	// lateGrants is how long an answer that nobody waits for is recognised, so that it
+	maxAskedRelays = 5
+	// lateGrantPeriod is how long an answer that nobody waits for is recognised, so that it
 	// is given back.
-	lateGrants = 5 * time.Second
-	// quotaUnknownAfter is when to come back where no relay answered: by then another
+	lateGrantPeriod = 5 * time.Second
+	// quotaUnknownRetryAfter is when to come back where no relay answered: by then another
 	// one has taken over.
-	quotaUnknownAfter = 300 * time.Millisecond
+	quotaUnknownRetryAfter = 300 * time.Millisecond
 )
 
 // pendingGrant is a request that waits for a relay's word.
 type pendingGrant struct {
-	at        time.Duration
+	askedAt   time.Duration
 	workspace ident.Workspace
 	cost      float64
 	relay     string
@@ -54,105 +54,105 @@
 	pendingGrant
 }
 
-// asker keeps what was asked of relays.
-type asker struct {
+// pendingGrants keeps what was asked of relays.
+type pendingGrants struct {
 	mu      sync.Mutex
-	next    uint64
-	waiting map[uint64]pendingGrant
+	lastID  uint64
+	pending map[uint64]pendingGrant
 }
 
-func (a *asker) init() {
+func (a *pendingGrants) init() {
 	// Not the numbers of a former run at this address, whose answers may be on their way.
-	a.next = rand.Uint64()
-	a.waiting = map[uint64]pendingGrant{}
+	a.lastID = rand.Uint64()
+	a.pending = map[uint64]pendingGrant{}
 }
 
-func (a *asker) add(g pendingGrant) uint64 {
+func (a *pendingGrants) add(g pendingGrant) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.next++
-	a.waiting[a.next] = g
-	return a.next
+	a.lastID++
+	a.pending[a.lastID] = g
+	return a.lastID
 }
 
-// leave says that nobody waits for the answers any more.
-func (a *asker) leave(ids []uint64) {
+// abandon says that nobody waits for the answers any more.
+func (a *pendingGrants) abandon(ids []uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, id := range ids {
-		if g, ok := a.waiting[id]; ok {
+		if g, ok := a.pending[id]; ok {
 			g.answer = nil
-			a.waiting[id] = g
+			a.pending[id] = g
 		}
 	}
 }
 
-// take removes an asker and returns it; false if it isn't known.
-func (a *asker) take(id uint64) (pendingGrant, bool) {
+// remove removes an asker and returns it; false if it isn't known.
+func (a *pendingGrants) remove(id uint64) (pendingGrant, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	g, ok := a.waiting[id]
-	delete(a.waiting, id)
+	g, ok := a.pending[id]
+	delete(a.pending, id)
 	return g, ok
 }
 
-func (a *asker) expire(now time.Duration) {
+func (a *pendingGrants) expire(now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for id, g := range a.waiting {
-		if now-g.at > lateGrants {
-			delete(a.waiting, id)
+	for id, g := range a.pending {
+		if now-g.askedAt > lateGrantPeriod {
+			delete(a.pending, id)
 		}
 	}
 }
 
-// whereTo tells of the runners that a request may go to. A relay knows better than its
+// candidateLister tells of the runners that a request may go to. A relay knows better than its
 // followers what has just been sent to them, and is asked anyway.
-type whereTo interface {
+type candidateLister interface {
 	candidates() (service string, runners []*peersv1.Candidate)
 }
 
 // takeQuota takes a request's cost out of its workspace's quota. It returns the answer
 // of the relay that granted it, an empty one for this daemon itself, or a refusal.
-func (e *Edge) takeQuota(ctx context.Context, ws ident.Workspace, cost float64, place whereTo) (grantAnswer, *refusal.Refusal) {
-	own, elsewhere, ask := e.takeOwn(ws, cost)
+func (e *Edge) takeQuota(ctx context.Context, ws ident.Workspace, cost float64, lister candidateLister) (grantAnswer, *refusal.Refusal) {
+	own, elsewhere, ask := e.takeLocally(ws, cost)
 	if own != nil && (own.Taken || !elsewhere) {
-		return grantAnswer{}, usedUp(own, cost)
+		return grantAnswer{}, quotaRefusal(own, cost)
 	}
-	service, candidates := place.candidates()
-	answers := make(chan grantAnswer, maxAsked)
+	service, candidates := lister.candidates()
+	answers := make(chan grantAnswer, maxAskedRelays)
 	var ids []uint64
-	defer func() { e.leave(ids, answers) }()
+	defer func() { e.abandonGrants(ids, answers) }()
 	refused := own
-	for i := 0; i < len(ask) && i < maxAsked && ctx.Err() == nil; i++ {
-		id := e.asks.add(pendingGrant{at: e.deps.Steady(), workspace: ws, cost: cost, relay: ask[i], answer: answers})
+	for i := 0; i < len(ask) && i < maxAskedRelays && ctx.Err() == nil; i++ {
+		id := e.asks.add(pendingGrant{askedAt: e.deps.Steady(), workspace: ws, cost: cost, relay: ask[i], answer: answers})
 		ids = append(ids, id)
 		e.sendTo(ask[i], &peersv1.Datagram{Ask: &peersv1.Ask{
 			Id: id, Workspace: string(ws), Cost: cost, PeerAddress: e.set.PeerAddress, Service: service, Candidates: candidates,
 		}})
-		wait := grantWait
+		wait := grantTimeout
 		if i == len(ask)-1 {
-			wait = lastGrantWait
+			wait = lastGrantTimeout
 		}
 		g, ok := awaitGrant(ctx, answers, wait)
 		switch {
 		case !ok:
 		case g.Unable:
-			ask = e.referred(ask, g.Ask)
+			ask = e.addReferredRelays(ask, g.Ask)
 		case g.Taken || !g.Elsewhere:
-			return g, usedUp(g.Grant, cost)
+			return g, quotaRefusal(g.Grant, cost)
 		default:
 			refused = g.Grant
 		}
 	}
 	if refused != nil {
-		return grantAnswer{}, usedUp(refused, cost)
+		return grantAnswer{}, quotaRefusal(refused, cost)
 	}
-	return grantAnswer{}, refusal.New(refusal.QuotaUnknown, "none of %d relays can tell", len(ids)).After(quotaUnknownAfter)
+	return grantAnswer{}, refusal.New(refusal.QuotaUnknown, "none of %d relays can tell", len(ids)).After(quotaUnknownRetryAfter)
 }
 
-// referred adds relays that another daemon knows.
-func (e *Edge) referred(ask, to []string) []string {
+// addReferredRelays adds relays that another daemon knows.
+func (e *Edge) addReferredRelays(ask, to []string) []string {
 	for _, address := range to {
 		if address != e.set.PeerAddress && !slices.Contains(ask, address) {
 			ask = append(ask, address)
@@ -161,31 +161,31 @@
 	return ask
 }
 
-// takeOwn takes a cost out of what this daemon gives out itself; nil if it gives out
+// takeLocally takes a cost out of what this daemon gives out itself; nil if it gives out
 // nothing. It returns whether another one may grant it, and whom to ask.
-func (e *Edge) takeOwn(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, ask []string) {
+func (e *Edge) takeLocally(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, ask []string) {
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.shares(now) {
-		own = e.take(now, ws, cost)
+	if e.sharesQuotas(now) {
+		own = e.takeFromLimiter(now, ws, cost)
 		if own.Taken || !own.Elsewhere {
 			return own, false, nil
 		}
 	}
-	return own, true, e.askable()
+	return own, true, e.relaysToAsk()
 }
 
-// take takes a cost out of what this daemon gives out; called with mu held.
-func (e *Edge) take(now time.Duration, ws ident.Workspace, cost float64) *peersv1.Grant {
+// takeFromLimiter takes a cost out of what this daemon gives out; called with mu held.
+func (e *Edge) takeFromLimiter(now time.Duration, ws ident.Workspace, cost float64) *peersv1.Grant {
 	wait, ok := e.limiter.Take(now, ws, cost)
 	return &peersv1.Grant{Taken: ok, WaitNs: int64(wait), Elsewhere: !ok && e.limiter.Covers(now, ws, cost)}
 }
 
-// askable are the addresses of relays to ask: the followed ones, then others of this
+// relaysToAsk are the addresses of relays to ask: the followed ones, then others of this
 // failure domain, then others. Called with mu held.
-func (e *Edge) askable() []string {
-	var ask, far []string
+func (e *Edge) relaysToAsk() []string {
+	var ask, remote []string
 	for _, r := range e.plan.Own {
 		ask = append(ask, r.PeerAddress)
 	}
@@ -195,24 +195,24 @@
 		case r.FailureDomain == e.set.FailureDomain:
 			ask = append(ask, r.PeerAddress)
 		default:
-			far = append(far, r.PeerAddress)
+			remote = append(remote, r.PeerAddress)
 		}
 	}
-	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	ask = append(ask, far...)
-	return ask[:min(maxAsked, len(ask))]
+	rand.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
+	ask = append(ask, remote...)
+	return ask[:min(maxAskedRelays, len(ask))]
 }
 
-// shares tells whether this daemon gives out quotas: it does so only as a relay that another
+// sharesQuotas tells whether this daemon gives out quotas: it does so only as a relay that another
 // one takes for one, too, or that is the last. Called with mu held.
-func (e *Edge) shares(now time.Duration) bool {
+func (e *Edge) sharesQuotas(now time.Duration) bool {
 	return e.plan.Relay && (e.plan.Direct || e.standing.Shares(now, e.hearsRelay(now)))
 }
 
-// leave ends the wait for relays' answers and gives back what was granted beside the one
+// abandonGrants ends the wait for relays' answers and gives back what was granted beside the one
 // that counted.
-func (e *Edge) leave(ids []uint64, answers <-chan grantAnswer) {
-	e.asks.leave(ids)
+func (e *Edge) abandonGrants(ids []uint64, answers <-chan grantAnswer) {
+	e.asks.abandon(ids)
 	for {
 		select {
 		case g := <-answers:
@@ -238,23 +238,23 @@
 	return grantAnswer{}, false
 }
 
-// usedUp is the refusal of what was not granted; nil if it was.
-func usedUp(g *peersv1.Grant, cost float64) *refusal.Refusal {
+// quotaRefusal is the refusal of what was not granted; nil if it was.
+func quotaRefusal(g *peersv1.Grant, cost float64) *refusal.Refusal {
 	if g.Taken {
 		return nil
 	}
 	return refusal.New(refusal.WorkspaceLimit, "quota of the workspace is used up, the request costs %.0f", cost).After(time.Duration(g.WaitNs))
 }
 
-// grant answers a daemon that asks for a part of a quota.
-func (e *Edge) grant(a *peersv1.Ask) {
+// handleAsk answers a daemon that asks for a part of a quota.
+func (e *Edge) handleAsk(a *peersv1.Ask) {
 	now := e.deps.Steady()
 	var g *peersv1.Grant
 	e.mu.Lock()
-	if e.shares(now) && e.table.Load() != nil {
-		g = e.take(now, ident.Workspace(a.Workspace), a.Cost)
+	if e.sharesQuotas(now) && e.table.Load() != nil {
+		g = e.takeFromLimiter(now, ident.Workspace(a.Workspace), a.Cost)
 	} else {
-		g = &peersv1.Grant{Unable: true, Ask: e.askable()}
+		g = &peersv1.Grant{Unable: true, Ask: e.relaysToAsk()}
 	}
 	e.mu.Unlock()
 	g.Id = a.Id
@@ -264,10 +264,10 @@
 	e.sendTo(a.PeerAddress, &peersv1.Datagram{Grant: g})
 }
 
-// granted hands a relay's answer to the request that waits for it. What comes too late
+// handleGrant hands a relay's answer to the request that waits for it. What comes too late
 // is given back.
-func (e *Edge) granted(g *peersv1.Grant) {
-	asked, ok := e.asks.take(g.Id)
+func (e *Edge) handleGrant(g *peersv1.Grant) {
+	asked, ok := e.asks.remove(g.Id)
 	if !ok {
 		e.log.Count("quota.unknown_grant")
 		return
@@ -293,7 +293,7 @@
 	e.sendTo(relay, &peersv1.Datagram{Refund: &peersv1.Refund{Workspace: string(ws), Cost: cost}})
 }
 
-func (e *Edge) refunded(r *peersv1.Refund) {
+func (e *Edge) handleRefund(r *peersv1.Refund) {
 	if r.Cost <= 0 {
 		e.log.Note("message_ignored", decisions.F("reason", "refund of nothing"))
 		return
--- a/daemon/edge/world_test.go
+++ b/daemon/edge/harness_test.go
@@ -38,21 +38,21 @@
 	workspace    = ident.Workspace("shelter")
 )
 
-// world is a fleet of daemons in virtual time before one key-value service,
+// testFleet is a fleet of daemons in virtual time before one key-value service,
 // runners and a cloud, all of them small fakes whose faults tests switch.
-type world struct {
+type testFleet struct {
 	*is.I
 	t       *testing.T
 	start   time.Time
 	store   *kvserver.Store
-	network *network
+	network *fakeNetwork
 	runners *runners
-	cloud   *cloud
+	cloud   *fakeCloud
 	daemons []*daemon
-	// storeCut lets daemons that are started from now on begin without the service.
-	storeCut bool
-	// notFirst lets them begin as ones of a fleet that has served before.
-	notFirst bool
+	// storeUnavailable lets daemons that are started from now on begin without the service.
+	storeUnavailable bool
+	// servedBefore lets them begin as ones of a fleet that has served before.
+	servedBefore bool
 	// domains are the failure domains that daemons are in by turns; none is one for all.
 	domains []ident.FailureDomain
 	// tolerance is by how much quotas may be exceeded.
@@ -71,14 +71,14 @@
 	done    chan struct{}
 }
 
-// inWorld runs a test of n daemons that have read a configuration. Those of more than
+// withFleet runs a test of n daemons that have read a configuration. Those of more than
 // relays.SmallFleet elect relays; inDirectFleet is for a fleet whose daemons need none.
-func inWorld(t *testing.T, n int, c route.Config, f func(w *world)) {
+func withFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{I: is.New(t), t: t, start: time.Now(), store: kvserver.New(), network: newNetwork(), runners: newRunners(), cloud: &cloud{}, directFleet: relays.SmallFleet}
+		w := &testFleet{I: is.New(t), t: t, start: time.Now(), store: kvserver.New(), network: newNetwork(), runners: newRunners(), cloud: &fakeCloud{}, directFleet: relays.SmallFleet}
 		w.configure(c)
 		for range n {
-			w.add()
+			w.addDaemon()
 		}
 		defer func() {
 			for _, d := range w.daemons {
@@ -90,24 +90,24 @@
 	})
 }
 
-func (w *world) steady() time.Duration { return time.Since(w.start) }
+func (w *testFleet) steady() time.Duration { return time.Since(w.start) }
 
-func (w *world) add() *daemon {
-	d := w.run(len(w.daemons))
+func (w *testFleet) addDaemon() *daemon {
+	d := w.startDaemon(len(w.daemons))
 	w.daemons = append(w.daemons, d)
 	return d
 }
 
 // restart starts a daemon that was killed anew.
-func (w *world) restart(i int) *daemon {
-	w.daemons[i] = w.run(i)
+func (w *testFleet) restart(i int) *daemon {
+	w.daemons[i] = w.startDaemon(i)
 	return w.daemons[i]
 }
 
-// run starts the daemon of a place.
-func (w *world) run(i int) *daemon {
+// startDaemon starts the daemon of a place.
+func (w *testFleet) startDaemon(i int) *daemon {
 	address := fmt.Sprintf("10.0.0.%d:7600", i+1)
-	store := &faultyStore{Store: w.store, cut: w.storeCut}
+	store := &faultyStore{Store: w.store, unavailable: w.storeUnavailable}
 	ctx, cancel := context.WithCancel(context.Background())
 	var seeds []string
 	if i > 0 {
@@ -126,7 +126,7 @@
 	}
 	d.Edge = edge.New(edge.Settings{
 		ID: ident.DaemonID(fmt.Sprintf("d%d", i+1)), FailureDomain: domain,
-		CallerAddress: fmt.Sprintf("10.0.0.%d:80", i+1), PeerAddress: address, Seeds: seeds, FirstStart: !w.notFirst, Policy: policy,
+		CallerAddress: fmt.Sprintf("10.0.0.%d:80", i+1), PeerAddress: address, Seeds: seeds, FirstStart: !w.servedBefore, Policy: policy,
 		Bounds: edge.Bounds{
 			Grace: 8 * time.Second, ConfigWithin: 2 * time.Second, DrainWithin: 3 * time.Second, RevokeWithin: 5 * time.Second, StrictRevocation: true,
 			RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 50, QuotaWindow: 8 * time.Second, QuotaTolerance: w.tolerance,
@@ -135,7 +135,7 @@
 			Trials: canary.Bounds{Share: trialShare, Slack: trialSlack},
 		},
 	}, edge.Deps{
-		Store: store, Codec: codec{}, Runners: w.runners, Cloud: w.cloud,
+		Store: store, Codec: jsonCodec{}, Runners: w.runners, Cloud: w.cloud,
 		Datagrams: w.network.listen(address), Steady: w.steady,
 		Log: decisions.New(metrics.NewRegistry()),
 	})
@@ -154,7 +154,7 @@
 }
 
 // put writes a key whatever stands there.
-func (w *world) put(key string, value any) {
+func (w *testFleet) put(key string, value any) {
 	data, err := json.Marshal(value)
 	w.NoErr(err)
 	entry, err := w.store.Get(context.Background(), key)
@@ -163,9 +163,9 @@
 	w.NoErr(err)
 }
 
-func (w *world) configure(c route.Config) { w.put(configKey, c) }
+func (w *testFleet) configure(c route.Config) { w.put(configKey, c) }
 
-func (w *world) addRunner(id, service string) *runner {
+func (w *testFleet) addRunner(id, service string) *runner {
 	r := w.runners.add(id)
 	w.put(runnerPrefix+id, edge.Runner{Runner: view.Runner{
 		ID: ident.RunnerID(id), Address: id, Service: service, FailureDomain: "north", State: view.Live,
@@ -173,7 +173,7 @@
 	return r
 }
 
-func (w *world) leaving(id, service string) {
+func (w *testFleet) markLeaving(id, service string) {
 	w.put(runnerPrefix+id, edge.Runner{Runner: view.Runner{
 		ID: ident.RunnerID(id), Address: id, Service: service, FailureDomain: "north", State: view.Leaving,
 	}, Slots: 8})
@@ -194,71 +194,71 @@
 	}
 }
 
-var requestSeq atomic.Int64
+var lastRequestID atomic.Int64
 
 // ask sends a request to a daemon and returns what the caller got.
-func (w *world) ask(d *daemon, path, callerKey string) *answer {
+func (w *testFleet) ask(d *daemon, path, callerKey string) *recordedReply {
 	return w.askWithin(context.Background(), d, path, callerKey, 0)
 }
 
-func (w *world) askWithin(ctx context.Context, d *daemon, path, callerKey string, patience time.Duration) *answer {
-	a := &answer{}
+func (w *testFleet) askWithin(ctx context.Context, d *daemon, path, callerKey string, patience time.Duration) *recordedReply {
+	a := &recordedReply{}
 	d.Serve(ctx, &edge.Request{
-		ID: fmt.Sprintf("r%d", requestSeq.Add(1)), Host: host, Path: path, Method: http.MethodPost, Target: path,
+		ID: fmt.Sprintf("r%d", lastRequestID.Add(1)), Host: host, Path: path, Method: http.MethodPost, Target: path,
 		Header: http.Header{}, Key: callerKey, Received: time.Now(), Patience: patience,
 	}, a)
 	return a
 }
 
-// answer is what a caller got.
-type answer struct {
-	refusal *refusal.Refusal
-	status  int
-	body    bytes.Buffer
-	whole   bool
-	aborted bool
+// recordedReply is what a caller got.
+type recordedReply struct {
+	refusal  *refusal.Refusal
+	status   int
+	body     bytes.Buffer
+	finished bool
+	aborted  bool
 }
 
-func (a *answer) Refuse(r *refusal.Refusal, _ bool)                { a.refusal = r }
-func (a *answer) Start(status int, _ http.Header, _ int64, _ bool) { a.status = status }
-func (a *answer) Write(p []byte) error                             { a.body.Write(p); return nil }
-func (a *answer) Finish()                                          { a.whole = true }
-func (a *answer) Abort()                                           { a.aborted = true }
+func (a *recordedReply) Refuse(r *refusal.Refusal, _ bool)                { a.refusal = r }
+func (a *recordedReply) Start(status int, _ http.Header, _ int64, _ bool) { a.status = status }
+func (a *recordedReply) Write(p []byte) error                             { a.body.Write(p); return nil }
+func (a *recordedReply) Finish()                                          { a.finished = true }
+func (a *recordedReply) Abort()                                           { a.aborted = true }
 
-func (a *answer) reason() refusal.Reason {
+func (a *recordedReply) reason() refusal.Reason {
 	if a.refusal == nil {
 		return ""
 	}
 	return a.refusal.Reason
 }
 
-// codec reads what the tests write: the product's own types as JSON.
-type codec struct{}
+// jsonCodec reads what the tests write: the product's own types as JSON.
+type jsonCodec struct{}
 
-func (codec) ConfigKey() string    { return configKey }
-func (codec) RunnerPrefix() string { return runnerPrefix }
+func (jsonCodec) ConfigKey() string    { return configKey }
+func (jsonCodec) RunnerPrefix() string { return runnerPrefix }
 
-func (codec) Config(value []byte) (route.Config, error) {
+func (jsonCodec) Config(value []byte) (route.Config, error) {
 	var c route.Config
 	err := json.Unmarshal(value, &c)
 	return c, err
 }
 
-func (codec) Runner(_ string, value []byte, _ time.Time) (edge.Runner, error) {
+func (jsonCodec) Runner(_ string, value []byte, _ time.Time) (edge.Runner, error) {
 	var r edge.Runner
 	err := json.Unmarshal(value, &r)
 	return r, err
 }
 
-func (codec) OrderPrefix() string { return orderPrefix }
+func (jsonCodec) OrderPrefix() string { return orderPrefix }
 
-func (codec) Order(_ string, value []byte) (canary.Order, error) {
+func (jsonCodec) Order(_ string, value []byte) (canary.Order, error) {
 	var o canary.Order
 	err := json.Unmarshal(value, &o)
 	return o, err
 }
 
-func (codec) Status(service string, target canary.Version, state canary.State) (string, []byte, error) {
+func (jsonCodec) Status(service string, target canary.Version, state canary.State) (string, []byte, error) {
 	value, err := json.Marshal(orderStatus{target, state})
 	return statusPrefix + service, value, err
 }
@@ -273,80 +273,80 @@
 type faultyStore struct {
 	kv.Store
 	mu sync.Mutex
-	// cut calls fail; blind watches see no change though the revision moves on.
-	cut, blind bool
+	// unavailable calls fail; missesEvents watches see no change though the revision moves on.
+	unavailable, missesEvents bool
 }
 
-func (s *faultyStore) set(cut, blind bool) {
+func (s *faultyStore) setFaults(unavailable, missesEvents bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut, s.blind = cut, blind
+	s.unavailable, s.missesEvents = unavailable, missesEvents
 }
 
-func (s *faultyStore) failing() error {
+func (s *faultyStore) unavailableError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cut {
+	if s.unavailable {
 		return &kv.UnavailableError{Err: &kvserver.OutageError{}}
 	}
 	return nil
 }
 
 func (s *faultyStore) Get(ctx context.Context, key string) (kv.Entry, error) {
-	if err := s.failing(); err != nil {
+	if err := s.unavailableError(); err != nil {
 		return kv.Entry{}, err
 	}
 	return s.Store.Get(ctx, key)
 }
 
 func (s *faultyStore) List(ctx context.Context, prefix, after string, limit int) ([]kv.Entry, error) {
-	if err := s.failing(); err != nil {
+	if err := s.unavailableError(); err != nil {
 		return nil, err
 	}
 	return s.Store.List(ctx, prefix, after, limit)
 }
 
 func (s *faultyStore) CompareAndSwap(ctx context.Context, key string, expected kv.Revision, value []byte, lease kv.LeaseID) (kv.Revision, error) {
-	if err := s.failing(); err != nil {
+	if err := s.unavailableError(); err != nil {
 		return 0, err
 	}
 	return s.Store.CompareAndSwap(ctx, key, expected, value, lease)
 }
 
 func (s *faultyStore) KeepAlive(ctx context.Context, lease kv.LeaseID) error {
-	if err := s.failing(); err != nil {
+	if err := s.unavailableError(); err != nil {
 		return err
 	}
 	return s.Store.KeepAlive(ctx, lease)
 }
 
 func (s *faultyStore) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
-	if err := s.failing(); err != nil {
+	if err := s.unavailableError(); err != nil {
 		return 0, err
 	}
 	return s.Store.Grant(ctx, ttl)
 }
 
 func (s *faultyStore) Revoke(ctx context.Context, lease kv.LeaseID) error {
-	if err := s.failing(); err != nil {
+	if err := s.unavailableError(); err != nil {
 		return err
 	}
 	return s.Store.Revoke(ctx, lease)
 }
 
 func (s *faultyStore) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) ([]kv.Event, kv.Revision, error) {
-	if err := s.failing(); err != nil {
+	if err := s.unavailableError(); err != nil {
 		return nil, after, err
 	}
 	events, next, err := s.Store.Watch(ctx, prefix, after, wait)
 	s.mu.Lock()
-	blind := s.blind
+	blind := s.missesEvents
 	s.mu.Unlock()
 	if blind && len(events) > 0 {
 		time.Sleep(wait)
 		return nil, next, err
 	}
-	if failed := s.failing(); failed != nil {
+	if failed := s.unavailableError(); failed != nil {
 		return nil, after, failed
 	}
 	return events, next, err
--- a/daemon/edge/hello.go
+++ b/daemon/edge/hello.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// maxTold bounds the addresses in a message. They only help daemons that have
+	// maxAddresses bounds the addresses in a message. They only help daemons that have
 	// just started, which hear several daemons ten times a second.
-	maxTold = 4
-	// noticeTold is how long the others are told of a runner's notice: as long as one may
+	maxAddresses = 4
+	// noticeRepeatPeriod is how long the others are told of a runner's notice: as long as one may
 	// need to read it, and a few messages.
-	noticeTold = gatherLong + time.Second
-	// mostLeaving bounds the runners that are told to be leaving in one message.
-	mostLeaving = 3000
+	noticeRepeatPeriod = gatherLong + time.Second
+	// maxLeaving bounds the runners that are told to be leaving in one message.
+	maxLeaving = 3000
 )
 
-// presence is what everybody is told; called with mu held.
-func (e *Edge) presence(now time.Duration) *peersv1.Hello {
+// baseHello is what everybody is told; called with mu held.
+func (e *Edge) baseHello(now time.Duration) *peersv1.Hello {
 	self := e.peers.Self()
 	e.seq++
 	h := &peersv1.Hello{
@@ -41,16 +41,16 @@
 		Joining:       !e.hearsAny(now, e.alive),
 	}
 	if e.set.Policy.Uses(TellLeaving) {
-		h.Leaving = inTurn(e.dir.noticedSince(now-noticeTold), e.seq, mostLeaving)
+		h.Leaving = rotatingSubset(e.dir.noticedSince(now-noticeRepeatPeriod), e.seq, maxLeaving)
 	}
 	if e.plan.Direct {
-		h.Addresses = inTurn(e.peers.Addresses(), e.seq, maxTold)
+		h.Addresses = rotatingSubset(e.peers.Addresses(), e.seq, maxAddresses)
 	}
 	return h
 }
 
-// addUses tells what this relay took of the quotas; called with mu held.
-func (e *Edge) addUses(now time.Duration, h *peersv1.Hello) {
+// addQuotaUses tells what this relay took of the quotas; called with mu held.
+func (e *Edge) addQuotaUses(now time.Duration, h *peersv1.Hello) {
 	for ws, use := range e.limiter.Uses(now) {
 		h.Uses = append(h.Uses, &peersv1.Use{Workspace: string(ws), Taken: use.Taken, Level: use.Level})
 	}
@@ -71,8 +71,8 @@
 	h.Placed = w.placed
 }
 
-// answer is what one daemon is told of its last stamp; called with mu held.
-func (e *Edge) answer(to ident.Incarnation) *peersv1.Hello {
+// stampReply is what one daemon is told of its last stamp; called with mu held.
+func (e *Edge) stampReply(to ident.Incarnation) *peersv1.Hello {
 	var stamp *freshness.Stamp
 	if s, ok := e.stamps[to]; ok {
 		stamp = &s
@@ -81,21 +81,21 @@
 	return &peersv1.Hello{EchoNs: int64(w.Echo), LagNs: int64(w.Lag), Proved: w.Proved, ConfigRevision: w.Revision}
 }
 
-func tellRow(r peers.Row) *peersv1.Row {
+func encodeRow(r peers.Row) *peersv1.Row {
 	return &peersv1.Row{
 		Daemon: string(r.ID), Incarnation: string(r.Incarnation), FailureDomain: string(r.FailureDomain),
 		CallerAddress: r.CallerAddress, PeerAddress: r.PeerAddress, Phase: uint32(r.Phase), Seq: r.Seq, StartedUnixMs: r.Started,
 	}
 }
 
-func rowOf(r *peersv1.Row) peers.Row {
+func decodeRow(r *peersv1.Row) peers.Row {
 	return peers.Row{Seq: r.Seq, Member: peers.Member{
 		ID: ident.DaemonID(r.Daemon), Incarnation: ident.Incarnation(r.Incarnation), FailureDomain: ident.FailureDomain(r.FailureDomain),
 		CallerAddress: r.CallerAddress, PeerAddress: r.PeerAddress, Phase: peers.Phase(r.Phase), Started: r.StartedUnixMs,
 	}}
 }
 
-func usesOf(h *peersv1.Hello) map[ident.Workspace]quota.Use {
+func decodeUses(h *peersv1.Hello) map[ident.Workspace]quota.Use {
 	uses := make(map[ident.Workspace]quota.Use, len(h.Uses))
 	for _, u := range h.Uses {
 		uses[ident.Workspace(u.Workspace)] = quota.Use{Taken: u.Taken, Level: u.Level}
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -73,8 +73,8 @@
 // heardWork takes in a daemon's account of work. The pools hear of it with the next
 // applyLoads: to work the sums out for each message would cost a large fleet's
 // daemon more than its requests.
-func (e *Edge) heardWork(id ident.Incarnation, h *peersv1.Hello, from source) {
-	if from == fromNobody || len(h.Offered) == 0 {
+func (e *Edge) heardWork(id ident.Incarnation, h *peersv1.Hello, from workSource) {
+	if from == sourceIgnored || len(h.Offered) == 0 {
 		return
 	}
 	loads := make([]routing.OwnLoad, 0, len(h.Loads))
@@ -87,21 +87,21 @@
 	e.told.mu.Lock()
 	defer e.told.mu.Unlock()
 	e.told.changed = true
-	if from == fromFollower {
+	if from == sourceFollower {
 		e.advised.told(h.PeerAddress, now-adviceLag)
 	}
-	heard := toldLoad{at: now, work: loads, follower: from == fromFollower, included: h.IncludedSeq}
+	heard := toldLoad{at: now, work: loads, follower: from == sourceFollower, included: h.IncludedSeq}
 	for _, o := range h.Offered {
 		e.told.heardOffered(now, id, o, from, !e.direct.Load())
 	}
-	if from == fromPrimary {
+	if from == sourcePrimary {
 		e.told.total = heard
 		return
 	}
 	e.told.daemons[id] = heard
 }
 
-func (t *toldLoads) heardOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from source, relayed bool) {
+func (t *toldLoads) heardOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from workSource, relayed bool) {
 	counts, ok := t.offered[o.Service]
 	if !ok {
 		counts = &offers{}
@@ -110,12 +110,12 @@
 	counts.followers.Relayed(relayed)
 	counts.all.Relayed(relayed)
 	switch from {
-	case fromFollower:
+	case sourceFollower:
 		counts.followers.Heard(now, id, o.PromptTokens)
 		counts.all.Heard(now, id, o.PromptTokens)
-	case fromRelay:
+	case sourceRelay:
 		counts.all.Heard(now, id, o.PromptTokens)
-	case fromPrimary:
+	case sourcePrimary:
 		counts.all.Heard(now, totalOf(id), o.PromptTokens)
 	}
 }
@@ -126,7 +126,7 @@
 	defer t.mu.Unlock()
 	t.sent[seq] = loads
 	for s := range t.sent {
-		if s+remembered*followTurns < seq {
+		if s+remembered*followerRounds < seq {
 			delete(t.sent, s)
 		}
 	}
--- a/daemon/edge/tell_test.go
+++ b/daemon/edge/message_size_test.go
@@ -36,12 +36,12 @@
 		workspaces = 16
 		mostBytes  = 4500
 	)
-	inWorld(t, daemons, manyWorkspaces(workspaces), func(w *world) {
+	withFleet(t, daemons, manyWorkspaces(workspaces), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(time.Second)
 		for i := range daemons {
 			for _, d := range w.daemons {
-				w.askAll(d, workspaces)
+				w.askEachWorkspace(d, workspaces)
 			}
 			time.Sleep(500 * time.Millisecond)
 			w.daemons[i].kill()
@@ -52,12 +52,12 @@
 		t.Logf("largest message: %d bytes", w.network.largest())
 		w.True(w.network.largest() <= mostBytes)
 		w.checkReports()
-		w.Equal(w.reported(), int64(daemons*daemons*workspaces))
+		w.Equal(w.totalReported(), int64(daemons*daemons*workspaces))
 	})
 }
 
-// askAll sends one request of each workspace.
-func (w *world) askAll(d *daemon, workspaces int) {
+// askEachWorkspace sends one request of each workspace.
+func (w *testFleet) askEachWorkspace(d *daemon, workspaces int) {
 	for i := range workspaces {
 		a := w.ask(d, "/read/", fmt.Sprintf("key-%d", i))
 		w.Equal(a.refusal, nil)
--- a/daemon/edge/network_test.go
+++ b/daemon/edge/network_test.go
@@ -7,119 +7,119 @@
 	"sync"
 )
 
-// network carries datagrams between daemons.
-type network struct {
-	mu    sync.Mutex
-	boxes map[string]*socket
-	cut   map[string]bool
-	// parted are pairs of addresses that don't reach each other.
-	parted map[[2]string]bool
-	// loss is the share of messages that are lost, drawn by luck.
-	loss float64
-	luck *rand.Rand
-	// most is the size of the largest message so far, sent the number of all, bytes their
+// fakeNetwork carries datagrams between daemons.
+type fakeNetwork struct {
+	mu       sync.Mutex
+	sockets  map[string]*fakeSocket
+	isolated map[string]bool
+	// partitioned are pairs of addresses that don't reach each other.
+	partitioned map[[2]string]bool
+	// lossRate is the share of messages that are lost, drawn by luck.
+	lossRate float64
+	rng      *rand.Rand
+	// largestMessage is the size of the largest message so far, messageCount the number of all, byteCount their
 	// sizes.
-	most, sent, bytes int
-	// look is shown each message that is sent; nil is nobody.
-	look func(message []byte)
+	largestMessage, messageCount, byteCount int
+	// onMessage is shown each message that is sent; nil is nobody.
+	onMessage func(message []byte)
 }
 
-// watch shows each message from now on; nil ends that.
-func (n *network) watch(look func(message []byte)) {
+// observe shows each message from now on; nil ends that.
+func (n *fakeNetwork) observe(onMessage func(message []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.look = look
+	n.onMessage = onMessage
 }
 
 // traffic is the number of messages so far and their bytes.
-func (n *network) traffic() (messages, bytes int) {
+func (n *fakeNetwork) traffic() (messages, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.sent, n.bytes
+	return n.messageCount, n.byteCount
 }
 
-func (n *network) largest() int {
+func (n *fakeNetwork) largest() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.most
+	return n.largestMessage
 }
 
-func newNetwork() *network {
-	return &network{boxes: map[string]*socket{}, cut: map[string]bool{}, parted: map[[2]string]bool{}}
+func newNetwork() *fakeNetwork {
+	return &fakeNetwork{sockets: map[string]*fakeSocket{}, isolated: map[string]bool{}, partitioned: map[[2]string]bool{}}
 }
 
-func (n *network) isolate(address string, cut bool) {
+func (n *fakeNetwork) isolate(address string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[address] = cut
+	n.isolated[address] = cut
 }
 
-// lose has a share of all messages be lost from now on.
-func (n *network) lose(share float64, luck *rand.Rand) {
+// setLossRate has a share of all messages be lost from now on.
+func (n *fakeNetwork) setLossRate(share float64, rng *rand.Rand) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss, n.luck = share, luck
+	n.lossRate, n.rng = share, rng
 }
 
-// lost tells whether a message does not arrive; called with mu held.
-func (n *network) lost(from, to string) bool {
-	return n.cut[from] || n.cut[to] || n.parted[[2]string{from, to}] || n.loss > 0 && n.luck.Float64() < n.loss
+// isDropped tells whether a message does not arrive; called with mu held.
+func (n *fakeNetwork) isDropped(from, to string) bool {
+	return n.isolated[from] || n.isolated[to] || n.partitioned[[2]string{from, to}] || n.lossRate > 0 && n.rng.Float64() < n.lossRate
 }
 
-// part cuts two addresses off from each other.
-func (n *network) part(a, b string, cut bool) {
+// partition cuts two addresses off from each other.
+func (n *fakeNetwork) partition(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.parted[[2]string{a, b}], n.parted[[2]string{b, a}] = cut, cut
+	n.partitioned[[2]string{a, b}], n.partitioned[[2]string{b, a}] = cut, cut
 }
 
-func (n *network) listen(address string) *socket {
-	s := &socket{network: n, address: address, in: make(chan []byte, 1000), closed: make(chan struct{})}
+func (n *fakeNetwork) listen(address string) *fakeSocket {
+	s := &fakeSocket{network: n, address: address, incoming: make(chan []byte, 1000), closed: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.boxes[address] = s
+	n.sockets[address] = s
 	return s
 }
 
-type socket struct {
+type fakeSocket struct {
 	net.PacketConn
-	network *network
-	address string
-	in      chan []byte
-	closed  chan struct{}
-	once    sync.Once
+	network  *fakeNetwork
+	address  string
+	incoming chan []byte
+	closed   chan struct{}
+	once     sync.Once
 }
 
-func (s *socket) ReadFrom(p []byte) (int, net.Addr, error) {
+func (s *fakeSocket) ReadFrom(p []byte) (int, net.Addr, error) {
 	select {
-	case data := <-s.in:
+	case data := <-s.incoming:
 		return copy(p, data), nil, nil
 	case <-s.closed:
 		return 0, nil, net.ErrClosed
 	}
 }
 
-func (s *socket) WriteTo(p []byte, to net.Addr) (int, error) {
+func (s *fakeSocket) WriteTo(p []byte, to net.Addr) (int, error) {
 	s.network.mu.Lock()
 	defer s.network.mu.Unlock()
-	s.network.most = max(s.network.most, len(p))
-	if s.network.look != nil {
-		s.network.look(p)
+	s.network.largestMessage = max(s.network.largestMessage, len(p))
+	if s.network.onMessage != nil {
+		s.network.onMessage(p)
 	}
-	s.network.sent++
-	s.network.bytes += len(p)
-	box := s.network.boxes[to.String()]
-	if box == nil || s.network.lost(s.address, to.String()) {
+	s.network.messageCount++
+	s.network.byteCount += len(p)
+	box := s.network.sockets[to.String()]
+	if box == nil || s.network.isDropped(s.address, to.String()) {
 		return len(p), nil
 	}
 	select {
-	case box.in <- bytes.Clone(p):
+	case box.incoming <- bytes.Clone(p):
 	default: // a full socket drops what comes
 	}
 	return len(p), nil
 }
 
-func (s *socket) Close() error {
+func (s *fakeSocket) Close() error {
 	s.once.Do(func() { close(s.closed) })
 	return nil
 }
--- a/daemon/edge/plain_test.go
+++ b/daemon/edge/plain_test.go
@@ -23,7 +23,7 @@
 
 // addPlaces adds a runner that works on a few requests at once, queues some more and turns
 // away the others.
-func (w *world) addPlaces(id string) {
+func (w *testFleet) addPlaces(id string) {
 	places, queue := make(chan struct{}, plainPlaces), make(chan struct{}, plainPlaces+plainQueue)
 	w.runners.add(id).play(func(_ context.Context, _ *edge.Attempt) (*edge.Answer, error) {
 		select {
@@ -51,7 +51,7 @@
 		daemons, runners = 5, 4
 		calm, burst      = 160, 480
 	)
-	inWorld(t, daemons, config(1), func(w *world) {
+	withFleet(t, daemons, config(1), func(w *testFleet) {
 		for i := range runners {
 			w.addPlaces(fmt.Sprintf("r%d", i))
 		}
--- a/daemon/edge/hear.go
+++ b/daemon/edge/receive.go
@@ -17,18 +17,18 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// closedGrace is how long after the socket's end the daemon's may follow.
-const closedGrace = 100 * time.Millisecond
+// socketCloseGrace is how long after the socket's end the daemon's may follow.
+const socketCloseGrace = 100 * time.Millisecond
 
-// receive takes the others' messages in until the context ends. The socket is closed when
+// receiveDatagrams takes the others' messages in until the context ends. The socket is closed when
 // it returns: a message that comes as the context ends lets it return before the close
 // that the end brings about, and the address would still be taken when a daemon is started
 // there next.
-func (e *Edge) receive(ctx context.Context) error {
+func (e *Edge) receiveDatagrams(ctx context.Context) error {
 	defer e.deps.Datagrams.Close()
 	stop := context.AfterFunc(ctx, func() { e.deps.Datagrams.Close() })
 	defer stop()
-	buffer := make([]byte, datagramBytes+1)
+	buffer := make([]byte, maxDatagramBytes+1)
 	for {
 		n, _, err := e.deps.Datagrams.ReadFrom(buffer)
 		if ctx.Err() != nil {
@@ -36,7 +36,7 @@
 		}
 		if errors.Is(err, net.ErrClosed) {
 			// Whoever ends the daemon may close the socket before the end is seen here.
-			pause.For(ctx, closedGrace)
+			pause.For(ctx, socketCloseGrace)
 			if ctx.Err() != nil {
 				return nil
 			}
@@ -59,96 +59,96 @@
 func (e *Edge) dispatch(ctx context.Context, d *peersv1.Datagram) {
 	switch {
 	case d.Ask != nil:
-		e.grant(d.Ask)
+		e.handleAsk(d.Ask)
 	case d.Grant != nil:
-		e.granted(d.Grant)
+		e.handleGrant(d.Grant)
 	case d.Refund != nil:
-		e.refunded(d.Refund)
+		e.handleRefund(d.Refund)
 	case d.TrialReport != nil:
 		e.heardReport(d.TrialReport)
 	case d.TrialAllowance != nil:
 		e.heardAllowance(d.TrialAllowance)
 	case d.Hello != nil:
-		e.heard(ctx, d.Hello)
+		e.handleHello(ctx, d.Hello)
 	}
 }
 
-// heard takes in what a daemon tells.
-func (e *Edge) heard(ctx context.Context, h *peersv1.Hello) {
+// handleHello takes in what a daemon tells.
+func (e *Edge) handleHello(ctx context.Context, h *peersv1.Hello) {
 	if h.Feed != nil {
 		// First of all, so that a newer configuration need not be read once more.
-		e.takeFeed(h.Feed)
+		e.applyFeed(h.Feed)
 	}
 	id := ident.Incarnation(h.Incarnation)
 	now := e.deps.Steady()
 	e.mu.Lock()
-	fresh, ended := e.peers.Heard(now, peers.Member{
+	isNew, ended := e.peers.Heard(now, peers.Member{
 		ID: ident.DaemonID(h.Daemon), Incarnation: id, FailureDomain: ident.FailureDomain(h.FailureDomain),
 		CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress, Phase: peers.Phase(h.Phase), Started: h.StartedUnixMs,
 	}, h.Seq)
-	if !fresh {
+	if !isNew {
 		e.mu.Unlock()
 		return
 	}
 	if _, known := e.stamps[id]; !known {
 		e.log.Note("daemon_heard", decisions.F("incarnation", id), decisions.F("address", h.PeerAddress))
 	}
-	e.heardMembers(now, id, h, ended)
+	e.updateMembers(now, id, h, ended)
 	e.stamps[id] = freshness.Stamp{Sent: time.Duration(h.StampNs), Received: now}
 	e.wall.Heard(id, time.Unix(0, h.TimeUnixNs), now)
-	e.heardUses(now, id, h)
-	e.heardCounts(now, id, h)
+	e.updateQuotaUses(now, id, h)
+	e.handleCounts(now, id, h)
 	behind := e.fresh.Heard(freshness.Word{
 		Revision: h.ConfigRevision, Echo: time.Duration(h.EchoNs), Lag: time.Duration(h.LagNs), Proved: h.Proved,
 	})
 	e.refreshPhase(now)
-	source := e.sourceOf(id, h)
+	source := e.workSourceOf(id, h)
 	e.mu.Unlock()
 	if behind && e.table.Load() != nil {
 		go e.confirm(ctx)
 	}
 	e.heardLeaving(h.Leaving)
 	e.heardWork(id, h, source)
-	e.heardPlaced(h.Placed, source == fromFollower)
+	e.heardPlaced(h.Placed, source == sourceFollower)
 }
 
-// heardMembers takes in whom a daemon knows; called with mu held.
-func (e *Edge) heardMembers(now time.Duration, id ident.Incarnation, h *peersv1.Hello, ended []ident.Incarnation) {
+// updateMembers takes in whom a daemon knows; called with mu held.
+func (e *Edge) updateMembers(now time.Duration, id ident.Incarnation, h *peersv1.Hello, ended []ident.Incarnation) {
 	if h.Roster != nil {
 		rows := make([]peers.Row, 0, len(h.Roster.Rows))
 		for _, r := range h.Roster.Rows {
-			rows = append(rows, rowOf(r))
+			rows = append(rows, decodeRow(r))
 		}
 		if h.Roster.Followers {
-			e.followElsewhere(rows)
+			e.dropFollowersQuotaUse(rows)
 		}
 		ended = append(ended, e.peers.Told(now, id, rows, int(h.Roster.Fleet), int(h.Roster.Domains))...)
 	}
 	for _, r := range h.Introduced {
-		e.peers.Refer(now, rowOf(r))
+		e.peers.Refer(now, decodeRow(r))
 	}
 	for _, a := range h.Addresses {
 		e.peers.Learn(now, a)
 	}
 	for _, former := range ended {
-		e.forget(former, "replaced")
+		e.removePeer(former, "replaced")
 	}
-	e.noteFollower(now, id, h)
-	e.heardRelay(now, id, h)
+	e.updateFollower(now, id, h)
+	e.handleRelayClaim(now, id, h)
 }
 
-// followElsewhere takes in that daemons follow a relay: they give out no quotas. While a
+// dropFollowersQuotaUse takes in that daemons follow a relay: they give out no quotas. While a
 // fleet starts each daemon takes itself for a relay for a moment, and those that never
 // hear of it again would keep a part for it. Called with mu held.
-func (e *Edge) followElsewhere(rows []peers.Row) {
+func (e *Edge) dropFollowersQuotaUse(rows []peers.Row) {
 	for _, r := range rows {
 		e.limiter.Left(r.Incarnation)
 	}
 }
 
-// heardUses takes in what another relay took of the quotas; called with mu held. One
+// updateQuotaUses takes in what another relay took of the quotas; called with mu held. One
 // that follows takes nothing itself.
-func (e *Edge) heardUses(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
+func (e *Edge) updateQuotaUses(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if !e.plan.Relay {
 		return
 	}
@@ -164,35 +164,35 @@
 		return
 	}
 	if h.Elects || e.plan.Direct {
-		e.limiter.Heard(now, id, time.Duration(h.AgeNs), usesOf(h))
+		e.limiter.Heard(now, id, time.Duration(h.AgeNs), decodeUses(h))
 	}
 }
 
-// source is what a daemon's account of work at the runners stands for.
-type source int
+// workSource is what a daemon's account of work at the runners stands for.
+type workSource int
 
 const (
-	// fromNobody is not counted.
-	fromNobody source = iota
-	// fromFollower is that daemon's own, which nobody else counts.
-	fromFollower
-	// fromRelay is that of a relay and its followers.
-	fromRelay
-	// fromPrimary is that of all daemons, this one included.
-	fromPrimary
+	// sourceIgnored is not counted.
+	sourceIgnored workSource = iota
+	// sourceFollower is that daemon's own, which nobody else counts.
+	sourceFollower
+	// sourceRelay is that of a relay and its followers.
+	sourceRelay
+	// sourcePrimary is that of all daemons, this one included.
+	sourcePrimary
 )
 
-// sourceOf tells what a message's account of work stands for; called with mu held.
-func (e *Edge) sourceOf(id ident.Incarnation, h *peersv1.Hello) source {
+// workSourceOf tells what a message's account of work stands for; called with mu held.
+func (e *Edge) workSourceOf(id ident.Incarnation, h *peersv1.Hello) workSource {
 	switch {
 	case h.Follows && h.Primary:
-		return fromFollower
+		return sourceFollower
 	case h.Follows:
-		return fromNobody
+		return sourceIgnored
 	case e.plan.Relay && h.Relay:
-		return fromRelay
+		return sourceRelay
 	case len(e.plan.Own) > 0 && e.plan.Own[0].Incarnation == id:
-		return fromPrimary
+		return sourcePrimary
 	}
-	return fromNobody
+	return sourceIgnored
 }
--- a/daemon/edge/register.go
+++ b/daemon/edge/registration.go
@@ -18,8 +18,8 @@
 	// registrationTTL outlives the replacement of any single call; the entry
 	// only helps daemons that can't reach any seed.
 	registrationTTL = 30 * time.Second
-	// registerEvery renews the registration several times in its life.
-	registerEvery = 10 * time.Second
+	// registerInterval renews the registration several times in its life.
+	registerInterval = 10 * time.Second
 )
 
 // keepRegistered keeps this daemon's address in the key-value service.
@@ -32,7 +32,7 @@
 			e.log.Note("registration_failed", decisions.F("error", err.Error()))
 		}
 		cancel()
-		if !pause.For(ctx, registerEvery) {
+		if !pause.For(ctx, registerInterval) {
 			return
 		}
 	}
@@ -74,8 +74,8 @@
 	StartedMillis int64               `json:"started_unix_ms"`
 }
 
-// registered takes in a daemon's registration. It may outlive the daemon.
-func (e *Edge) registered(key string, value []byte) {
+// handleRegistration takes in a daemon's registration. It may outlive the daemon.
+func (e *Edge) handleRegistration(key string, value []byte) {
 	var r registration
 	if err := json.Unmarshal(value, &r); err != nil {
 		e.log.Note("registration_ignored", decisions.F("key", key), decisions.F("reason", err.Error()))
--- a/daemon/edge/relay.go
+++ b/daemon/edge/relay.go
@@ -213,8 +213,8 @@
 	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	a.cancel = cancel
-	s.pool.begin(a)
-	defer s.pool.end(a)
+	s.pool.beginAttempt(a)
+	defer s.pool.endAttempt(a)
 	answer, err := s.edge.deps.Runners.Send(sendCtx, &Attempt{
 		Request:     s.req,
 		Runner:      a.choice.Runner,
@@ -229,7 +229,7 @@
 		return a.failedToSend(ctx, err)
 	}
 	defer answer.Body.Close()
-	a.activity.note(time.Now())
+	a.activity.recordHeard(time.Now())
 	if answer.NotRun || answer.Misdirected {
 		return a.notRun(answer)
 	}
--- a/daemon/edge/mistaken_test.go
+++ b/daemon/edge/relay_election_test.go
@@ -13,25 +13,27 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// settledWithin is the time in which the daemons of a fleet that hear each other agree on
+// settleTime is the time in which the daemons of a fleet that hear each other agree on
 // their relays.
-const settledWithin = 4 * time.Second
+const settleTime = 4 * time.Second
 
-// relays counts the daemons that take themselves for relays.
-func (w *world) relays() int { return w.count(func(d *daemon) bool { return d.IsRelay() }) }
+// relayCount counts the daemons that take themselves for relayCount.
+func (w *testFleet) relayCount() int {
+	return w.countDaemons(func(d *daemon) bool { return d.IsRelay() })
+}
 
-// partFromDomain cuts a daemon off from all others of its failure domain.
-func (w *world) partFromDomain(i int, cut bool) {
+// cutOffFromDomain cuts a daemon off from all others of its failure domain.
+func (w *testFleet) cutOffFromDomain(i int, cut bool) {
 	for other := i % largeDomains; other < len(w.daemons); other += largeDomains {
 		if other != i {
-			w.network.part(peerAddress(i), peerAddress(other), cut)
+			w.network.partition(peerAddress(i), peerAddress(other), cut)
 		}
 	}
 }
 
-// becomesRelay waits until a daemon that reaches none of those it could follow takes itself
+// waitUntilRelay waits until a daemon that reaches none of those it could follow takes itself
 // for a relay.
-func (w *world) becomesRelay(i int) {
+func (w *testFleet) waitUntilRelay(i int) {
 	const within = 10 * time.Second
 	time.Sleep(3 * time.Second)
 	for range int(within / loadStep) {
@@ -49,23 +51,23 @@
 // some of them but none of its own failure domain and takes itself for one.
 func TestMistakenRelayGivesOutNoQuota(t *testing.T) {
 	const (
-		daemons, last        = 60, 59
-		perSecond, cost      = 300_000.0, 17_000
-		window               = 8 * time.Second
-		tolerated            = (perSecond*8+perSecond)*1.1 + 190_000
-		workspaces, manyfold = 3, 6
+		daemons, last              = 60, 59
+		perSecond, cost            = 300_000.0, 17_000
+		window                     = 8 * time.Second
+		tolerated                  = (perSecond*8+perSecond)*1.1 + 190_000
+		workspaces, overloadFactor = 3, 6
 	)
-	inLargeFleet(t, daemons, promptWorkspaces(workspaces, perSecond, cost), func(w *world) {
+	withRelayFleet(t, daemons, promptWorkspaces(workspaces, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
-		w.notFirst = true
+		w.servedBefore = true
 		w.daemons[last].kill()
-		w.partFromDomain(last, true)
+		w.cutOffFromDomain(last, true)
 		w.restart(last)
-		w.becomesRelay(last)
-		l := newPromptLoad(w, cost, slices.Repeat([]float64{perSecond * manyfold}, workspaces))
-		l.run(window+2*time.Second, all)
+		w.waitUntilRelay(last)
+		l := newPromptLoad(w, cost, slices.Repeat([]float64{perSecond * overloadFactor}, workspaces))
+		l.run(window+2*time.Second, anyDaemon)
 		for ws := range workspaces {
-			most := l.mostIn(ws, window)
+			most := l.maxTokensIn(ws, window)
 			t.Logf("most in a window: %.0f of %.0f", most, tolerated)
 			w.True(most <= tolerated)
 		}
@@ -76,18 +78,18 @@
 // failure domain for a while: its own callers are refused, and it watches the service.
 func TestMistakenRelayFindsItsPlace(t *testing.T) {
 	const daemons, last = 60, 59
-	inLargeFleet(t, daemons, config(1), func(w *world) {
-		before := w.relays()
-		w.notFirst = true
+	withRelayFleet(t, daemons, config(1), func(w *testFleet) {
+		before := w.relayCount()
+		w.servedBefore = true
 		w.daemons[last].kill()
-		w.partFromDomain(last, true)
+		w.cutOffFromDomain(last, true)
 		w.restart(last)
-		w.becomesRelay(last)
-		w.partFromDomain(last, false)
-		time.Sleep(settledWithin)
+		w.waitUntilRelay(last)
+		w.cutOffFromDomain(last, false)
+		time.Sleep(settleTime)
 		for range 40 {
 			w.True(!w.daemons[last].IsRelay())
-			w.Equal(w.relays(), before)
+			w.Equal(w.relayCount(), before)
 			time.Sleep(100 * time.Millisecond)
 		}
 	})
@@ -98,17 +100,17 @@
 func TestLossyStartLeavesNoMistakenRelay(t *testing.T) {
 	const loss, lossyFor = 0.4, 3 * time.Second
 	for seed := range uint64(2) {
-		inWorld(t, 0, config(1), func(w *world) {
-			w.spread()
-			w.network.lose(loss, rand.New(rand.NewPCG(seed, 0)))
+		withFleet(t, 0, config(1), func(w *testFleet) {
+			w.spreadOverDomains()
+			w.network.setLossRate(loss, rand.New(rand.NewPCG(seed, 0)))
 			for range largeFleet {
-				w.add()
+				w.addDaemon()
 			}
 			time.Sleep(lossyFor)
-			w.network.lose(0, nil)
-			time.Sleep(settledWithin)
+			w.network.setLossRate(0, nil)
+			time.Sleep(settleTime)
 			for range 40 {
-				w.Equal(w.relays(), 2*largeDomains)
+				w.Equal(w.relayCount(), 2*largeDomains)
 				time.Sleep(loadStep)
 			}
 		})
@@ -119,25 +121,25 @@
 // not heard of each other for so long that they forgot their addresses.
 func TestRelaysThatLostEachOtherMeetAgain(t *testing.T) {
 	const (
-		daemons, apart  = 60, peers.ForgetAfter + 5*time.Second
-		perSecond, cost = 300_000.0, 17_000
-		window          = 8 * time.Second
-		tolerated       = (perSecond*8+perSecond)*1.1 + 190_000
+		daemons, partitionedFor = 60, peers.ForgetAfter + 5*time.Second
+		perSecond, cost         = 300_000.0, 17_000
+		window                  = 8 * time.Second
+		tolerated               = (perSecond*8+perSecond)*1.1 + 190_000
 	)
-	inLargeFleet(t, daemons, promptWorkspaces(1, perSecond, cost), func(w *world) {
+	withRelayFleet(t, daemons, promptWorkspaces(1, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
-		pairs := w.pairsOfRelays()
+		pairs := w.relayPairs()
 		for _, p := range pairs {
-			w.network.part(peerAddress(p[0]), peerAddress(p[1]), true)
+			w.network.partition(peerAddress(p[0]), peerAddress(p[1]), true)
 		}
-		time.Sleep(apart)
+		time.Sleep(partitionedFor)
 		for _, p := range pairs {
-			w.network.part(peerAddress(p[0]), peerAddress(p[1]), false)
+			w.network.partition(peerAddress(p[0]), peerAddress(p[1]), false)
 		}
-		time.Sleep(settledWithin)
+		time.Sleep(settleTime)
 		l := newPromptLoad(w, cost, []float64{perSecond * 6})
-		l.run(window+2*time.Second, all)
-		most := l.mostIn(0, window)
+		l.run(window+2*time.Second, anyDaemon)
+		most := l.maxTokensIn(0, window)
 		t.Logf("most in a window: %.0f of %.0f", most, tolerated)
 		w.True(most <= tolerated)
 		for _, p := range pairs {
@@ -147,8 +149,8 @@
 	})
 }
 
-// pairsOfRelays are pairs of different failure domains, each relay in one.
-func (w *world) pairsOfRelays() [][2]int {
+// relayPairs are pairs of different failure domains, each relay in one.
+func (w *testFleet) relayPairs() [][2]int {
 	var all []int
 	for i, d := range w.daemons {
 		if d.IsRelay() {
@@ -167,14 +169,14 @@
 // Guards against two halves of a fleet that each go on giving out whole quotas after a cut
 // between them that lasted until they had forgotten each other's addresses.
 func TestHalvesOfAFleetMeetAgain(t *testing.T) {
-	const daemons, apart = 30, peers.ForgetAfter + 10*time.Second
-	inLargeFleet(t, daemons, config(1), func(w *world) {
-		before := w.relays()
-		w.partHalves(true)
-		time.Sleep(apart)
-		w.partHalves(false)
-		time.Sleep(settledWithin)
-		w.Equal(w.relays(), before)
+	const daemons, partitionedFor = 30, peers.ForgetAfter + 10*time.Second
+	withRelayFleet(t, daemons, config(1), func(w *testFleet) {
+		before := w.relayCount()
+		w.partitionHalves(true)
+		time.Sleep(partitionedFor)
+		w.partitionHalves(false)
+		time.Sleep(settleTime)
+		w.Equal(w.relayCount(), before)
 		for _, one := range w.daemons {
 			for _, other := range w.daemons {
 				w.True(one == other || !one.IsRelay() || !other.IsRelay() || one.Elects(other.Edge))
@@ -183,12 +185,12 @@
 	})
 }
 
-// partHalves cuts half of the failure domains off from the others.
-func (w *world) partHalves(cut bool) {
+// partitionHalves cuts half of the failure domains off from the others.
+func (w *testFleet) partitionHalves(cut bool) {
 	for i := range w.daemons {
 		for j := range w.daemons {
 			if i%largeDomains < largeDomains/2 && j%largeDomains >= largeDomains/2 {
-				w.network.part(peerAddress(i), peerAddress(j), cut)
+				w.network.partition(peerAddress(i), peerAddress(j), cut)
 			}
 		}
 	}
@@ -196,13 +198,13 @@
 
 // Guards against a fleet that goes on dividing its retries and quotas by the number of daemons
 // that it once had.
-func TestFleetThatShrinksIsTakenForSmaller(t *testing.T) {
+func TestShrunkenFleetIsCountedAsSmaller(t *testing.T) {
 	const daemons, left = 24, 12
-	inLargeFleet(t, daemons, config(1), func(w *world) {
+	withRelayFleet(t, daemons, config(1), func(w *testFleet) {
 		for _, d := range w.daemons[left:] {
 			d.kill()
 		}
-		time.Sleep(peers.ForgetAfter + settledWithin)
+		time.Sleep(peers.ForgetAfter + settleTime)
 		for _, d := range w.daemons[:left] {
 			w.Equal(d.FleetSize(), left)
 		}
@@ -223,17 +225,17 @@
 
 // growUnderLoad has some daemons join and checks that no caller is refused.
 func growUnderLoad(t *testing.T, daemons int) {
-	const more, perSecond, cost = 6, 300_000.0, 17_000
-	inFleet(t, daemons, daemons, promptWorkspaces(4, perSecond, cost), func(w *world) {
+	const joining, perSecond, cost = 6, 300_000.0, 17_000
+	withSettledFleet(t, daemons, daemons, promptWorkspaces(4, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
-		w.notFirst = true
+		w.servedBefore = true
 		l := newPromptLoad(w, cost, slices.Repeat([]float64{perSecond * 0.5}, 4))
-		l.run(time.Second, all)
-		for range more {
-			w.add()
+		l.run(time.Second, anyDaemon)
+		for range joining {
+			w.addDaemon()
 		}
 		l.run(4*time.Second, func(i int) bool { return w.daemons[i].Ready() })
-		asked, refused := l.total()
+		asked, refused := l.totals()
 		t.Logf("%d refused of %d: %v", refused, asked, l.reasons)
 		w.Equal(refused, 0)
 	})
@@ -244,18 +246,18 @@
 // many take themselves for relays.
 func TestManyRelaysKnowTheWholeFleet(t *testing.T) {
 	const daemons, domains, relaysOfADomain = 60, 12, 2
-	inWorld(t, 0, config(1), func(w *world) {
+	withFleet(t, 0, config(1), func(w *testFleet) {
 		for i := range domains {
 			w.domains = append(w.domains, ident.FailureDomain(fmt.Sprintf("domain-%d", i)))
 		}
 		for range daemons {
-			w.add()
+			w.addDaemon()
 		}
 		time.Sleep(4 * time.Second)
 		for range 40 {
-			w.Equal(w.relays(), domains*relaysOfADomain)
+			w.Equal(w.relayCount(), domains*relaysOfADomain)
 			for _, d := range w.daemons {
-				w.True(!d.IsRelay() || d.Alive() == daemons-1)
+				w.True(!d.IsRelay() || d.AlivePeers() == daemons-1)
 			}
 			time.Sleep(loadStep)
 		}
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -20,52 +20,52 @@
 // A fleet of this many daemons over as many failure domains told each other everything
 // in that many messages a second.
 const (
-	largeFleet      = 119
-	largeDomains    = 6
-	oldMessages     = largeFleet * (largeFleet - 1) * 5
-	largeWorkspaces = 40
+	largeFleet       = 119
+	largeDomains     = 6
+	allToAllMessages = largeFleet * (largeFleet - 1) * 5
+	largeWorkspaces  = 40
 )
 
 // fleetRunner runs a test of n daemons in a fleet of a kind.
-type fleetRunner func(t *testing.T, n int, c route.Config, f func(w *world))
+type fleetRunner func(t *testing.T, n int, c route.Config, f func(w *testFleet))
 
-// inLargeFleet runs a test of n daemons over the failure domains that have found their
+// withRelayFleet runs a test of n daemons over the failure domains that have found their
 // relays.
-func inLargeFleet(t *testing.T, n int, c route.Config, f func(w *world)) {
-	inFleet(t, n, relays.SmallFleet, c, f)
+func withRelayFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
+	withSettledFleet(t, n, relays.SmallFleet, c, f)
 }
 
-// inDirectFleet runs a test of n daemons over the failure domains that tell each other
+// withDirectFleet runs a test of n daemons over the failure domains that tell each other
 // directly if that is the program's own way for so many.
-func inDirectFleet(t *testing.T, n int, c route.Config, f func(w *world)) {
-	inFleet(t, n, relays.DirectFleet, c, f)
+func withDirectFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
+	withSettledFleet(t, n, relays.DirectFleet, c, f)
 }
 
-func inFleet(t *testing.T, n, direct int, c route.Config, f func(w *world)) {
-	inWorld(t, 0, c, func(w *world) {
+func withSettledFleet(t *testing.T, n, direct int, c route.Config, f func(w *testFleet)) {
+	withFleet(t, 0, c, func(w *testFleet) {
 		w.directFleet = direct
-		w.spread()
+		w.spreadOverDomains()
 		w.tolerance = quota.Tolerance{Overage: 0.1, Slack: 190_000}
 		for range n {
-			w.add()
+			w.addDaemon()
 		}
 		time.Sleep(4 * time.Second)
 		f(w)
 	})
 }
 
-// spread has the daemons that are started from now on be in the failure domains by turns.
-func (w *world) spread() {
+// spreadOverDomains has the daemons that are started from now on be in the failure domains by turns.
+func (w *testFleet) spreadOverDomains() {
 	for i := range largeDomains {
 		w.domains = append(w.domains, ident.FailureDomain(fmt.Sprintf("domain-%d", i)))
 	}
 }
 
-// count counts the daemons of which something is true.
-func (w *world) count(of func(d *daemon) bool) int {
+// countDaemons counts the daemons of which something is true.
+func (w *testFleet) countDaemons(matches func(d *daemon) bool) int {
 	n := 0
 	for _, d := range w.daemons {
-		if of(d) {
+		if matches(d) {
 			n++
 		}
 	}
@@ -74,7 +74,7 @@
 
 // Guards against messages that grow with the square of the fleet.
 func TestMessagesOfALargeFleetAreFew(t *testing.T) {
-	inLargeFleet(t, largeFleet, manyWorkspaces(largeWorkspaces), func(w *world) {
+	withRelayFleet(t, largeFleet, manyWorkspaces(largeWorkspaces), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		const span = 4 * time.Second
 		messages, bytes := w.network.traffic()
@@ -82,13 +82,13 @@
 		after, bytesAfter := w.network.traffic()
 		rate := float64(after-messages) / span.Seconds()
 		t.Logf("%.0f messages and %.0f KB a second by all", rate, float64(bytesAfter-bytes)/span.Seconds()/1024)
-		w.True(rate <= oldMessages/10)
+		w.True(rate <= allToAllMessages/10)
 	})
 }
 
 // Guards against a fleet whose watches are all answered by each change.
 func TestStoreCallsOfALargeFleetAreFew(t *testing.T) {
-	inLargeFleet(t, largeFleet, config(1), func(w *world) {
+	withRelayFleet(t, largeFleet, config(1), func(w *testFleet) {
 		w.store.ResetCalls()
 		const changes, every = 40, 250 * time.Millisecond
 		for i := range changes {
@@ -108,17 +108,17 @@
 
 // Guards against followers that go on sending requests to a runner that has given notice.
 func TestFollowersHearOfLeavingRunners(t *testing.T) {
-	inLargeFleet(t, 40, config(1), func(w *world) {
-		going := w.addRunner("going", "app")
+	withRelayFleet(t, 40, config(1), func(w *testFleet) {
+		leavingRunner := w.addRunner("going", "app")
 		w.addRunner("staying", "app")
 		time.Sleep(2 * time.Second)
-		w.leaving("going", "app")
+		w.markLeaving("going", "app")
 		time.Sleep(2 * time.Second)
-		before := going.count()
+		before := leavingRunner.count()
 		for _, d := range w.daemons {
 			w.Equal(w.ask(d, "/read/", key).status, 200)
 		}
-		w.Equal(going.count(), before)
+		w.Equal(leavingRunner.count(), before)
 	})
 }
 
@@ -126,20 +126,20 @@
 // once: messages that hold them all don't fit into a datagram, and daemons fall silent.
 func TestThousandsOfRunnersLeave(t *testing.T) {
 	const daemons, runners, leaving = 119, 3000, 2500
-	inLargeFleet(t, daemons, promptWorkspaces(4, 300_000, 17_000), func(w *world) {
+	withRelayFleet(t, daemons, promptWorkspaces(4, 300_000, 17_000), func(w *testFleet) {
 		id := func(i int) string { return fmt.Sprintf("i-0123456789~%013d", i) }
 		for i := range runners {
 			w.addRunner(id(i), "app")
 		}
 		time.Sleep(8 * time.Second)
 		for i := range leaving {
-			w.leaving(id(i), "app")
+			w.markLeaving(id(i), "app")
 		}
 		l := newPromptLoad(w, 17_000, slices.Repeat([]float64{150_000}, 4))
-		l.run(3*time.Second, all)
-		asked, refused := l.total()
+		l.run(3*time.Second, anyDaemon)
+		asked, refused := l.totals()
 		t.Logf("%d refused of %d: %v; largest message %d bytes", refused, asked, l.reasons, w.network.largest())
-		w.Equal(w.count(func(d *daemon) bool { return d.Leaving() < leaving }), 0)
+		w.Equal(w.countDaemons(func(d *daemon) bool { return d.LeavingRunners() < leaving }), 0)
 		w.Equal(refused, 0)
 		w.True(w.network.largest() <= 32<<10)
 	})
@@ -148,12 +148,12 @@
 // Guards against keys that go on working at a daemon that is cut off from its relays and
 // the service.
 func TestRevokedKeyAtCutOffFollower(t *testing.T) {
-	inLargeFleet(t, 40, config(1), func(w *world) {
+	withRelayFleet(t, 40, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(2 * time.Second)
 		const last = 39 // the youngest is no relay
 		d := w.daemons[last]
-		d.store.set(true, false)
+		d.store.setFaults(true, false)
 		w.network.isolate(fmt.Sprintf("10.0.0.%d:7600", last+1), true)
 		revoked := config(2)
 		revoked.Workspaces[0].Keys = []string{"key-2"}
@@ -169,7 +169,7 @@
 
 // promptLoad is callers of many workspaces who send long prompts to all daemons.
 type promptLoad struct {
-	w    *world
+	w    *testFleet
 	cost int
 	// perSecond is the tokens a second of each workspace.
 	perSecond []float64
@@ -178,17 +178,17 @@
 	asked   []int
 	refused []int
 	reasons map[refusal.Reason]int
-	// taken are the tokens of each workspace that were served in each tenth of a second.
-	taken [][]float64
+	// servedTokens are the tokens of each workspace that were served in each tenth of a second.
+	servedTokens [][]float64
 }
 
 const loadStep = 100 * time.Millisecond
 
-func newPromptLoad(w *world, cost int, perSecond []float64) *promptLoad {
+func newPromptLoad(w *testFleet, cost int, perSecond []float64) *promptLoad {
 	n := len(perSecond)
 	return &promptLoad{
 		w: w, cost: cost, perSecond: perSecond, asked: make([]int, n), refused: make([]int, n),
-		reasons: map[refusal.Reason]int{}, taken: make([][]float64, n),
+		reasons: map[refusal.Reason]int{}, servedTokens: make([][]float64, n),
 	}
 }
 
@@ -199,7 +199,7 @@
 	for step := range int(span / loadStep) {
 		for ws := range l.perSecond {
 			l.mu.Lock()
-			l.taken[ws] = append(l.taken[ws], 0)
+			l.servedTokens[ws] = append(l.servedTokens[ws], 0)
 			l.mu.Unlock()
 			due[ws] += l.perSecond[ws] * loadStep.Seconds() / float64(l.cost)
 			for ; due[ws] >= 1; due[ws]-- {
@@ -207,7 +207,7 @@
 				for !serves(at) {
 					at = (at + 1) % len(l.w.daemons)
 				}
-				wg.Go(func() { l.ask(ws, l.w.daemons[at], len(l.taken[ws])-1) })
+				wg.Go(func() { l.ask(ws, l.w.daemons[at], len(l.servedTokens[ws])-1) })
 			}
 		}
 		time.Sleep(loadStep)
@@ -216,9 +216,9 @@
 }
 
 func (l *promptLoad) ask(ws int, d *daemon, slot int) {
-	a := &answer{}
+	a := &recordedReply{}
 	d.Serve(l.w.t.Context(), &edge.Request{
-		ID: fmt.Sprintf("p%d", requestSeq.Add(1)), Host: host, Path: "/read/", Key: fmt.Sprintf("key-%d", ws), Received: time.Now(),
+		ID: fmt.Sprintf("p%d", lastRequestID.Add(1)), Host: host, Path: "/read/", Key: fmt.Sprintf("key-%d", ws), Received: time.Now(),
 	}, a)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -228,16 +228,16 @@
 		l.reasons[a.refusal.Reason]++
 		return
 	}
-	l.taken[ws][slot] += float64(l.cost)
+	l.servedTokens[ws][slot] += float64(l.cost)
 }
 
-// mostIn is the most tokens of a workspace in any span.
-func (l *promptLoad) mostIn(ws int, span time.Duration) float64 {
+// maxTokensIn is the most tokens of a workspace in any span.
+func (l *promptLoad) maxTokensIn(ws int, span time.Duration) float64 {
 	most := 0.0
 	n := int(span / loadStep)
-	for i := range l.taken[ws] {
+	for i := range l.servedTokens[ws] {
 		sum := 0.0
-		for _, t := range l.taken[ws][i:min(i+n, len(l.taken[ws]))] {
+		for _, t := range l.servedTokens[ws][i:min(i+n, len(l.servedTokens[ws]))] {
 			sum += t
 		}
 		most = max(most, sum)
@@ -245,8 +245,8 @@
 	return most
 }
 
-// total is the requests of all workspaces, and those of them that were refused.
-func (l *promptLoad) total() (asked, refused int) {
+// totals is the requests of all workspaces, and those of them that were refused.
+func (l *promptLoad) totals() (asked, refused int) {
 	for ws := range l.perSecond {
 		asked, refused = asked+l.asked[ws], refused+l.refused[ws]
 	}
@@ -254,7 +254,7 @@
 }
 
 // addRunners adds as many runners as nobody waits for.
-func (w *world) addRunners(n int) {
+func (w *testFleet) addRunners(n int) {
 	for i := range n {
 		w.addRunner(fmt.Sprintf("r%d", i), "app")
 	}
@@ -270,7 +270,7 @@
 	return c
 }
 
-func all(int) bool { return true }
+func anyDaemon(int) bool { return true }
 
 // Guards against refusals of callers who stay within their limit, where a daemon's part
 // of it is smaller than one prompt, and against floods that exceed it over many daemons.
@@ -280,7 +280,7 @@
 		floods          = 3
 		tolerated       = (perSecond*8+perSecond)*1.1 + 190_000
 	)
-	inLargeFleet(t, largeFleet, promptWorkspaces(largeWorkspaces, perSecond, cost), func(w *world) {
+	withRelayFleet(t, largeFleet, promptWorkspaces(largeWorkspaces, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
 		rates := make([]float64, largeWorkspaces)
 		for i := range rates {
@@ -290,10 +290,10 @@
 			}
 		}
 		l := newPromptLoad(w, cost, rates)
-		l.run(12*time.Second, all)
+		l.run(12*time.Second, anyDaemon)
 		asked, refused := 0, 0
 		for ws := range rates {
-			most := l.mostIn(ws, 8*time.Second)
+			most := l.maxTokensIn(ws, 8*time.Second)
 			w.True(most <= tolerated)
 			if ws < floods {
 				t.Logf("flood: most in a window %.0f of %.0f", most, tolerated)
@@ -309,9 +309,9 @@
 
 // Guards against callers who are refused for long when relays end: all those of a failure
 // domain are killed, while their followers go on.
-func TestRelaysEnd(t *testing.T) {
+func TestRelaysAreKilled(t *testing.T) {
 	const perSecond, cost = 300_000.0, 17_000
-	inLargeFleet(t, 60, promptWorkspaces(10, perSecond, cost), func(w *world) {
+	withRelayFleet(t, 60, promptWorkspaces(10, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
 		rates := slices.Repeat([]float64{perSecond * 0.5}, 10)
 		var dead [60]atomic.Bool
@@ -322,7 +322,7 @@
 		}
 		l := newPromptLoad(w, cost, rates)
 		l.run(4*time.Second, func(i int) bool { return !dead[i].Load() })
-		asked, refused := l.total()
+		asked, refused := l.totals()
 		t.Logf("%d refused of %d: %v", refused, asked, l.reasons)
 		// A sixth of the daemons has no relay for less than a second and a half of four.
 		w.True(refused*6*4 <= asked*3/2)
@@ -338,16 +338,16 @@
 // daemons that refuse while three quarters more come.
 func TestManyDaemonsJoin(t *testing.T) {
 	const perSecond, cost = 300_000.0, 17_000
-	inLargeFleet(t, 40, promptWorkspaces(10, perSecond, cost), func(w *world) {
+	withRelayFleet(t, 40, promptWorkspaces(10, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
 		rates := slices.Repeat([]float64{perSecond * 0.67}, 10)
-		w.notFirst = true
+		w.servedBefore = true
 		for range 30 {
-			w.add()
+			w.addDaemon()
 		}
 		l := newPromptLoad(w, cost, rates)
 		l.run(4*time.Second, func(i int) bool { return w.daemons[i].Ready() })
-		asked, refused := l.total()
+		asked, refused := l.totals()
 		t.Logf("%d refused of %d: %v", refused, asked, l.reasons)
 		w.True(refused*100 <= asked)
 		for _, d := range w.daemons {
@@ -359,16 +359,16 @@
 
 // Guards against callers within their limit who are refused while a fleet is rolled: each
 // daemon is told to stop and starts anew, one a second, the relays first of all.
-func TestFleetIsRolled(t *testing.T) {
+func TestRollingRestartOfLargeFleet(t *testing.T) {
 	const daemons, perSecond, cost = 60, 300_000.0, 17_000
-	inLargeFleet(t, daemons, promptWorkspaces(10, perSecond, cost), func(w *world) {
+	withRelayFleet(t, daemons, promptWorkspaces(10, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
-		w.notFirst = true
-		var away [daemons]atomic.Bool
+		w.servedBefore = true
+		var restarting [daemons]atomic.Bool
 		var rolling sync.WaitGroup
 		rolling.Go(func() {
 			for i := range 30 {
-				away[i].Store(true)
+				restarting[i].Store(true)
 				w.daemons[i].Drain()
 				time.Sleep(800 * time.Millisecond)
 				w.daemons[i].kill()
@@ -376,15 +376,15 @@
 				for !d.Ready() {
 					time.Sleep(10 * time.Millisecond)
 				}
-				away[i].Store(false)
+				restarting[i].Store(false)
 				time.Sleep(200 * time.Millisecond)
 			}
 		})
 		rates := slices.Repeat([]float64{perSecond * 0.5}, 10)
 		l := newPromptLoad(w, cost, rates)
-		l.run(34*time.Second, func(i int) bool { return !away[i].Load() })
+		l.run(34*time.Second, func(i int) bool { return !restarting[i].Load() })
 		rolling.Wait()
-		asked, refused := l.total()
+		asked, refused := l.totals()
 		t.Logf("%d refused of %d: %v", refused, asked, l.reasons)
 		w.True(refused*100 <= asked)
 		time.Sleep(8 * time.Second)
@@ -396,11 +396,11 @@
 // at once and started anew.
 func TestFleetIsKilledAtOnce(t *testing.T) {
 	const daemons, perSecond, cost = 60, 300_000.0, 17_000
-	inLargeFleet(t, daemons, promptWorkspaces(10, perSecond, cost), func(w *world) {
+	withRelayFleet(t, daemons, promptWorkspaces(10, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
 		rates := slices.Repeat([]float64{perSecond * 0.5}, 10)
-		newPromptLoad(w, cost, rates).run(2*time.Second, all)
-		w.notFirst = true
+		newPromptLoad(w, cost, rates).run(2*time.Second, anyDaemon)
+		w.servedBefore = true
 		for _, d := range w.daemons {
 			d.cancel()
 		}
@@ -416,8 +416,8 @@
 		}
 		for second := range 6 {
 			l := newPromptLoad(w, cost, rates)
-			l.run(time.Second, all)
-			asked, refused := l.total()
+			l.run(time.Second, anyDaemon)
+			asked, refused := l.totals()
 			t.Logf("second %d: %d refused of %d: %v", second, refused, asked, l.reasons)
 			if second >= 3 {
 				w.True(refused*20 <= asked)
@@ -430,10 +430,10 @@
 // killed, since the few that give out quotas have to find each other first.
 func TestDirectFleetIsKilledAtOnce(t *testing.T) {
 	const daemons, workspaces, perSecond, cost = 33, 16, 100_000.0, 17_000
-	inDirectFleet(t, daemons, promptWorkspaces(workspaces, perSecond, cost), func(w *world) {
+	withDirectFleet(t, daemons, promptWorkspaces(workspaces, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
 		time.Sleep(2 * time.Second)
-		w.notFirst = true
+		w.servedBefore = true
 		for _, d := range w.daemons {
 			d.kill()
 		}
@@ -441,8 +441,8 @@
 			w.restart(i)
 		}
 		l := newPromptLoad(w, cost, slices.Repeat([]float64{perSecond * 0.5}, workspaces))
-		l.run(2*time.Second, all)
-		asked, refused := l.total()
+		l.run(2*time.Second, anyDaemon)
+		asked, refused := l.totals()
 		t.Logf("%d refused of %d: %v", refused, asked, l.reasons)
 		w.True(refused*20 <= asked)
 	})
@@ -452,7 +452,7 @@
 // other everything themselves: only some of them watch.
 func TestStoreCallsOfADirectFleetAreFew(t *testing.T) {
 	const span = 10 * time.Second
-	inDirectFleet(t, 33, config(1), func(w *world) {
+	withDirectFleet(t, 33, config(1), func(w *testFleet) {
 		w.store.ResetCalls()
 		time.Sleep(span)
 		// One in half a second by each failure domain's, and none beside.
@@ -460,16 +460,18 @@
 	})
 }
 
-// knowing counts the daemons that know the work of most of the fleet.
-func (w *world) knowing() int { return w.count(func(d *daemon) bool { return d.KnowsWork() }) }
+// daemonsKnowingWork counts the daemons that know the work of most of the fleet.
+func (w *testFleet) daemonsKnowingWork() int {
+	return w.countDaemons(func(d *daemon) bool { return d.KnowsFleetWork() })
+}
 
 // Guards against a holder of the duties that gives most runners back right after all daemons
 // have started anew, since it knows of its own callers only.
-func TestWorkOfTheFleetIsUnknownAfterAStartOfAll(t *testing.T) {
-	inLargeFleet(t, 24, config(1), func(w *world) {
+func TestFleetWorkIsUnknownAfterFullRestart(t *testing.T) {
+	withRelayFleet(t, 24, config(1), func(w *testFleet) {
 		time.Sleep(8 * time.Second)
-		w.True(w.knowing() > 0)
-		w.notFirst = true
+		w.True(w.daemonsKnowingWork() > 0)
+		w.servedBefore = true
 		for _, d := range w.daemons {
 			d.kill()
 		}
@@ -479,10 +481,10 @@
 		// Until its first look at the others a daemon is alone; nobody holds the duties then.
 		time.Sleep(500 * time.Millisecond)
 		for range 35 {
-			w.Equal(w.knowing(), 0)
+			w.Equal(w.daemonsKnowingWork(), 0)
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(8 * time.Second)
-		w.True(w.knowing() > 0)
+		w.True(w.daemonsKnowingWork() > 0)
 	})
 }
--- a/daemon/edge/request_test.go
+++ b/daemon/edge/request_test.go
@@ -28,7 +28,7 @@
 // A runner takes a pledge and its connection breaks. The caller must not be told
 // that it was not run, and no other runner may get it. A lookup goes to another.
 func TestBrokenAttempt(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
 		r1.script, r2.script = broken, broken
 		time.Sleep(100 * time.Millisecond)
@@ -45,7 +45,7 @@
 // All runners say that they did not run the request. It may be sent on, and its
 // caller may be told so with a time to come back.
 func TestRunnersThatDidNotRun(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
 		r1.script, r2.script = notRun, notRun
 		time.Sleep(100 * time.Millisecond)
@@ -62,7 +62,7 @@
 // A runner never answers. The caller gets the final answer when the route's time
 // is over, without a promise; one that could not be sent at all gets it at once.
 func TestRouteTimeout(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		a := w.ask(w.daemons[0], "/read/1", key)
 		w.Equal(a.reason(), refusal.NoRunner)
 		w.Equal(a.refusal.Executed, refusal.ExecutedNo)
@@ -83,7 +83,7 @@
 // The runner is told what is left of the shorter of both bounds, also on the
 // second attempt.
 func TestTimeLeftForRunner(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
 		slow := func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error) {
 			time.Sleep(200 * time.Millisecond)
@@ -112,7 +112,7 @@
 // A runner dies in the middle of an event. A stream that may be resumed goes on at
 // another runner, each event once; one that may not ends without looking whole.
 func TestStreamThatBreaksOff(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		dying := func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
 			if a.LastEventID == "" {
 				return events(eventText(1, 3)+"id: 4\nda", errors.New("reset")), nil
@@ -124,12 +124,12 @@
 		r1.script, r2.script = dying, dying
 		time.Sleep(100 * time.Millisecond)
 		a := w.ask(w.daemons[0], "/draft/1", key)
-		w.True(a.whole)
+		w.True(a.finished)
 		w.Equal(a.body.String(), eventText(1, 6))
 		w.Equal(r1.count(), 1)
 		w.Equal(r2.count(), 1)
 		a = w.ask(w.daemons[0], "/match/1", key)
-		w.True(a.aborted && !a.whole)
+		w.True(a.aborted && !a.finished)
 		w.Equal(a.body.String(), eventText(1, 3))
 		w.Equal(r1.count()+r2.count(), 3)
 	})
@@ -139,7 +139,7 @@
 // stream. That body was appended to the events and passed off as the end of a whole answer.
 func TestStreamIsNotEndedByAnotherKindOfAnswer(t *testing.T) {
 	for _, status := range []int{http.StatusOK, http.StatusBadRequest, http.StatusInternalServerError} {
-		inWorld(t, 1, config(1), func(w *world) {
+		withFleet(t, 1, config(1), func(w *testFleet) {
 			script := func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
 				if a.LastEventID == "" {
 					return events(eventText(1, 3), errors.New("reset")), nil
@@ -150,7 +150,7 @@
 			w.addRunner("r2", "app").script = script
 			time.Sleep(100 * time.Millisecond)
 			a := w.ask(w.daemons[0], "/draft/1", key)
-			w.True(a.aborted && !a.whole)
+			w.True(a.aborted && !a.finished)
 			w.Equal(a.body.String(), eventText(1, 3))
 		})
 	}
@@ -159,11 +159,11 @@
 // A runner announces that it leaves, another's entry just goes. Neither gets a new
 // request, at any daemon.
 func TestLeavingRunnersGetNothingNew(t *testing.T) {
-	inWorld(t, 3, config(1), func(w *world) {
+	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		r2, r3 := w.addRunner("r2", "app"), w.addRunner("r3", "app")
 		time.Sleep(200 * time.Millisecond)
-		w.leaving("r2", "app")
+		w.markLeaving("r2", "app")
 		entry, err := w.store.Get(context.Background(), runnerPrefix+"r3")
 		w.NoErr(err)
 		w.NoErr(w.store.Delete(context.Background(), runnerPrefix+"r3", entry.Revision))
@@ -181,16 +181,16 @@
 // The service is away and the runners' entries lapse with it. Once it is back they
 // are missing for a moment: to take them for gone would refuse everybody.
 func TestEntriesThatLapsedWithTheService(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(100 * time.Millisecond)
 		d := w.daemons[0]
-		d.store.set(true, false)
+		d.store.setFaults(true, false)
 		time.Sleep(2500 * time.Millisecond)
 		entry, err := w.store.Get(context.Background(), runnerPrefix+"r1")
 		w.NoErr(err)
 		w.NoErr(w.store.Delete(context.Background(), runnerPrefix+"r1", entry.Revision))
-		d.store.set(false, false)
+		d.store.setFaults(false, false)
 		time.Sleep(1200 * time.Millisecond)
 		w.Equal(w.ask(d, "/read/1", key).status, 200)
 		time.Sleep(3 * time.Second)
@@ -201,17 +201,17 @@
 // All daemons lose power while the service is down and start again before it is
 // back. They can't know anything, say so truthfully, and serve once it is there.
 func TestColdStartWithoutService(t *testing.T) {
-	inWorld(t, 0, config(1), func(w *world) {
+	withFleet(t, 0, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
-		w.storeCut = true
-		d := w.add()
+		w.storeUnavailable = true
+		d := w.addDaemon()
 		time.Sleep(2 * time.Second)
 		a := w.ask(d, "/read/1", key)
 		w.Equal(a.reason(), refusal.NotReady)
 		w.Equal(a.refusal.Executed, refusal.ExecutedNo)
 		w.True(!d.Ready())
 		w.Equal(len(d.Directory("north")), 0)
-		d.store.set(false, false)
+		d.store.setFaults(false, false)
 		time.Sleep(1500 * time.Millisecond)
 		w.True(d.Ready())
 		w.Equal(w.ask(d, "/read/1", key).status, 200)
@@ -221,7 +221,7 @@
 // A daemon is told to stop. Callers are sent elsewhere at once; for a while it
 // still serves what comes on connections that are kept, then it refuses.
 func TestDrainOfDaemon(t *testing.T) {
-	inWorld(t, 2, config(1), func(w *world) {
+	withFleet(t, 2, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(200 * time.Millisecond)
 		first, second := w.daemons[0], w.daemons[1]
@@ -242,7 +242,7 @@
 func TestQuotaOverDaemons(t *testing.T) {
 	c := config(1)
 	c.Workspaces[0].Quota = route.Quota{PerSecond: 10, Burst: 20}
-	inWorld(t, 4, c, func(w *world) {
+	withFleet(t, 4, c, func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(time.Second)
 		served := 0
@@ -266,7 +266,7 @@
 // Every runner fails every request. Second sends stay within the budget that the
 // daemons share.
 func TestRetryBudgetOverDaemons(t *testing.T) {
-	inWorld(t, 2, config(1), func(w *world) {
+	withFleet(t, 2, config(1), func(w *testFleet) {
 		var all []*runner
 		for i := range 4 {
 			r := w.addRunner(fmt.Sprintf("r%d", i), "app")
@@ -291,7 +291,7 @@
 
 // A caller leaves while its request runs.
 func TestCallerLeavesWhileItRuns(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		r := w.addRunner("r1", "app")
 		ended := false
 		r.script = func(ctx context.Context, _ *edge.Attempt) (*edge.Answer, error) {
@@ -315,7 +315,7 @@
 	c := config(1)
 	c.Services = append(c.Services, route.Service{Name: "next"}, route.Service{Name: "other"})
 	c.Routes[0].Targets = []route.Target{{Service: "app", Weight: 90}, {Service: "next", Weight: 10}}
-	inWorld(t, 1, c, func(w *world) {
+	withFleet(t, 1, c, func(w *testFleet) {
 		r1, r2, r3 := w.addRunner("r1", "app"), w.addRunner("r2", "next"), w.addRunner("r3", "other")
 		time.Sleep(100 * time.Millisecond)
 		for range 300 {
@@ -331,7 +331,7 @@
 // entry is there for seconds. What may be repeated goes on elsewhere within little
 // more than a second; what may not waits, since it may have run.
 func TestRunnerGoesDark(t *testing.T) {
-	inWorld(t, 1, config(1), func(w *world) {
+	withFleet(t, 1, config(1), func(w *testFleet) {
 		dark := w.addRunner("r1", "app")
 		hang := func(ctx context.Context, _ *edge.Attempt) (*edge.Answer, error) {
 			<-ctx.Done()
@@ -340,7 +340,7 @@
 		dark.script = hang
 		time.Sleep(100 * time.Millisecond)
 		w.runners.dark("r1", true)
-		stream, pledge := make(chan *answer, 1), make(chan *answer, 1)
+		stream, pledge := make(chan *recordedReply, 1), make(chan *recordedReply, 1)
 		begun := time.Now()
 		go func() { stream <- w.ask(w.daemons[0], "/draft/1", key) }()
 		go func() { pledge <- w.ask(w.daemons[0], "/pledge/1", key) }()
@@ -350,7 +350,7 @@
 			return events(eventText(1, 3), io.EOF), nil
 		})
 		a := <-stream
-		w.True(a.whole)
+		w.True(a.finished)
 		w.Equal(a.body.String(), eventText(1, 3))
 		w.True(time.Since(begun) < 1500*time.Millisecond)
 		p := <-pledge
--- a/daemon/edge/restarts_test.go
+++ b/daemon/edge/restarts_test.go
@@ -10,13 +10,13 @@
 	peersv1 "geraniumstack.org/geraniumstack/gen/geranium/peers/v1"
 )
 
-// restartInTurn kills the first daemons one after the other and starts them anew, while all are
+// restartOneByOne kills the first daemons one after the other and starts them anew, while all are
 // asked.
-func (w *world) restartInTurn(daemons, workspaces int) {
-	w.notFirst = true
+func (w *testFleet) restartOneByOne(daemons, workspaces int) {
+	w.servedBefore = true
 	for i := range daemons {
 		for _, d := range w.daemons {
-			w.askAll(d, workspaces)
+			w.askEachWorkspace(d, workspaces)
 		}
 		time.Sleep(500 * time.Millisecond)
 		w.daemons[i].kill()
@@ -34,15 +34,15 @@
 		workspaces = 16
 		mostBytes  = 4500
 	)
-	inFleet(t, daemons, 0, manyWorkspaces(workspaces), func(w *world) {
+	withSettledFleet(t, daemons, 0, manyWorkspaces(workspaces), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(time.Second)
-		w.restartInTurn(restarted, workspaces)
+		w.restartOneByOne(restarted, workspaces)
 		time.Sleep(20 * time.Second)
 		t.Logf("largest message: %d bytes", w.network.largest())
 		w.True(w.network.largest() <= mostBytes)
 		w.checkReports()
-		w.Equal(w.reported(), int64(restarted*daemons*workspaces))
+		w.Equal(w.totalReported(), int64(restarted*daemons*workspaces))
 	})
 }
 
@@ -52,22 +52,22 @@
 	const daemons, workspaces = 12, 2
 	for name, direct := range map[string]int{"relays": relays.SmallFleet, "direct": relays.DirectFleet} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, daemons, direct, manyWorkspaces(workspaces), func(w *world) {
+			withSettledFleet(t, daemons, direct, manyWorkspaces(workspaces), func(w *testFleet) {
 				w.addRunner("r1", "app")
 				time.Sleep(time.Second)
 				most := 0
-				w.network.watch(func(message []byte) { most = max(most, endedIn(message)) })
-				w.restartInTurn(daemons, workspaces)
+				w.network.observe(func(message []byte) { most = max(most, endedDaemonsIn(message)) })
+				w.restartOneByOne(daemons, workspaces)
 				time.Sleep(3 * time.Second)
-				w.network.watch(nil)
+				w.network.observe(nil)
 				w.Equal(most, 1)
 			})
 		})
 	}
 }
 
-// endedIn counts the daemons of a message that it tells the counts of without hearing them.
-func endedIn(message []byte) int {
+// endedDaemonsIn counts the daemons of a message that it tells the counts of without hearing them.
+func endedDaemonsIn(message []byte) int {
 	var d peersv1.Datagram
 	if err := proto.Unmarshal(message, &d); err != nil {
 		return 0
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -18,37 +18,37 @@
 // Who the other daemons are to this one: relays, followers and followed.
 
 const (
-	// rosterTurns is between two rosters while nothing changes, each in rosterSpan turns
+	// rosterIntervalRounds is between two rosters while nothing changes, each in rosterSpan turns
 	// so that relays and followers get one; a changed one is told rosterAgain times, since
 	// messages get lost.
-	rosterTurns = standbyTurns
-	rosterSpan  = followTurns
-	rosterAgain = 6
-	// farRows is how many daemons of other failure domains a follower is told of, by
+	rosterIntervalRounds = standbyRounds
+	rosterBurstRounds    = followerRounds
+	rosterRepeats        = 6
+	// remoteRosterRows is how many daemons of other failure domains a follower is told of, by
 	// turns: callers whose own failure domain is lost must be sent somewhere.
-	farRows = 8
-	// relayRows is how many relays the others are told of in a message, by turns: rosters
+	remoteRosterRows = 8
+	// maxIntroducedRelays is how many relays the others are told of in a message, by turns: rosters
 	// hold followers only, and two relays that have never heard each other would not know
 	// that there is one more to share quotas with.
-	relayRows = 4
+	maxIntroducedRelays = 4
 	// demotionRepeats is how often a daemon that is no relay any more tells those that were
 	// the other relays: until they know, they wait for its word on quotas.
 	demotionRepeats = 4
-	// firstStartFor is how long after the very first start of the fleet nothing can have
+	// firstStartPeriod is how long after the very first start of the fleet nothing can have
 	// been taken of any quota.
-	firstStartFor = 5 * time.Second
+	firstStartPeriod = 5 * time.Second
 )
 
 // follower is a daemon that follows this one.
 type follower struct {
-	address string
-	heard   time.Duration
+	address   string
+	lastHeard time.Duration
 	// primary says that its work is counted here.
 	primary bool
-	// included is its message whose loads are in the sums.
-	included uint64
-	// feedAt is the revision up to which it knows the key-value service.
-	feedAt uint64
+	// includedSeq is its message whose loads are in the sums.
+	includedSeq uint64
+	// feedRevision is the revision up to which it knows the key-value service.
+	feedRevision uint64
 }
 
 // tickPeers moves what rests on the other daemons on.
@@ -57,19 +57,19 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, id := range e.peers.Tick(now) {
-		e.forget(id, "silent")
+		e.removePeer(id, "silent")
 	}
-	e.elect(now)
+	e.electRelays(now)
 	e.told.noteComplete(now, len(e.plan.Others))
-	e.limiter.Expect(now, e.expected(now))
-	e.limiter.Isolate(e.isolated(now))
+	e.limiter.Expect(now, e.quotaSharers(now))
+	e.limiter.Isolate(e.isolatedQuotaParts(now))
 	e.limiter.Tick(now)
 	e.book.Tick(e.wall.At(now))
 	e.refreshPhase(now)
 }
 
-// elect finds the relays anew; called with mu held.
-func (e *Edge) elect(now time.Duration) {
+// electRelays finds the relays anew; called with mu held.
+func (e *Edge) electRelays(now time.Duration) {
 	alive := peers.AliveFor
 	if !e.plan.Direct {
 		alive = peers.RelayedAliveFor
@@ -77,20 +77,20 @@
 	e.peers.SetAliveFor(alive)
 	e.alive = e.peers.Alive(now)
 	v := relays.View{Self: e.peers.Self(), Alive: e.alive, Fleet: e.peers.Size(), Domains: e.peers.Domains(now), DirectFleet: e.set.Policy.DirectFleet()}
-	before := e.plan
+	previous := e.plan
 	e.plan = relays.Make(v)
 	e.direct.Store(e.plan.Direct)
 	e.allWatch.Store(e.plan.AllWatch)
 	e.relaying.Store(e.plan.Relay)
 	switch {
-	case e.plan.Relay && !before.Relay:
-		e.renewLimiter(now)
-	case before.Relay && !e.plan.Relay, before.Direct && !e.plan.Direct:
-		e.formerRelays, e.demotionsLeft = before.Others, demotionRepeats
+	case e.plan.Relay && !previous.Relay:
+		e.resetLimiter(now)
+	case previous.Relay && !e.plan.Relay, previous.Direct && !e.plan.Direct:
+		e.formerRelays, e.demotionsLeft = previous.Others, demotionRepeats
 	}
-	moved := !slices.Equal(e.plan.Own, before.Own)
-	e.followsAnew = e.followsAnew || moved
-	if e.plan.Relay != before.Relay || moved {
+	relaysChanged := !slices.Equal(e.plan.Own, previous.Own)
+	e.followsAnew = e.followsAnew || relaysChanged
+	if e.plan.Relay != previous.Relay || relaysChanged {
 		var own []ident.Incarnation
 		for _, r := range e.plan.Own {
 			own = append(own, r.Incarnation)
@@ -99,10 +99,10 @@
 	}
 }
 
-// renewLimiter begins to share out quotas. What was known when this daemon did so last
+// resetLimiter begins to share out quotas. What was known when this daemon did so last
 // is out of date.
-func (e *Edge) renewLimiter(now time.Duration) {
-	first := e.set.FirstStart && now-e.began < firstStartFor
+func (e *Edge) resetLimiter(now time.Duration) {
+	first := e.set.FirstStart && now-e.began < firstStartPeriod
 	e.standing.Begin(now)
 	e.limiter = quota.New(now, e.set.Bounds.QuotaWindow, e.set.Bounds.QuotaTolerance, first)
 	if t := e.table.Load(); t != nil {
@@ -110,31 +110,31 @@
 	}
 }
 
-// expected is how many daemons may share out quotas beside this one, itself included.
-func (e *Edge) expected(now time.Duration) int {
+// quotaSharers is how many daemons may share out quotas beside this one, itself included.
+func (e *Edge) quotaSharers(now time.Duration) int {
 	if e.plan.Direct {
 		return 1 + len(e.peers.Addresses())
 	}
 	return 1 + len(e.plan.Others)
 }
 
-// isolated is into how many parts quotas are to be divided where no other relay is
-// heard: this one's is that of its followers. Zero is not isolated. In a small fleet the
+// isolatedQuotaParts is into how many parts quotas are to be divided where no other relay is
+// heard: this one's is that of its followers. Zero is not isolatedQuotaParts. In a small fleet the
 // limiter knows each daemon itself.
-func (e *Edge) isolated(now time.Duration) int {
+func (e *Edge) isolatedQuotaParts(now time.Duration) int {
 	if e.plan.Direct {
 		return 0
 	}
 	if e.hearsRelay(now) {
 		return 0
 	}
-	stands := 1
+	represented := 1
 	for _, f := range e.followers {
 		if f.primary {
-			stands++
+			represented++
 		}
 	}
-	return (e.peers.Size() + stands - 1) / stands
+	return (e.peers.Size() + represented - 1) / represented
 }
 
 // hearsAny tells whether any of some daemons is heard directly; called with mu held.
@@ -146,17 +146,17 @@
 func (e *Edge) hearsRelay(now time.Duration) bool { return e.hearsAny(now, e.plan.Others) }
 
 // elects tells whether this daemon takes another one for a relay; called with mu held.
-func (e *Edge) elects(id ident.Incarnation) bool { return contain(e.plan.Others, id) }
+func (e *Edge) elects(id ident.Incarnation) bool { return containsMember(e.plan.Others, id) }
 
-func contain(members []peers.Member, id ident.Incarnation) bool {
+func containsMember(members []peers.Member, id ident.Incarnation) bool {
 	return slices.ContainsFunc(members, func(m peers.Member) bool { return m.Incarnation == id })
 }
 
-// heardRelay takes in that a daemon takes itself for a relay, and whether it takes this
+// handleRelayClaim takes in that a daemon takes itself for a relay, and whether it takes this
 // one for one. Whoever is mistaken of itself is told who the relays are. The daemons of a
 // small fleet, in which nobody is mistaken, take each other for relays in good time before it
 // grows. Called with mu held.
-func (e *Edge) heardRelay(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
+func (e *Edge) handleRelayClaim(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if !h.Relay || !e.plan.Relay {
 		return
 	}
@@ -170,9 +170,9 @@
 	}
 }
 
-// forget drops a daemon that has ended; its counts of usage stay. Called with mu
+// removePeer drops a daemon that has ended; its counts of usage stay. Called with mu
 // held.
-func (e *Edge) forget(id ident.Incarnation, why string) {
+func (e *Edge) removePeer(id ident.Incarnation, why string) {
 	e.limiter.Gone(id)
 	e.wall.Gone(id)
 	delete(e.stamps, id)
@@ -183,8 +183,8 @@
 	e.log.Note("daemon_gone", decisions.F("incarnation", id), decisions.F("reason", why))
 }
 
-// noteFollower takes in whether a daemon follows this one; called with mu held.
-func (e *Edge) noteFollower(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
+// updateFollower takes in whether a daemon follows this one; called with mu held.
+func (e *Edge) updateFollower(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if h.Joining {
 		e.joining[id] = h.PeerAddress
 	}
@@ -196,9 +196,9 @@
 		}
 		return
 	}
-	f := follower{address: h.PeerAddress, heard: now, primary: h.Primary, feedAt: h.FeedAt}
+	f := follower{address: h.PeerAddress, lastHeard: now, primary: h.Primary, feedRevision: h.FeedAt}
 	if h.Primary {
-		f.included = h.Seq
+		f.includedSeq = h.Seq
 	}
 	e.followers[id] = f
 }
@@ -211,18 +211,18 @@
 
 // rosterDue tells whether rosters are told in a turn; called with mu held.
 func (e *Edge) rosterDue(turn uint64) bool {
-	if v := rosterVersion(e.alive); v != e.rosterVersion {
-		e.rosterVersion, e.rosterLeft = v, rosterAgain
+	if v := rosterDigest(e.alive); v != e.rosterVersion {
+		e.rosterVersion, e.rosterLeft = v, rosterRepeats
 	}
 	if e.rosterLeft > 0 {
 		e.rosterLeft--
 		return true
 	}
-	return turn%rosterTurns < rosterSpan
+	return turn%rosterIntervalRounds < rosterBurstRounds
 }
 
-// rosterVersion differs between two sets of daemons, or phases of theirs.
-func rosterVersion(members []peers.Member) uint64 {
+// rosterDigest differs between two sets of daemons, or phases of theirs.
+func rosterDigest(members []peers.Member) uint64 {
 	d := xxhash.New()
 	for _, m := range members {
 		// A digest takes all that is written.
@@ -238,36 +238,36 @@
 	for id := range e.followers {
 		ids = append(ids, id)
 	}
-	r := e.roster(ids)
+	r := e.buildRoster(ids)
 	r.Followers = true
 	return r
 }
 
 // domainRoster is all daemons of this failure domain and some others; called with mu held.
 func (e *Edge) domainRoster(now time.Duration) *peersv1.Roster {
-	var near, far []ident.Incarnation
+	var local, remote []ident.Incarnation
 	for _, m := range e.peers.Vouched(now) {
 		if m.FailureDomain == e.set.FailureDomain {
-			near = append(near, m.Incarnation)
+			local = append(local, m.Incarnation)
 		} else if m.Phase == peers.Ready {
-			far = append(far, m.Incarnation)
+			remote = append(remote, m.Incarnation)
 		}
 	}
-	for i := range uint64(min(farRows, len(far))) {
-		near = append(near, far[(e.seq*farRows+i)%uint64(len(far))])
+	for i := range uint64(min(remoteRosterRows, len(remote))) {
+		local = append(local, remote[(e.seq*remoteRosterRows+i)%uint64(len(remote))])
 	}
-	return e.roster(near)
+	return e.buildRoster(local)
 }
 
-func (e *Edge) roster(ids []ident.Incarnation) *peersv1.Roster {
-	return &peersv1.Roster{Rows: e.rows(ids), Fleet: uint32(e.peers.Known()), Domains: uint32(e.plan.Domains)}
+func (e *Edge) buildRoster(ids []ident.Incarnation) *peersv1.Roster {
+	return &peersv1.Roster{Rows: e.rosterRows(ids), Fleet: uint32(e.peers.Known()), Domains: uint32(e.plan.Domains)}
 }
 
-// rows are what daemons told of themselves last; called with mu held.
-func (e *Edge) rows(ids []ident.Incarnation) []*peersv1.Row {
+// rosterRows are what daemons told of themselves last; called with mu held.
+func (e *Edge) rosterRows(ids []ident.Incarnation) []*peersv1.Row {
 	var rows []*peersv1.Row
 	for _, row := range e.peers.Rows(ids) {
-		rows = append(rows, tellRow(row))
+		rows = append(rows, encodeRow(row))
 	}
 	return rows
 }
@@ -285,12 +285,12 @@
 			ids = append(ids, m.Incarnation)
 		}
 	}
-	return e.rows(ids)
+	return e.rosterRows(ids)
 }
 
-// firstByName returns the first few in the order of names, in which daemons stand for
+// firstByID returns the first few in the order of names, in which daemons stand for
 // the duties.
-func firstByName(members []peers.Member, n int) []peers.Member {
+func firstByID(members []peers.Member, n int) []peers.Member {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b peers.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return members[:min(n, len(members))]
--- a/daemon/edge/watch.go
+++ b/daemon/edge/runner_health.go
@@ -9,13 +9,13 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// healthEvery is the least time between two looks at the runners.
-const healthEvery = 200 * time.Millisecond
+// healthInterval is the least time between two looks at the runners.
+const healthInterval = 200 * time.Millisecond
 
 // healthDue tells whether it is time to look at the runners.
 func (e *Edge) healthDue() bool {
 	now := e.deps.Steady()
-	if now-e.healthAt < healthEvery {
+	if now-e.healthAt < healthInterval {
 		return false
 	}
 	e.healthAt = now
@@ -32,7 +32,7 @@
 		p.share(e.set.Bounds, size)
 		p.tick(time.Now())
 		if e.set.Policy.Uses(ProbeSilent) {
-			p.watchSilence(time.Now())
+			p.probeSilentRunners(time.Now())
 		}
 		if p.scales() {
 			p.measureDemand(e.deps.Steady())
@@ -60,17 +60,17 @@
 	p.mu.Lock()
 	effects := p.tracker.Observe(time.Now(), id, o, nil)
 	p.mu.Unlock()
-	p.perform(effects)
+	p.applyHealthEffects(effects)
 }
 
 func (p *pool) tick(now time.Time) {
 	p.mu.Lock()
 	effects := p.tracker.Tick(now, nil)
 	p.mu.Unlock()
-	p.perform(effects)
+	p.applyHealthEffects(effects)
 }
 
-func (p *pool) perform(effects []health.Effect) {
+func (p *pool) applyHealthEffects(effects []health.Effect) {
 	for _, f := range effects {
 		switch f.Kind {
 		case health.Eject, health.Readmit:
@@ -79,12 +79,12 @@
 			p.mu.Unlock()
 			p.edge.log.Note("runner_"+decisions.Event(f.Kind), decisions.F("runner", f.Runner), decisions.F("service", p.name))
 		case health.Probe:
-			go p.probe(f.Runner)
+			go p.probeRunner(f.Runner)
 		}
 	}
 }
 
-func (p *pool) probe(id ident.RunnerID) {
+func (p *pool) probeRunner(id ident.RunnerID) {
 	p.mu.Lock()
 	r, ok := p.runners[id]
 	path := p.service.HealthPath
@@ -96,8 +96,8 @@
 	effects := p.tracker.Probed(time.Now(), id, healthy, nil)
 	p.mu.Unlock()
 	if !healthy {
-		p.abandon(id)
+		p.abandonAttempts(id)
 	}
 	p.edge.log.Note("runner_probed", decisions.F("runner", id), decisions.F("healthy", healthy))
-	p.perform(effects)
+	p.applyHealthEffects(effects)
 }
--- a/daemon/edge/series_test.go
+++ b/daemon/edge/serial_failures_test.go
@@ -6,60 +6,60 @@
 	"time"
 )
 
-// inSeriesOfEnds plays a fleet of twelve whose four relays end one after the other while all
+// withSerialFailures plays a fleet of twelve whose four relays end one after the other while all
 // are asked, at as many offsets to the windows of usage. spareHolder
 // leaves the second holder of the duties: a window is lost whole when several end before one
 // can report it. look is called every loadStep, after at the end with the number of requests
 // that were served.
-func inSeriesOfEnds(t *testing.T, offsets int, spareHolder bool, look func(w *world), after func(w *world, served int64)) {
+func withSerialFailures(t *testing.T, offsets int, keepSecondHolder bool, check func(w *testFleet), after func(w *testFleet, served int64)) {
 	const (
 		daemons, workspaces = 12, 2
 		spacing             = 1600 * time.Millisecond
-		rest                = 20 * time.Second
+		settle              = 20 * time.Second
 		first               = 0
 	)
 	for offset := range offsets {
-		inWorld(t, daemons, manyWorkspaces(workspaces), func(w *world) {
+		withFleet(t, daemons, manyWorkspaces(workspaces), func(w *testFleet) {
 			w.addRunner("r1", "app")
 			time.Sleep(4*time.Second + time.Duration(offset)*250*time.Millisecond)
 			served := int64(0)
 			for _, i := range []int{first, 9, 10, 11} {
 				for _, d := range w.daemons {
 					for i := range workspaces {
-						if !d.ended() && w.ask(d, "/read/", fmt.Sprintf("key-%d", i)).status == 200 {
+						if !d.stopped() && w.ask(d, "/read/", fmt.Sprintf("key-%d", i)).status == 200 {
 							served++
 						}
 					}
 				}
-				w.lookFor(spacing, look)
-				if !spareHolder || i == first || w.anotherHolds(i) {
+				w.checkFor(spacing, check)
+				if !keepSecondHolder || i == first || w.anotherDaemonHoldsDuties(i) {
 					w.daemons[i].kill()
 				}
 			}
-			w.lookFor(rest, look)
+			w.checkFor(settle, check)
 			after(w, served)
 		})
 	}
 }
 
-// anotherHolds tells whether a daemon other than one holds the duties.
-func (w *world) anotherHolds(i int) bool {
+// anotherDaemonHoldsDuties tells whether a daemon other than one holds the duties.
+func (w *testFleet) anotherDaemonHoldsDuties(i int) bool {
 	for j, d := range w.daemons {
-		if j != i && !d.ended() && d.Holds() {
+		if j != i && !d.stopped() && d.HoldsDuties() {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) lookFor(span time.Duration, look func(w *world)) {
+func (w *testFleet) checkFor(span time.Duration, check func(w *testFleet)) {
 	for range int(span / loadStep) {
-		look(w)
+		check(w)
 		time.Sleep(loadStep)
 	}
 }
 
-func (d *daemon) ended() bool {
+func (d *daemon) stopped() bool {
 	select {
 	case <-d.done:
 		return true
@@ -73,14 +73,14 @@
 func TestFollowerHoldsNoDuties(t *testing.T) {
 	const offsets, atMost = 20, time.Second
 	held := time.Duration(0)
-	look := func(w *world) {
+	check := func(w *testFleet) {
 		for _, d := range w.daemons {
-			if !d.ended() && d.Holds() && !d.IsRelay() {
+			if !d.stopped() && d.HoldsDuties() && !d.IsRelay() {
 				held += loadStep
 			}
 		}
 	}
-	inSeriesOfEnds(t, offsets, false, look, func(w *world, _ int64) {
+	withSerialFailures(t, offsets, false, check, func(w *testFleet, _ int64) {
 		w.True(held <= atMost)
 		held = 0
 	})
@@ -90,7 +90,7 @@
 // just become one reports before the followers of those that ended are told to it.
 func TestCountsOutliveRelaysThatEndInSeries(t *testing.T) {
 	const offsets = 20
-	inSeriesOfEnds(t, offsets, true, func(*world) {}, func(w *world, served int64) {
-		w.Equal(w.reported(), served)
+	withSerialFailures(t, offsets, true, func(*testFleet) {}, func(w *testFleet, served int64) {
+		w.Equal(w.totalReported(), served)
 	})
 }
--- a/daemon/edge/silence.go
+++ b/daemon/edge/silent_runners.go
@@ -20,23 +20,23 @@
 	// between the tokens of others, so only a runner that reads a single long
 	// prompt is silent for as long; it costs one probe.
 	silentAfter = 500 * time.Millisecond
-	// askSpacing is the time between two probes of a runner for its silence.
-	askSpacing = 2 * time.Second
+	// silenceProbeInterval is the time between two probes of a runner for its silence.
+	silenceProbeInterval = 2 * time.Second
 )
 
 // activity is what this daemon has heard of one runner and waits for from it.
 type activity struct {
-	// heard is the Unix time in nanoseconds of the last byte.
-	heard atomic.Int64
+	// lastHeard is the Unix time in nanoseconds of the last byte.
+	lastHeard atomic.Int64
 	// attempts are in progress; guarded by the pool's lock.
-	attempts map[*attempt]bool
-	asked    time.Time
+	attempts  map[*attempt]bool
+	lastProbe time.Time
 }
 
-func (a *activity) note(now time.Time) { a.heard.Store(now.UnixNano()) }
+func (a *activity) recordHeard(now time.Time) { a.lastHeard.Store(now.UnixNano()) }
 
-// begin counts an attempt as in progress.
-func (p *pool) begin(a *attempt) {
+// beginAttempt counts an attempt as in progress.
+func (p *pool) beginAttempt(a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	act, ok := p.active[a.choice.Runner]
@@ -48,8 +48,8 @@
 	a.activity = act
 }
 
-// end counts it out.
-func (p *pool) end(a *attempt) {
+// endAttempt counts it out.
+func (p *pool) endAttempt(a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(a.activity.attempts, a)
@@ -58,40 +58,40 @@
 	}
 }
 
-// silent lists the runners that should be asked whether they are there. Called
+// silentRunners lists the runners that should be asked whether they are there. Called
 // with the pool's lock held.
-func (p *pool) silent(now time.Time) []ident.RunnerID {
+func (p *pool) silentRunners(now time.Time) []ident.RunnerID {
 	var silent []ident.RunnerID
 	for id, act := range p.active {
-		since := time.Unix(0, act.heard.Load())
+		since := time.Unix(0, act.lastHeard.Load())
 		for a := range act.attempts {
 			// What the runner was expected to need is no silence.
 			if due := a.sent.Add(a.choice.Estimate); since.Before(due) {
 				since = due
 			}
 		}
-		if now.Sub(since) < silentAfter || now.Sub(act.asked) < askSpacing {
+		if now.Sub(since) < silentAfter || now.Sub(act.lastProbe) < silenceProbeInterval {
 			continue
 		}
-		act.asked = now
+		act.lastProbe = now
 		silent = append(silent, id)
 	}
 	return silent
 }
 
-// watchSilence asks the silent runners.
-func (p *pool) watchSilence(now time.Time) {
+// probeSilentRunners asks the silent runners.
+func (p *pool) probeSilentRunners(now time.Time) {
 	p.mu.Lock()
-	silent := p.silent(now)
+	silent := p.silentRunners(now)
 	p.mu.Unlock()
 	for _, id := range silent {
 		p.observe(id, health.SilentConnection)
 	}
 }
 
-// abandon gives up the attempts at a runner that is not there, as far as their
+// abandonAttempts gives up the attempts at a runner that is not there, as far as their
 // requests may be repeated. The others may have run; only the runner can tell.
-func (p *pool) abandon(id ident.RunnerID) {
+func (p *pool) abandonAttempts(id ident.RunnerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	act, ok := p.active[id]
--- a/daemon/edge/stop_test.go
+++ b/daemon/edge/stop_test.go
@@ -54,7 +54,7 @@
 		e := edge.New(edge.Settings{ID: "d1", PeerAddress: "10.0.0.1:7600", FirstStart: true, Bounds: edge.Bounds{
 			RevokeWithin: 5 * time.Second, QuotaWindow: 8 * time.Second, LeaseTTL: 3 * time.Second, UsageWindow: 5 * time.Second, UsageDue: 10 * time.Second,
 		}}, edge.Deps{
-			Store: &faultyStore{Store: kvserver.New()}, Codec: codec{}, Runners: newRunners(),
+			Store: &faultyStore{Store: kvserver.New()}, Codec: jsonCodec{}, Runners: newRunners(),
 			Datagrams: socket, Steady: func() time.Duration { return time.Since(start) }, Log: decisions.New(metrics.NewRegistry()),
 		})
 		done := make(chan error)
--- a/daemon/edge/stream.go
+++ b/daemon/edge/stream.go
@@ -76,7 +76,7 @@
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
-			a.activity.note(time.Now())
+			a.activity.recordHeard(time.Now())
 		}
 		if n > 0 && first {
 			first = false
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -32,7 +32,7 @@
 
 // trialWorld plays an operator's order while callers ask all daemons.
 type trialWorld struct {
-	*world
+	*testFleet
 	// luck draws the load, answers the new version's answers.
 	luck, answers *rand.Rand
 	// fails and slower say how the new version answers a path now.
@@ -54,9 +54,9 @@
 	down                    map[int]bool
 }
 
-func newTrial(w *world) *trialWorld {
+func newTrial(w *testFleet) *trialWorld {
 	tw := &trialWorld{
-		world: w, luck: rand.New(rand.NewPCG(1, 0)), answers: rand.New(rand.NewPCG(1, 1)),
+		testFleet: w, luck: rand.New(rand.NewPCG(1, 0)), answers: rand.New(rand.NewPCG(1, 1)),
 		fails: func(string) float64 { return 0 }, slower: func(string) float64 { return 1 },
 		reasons: map[refusal.Reason]int{}, down: map[int]bool{},
 	}
@@ -172,14 +172,14 @@
 	asking.Wait()
 }
 
-func (tw *trialWorld) got(a *answer) {
+func (tw *trialWorld) got(a *recordedReply) {
 	tw.mu.Lock()
 	defer tw.mu.Unlock()
 	switch {
 	case a.refusal != nil:
 		tw.refused++
 		tw.reasons[a.refusal.Reason]++
-	case a.status != http.StatusOK || !a.whole:
+	case a.status != http.StatusOK || !a.finished:
 		tw.failed++
 	default:
 		tw.served++
@@ -211,16 +211,16 @@
 // inTrial plays the order of a version until its time is over. faults is called once the new
 // runners are there.
 func inTrial(t *testing.T, daemons int, bad, faults func(tw *trialWorld)) {
-	in := inWorld
+	in := withFleet
 	if daemons > relays.SmallFleet {
-		in = inLargeFleet
+		in = withRelayFleet
 	}
 	inTrialOf(t, in, daemons, bad, faults)
 }
 
 // inTrialOf is inTrial in a fleet of a kind.
 func inTrialOf(t *testing.T, in fleetRunner, daemons int, bad, faults func(tw *trialWorld)) {
-	in(t, daemons, config(1), func(w *world) {
+	in(t, daemons, config(1), func(w *testFleet) {
 		tw := newTrial(w)
 		if bad != nil {
 			bad(tw)
@@ -284,7 +284,7 @@
 		"bad":  func(tw *trialWorld) { tw.fails = failsOn("/read/1") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inTrialOf(t, inDirectFleet, 33, bad, func(tw *trialWorld) {
+			inTrialOf(t, withDirectFleet, 33, bad, func(tw *trialWorld) {
 				tw.load(trialFor - time.Second)
 				want := canary.Completed
 				if bad != nil {
@@ -328,7 +328,7 @@
 }
 
 func (tw *trialWorld) killHolder() {
-	i := tw.holderPlace()
+	i := tw.holderIndex()
 	tw.True(i >= 0)
 	tw.down[i] = true
 	tw.daemons[i].kill()
@@ -347,14 +347,14 @@
 
 func (tw *trialWorld) cutStore(cut bool) {
 	for _, d := range tw.daemons {
-		d.store.set(cut, false)
+		d.store.setFaults(cut, false)
 	}
 }
 
 // Guards against shares that are given out twice because messages are lost.
 func TestTrialWithLostMessages(t *testing.T) {
 	inTrial(t, 5, func(tw *trialWorld) { tw.fails = failsOn("/read/1") }, func(tw *trialWorld) {
-		tw.network.lose(0.3, rand.New(rand.NewPCG(2, 0)))
+		tw.network.setLossRate(0.3, rand.New(rand.NewPCG(2, 0)))
 		tw.load(trialFor - time.Second)
 		tw.Equal(tw.status().State, canary.RolledBack)
 	})
@@ -366,11 +366,11 @@
 	inTrial(t, 5, nil, func(tw *trialWorld) {
 		tw.load(5 * time.Second)
 		cut := tw.daemons[4]
-		if cut.Holds() {
+		if cut.HoldsDuties() {
 			cut = tw.daemons[3]
 		}
 		tw.network.isolate(cut.address, true)
-		cut.store.set(true, false)
+		cut.store.setFaults(true, false)
 		tw.load(trialFor - 6*time.Second)
 		tw.Equal(tw.status().State, canary.Completed)
 		// Its callers were refused as their keys may have been taken away, not for want of runners.
@@ -393,7 +393,7 @@
 // Guards against orders that are never answered: for a service that nothing runs, and for the
 // version that is in use.
 func TestOrdersThatNeedNoTrial(t *testing.T) {
-	inWorld(t, 5, config(1), func(w *world) {
+	withFleet(t, 5, config(1), func(w *testFleet) {
 		tw := newTrial(w)
 		tw.put(orderPrefix+"none", canary.Order{Service: "none", Target: newVersion, Duration: 2 * time.Second})
 		tw.order(oldVersion)
@@ -446,7 +446,7 @@
 		for _, d := range tw.daemons {
 			d.kill()
 		}
-		tw.notFirst = true
+		tw.servedBefore = true
 		for i := range tw.daemons {
 			tw.restart(i)
 		}
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -14,29 +14,29 @@
 // intentKey holds the report that was made last, or is about to be made.
 const intentKey = "usage/last"
 
-// countsHeardAfter is how long after it became one a relay has heard the others' counts:
+// countsCompleteAfter is how long after it became one a relay has heard the others' counts:
 // each tells all of its followers' within a second or two.
-const countsHeardAfter = 3 * time.Second
+const countsCompleteAfter = 3 * time.Second
 
 // reportMargin and a lease's life is how long before it is due a window is reported whatever
 // is known: should this holder end, another one must still have the time.
 const reportMargin = time.Second
 
-// intent is a report that may have been taken. Its counts must not change.
-type intent struct {
+// reportIntent is a report that may have been taken. Its counts must not change.
+type reportIntent struct {
 	Window accounting.Window `json:"window"`
 	Counts accounting.Counts `json:"counts"`
 }
 
-// usageDuty is what the holder knows of reports in its tenure.
-type usageDuty struct {
-	read bool
+// usageReportState is what the holder knows of reports in its tenure.
+type usageReportState struct {
+	loaded bool
 	// revision of the intent's key, zero if there is none.
 	revision kv.Revision
-	// open is an intent that is not known to have been taken; nil is none.
-	open *intent
-	// last is the newest window of an intent.
-	last accounting.Window
+	// pending is an intent that is not known to have been taken; nil is none.
+	pending *reportIntent
+	// lastWindow is the newest window of an intent.
+	lastWindow accounting.Window
 }
 
 // reportUsage makes the reports that are due. Each is written down first, so that
@@ -44,23 +44,23 @@
 // contradict one that was taken and not answered.
 func (e *Edge) reportUsage(ctx context.Context) {
 	u := &e.duties.usage
-	if !e.duties.saved.read {
+	if !e.duties.saved.loaded {
 		return
 	}
-	if !u.read && !e.readIntent(ctx) {
+	if !u.loaded && !e.readIntent(ctx) {
 		return
 	}
-	if u.open != nil && !e.sendIntent(ctx) {
+	if u.pending != nil && !e.sendIntent(ctx) {
 		return
 	}
 	e.mu.Lock()
 	due := e.book.Due(e.wall.At(e.deps.Steady()))
 	e.mu.Unlock()
 	for _, w := range due {
-		if w <= u.last {
+		if w <= u.lastWindow {
 			continue
 		}
-		if e.awaitsCounts(w) {
+		if e.shouldDelayReport(w) {
 			return
 		}
 		if !e.writeIntent(ctx, w) || !e.sendIntent(ctx) {
@@ -69,21 +69,21 @@
 	}
 }
 
-// heardAllCounts tells whether this daemon is a relay, and has been for long enough to have
+// hasAllCounts tells whether this daemon is a relay, and has been for long enough to have
 // been told what the followers of others counted before.
-func (e *Edge) heardAllCounts() bool {
+func (e *Edge) hasAllCounts() bool {
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.plan.Direct || e.shares(now) && now-e.standing.Began() >= countsHeardAfter
+	return e.plan.Direct || e.sharesQuotas(now) && now-e.standing.Began() >= countsCompleteAfter
 }
 
-// awaitsCounts tells whether a window's report should wait: until this daemon has heard what
+// shouldDelayReport tells whether a window's report should wait: until this daemon has heard what
 // relays tell each other, and for the counts of a daemon that is cut off for a moment or whose
 // relay has just ended, which come with the next one that it follows. A window that is due
 // soon is reported as it is known: a report that lacks some counts tells more than none.
-func (e *Edge) awaitsCounts(w accounting.Window) bool {
-	if !e.heardAllCounts() {
+func (e *Edge) shouldDelayReport(w accounting.Window) bool {
+	if !e.hasAllCounts() {
 		return true
 	}
 	now := e.deps.Steady()
@@ -91,63 +91,63 @@
 	defer e.mu.Unlock()
 	ended := e.book.EndedFor(e.wall.At(now), w)
 	since := now - ended + accounting.SettleAfter
-	lacking := append(e.lacking(now, since), e.coverage.Passing(now, passedOnWithin, since)...)
-	if len(lacking) == 0 {
+	missing := append(e.missingCounts(now, since), e.coverage.Passing(now, countsRelayedWithin, since)...)
+	if len(missing) == 0 {
 		return false
 	}
 	if ended < e.set.Bounds.UsageDue-e.set.Bounds.LeaseTTL-reportMargin {
 		return true
 	}
-	e.log.Note("usage_incomplete", decisions.F("window", int64(w)), decisions.F("ended_for", ended), decisions.F("lacking", lacking))
+	e.log.Note("usage_incomplete", decisions.F("window", int64(w)), decisions.F("ended_for", ended), decisions.F("lacking", missing))
 	return false
 }
 
-// usageFailed notes a step of the reports that failed.
-func (e *Edge) usageFailed(step string, err error, inputs ...decisions.Field) {
+// logUsageFailure notes a step of the reports that failed.
+func (e *Edge) logUsageFailure(step string, err error, inputs ...decisions.Field) {
 	fields := append([]decisions.Field{decisions.F("step", step)}, inputs...)
 	e.log.Note("usage_failed", append(fields, decisions.F("error", err.Error()))...)
 }
 
-// readUsage reads a key of the reports; false if that failed.
-func (e *Edge) readUsage(ctx context.Context, key, step string) (kv.Entry, bool) {
+// readUsageKey reads a key of the reports; false if that failed.
+func (e *Edge) readUsageKey(ctx context.Context, key, step string) (kv.Entry, bool) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entry, err := e.deps.Store.Get(callCtx, key)
 	if err != nil {
-		e.usageFailed(step, err)
+		e.logUsageFailure(step, err)
 	}
 	return entry, err == nil
 }
 
 func (e *Edge) readIntent(ctx context.Context) bool {
 	u := &e.duties.usage
-	entry, ok := e.readUsage(ctx, intentKey, "read")
+	entry, ok := e.readUsageKey(ctx, intentKey, "read")
 	if !ok {
 		return false
 	}
-	u.read = true
+	u.loaded = true
 	u.revision = entry.Revision
 	if entry.Revision == 0 {
 		return true
 	}
-	var open intent
+	var open reportIntent
 	if err := json.Unmarshal(entry.Value, &open); err != nil {
 		// Nobody else writes the key; what can't be read can't be repeated.
-		e.usageFailed("decode", err)
+		e.logUsageFailure("decode", err)
 		return true
 	}
-	u.open, u.last = &open, open.Window
+	u.pending, u.lastWindow = &open, open.Window
 	return true
 }
 
 func (e *Edge) writeIntent(ctx context.Context, w accounting.Window) bool {
 	u := &e.duties.usage
 	e.mu.Lock()
-	next := &intent{Window: w, Counts: e.book.Sum(w)}
+	next := &reportIntent{Window: w, Counts: e.book.Sum(w)}
 	e.mu.Unlock()
 	data, err := json.Marshal(next)
 	if err != nil {
-		e.usageFailed("encode", err)
+		e.logUsageFailure("encode", err)
 		return false
 	}
 	if _, ok := e.permit(); !ok {
@@ -158,21 +158,21 @@
 	revision, err := e.deps.Store.CompareAndSwap(callCtx, intentKey, u.revision, data, 0)
 	if err != nil {
 		// Whether it was written, and by whom the key was changed, is read anew.
-		u.read = false
+		u.loaded = false
 		var conflict *kv.ConflictError
-		e.usageFailed("write", err, decisions.F("window", int64(w)), decisions.F("conflict", errors.As(err, &conflict)))
+		e.logUsageFailure("write", err, decisions.F("window", int64(w)), decisions.F("conflict", errors.As(err, &conflict)))
 		return false
 	}
-	u.revision, u.open, u.last = revision, next, w
+	u.revision, u.pending, u.lastWindow = revision, next, w
 	return true
 }
 
 // sendIntent makes the open report and tells whether the next one may follow.
 func (e *Edge) sendIntent(ctx context.Context) bool {
 	u := &e.duties.usage
-	if e.tooOld(u.open.Window) {
-		e.log.Note("usage_missed", decisions.F("window", int64(u.open.Window)))
-		u.open = nil
+	if e.reportTooLate(u.pending.Window) {
+		e.log.Note("usage_missed", decisions.F("window", int64(u.pending.Window)))
+		u.pending = nil
 		return true
 	}
 	duty, ok := e.permit()
@@ -181,20 +181,20 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := e.deps.Cloud.ReportUsage(callCtx, duty, u.open.Window, u.open.Counts); err != nil {
-		e.usageFailed("report", err, decisions.F("window", int64(u.open.Window)))
+	if err := e.deps.Cloud.ReportUsage(callCtx, duty, u.pending.Window, u.pending.Counts); err != nil {
+		e.logUsageFailure("report", err, decisions.F("window", int64(u.pending.Window)))
 		return false
 	}
 	e.mu.Lock()
-	e.book.Reported(u.open.Window)
+	e.book.Reported(u.pending.Window)
 	e.mu.Unlock()
-	e.log.Note("usage_reported", decisions.F("window", int64(u.open.Window)), decisions.F("workspaces", len(u.open.Counts)), decisions.F("token", duty.Token))
-	u.open = nil
+	e.log.Note("usage_reported", decisions.F("window", int64(u.pending.Window)), decisions.F("workspaces", len(u.pending.Counts)), decisions.F("token", duty.Token))
+	u.pending = nil
 	return true
 }
 
-// tooOld tells whether a window's report would come too late to count.
-func (e *Edge) tooOld(w accounting.Window) bool {
+// reportTooLate tells whether a window's report would come too late to count.
+func (e *Edge) reportTooLate(w accounting.Window) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.book.Late(e.wall.At(e.deps.Steady()), w)
--- a/daemon/edge/counts.go
+++ b/daemon/edge/usage_counts.go
@@ -16,22 +16,22 @@
 // one lacks when it asks.
 
 const (
-	// cellMessages is how many messages a relay tells the counts of all its followers in,
+	// followerCountMessages is how many messages a relay tells the counts of all its followers in,
 	// or more where they are longer than countsBytes in one of them.
-	cellMessages = 3
-	countsBytes  = 8 << 10
-	// followsAnewWithin is how long a daemon may be unheard of that has lost both relays that
+	followerCountMessages = 3
+	maxCountsBytes        = 8 << 10
+	// refollowWithin is how long a daemon may be unheard of that has lost both relays that
 	// it followed, one after the other.
-	followsAnewWithin = 4500 * time.Millisecond
-	// passedOnWithin is how long relays take to tell each other what they know of a daemon
+	refollowWithin = 4500 * time.Millisecond
+	// countsRelayedWithin is how long relays take to tell each other what they know of a daemon
 	// that has ended.
-	passedOnWithin = 2400 * time.Millisecond
-	// countsAskedAfter is how long a relay waits for a daemon's counts before it asks others
+	countsRelayedWithin = 2400 * time.Millisecond
+	// requestCountsAfter is how long a relay waits for a daemon's counts before it asks others
 	// for what they know.
-	countsAskedAfter = 2 * time.Second
-	// successors is how many relays that may follow the holder of the duties are told
+	requestCountsAfter = 2 * time.Second
+	// maxSuccessors is how many relays that may follow the holder of the duties are told
 	// the counts, too.
-	successors = 12
+	maxSuccessors = 12
 )
 
 // addAllCounts tells this daemon's counts, and those of one that is not heard any more;
@@ -44,88 +44,88 @@
 // addOwnCounts tells this daemon's counts; called with mu held.
 func (e *Edge) addOwnCounts(now time.Duration, h *peersv1.Hello) {
 	h.Counts = true
-	h.Windows = e.openCounts(now, e.self)
-	h.Workspaces = retyped[string](e.book.Workspaces())
+	h.Windows = e.openWindowCounts(now, e.self)
+	h.Workspaces = convertNames[string](e.book.Workspaces())
 }
 
-// openCounts are a daemon's counts of open windows, by the places of the book's workspaces;
+// openWindowCounts are a daemon's counts of open windows, by the places of the book's workspaces;
 // called with mu held.
-func (e *Edge) openCounts(now time.Duration, id ident.Incarnation) []*peersv1.Window {
-	return tellWindows(e.book.Workspaces(), e.book.Open(e.wall.At(now), id))
+func (e *Edge) openWindowCounts(now time.Duration, id ident.Incarnation) []*peersv1.Window {
+	return encodeWindows(e.book.Workspaces(), e.book.Open(e.wall.At(now), id))
 }
 
 // relayCounts are what relays that may report windows are told in a message.
 type relayCounts struct {
-	// to are those relays.
-	to map[ident.Incarnation]bool
+	// recipients are those relays.
+	recipients map[ident.Incarnation]bool
 	// hello holds this relay's counts or those of some followers, ended those of one daemon
 	// that has ended.
 	hello *peersv1.Hello
 	ended []*peersv1.Ended
-	// lacking are daemons whose counts were not told lately.
-	lacking []ident.Incarnation
+	// missing are daemons whose counts were not told lately.
+	missing []ident.Incarnation
 }
 
-// lacked is the daemon whose counts one of the relays is asked for in a message, by its place
+// requestFor is the daemon whose counts one of the relays is asked for in a message, by its place
 // among them; empty is none.
-func (c relayCounts) lacked(beat uint64, place int) string {
-	if len(c.lacking) == 0 {
+func (c relayCounts) requestFor(messageNumber uint64, place int) string {
+	if len(c.missing) == 0 {
 		return ""
 	}
-	return string(c.lacking[(beat/2+uint64(place))%uint64(len(c.lacking))])
+	return string(c.missing[(messageNumber/2+uint64(place))%uint64(len(c.missing))])
 }
 
 // countsForRelays gathers what relays that may report are told, nothing in a small fleet, in
 // which all are told the same; called with mu held. This relay's counts, with a roster, and
 // its followers' take turns: in one message they would outgrow all else.
-func (e *Edge) countsForRelays(now time.Duration, beat uint64) relayCounts {
+func (e *Edge) countsForRelays(now time.Duration, messageNumber uint64) relayCounts {
 	if e.plan.Direct {
 		return relayCounts{}
 	}
-	c := relayCounts{to: e.counters(), hello: &peersv1.Hello{}, ended: e.endedCounts(now)}
-	if rosterBeat(beat) {
+	c := relayCounts{recipients: e.reportingRelays(), hello: &peersv1.Hello{}, ended: e.endedCounts(now)}
+	if sendsRoster(messageNumber) {
 		e.addOwnCounts(now, c.hello)
 		return c
 	}
-	c.lacking = e.lacking(now, max(e.standing.Began(), now-countsAskedAfter))
-	c.hello.Workspaces = retyped[string](e.book.Workspaces())
-	c.hello.Ended = e.followersCounts(now)
+	c.missing = e.missingCounts(now, max(e.standing.Began(), now-requestCountsAfter))
+	c.hello.Workspaces = convertNames[string](e.book.Workspaces())
+	c.hello.Ended = e.followerCounts(now)
 	return c
 }
 
 // addRelayCounts tells one relay its part; called with mu held.
 func (e *Edge) addRelayCounts(now time.Duration, to ident.Incarnation, c relayCounts, h *peersv1.Hello) {
-	if !c.to[to] {
+	if !c.recipients[to] {
 		return
 	}
 	h.Counts, h.Windows, h.Workspaces = c.hello.Counts, c.hello.Windows, c.hello.Workspaces
-	h.Ended = append(slices.Clone(c.hello.Ended), e.lackedCounts(now, to, c.ended)...)
+	h.Ended = append(slices.Clone(c.hello.Ended), e.requestedCounts(now, to, c.ended)...)
 }
 
-// lackedCounts are those that another relay asks for, or else some that all are told; called
+// requestedCounts are those that another relay asks for, or else some that all are told; called
 // with mu held. The relay that a daemon followed may have ended before that daemon finds it
 // out, and a relay that has just become one knows only what it was told since.
-func (e *Edge) lackedCounts(now time.Duration, to ident.Incarnation, otherwise []*peersv1.Ended) []*peersv1.Ended {
+func (e *Edge) requestedCounts(now time.Duration, to ident.Incarnation, otherwise []*peersv1.Ended) []*peersv1.Ended {
 	id, asked := e.lacked[to]
 	if !asked {
 		return otherwise
 	}
 	delete(e.lacked, to)
-	open := e.openCounts(now, id)
+	open := e.openWindowCounts(now, id)
 	if len(open) == 0 {
 		return otherwise
 	}
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: open}}
 }
 
-// lacking are the daemons, those that may have lost their relays among them, whose counts were
+// missingCounts are the daemons, those that may have lost their relays among them, whose counts were
 // not told since a time; called with mu held.
-func (e *Edge) lacking(now, since time.Duration) []ident.Incarnation {
-	return e.coverage.Lacking(e.peers.SeenSince(now-followsAnewWithin), since)
+func (e *Edge) missingCounts(now, since time.Duration) []ident.Incarnation {
+	return e.coverage.Lacking(e.peers.SeenSince(now-refollowWithin), since)
 }
 
-// followersCounts are those of some followers, by turns; called with mu held.
-func (e *Edge) followersCounts(now time.Duration) []*peersv1.Ended {
+// followerCounts are those of some followers, by turns; called with mu held.
+func (e *Edge) followerCounts(now time.Duration) []*peersv1.Ended {
 	var ids []ident.Incarnation
 	for id, f := range e.followers {
 		if f.primary {
@@ -140,10 +140,10 @@
 	ids = slices.Concat(ids[next:], ids[:next])
 	var told []*peersv1.Ended
 	bytes := 0
-	for _, id := range ids[:(len(ids)+cellMessages-1)/cellMessages] {
-		one := &peersv1.Ended{Incarnation: string(id), Windows: e.openCounts(now, id), Follows: true}
+	for _, id := range ids[:(len(ids)+followerCountMessages-1)/followerCountMessages] {
+		one := &peersv1.Ended{Incarnation: string(id), Windows: e.openWindowCounts(now, id), Follows: true}
 		bytes += proto.Size(one)
-		if bytes > countsBytes && len(told) > 0 {
+		if bytes > maxCountsBytes && len(told) > 0 {
 			break
 		}
 		told = append(told, one)
@@ -164,21 +164,21 @@
 		return nil
 	}
 	e.lastEnded = id
-	return []*peersv1.Ended{{Incarnation: string(id), Windows: e.openCounts(now, id)}}
+	return []*peersv1.Ended{{Incarnation: string(id), Windows: e.openWindowCounts(now, id)}}
 }
 
-// counters are the relays that are told of usage: the holder of the duties and those
+// reportingRelays are the relays that are told of usage: the holder of the duties and those
 // that would follow it.
-func (e *Edge) counters() map[ident.Incarnation]bool {
+func (e *Edge) reportingRelays() map[ident.Incarnation]bool {
 	ids := map[ident.Incarnation]bool{e.dir.holder(): true}
-	for _, m := range firstByName(e.plan.Others, successors) {
+	for _, m := range firstByID(e.plan.Others, maxSuccessors) {
 		ids[m.Incarnation] = true
 	}
 	return ids
 }
 
-// tellWindows counts by the places of some workspaces.
-func tellWindows(workspaces []ident.Workspace, counts map[accounting.Window]accounting.Counts) []*peersv1.Window {
+// encodeWindows counts by the places of some workspaces.
+func encodeWindows(workspaces []ident.Workspace, counts map[accounting.Window]accounting.Counts) []*peersv1.Window {
 	windows := make([]*peersv1.Window, 0, len(counts))
 	for w, c := range counts {
 		windows = append(windows, &peersv1.Window{Number: int64(w), ByPlace: accounting.ByPlace(workspaces, c)})
@@ -186,8 +186,8 @@
 	return windows
 }
 
-// retyped is a list of names as another type of names.
-func retyped[To, From ~string](list []From) []To {
+// convertNames is a list of names as another type of names.
+func convertNames[To, From ~string](list []From) []To {
 	names := make([]To, len(list))
 	for i, name := range list {
 		names[i] = To(name)
@@ -195,16 +195,16 @@
 	return names
 }
 
-// heardCounts takes in counts of usage, and which the sender lacks; called with mu held.
-func (e *Edge) heardCounts(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
-	workspaces := retyped[ident.Workspace](h.Workspaces)
-	e.book.Heard(id, windowsOf(workspaces, h.Windows))
+// handleCounts takes in counts of usage, and which the sender lacks; called with mu held.
+func (e *Edge) handleCounts(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
+	workspaces := convertNames[ident.Workspace](h.Workspaces)
+	e.book.Heard(id, decodeWindows(workspaces, h.Windows))
 	if h.Counts {
 		e.coverage.Heard(now, id)
 	}
 	for _, one := range h.Ended {
 		of := ident.Incarnation(one.Incarnation)
-		e.book.Heard(of, windowsOf(workspaces, one.Windows))
+		e.book.Heard(of, decodeWindows(workspaces, one.Windows))
 		if one.Follows {
 			e.coverage.Told(now, of)
 		}
@@ -214,9 +214,9 @@
 	}
 }
 
-func windowsOf(workspaces []ident.Workspace, told []*peersv1.Window) map[accounting.Window]accounting.Counts {
-	windows := make(map[accounting.Window]accounting.Counts, len(told))
-	for _, w := range told {
+func decodeWindows(workspaces []ident.Workspace, encoded []*peersv1.Window) map[accounting.Window]accounting.Counts {
+	windows := make(map[accounting.Window]accounting.Counts, len(encoded))
+	for _, w := range encoded {
 		windows[accounting.Window(w.Number)] = accounting.FromPlaces(workspaces, w.ByPlace)
 	}
 	return windows
--- a/daemon/edge/usage_load_test.go
+++ b/daemon/edge/usage_load_test.go
@@ -8,9 +8,9 @@
 	"geraniumstack.org/geraniumstack/coordination/accounting"
 )
 
-// crash ends a daemon that can't give anything back.
-func (w *world) crash(d *daemon) {
-	d.store.set(true, false)
+// isolateAndKill ends a daemon that can't give anything back.
+func (w *testFleet) isolateAndKill(d *daemon) {
+	d.store.setFaults(true, false)
 	w.network.isolate(d.address, true)
 	d.kill()
 	w.network.isolate(d.address, false)
@@ -18,19 +18,19 @@
 
 // servedLoad is callers of all daemons, with what was served of each window.
 type servedLoad struct {
-	w          *world
+	w          *testFleet
 	workspaces int
 	asked      int
 	served     map[accounting.Window]int64
-	// recent are when requests were served.
-	recent []served
+	// servedRequests are when requests were served.
+	servedRequests []servedRequest
 }
 
-func newServedLoad(w *world, workspaces int) *servedLoad {
+func newServedLoad(w *testFleet, workspaces int) *servedLoad {
 	return &servedLoad{w: w, workspaces: workspaces, served: map[accounting.Window]int64{}}
 }
 
-type served struct {
+type servedRequest struct {
 	at     time.Duration
 	window accounting.Window
 }
@@ -41,7 +41,7 @@
 	usageTolerance = 0.05
 )
 
-func windowNow() accounting.Window {
+func currentWindow() accounting.Window {
 	return accounting.Window(time.Now().UnixMilli() / usageWindow.Milliseconds())
 }
 
@@ -53,12 +53,12 @@
 		for range requests {
 			l.asked++
 			d := l.w.daemons[l.asked%len(l.w.daemons)]
-			if d.ended() {
+			if d.stopped() {
 				continue
 			}
 			if l.w.ask(d, "/read/", fmt.Sprintf("key-%d", l.asked%l.workspaces)).status == 200 {
-				l.served[windowNow()]++
-				l.recent = append(l.recent, served{l.w.steady(), windowNow()})
+				l.served[currentWindow()]++
+				l.servedRequests = append(l.servedRequests, servedRequest{l.w.steady(), currentWindow()})
 			}
 		}
 		time.Sleep(step - time.Since(begin))
@@ -68,7 +68,7 @@
 // servedSince counts the requests of a window that were served after a time.
 func (l *servedLoad) servedSince(at time.Duration, window accounting.Window) int64 {
 	n := int64(0)
-	for _, s := range l.recent {
+	for _, s := range l.servedRequests {
 		if s.window == window && s.at >= at {
 			n++
 		}
@@ -76,17 +76,17 @@
 	return n
 }
 
-// holderPlace is the place of the daemon that holds the duties; negative is none.
-func (w *world) holderPlace() int {
-	return slices.IndexFunc(w.daemons, func(d *daemon) bool { return !d.ended() && d.Holds() })
+// holderIndex is the place of the daemon that holds the duties; negative is none.
+func (w *testFleet) holderIndex() int {
+	return slices.IndexFunc(w.daemons, func(d *daemon) bool { return !d.stopped() && d.HoldsDuties() })
 }
 
-// endAll ends all daemons at once and starts them anew.
-func (w *world) endAll() {
-	w.notFirst = true
+// crashAndRestartAll ends all daemons at once and starts them anew.
+func (w *testFleet) crashAndRestartAll() {
+	w.servedBefore = true
 	for _, d := range w.daemons {
-		if !d.ended() {
-			w.crash(d)
+		if !d.stopped() {
+			w.isolateAndKill(d)
 		}
 	}
 	for i := range w.daemons {
@@ -94,10 +94,10 @@
 	}
 }
 
-// reportedBy adds up the requests of each window.
-func (w *world) reportedBy() map[accounting.Window]int64 {
+// reportedByWindow adds up the requests of each window.
+func (w *testFleet) reportedByWindow() map[accounting.Window]int64 {
 	by := map[accounting.Window]int64{}
-	for _, r := range w.cloud.taken() {
+	for _, r := range w.cloud.receivedReports() {
 		by[r.window] = r.requests(w)
 	}
 	return by
--- a/daemon/edge/saved.go
+++ b/daemon/edge/usage_saved.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// savedKey holds the counts of usage of windows that are not reported yet.
-	savedKey = "usage/open"
-	// saveEvery is the least time between two writes of them.
-	saveEvery = time.Second
+	// savedCountsKey holds the counts of usage of windows that are not reported yet.
+	savedCountsKey = "usage/open"
+	// saveInterval is the least time between two writes of them.
+	saveInterval = time.Second
 )
 
 // savedCounts is what this daemon knows of the saved counts. Only runDuties uses it.
 type savedCounts struct {
-	// read says that they were taken in, as they stood at revision.
-	read     bool
+	// loaded says that they were taken in, as they stood at revision.
+	loaded   bool
 	revision kv.Revision
-	// wrote is when they were written here last, data what.
-	wrote time.Duration
-	data  []byte
+	// lastWrite is when they were written here last, data what.
+	lastWrite time.Duration
+	data      []byte
 }
 
 // saveCounts writes down what is counted, if that is due and up to this daemon. Any may write,
@@ -34,11 +34,11 @@
 func (e *Edge) saveCounts(ctx context.Context) {
 	s := &e.duties.saved
 	now := e.deps.Steady()
-	if !e.saves(now) {
-		s.read = false // another daemon writes
+	if !e.shouldSaveCounts(now) {
+		s.loaded = false // another daemon writes
 		return
 	}
-	if !s.read && !e.readSaved(ctx) || now-s.wrote < saveEvery {
+	if !s.loaded && !e.readSavedCounts(ctx) || now-s.lastWrite < saveInterval {
 		return
 	}
 	e.mu.Lock()
@@ -46,7 +46,7 @@
 	e.mu.Unlock()
 	data, err := json.Marshal(open)
 	if err != nil {
-		e.usageFailed("encode_saved", err)
+		e.logUsageFailure("encode_saved", err)
 		return
 	}
 	if bytes.Equal(data, s.data) {
@@ -54,49 +54,49 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	s.wrote = now
-	revision, err := e.deps.Store.CompareAndSwap(callCtx, savedKey, s.revision, data, 0)
+	s.lastWrite = now
+	revision, err := e.deps.Store.CompareAndSwap(callCtx, savedCountsKey, s.revision, data, 0)
 	if err != nil {
-		e.notSaved(err)
+		e.handleSaveError(err)
 		return
 	}
 	s.revision, s.data = revision, data
 	e.log.Count("usage.saved")
 }
 
-// notSaved takes in what another daemon has written; after any other failure it is read anew.
-func (e *Edge) notSaved(err error) {
+// handleSaveError takes in what another daemon has written; after any other failure it is read anew.
+func (e *Edge) handleSaveError(err error) {
 	s := &e.duties.saved
 	s.data = nil
 	var conflict *kv.ConflictError
 	if errors.As(err, &conflict) {
-		e.takeSaved(conflict.Current)
-		s.wrote = 0
+		e.applySavedCounts(conflict.Current)
+		s.lastWrite = 0
 		return
 	}
-	s.read = false
-	e.usageFailed("save", err)
+	s.loaded = false
+	e.logUsageFailure("save", err)
 }
 
-// readSaved takes the saved counts in; false if they could not be read.
-func (e *Edge) readSaved(ctx context.Context) bool {
-	entry, ok := e.readUsage(ctx, savedKey, "read_saved")
+// readSavedCounts takes the saved counts in; false if they could not be read.
+func (e *Edge) readSavedCounts(ctx context.Context) bool {
+	entry, ok := e.readUsageKey(ctx, savedCountsKey, "read_saved")
 	if ok {
-		e.takeSaved(entry)
+		e.applySavedCounts(entry)
 	}
 	return ok
 }
 
-// takeSaved takes in the saved counts as they stand. What can't be read is written over.
-func (e *Edge) takeSaved(entry kv.Entry) {
+// applySavedCounts takes in the saved counts as they stand. What can't be read is written over.
+func (e *Edge) applySavedCounts(entry kv.Entry) {
 	s := &e.duties.saved
-	s.read, s.revision, s.data = true, entry.Revision, nil
+	s.loaded, s.revision, s.data = true, entry.Revision, nil
 	if len(entry.Value) == 0 {
 		return
 	}
 	var open accounting.Saved
 	if err := json.Unmarshal(entry.Value, &open); err != nil {
-		e.usageFailed("decode_saved", err)
+		e.logUsageFailure("decode_saved", err)
 		return
 	}
 	e.mu.Lock()
@@ -105,19 +105,19 @@
 	e.log.Note("usage_loaded", decisions.F("revision", uint64(entry.Revision)), decisions.F("daemons", len(open.Daemons)))
 }
 
-// saves tells whether it is up to this daemon to save the counts: to the holder of the duties,
+// shouldSaveCounts tells whether it is up to this daemon to save the counts: to the holder of the duties,
 // or while that has ended to the first relay in the order of names.
-func (e *Edge) saves(now time.Duration) bool {
+func (e *Edge) shouldSaveCounts(now time.Duration) bool {
 	if e.duties.holder.Token() != 0 {
 		return true
 	}
 	if !e.Ready() {
 		return false
 	}
-	holding := e.dir.holder()
+	dutyHolder := e.dir.holder()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.shares(now) || contain(e.alive, holding) {
+	if !e.sharesQuotas(now) || containsMember(e.alive, dutyHolder) {
 		return false
 	}
 	place, _ := placeAmong(e.set.ID, e.plan.Others)
--- a/daemon/edge/workspaces_test.go
+++ b/daemon/edge/workspaces_test.go
@@ -18,7 +18,7 @@
 		"direct": {12, relays.DirectFleet},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, fleet.daemons, fleet.direct, manyWorkspaces(workspaces), func(w *world) {
+			withSettledFleet(t, fleet.daemons, fleet.direct, manyWorkspaces(workspaces), func(w *testFleet) {
 				w.addRunner("r1", "app")
 				time.Sleep(time.Second)
 				for range rounds {
@@ -36,11 +36,11 @@
 					time.Sleep(3 * time.Second)
 				}
 				for _, d := range w.daemons {
-					w.Equal(d.Alive(), fleet.daemons-1)
+					w.Equal(d.AlivePeers(), fleet.daemons-1)
 				}
 				time.Sleep(12 * time.Second)
 				t.Logf("largest message: %d bytes", w.network.largest())
-				w.Equal(w.reported(), int64(rounds*fleet.daemons*workspaces))
+				w.Equal(w.totalReported(), int64(rounds*fleet.daemons*workspaces))
 			})
 		})
 	}
