--- a/daemon/models/drain.go
+++ b/daemon/models/drain.go
@@ -91,11 +91,11 @@
 			m.drain.Remove(id)
 		}
 	}
-	byPeer := map[ident.Incarnation][]handoff.Passing{}
-	for _, p := range m.drain.Next(daemons) {
+	byPeer := map[ident.Incarnation][]handoff.Transfer{}
+	for _, p := range m.drain.NextTransfers(daemons) {
 		byPeer[p.Peer.Incarnation] = append(byPeer[p.Peer.Incarnation], p)
 	}
-	left := m.drain.Left()
+	left := m.drain.Remaining()
 	m.mu.Unlock()
 	for _, all := range byPeer {
 		for batch := range slices.Chunk(all, batchRecords) {
@@ -115,7 +115,7 @@
 // passBatch stops the requests first: what an attempt emits while its record
 // is under way would reach readers here, and be computed again, perhaps
 // otherwise, at the peer.
-func (m *Models) passBatch(ctx context.Context, batch []handoff.Passing, daemons []view.Daemon) {
+func (m *Models) passBatch(ctx context.Context, batch []handoff.Transfer, daemons []view.Daemon) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
 	req := &requestv1.AdoptRequest{From: string(m.c.Self)}
@@ -141,16 +141,16 @@
 	}
 }
 
-func (m *Models) passed(p handoff.Passing, accepted bool, err error, daemons []view.Daemon) {
+func (m *Models) passed(p handoff.Transfer, accepted bool, err error, daemons []view.Daemon) {
 	l := m.find(p.ID)
 	m.mu.Lock()
 	switch {
 	case accepted:
 		m.drain.Remove(p.ID)
 	case err != nil:
-		m.drain.Failed(p.ID)
+		m.drain.TransferFailed(p.ID)
 	default:
-		m.drain.Refused(p.ID, daemons)
+		m.drain.TransferRefused(p.ID, daemons)
 	}
 	m.mu.Unlock()
 	if l == nil {
--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -230,7 +230,7 @@
 	defer m.mu.Unlock()
 	if m.live[l.req.ID] == l {
 		delete(m.live, l.req.ID)
-		m.keeper.Release(l.req.ID, m.c.Self)
+		m.keeper.ReleaseClaim(l.req.ID, m.c.Self)
 	}
 	m.outbox.Untrack(l.req.ID)
 }
--- a/daemon/models/records.go
+++ b/daemon/models/records.go
@@ -66,7 +66,7 @@
 			add(d)
 		}
 	}
-	for _, d := range handoff.Keepers(id, view.Daemon{}, m.c.Directory.Daemons()) {
+	for _, d := range handoff.RankKeepers(id, view.Daemon{}, m.c.Directory.Daemons()) {
 		add(d)
 	}
 	return list
@@ -116,7 +116,7 @@
 // other live daemon there is nobody to keep it, and it is accepted without.
 func (m *Models) putFirst(ctx context.Context, l *live) error {
 	self := m.c.Directory.Self()
-	keepers := handoff.Keepers(l.req.ID, self, m.c.Directory.Daemons())
+	keepers := handoff.RankKeepers(l.req.ID, self, m.c.Directory.Daemons())
 	if len(keepers) == 0 {
 		m.count("records.no_keeper")
 		return nil
@@ -197,7 +197,7 @@
 		return
 	}
 	m.renewed = time.Now()
-	due := m.outbox.Due(m.c.Directory.Self(), m.c.Directory.Daemons(), func(id ident.RequestID) handoff.Progress {
+	due := m.outbox.DueRenewals(m.c.Directory.Self(), m.c.Directory.Daemons(), func(id ident.RequestID) handoff.Progress {
 		if l := m.live[id]; l != nil {
 			return l.progress()
 		}
--- a/protocol/handoff/drain.go
+++ b/protocol/handoff/drain.go
@@ -9,62 +9,62 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Passing is one request to be passed on.
-type Passing struct {
+// Transfer is one request to be passed on.
+type Transfer struct {
 	ID   ident.RequestID
 	Peer view.Daemon
 	// Epoch that the peer runs it with.
 	Epoch uint64
 }
 
-type passing struct {
+type pendingTransfer struct {
 	epoch    uint64
 	peer     ident.Incarnation
 	inFlight bool
-	tries    int
+	attempts int
 }
 
 // Drain is the order in which a leaving daemon passes its requests on. It is
 // not safe for concurrent use.
 type Drain struct {
-	self    view.Daemon
-	until   time.Time
-	pending map[ident.RequestID]*passing
+	self        view.Daemon
+	acceptUntil time.Time
+	pending     map[ident.RequestID]*pendingTransfer
 }
 
 // NewDrain begins a drain; new requests are still taken until the given time,
 // because callers keep the gateways' list for a while.
 func NewDrain(self view.Daemon, until time.Time) *Drain {
-	return &Drain{self: self, until: until, pending: map[ident.RequestID]*passing{}}
+	return &Drain{self: self, acceptUntil: until, pending: map[ident.RequestID]*pendingTransfer{}}
 }
 
 // Accepting tells whether a new request is still taken.
-func (d *Drain) Accepting(now time.Time) bool { return now.Before(d.until) }
+func (d *Drain) Accepting(now time.Time) bool { return now.Before(d.acceptUntil) }
 
 // Add takes a live request that runs here with the epoch.
 func (d *Drain) Add(id ident.RequestID, epoch uint64) {
 	if _, ok := d.pending[id]; !ok {
-		d.pending[id] = &passing{epoch: epoch}
+		d.pending[id] = &pendingTransfer{epoch: epoch}
 	}
 }
 
 // Remove forgets a request that ended here or was passed on.
 func (d *Drain) Remove(id ident.RequestID) { delete(d.pending, id) }
 
-// Left is the number of requests still to be passed on.
-func (d *Drain) Left() int { return len(d.pending) }
+// Remaining is the number of requests still to be passed on.
+func (d *Drain) Remaining() int { return len(d.pending) }
 
-// Next lists what to pass to whom, in the order of the IDs. A request whose
+// NextTransfers lists what to pass to whom, in the order of the IDs. A request whose
 // acknowledgement was lost goes to the same peer with the same epoch again:
 // a second peer would run it beside the first. Only when that peer is no
 // longer live does it go elsewhere, with an epoch that beats the first one's.
-func (d *Drain) Next(daemons []view.Daemon) []Passing {
-	var next []Passing
+func (d *Drain) NextTransfers(daemons []view.Daemon) []Transfer {
+	var next []Transfer
 	for id, p := range d.pending {
 		if p.inFlight {
 			continue
 		}
-		ranked := Keepers(id, d.self, daemons)
+		ranked := RankKeepers(id, d.self, daemons)
 		if len(ranked) == 0 {
 			continue
 		}
@@ -78,32 +78,32 @@
 			p.peer = peer.Incarnation
 		}
 		p.inFlight = true
-		p.tries++
-		next = append(next, Passing{ID: id, Peer: peer, Epoch: p.epoch})
+		p.attempts++
+		next = append(next, Transfer{ID: id, Peer: peer, Epoch: p.epoch})
 	}
-	slices.SortFunc(next, func(a, b Passing) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(next, func(a, b Transfer) int { return cmp.Compare(a.ID, b.ID) })
 	return next
 }
 
-// Failed notes that the outcome of a passing is not known.
-func (d *Drain) Failed(id ident.RequestID) {
+// TransferFailed notes that the outcome of a passing is not known.
+func (d *Drain) TransferFailed(id ident.RequestID) {
 	if p, ok := d.pending[id]; ok {
 		p.inFlight = false
 	}
 }
 
-// Refused notes that the peer did not take a request: it has not run there, so
+// TransferRefused notes that the peer did not take a request: it has not run there, so
 // another peer may have it.
-func (d *Drain) Refused(id ident.RequestID, daemons []view.Daemon) {
+func (d *Drain) TransferRefused(id ident.RequestID, daemons []view.Daemon) {
 	p, ok := d.pending[id]
 	if !ok {
 		return
 	}
 	p.inFlight = false
-	ranked := Keepers(id, d.self, daemons)
+	ranked := RankKeepers(id, d.self, daemons)
 	if len(ranked) == 0 {
 		return
 	}
-	p.peer = ranked[p.tries%len(ranked)].Incarnation
+	p.peer = ranked[p.attempts%len(ranked)].Incarnation
 	p.epoch++
 }
--- a/protocol/handoff/handoff_test.go
+++ b/protocol/handoff/handoff_test.go
@@ -16,7 +16,7 @@
 
 const id = ident.RequestID("r1")
 
-func daemon(n int) view.Daemon {
+func newDaemon(n int) view.Daemon {
 	name := ident.DaemonID(fmt.Sprintf("gw-%d", n))
 	return view.Daemon{
 		ID: name, Incarnation: ident.NewIncarnation(name, []byte{byte(n)}),
@@ -24,22 +24,22 @@
 	}
 }
 
-func fleet(n int) []view.Daemon {
+func newDaemons(n int) []view.Daemon {
 	var list []view.Daemon
 	for i := range n {
-		list = append(list, daemon(i))
+		list = append(list, newDaemon(i))
 	}
 	return list
 }
 
-func start() time.Time { return time.Unix(1_000_000, 0) }
+func startTime() time.Time { return time.Unix(1_000_000, 0) }
 
-func TestKeepersAreElsewhereAndTheSameForAll(t *testing.T) {
+func TestKeepersPreferOtherFailureDomains(t *testing.T) {
 	is := is.New(t)
-	all := fleet(9)
+	all := newDaemons(9)
 	for i := range 50 {
 		r := ident.RequestID(fmt.Sprintf("r%d", i))
-		ranked := handoff.Keepers(r, all[0], all)
+		ranked := handoff.RankKeepers(r, all[0], all)
 		is.Equal(len(ranked), 8)
 		is.True(ranked[0].FailureDomain != all[0].FailureDomain)
 		is.True(ranked[7].FailureDomain == all[0].FailureDomain)
@@ -48,10 +48,10 @@
 
 // A bulletin would lose tokens that its keeper had: renewals arrive late,
 // twice and in the wrong order.
-func TestRenewalsInAnyOrder(t *testing.T) {
+func TestRenewalsMayArriveInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := handoff.NewKeeper(4)
-		k.Put(start(), handoff.Record{ID: id, Owner: "a", Epoch: 1, Prompt: "p"})
+		k.Put(startTime(), handoff.Record{ID: id, Owner: "a", Epoch: 1, Prompt: "p"})
 		best := 0
 		for range rapid.IntRange(0, 20).Draw(t, "renewals") {
 			from := rapid.IntRange(1, 12).Draw(t, "from")
@@ -60,7 +60,7 @@
 			for i := from; i < to; i++ {
 				r.Emitted = append(r.Emitted, fmt.Sprint(i))
 			}
-			outcome, _ := k.Put(start(), r)
+			outcome, _ := k.Put(startTime(), r)
 			if (outcome == handoff.Incomplete) != (from > best) {
 				t.Fatalf("tokens from %d after %d: outcome %v", from, best, outcome)
 			}
@@ -83,11 +83,11 @@
 // Two daemons would run a request for good: its owner was taken for gone,
 // another adopted it, and the owner comes back. The higher epoch wins on every
 // keeper that heard of it.
-func TestOwnerThatComesBackIsTold(t *testing.T) {
+func TestReturningOwnerIsSuperseded(t *testing.T) {
 	is := is.New(t)
 	k := handoff.NewKeeper(4)
-	k.Put(start(), handoff.Record{ID: id, Owner: "a", Epoch: 1})
-	later := start().Add(10 * time.Second)
+	k.Put(startTime(), handoff.Record{ID: id, Owner: "a", Epoch: 1})
+	later := startTime().Add(10 * time.Second)
 	gone := func(ident.Incarnation) bool { return false }
 	adopted := k.Adopt(later, "b", 5*time.Second, gone)
 	is.Equal(len(adopted), 1)
@@ -99,12 +99,12 @@
 
 // A request would run twice because the directory errs: its owner's renewals
 // still arrive, so it is not adopted.
-func TestOwnerThatRenewsIsNotGone(t *testing.T) {
+func TestRenewingOwnerIsNotReplaced(t *testing.T) {
 	is := is.New(t)
 	k := handoff.NewKeeper(4)
 	gone := func(ident.Incarnation) bool { return false }
 	for s := range 20 {
-		now := start().Add(time.Duration(s) * time.Second)
+		now := startTime().Add(time.Duration(s) * time.Second)
 		k.Put(now, handoff.Record{ID: id, Owner: "a", Epoch: 1})
 		is.Equal(len(k.Adopt(now, "b", 5*time.Second, gone)), 0)
 	}
@@ -112,35 +112,35 @@
 
 // A draining daemon's acknowledgement is lost: the request goes to the same
 // peer with the same epoch again, and elsewhere only with a higher one.
-func TestDrainAsksOnePeerAtATime(t *testing.T) {
+func TestDrainTransfersToOnePeerAtATime(t *testing.T) {
 	is := is.New(t)
-	all := fleet(5)
-	d := handoff.NewDrain(all[0], start())
+	all := newDaemons(5)
+	d := handoff.NewDrain(all[0], startTime())
 	d.Add(id, 1)
-	first := d.Next(all)
-	is.Equal(len(d.Next(all)), 0) // in flight
-	d.Failed(id)
+	first := d.NextTransfers(all)
+	is.Equal(len(d.NextTransfers(all)), 0) // in flight
+	d.TransferFailed(id)
 	for n := range 20 { // of which some rank before the first peer
-		all = append(all, daemon(100+n))
+		all = append(all, newDaemon(100+n))
 	}
-	is.True(handoff.Keepers(id, all[0], all)[0].Incarnation != first[0].Peer.Incarnation)
-	is.Equal(d.Next(all), first)
-	d.Failed(id)
+	is.True(handoff.RankKeepers(id, all[0], all)[0].Incarnation != first[0].Peer.Incarnation)
+	is.Equal(d.NextTransfers(all), first)
+	d.TransferFailed(id)
 	for i := range all {
 		if all[i].Incarnation == first[0].Peer.Incarnation {
 			all[i].State = view.Leaving
 		}
 	}
-	second := d.Next(all)
+	second := d.NextTransfers(all)
 	is.True(second[0].Peer.Incarnation != first[0].Peer.Incarnation)
 	is.Equal(second[0].Epoch, first[0].Epoch+1)
-	d.Refused(id, all)
-	third := d.Next(all)
+	d.TransferRefused(id, all)
+	third := d.NextTransfers(all)
 	is.True(third[0].Epoch > second[0].Epoch)
 }
 
-// group is some daemons with keepers, of which one may go at a time.
-type group struct {
+// cluster is some daemons with keepers, of which one may go at a time.
+type cluster struct {
 	daemons []view.Daemon
 	keepers map[ident.Incarnation]*handoff.Keeper
 	// owned is what each daemon runs, with the epoch, and emitted how far.
@@ -150,21 +150,21 @@
 	started int
 }
 
-func (g *group) add() {
-	d := daemon(g.started)
+func (g *cluster) addDaemon() {
+	d := newDaemon(g.started)
 	g.started++
 	g.daemons = append(g.daemons, d)
 	g.keepers[d.Incarnation] = handoff.NewKeeper(8)
 	g.outbox[d.Incarnation] = handoff.NewOutbox()
 }
 
-func (g *group) own(d view.Daemon, r handoff.Record) {
+func (g *cluster) setOwner(d view.Daemon, r handoff.Record) {
 	g.owned[d.Incarnation] = r
 	g.outbox[d.Incarnation] = handoff.NewOutbox()
 	g.outbox[d.Incarnation].Track(r.ID)
 }
 
-func (g *group) listed(i ident.Incarnation) bool {
+func (g *cluster) isListed(i ident.Incarnation) bool {
 	for _, d := range g.daemons {
 		if d.Incarnation == i {
 			return true
@@ -173,14 +173,14 @@
 	return false
 }
 
-// renew is one round of renewals and adoptions of all daemons.
-func (g *group) renew() {
+// runRenewalRound is one round of renewals and adoptions of all daemons.
+func (g *cluster) runRenewalRound() {
 	for _, d := range g.daemons {
 		r, ok := g.owned[d.Incarnation]
 		if !ok {
 			continue
 		}
-		due := g.outbox[d.Incarnation].Due(d, g.daemons, func(ident.RequestID) handoff.Progress {
+		due := g.outbox[d.Incarnation].DueRenewals(d, g.daemons, func(ident.RequestID) handoff.Progress {
 			return handoff.Progress{Offset: len(r.Emitted)}
 		})
 		for _, x := range due {
@@ -198,33 +198,33 @@
 		}
 	}
 	for _, d := range g.daemons {
-		for _, r := range g.keepers[d.Incarnation].Adopt(g.now, d.Incarnation, 5*time.Second, g.listed) {
-			g.own(d, r)
+		for _, r := range g.keepers[d.Incarnation].Adopt(g.now, d.Incarnation, 5*time.Second, g.isListed) {
+			g.setOwner(d, r)
 		}
 	}
 }
 
-func (g *group) settle() {
+func (g *cluster) runRenewalRounds() {
 	for range 20 {
 		g.now = g.now.Add(time.Second)
-		g.renew()
+		g.runRenewalRound()
 	}
 }
 
 // A long request outlives any number of daemons that die without a word, as
 // long as there is time for a renewal between two of them, and one daemon runs
 // it in the end.
-func TestRecordOutlivesDaemonsThatDieInTurn(t *testing.T) {
+func TestRecordSurvivesSuccessiveDaemonDeaths(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := &group{
+		g := &cluster{
 			keepers: map[ident.Incarnation]*handoff.Keeper{}, owned: map[ident.Incarnation]handoff.Record{},
-			outbox: map[ident.Incarnation]*handoff.Outbox{}, now: start(),
+			outbox: map[ident.Incarnation]*handoff.Outbox{}, now: startTime(),
 		}
 		for range rapid.IntRange(2, 6).Draw(t, "daemons") {
-			g.add()
+			g.addDaemon()
 		}
-		g.own(g.daemons[0], handoff.Record{ID: id, Owner: g.daemons[0].Incarnation, Epoch: 1, Prompt: "p"})
-		g.renew()
+		g.setOwner(g.daemons[0], handoff.Record{ID: id, Owner: g.daemons[0].Incarnation, Epoch: 1, Prompt: "p"})
+		g.runRenewalRound()
 		for range rapid.IntRange(0, 12).Draw(t, "deaths") {
 			for i, r := range g.owned {
 				r.Emitted = append(r.Emitted, "w")
@@ -233,8 +233,8 @@
 			i := rapid.IntRange(0, len(g.daemons)-1).Draw(t, "victim")
 			delete(g.owned, g.daemons[i].Incarnation)
 			g.daemons = append(g.daemons[:i:i], g.daemons[i+1:]...)
-			g.add()
-			g.settle()
+			g.addDaemon()
+			g.runRenewalRounds()
 			if len(g.owned) != 1 {
 				t.Fatalf("%d daemons run the request", len(g.owned))
 			}
--- a/protocol/handoff/keeper.go
+++ b/protocol/handoff/keeper.go
@@ -32,19 +32,19 @@
 // Keeper holds the records of other daemons' requests. It is not safe for
 // concurrent use.
 type Keeper struct {
-	limit   int
-	records map[ident.RequestID]*Record
-	claims  map[ident.RequestID]Claim
-	heard   map[ident.Incarnation]time.Time
+	limit     int
+	records   map[ident.RequestID]*Record
+	claims    map[ident.RequestID]Claim
+	lastHeard map[ident.Incarnation]time.Time
 }
 
 // NewKeeper returns a keeper of at most limit records.
 func NewKeeper(limit int) *Keeper {
 	return &Keeper{
-		limit:   limit,
-		records: map[ident.RequestID]*Record{},
-		claims:  map[ident.RequestID]Claim{},
-		heard:   map[ident.Incarnation]time.Time{},
+		limit:     limit,
+		records:   map[ident.RequestID]*Record{},
+		claims:    map[ident.RequestID]Claim{},
+		lastHeard: map[ident.Incarnation]time.Time{},
 	}
 }
 
@@ -66,13 +66,13 @@
 // read under one ID.
 func (k *Keeper) Claim(id ident.RequestID, c Claim) {
 	old, ok := k.claims[id]
-	if !ok || newer(c.Epoch, c.Owner, old.Epoch, old.Owner) {
+	if !ok || supersedes(c.Epoch, c.Owner, old.Epoch, old.Owner) {
 		k.claims[id] = c
 	}
 }
 
-// Release forgets the claim of an owner that keeps a request no longer.
-func (k *Keeper) Release(id ident.RequestID, owner ident.Incarnation) {
+// ReleaseClaim forgets the claim of an owner that keeps a request no longer.
+func (k *Keeper) ReleaseClaim(id ident.RequestID, owner ident.Incarnation) {
 	if k.claims[id].Owner == owner {
 		delete(k.claims, id)
 	}
@@ -81,9 +81,9 @@
 // Put stores a record or a renewal. The claim is who owns the request if the
 // outcome is Superseded.
 func (k *Keeper) Put(now time.Time, r Record) (PutOutcome, Claim) {
-	k.heard[r.Owner] = now
+	k.lastHeard[r.Owner] = now
 	c, claimed := k.claims[r.ID]
-	if claimed && newer(c.Epoch, c.Owner, r.Epoch, r.Owner) {
+	if claimed && supersedes(c.Epoch, c.Owner, r.Epoch, r.Owner) {
 		return Superseded, c
 	}
 	old, ok := k.records[r.ID]
@@ -99,24 +99,24 @@
 		k.records[r.ID] = &r
 		return Stored, Claim{}
 	}
-	return old.renew(r), Claim{}
+	return old.applyRenewal(r), Claim{}
 }
 
-// renew takes the tokens that are new; a late renewal changes nothing.
-func (r *Record) renew(by Record) PutOutcome {
-	end := by.EmittedFrom + len(by.Emitted)
-	if by.EmittedFrom > len(r.Emitted) {
+// applyRenewal takes the tokens that are new; a late renewal changes nothing.
+func (r *Record) applyRenewal(renewal Record) PutOutcome {
+	end := renewal.EmittedFrom + len(renewal.Emitted)
+	if renewal.EmittedFrom > len(r.Emitted) {
 		return Incomplete
 	}
 	if end >= len(r.Emitted) {
-		fresh := by.Emitted[len(r.Emitted)-by.EmittedFrom:]
+		fresh := renewal.Emitted[len(r.Emitted)-renewal.EmittedFrom:]
 		r.Emitted = append(slices.Clip(r.Emitted), fresh...)
-		r.Runner = by.Runner
+		r.Runner = renewal.Runner
 	}
-	r.MayHaveRun = r.MayHaveRun || by.MayHaveRun
-	if by.Done {
+	r.MayHaveRun = r.MayHaveRun || renewal.MayHaveRun
+	if renewal.Done {
 		r.Done = true
-		r.FinishReason = by.FinishReason
+		r.FinishReason = renewal.FinishReason
 	}
 	return Stored
 }
@@ -139,14 +139,14 @@
 // owner and the next epoch, in the order of their IDs; they are kept here no
 // longer. Present tells whether a daemon is still known. An owner that put a
 // record within quiet is alive whatever the directory says.
-func (k *Keeper) Adopt(now time.Time, self ident.Incarnation, quiet time.Duration, present func(ident.Incarnation) bool) []Record {
+func (k *Keeper) Adopt(now time.Time, self ident.Incarnation, silence time.Duration, isPresent func(ident.Incarnation) bool) []Record {
 	var adopted []Record
 	for id, r := range k.records {
-		if present(r.Owner) {
-			k.heard[r.Owner] = now
+		if isPresent(r.Owner) {
+			k.lastHeard[r.Owner] = now
 			continue
 		}
-		if now.Sub(k.heard[r.Owner]) < quiet {
+		if now.Sub(k.lastHeard[r.Owner]) < silence {
 			continue
 		}
 		next := *r
--- a/protocol/handoff/outbox.go
+++ b/protocol/handoff/outbox.go
@@ -23,24 +23,26 @@
 	Done   bool
 }
 
-type kept struct {
-	keeper ident.Incarnation
-	acked  int
-	done   bool
-	whole  bool
+type recordState struct {
+	keeper   ident.Incarnation
+	acked    int
+	done     bool
+	complete bool
 }
 
 // Outbox knows which of this daemon's requests are recorded where. It is not
 // safe for concurrent use.
-type Outbox struct{ entries map[ident.RequestID]*kept }
+type Outbox struct {
+	entries map[ident.RequestID]*recordState
+}
 
 // NewOutbox returns an empty outbox.
-func NewOutbox() *Outbox { return &Outbox{entries: map[ident.RequestID]*kept{}} }
+func NewOutbox() *Outbox { return &Outbox{entries: map[ident.RequestID]*recordState{}} }
 
 // Track makes a request one that needs a record.
 func (o *Outbox) Track(id ident.RequestID) {
 	if _, ok := o.entries[id]; !ok {
-		o.entries[id] = &kept{}
+		o.entries[id] = &recordState{}
 	}
 }
 
@@ -66,19 +68,19 @@
 	if !ok {
 		return
 	}
-	*e = kept{keeper: keeper, acked: p.Offset, done: p.Done, whole: true}
+	*e = recordState{keeper: keeper, acked: p.Offset, done: p.Done, complete: true}
 }
 
 // Lost notes that a keeper lacks a record or a part of it.
 func (o *Outbox) Lost(id ident.RequestID) {
 	if e, ok := o.entries[id]; ok {
-		*e = kept{}
+		*e = recordState{}
 	}
 }
 
-// Due lists the records that their keepers lack, in the order of their IDs. A
+// DueRenewals lists the records that their keepers lack, in the order of their IDs. A
 // keeper that is no longer live is replaced: its record would go with it.
-func (o *Outbox) Due(self view.Daemon, daemons []view.Daemon, progress func(ident.RequestID) Progress) []Renewal {
+func (o *Outbox) DueRenewals(self view.Daemon, daemons []view.Daemon, progress func(ident.RequestID) Progress) []Renewal {
 	live := map[ident.Incarnation]view.Daemon{}
 	for _, d := range daemons {
 		if d.State == view.Live {
@@ -88,8 +90,8 @@
 	var due []Renewal
 	for id, e := range o.entries {
 		keeper, ok := live[e.keeper]
-		if !ok || !e.whole {
-			ranked := Keepers(id, self, daemons)
+		if !ok || !e.complete {
+			ranked := RankKeepers(id, self, daemons)
 			if len(ranked) == 0 {
 				continue
 			}
--- a/protocol/handoff/record.go
+++ b/protocol/handoff/record.go
@@ -41,20 +41,20 @@
 	FinishReason string
 }
 
-// newer tells whether a claim on a request beats another one. Two daemons that
+// supersedes tells whether a claim on a request beats another one. Two daemons that
 // were given the same epoch are told apart by their names, so that both sides
 // conclude the same.
-func newer(epoch uint64, owner ident.Incarnation, thanEpoch uint64, thanOwner ident.Incarnation) bool {
+func supersedes(epoch uint64, owner ident.Incarnation, thanEpoch uint64, thanOwner ident.Incarnation) bool {
 	if epoch != thanEpoch {
 		return epoch > thanEpoch
 	}
 	return owner > thanOwner
 }
 
-// Keepers ranks the live daemons that keep a request's record for its owner:
+// RankKeepers ranks the live daemons that keep a request's record for its owner:
 // those of other failure domains before those of its own, each by rendezvous
 // hashing, so that any gateway finds the record by the request's ID alone.
-func Keepers(id ident.RequestID, owner view.Daemon, daemons []view.Daemon) []view.Daemon {
+func RankKeepers(id ident.RequestID, owner view.Daemon, daemons []view.Daemon) []view.Daemon {
 	var ranked []view.Daemon
 	for _, d := range daemons {
 		if d.State == view.Live && d.Incarnation != owner.Incarnation {
@@ -62,18 +62,18 @@
 		}
 	}
 	slices.SortFunc(ranked, func(a, b view.Daemon) int {
-		aNear, bNear := a.FailureDomain == owner.FailureDomain, b.FailureDomain == owner.FailureDomain
-		if aNear != bNear && bNear {
+		aSameDomain, bSameDomain := a.FailureDomain == owner.FailureDomain, b.FailureDomain == owner.FailureDomain
+		if aSameDomain != bSameDomain && bSameDomain {
 			return -1
 		}
-		if aNear != bNear {
+		if aSameDomain != bSameDomain {
 			return 1
 		}
-		return cmp.Compare(weight(id, b), weight(id, a))
+		return cmp.Compare(rendezvousWeight(id, b), rendezvousWeight(id, a))
 	})
 	return ranked
 }
 
-func weight(id ident.RequestID, d view.Daemon) uint64 {
+func rendezvousWeight(id ident.RequestID, d view.Daemon) uint64 {
 	return xxhash.Sum64String(string(id) + "\x00" + string(d.ID))
 }
