--- a/daemon/edge/relay.go
+++ b/daemon/edge/relay.go
@@ -74,7 +74,7 @@
 		}
 		var wait time.Duration
 		var end *refusal.Refusal
-		s.pool.next(func(p *retry.Policy) { wait, end = s.exchange.Next(time.Now(), p, *failure) })
+		s.pool.next(func(p *retry.Policy) { wait, end = s.exchange.HandleFailure(time.Now(), p, *failure) })
 		s.note("attempt_failed", decisions.F("runner", a.choice.Runner), decisions.F("reason", failure.Reason),
 			decisions.F("may_have_run", failure.MayHaveRun), decisions.F("attempts", s.exchange.Sent()),
 			decisions.F("again", end == nil), decisions.F("wait", wait))
@@ -97,9 +97,9 @@
 	case ctx.Err() == nil:
 		return false
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		s.end(s.exchange.Expired().After(notReadyAfter))
+		s.end(s.exchange.DeadlineRefusal().After(notReadyAfter))
 	default:
-		s.note("caller_left", decisions.F("begun", s.exchange.Begun))
+		s.note("caller_left", decisions.F("begun", s.exchange.AnswerBegun))
 		s.reply.Abort()
 	}
 	return true
@@ -116,7 +116,7 @@
 // end gives the final answer: a runner's own failure that was held, or a refusal.
 // A request whose answer has begun can only be broken off.
 func (s *serving) end(r *refusal.Refusal) {
-	if s.exchange.Begun {
+	if s.exchange.AnswerBegun {
 		s.note("broken_off", decisions.F("reason", r.Reason), decisions.F("detail", r.Detail), decisions.F("events", s.passed()))
 		s.edge.log.Count("broken_off." + string(r.Reason))
 		s.reply.Abort()
@@ -141,7 +141,7 @@
 func (s *serving) chooseRunner(ctx context.Context) (*attempt, *refusal.Refusal) {
 	now := time.Now()
 	if ctx.Err() != nil || !now.Before(s.deadline) {
-		return nil, s.exchange.Expired().After(notReadyAfter)
+		return nil, s.exchange.DeadlineRefusal().After(notReadyAfter)
 	}
 	choice, err := s.pick(ctx, now)
 	s.advised = ""
@@ -172,7 +172,7 @@
 // waits past the deadline.
 func (s *serving) useful(now time.Time) time.Duration {
 	left := s.deadline.Sub(now)
-	if s.route.Kind != route.Stream || s.exchange.Begun {
+	if s.route.Kind != route.Stream || s.exchange.AnswerBegun {
 		return left
 	}
 	return min(left, patience(s.route)-now.Sub(s.req.Received))
@@ -208,7 +208,7 @@
 
 // make sends the request and passes the answer on. Nil means that the caller has
 // its final answer; otherwise the failure says what is known of the attempt.
-func (a *attempt) make(ctx context.Context) *forward.Attempt {
+func (a *attempt) make(ctx context.Context) *forward.FailedAttempt {
 	s := a.s
 	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -237,7 +237,7 @@
 	if answer.Events {
 		return a.stream(ctx, answer)
 	}
-	if s.exchange.Begun {
+	if s.exchange.AnswerBegun {
 		return a.unfit()
 	}
 	return a.hold(ctx, answer)
@@ -245,11 +245,11 @@
 
 // unfit gives up an answer that is no stream where a stream that has begun should go on.
 // Passed on, it would look like the end of a whole answer.
-func (a *attempt) unfit() *forward.Attempt {
+func (a *attempt) unfit() *forward.FailedAttempt {
 	a.finish()
 	a.s.pool.observe(a.choice.Runner, health.Failure)
 	a.failed()
-	return &forward.Attempt{Reason: retry.Broken, MayHaveRun: true, Sent: true}
+	return &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true, Sent: true}
 }
 
 func (s *serving) lastEventID() string {
@@ -267,8 +267,8 @@
 	return s.priority
 }
 
-func (a *attempt) failedToSend(ctx context.Context, err error) *forward.Attempt {
-	failure := &forward.Attempt{Reason: retry.Broken, MayHaveRun: true, Sent: true}
+func (a *attempt) failedToSend(ctx context.Context, err error) *forward.FailedAttempt {
+	failure := &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true, Sent: true}
 	var send *SendError
 	if errors.As(err, &send) {
 		failure.Reason, failure.Sent, failure.MayHaveRun = send.Reason, send.Sent, send.Sent
@@ -297,7 +297,7 @@
 // cut ends an attempt from our side: the caller has left or the time is over.
 func (a *attempt) cut(sent bool) {
 	if sent {
-		a.s.exchange.Interrupted()
+		a.s.exchange.RecordInterrupted()
 	}
 	a.finish()
 }
@@ -305,9 +305,9 @@
 func (a *attempt) finish() { a.s.pool.finished(&a.ticket, 0) }
 
 // notRun takes in the runner's word that it did not run the request.
-func (a *attempt) notRun(answer *Answer) *forward.Attempt {
+func (a *attempt) notRun(answer *Answer) *forward.FailedAttempt {
 	a.s.pool.notStarted(&a.ticket, &a.s.place)
-	failure := &forward.Attempt{Reason: retry.Busy, Sent: true, RetryAfter: 0}
+	failure := &forward.FailedAttempt{Reason: retry.Busy, Sent: true, RetryAfter: 0}
 	if answer.Misdirected {
 		failure.Reason = retry.NotLoaded
 		a.s.pool.observe(a.choice.Runner, health.Failure)
@@ -334,19 +334,19 @@
 
 // hold reads a body whole before it is passed on. What breaks off can then be
 // asked for again, or be told as the failure that it is.
-func (a *attempt) hold(ctx context.Context, answer *Answer) *forward.Attempt {
+func (a *attempt) hold(ctx context.Context, answer *Answer) *forward.FailedAttempt {
 	s := a.s
 	body, err := io.ReadAll(io.LimitReader(answer.Body, heldBytes+1))
 	took := time.Since(a.sent)
 	if err != nil {
 		a.finish()
 		if ctx.Err() != nil {
-			s.exchange.Interrupted()
-			return &forward.Attempt{Reason: retry.Broken, MayHaveRun: true}
+			s.exchange.RecordInterrupted()
+			return &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true}
 		}
 		s.pool.observe(a.choice.Runner, health.Failure)
 		a.failed()
-		return &forward.Attempt{Reason: retry.Broken, MayHaveRun: true, Sent: true}
+		return &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true, Sent: true}
 	}
 	if len(body) > heldBytes {
 		return a.passLong(ctx, answer, body)
@@ -357,7 +357,7 @@
 		s.pool.observe(a.choice.Runner, health.Failure)
 		a.failed()
 		s.kept = kept
-		return &forward.Attempt{Reason: retry.ServerError, MayHaveRun: true, Sent: true}
+		return &forward.FailedAttempt{Reason: retry.ServerError, MayHaveRun: true, Sent: true}
 	}
 	s.pool.observe(a.choice.Runner, health.Success)
 	s.edge.log.Time("answer_us", took)
@@ -379,10 +379,10 @@
 }
 
 // passLong sends a body on that is too long to be held.
-func (a *attempt) passLong(ctx context.Context, answer *Answer, first []byte) *forward.Attempt {
+func (a *attempt) passLong(ctx context.Context, answer *Answer, first []byte) *forward.FailedAttempt {
 	s := a.s
 	defer a.finish()
-	s.exchange.Begun = true
+	s.exchange.AnswerBegun = true
 	s.reply.Start(answer.Status, answer.Header, answer.Length, s.closing())
 	chunk := first
 	buffer := make([]byte, copyBytes)
@@ -405,11 +405,11 @@
 		}
 		if err != nil {
 			if ctx.Err() != nil {
-				s.exchange.Interrupted()
+				s.exchange.RecordInterrupted()
 			} else {
 				a.failed()
 			}
-			return &forward.Attempt{Reason: retry.Broken, MayHaveRun: true, Sent: ctx.Err() == nil}
+			return &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true, Sent: ctx.Err() == nil}
 		}
 	}
 }
--- a/daemon/edge/stream.go
+++ b/daemon/edge/stream.go
@@ -15,15 +15,15 @@
 // stream passes an event stream on as it comes. Of a stream that may go on at
 // another runner only whole events are passed, since nothing can follow a part
 // of one.
-func (a *attempt) stream(ctx context.Context, answer *Answer) *forward.Attempt {
+func (a *attempt) stream(ctx context.Context, answer *Answer) *forward.FailedAttempt {
 	s := a.s
 	if s.events == nil {
 		s.events = forward.NewEventStream(s.req.LastEventID)
 	}
-	s.events.Restart()
-	if !s.exchange.Begun {
+	s.events.DropPartialEvent()
+	if !s.exchange.AnswerBegun {
 		s.reply.Start(answer.Status, answer.Header, -1, s.closing())
-		s.exchange.Begun = true
+		s.exchange.AnswerBegun = true
 	}
 	err := a.copyEvents(answer)
 	if err == nil {
@@ -41,8 +41,8 @@
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			a.failed()
 		}
-		s.exchange.Interrupted()
-		return &forward.Attempt{Reason: retry.Broken, MayHaveRun: true}
+		s.exchange.RecordInterrupted()
+		return &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true}
 	}
 	s.pool.observe(a.choice.Runner, health.Failure)
 	a.failed()
@@ -50,7 +50,7 @@
 	if a.abandoned.Load() {
 		reason = retry.Silent
 	}
-	return &forward.Attempt{Reason: reason, MayHaveRun: true, Sent: true}
+	return &forward.FailedAttempt{Reason: reason, MayHaveRun: true, Sent: true}
 }
 
 // callerLeftError says that the caller takes no more.
@@ -93,7 +93,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if s.events.Torn() {
+			if s.events.HasPartialEvent() {
 				return &tornError{}
 			}
 			return nil
--- a/protocol/forward/events.go
+++ b/protocol/forward/events.go
@@ -24,20 +24,20 @@
 // After a resume the next runner's events go through the same EventStream, so
 // an event that both runners sent goes out once.
 type EventStream struct {
-	pending []byte
-	lastID  string
-	lastNum int64
-	events  int
+	pending    []byte
+	lastID     string
+	lastNumber int64
+	eventCount int
 }
 
 // NewEventStream starts after the event that the caller had last; empty is none.
 func NewEventStream(lastID string) *EventStream {
 	s := &EventStream{lastID: lastID}
-	s.lastNum, _ = number(lastID)
+	s.lastNumber, _ = parseEventNumber(lastID)
 	return s
 }
 
-func number(id string) (int64, bool) {
+func parseEventNumber(id string) (int64, bool) {
 	n, err := strconv.ParseInt(id, 10, 64)
 	return n, err == nil
 }
@@ -46,13 +46,13 @@
 func (s *EventStream) LastID() string { return s.lastID }
 
 // Events is the number of whole events that went out.
-func (s *EventStream) Events() int { return s.events }
+func (s *EventStream) Events() int { return s.eventCount }
 
-// Restart drops the part of an event that the former runner left.
-func (s *EventStream) Restart() { s.pending = s.pending[:0] }
+// DropPartialEvent drops the part of an event that the former runner left.
+func (s *EventStream) DropPartialEvent() { s.pending = s.pending[:0] }
 
-// Torn tells whether the stream ended within an event.
-func (s *EventStream) Torn() bool { return len(bytes.TrimSpace(s.pending)) > 0 }
+// HasPartialEvent tells whether the stream ended within an event.
+func (s *EventStream) HasPartialEvent() bool { return len(bytes.TrimSpace(s.pending)) > 0 }
 
 // Push takes in what arrived and appends the whole events that are new to dst.
 func (s *EventStream) Push(dst, data []byte) ([]byte, error) {
@@ -63,9 +63,9 @@
 			break
 		}
 		event := s.pending[:end]
-		if s.accept(event) {
+		if s.markIfNew(event) {
 			dst = append(dst, event...)
-			s.events++
+			s.eventCount++
 		}
 		s.pending = append(s.pending[:0], s.pending[end:]...)
 	}
@@ -89,17 +89,17 @@
 	return -1
 }
 
-// accept notes the event's id; false means that the caller has it already.
-func (s *EventStream) accept(event []byte) bool {
+// markIfNew notes the event's id; false means that the caller has it already.
+func (s *EventStream) markIfNew(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
 		return true
 	}
-	n, numeric := number(id)
-	if numeric && s.lastID != "" && n <= s.lastNum {
+	n, numeric := parseEventNumber(id)
+	if numeric && s.lastID != "" && n <= s.lastNumber {
 		return false
 	}
-	s.lastID, s.lastNum = id, n
+	s.lastID, s.lastNumber = id, n
 	return true
 }
 
--- a/protocol/forward/exchange.go
+++ b/protocol/forward/exchange.go
@@ -30,8 +30,8 @@
 	Deadline time.Time
 }
 
-// Attempt is how one attempt failed.
-type Attempt struct {
+// FailedAttempt is how one attempt failed.
+type FailedAttempt struct {
 	Reason retry.Reason
 	// MayHaveRun is true unless nothing was sent or the runner said that it did
 	// not run the request.
@@ -45,8 +45,8 @@
 // Exchange is one request's life. Begun is set once a part of an answer has gone
 // to the caller.
 type Exchange struct {
-	Terms Terms
-	Begun bool
+	Terms       Terms
+	AnswerBegun bool
 
 	sent       int
 	mayHaveRun bool
@@ -58,16 +58,16 @@
 // Sent is how many runners the request was sent to.
 func (x *Exchange) Sent() int { return x.sent }
 
-// Next answers a failed attempt: either another one after a wait, or the final
+// HandleFailure answers a failed attempt: either another one after a wait, or the final
 // refusal. Retries are charged to the policy's budget except where nothing
 // arrived at a runner, since the next attempt is then the first.
-func (x *Exchange) Next(now time.Time, policy *retry.Policy, a Attempt) (time.Duration, *refusal.Refusal) {
+func (x *Exchange) HandleFailure(now time.Time, policy *retry.Policy, a FailedAttempt) (time.Duration, *refusal.Refusal) {
 	x.mayHaveRun = x.mayHaveRun || a.MayHaveRun
 	if a.Sent {
 		x.sent++
 	}
-	if x.Begun && !x.Terms.Resumable {
-		return 0, x.end(refusal.RunnerFailed, "answer broke off: %s", a.Reason)
+	if x.AnswerBegun && !x.Terms.Resumable {
+		return 0, x.finalRefusal(refusal.RunnerFailed, "answer broke off: %s", a.Reason)
 	}
 	decision := policy.Decide(now, retry.Failure{
 		Reason:      a.Reason,
@@ -83,28 +83,28 @@
 	case retry.Again:
 		return decision.Wait, nil
 	case retry.StopDeadline:
-		return 0, x.end(refusal.DeadlineExceeded, "no time left after %s", a.Reason)
+		return 0, x.finalRefusal(refusal.DeadlineExceeded, "no time left after %s", a.Reason)
 	case retry.StopBudget:
-		return 0, x.end(refusal.RetryBudgetExhausted, "no budget for another attempt after %s", a.Reason)
+		return 0, x.finalRefusal(refusal.RetryBudgetExhausted, "no budget for another attempt after %s", a.Reason)
 	}
 	if !x.mayHaveRun {
-		return 0, x.end(refusal.RunnerRefused, "last attempt of %d: %s", x.sent, a.Reason)
+		return 0, x.finalRefusal(refusal.RunnerRefused, "last attempt of %d: %s", x.sent, a.Reason)
 	}
-	return 0, x.end(refusal.RunnerFailed, "last attempt of %d: %s", x.sent, a.Reason)
+	return 0, x.finalRefusal(refusal.RunnerFailed, "last attempt of %d: %s", x.sent, a.Reason)
 }
 
-// Expired is the final answer where the deadline passes.
-func (x *Exchange) Expired() *refusal.Refusal {
-	return x.end(refusal.DeadlineExceeded, "no answer in time")
+// DeadlineRefusal is the final answer where the deadline passes.
+func (x *Exchange) DeadlineRefusal() *refusal.Refusal {
+	return x.finalRefusal(refusal.DeadlineExceeded, "no answer in time")
 }
 
-// Interrupted notes an attempt that is cut from our side after it was sent.
-func (x *Exchange) Interrupted() {
+// RecordInterrupted notes an attempt that is cut from our side after it was sent.
+func (x *Exchange) RecordInterrupted() {
 	x.sent++
 	x.mayHaveRun = true
 }
 
-func (x *Exchange) end(reason refusal.Reason, format string, args ...any) *refusal.Refusal {
+func (x *Exchange) finalRefusal(reason refusal.Reason, format string, args ...any) *refusal.Refusal {
 	r := refusal.New(reason, format, args...)
 	if x.mayHaveRun {
 		return r.Unknown()
--- a/protocol/forward/forward_test.go
+++ b/protocol/forward/forward_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Unix(1000, 0)
 
-func terms(repeatable bool, attempts int) forward.Terms {
+func newTerms(repeatable bool, attempts int) forward.Terms {
 	return forward.Terms{Repeatable: repeatable, MaxAttempts: attempts, Deadline: start.Add(10 * time.Second)}
 }
 
@@ -25,8 +25,8 @@
 // it again may record it twice; "not run" may be a lie.
 func TestBrokenPledgeIsNeitherRepeatedNorPromised(t *testing.T) {
 	is := is.New(t)
-	x := forward.Exchange{Terms: terms(false, 3)}
-	_, r := x.Next(start, retry.New(retry.Default()), forward.Attempt{Reason: retry.Broken, MayHaveRun: true, Sent: true})
+	x := forward.Exchange{Terms: newTerms(false, 3)}
+	_, r := x.HandleFailure(start, retry.New(retry.Default()), forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true, Sent: true})
 	is.Equal(r.Reason, refusal.RunnerFailed)
 	is.Equal(r.Executed, refusal.ExecutedUnknown)
 }
@@ -35,25 +35,25 @@
 // not hear that its request was not run only because the last runner said so.
 func TestRefusalRemembersEarlierAttempts(t *testing.T) {
 	is := is.New(t)
-	x := forward.Exchange{Terms: terms(true, 2)}
+	x := forward.Exchange{Terms: newTerms(true, 2)}
 	p := retry.New(retry.Default())
-	_, r := x.Next(start, p, forward.Attempt{Reason: retry.Broken, MayHaveRun: true, Sent: true})
+	_, r := x.HandleFailure(start, p, forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true, Sent: true})
 	is.True(r == nil)
-	_, r = x.Next(start, p, forward.Attempt{Reason: retry.Busy, Sent: true})
+	_, r = x.HandleFailure(start, p, forward.FailedAttempt{Reason: retry.Busy, Sent: true})
 	is.Equal(r.Executed, refusal.ExecutedUnknown)
 }
 
-func TestConnectFailuresAreNoAttempts(t *testing.T) {
+func TestConnectFailuresDoNotCountAsAttempts(t *testing.T) {
 	is := is.New(t)
-	x := forward.Exchange{Terms: terms(false, 1)}
+	x := forward.Exchange{Terms: newTerms(false, 1)}
 	cfg := retry.Default()
 	cfg.Burst = 0
 	p := retry.New(cfg)
 	for range 5 {
-		_, r := x.Next(start, p, forward.Attempt{Reason: retry.ConnectFailed})
+		_, r := x.HandleFailure(start, p, forward.FailedAttempt{Reason: retry.ConnectFailed})
 		is.True(r == nil)
 	}
-	_, r := x.Next(start, p, forward.Attempt{Reason: retry.Busy, Sent: true})
+	_, r := x.HandleFailure(start, p, forward.FailedAttempt{Reason: retry.Busy, Sent: true})
 	is.Equal(r.Reason, refusal.RunnerRefused)
 	is.Equal(r.Executed, refusal.ExecutedNo)
 }
@@ -65,13 +65,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
 		limit := rapid.IntRange(1, 4).Draw(t, "limit")
-		x := forward.Exchange{Terms: terms(repeatable, limit)}
+		x := forward.Exchange{Terms: newTerms(repeatable, limit)}
 		p := retry.New(retry.Default())
 		reasons := rapid.SampledFrom([]retry.Reason{retry.Busy, retry.Broken, retry.Silent, retry.ConnectFailed, retry.Leaving, retry.ServerError})
 		sent, ran := 0, false
 		now := start
 		for range 20 {
-			a := forward.Attempt{Reason: reasons.Draw(t, "reason"), Sent: rapid.Bool().Draw(t, "sent")}
+			a := forward.FailedAttempt{Reason: reasons.Draw(t, "reason"), Sent: rapid.Bool().Draw(t, "sent")}
 			a.MayHaveRun = a.Sent && rapid.Bool().Draw(t, "may have run")
 			if a.Sent {
 				if ran && !repeatable {
@@ -80,7 +80,7 @@
 				sent++
 			}
 			ran = ran || a.MayHaveRun
-			wait, r := x.Next(now, p, a)
+			wait, r := x.HandleFailure(now, p, a)
 			if r != nil {
 				if r.Executed == refusal.ExecutedNo && ran {
 					t.Fatal("told not run")
@@ -137,7 +137,7 @@
 	})
 }
 
-func event(id int) string { return fmt.Sprintf("id: %d\ndata: word%d\n\n", id, id) }
+func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: word%d\n\n", id, id) }
 
 // A runner dies in the middle of an event and the stream goes on at another,
 // which sends an event again that the caller has. The caller must get each event
@@ -145,27 +145,27 @@
 func TestSpliceAfterTornEvent(t *testing.T) {
 	is := is.New(t)
 	s := forward.NewEventStream("")
-	out, err := s.Push(nil, []byte(event(1)+event(2)+"id: 3\nda"))
+	out, err := s.Push(nil, []byte(eventText(1)+eventText(2)+"id: 3\nda"))
 	is.NoErr(err)
-	is.True(s.Torn())
+	is.True(s.HasPartialEvent())
 	is.Equal(s.LastID(), "2")
-	s.Restart()
-	out, err = s.Push(out, []byte(event(2)+event(3)+event(4)))
+	s.DropPartialEvent()
+	out, err = s.Push(out, []byte(eventText(2)+eventText(3)+eventText(4)))
 	is.NoErr(err)
-	is.Equal(string(out), event(1)+event(2)+event(3)+event(4))
-	is.True(!s.Torn())
+	is.Equal(string(out), eventText(1)+eventText(2)+eventText(3)+eventText(4))
+	is.True(!s.HasPartialEvent())
 }
 
 // However the bytes of a stream are cut, the same events come out.
-func TestEventsComeOutWholeForAnyCut(t *testing.T) {
+func TestEventsAreWholeForAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 10).Draw(t, "events")
 		var all strings.Builder
 		for i := range n {
 			if rapid.Bool().Draw(t, "crlf") {
-				all.WriteString(strings.ReplaceAll(event(i), "\n", "\r\n"))
+				all.WriteString(strings.ReplaceAll(eventText(i), "\n", "\r\n"))
 			} else {
-				all.WriteString(event(i))
+				all.WriteString(eventText(i))
 			}
 		}
 		left := []byte(all.String())
@@ -179,13 +179,13 @@
 			}
 			left = left[cut:]
 		}
-		if string(out) != all.String() || s.Torn() || s.Events() != n {
+		if string(out) != all.String() || s.HasPartialEvent() || s.Events() != n {
 			t.Fatalf("got %q of %q", out, all.String())
 		}
 	})
 }
 
-func TestEventWithoutEnd(t *testing.T) {
+func TestOversizedEventIsRejected(t *testing.T) {
 	is := is.New(t)
 	s := forward.NewEventStream("")
 	_, err := s.Push(nil, make([]byte, forward.MaxEventBytes+1))
