--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -81,7 +81,7 @@
 	s.admission = admission.New(a)
 	t := cfg.Policy.Retry
 	t.Seed = cfg.Seed
-	t.Count = func(reason retry.Reason, v retry.Verdict) {
+	t.OnDecision = func(reason retry.Reason, v retry.Verdict) {
 		cfg.count(name, "retry."+string(reason)+"."+string(v))
 	}
 	s.retry = retry.New(t)
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -143,14 +143,14 @@
 		return
 	}
 	p.table.SetSamples(samplesFor(daemons))
-	perFirst, perSecond, burst := retry.Share(b.RetryRatio, b.RetrySlack, budgetKept, b.RetryWindow, daemons)
+	perFirst, perSecond, burst := retry.BudgetShare(b.RetryRatio, b.RetrySlack, budgetKept, b.RetryWindow, daemons)
 	if p.daemons == 0 {
 		// A new pool starts with its savings; without them the first failures
 		// after a start could not be answered by another runner.
 		p.retry = retry.New(retryConfig(perFirst, perSecond, burst))
 	}
 	p.daemons = daemons
-	p.retry.Limit(perFirst, perSecond, burst)
+	p.retry.SetBudget(perFirst, perSecond, burst)
 }
 
 // samplesFor is how many random runners a choice looks at beside those that hold the
--- a/protocol/forward/exchange.go
+++ b/protocol/forward/exchange.go
@@ -70,14 +70,14 @@
 		return 0, x.finalRefusal(refusal.RunnerFailed, "answer broke off: %s", a.Reason)
 	}
 	decision := policy.Decide(now, retry.Failure{
-		Reason:      a.Reason,
-		MayHaveRun:  x.mayHaveRun,
-		Repeatable:  x.Terms.Repeatable,
-		Attempts:    max(1, x.sent),
-		MaxAttempts: x.Terms.MaxAttempts,
-		Unarrived:   !a.Sent,
-		RetryAfter:  a.RetryAfter,
-		Deadline:    x.Terms.Deadline,
+		Reason:       a.Reason,
+		MayHaveRun:   x.mayHaveRun,
+		Repeatable:   x.Terms.Repeatable,
+		Attempts:     max(1, x.sent),
+		MaxAttempts:  x.Terms.MaxAttempts,
+		NeverArrived: !a.Sent,
+		RetryAfter:   a.RetryAfter,
+		Deadline:     x.Terms.Deadline,
 	})
 	switch decision.Verdict {
 	case retry.Again:
--- a/protocol/forward/forward_test.go
+++ b/protocol/forward/forward_test.go
@@ -105,7 +105,7 @@
 		var policies []*retry.Policy
 		for range n {
 			cfg := retry.Default()
-			cfg.Ratio, cfg.PerSecond, cfg.Burst = retry.Share(ratio, slack, keep, window, n)
+			cfg.Ratio, cfg.PerSecond, cfg.Burst = retry.BudgetShare(ratio, slack, keep, window, n)
 			policies = append(policies, retry.New(cfg))
 		}
 		firsts := rapid.IntRange(0, 5).Draw(t, "first attempts a tick")
--- a/protocol/retry/retry.go
+++ b/protocol/retry/retry.go
@@ -65,9 +65,9 @@
 	Attempts int
 	// MaxAttempts goes before the policy's where it is not zero.
 	MaxAttempts int
-	// Unarrived means that nothing arrived at any runner. The next attempt is
+	// NeverArrived means that nothing arrived at any runner. The next attempt is
 	// then the first one to load a runner, and is not charged.
-	Unarrived bool
+	NeverArrived bool
 	// RetryAfter is what the runner asked for; zero is nothing.
 	RetryAfter time.Duration
 	// Deadline is when the answer is of no more use; zero is never.
@@ -102,8 +102,8 @@
 	Backoffs map[Reason]Backoff
 	Backoff  Backoff
 	Seed     uint64
-	// Count is called for every decision; nil is allowed.
-	Count func(Reason, Verdict)
+	// OnDecision is called for every decision; nil is allowed.
+	OnDecision func(Reason, Verdict)
 }
 
 // Default returns the policy in use; docs/design/retries.md gives the reasons.
@@ -125,10 +125,10 @@
 
 // Policy decides for one service. It is not safe for concurrent use.
 type Policy struct {
-	cfg     Config
-	rng     *rand.Rand
-	balance float64
-	paid    time.Time
+	cfg         Config
+	rng         *rand.Rand
+	balance     float64
+	lastAccrual time.Time
 }
 
 // New returns a policy with a full budget.
@@ -138,17 +138,17 @@
 
 // FirstAttempt pays the share of one first attempt into the budget.
 func (p *Policy) FirstAttempt(now time.Time) {
-	p.pass(now)
+	p.accrue(now)
 	p.balance = min(p.cfg.Burst, p.balance+p.cfg.Ratio)
 }
 
-// pass pays for the time since the last call.
-func (p *Policy) pass(now time.Time) {
-	if now.After(p.paid) && !p.paid.IsZero() {
-		p.balance = min(p.cfg.Burst, p.balance+p.cfg.PerSecond*now.Sub(p.paid).Seconds())
+// accrue pays for the time since the last call.
+func (p *Policy) accrue(now time.Time) {
+	if now.After(p.lastAccrual) && !p.lastAccrual.IsZero() {
+		p.balance = min(p.cfg.Burst, p.balance+p.cfg.PerSecond*now.Sub(p.lastAccrual).Seconds())
 	}
-	if now.After(p.paid) {
-		p.paid = now
+	if now.After(p.lastAccrual) {
+		p.lastAccrual = now
 	}
 }
 
@@ -167,10 +167,10 @@
 // each reclaim, whose number does not grow with the load on the rest. Accepted
 // work that failed otherwise waits, with backoff, until the budget pays.
 func (p *Policy) Decide(now time.Time, f Failure) Decision {
-	p.pass(now)
+	p.accrue(now)
 	d := p.decide(now, f)
-	if p.cfg.Count != nil {
-		p.cfg.Count(f.Reason, d.Verdict)
+	if p.cfg.OnDecision != nil {
+		p.cfg.OnDecision(f.Reason, d.Verdict)
 	}
 	return d
 }
@@ -179,22 +179,22 @@
 	if f.MayHaveRun && !f.Repeatable {
 		return Decision{Verdict: StopMayHaveRun}
 	}
-	if f.Attempts >= p.maxAttempts(f) && !f.Accepted && !f.Unarrived {
+	if f.Attempts >= p.maxAttempts(f) && !f.Accepted && !f.NeverArrived {
 		return Decision{Verdict: StopAttempts}
 	}
-	wait := p.wait(f)
-	if !f.Deadline.IsZero() && !now.Add(wait).Before(f.Deadline) {
+	delay := p.delay(f)
+	if !f.Deadline.IsZero() && !now.Add(delay).Before(f.Deadline) {
 		return Decision{Verdict: StopDeadline}
 	}
-	if f.Accepted && f.Reason == Reclaimed || f.Unarrived {
-		return Decision{Verdict: Again, Wait: wait}
+	if f.Accepted && f.Reason == Reclaimed || f.NeverArrived {
+		return Decision{Verdict: Again, Wait: delay}
 	}
 	if p.balance >= 1 {
 		p.balance--
-		return Decision{Verdict: Again, Wait: wait}
+		return Decision{Verdict: Again, Wait: delay}
 	}
 	if f.Accepted {
-		return Decision{Verdict: Postpone, Wait: wait}
+		return Decision{Verdict: Postpone, Wait: delay}
 	}
 	return Decision{Verdict: StopBudget}
 }
@@ -206,39 +206,39 @@
 	return p.cfg.MaxAttempts
 }
 
-// Limit changes what the budget grows by and holds, as when the number of
+// SetBudget changes what the budget grows by and holds, as when the number of
 // daemons that share one changes.
-func (p *Policy) Limit(ratio, perSecond, burst float64) {
+func (p *Policy) SetBudget(ratio, perSecond, burst float64) {
 	p.cfg.Ratio, p.cfg.PerSecond, p.cfg.Burst = ratio, perSecond, burst
 	p.balance = min(p.balance, burst)
 }
 
-// Share is one daemon's part of a budget that daemons hold together: in any
+// BudgetShare is one daemon's part of a budget that daemons hold together: in any
 // window all of them may make ratio times the first attempts plus slack retries.
 // Each may save up half of its part of the slack and earns the other half over
 // the window, so that no window holds more than the part. The parts are fixed,
 // so daemons that can't hear each other keep the budget, too. keep is the share
 // of the whole that is used; the rest covers daemons that start anew with what
 // their former selves have spent.
-func Share(ratio, slack, keep float64, window time.Duration, daemons int) (perFirst, perSecond, burst float64) {
-	part := keep * slack / float64(max(1, daemons))
-	return keep * ratio, part / 2 / window.Seconds(), part / 2
+func BudgetShare(ratio, slack, usedFraction float64, window time.Duration, daemons int) (perFirst, perSecond, burst float64) {
+	part := usedFraction * slack / float64(max(1, daemons))
+	return usedFraction * ratio, part / 2 / window.Seconds(), part / 2
 }
 
-// wait is the runner's own word or, if longer, a random part of an
+// delay is the runner's own word or, if longer, a random part of an
 // exponentially growing span, so that callers that failed together do not come
 // back together.
-func (p *Policy) wait(f Failure) time.Duration {
+func (p *Policy) delay(f Failure) time.Duration {
 	b, ok := p.cfg.Backoffs[f.Reason]
 	if !ok {
 		b = p.cfg.Backoff
 	}
-	span := b.Base
-	for i := 1; i < f.Attempts && span < b.Max; i++ {
-		span *= 2
+	ceiling := b.Base
+	for i := 1; i < f.Attempts && ceiling < b.Max; i++ {
+		ceiling *= 2
 	}
-	span = min(span, b.Max)
-	jittered := span/2 + time.Duration(p.rng.Int64N(int64(span/2)+1))
+	ceiling = min(ceiling, b.Max)
+	jittered := ceiling/2 + time.Duration(p.rng.Int64N(int64(ceiling/2)+1))
 	if f.RetryAfter <= 0 {
 		return jittered
 	}
--- a/protocol/retry/retry_test.go
+++ b/protocol/retry/retry_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestNeverWhatMayHaveRun(t *testing.T) {
+func TestWorkThatMayHaveRunIsRetriedOnlyIfRepeatable(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
 	is.Equal(p.Decide(start, Failure{Reason: Broken, MayHaveRun: true, Attempts: 1}).Verdict, StopMayHaveRun)
@@ -60,7 +60,7 @@
 // Callers in the healthy failure domains wait and time out although their own
 // runners work. A failure domain with a quarter of the runners has gone, every
 // call to it fails at once, and the repeats take the rest of the capacity.
-func TestNoStormWhenAFailureDomainGoes(t *testing.T) {
+func TestNoRetryStormWhenFailureDomainFails(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
 	attempts, answered := 0, 0
