--- a/daemon/models/live.go
+++ b/daemon/models/live.go
@@ -217,7 +217,7 @@
 		Request: l.req,
 		Service: l.service,
 		Offset:  l.machine.Answer().Offset(),
-		Emitted: l.machine.Answer().From(0),
+		Emitted: l.machine.Answer().TokensFrom(0),
 		Exclude: p.Exclude,
 		After:   p.After,
 	}
@@ -249,7 +249,7 @@
 		Model:          l.req.Model,
 		Adapter:        l.req.Adapter,
 		Prompt:         l.req.Prompt,
-		Emitted:        answer.From(0),
+		Emitted:        answer.TokensFrom(0),
 		MaxTokens:      l.req.MaxTokens,
 		Priority:       l.priority,
 		ImportedHandle: g.Handle,
--- a/daemon/models/read.go
+++ b/daemon/models/read.go
@@ -285,7 +285,7 @@
 	defer l.mu.Unlock()
 	a := l.machine.Answer()
 	return snapshot{
-		tokens:  a.From(offset),
+		tokens:  a.TokensFrom(offset),
 		count:   a.Offset(),
 		done:    a.Done(),
 		finish:  a.FinishReason(),
--- a/daemon/models/records.go
+++ b/daemon/models/records.go
@@ -83,7 +83,7 @@
 		Owner:        string(l.m.c.Self),
 		Epoch:        l.spec.Epoch,
 		EmittedFrom:  int32(from),
-		Emitted:      answer.From(from),
+		Emitted:      answer.TokensFrom(from),
 		Runner:       string(l.machine.LastRunner()),
 		MayHaveRun:   l.machine.MayHaveRun(),
 		Done:         answer.Done(),
--- a/protocol/request/request.go
+++ b/protocol/request/request.go
@@ -82,7 +82,7 @@
 type Machine struct {
 	spec   Spec
 	limits Limits
-	answer *stream.Splice
+	answer *stream.SplicedAnswer
 	phase  phase
 
 	attempts     int
@@ -131,7 +131,7 @@
 }
 
 // Answer returns the output so far.
-func (m *Machine) Answer() *stream.Splice { return m.answer }
+func (m *Machine) Answer() *stream.SplicedAnswer { return m.answer }
 
 // Ended reports whether the request has its final answer or refusal, or has
 // been taken over by another daemon.
@@ -257,7 +257,7 @@
 	if m.phase == running {
 		m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner})
 	}
-	m.answer.Stop()
+	m.answer.EndAttempt()
 	m.moveTarget = ""
 	m.phase = suspended
 }
@@ -296,7 +296,7 @@
 	m.lastActivity, m.attemptStarted = now, now
 	m.phase = running
 	m.startedAttempts++
-	m.answer.Begin(m.attempt)
+	m.answer.BeginAttempt(m.attempt)
 	m.emit(Generate{Attempt: m.attempt, Runner: runner, Handle: handle})
 }
 
@@ -375,7 +375,7 @@
 		return
 	}
 	m.startedAttempts--
-	m.answer.Stop()
+	m.answer.EndAttempt()
 	m.handleRunnerFailure(now, in.Cause)
 }
 
@@ -385,7 +385,7 @@
 // would have to recompute that cache.
 func (m *Machine) handleAttemptFailure(now time.Time, cause Cause) {
 	m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner, Cause: cause})
-	m.answer.Stop()
+	m.answer.EndAttempt()
 	if m.moveTarget != "" {
 		m.generate(now, m.moveTarget, "")
 		return
@@ -438,7 +438,7 @@
 		return
 	}
 	m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner, Cause: Preempted})
-	m.answer.Stop()
+	m.answer.EndAttempt()
 	m.leaving[m.runner] = true
 	m.requestRunner(Preempted)
 }
@@ -496,6 +496,6 @@
 	if m.phase == running {
 		m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner})
 	}
-	m.answer.Stop()
+	m.answer.EndAttempt()
 	m.phase = over
 }
--- a/protocol/stream/stream.go
+++ b/protocol/stream/stream.go
@@ -22,31 +22,31 @@
 	FinishReason string
 }
 
-// Reason says why an event was not taken into the answer; each has a counter.
-type Reason string
+// DropReason says why an event was not taken into the answer; each has a counter.
+type DropReason string
 
 // Reasons for dropping an event.
 const (
 	// OtherRequest events belong to another caller's request.
-	OtherRequest Reason = "other_request"
+	OtherRequest DropReason = "other_request"
 	// OtherAttempt events come from an attempt that is no longer current.
-	OtherAttempt Reason = "other_attempt"
+	OtherAttempt DropReason = "other_attempt"
 	// Duplicate events repeat an offset that the answer has.
-	Duplicate Reason = "duplicate"
+	Duplicate DropReason = "duplicate"
 	// Conflict events repeat an offset with another token.
-	Conflict Reason = "conflict"
+	Conflict DropReason = "conflict"
 	// Gap events skip an offset.
-	Gap Reason = "gap"
+	Gap DropReason = "gap"
 	// AfterEnd events follow the end of the answer.
-	AfterEnd Reason = "after_end"
+	AfterEnd DropReason = "after_end"
 	// CountMismatch ends the stream at another offset than was reached.
-	CountMismatch Reason = "count_mismatch"
+	CountMismatch DropReason = "count_mismatch"
 	// Overrun events go past the request's limit of tokens.
-	Overrun Reason = "overrun"
+	Overrun DropReason = "overrun"
 )
 
-// Verdict is what became of an event.
-type Verdict struct {
+// ApplyResult is what became of an event.
+type ApplyResult struct {
 	// Emitted says that the answer grew by one token.
 	Emitted bool
 	// Ended says that the answer is whole.
@@ -54,67 +54,67 @@
 	// Alive says that the event shows the current attempt's connection to work.
 	Alive bool
 	// Dropped is why the event was not used; empty if it was.
-	Dropped Reason
+	Dropped DropReason
 	// Broken says that nothing more can come of the current attempt: go on in
 	// a new one from the answer's offset.
 	Broken bool
 }
 
-// Splice is the answer to one request as it grows. The zero value is not
+// SplicedAnswer is the answer to one request as it grows. The zero value is not
 // usable; it is not safe for concurrent use.
 //
 // All tokens are kept while the request is live: a later attempt resumes after
 // them and late readers start anywhere. The limit of tokens bounds them.
-type Splice struct {
-	request ident.RequestID
-	limit   int
-	attempt ident.AttemptID
-	tokens  []string
-	done    bool
-	finish  string
-	dropped map[Reason]int
+type SplicedAnswer struct {
+	request      ident.RequestID
+	limit        int
+	attempt      ident.AttemptID
+	tokens       []string
+	done         bool
+	finishReason string
+	dropped      map[DropReason]int
 }
 
 // New returns an empty answer of at most limit tokens.
-func New(request ident.RequestID, limit int) *Splice {
-	return &Splice{request: request, limit: limit, dropped: map[Reason]int{}}
+func New(request ident.RequestID, limit int) *SplicedAnswer {
+	return &SplicedAnswer{request: request, limit: limit, dropped: map[DropReason]int{}}
 }
 
 // Restore returns an answer that already has tokens from an earlier owner.
-func Restore(request ident.RequestID, limit int, tokens []string) *Splice {
+func Restore(request ident.RequestID, limit int, tokens []string) *SplicedAnswer {
 	s := New(request, limit)
 	s.tokens = slices.Clone(tokens)
 	return s
 }
 
 // Finish ends an answer whose tokens were restored whole.
-func (s *Splice) Finish(reason string) {
+func (s *SplicedAnswer) Finish(reason string) {
 	s.done = true
-	s.finish = reason
+	s.finishReason = reason
 }
 
-// Begin makes an attempt the current one; events of all others are dropped
+// BeginAttempt makes an attempt the current one; events of all others are dropped
 // from now on.
-func (s *Splice) Begin(attempt ident.AttemptID) { s.attempt = attempt }
+func (s *SplicedAnswer) BeginAttempt(attempt ident.AttemptID) { s.attempt = attempt }
 
-// Stop leaves no attempt current.
-func (s *Splice) Stop() { s.attempt = "" }
+// EndAttempt leaves no attempt current.
+func (s *SplicedAnswer) EndAttempt() { s.attempt = "" }
 
 // Attempt returns the current attempt; empty if there is none.
-func (s *Splice) Attempt() ident.AttemptID { return s.attempt }
+func (s *SplicedAnswer) Attempt() ident.AttemptID { return s.attempt }
 
 // Offset is the number of tokens that the answer has.
-func (s *Splice) Offset() int { return len(s.tokens) }
+func (s *SplicedAnswer) Offset() int { return len(s.tokens) }
 
 // Done tells whether the answer is whole.
-func (s *Splice) Done() bool { return s.done }
+func (s *SplicedAnswer) Done() bool { return s.done }
 
 // FinishReason is the engine's word for why it ended; empty until Done.
-func (s *Splice) FinishReason() string { return s.finish }
+func (s *SplicedAnswer) FinishReason() string { return s.finishReason }
 
-// From returns the tokens from an offset on. The slice is shared and stays
+// TokensFrom returns the tokens from an offset on. The slice is shared and stays
 // valid: kept tokens never change. It is empty past the end.
-func (s *Splice) From(offset int) []string {
+func (s *SplicedAnswer) TokensFrom(offset int) []string {
 	if offset < 0 || offset >= len(s.tokens) {
 		return nil
 	}
@@ -122,11 +122,11 @@
 }
 
 // Dropped counts the dropped events of a reason.
-func (s *Splice) Dropped(r Reason) int { return s.dropped[r] }
+func (s *SplicedAnswer) Dropped(r DropReason) int { return s.dropped[r] }
 
 // Extend takes tokens that a reader is known to have from an earlier owner.
 // It reports false, and changes nothing, where they contradict the answer.
-func (s *Splice) Extend(offset int, tokens []string) bool {
+func (s *SplicedAnswer) Extend(offset int, tokens []string) bool {
 	if offset < 0 || offset > len(s.tokens) || offset+len(tokens) > s.limit {
 		return false
 	}
@@ -147,7 +147,7 @@
 // put another caller's words, or the same words twice, into the answer. Only
 // the current attempt of this very request may extend it, and only by the next
 // offset, so neither can.
-func (s *Splice) Apply(e Event) Verdict {
+func (s *SplicedAnswer) Apply(e Event) ApplyResult {
 	if e.Request != s.request {
 		return s.drop(OtherRequest)
 	}
@@ -158,48 +158,48 @@
 		return s.drop(OtherAttempt)
 	}
 	if e.Heartbeat {
-		return Verdict{Alive: true}
+		return ApplyResult{Alive: true}
 	}
 	if e.Done {
-		return s.end(e)
+		return s.applyEnd(e)
 	}
-	return s.extend(e)
+	return s.applyToken(e)
 }
 
-func (s *Splice) extend(e Event) Verdict {
+func (s *SplicedAnswer) applyToken(e Event) ApplyResult {
 	switch {
 	case e.Offset < 0 || e.Offset > len(s.tokens):
-		return s.broken(Gap)
+		return s.breakAttempt(Gap)
 	case e.Offset < len(s.tokens) && s.tokens[e.Offset] != e.Token:
-		return s.broken(Conflict)
+		return s.breakAttempt(Conflict)
 	case e.Offset < len(s.tokens):
 		v := s.drop(Duplicate)
 		v.Alive = true
 		return v
 	case len(s.tokens) >= s.limit:
-		return s.broken(Overrun)
+		return s.breakAttempt(Overrun)
 	}
 	s.tokens = append(s.tokens, e.Token)
-	return Verdict{Emitted: true, Alive: true}
+	return ApplyResult{Emitted: true, Alive: true}
 }
 
-// end accepts the end only at the offset that was reached: a stream that lost
+// applyEnd accepts the applyEnd only at the offset that was reached: a stream that lost
 // tokens on its way would otherwise pass for a whole answer.
-func (s *Splice) end(e Event) Verdict {
+func (s *SplicedAnswer) applyEnd(e Event) ApplyResult {
 	if e.Offset != len(s.tokens) {
-		return s.broken(CountMismatch)
+		return s.breakAttempt(CountMismatch)
 	}
 	s.done = true
-	s.finish = e.FinishReason
-	return Verdict{Ended: true, Alive: true}
+	s.finishReason = e.FinishReason
+	return ApplyResult{Ended: true, Alive: true}
 }
 
-func (s *Splice) drop(r Reason) Verdict {
+func (s *SplicedAnswer) drop(r DropReason) ApplyResult {
 	s.dropped[r]++
-	return Verdict{Dropped: r}
+	return ApplyResult{Dropped: r}
 }
 
-func (s *Splice) broken(r Reason) Verdict {
+func (s *SplicedAnswer) breakAttempt(r DropReason) ApplyResult {
 	v := s.drop(r)
 	v.Broken = true
 	s.attempt = ""
--- a/protocol/stream/stream_test.go
+++ b/protocol/stream/stream_test.go
@@ -16,43 +16,43 @@
 
 func word(offset int) string { return fmt.Sprintf("w%d", offset) }
 
-func token(attempt ident.AttemptID, offset int) stream.Event {
+func tokenEvent(attempt ident.AttemptID, offset int) stream.Event {
 	return stream.Event{Request: request, Attempt: attempt, Offset: offset, Token: word(offset)}
 }
 
 // A caller would read a half answer as whole: the runner's stream loses a token
 // on the way, and its end arrives. The cause is an end that is believed without
 // counting what came before it.
-func TestEndWithMissingTokensIsNoEnd(t *testing.T) {
+func TestEndAfterMissingTokensIsRejected(t *testing.T) {
 	is := is.New(t)
 	s := stream.New(request, 8)
-	s.Begin("a1")
-	s.Apply(token("a1", 0))
+	s.BeginAttempt("a1")
+	s.Apply(tokenEvent("a1", 0))
 	v := s.Apply(stream.Event{Request: request, Attempt: "a1", Offset: 2, Done: true})
-	is.Equal(v, stream.Verdict{Dropped: stream.CountMismatch, Broken: true})
+	is.Equal(v, stream.ApplyResult{Dropped: stream.CountMismatch, Broken: true})
 	is.True(!s.Done())
 	is.Equal(s.Offset(), 1)
 }
 
 // A caller would read its tokens twice, or another caller's: a runner given up
 // on wakes up and sends the rest of its stream while a second attempt runs.
-func TestLateAndCrossedEventsAreDropped(t *testing.T) {
+func TestEventsOfOtherAttemptsAndRequestsAreDropped(t *testing.T) {
 	is := is.New(t)
 	s := stream.New(request, 8)
-	s.Begin("a1")
-	s.Apply(token("a1", 0))
-	s.Begin("a2")
-	is.Equal(s.Apply(token("a1", 1)).Dropped, stream.OtherAttempt)
-	crossed := token("a2", 1)
+	s.BeginAttempt("a1")
+	s.Apply(tokenEvent("a1", 0))
+	s.BeginAttempt("a2")
+	is.Equal(s.Apply(tokenEvent("a1", 1)).Dropped, stream.OtherAttempt)
+	crossed := tokenEvent("a2", 1)
 	crossed.Request = "r2"
 	is.Equal(s.Apply(crossed).Dropped, stream.OtherRequest)
-	is.True(s.Apply(token("a2", 1)).Emitted)
-	is.Equal(s.From(0), []string{"w0", "w1"})
+	is.True(s.Apply(tokenEvent("a2", 1)).Emitted)
+	is.Equal(s.TokensFrom(0), []string{"w0", "w1"})
 }
 
 // Whatever is lost, repeated, crossed or reordered, the answer stays a prefix
 // of the true one and ends only when it is whole.
-func TestAnswerIsAlwaysAPrefix(t *testing.T) {
+func TestAnswerIsAlwaysAPrefixOfTheTrueAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 6
 		s := stream.New(request, length)
@@ -61,15 +61,15 @@
 			a := rapid.SampledFrom(attempts).Draw(t, "attempt")
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
-				s.Begin(a)
+				s.BeginAttempt(a)
 			case 1:
 				s.Apply(stream.Event{Request: "r2", Attempt: a, Token: "foreign", Offset: s.Offset()})
 			case 2:
 				s.Apply(stream.Event{Request: request, Attempt: a, Offset: length, Done: true})
 			default:
-				s.Apply(token(a, rapid.IntRange(0, length-1).Draw(t, "offset")))
+				s.Apply(tokenEvent(a, rapid.IntRange(0, length-1).Draw(t, "offset")))
 			}
-			for i, got := range s.From(0) {
+			for i, got := range s.TokensFrom(0) {
 				if got != word(i) {
 					t.Fatalf("offset %d holds %q", i, got)
 				}
@@ -81,11 +81,11 @@
 	})
 }
 
-func TestExtendTakesOnlyAContinuation(t *testing.T) {
+func TestExtendAcceptsOnlyConsistentTokens(t *testing.T) {
 	is := is.New(t)
 	s := stream.Restore(request, 8, []string{"w0", "w1"})
 	is.True(!s.Extend(1, []string{"other", "w2"}))
 	is.True(!s.Extend(3, []string{"w3"}))
 	is.True(s.Extend(1, []string{"w1", "w2"}))
-	is.Equal(s.From(0), []string{"w0", "w1", "w2"})
+	is.Equal(s.TokensFrom(0), []string{"w0", "w1", "w2"})
 }
