--- a/protocol/handoff/drain.go
+++ b/protocol/handoff/drain.go
@@ -34,8 +34,8 @@
 
 // NewDrain begins a drain; new requests are still taken until the given time,
 // because callers keep the gateways' list for a while.
-func NewDrain(self view.Daemon, until time.Time) *Drain {
-	return &Drain{self: self, acceptUntil: until, pending: map[ident.RequestID]*pendingTransfer{}}
+func NewDrain(self view.Daemon, acceptUntil time.Time) *Drain {
+	return &Drain{self: self, acceptUntil: acceptUntil, pending: map[ident.RequestID]*pendingTransfer{}}
 }
 
 // Accepting tells whether a new request is still taken.
--- a/protocol/request/request.go
+++ b/protocol/request/request.go
@@ -74,7 +74,7 @@
 	running
 	waiting
 	suspended
-	over
+	ended
 )
 
 // Machine is the state machine of one request. It is not safe for concurrent
@@ -126,7 +126,7 @@
 func NewFinished(spec Spec, finishReason string) *Machine {
 	m := New(spec, Limits{})
 	m.answer.Finish(finishReason)
-	m.phase = over
+	m.phase = ended
 	return m
 }
 
@@ -135,7 +135,7 @@
 
 // Ended reports whether the request has its final answer or refusal, or has
 // been taken over by another daemon.
-func (m *Machine) Ended() bool { return m.phase == over }
+func (m *Machine) Ended() bool { return m.phase == ended }
 
 // Refusal returns the refusal with which the request ended, or nil.
 func (m *Machine) Refusal() *refusal.Refusal { return m.failure }
@@ -178,7 +178,7 @@
 // effect.
 func (m *Machine) Step(now time.Time, in Input) []Effect {
 	m.effects = m.effects[:0]
-	if m.phase == over {
+	if m.phase == ended {
 		return nil
 	}
 	switch in := in.(type) {
@@ -212,7 +212,7 @@
 		m.end()
 		m.emit(Yielded{})
 	}
-	if m.phase != over {
+	if m.phase != ended {
 		m.emit(WakeAt{m.nextWake(now)})
 	}
 	return m.effects
@@ -358,7 +358,7 @@
 		m.emit(Emitted{})
 	}
 	if v.Ended {
-		m.phase = over
+		m.phase = ended
 		m.emit(Answered{})
 	}
 	if v.Broken {
@@ -497,5 +497,5 @@
 		m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner})
 	}
 	m.answer.EndAttempt()
-	m.phase = over
+	m.phase = ended
 }
