--- a/protocol/handoff/drain.go
+++ b/protocol/handoff/drain.go
@@ -9,14 +9,15 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Transfer is one request to be passed on.
+// Transfer is a request that a leaving daemon must pass on to a peer.
 type Transfer struct {
 	ID   ident.RequestID
 	Peer view.Daemon
-	// Epoch that the peer runs it with.
+	// Epoch is the epoch with which the peer runs the request.
 	Epoch uint64
 }
 
+// pendingTransfer is the state of a request that has not been passed on yet.
 type pendingTransfer struct {
 	epoch    uint64
 	peer     ident.Incarnation
@@ -24,40 +25,41 @@
 	attempts int
 }
 
-// Drain is the order in which a leaving daemon passes its requests on. It is
-// not safe for concurrent use.
+// Drain decides in which order and to which peers a leaving daemon passes its
+// requests on. It is not safe for concurrent use.
 type Drain struct {
 	self        view.Daemon
 	acceptUntil time.Time
 	pending     map[ident.RequestID]*pendingTransfer
 }
 
-// NewDrain begins a drain; new requests are still taken until the given time,
-// because callers keep the gateways' list for a while.
+// NewDrain starts a drain. The daemon still accepts new requests until
+// acceptUntil, because callers cache the list of gateways for a while.
 func NewDrain(self view.Daemon, acceptUntil time.Time) *Drain {
 	return &Drain{self: self, acceptUntil: acceptUntil, pending: map[ident.RequestID]*pendingTransfer{}}
 }
 
-// Accepting tells whether a new request is still taken.
+// Accepting reports whether the daemon still accepts new requests.
 func (d *Drain) Accepting(now time.Time) bool { return now.Before(d.acceptUntil) }
 
-// Add takes a live request that runs here with the epoch.
+// Add adds a request that this daemon runs with the given epoch.
 func (d *Drain) Add(id ident.RequestID, epoch uint64) {
 	if _, ok := d.pending[id]; !ok {
 		d.pending[id] = &pendingTransfer{epoch: epoch}
 	}
 }
 
-// Remove forgets a request that ended here or was passed on.
+// Remove removes a request that ended here or was passed on.
 func (d *Drain) Remove(id ident.RequestID) { delete(d.pending, id) }
 
-// Remaining is the number of requests still to be passed on.
+// Remaining returns the number of requests still to be passed on.
 func (d *Drain) Remaining() int { return len(d.pending) }
 
-// NextTransfers lists what to pass to whom, in the order of the IDs. A request whose
-// acknowledgement was lost goes to the same peer with the same epoch again:
-// a second peer would run it beside the first. Only when that peer is no
-// longer live does it go elsewhere, with an epoch that beats the first one's.
+// NextTransfers returns the transfers to start now, ordered by request ID. If
+// the acknowledgement of a transfer was lost, the transfer is repeated to the
+// same peer with the same epoch, since a second peer would run the request
+// beside the first. The request goes to another peer, with a higher epoch that
+// supersedes the first peer's, only if the first peer is no longer live.
 func (d *Drain) NextTransfers(daemons []view.Daemon) []Transfer {
 	var next []Transfer
 	for id, p := range d.pending {
@@ -85,15 +87,15 @@
 	return next
 }
 
-// TransferFailed notes that the outcome of a passing is not known.
+// TransferFailed records that the outcome of a transfer is unknown.
 func (d *Drain) TransferFailed(id ident.RequestID) {
 	if p, ok := d.pending[id]; ok {
 		p.inFlight = false
 	}
 }
 
-// TransferRefused notes that the peer did not take a request: it has not run there, so
-// another peer may have it.
+// TransferRefused records that the peer refused a request. The request has not
+// run there, so it may go to another peer.
 func (d *Drain) TransferRefused(id ident.RequestID, daemons []view.Daemon) {
 	p, ok := d.pending[id]
 	if !ok {
--- a/protocol/handoff/handoff_test.go
+++ b/protocol/handoff/handoff_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// A bulletin would lose tokens that its keeper had: renewals arrive late,
-// twice and in the wrong order.
+// Guards against the loss of tokens that a keeper already had, when renewals
+// arrive late, twice or out of order.
 func TestRenewalsMayArriveInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := handoff.NewKeeper(4)
@@ -80,9 +80,10 @@
 	})
 }
 
-// Two daemons would run a request for good: its owner was taken for gone,
-// another adopted it, and the owner comes back. The higher epoch wins on every
-// keeper that heard of it.
+// Guards against two daemons that both run a request permanently: the owner
+// was considered gone, another daemon adopted the request, and the owner
+// returns. Every keeper that knows the higher epoch must report it to the
+// former owner.
 func TestReturningOwnerIsSuperseded(t *testing.T) {
 	is := is.New(t)
 	k := handoff.NewKeeper(4)
@@ -97,8 +98,9 @@
 	is.Equal(claim, handoff.Claim{Owner: "b", Epoch: 2})
 }
 
-// A request would run twice because the directory errs: its owner's renewals
-// still arrive, so it is not adopted.
+// Guards against a request that runs twice because the list of daemons wrongly
+// lacks its owner. The owner's renewals still arrive, so the request must not
+// be adopted.
 func TestRenewingOwnerIsNotReplaced(t *testing.T) {
 	is := is.New(t)
 	k := handoff.NewKeeper(4)
@@ -110,8 +112,9 @@
 	}
 }
 
-// A draining daemon's acknowledgement is lost: the request goes to the same
-// peer with the same epoch again, and elsewhere only with a higher one.
+// Guards against a request that runs at two peers because the acknowledgement
+// of its transfer was lost. The transfer must be repeated to the same peer
+// with the same epoch, and may go to another peer only with a higher epoch.
 func TestDrainTransfersToOnePeerAtATime(t *testing.T) {
 	is := is.New(t)
 	all := newDaemons(5)
@@ -120,7 +123,7 @@
 	first := d.NextTransfers(all)
 	is.Equal(len(d.NextTransfers(all)), 0) // in flight
 	d.TransferFailed(id)
-	for n := range 20 { // of which some rank before the first peer
+	for n := range 20 { // some of these rank before the first peer
 		all = append(all, newDaemon(100+n))
 	}
 	is.True(handoff.RankKeepers(id, all[0], all)[0].Incarnation != first[0].Peer.Incarnation)
@@ -139,11 +142,12 @@
 	is.True(third[0].Epoch > second[0].Epoch)
 }
 
-// cluster is some daemons with keepers, of which one may go at a time.
+// cluster simulates a few daemons with their keepers, of which one at a time
+// may fail.
 type cluster struct {
 	daemons []view.Daemon
 	keepers map[ident.Incarnation]*handoff.Keeper
-	// owned is what each daemon runs, with the epoch, and emitted how far.
+	// owned is the record of the request at each daemon that runs it.
 	owned   map[ident.Incarnation]handoff.Record
 	outbox  map[ident.Incarnation]*handoff.Outbox
 	now     time.Time
@@ -173,7 +177,8 @@
 	return false
 }
 
-// runRenewalRound is one round of renewals and adoptions of all daemons.
+// runRenewalRound lets every daemon send its renewals once and adopt the
+// records of owners that are gone.
 func (g *cluster) runRenewalRound() {
 	for _, d := range g.daemons {
 		r, ok := g.owned[d.Incarnation]
@@ -211,9 +216,9 @@
 	}
 }
 
-// A long request outlives any number of daemons that die without a word, as
-// long as there is time for a renewal between two of them, and one daemon runs
-// it in the end.
+// A request must survive any number of daemons that fail without notice, as
+// long as there is time for a renewal between two failures, and exactly one
+// daemon must run it in the end.
 func TestRecordSurvivesSuccessiveDaemonDeaths(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := &cluster{
--- a/protocol/handoff/keeper.go
+++ b/protocol/handoff/keeper.go
@@ -8,29 +8,32 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// PutOutcome is what became of a record that was sent to a keeper.
+// PutOutcome is the result of sending a record to a keeper.
 type PutOutcome int
 
-// Outcomes of a Put.
+// Results of Keeper.Put.
 const (
-	// Stored records are safe against the loss of their owner.
+	// Stored means that the keeper holds the record, which now survives the
+	// loss of its owner.
 	Stored PutOutcome = iota
-	// Superseded records belong to another daemon by now.
+	// Superseded means that another daemon owns the request now.
 	Superseded
-	// Incomplete ones lack a part that the keeper never got: send them whole.
+	// Incomplete means that the keeper lacks an earlier part of the record, so
+	// that the sender must send the whole record.
 	Incomplete
-	// Full keepers take no further record.
+	// Full means that the keeper accepts no further records.
 	Full
 )
 
-// Claim is who owns a request.
+// Claim identifies the owner of a request.
 type Claim struct {
 	Owner ident.Incarnation
 	Epoch uint64
 }
 
-// Keeper holds the records of other daemons' requests. It is not safe for
-// concurrent use.
+// Keeper holds copies of the records of other daemons' requests, so that
+// another daemon can continue these requests if their owner fails. It is not
+// safe for concurrent use.
 type Keeper struct {
 	limit     int
 	records   map[ident.RequestID]*Record
@@ -38,7 +41,7 @@
 	lastHeard map[ident.Incarnation]time.Time
 }
 
-// NewKeeper returns a keeper of at most limit records.
+// NewKeeper returns a keeper that holds at most limit records.
 func NewKeeper(limit int) *Keeper {
 	return &Keeper{
 		limit:     limit,
@@ -48,10 +51,10 @@
 	}
 }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (k *Keeper) Len() int { return len(k.records) }
 
-// Get returns a record; it must not be changed.
+// Get returns a record. The caller must not modify it.
 func (k *Keeper) Get(id ident.RequestID) (Record, bool) {
 	r, ok := k.records[id]
 	if !ok {
@@ -60,10 +63,11 @@
 	return *r, true
 }
 
-// Claim notes that a daemon (perhaps this one) owns a request. An owner that
-// was only paused renews its records when it wakes up; without this note it
-// would go on with a request that runs elsewhere, and two answers would be
-// read under one ID.
+// Claim records that a daemon, possibly this one, owns a request, unless a
+// newer claim is known. An owner that was only paused renews its records when
+// it resumes, and the claim tells it that another daemon has taken over.
+// Otherwise both daemons would run the request, and readers would see two
+// answers under one ID.
 func (k *Keeper) Claim(id ident.RequestID, c Claim) {
 	old, ok := k.claims[id]
 	if !ok || supersedes(c.Epoch, c.Owner, old.Epoch, old.Owner) {
@@ -71,15 +75,15 @@
 	}
 }
 
-// ReleaseClaim forgets the claim of an owner that keeps a request no longer.
+// ReleaseClaim removes the claim on a request if the given daemon holds it.
 func (k *Keeper) ReleaseClaim(id ident.RequestID, owner ident.Incarnation) {
 	if k.claims[id].Owner == owner {
 		delete(k.claims, id)
 	}
 }
 
-// Put stores a record or a renewal. The claim is who owns the request if the
-// outcome is Superseded.
+// Put stores a record or a renewal of a record. If the outcome is Superseded,
+// the returned claim identifies the current owner.
 func (k *Keeper) Put(now time.Time, r Record) (PutOutcome, Claim) {
 	k.lastHeard[r.Owner] = now
 	c, claimed := k.claims[r.ID]
@@ -102,7 +106,8 @@
 	return old.applyRenewal(r), Claim{}
 }
 
-// applyRenewal takes the tokens that are new; a late renewal changes nothing.
+// applyRenewal appends the tokens of the renewal that the record lacks. A
+// renewal that arrives late appends nothing.
 func (r *Record) applyRenewal(renewal Record) PutOutcome {
 	end := renewal.EmittedFrom + len(renewal.Emitted)
 	if renewal.EmittedFrom > len(r.Emitted) {
@@ -121,7 +126,7 @@
 	return Stored
 }
 
-// Delete forgets a record on its owner's word.
+// Delete removes a record at the request of its owner.
 func (k *Keeper) Delete(owner ident.Incarnation, id ident.RequestID) {
 	if r, ok := k.records[id]; ok && r.Owner == owner {
 		delete(k.records, id)
@@ -129,16 +134,17 @@
 	}
 }
 
-// Forget drops what is known of a request that is kept no longer.
+// Forget removes the record and the claim of a request, whoever owns it.
 func (k *Keeper) Forget(id ident.RequestID) {
 	delete(k.records, id)
 	delete(k.claims, id)
 }
 
-// Adopt returns the records whose owner is gone, with this daemon as their
-// owner and the next epoch, in the order of their IDs; they are kept here no
-// longer. Present tells whether a daemon is still known. An owner that put a
-// record within quiet is alive whatever the directory says.
+// Adopt removes the records whose owner is gone and returns them, ordered by
+// request ID, with this daemon as the owner and with the next epoch. An owner
+// counts as gone only if isPresent returns false for it and it has sent no
+// record for the given time of silence: an owner that still sends records is
+// alive even if it is missing from the list of daemons.
 func (k *Keeper) Adopt(now time.Time, self ident.Incarnation, silence time.Duration, isPresent func(ident.Incarnation) bool) []Record {
 	var adopted []Record
 	for id, r := range k.records {
--- a/protocol/handoff/outbox.go
+++ b/protocol/handoff/outbox.go
@@ -8,21 +8,24 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Renewal is one record that its keeper must be sent.
+// Renewal is a record, or the latest part of one, that must be sent to its
+// keeper.
 type Renewal struct {
 	ID     ident.RequestID
 	Keeper view.Daemon
-	// From is the offset of the first token that the keeper lacks; zero asks
-	// for the whole record.
+	// From is the offset of the first token that the keeper lacks. Zero means
+	// that the whole record must be sent.
 	From int
 }
 
-// Progress is how far a request has come.
+// Progress is the current token offset of a request and whether it is
+// complete.
 type Progress struct {
 	Offset int
 	Done   bool
 }
 
+// recordState is what the keeper of a request's record has acknowledged.
 type recordState struct {
 	keeper   ident.Incarnation
 	acked    int
@@ -30,8 +33,8 @@
 	complete bool
 }
 
-// Outbox knows which of this daemon's requests are recorded where. It is not
-// safe for concurrent use.
+// Outbox tracks which keeper holds the record of each of this daemon's
+// requests and how much of it. It is not safe for concurrent use.
 type Outbox struct {
 	entries map[ident.RequestID]*recordState
 }
@@ -39,20 +42,21 @@
 // NewOutbox returns an empty outbox.
 func NewOutbox() *Outbox { return &Outbox{entries: map[ident.RequestID]*recordState{}} }
 
-// Track makes a request one that needs a record.
+// Track adds a request that needs a record.
 func (o *Outbox) Track(id ident.RequestID) {
 	if _, ok := o.entries[id]; !ok {
 		o.entries[id] = &recordState{}
 	}
 }
 
-// Tracked tells whether a request needs a record.
+// Tracked reports whether a request needs a record.
 func (o *Outbox) Tracked(id ident.RequestID) bool {
 	_, ok := o.entries[id]
 	return ok
 }
 
-// Untrack forgets a request and returns who keeps its record; empty if no one.
+// Untrack removes a request. It returns the keeper of its record, or an empty
+// value if there is none.
 func (o *Outbox) Untrack(id ident.RequestID) ident.Incarnation {
 	e, ok := o.entries[id]
 	if !ok {
@@ -62,7 +66,7 @@
 	return e.keeper
 }
 
-// Stored notes what a keeper has acknowledged.
+// Stored records what a keeper has acknowledged.
 func (o *Outbox) Stored(id ident.RequestID, keeper ident.Incarnation, p Progress) {
 	e, ok := o.entries[id]
 	if !ok {
@@ -71,15 +75,17 @@
 	*e = recordState{keeper: keeper, acked: p.Offset, done: p.Done, complete: true}
 }
 
-// Lost notes that a keeper lacks a record or a part of it.
+// Lost records that the keeper lacks the record or a part of it, so that the
+// whole record must be sent again.
 func (o *Outbox) Lost(id ident.RequestID) {
 	if e, ok := o.entries[id]; ok {
 		*e = recordState{}
 	}
 }
 
-// DueRenewals lists the records that their keepers lack, in the order of their IDs. A
-// keeper that is no longer live is replaced: its record would go with it.
+// DueRenewals returns the renewals that keepers lack, ordered by request ID. A
+// keeper that is no longer live is replaced, since its copy of the record
+// disappears with it.
 func (o *Outbox) DueRenewals(self view.Daemon, daemons []view.Daemon, progress func(ident.RequestID) Progress) []Renewal {
 	live := map[ident.Incarnation]view.Daemon{}
 	for _, d := range daemons {
--- a/protocol/handoff/record.go
+++ b/protocol/handoff/record.go
@@ -1,7 +1,8 @@
-// Package handoff keeps accepted requests alive when their daemon goes: the
-// records of other daemons' requests (Keeper), the renewal of a daemon's own
-// records at their keepers (Outbox), and the order in which a leaving daemon
-// passes its requests on (Drain). All of it is pure.
+// Package handoff preserves accepted requests when their daemon stops or
+// fails. Keeper holds copies of the records of other daemons' requests. Outbox
+// tracks which of a daemon's own records must be sent to keepers. Drain
+// decides in which order a leaving daemon passes its requests on. The package
+// performs no I/O and reads no clock.
 package handoff
 
 import (
@@ -15,7 +16,8 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Record is what another daemon must know to answer in the owner's place.
+// Record holds what another daemon must know to continue a request in place of
+// its owner.
 type Record struct {
 	ID        ident.RequestID
 	Workspace ident.Workspace
@@ -28,22 +30,22 @@
 	Deadline  time.Time
 
 	Owner ident.Incarnation
-	// Epoch grows with each change of the owner.
+	// Epoch is incremented with each change of the owner.
 	Epoch uint64
-	// EmittedFrom is the offset of the first token in Emitted: a renewal
-	// carries only what the keeper lacks, and no prompt.
+	// EmittedFrom is the offset of the first token in Emitted. A renewal holds
+	// only the tokens that the keeper lacks, and no prompt.
 	EmittedFrom int
 	Emitted     []string
 	Runner      ident.RunnerID
-	// MayHaveRun says that an attempt may have reached a runner.
+	// MayHaveRun is set if an attempt may have reached a runner.
 	MayHaveRun   bool
 	Done         bool
 	FinishReason string
 }
 
-// supersedes tells whether a claim on a request beats another one. Two daemons that
-// were given the same epoch are told apart by their names, so that both sides
-// conclude the same.
+// supersedes reports whether a claim on a request takes precedence over
+// another. If both have the same epoch, the name of the owner decides, so that
+// all daemons reach the same result.
 func supersedes(epoch uint64, owner ident.Incarnation, thanEpoch uint64, thanOwner ident.Incarnation) bool {
 	if epoch != thanEpoch {
 		return epoch > thanEpoch
@@ -51,9 +53,11 @@
 	return owner > thanOwner
 }
 
-// RankKeepers ranks the live daemons that keep a request's record for its owner:
-// those of other failure domains before those of its own, each by rendezvous
-// hashing, so that any gateway finds the record by the request's ID alone.
+// RankKeepers returns the live daemons that may keep the record of a request
+// for its owner, best first. Daemons in other failure domains rank before
+// those in the owner's. Within each group the order is by rendezvous hashing,
+// so that any gateway can locate the record from the ID of the request and its
+// owner.
 func RankKeepers(id ident.RequestID, owner view.Daemon, daemons []view.Daemon) []view.Daemon {
 	var ranked []view.Daemon
 	for _, d := range daemons {
