--- a/protocol/forward/events.go
+++ b/protocol/forward/events.go
@@ -6,23 +6,25 @@
 	"strconv"
 )
 
-// MaxEventBytes bounds one event. Events hold a few tokens each; a stream
-// without an end of event would otherwise fill the memory.
+// MaxEventBytes is the maximum size of one event. Events hold a few tokens
+// each; without a limit, a stream that never ends an event would exhaust the
+// memory.
 const MaxEventBytes = 1 << 20
 
-// EventTooLargeError says that a stream holds no end of event for MaxEventBytes.
+// EventTooLargeError reports that an event of a stream exceeds MaxEventBytes.
 type EventTooLargeError struct{ Size int }
 
 func (e *EventTooLargeError) Error() string {
 	return fmt.Sprintf("event of over %d bytes", e.Size)
 }
 
-// EventStream cuts a runner's event stream into whole events and drops those
-// that the caller has already. A runner may stop in the middle of an event; what
-// went to the caller must end with a whole one, or nothing can follow it.
+// EventStream splits a runner's event stream into complete events and drops
+// those that the caller has already received. A runner may stop in the middle
+// of an event. Only complete events are passed on to the caller, since
+// otherwise no further event could follow.
 //
-// After a resume the next runner's events go through the same EventStream, so
-// an event that both runners sent goes out once.
+// After a resume, the events of the next runner pass through the same
+// EventStream, so that an event sent by both runners reaches the caller once.
 type EventStream struct {
 	pending    []byte
 	lastID     string
@@ -30,7 +32,9 @@
 	eventCount int
 }
 
-// NewEventStream starts after the event that the caller had last; empty is none.
+// NewEventStream returns a stream that continues after the event with the
+// given ID, which is the last one that the caller received. An empty ID starts
+// at the beginning.
 func NewEventStream(lastID string) *EventStream {
 	s := &EventStream{lastID: lastID}
 	s.lastNumber, _ = parseEventNumber(lastID)
@@ -42,19 +46,21 @@
 	return n, err == nil
 }
 
-// LastID is the id of the last whole event.
+// LastID returns the ID of the last complete event.
 func (s *EventStream) LastID() string { return s.lastID }
 
-// Events is the number of whole events that went out.
+// Events returns the number of complete events passed on.
 func (s *EventStream) Events() int { return s.eventCount }
 
-// DropPartialEvent drops the part of an event that the former runner left.
+// DropPartialEvent discards the incomplete event that the previous runner
+// left.
 func (s *EventStream) DropPartialEvent() { s.pending = s.pending[:0] }
 
-// HasPartialEvent tells whether the stream ended within an event.
+// HasPartialEvent reports whether the stream ended within an event.
 func (s *EventStream) HasPartialEvent() bool { return len(bytes.TrimSpace(s.pending)) > 0 }
 
-// Push takes in what arrived and appends the whole events that are new to dst.
+// Push adds received data and appends the complete events that the caller does
+// not have yet to dst.
 func (s *EventStream) Push(dst, data []byte) ([]byte, error) {
 	s.pending = append(s.pending, data...)
 	for {
@@ -75,8 +81,8 @@
 	return dst, nil
 }
 
-// eventEnd is the length of the first event with the blank line that ends it;
-// negative if it is not whole yet.
+// eventEnd returns the length of the first event, including the blank line
+// that ends it, or -1 if the event is incomplete.
 func eventEnd(data []byte) int {
 	lf := bytes.Index(data, []byte("\n\n"))
 	crlf := bytes.Index(data, []byte("\r\n\r\n"))
@@ -89,7 +95,8 @@
 	return -1
 }
 
-// markIfNew notes the event's id; false means that the caller has it already.
+// markIfNew records the event's ID. It returns false if the caller already has
+// the event.
 func (s *EventStream) markIfNew(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
--- a/protocol/forward/exchange.go
+++ b/protocol/forward/exchange.go
@@ -1,13 +1,15 @@
-// Package forward decides the life of one forwarded request: whether a failed
-// attempt is followed by another, and what its caller is told in the end.
+// Package forward decides what happens to a forwarded request: whether a
+// failed attempt is followed by another one, and which refusal its caller gets
+// in the end.
 //
-// Two promises rest on it. A request that may not be repeated reaches a runner a
-// second time only if the first runner is known not to have run it. And a caller
-// is told "not run" only if that is known of every attempt. Both follow from one
-// bit of each attempt, MayHaveRun, which is true unless nothing was sent or the
-// runner itself said that it did not run the request.
+// The package guarantees two things. A request that is not repeatable reaches
+// a second runner only if the first runner is known not to have run it. And a
+// caller is told "not executed" only if no attempt has run the request. Both
+// follow from the MayHaveRun flag of each attempt, which is true unless
+// nothing was sent or the runner reported that it did not run the request.
 //
-// The package does no I/O and reads no clock. It is not safe for concurrent use.
+// The package performs no I/O and reads no clock. It is not safe for
+// concurrent use.
 package forward
 
 import (
@@ -17,33 +19,34 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Terms are what an exchange goes by.
+// Terms holds the rules by which a request is forwarded.
 type Terms struct {
-	// Repeatable requests may run again from their beginning.
+	// Repeatable requests may run again from the beginning.
 	Repeatable bool
-	// Resumable ones may go on at another runner after a part of their answer
-	// has gone to the caller.
+	// Resumable requests may continue at another runner after a part of their
+	// answer has reached the caller.
 	Resumable bool
-	// MaxAttempts is the most runners that the request is sent to.
+	// MaxAttempts is the maximum number of runners to which the request is
+	// sent.
 	MaxAttempts int
-	// Deadline is when the caller or the route gives up.
+	// Deadline is when the caller or the route stops waiting.
 	Deadline time.Time
 }
 
-// FailedAttempt is how one attempt failed.
+// FailedAttempt describes an attempt that failed.
 type FailedAttempt struct {
 	Reason retry.Reason
-	// MayHaveRun is true unless nothing was sent or the runner said that it did
-	// not run the request.
+	// MayHaveRun is true unless nothing was sent or the runner reported that it
+	// did not run the request.
 	MayHaveRun bool
-	// Sent is false if nothing arrived at any runner.
+	// Sent is false if nothing reached any runner.
 	Sent bool
-	// RetryAfter is what the runner asked for.
+	// RetryAfter is the delay that the runner asked for.
 	RetryAfter time.Duration
 }
 
-// Exchange is one request's life. Begun is set once a part of an answer has gone
-// to the caller.
+// Exchange is the state of one forwarded request. AnswerBegun must be set once
+// a part of the answer has been sent to the caller.
 type Exchange struct {
 	Terms       Terms
 	AnswerBegun bool
@@ -52,15 +55,16 @@
 	mayHaveRun bool
 }
 
-// MayHaveRun tells whether any attempt may have run the request.
+// MayHaveRun reports whether any attempt may have run the request.
 func (x *Exchange) MayHaveRun() bool { return x.mayHaveRun }
 
-// Sent is how many runners the request was sent to.
+// Sent returns the number of runners to which the request was sent.
 func (x *Exchange) Sent() int { return x.sent }
 
-// HandleFailure answers a failed attempt: either another one after a wait, or the final
-// refusal. Retries are charged to the policy's budget except where nothing
-// arrived at a runner, since the next attempt is then the first.
+// HandleFailure processes a failed attempt. It returns the delay before the
+// next attempt, or the final refusal. A retry is charged to the policy's
+// budget unless nothing reached a runner, since the next attempt is then the
+// first one.
 func (x *Exchange) HandleFailure(now time.Time, policy *retry.Policy, a FailedAttempt) (time.Duration, *refusal.Refusal) {
 	x.mayHaveRun = x.mayHaveRun || a.MayHaveRun
 	if a.Sent {
@@ -93,12 +97,14 @@
 	return 0, x.finalRefusal(refusal.RunnerFailed, "last attempt of %d: %s", x.sent, a.Reason)
 }
 
-// DeadlineRefusal is the final answer where the deadline passes.
+// DeadlineRefusal returns the final refusal of a request whose deadline has
+// passed.
 func (x *Exchange) DeadlineRefusal() *refusal.Refusal {
 	return x.finalRefusal(refusal.DeadlineExceeded, "no answer in time")
 }
 
-// RecordInterrupted notes an attempt that is cut from our side after it was sent.
+// RecordInterrupted records an attempt that this side cut off after the
+// request was sent.
 func (x *Exchange) RecordInterrupted() {
 	x.sent++
 	x.mayHaveRun = true
--- a/protocol/forward/forward_test.go
+++ b/protocol/forward/forward_test.go
@@ -21,8 +21,9 @@
 	return forward.Terms{Repeatable: repeatable, MaxAttempts: attempts, Deadline: start.Add(10 * time.Second)}
 }
 
-// A runner takes a pledge and its connection breaks before the answer. Sending
-// it again may record it twice; "not run" may be a lie.
+// Guards against a non-repeatable request that runs twice or is reported as
+// not executed although it ran: its connection breaks after the runner has
+// received it and before the answer.
 func TestBrokenPledgeIsNeitherRepeatedNorPromised(t *testing.T) {
 	is := is.New(t)
 	x := forward.Exchange{Terms: newTerms(false, 3)}
@@ -31,8 +32,9 @@
 	is.Equal(r.Executed, refusal.ExecutedUnknown)
 }
 
-// The first runner of a lookup broke off, the second refused. The caller must
-// not hear that its request was not run only because the last runner said so.
+// Guards against telling a caller "not executed" only because the last runner
+// refused: the connection to the first runner broke, and that runner may have
+// run the request.
 func TestRefusalRemembersEarlierAttempts(t *testing.T) {
 	is := is.New(t)
 	x := forward.Exchange{Terms: newTerms(true, 2)}
@@ -58,9 +60,10 @@
 	is.Equal(r.Executed, refusal.ExecutedNo)
 }
 
-// Whatever happens to its attempts, a request that may not be repeated is never
-// sent on after one that may have run, no request is sent to more runners than
-// its route allows, and "not run" is only said of requests that did not run.
+// For any outcome of the attempts, a non-repeatable request is not sent again
+// after an attempt that may have run it, no request is sent to more runners
+// than MaxAttempts, and "not executed" is reported only for requests that did
+// not run.
 func TestPromisesHoldForAnyAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
@@ -95,8 +98,8 @@
 	})
 }
 
-// Daemons that share a retry budget can't hear each other. In no window may
-// their retries together exceed the shared bound.
+// Daemons that share a retry budget do not communicate. In any window, all
+// their retries together must stay within the shared budget.
 func TestShareHoldsBudgetWithoutTalking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, slack, keep = 0.2, 52, 0.9
@@ -139,9 +142,9 @@
 
 func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: word%d\n\n", id, id) }
 
-// A runner dies in the middle of an event and the stream goes on at another,
-// which sends an event again that the caller has. The caller must get each event
-// once and whole.
+// Guards against lost, repeated or truncated events: a runner fails in the
+// middle of an event, and the stream continues at another runner, which
+// repeats an event that the caller already has.
 func TestSpliceAfterTornEvent(t *testing.T) {
 	is := is.New(t)
 	s := forward.NewEventStream("")
@@ -156,7 +159,8 @@
 	is.True(!s.HasPartialEvent())
 }
 
-// However the bytes of a stream are cut, the same events come out.
+// The events passed on must not depend on how the bytes of the stream are
+// split.
 func TestEventsAreWholeForAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 10).Draw(t, "events")
