--- a/protocol/retry/retry.go
+++ b/protocol/retry/retry.go
@@ -1,5 +1,6 @@
-// Package retry decides whether and when a failed attempt is made again. It is
-// pure: time comes with each call and random numbers from a seed.
+// Package retry decides whether and when a failed attempt is repeated. It
+// reads no clock: the time is passed to each call, and random numbers are
+// drawn from a seeded generator.
 package retry
 
 import (
@@ -7,106 +8,114 @@
 	"time"
 )
 
-// Reason says how an attempt failed; each has its own counters.
+// Reason is the way in which an attempt failed. Each reason has its own
+// counters in the metrics.
 type Reason string
 
 // Reasons of failed attempts.
 const (
-	// ConnectFailed means that no connection was made, so nothing was sent.
+	// ConnectFailed means that no connection could be made, so that nothing was
+	// sent.
 	ConnectFailed Reason = "connect_failed"
-	// Busy means that the runner refused for want of room.
+	// Busy means that the runner refused because it was at capacity.
 	Busy Reason = "busy"
-	// Leaving means that the runner refused because its VM is going.
+	// Leaving means that the runner refused because its VM is being shut down.
 	Leaving Reason = "leaving"
 	// NotLoaded means that the runner lacks the model, adapter or version.
 	NotLoaded Reason = "not_loaded"
-	// Broken means that the connection ended before the answer did.
+	// Broken means that the connection ended before the answer was complete.
 	Broken Reason = "broken"
-	// Silent means that the connection gave no sign of life for too long.
+	// Silent means that the connection carried no data for too long.
 	Silent Reason = "silent"
-	// ServerError means that the runner answered with a failure of its own.
+	// ServerError means that the runner answered with an error of its own.
 	ServerError Reason = "server_error"
-	// Reclaimed means that an announced reclaim ended the attempt.
+	// Reclaimed means that an announced reclaim of the VM ended the attempt.
 	Reclaimed Reason = "reclaimed"
 )
 
-// Verdict is what becomes of a failed attempt.
+// Verdict is the decision on a failed attempt.
 type Verdict string
 
-// Verdicts.
+// Verdicts on failed attempts.
 const (
-	// Again makes another attempt after the wait.
+	// Again means to make another attempt after the wait.
 	Again Verdict = "again"
-	// Postpone asks to decide again after the wait: accepted work for which
-	// there is no budget yet.
+	// Postpone means to ask for a decision again after the wait. It is given to
+	// accepted work for which the budget does not suffice yet.
 	Postpone Verdict = "postpone"
-	// StopMayHaveRun ends a call that may have run and can't be repeated.
+	// StopMayHaveRun ends a call that may have run and is not repeatable.
 	StopMayHaveRun Verdict = "stop_may_have_run"
-	// StopBudget ends it for want of budget.
+	// StopBudget ends a call because the retry budget is exhausted.
 	StopBudget Verdict = "stop_budget"
-	// StopAttempts ends it after too many attempts.
+	// StopAttempts ends a call that has reached its maximum number of attempts.
 	StopAttempts Verdict = "stop_attempts"
-	// StopDeadline ends it because the next attempt would come too late.
+	// StopDeadline ends a call because the next attempt would start after its
+	// deadline.
 	StopDeadline Verdict = "stop_deadline"
 )
 
 // Failure describes a failed attempt.
 type Failure struct {
 	Reason Reason
-	// MayHaveRun is true unless no byte reached the runner or the runner said
-	// that it did not run it.
+	// MayHaveRun is true unless no byte reached the runner or the runner
+	// reported that it did not run the call.
 	MayHaveRun bool
 	// Repeatable work may run twice without harm.
 	Repeatable bool
-	// Accepted work has been promised an answer: it waits for the budget
-	// instead of being given up.
+	// Accepted work was promised an answer. It waits for the retry budget
+	// instead of being ended.
 	Accepted bool
-	// Attempts counts the attempts made, this one included.
+	// Attempts is the number of attempts made, including the failed one.
 	Attempts int
-	// MaxAttempts goes before the policy's where it is not zero.
+	// MaxAttempts overrides the MaxAttempts of the policy unless it is zero.
 	MaxAttempts int
-	// NeverArrived means that nothing arrived at any runner. The next attempt is
-	// then the first one to load a runner, and is not charged.
+	// NeverArrived means that nothing reached any runner. The next attempt is
+	// then the first one that puts load on a runner, so that it is not charged
+	// to the budget.
 	NeverArrived bool
-	// RetryAfter is what the runner asked for; zero is nothing.
+	// RetryAfter is the delay that the runner asked for, or zero.
 	RetryAfter time.Duration
-	// Deadline is when the answer is of no more use; zero is never.
+	// Deadline is the time after which the answer is useless to the caller. The
+	// zero time means that there is none.
 	Deadline time.Time
 }
 
-// Decision is the answer to a failure.
+// Decision is the response to a failure.
 type Decision struct {
 	Verdict Verdict
-	// Wait is the time to let pass before the next attempt.
+	// Wait is the delay before the next attempt or the next decision.
 	Wait time.Duration
 }
 
-// Backoff is the schedule of one reason.
+// Backoff holds the parameters of the exponential backoff for a reason.
 type Backoff struct {
 	Base time.Duration
 	Max  time.Duration
 }
 
-// Config sets the policy of one service.
+// Config holds the retry policy of one service.
 type Config struct {
-	// Ratio is how many retries each first attempt pays for.
+	// Ratio is the number of retries that each first attempt adds to the
+	// budget.
 	Ratio float64
-	// PerSecond is how many retries time pays for, so that accepted work gets
-	// on when no first attempts come.
+	// PerSecond is the number of retries that each second adds to the budget,
+	// so that accepted work makes progress when there are no first attempts.
 	PerSecond float64
-	// Burst is the most retries that are saved up.
+	// Burst is the maximum number of retries in the budget.
 	Burst float64
-	// MaxAttempts bounds the attempts of work that is not accepted.
+	// MaxAttempts is the maximum number of attempts for work that is not accepted.
 	MaxAttempts int
-	// Backoffs differ by reason; Backoff is for the others.
+	// Backoffs holds the backoff of individual reasons. Backoff applies to all
+	// others.
 	Backoffs map[Reason]Backoff
 	Backoff  Backoff
 	Seed     uint64
-	// OnDecision is called for every decision; nil is allowed.
+	// OnDecision is called for every decision. It may be nil.
 	OnDecision func(Reason, Verdict)
 }
 
-// Default returns the policy in use; docs/design/retries.md gives the reasons.
+// Default returns the policy used in production; docs/design/retries.md gives
+// the reasons for it.
 func Default() Config {
 	return Config{
 		Ratio:       0.1,
@@ -123,7 +132,8 @@
 	}
 }
 
-// Policy decides for one service. It is not safe for concurrent use.
+// Policy decides on the retries of one service. It is not safe for concurrent
+// use.
 type Policy struct {
 	cfg         Config
 	rng         *rand.Rand
@@ -136,13 +146,14 @@
 	return &Policy{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 2)), balance: cfg.Burst}
 }
 
-// FirstAttempt pays the share of one first attempt into the budget.
+// FirstAttempt adds Ratio retries to the budget for one first attempt.
 func (p *Policy) FirstAttempt(now time.Time) {
 	p.accrue(now)
 	p.balance = min(p.cfg.Burst, p.balance+p.cfg.Ratio)
 }
 
-// accrue pays for the time since the last call.
+// accrue adds the retries to the budget that the time since the last call has
+// earned.
 func (p *Policy) accrue(now time.Time) {
 	if now.After(p.lastAccrual) && !p.lastAccrual.IsZero() {
 		p.balance = min(p.cfg.Burst, p.balance+p.cfg.PerSecond*now.Sub(p.lastAccrual).Seconds())
@@ -152,20 +163,22 @@
 	}
 }
 
-// Balance is the number of retries that the budget still pays for.
+// Balance returns the number of retries that the budget still allows.
 func (p *Policy) Balance() float64 { return p.balance }
 
-// Decide answers a failure and charges the budget if there is to be another
-// attempt.
+// Decide decides on a failure and charges the budget if another attempt
+// follows.
 //
-// Without the budget a failing failure domain multiplies the load on the rest
-// by the number of attempts, which fails in turn; it shows as attempts growing
-// while answers fall. The budget holds attempts to 1+Ratio of the first ones
-// (and Burst once, and PerSecond), however many fail.
+// Without a budget, the loss of a failure domain multiplies the load on the
+// others by the number of attempts, so that they fail in turn: the number of
+// attempts rises while the number of answers falls. The budget limits the
+// attempts to 1+Ratio times the first attempts, plus Burst once and PerSecond
+// retries per second, regardless of how many attempts fail.
 //
-// Accepted work that a reclaim interrupts is not charged: it is moved once for
-// each reclaim, whose number does not grow with the load on the rest. Accepted
-// work that failed otherwise waits, with backoff, until the budget pays.
+// Accepted work that is interrupted by a reclaim is not charged. It is moved
+// once per reclaim, and the number of reclaims does not grow with the load.
+// Accepted work that fails for another reason waits, with backoff, until the
+// budget allows a retry.
 func (p *Policy) Decide(now time.Time, f Failure) Decision {
 	p.accrue(now)
 	d := p.decide(now, f)
@@ -206,28 +219,29 @@
 	return p.cfg.MaxAttempts
 }
 
-// SetBudget changes what the budget grows by and holds, as when the number of
-// daemons that share one changes.
+// SetBudget changes how fast the budget grows and how much it holds, for
+// example when the number of daemons that share a budget changes.
 func (p *Policy) SetBudget(ratio, perSecond, burst float64) {
 	p.cfg.Ratio, p.cfg.PerSecond, p.cfg.Burst = ratio, perSecond, burst
 	p.balance = min(p.balance, burst)
 }
 
-// BudgetShare is one daemon's part of a budget that daemons hold together: in any
-// window all of them may make ratio times the first attempts plus slack retries.
-// Each may save up half of its part of the slack and earns the other half over
-// the window, so that no window holds more than the part. The parts are fixed,
-// so daemons that can't hear each other keep the budget, too. keep is the share
-// of the whole that is used; the rest covers daemons that start anew with what
-// their former selves have spent.
+// BudgetShare returns one daemon's part of a budget shared by several daemons.
+// In any window, all daemons together may make retries up to ratio times the
+// first attempts plus slack. Each daemon may hold half of its part of slack in
+// reserve and earns the other half over the window, so that no window exceeds
+// its part. Since the parts are fixed, daemons that can't communicate also
+// keep to the shared budget. usedFraction is the fraction of the budget that
+// is distributed; the rest covers restarted daemons, which no longer know what
+// they spent before.
 func BudgetShare(ratio, slack, usedFraction float64, window time.Duration, daemons int) (perFirst, perSecond, burst float64) {
 	part := usedFraction * slack / float64(max(1, daemons))
 	return usedFraction * ratio, part / 2 / window.Seconds(), part / 2
 }
 
-// delay is the runner's own word or, if longer, a random part of an
-// exponentially growing span, so that callers that failed together do not come
-// back together.
+// delay returns a random part of an exponentially growing interval, added to
+// the delay that the runner asked for. The randomness keeps callers that
+// failed at the same time from retrying at the same time.
 func (p *Policy) delay(f Failure) time.Duration {
 	b, ok := p.cfg.Backoffs[f.Reason]
 	if !ok {
--- a/protocol/retry/retry_test.go
+++ b/protocol/retry/retry_test.go
@@ -25,7 +25,8 @@
 	is.True(d.Wait >= 3*time.Second)
 }
 
-// TestBudgetIsNeverExceeded makes any sequence of first attempts and failures.
+// TestBudgetIsNeverExceeded makes a random sequence of first attempts and
+// failures and checks that the retries stay within the budget.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Default()
@@ -57,9 +58,10 @@
 	})
 }
 
-// Callers in the healthy failure domains wait and time out although their own
-// runners work. A failure domain with a quarter of the runners has gone, every
-// call to it fails at once, and the repeats take the rest of the capacity.
+// Guards against a retry storm: a failure domain with a quarter of the runners
+// fails, every call to it fails at once, and the retries use up the capacity
+// of the others, so that callers there time out although their own runners
+// work.
 func TestNoRetryStormWhenFailureDomainFails(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
