--- a/protocol/stream/stream.go
+++ b/protocol/stream/stream.go
@@ -1,6 +1,7 @@
-// Package stream splices the output of a request's attempts into the one
-// answer that its caller sees: every offset once, in order. It is a pure state
-// machine; readers are served from the tokens that it keeps.
+// Package stream merges the output of a request's attempts into the single
+// answer that its caller sees, which contains every token offset once and in
+// order. It performs no I/O. Readers are served from the tokens that it
+// stores.
 package stream
 
 import (
@@ -9,12 +10,12 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Event is one line of an attempt's stream.
+// Event is one event of an attempt's output stream.
 type Event struct {
 	Request ident.RequestID
 	Attempt ident.AttemptID
-	// Offset numbers the token in the whole answer, from 0; with Done it is
-	// the number of tokens in all.
+	// Offset is the position of the token in the whole answer, starting at 0.
+	// If Done is set, it is the total number of tokens.
 	Offset       int
 	Token        string
 	Heartbeat    bool
@@ -22,49 +23,58 @@
 	FinishReason string
 }
 
-// DropReason says why an event was not taken into the answer; each has a counter.
+// DropReason is the reason why an event was not added to the answer. Each
+// reason has a counter in the metrics.
 type DropReason string
 
 // Reasons for dropping an event.
 const (
-	// OtherRequest events belong to another caller's request.
+	// OtherRequest means that the event belongs to another request.
 	OtherRequest DropReason = "other_request"
-	// OtherAttempt events come from an attempt that is no longer current.
+	// OtherAttempt means that the event comes from an attempt that is not
+	// current.
 	OtherAttempt DropReason = "other_attempt"
-	// Duplicate events repeat an offset that the answer has.
+	// Duplicate means that the event repeats an offset that the answer already
+	// has.
 	Duplicate DropReason = "duplicate"
-	// Conflict events repeat an offset with another token.
+	// Conflict means that the event repeats an offset with a different token.
 	Conflict DropReason = "conflict"
-	// Gap events skip an offset.
+	// Gap means that the event skips an offset.
 	Gap DropReason = "gap"
-	// AfterEnd events follow the end of the answer.
+	// AfterEnd means that the event follows the end of the answer.
 	AfterEnd DropReason = "after_end"
-	// CountMismatch ends the stream at another offset than was reached.
+	// CountMismatch means that the event ends the answer at another offset than
+	// the number of tokens received.
 	CountMismatch DropReason = "count_mismatch"
-	// Overrun events go past the request's limit of tokens.
+	// Overrun means that the event exceeds the maximum number of tokens of the
+	// request.
 	Overrun DropReason = "overrun"
 )
 
-// ApplyResult is what became of an event.
+// ApplyResult describes the effect of an event on the answer.
 type ApplyResult struct {
-	// Emitted says that the answer grew by one token.
+	// Emitted is set if the answer grew by one token.
 	Emitted bool
-	// Ended says that the answer is whole.
+	// Ended is set if the answer is now complete.
 	Ended bool
-	// Alive says that the event shows the current attempt's connection to work.
+	// Alive is set if the event shows that the connection of the current
+	// attempt works.
 	Alive bool
-	// Dropped is why the event was not used; empty if it was.
+	// Dropped is the reason why the event was ignored. It is empty if the event
+	// was used.
 	Dropped DropReason
-	// Broken says that nothing more can come of the current attempt: go on in
-	// a new one from the answer's offset.
+	// Broken is set if the current attempt can't contribute any more. The
+	// answer must be continued by a new attempt from its current offset.
 	Broken bool
 }
 
-// SplicedAnswer is the answer to one request as it grows. The zero value is not
-// usable; it is not safe for concurrent use.
+// SplicedAnswer is the growing answer to one request, merged from the output
+// of its attempts. The zero value is not usable. It is not safe for concurrent
+// use.
 //
-// All tokens are kept while the request is live: a later attempt resumes after
-// them and late readers start anywhere. The limit of tokens bounds them.
+// All tokens are kept in memory while the request is live, because later
+// attempts resume after them and readers may start at any offset. The maximum
+// number of tokens of the request bounds the memory.
 type SplicedAnswer struct {
 	request      ident.RequestID
 	limit        int
@@ -80,40 +90,43 @@
 	return &SplicedAnswer{request: request, limit: limit, dropped: map[DropReason]int{}}
 }
 
-// Restore returns an answer that already has tokens from an earlier owner.
+// Restore returns an answer that already contains the tokens emitted by an
+// earlier owner.
 func Restore(request ident.RequestID, limit int, tokens []string) *SplicedAnswer {
 	s := New(request, limit)
 	s.tokens = slices.Clone(tokens)
 	return s
 }
 
-// Finish ends an answer whose tokens were restored whole.
+// Finish marks an answer as complete whose tokens were all restored.
 func (s *SplicedAnswer) Finish(reason string) {
 	s.done = true
 	s.finishReason = reason
 }
 
-// BeginAttempt makes an attempt the current one; events of all others are dropped
-// from now on.
+// BeginAttempt makes an attempt the current one. Events of all other attempts
+// are dropped from now on.
 func (s *SplicedAnswer) BeginAttempt(attempt ident.AttemptID) { s.attempt = attempt }
 
-// EndAttempt leaves no attempt current.
+// EndAttempt leaves the answer without a current attempt.
 func (s *SplicedAnswer) EndAttempt() { s.attempt = "" }
 
-// Attempt returns the current attempt; empty if there is none.
+// Attempt returns the current attempt, or an empty ID if there is none.
 func (s *SplicedAnswer) Attempt() ident.AttemptID { return s.attempt }
 
-// Offset is the number of tokens that the answer has.
+// Offset returns the number of tokens in the answer.
 func (s *SplicedAnswer) Offset() int { return len(s.tokens) }
 
-// Done tells whether the answer is whole.
+// Done reports whether the answer is complete.
 func (s *SplicedAnswer) Done() bool { return s.done }
 
-// FinishReason is the engine's word for why it ended; empty until Done.
+// FinishReason returns the reason that the engine gave for the end of the
+// answer. It is empty until Done returns true.
 func (s *SplicedAnswer) FinishReason() string { return s.finishReason }
 
-// TokensFrom returns the tokens from an offset on. The slice is shared and stays
-// valid: kept tokens never change. It is empty past the end.
+// TokensFrom returns the tokens from an offset on, or nil if the offset is
+// outside the answer. The slice is shared and remains valid, since stored
+// tokens never change.
 func (s *SplicedAnswer) TokensFrom(offset int) []string {
 	if offset < 0 || offset >= len(s.tokens) {
 		return nil
@@ -121,11 +134,11 @@
 	return s.tokens[offset:len(s.tokens):len(s.tokens)]
 }
 
-// Dropped counts the dropped events of a reason.
+// Dropped returns the number of events dropped for a reason.
 func (s *SplicedAnswer) Dropped(r DropReason) int { return s.dropped[r] }
 
-// Extend takes tokens that a reader is known to have from an earlier owner.
-// It reports false, and changes nothing, where they contradict the answer.
+// Extend adds tokens that a reader is known to have received from an earlier
+// owner. It returns false and changes nothing if they contradict the answer.
 func (s *SplicedAnswer) Extend(offset int, tokens []string) bool {
 	if offset < 0 || offset > len(s.tokens) || offset+len(tokens) > s.limit {
 		return false
@@ -141,12 +154,12 @@
 	return true
 }
 
-// Apply takes one event.
+// Apply processes one event.
 //
-// A runner that answers late, twice or on the wrong connection would otherwise
-// put another caller's words, or the same words twice, into the answer. Only
-// the current attempt of this very request may extend it, and only by the next
-// offset, so neither can.
+// A runner that answers late, twice or on the wrong connection must not add
+// another caller's tokens, or the same tokens twice, to the answer. Therefore
+// only the current attempt of this request may extend the answer, and only by
+// the next offset.
 func (s *SplicedAnswer) Apply(e Event) ApplyResult {
 	if e.Request != s.request {
 		return s.drop(OtherRequest)
@@ -183,8 +196,8 @@
 	return ApplyResult{Emitted: true, Alive: true}
 }
 
-// applyEnd accepts the applyEnd only at the offset that was reached: a stream that lost
-// tokens on its way would otherwise pass for a whole answer.
+// applyEnd accepts the end of the answer only at the current offset. Otherwise
+// a stream that lost tokens in transit would look like a complete answer.
 func (s *SplicedAnswer) applyEnd(e Event) ApplyResult {
 	if e.Offset != len(s.tokens) {
 		return s.breakAttempt(CountMismatch)
--- a/protocol/stream/stream_test.go
+++ b/protocol/stream/stream_test.go
@@ -20,9 +20,9 @@
 	return stream.Event{Request: request, Attempt: attempt, Offset: offset, Token: word(offset)}
 }
 
-// A caller would read a half answer as whole: the runner's stream loses a token
-// on the way, and its end arrives. The cause is an end that is believed without
-// counting what came before it.
+// Guards against a truncated answer that looks complete: a token is lost in
+// transit, and the end event is accepted without comparing the number of
+// tokens.
 func TestEndAfterMissingTokensIsRejected(t *testing.T) {
 	is := is.New(t)
 	s := stream.New(request, 8)
@@ -34,8 +34,9 @@
 	is.Equal(s.Offset(), 1)
 }
 
-// A caller would read its tokens twice, or another caller's: a runner given up
-// on wakes up and sends the rest of its stream while a second attempt runs.
+// Guards against duplicate tokens and tokens of another request in an answer:
+// a runner that was given up on resumes and sends the rest of its stream while
+// a second attempt runs.
 func TestEventsOfOtherAttemptsAndRequestsAreDropped(t *testing.T) {
 	is := is.New(t)
 	s := stream.New(request, 8)
@@ -50,8 +51,9 @@
 	is.Equal(s.TokensFrom(0), []string{"w0", "w1"})
 }
 
-// Whatever is lost, repeated, crossed or reordered, the answer stays a prefix
-// of the true one and ends only when it is whole.
+// TestAnswerIsAlwaysAPrefixOfTheTrueAnswer loses, repeats, misdirects and
+// reorders events at random. The answer must remain a prefix of the true
+// answer and end only when it is complete.
 func TestAnswerIsAlwaysAPrefixOfTheTrueAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 6
