--- a/protocol/call/call.go
+++ b/protocol/call/call.go
@@ -1,6 +1,7 @@
-// Package call holds what callers ask for and get, free of HTTP, and the
-// interfaces by which the callers' listener reaches the daemon's parts.
-// Every error of these interfaces is a *refusal.Refusal or wraps one.
+// Package call defines the requests and answers of callers, independent of
+// HTTP, and the interfaces through which the callers' listener uses the
+// daemon. Every error that these interfaces return is a *refusal.Refusal or
+// wraps one.
 package call
 
 import (
@@ -10,7 +11,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// ModelRequest asks a model for output.
+// ModelRequest asks a model to generate output for a prompt.
 type ModelRequest struct {
 	ID        ident.RequestID
 	Workspace ident.Workspace
@@ -19,32 +20,35 @@
 	Adapter   string
 	Prompt    string
 	MaxTokens int
-	// Deadline is when the answer is of no more use; zero is never.
+	// Deadline is the time after which the answer is useless to the caller. The
+	// zero time means that there is none.
 	Deadline time.Time
-	// Async requests go on without a caller that reads.
+	// Async requests continue even if no caller reads the output.
 	Async bool
 }
 
-// Event is one step of a request's output as the caller sees it: each offset
-// once, in order.
+// Event is one event of a request's output as the caller sees it. Each token
+// offset appears once, in order.
 type Event struct {
 	Offset int
 	Token  string
-	// Heartbeat shows that the stream is alive; it carries no token.
+	// Heartbeat shows that the stream is alive. Such an event carries no token.
 	Heartbeat bool
-	// Done ends the stream; Offset is then the number of tokens.
+	// Done marks the end of the stream. Offset is then the total number of
+	// tokens.
 	Done         bool
 	FinishReason string
 }
 
 // Models serves model requests.
 type Models interface {
-	// Submit accepts the request or refuses it. An accepted one is answered in
-	// full or truthfully refused, also when its caller goes away and comes
-	// back at another gateway.
+	// Submit accepts or refuses the request. An accepted request is answered in
+	// full or refused with the true state of its execution, even if its caller
+	// disconnects and returns at another gateway.
 	Submit(ctx context.Context, r ModelRequest) error
-	// Read passes the output from offset on to sink until it is done, sink
-	// fails or the request is refused. Any gateway can read any request.
+	// Read passes the output from an offset on to sink until the output is
+	// complete, sink returns an error, or the request is refused. Any gateway
+	// can read any request.
 	Read(ctx context.Context, ws ident.Workspace, id ident.RequestID, offset int, sink func(Event) error) error
 	// Cancel ends a request that its caller no longer wants.
 	Cancel(ctx context.Context, ws ident.Workspace, id ident.RequestID) error
@@ -53,11 +57,11 @@
 // Header is one HTTP header field.
 type Header struct{ Name, Value string }
 
-// ServiceCall is one call of a plain service.
+// ServiceCall is one call of a service other than a model.
 type ServiceCall struct {
 	Workspace ident.Workspace
 	Service   string
-	// Key is the caller's idempotency key; empty if there is none.
+	// Key is the caller's idempotency key, or empty.
 	Key     string
 	Method  string
 	Path    string
@@ -74,18 +78,19 @@
 	Body    []byte
 }
 
-// Actions serves calls that may not be repeated.
+// Actions serves calls that must run at most once.
 type Actions interface {
 	// Execute runs the call at most once for its workspace and key.
 	Execute(ctx context.Context, c ServiceCall) (Answer, error)
-	// Outcome tells what is known of an earlier call without running it;
-	// pending means that it is still in progress.
+	// Outcome returns what is known about an earlier call without running it.
+	// If pending is true, the call is still in progress.
 	Outcome(ctx context.Context, ws ident.Workspace, key string) (a Answer, pending bool, err error)
-	// Token returns a key token of this daemon and how long it is good.
+	// Token returns a token from which callers make idempotency keys for this
+	// daemon, and the time for which the token is valid.
 	Token() (token string, lifetime time.Duration)
 }
 
-// Services serves repeatable calls of plain services.
+// Services serves repeatable calls of services other than models.
 type Services interface {
 	Call(ctx context.Context, c ServiceCall) (Answer, error)
 }
