--- a/coordination/accounting/accounting.go
+++ b/coordination/accounting/accounting.go
@@ -43,66 +43,66 @@
 // messages of 100 ms, and what the daemons' estimates of the time differ by.
 const SettleAfter = 700 * time.Millisecond
 
-// kept is how many windows are held before the current one; reports that are
+// keptWindows is how many windows are held before the current one; reports that are
 // due later than that are lost anyway.
-const kept = 6
+const keptWindows = 6
 
-// Book holds the counts of all daemons as far as this one knows.
-type Book struct {
+// Ledger holds the counts of all daemons as far as this one knows.
+type Ledger struct {
 	timing Timing
 	self   ident.Incarnation
 	counts map[ident.Incarnation]map[Window]Counts
-	// done are the windows that are known to have been reported.
-	done map[Window]bool
+	// reported are the windows that are known to have been reported.
+	reported map[Window]bool
 	// workspaces are those of counts; nil is not known.
 	workspaces []ident.Workspace
 }
 
-// NewBook returns an empty book of the daemon self.
-func NewBook(self ident.Incarnation, timing Timing) *Book {
-	return &Book{
-		timing: timing,
-		self:   self,
-		counts: map[ident.Incarnation]map[Window]Counts{self: {}},
-		done:   map[Window]bool{},
+// NewLedger returns an empty book of the daemon self.
+func NewLedger(self ident.Incarnation, timing Timing) *Ledger {
+	return &Ledger{
+		timing:   timing,
+		self:     self,
+		counts:   map[ident.Incarnation]map[Window]Counts{self: {}},
+		reported: map[Window]bool{},
 	}
 }
 
 // WindowAt is the window of a time of day.
-func (b *Book) WindowAt(at time.Time) Window {
-	return Window(at.UnixMilli() / b.timing.Length.Milliseconds())
+func (l *Ledger) WindowAt(at time.Time) Window {
+	return Window(at.UnixMilli() / l.timing.Length.Milliseconds())
 }
 
-func (b *Book) end(w Window) time.Time {
-	return time.UnixMilli((int64(w) + 1) * b.timing.Length.Milliseconds())
+func (l *Ledger) end(w Window) time.Time {
+	return time.UnixMilli((int64(w) + 1) * l.timing.Length.Milliseconds())
 }
 
-// Began counts one own request that began to run at the time of day.
-func (b *Book) Began(at time.Time, ws ident.Workspace) {
-	own := b.counts[b.self]
-	w := b.WindowAt(at)
+// RecordStart counts one own request that began to run at the time of day.
+func (l *Ledger) RecordStart(at time.Time, ws ident.Workspace) {
+	own := l.counts[l.self]
+	w := l.WindowAt(at)
 	c, ok := own[w]
 	if !ok {
 		c = Counts{}
 		own[w] = c
 	}
 	if c[ws] == 0 {
-		b.workspaces = nil
+		l.workspaces = nil
 	}
 	c[ws]++
 }
 
-// Heard takes in another daemon's windows, told by itself or by one that heard it.
+// Receive takes in another daemon's windows, told by itself or by one that heard it.
 // Counts only grow, so the larger one is the later. Windows that are no longer told
 // are kept until Tick drops them.
-func (b *Book) Heard(id ident.Incarnation, windows map[Window]Counts) {
-	if id == b.self {
+func (l *Ledger) Receive(id ident.Incarnation, windows map[Window]Counts) {
+	if id == l.self {
 		return
 	}
-	known, ok := b.counts[id]
+	known, ok := l.counts[id]
 	if !ok {
 		known = map[Window]Counts{}
-		b.counts[id] = known
+		l.counts[id] = known
 	}
 	for w, counts := range windows {
 		merged, ok := known[w]
@@ -112,46 +112,46 @@
 		}
 		for ws, n := range counts {
 			if merged[ws] == 0 {
-				b.workspaces = nil
+				l.workspaces = nil
 			}
 			merged[ws] = max(merged[ws], n)
 		}
 	}
 }
 
-// Open returns those windows of a daemon, this one included, whose report would
+// OpenWindows returns those windows of a daemon, this one included, whose report would
 // still be in time. The counts are shared and must not be changed.
-func (b *Book) Open(now time.Time, id ident.Incarnation) map[Window]Counts {
+func (l *Ledger) OpenWindows(now time.Time, id ident.Incarnation) map[Window]Counts {
 	open := map[Window]Counts{}
-	for w, counts := range b.counts[id] {
-		if !b.Late(now, w) {
+	for w, counts := range l.counts[id] {
+		if !l.PastDue(now, w) {
 			open[w] = counts
 		}
 	}
 	return open
 }
 
-// open tells whether a daemon has a window whose report would still be in time.
-func (b *Book) open(now time.Time, id ident.Incarnation) bool {
-	for w := range b.counts[id] {
-		if !b.Late(now, w) {
+// hasOpenWindows tells whether a daemon has a window whose report would still be in time.
+func (l *Ledger) hasOpenWindows(now time.Time, id ident.Incarnation) bool {
+	for w := range l.counts[id] {
+		if !l.PastDue(now, w) {
 			return true
 		}
 	}
 	return false
 }
 
-// NextEnded returns the daemon after the one named last, in the order of names and
+// NextEndedDaemon returns the daemon after the one named last, in the order of names and
 // around its end, that has open windows and is not alive; false if there is none.
 //
 // Daemons tell of one that has ended in each message, by turns. Told all at once
 // the ended ones of a fleet that is restarted in turn outgrow everything else in a
 // message; by turns a daemon that has just started still hears of all of them
 // within a second, since each of the others begins at another name.
-func (b *Book) NextEnded(now time.Time, last ident.Incarnation, alive map[ident.Incarnation]bool) (ident.Incarnation, bool) {
+func (l *Ledger) NextEndedDaemon(now time.Time, last ident.Incarnation, alive map[ident.Incarnation]bool) (ident.Incarnation, bool) {
 	var first, next ident.Incarnation
-	for id := range b.counts {
-		if id == b.self || alive[id] || !b.open(now, id) {
+	for id := range l.counts {
+		if id == l.self || alive[id] || !l.hasOpenWindows(now, id) {
 			continue
 		}
 		if first == "" || id < first {
@@ -168,9 +168,9 @@
 }
 
 // Sum adds up all daemons' counts of a window.
-func (b *Book) Sum(w Window) Counts {
+func (l *Ledger) Sum(w Window) Counts {
 	sum := Counts{}
-	for _, windows := range b.counts {
+	for _, windows := range l.counts {
 		for ws, n := range windows[w] {
 			sum[ws] += n
 		}
@@ -179,16 +179,16 @@
 }
 
 // Workspaces are those that anything is counted of, in order.
-func (b *Book) Workspaces() []ident.Workspace {
-	if b.workspaces == nil {
-		b.workspaces = b.findWorkspaces()
+func (l *Ledger) Workspaces() []ident.Workspace {
+	if l.workspaces == nil {
+		l.workspaces = l.collectWorkspaces()
 	}
-	return b.workspaces
+	return l.workspaces
 }
 
-func (b *Book) findWorkspaces() []ident.Workspace {
+func (l *Ledger) collectWorkspaces() []ident.Workspace {
 	found := map[ident.Workspace]bool{}
-	for _, windows := range b.counts {
+	for _, windows := range l.counts {
 		for _, counts := range windows {
 			for ws := range counts {
 				found[ws] = true
@@ -199,37 +199,37 @@
 }
 
 // Tick drops what is too old to be reported.
-func (b *Book) Tick(now time.Time) {
-	oldest := b.WindowAt(now) - kept
-	for id, windows := range b.counts {
+func (l *Ledger) Tick(now time.Time) {
+	oldest := l.WindowAt(now) - keptWindows
+	for id, windows := range l.counts {
 		before := len(windows)
 		maps.DeleteFunc(windows, func(w Window, _ Counts) bool { return w < oldest })
 		if len(windows) < before {
-			b.workspaces = nil
+			l.workspaces = nil
 		}
-		if len(windows) == 0 && id != b.self {
-			delete(b.counts, id)
+		if len(windows) == 0 && id != l.self {
+			delete(l.counts, id)
 		}
 	}
-	maps.DeleteFunc(b.done, func(w Window, _ bool) bool { return w < oldest })
+	maps.DeleteFunc(l.reported, func(w Window, _ bool) bool { return w < oldest })
 }
 
-// Reported notes that the platform has taken a window's report.
-func (b *Book) Reported(w Window) { b.done[w] = true }
+// MarkReported notes that the platform has taken a window's report.
+func (l *Ledger) MarkReported(w Window) { l.reported[w] = true }
 
-// EndedFor is how long ago a window ended.
-func (b *Book) EndedFor(now time.Time, w Window) time.Duration { return now.Sub(b.end(w)) }
+// TimeSinceEnd is how long ago a window ended.
+func (l *Ledger) TimeSinceEnd(now time.Time, w Window) time.Duration { return now.Sub(l.end(w)) }
 
-// Late tells whether a report of the window would come too late.
-func (b *Book) Late(now time.Time, w Window) bool { return !b.end(w).Add(b.timing.Due).After(now) }
+// PastDue tells whether a report of the window would come too late.
+func (l *Ledger) PastDue(now time.Time, w Window) bool { return !l.end(w).Add(l.timing.Due).After(now) }
 
-// Due lists the windows that should be reported now, oldest first: ended and
+// WindowsDue lists the windows that should be reported now, oldest first: ended and
 // settled, not too late, and not known to have been reported. A window without
 // any request is reported, too.
-func (b *Book) Due(now time.Time) []Window {
+func (l *Ledger) WindowsDue(now time.Time) []Window {
 	var due []Window
-	for w := b.WindowAt(now) - kept; !b.end(w).Add(b.timing.Settle).After(now); w++ {
-		if b.done[w] || b.Late(now, w) {
+	for w := l.WindowAt(now) - keptWindows; !l.end(w).Add(l.timing.Settle).After(now); w++ {
+		if l.reported[w] || l.PastDue(now, w) {
 			continue
 		}
 		due = append(due, w)
--- a/coordination/accounting/accounting_test.go
+++ b/coordination/accounting/accounting_test.go
@@ -16,23 +16,23 @@
 
 // A daemon counts requests and dies before the window ends. The user's invoice
 // would lack them if only the living were summed up.
-func TestCountsOutliveTheirDaemon(t *testing.T) {
+func TestCountsSurviveDaemonEnd(t *testing.T) {
 	is := is.New(t)
-	dead := accounting.NewBook("dead", timing)
-	dead.Began(at(1001), "shelter")
-	dead.Began(at(1002), "shelter")
-	b := accounting.NewBook("holder", timing)
-	b.Heard("dead", dead.Open(at(1003), "dead"))
-	b.Began(at(1003), "shelter")
-	b.Began(at(1003), "wardens")
+	dead := accounting.NewLedger("dead", timing)
+	dead.RecordStart(at(1001), "shelter")
+	dead.RecordStart(at(1002), "shelter")
+	b := accounting.NewLedger("holder", timing)
+	b.Receive("dead", dead.OpenWindows(at(1003), "dead"))
+	b.RecordStart(at(1003), "shelter")
+	b.RecordStart(at(1003), "wardens")
 	is.Equal(b.Sum(200), accounting.Counts{"shelter": 3, "wardens": 1})
 }
 
 func TestWindowIsDueOnceSettled(t *testing.T) {
 	is := is.New(t)
-	b := accounting.NewBook("holder", timing)
+	b := accounting.NewLedger("holder", timing)
 	has := func(now float64, w accounting.Window) bool {
-		for _, d := range b.Due(at(now)) {
+		for _, d := range b.WindowsDue(at(now)) {
 			if d == w {
 				return true
 			}
@@ -43,15 +43,15 @@
 	is.True(has(1006, 200))
 	is.True(has(1014.9, 200))
 	is.True(!has(1015, 200)) // too late to count for anything
-	b.Reported(200)
+	b.MarkReported(200)
 	is.True(!has(1007, 200))
 }
 
 func TestTickDropsOldWindows(t *testing.T) {
 	is := is.New(t)
-	b := accounting.NewBook("holder", timing)
-	b.Began(at(1001), "shelter")
-	b.Heard("other", map[accounting.Window]accounting.Counts{200: {"shelter": 5}})
+	b := accounting.NewLedger("holder", timing)
+	b.RecordStart(at(1001), "shelter")
+	b.Receive("other", map[accounting.Window]accounting.Counts{200: {"shelter": 5}})
 	b.Tick(at(1020))
 	is.Equal(b.Sum(200)["shelter"], int64(6))
 	b.Tick(at(1040))
@@ -59,35 +59,35 @@
 }
 
 // Windows that can't be reported in time any more are of use to nobody.
-func TestOpenWindowsAreThoseInTime(t *testing.T) {
+func TestOpenWindowsExcludePastDue(t *testing.T) {
 	is := is.New(t)
-	b := accounting.NewBook("own", timing)
-	b.Began(at(1001), "shelter")
-	b.Began(at(1006), "shelter")
-	is.Equal(len(b.Open(at(1014.9), "own")), 2)
-	is.Equal(len(b.Open(at(1015), "own")), 1) // due ten seconds after its end
-	is.Equal(len(b.Open(at(1015), "other")), 0)
+	b := accounting.NewLedger("own", timing)
+	b.RecordStart(at(1001), "shelter")
+	b.RecordStart(at(1006), "shelter")
+	is.Equal(len(b.OpenWindows(at(1014.9), "own")), 2)
+	is.Equal(len(b.OpenWindows(at(1015), "own")), 1) // due ten seconds after its end
+	is.Equal(len(b.OpenWindows(at(1015), "other")), 0)
 }
 
 // Each daemon that has ended is told of in turn, those that live tell for
 // themselves, and one without open windows is left out.
-func TestEndedAreToldInTurn(t *testing.T) {
+func TestEndedDaemonsAreSentInTurn(t *testing.T) {
 	is := is.New(t)
-	b := accounting.NewBook("m", timing)
+	b := accounting.NewLedger("m", timing)
 	for _, id := range []ident.Incarnation{"a", "b", "x", "z"} {
-		b.Heard(id, map[accounting.Window]accounting.Counts{200: {"shelter": 1}})
+		b.Receive(id, map[accounting.Window]accounting.Counts{200: {"shelter": 1}})
 	}
-	b.Heard("old", map[accounting.Window]accounting.Counts{190: {"shelter": 1}})
+	b.Receive("old", map[accounting.Window]accounting.Counts{190: {"shelter": 1}})
 	alive := map[ident.Incarnation]bool{"b": true}
 	var told []ident.Incarnation
 	last := ident.Incarnation("m")
 	for range 4 {
-		next, ok := b.NextEnded(at(1003), last, alive)
+		next, ok := b.NextEndedDaemon(at(1003), last, alive)
 		is.True(ok)
 		told = append(told, next)
 		last = next
 	}
 	is.Equal(told, []ident.Incarnation{"x", "z", "a", "x"})
-	_, ok := b.NextEnded(at(1020), last, alive)
+	_, ok := b.NextEndedDaemon(at(1020), last, alive)
 	is.True(!ok)
 }
--- a/coordination/accounting/coverage_test.go
+++ b/coordination/accounting/coverage_test.go
@@ -15,12 +15,12 @@
 	is := is.New(t)
 	var c accounting.Coverage
 	all := []ident.Incarnation{"b", "a", "c"}
-	is.Equal(c.Lacking(all, 0), []ident.Incarnation{"a", "b", "c"})
-	c.Heard(time.Second, "a")
-	c.Heard(2*time.Second, "b")
-	is.Equal(c.Lacking(all, 2*time.Second), []ident.Incarnation{"a", "c"})
-	c.Gone(3*time.Second, "b")
-	is.Equal(c.Lacking(all, 2*time.Second), []ident.Incarnation{"a", "b", "c"})
+	is.Equal(c.Missing(all, 0), []ident.Incarnation{"a", "b", "c"})
+	c.Receive(time.Second, "a")
+	c.Receive(2*time.Second, "b")
+	is.Equal(c.Missing(all, 2*time.Second), []ident.Incarnation{"a", "c"})
+	c.PeerEnded(3*time.Second, "b")
+	is.Equal(c.Missing(all, 2*time.Second), []ident.Incarnation{"a", "b", "c"})
 }
 
 // Guards against a report that is made before what others know of a daemon that has just ended
@@ -29,16 +29,16 @@
 	is := is.New(t)
 	const within = 2 * time.Second
 	var c accounting.Coverage
-	c.Heard(time.Second, "a")
-	c.Heard(4*time.Second, "b")
-	c.Gone(5*time.Second, "a")
-	c.Gone(5*time.Second, "b")
-	is.Equal(c.Passing(6*time.Second, within, 3*time.Second), []ident.Incarnation{"a"})
-	is.Equal(len(c.Passing(7*time.Second, within, 3*time.Second)), 0)
-	c.Told(6*time.Second, "b")
-	is.Equal(c.Lacking([]ident.Incarnation{"b"}, 3*time.Second), []ident.Incarnation{"b"}) // its relay did not know yet
-	c.Heard(6*time.Second, "b")
-	is.Equal(len(c.Lacking([]ident.Incarnation{"b"}, 3*time.Second)), 0) // it was only silent
-	c.Gone(5*time.Minute, "c")
-	is.Equal(c.Passing(5*time.Minute, time.Hour, 3*time.Second), []ident.Incarnation{"c"}) // the others are forgotten
+	c.Receive(time.Second, "a")
+	c.Receive(4*time.Second, "b")
+	c.PeerEnded(5*time.Second, "a")
+	c.PeerEnded(5*time.Second, "b")
+	is.Equal(c.InTransit(6*time.Second, within, 3*time.Second), []ident.Incarnation{"a"})
+	is.Equal(len(c.InTransit(7*time.Second, within, 3*time.Second)), 0)
+	c.ReceiveRelayed(6*time.Second, "b")
+	is.Equal(c.Missing([]ident.Incarnation{"b"}, 3*time.Second), []ident.Incarnation{"b"}) // its relay did not know yet
+	c.Receive(6*time.Second, "b")
+	is.Equal(len(c.Missing([]ident.Incarnation{"b"}, 3*time.Second)), 0) // it was only silent
+	c.PeerEnded(5*time.Minute, "c")
+	is.Equal(c.InTransit(5*time.Minute, time.Hour, 3*time.Second), []ident.Incarnation{"c"}) // the others are forgotten
 }
--- a/coordination/accounting/saved_test.go
+++ b/coordination/accounting/saved_test.go
@@ -21,43 +21,43 @@
 		const daemons = 4
 		at := time.Unix(1_000_000, 0)
 		window := accounting.Window(at.UnixMilli() / timing.Length.Milliseconds())
-		books := make([]*accounting.Book, daemons)
-		for i := range books {
-			books[i] = accounting.NewBook(ident.Incarnation(fmt.Sprintf("d%d", i)), timing)
+		ledgers := make([]*accounting.Ledger, daemons)
+		for i := range ledgers {
+			ledgers[i] = accounting.NewLedger(ident.Incarnation(fmt.Sprintf("d%d", i)), timing)
 		}
-		reader := accounting.NewBook("reader", timing)
+		reader := accounting.NewLedger("reader", timing)
 		want := accounting.Counts{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				ws := ident.Workspace(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "workspace"))
-				books[i].Began(at, ws)
+				ledgers[i].RecordStart(at, ws)
 				want[ws]++
 			case 2:
 				other := rapid.IntRange(0, daemons-1).Draw(t, "other")
-				books[other].Load(stored(t, books[i].Save(at)))
+				ledgers[other].Load(encodeAndDecode(t, ledgers[i].TakeSnapshot(at)))
 			case 3:
-				reader.Load(stored(t, books[i].Save(at)))
+				reader.Load(encodeAndDecode(t, ledgers[i].TakeSnapshot(at)))
 			}
 		}
-		for _, b := range books {
-			reader.Load(stored(t, b.Save(at)))
+		for _, b := range ledgers {
+			reader.Load(encodeAndDecode(t, b.TakeSnapshot(at)))
 		}
 		is.Equal(reader.Sum(window), want)
-		again := accounting.NewBook("again", timing)
-		again.Load(stored(t, reader.Save(at)))
+		again := accounting.NewLedger("again", timing)
+		again.Load(encodeAndDecode(t, reader.TakeSnapshot(at)))
 		is.Equal(again.Sum(window), want)
 	})
 }
 
-// stored is what is read of what was written.
-func stored(t *rapid.T, s accounting.Saved) accounting.Saved {
+// encodeAndDecode is what is read of what was written.
+func encodeAndDecode(t *rapid.T, s accounting.Snapshot) accounting.Snapshot {
 	data, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read accounting.Saved
+	var read accounting.Snapshot
 	if err := json.Unmarshal(data, &read); err != nil {
 		t.Fatal(err)
 	}
@@ -68,12 +68,12 @@
 func TestOnlyOpenWindowsAreSaved(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1_000_000, 0)
-	b := accounting.NewBook("a", timing)
+	b := accounting.NewLedger("a", timing)
 	for _, ago := range []time.Duration{25 * time.Second, 10 * time.Second, 5 * time.Second, 0} {
-		b.Began(at.Add(-ago), "x")
+		b.RecordStart(at.Add(-ago), "x")
 	}
-	b.Reported(b.WindowAt(at.Add(-10 * time.Second)))
-	s := b.Save(at)
+	b.MarkReported(b.WindowAt(at.Add(-10 * time.Second)))
+	s := b.TakeSnapshot(at)
 	is.Equal(len(s.Daemons), 1)
 	is.Equal(len(s.Daemons[0].Windows), 2)
 }
--- a/coordination/walltime/walltime.go
+++ b/coordination/walltime/walltime.go
@@ -17,33 +17,33 @@
 
 // Estimate holds one daemon's. It is not safe for concurrent use.
 type Estimate struct {
-	// own is the true time at offset zero of the steady clock by this VM's clock.
-	own   time.Time
-	peers map[ident.Incarnation]time.Time
+	// localBase is the true time at offset zero of the steady clock by this VM's clock.
+	localBase time.Time
+	peerBases map[ident.Incarnation]time.Time
 }
 
 // New starts from this VM's clock, read when the steady clock showed now.
 func New(wall time.Time, now time.Duration) *Estimate {
-	return &Estimate{own: wall.Add(-now).Round(0), peers: map[ident.Incarnation]time.Time{}}
+	return &Estimate{localBase: wall.Add(-now).Round(0), peerBases: map[ident.Incarnation]time.Time{}}
 }
 
-// Heard takes in a peer's estimate of the time of day, received at now.
-func (e *Estimate) Heard(id ident.Incarnation, theirs time.Time, now time.Duration) {
-	e.peers[id] = theirs.Add(-now)
+// Receive takes in a peer's estimate of the time of day, received at now.
+func (e *Estimate) Receive(id ident.Incarnation, theirs time.Time, now time.Duration) {
+	e.peerBases[id] = theirs.Add(-now)
 }
 
-// Gone forgets a peer.
-func (e *Estimate) Gone(id ident.Incarnation) { delete(e.peers, id) }
+// PeerEnded forgets a peer.
+func (e *Estimate) PeerEnded(id ident.Incarnation) { delete(e.peerBases, id) }
 
-// Own is this VM's own view, without the peers: what to tell them. Telling them
+// LocalTime is this VM's own view, without the peers: what to tell them. Telling them
 // the median instead would let a wrong clock come back as everybody's opinion.
-func (e *Estimate) Own(now time.Duration) time.Time { return e.own.Add(now) }
+func (e *Estimate) LocalTime(now time.Duration) time.Time { return e.localBase.Add(now) }
 
 // At is the estimated time of day at now.
 func (e *Estimate) At(now time.Duration) time.Time {
-	bases := make([]time.Time, 0, 1+len(e.peers))
-	bases = append(bases, e.own)
-	for _, b := range e.peers {
+	bases := make([]time.Time, 0, 1+len(e.peerBases))
+	bases = append(bases, e.localBase)
+	for _, b := range e.peerBases {
 		bases = append(bases, b)
 	}
 	slices.SortFunc(bases, func(a, b time.Time) int { return a.Compare(b) })
--- a/daemon/edge/counts.go
+++ b/daemon/edge/counts.go
@@ -51,7 +51,7 @@
 // openCounts are a daemon's counts of open windows, by the places of the book's workspaces;
 // called with mu held.
 func (e *Edge) openCounts(now time.Duration, id ident.Incarnation) []*peersv1.Window {
-	return tellWindows(e.book.Workspaces(), e.book.Open(e.wall.At(now), id))
+	return tellWindows(e.book.Workspaces(), e.book.OpenWindows(e.wall.At(now), id))
 }
 
 // relayCounts are what relays that may report windows are told in a message.
@@ -121,7 +121,7 @@
 // lacking are the daemons, those that may have lost their relays among them, whose counts were
 // not told since a time; called with mu held.
 func (e *Edge) lacking(now, since time.Duration) []ident.Incarnation {
-	return e.coverage.Lacking(e.peers.SeenSince(now-followsAnewWithin), since)
+	return e.coverage.Missing(e.peers.SeenSince(now-followsAnewWithin), since)
 }
 
 // followersCounts are those of some followers, by turns; called with mu held.
@@ -159,7 +159,7 @@
 	for _, m := range e.alive {
 		alive[m.Incarnation] = true
 	}
-	id, ok := e.book.NextEnded(e.wall.At(now), e.lastEnded, alive)
+	id, ok := e.book.NextEndedDaemon(e.wall.At(now), e.lastEnded, alive)
 	if !ok {
 		return nil
 	}
@@ -198,15 +198,15 @@
 // heardCounts takes in counts of usage, and which the sender lacks; called with mu held.
 func (e *Edge) heardCounts(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	workspaces := retyped[ident.Workspace](h.Workspaces)
-	e.book.Heard(id, windowsOf(workspaces, h.Windows))
+	e.book.Receive(id, windowsOf(workspaces, h.Windows))
 	if h.Counts {
-		e.coverage.Heard(now, id)
+		e.coverage.Receive(now, id)
 	}
 	for _, one := range h.Ended {
 		of := ident.Incarnation(one.Incarnation)
-		e.book.Heard(of, windowsOf(workspaces, one.Windows))
+		e.book.Receive(of, windowsOf(workspaces, one.Windows))
 		if one.Follows {
-			e.coverage.Told(now, of)
+			e.coverage.ReceiveRelayed(now, of)
 		}
 	}
 	if h.Lacks != "" {
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -62,7 +62,7 @@
 	peers   *peers.Table
 	stamps  map[ident.Incarnation]freshness.Stamp
 	wall    *walltime.Estimate
-	book    *accounting.Book
+	book    *accounting.Ledger
 	limiter *quota.Limiter
 	seq     uint64
 	// alive are the other daemons as they were looked at last, plan is whom this daemon
@@ -145,7 +145,7 @@
 		lacked:    map[ident.Incarnation]ident.Incarnation{},
 		stamps:    map[ident.Incarnation]freshness.Stamp{},
 		wall:      walltime.New(time.Now(), now),
-		book: accounting.NewBook(self, accounting.Timing{
+		book: accounting.NewLedger(self, accounting.Timing{
 			Length: set.Bounds.UsageWindow, Due: set.Bounds.UsageDue, Settle: accounting.SettleAfter,
 		}),
 		limiter: quota.New(now, set.Bounds.QuotaWindow, set.Bounds.QuotaTolerance, set.FirstStart),
--- a/daemon/edge/hear.go
+++ b/daemon/edge/hear.go
@@ -95,7 +95,7 @@
 	}
 	e.heardMembers(now, id, h, ended)
 	e.stamps[id] = freshness.Stamp{Sent: time.Duration(h.StampNs), Received: now}
-	e.wall.Heard(id, time.Unix(0, h.TimeUnixNs), now)
+	e.wall.Receive(id, time.Unix(0, h.TimeUnixNs), now)
 	e.heardUses(now, id, h)
 	e.heardCounts(now, id, h)
 	behind := e.fresh.Heard(freshness.Word{
--- a/daemon/edge/hello.go
+++ b/daemon/edge/hello.go
@@ -36,7 +36,7 @@
 		Seq:           e.seq,
 		StampNs:       int64(now),
 		AgeNs:         int64(e.limiter.Age(now)),
-		TimeUnixNs:    e.wall.Own(now).UnixNano(),
+		TimeUnixNs:    e.wall.LocalTime(now).UnixNano(),
 		Relay:         e.plan.Relay,
 		Joining:       !e.hearsAny(now, e.alive),
 	}
--- a/daemon/edge/relay.go
+++ b/daemon/edge/relay.go
@@ -328,7 +328,7 @@
 	}
 	s.counted = true
 	s.edge.mu.Lock()
-	s.edge.book.Began(s.edge.wall.At(s.edge.deps.Steady()), s.workspace)
+	s.edge.book.RecordStart(s.edge.wall.At(s.edge.deps.Steady()), s.workspace)
 	s.edge.mu.Unlock()
 }
 
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -174,12 +174,12 @@
 // held.
 func (e *Edge) forget(id ident.Incarnation, why string) {
 	e.limiter.PeerEnded(id)
-	e.wall.Gone(id)
+	e.wall.PeerEnded(id)
 	delete(e.stamps, id)
 	delete(e.followers, id)
 	delete(e.feeding, id)
 	delete(e.lacked, id)
-	e.coverage.Gone(e.deps.Steady(), id)
+	e.coverage.PeerEnded(e.deps.Steady(), id)
 	e.log.Note("daemon_gone", decisions.F("incarnation", id), decisions.F("reason", why))
 }
 
--- a/daemon/edge/saved.go
+++ b/daemon/edge/saved.go
@@ -42,7 +42,7 @@
 		return
 	}
 	e.mu.Lock()
-	open := e.book.Save(e.wall.At(now))
+	open := e.book.TakeSnapshot(e.wall.At(now))
 	e.mu.Unlock()
 	data, err := json.Marshal(open)
 	if err != nil {
@@ -94,7 +94,7 @@
 	if len(entry.Value) == 0 {
 		return
 	}
-	var open accounting.Saved
+	var open accounting.Snapshot
 	if err := json.Unmarshal(entry.Value, &open); err != nil {
 		e.usageFailed("decode_saved", err)
 		return
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -54,7 +54,7 @@
 		return
 	}
 	e.mu.Lock()
-	due := e.book.Due(e.wall.At(e.deps.Steady()))
+	due := e.book.WindowsDue(e.wall.At(e.deps.Steady()))
 	e.mu.Unlock()
 	for _, w := range due {
 		if w <= u.last {
@@ -89,9 +89,9 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	ended := e.book.EndedFor(e.wall.At(now), w)
+	ended := e.book.TimeSinceEnd(e.wall.At(now), w)
 	since := now - ended + accounting.SettleAfter
-	lacking := append(e.lacking(now, since), e.coverage.Passing(now, passedOnWithin, since)...)
+	lacking := append(e.lacking(now, since), e.coverage.InTransit(now, passedOnWithin, since)...)
 	if len(lacking) == 0 {
 		return false
 	}
@@ -186,7 +186,7 @@
 		return false
 	}
 	e.mu.Lock()
-	e.book.Reported(u.open.Window)
+	e.book.MarkReported(u.open.Window)
 	e.mu.Unlock()
 	e.log.Note("usage_reported", decisions.F("window", int64(u.open.Window)), decisions.F("workspaces", len(u.open.Counts)), decisions.F("token", duty.Token))
 	u.open = nil
@@ -197,5 +197,5 @@
 func (e *Edge) tooOld(w accounting.Window) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.book.Late(e.wall.At(e.deps.Steady()), w)
+	return e.book.PastDue(e.wall.At(e.deps.Steady()), w)
 }
