--- a/coordination/accounting/accounting.go
+++ b/coordination/accounting/accounting.go
@@ -1,18 +1,17 @@
-// Package accounting counts the requests that began to run, by workspace and
-// window of the time of day, over all daemons, and decides when a window is
-// reported.
+// Package accounting counts the requests that started to run, by workspace and time window,
+// across all daemons, and decides when a window is reported.
 //
-// Every daemon counts its own and tells the others its totals for the last
-// windows, so the counts of a daemon that dies outlive it at its peers. What only
-// daemons know that end together would be lost; the open windows are therefore saved
-// in the key-value service every now and then (Saved).
+// Every daemon counts its own requests and sends its totals for the most recent windows to
+// the others, so that its counts survive at its peers when it dies. Counts that are known
+// only to daemons that end together would be lost; the open windows are therefore saved
+// periodically in the key-value service (see Snapshot).
 //
-// One daemon at a time, the holder of the duty, reports each window once. What it is
-// about to report is written down first (an intent): a successor that finds an
-// intent repeats it word for word, because the first report may have been taken
-// and a second one with other counts would contradict it.
+// One daemon at a time, the holder of the reporting duty, reports each window once. Before
+// it reports, it stores what it is about to report (an intent). A successor that finds an
+// intent repeats it unchanged, because the first report may have been accepted and a second
+// report with different counts would contradict it.
 //
-// The package does no I/O and reads no clock. It is not safe for concurrent use.
+// The package does no I/O and reads no clock. Its types are not safe for concurrent use.
 package accounting
 
 import (
@@ -23,42 +22,45 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Window numbers a span of the time of day, counted from the Unix epoch.
+// Window is the index of a time window of fixed length, counted from the Unix epoch.
 type Window int64
 
-// Counts holds the requests that began in one window.
+// Counts holds the number of requests that started in one window, by workspace.
 type Counts map[ident.Workspace]int64
 
-// Timing says how windows are cut and when they are reported.
+// Timing holds the length of windows and the limits for reporting them.
 type Timing struct {
-	// Length of a window.
+	// Length is the length of a window.
 	Length time.Duration
 	// Due is how long after its end a window must have been reported.
 	Due time.Duration
-	// Settle is how long after its end what daemons tell directly has come in.
+	// Settle is how long after the end of a window counts that daemons send directly may
+	// still arrive.
 	Settle time.Duration
 }
 
-// SettleAfter covers the time that counts take to reach the holder: a few
-// messages of 100 ms, and what the daemons' estimates of the time differ by.
+// SettleAfter covers the time that counts take to reach the holder of the reporting duty: a
+// few messages, sent every 100 ms, and the difference between the daemons' estimates of the
+// time of day.
 const SettleAfter = 700 * time.Millisecond
 
-// keptWindows is how many windows are held before the current one; reports that are
-// due later than that are lost anyway.
+// keptWindows is how many windows before the current one are kept. A report of an older
+// window would be too late to be accepted.
 const keptWindows = 6
 
-// Ledger holds the counts of all daemons as far as this one knows.
+// Ledger holds the counts of all daemons as far as this daemon knows them.
 type Ledger struct {
 	timing Timing
 	self   ident.Incarnation
 	counts map[ident.Incarnation]map[Window]Counts
-	// reported are the windows that are known to have been reported.
+	// reported holds the windows that are known to have been reported.
 	reported map[Window]bool
-	// workspaces are those of counts; nil is not known.
+	// workspaces caches the workspaces that occur in counts; nil means that the cache is
+	// invalid.
 	workspaces []ident.Workspace
 }
 
-// NewLedger returns an empty book of the daemon self.
+// NewLedger returns an empty ledger of the daemon self.
 func NewLedger(self ident.Incarnation, timing Timing) *Ledger {
 	return &Ledger{
 		timing:   timing,
@@ -68,7 +70,7 @@
 	}
 }
 
-// WindowAt is the window of a time of day.
+// WindowAt returns the window that contains a time of day.
 func (l *Ledger) WindowAt(at time.Time) Window {
 	return Window(at.UnixMilli() / l.timing.Length.Milliseconds())
 }
@@ -77,7 +79,8 @@
 	return time.UnixMilli((int64(w) + 1) * l.timing.Length.Milliseconds())
 }
 
-// RecordStart counts one own request that began to run at the time of day.
+// RecordStart counts one of this daemon's requests, which started to run at the given time
+// of day.
 func (l *Ledger) RecordStart(at time.Time, ws ident.Workspace) {
 	own := l.counts[l.self]
 	w := l.WindowAt(at)
@@ -92,9 +95,9 @@
 	c[ws]++
 }
 
-// Receive takes in another daemon's windows, told by itself or by one that heard it.
-// Counts only grow, so the larger one is the later. Windows that are no longer told
-// are kept until Tick drops them.
+// Receive merges the windows of another daemon, sent by that daemon or by a third one that
+// received them. Counts only grow, so the larger of two counts is the later one. Windows
+// that are missing from the message are kept until Tick drops them.
 func (l *Ledger) Receive(id ident.Incarnation, windows map[Window]Counts) {
 	if id == l.self {
 		return
@@ -119,8 +122,8 @@
 	}
 }
 
-// OpenWindows returns those windows of a daemon, this one included, whose report would
-// still be in time. The counts are shared and must not be changed.
+// OpenWindows returns the windows of a daemon, which may be this one, that can still be
+// reported in time. The caller must not modify the counts, which are shared.
 func (l *Ledger) OpenWindows(now time.Time, id ident.Incarnation) map[Window]Counts {
 	open := map[Window]Counts{}
 	for w, counts := range l.counts[id] {
@@ -131,7 +134,7 @@
 	return open
 }
 
-// hasOpenWindows tells whether a daemon has a window whose report would still be in time.
+// hasOpenWindows reports whether a daemon has a window that can still be reported in time.
 func (l *Ledger) hasOpenWindows(now time.Time, id ident.Incarnation) bool {
 	for w := range l.counts[id] {
 		if !l.PastDue(now, w) {
@@ -141,13 +144,14 @@
 	return false
 }
 
-// NextEndedDaemon returns the daemon after the one named last, in the order of names and
-// around its end, that has open windows and is not alive; false if there is none.
+// NextEndedDaemon returns the first daemon after last, in the cyclic order of names, that
+// has open windows and is not alive. It returns false if there is none.
 //
-// Daemons tell of one that has ended in each message, by turns. Told all at once
-// the ended ones of a fleet that is restarted in turn outgrow everything else in a
-// message; by turns a daemon that has just started still hears of all of them
-// within a second, since each of the others begins at another name.
+// Each message carries the counts of a single ended daemon, in turn. After a rolling
+// restart of the fleet, the counts of all ended daemons would take more room in a message
+// than everything else. With one per message a daemon that has just started still receives
+// all of them within a second, because each of the other daemons begins at a different
+// name.
 func (l *Ledger) NextEndedDaemon(now time.Time, last ident.Incarnation, alive map[ident.Incarnation]bool) (ident.Incarnation, bool) {
 	var first, next ident.Incarnation
 	for id := range l.counts {
@@ -167,7 +171,7 @@
 	return next, next != ""
 }
 
-// Sum adds up all daemons' counts of a window.
+// Sum returns the total counts of a window over all daemons.
 func (l *Ledger) Sum(w Window) Counts {
 	sum := Counts{}
 	for _, windows := range l.counts {
@@ -178,7 +182,7 @@
 	return sum
 }
 
-// Workspaces are those that anything is counted of, in order.
+// Workspaces returns the workspaces that have counts, sorted.
 func (l *Ledger) Workspaces() []ident.Workspace {
 	if l.workspaces == nil {
 		l.workspaces = l.collectWorkspaces()
@@ -198,7 +202,7 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// Tick drops what is too old to be reported.
+// Tick drops windows that are too old to be reported.
 func (l *Ledger) Tick(now time.Time) {
 	oldest := l.WindowAt(now) - keptWindows
 	for id, windows := range l.counts {
@@ -214,18 +218,18 @@
 	maps.DeleteFunc(l.reported, func(w Window, _ bool) bool { return w < oldest })
 }
 
-// MarkReported notes that the platform has taken a window's report.
+// MarkReported records that the platform has accepted the report of a window.
 func (l *Ledger) MarkReported(w Window) { l.reported[w] = true }
 
-// TimeSinceEnd is how long ago a window ended.
+// TimeSinceEnd returns how long ago a window ended.
 func (l *Ledger) TimeSinceEnd(now time.Time, w Window) time.Duration { return now.Sub(l.end(w)) }
 
-// PastDue tells whether a report of the window would come too late.
+// PastDue reports whether it is too late to report the window.
 func (l *Ledger) PastDue(now time.Time, w Window) bool { return !l.end(w).Add(l.timing.Due).After(now) }
 
-// WindowsDue lists the windows that should be reported now, oldest first: ended and
-// settled, not too late, and not known to have been reported. A window without
-// any request is reported, too.
+// WindowsDue returns the windows to report now, oldest first: those that have ended and
+// settled, are not past due and are not known to have been reported. A window without any
+// request is reported as well.
 func (l *Ledger) WindowsDue(now time.Time) []Window {
 	var due []Window
 	for w := l.WindowAt(now) - keptWindows; !l.end(w).Add(l.timing.Settle).After(now); w++ {
--- a/coordination/accounting/accounting_test.go
+++ b/coordination/accounting/accounting_test.go
@@ -14,8 +14,8 @@
 
 func at(seconds float64) time.Time { return time.UnixMilli(int64(seconds * 1000)) }
 
-// A daemon counts requests and dies before the window ends. The user's invoice
-// would lack them if only the living were summed up.
+// A daemon counts requests and dies before the window ends. The invoice would lack these
+// requests if only the counts of live daemons were added up.
 func TestCountsSurviveDaemonEnd(t *testing.T) {
 	is := is.New(t)
 	dead := accounting.NewLedger("dead", timing)
@@ -39,10 +39,10 @@
 		}
 		return false
 	}
-	is.True(!has(1005.5, 200)) // counts are still coming in
+	is.True(!has(1005.5, 200)) // counts are still arriving
 	is.True(has(1006, 200))
 	is.True(has(1014.9, 200))
-	is.True(!has(1015, 200)) // too late to count for anything
+	is.True(!has(1015, 200)) // past due
 	b.MarkReported(200)
 	is.True(!has(1007, 200))
 }
@@ -58,19 +58,19 @@
 	is.Equal(len(b.Sum(200)), 0)
 }
 
-// Windows that can't be reported in time any more are of use to nobody.
+// Windows that can't be reported in time any more are not open.
 func TestOpenWindowsExcludePastDue(t *testing.T) {
 	is := is.New(t)
 	b := accounting.NewLedger("own", timing)
 	b.RecordStart(at(1001), "shelter")
 	b.RecordStart(at(1006), "shelter")
 	is.Equal(len(b.OpenWindows(at(1014.9), "own")), 2)
-	is.Equal(len(b.OpenWindows(at(1015), "own")), 1) // due ten seconds after its end
+	is.Equal(len(b.OpenWindows(at(1015), "own")), 1) // window 200 is due ten seconds after its end
 	is.Equal(len(b.OpenWindows(at(1015), "other")), 0)
 }
 
-// Each daemon that has ended is told of in turn, those that live tell for
-// themselves, and one without open windows is left out.
+// The counts of ended daemons are sent one daemon at a time, in turn. Live daemons, which
+// send their own counts, and daemons without open windows are skipped.
 func TestEndedDaemonsAreSentInTurn(t *testing.T) {
 	is := is.New(t)
 	b := accounting.NewLedger("m", timing)
--- a/coordination/accounting/coverage.go
+++ b/coordination/accounting/coverage.go
@@ -7,26 +7,28 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Coverage is when daemons' counts, be they none, were last told by themselves or by the relay
-// that they follow. A relay that has just become one knows nothing of what was told before,
-// and what others pass on may be older than the end of the daemon that they had it from. The
-// zero value has heard of nobody.
+// Coverage records when the counts of each daemon, even if empty, were last received from
+// the daemon itself or from the relay that it follows. It exists because a daemon that has
+// just become a relay knows nothing of earlier counts, and because counts passed on by a
+// third daemon may be older than the end of the daemon that they belong to. The zero value
+// is ready to use and covers no daemon.
 type Coverage struct {
 	lastTold map[ident.Incarnation]time.Duration
-	// ended is when daemons ended that were not heard since.
+	// ended is when daemons ended that have not been heard since.
 	ended map[ident.Incarnation]time.Duration
 }
 
-// rememberEndedFor is how long an end is remembered: longer than any window waits for its report.
+// rememberEndedFor is how long the end of a daemon is remembered. It is longer than the
+// time for which any window waits for its report.
 const rememberEndedFor = time.Minute
 
-// Receive notes that a daemon told its counts itself: it has not ended.
+// Receive records that a daemon sent its counts itself, which shows that it has not ended.
 func (c *Coverage) Receive(now time.Duration, id ident.Incarnation) {
 	delete(c.ended, id)
 	c.ReceiveRelayed(now, id)
 }
 
-// ReceiveRelayed notes that the relay that a daemon follows told its counts.
+// ReceiveRelayed records that the relay that a daemon follows sent the daemon's counts.
 func (c *Coverage) ReceiveRelayed(now time.Duration, id ident.Incarnation) {
 	if c.lastTold == nil {
 		c.lastTold = map[ident.Incarnation]time.Duration{}
@@ -34,7 +36,7 @@
 	c.lastTold[id] = now
 }
 
-// PeerEnded notes that a daemon has ended.
+// PeerEnded records that a daemon has ended.
 func (c *Coverage) PeerEnded(now time.Duration, id ident.Incarnation) {
 	if c.ended == nil {
 		c.ended = map[ident.Incarnation]time.Duration{}
@@ -48,8 +50,9 @@
 	}
 }
 
-// InTransit are the daemons that ended less than a time ago and whose counts were not told since
-// another time, in order: what others know of them is still being passed on.
+// InTransit returns, sorted, the daemons that ended less than within ago and whose counts
+// have not been received since the time since. Counts of them that other daemons know may
+// still be on their way.
 func (c *Coverage) InTransit(now, within, since time.Duration) []ident.Incarnation {
 	var inTransit []ident.Incarnation
 	for id, at := range c.ended {
@@ -66,7 +69,8 @@
 	return ok && at >= since
 }
 
-// Missing are those of some daemons whose counts were not told since a time, in order.
+// Missing returns, sorted, those of the given daemons whose counts have not been received
+// since the time since, and those that have ended.
 func (c *Coverage) Missing(ids []ident.Incarnation, since time.Duration) []ident.Incarnation {
 	var missing []ident.Incarnation
 	for _, id := range ids {
--- a/coordination/accounting/coverage_test.go
+++ b/coordination/accounting/coverage_test.go
@@ -10,7 +10,8 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Guards against a report that takes what was told long ago for what a daemon counted since.
+// Guards against a report that uses counts received long ago although the daemon has
+// counted more since.
 func TestCoverageLacksWhoWasNotToldOfSince(t *testing.T) {
 	is := is.New(t)
 	var c accounting.Coverage
@@ -23,8 +24,8 @@
 	is.Equal(c.Missing(all, 2*time.Second), []ident.Incarnation{"a", "b", "c"})
 }
 
-// Guards against a report that is made before what others know of a daemon that has just ended
-// has come in.
+// Guards against a report that is made before the counts that other daemons know of a
+// daemon that has just ended have arrived.
 func TestCoverageWaitsForWhatIsPassedOnOfTheEnded(t *testing.T) {
 	is := is.New(t)
 	const within = 2 * time.Second
@@ -36,9 +37,9 @@
 	is.Equal(c.InTransit(6*time.Second, within, 3*time.Second), []ident.Incarnation{"a"})
 	is.Equal(len(c.InTransit(7*time.Second, within, 3*time.Second)), 0)
 	c.ReceiveRelayed(6*time.Second, "b")
-	is.Equal(c.Missing([]ident.Incarnation{"b"}, 3*time.Second), []ident.Incarnation{"b"}) // its relay did not know yet
+	is.Equal(c.Missing([]ident.Incarnation{"b"}, 3*time.Second), []ident.Incarnation{"b"}) // its relay did not know yet that it had ended
 	c.Receive(6*time.Second, "b")
-	is.Equal(len(c.Missing([]ident.Incarnation{"b"}, 3*time.Second)), 0) // it was only silent
+	is.Equal(len(c.Missing([]ident.Incarnation{"b"}, 3*time.Second)), 0) // it had only been silent
 	c.PeerEnded(5*time.Minute, "c")
-	is.Equal(c.InTransit(5*time.Minute, time.Hour, 3*time.Second), []ident.Incarnation{"c"}) // the others are forgotten
+	is.Equal(c.InTransit(5*time.Minute, time.Hour, 3*time.Second), []ident.Incarnation{"c"}) // the ends of a and b have been dropped
 }
--- a/coordination/accounting/saved.go
+++ b/coordination/accounting/saved.go
@@ -8,24 +8,25 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Snapshot is a book's open windows as the key-value service keeps them: counts that only
-// daemons know are lost with those that end together. It names the daemons, so that what one
-// tells later counts in place of what is saved of it, not beside it.
+// Snapshot holds the open windows of a ledger as stored in the key-value service, so that
+// counts survive when all daemons that know them end together. It lists the counts by
+// daemon, so that counts that a daemon sends later replace its stored ones instead of being
+// added to them.
 type Snapshot struct {
-	// Workspaces that windows count by place.
+	// Workspaces are the workspaces that the windows' counts refer to by index.
 	Workspaces []ident.Workspace `json:"workspaces"`
-	// Daemons in the order of their names.
+	// Daemons is sorted by incarnation.
 	Daemons []DaemonSnapshot `json:"daemons"`
 }
 
-// DaemonSnapshot are the open windows of one daemon.
+// DaemonSnapshot holds the open windows of one daemon.
 type DaemonSnapshot struct {
 	Incarnation ident.Incarnation  `json:"incarnation"`
 	Windows     map[Window][]int64 `json:"windows"`
 }
 
-// TakeSnapshot returns the windows whose report is not known to have been made and would still be
-// in time.
+// TakeSnapshot returns the windows that are not known to have been reported and can still
+// be reported in time.
 func (l *Ledger) TakeSnapshot(now time.Time) Snapshot {
 	s := Snapshot{Workspaces: l.Workspaces()}
 	for _, id := range slices.Sorted(maps.Keys(l.counts)) {
@@ -42,7 +43,7 @@
 	return s
 }
 
-// Load takes in what was saved, by this daemon or others.
+// Load merges a snapshot that was taken by this daemon or another one.
 func (l *Ledger) Load(s Snapshot) {
 	for _, d := range s.Daemons {
 		windows := make(map[Window]Counts, len(d.Windows))
@@ -53,7 +54,7 @@
 	}
 }
 
-// ByPlace are counts in the order of some workspaces, up to the last that is not zero.
+// ByPlace returns the counts in the order of the workspaces, without trailing zeros.
 func ByPlace(workspaces []ident.Workspace, counts Counts) []int64 {
 	var byPlace []int64
 	for place, ws := range workspaces {
@@ -65,7 +66,7 @@
 	return byPlace
 }
 
-// FromPlaces undoes ByPlace. What has no workspace is left out.
+// FromPlaces is the inverse of ByPlace. Counts beyond the last workspace are dropped.
 func FromPlaces(workspaces []ident.Workspace, byPlace []int64) Counts {
 	counts := Counts{}
 	for place, n := range byPlace[:min(len(byPlace), len(workspaces))] {
--- a/coordination/accounting/saved_test.go
+++ b/coordination/accounting/saved_test.go
@@ -13,8 +13,8 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Guards against counts that are lost or counted twice when they are saved by daemons that each
-// know a part, and read by one that knows another part.
+// Guards against counts that are lost or counted twice when daemons that each know a part
+// of them save snapshots, and a daemon that knows another part loads them.
 func TestSavedCountsAddUpOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -51,7 +51,7 @@
 	})
 }
 
-// encodeAndDecode is what is read of what was written.
+// encodeAndDecode returns the snapshot after a round trip through its stored form.
 func encodeAndDecode(t *rapid.T, s accounting.Snapshot) accounting.Snapshot {
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return read
 }
 
-// Guards against saved counts that grow with windows that are reported already or too late.
+// Guards against snapshots that grow with windows that are already reported or past due.
 func TestOnlyOpenWindowsAreSaved(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1_000_000, 0)
--- a/coordination/walltime/walltime.go
+++ b/coordination/walltime/walltime.go
@@ -1,11 +1,11 @@
-// Package walltime keeps an estimate of the true time of day that a jump of
-// this VM's clock does not move.
+// Package walltime keeps an estimate of the true time of day that does not jump with this
+// VM's clock.
 //
-// The time of day is close to the truth at most VMs at most times, but may jump
-// by seconds on some of them and back. So the clock is read once, at the start;
-// from then on the estimate runs with the clock that never jumps. The offsets of
-// the other daemons' estimates are compared and their median is taken: a daemon
-// that started during a jump is corrected, and a few wrong ones move nobody.
+// The clocks of most VMs are close to the true time of day at most times, but the clocks of
+// some may jump by seconds and back. So the clock is read only once, at the start; from
+// then on the estimate advances with the monotonic clock. The estimate is the median of
+// this daemon's and its peers' estimates. This corrects a daemon that started during a
+// jump, and a few wrong clocks don't move the median.
 package walltime
 
 import (
@@ -15,31 +15,34 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Estimate holds one daemon's. It is not safe for concurrent use.
+// Estimate holds the estimate of one daemon. It is not safe for concurrent use.
 type Estimate struct {
-	// localBase is the true time at offset zero of the steady clock by this VM's clock.
+	// localBase is the time of day at offset zero of the monotonic clock, according to this
+	// VM's clock. peerBases are the same for the peers' estimates.
 	localBase time.Time
 	peerBases map[ident.Incarnation]time.Time
 }
 
-// New starts from this VM's clock, read when the steady clock showed now.
+// New returns an estimate that starts from wall, this VM's clock read at offset now of the
+// monotonic clock.
 func New(wall time.Time, now time.Duration) *Estimate {
 	return &Estimate{localBase: wall.Add(-now).Round(0), peerBases: map[ident.Incarnation]time.Time{}}
 }
 
-// Receive takes in a peer's estimate of the time of day, received at now.
+// Receive stores a peer's estimate of the time of day, received at now.
 func (e *Estimate) Receive(id ident.Incarnation, theirs time.Time, now time.Duration) {
 	e.peerBases[id] = theirs.Add(-now)
 }
 
-// PeerEnded forgets a peer.
+// PeerEnded removes the estimate of a peer.
 func (e *Estimate) PeerEnded(id ident.Incarnation) { delete(e.peerBases, id) }
 
-// LocalTime is this VM's own view, without the peers: what to tell them. Telling them
-// the median instead would let a wrong clock come back as everybody's opinion.
+// LocalTime returns this VM's own estimate without the peers, which is what a daemon sends
+// to its peers. If daemons sent the median instead, a wrong clock would feed back into
+// everybody's estimate.
 func (e *Estimate) LocalTime(now time.Duration) time.Time { return e.localBase.Add(now) }
 
-// At is the estimated time of day at now.
+// At returns the estimated time of day at now.
 func (e *Estimate) At(now time.Duration) time.Time {
 	bases := make([]time.Time, 0, 1+len(e.peerBases))
 	bases = append(bases, e.localBase)
--- a/coordination/walltime/walltime_test.go
+++ b/coordination/walltime/walltime_test.go
@@ -9,8 +9,8 @@
 	"geraniumstack.org/geraniumstack/coordination/walltime"
 )
 
-// A daemon starts while its VM's clock is two seconds ahead. Alone it would
-// count requests into the wrong window of usage; with two others it does not.
+// A daemon starts while its VM's clock is two seconds ahead. On its own it would count
+// requests into the wrong accounting window; with two peers it does not.
 func TestMedianCorrectsWrongStart(t *testing.T) {
 	is := is.New(t)
 	truth := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
