--- a/coordination/routing/ticket.go
+++ b/coordination/routing/ticket.go
@@ -14,41 +14,41 @@
 	phaseDecode
 )
 
-// Ticket follows one dispatch through the table's counts. The zero value is
-// not dispatched; calls out of order change nothing.
+// Ticket identifies one dispatched request in the load counts of a table. The zero value
+// stands for a request that was not dispatched. Calls in the wrong order have no effect.
 type Ticket struct {
-	slot     int
-	epoch    uint32
-	phase    phase
-	uncached int
-	kv       int
-	kept     int
+	slot       int
+	epoch      uint32
+	phase      phase
+	uncached   int
+	kv         int
+	heldBlocks int
 }
 
-// Dispatch counts the request at the chosen runner and assumes that it will
-// hold the request's prefix.
+// Dispatch counts the request at the chosen runner and assumes that the runner will
+// cache the request's prefix.
 func (t *Table) Dispatch(now time.Time, c Choice, r *Request) Ticket {
 	s := &t.slots[c.slot]
 	if s.epoch != c.epoch {
 		return Ticket{}
 	}
-	k := Ticket{slot: c.slot, epoch: c.epoch, phase: phasePrefill, uncached: c.Uncached, kv: r.PromptTokens + r.OutputTokens, kept: c.CachedBlocks}
-	t.note(k.slot, change{now, float64(k.uncached), float64(k.kv), 1})
+	k := Ticket{slot: c.slot, epoch: c.epoch, phase: phasePrefill, uncached: c.Uncached, kv: r.PromptTokens + r.OutputTokens, heldBlocks: c.CachedBlocks}
+	t.recordChange(k.slot, change{now, float64(k.uncached), float64(k.kv), 1})
 	t.index.Assume(c.slot, r.Prefix)
 	return k
 }
 
-// FirstToken counts the prefill as done.
+// FirstToken records that the prefill of the request is done.
 func (t *Table) FirstToken(now time.Time, k *Ticket) {
 	s := t.ticketSlot(k)
 	if s == nil || k.phase != phasePrefill {
 		return
 	}
 	k.phase = phaseDecode
-	t.note(k.slot, change{at: now, prefill: -float64(k.uncached)})
+	t.recordChange(k.slot, change{at: now, prefill: -float64(k.uncached)})
 }
 
-// Finished counts the request out.
+// Finished removes the request from the load counts.
 func (t *Table) Finished(now time.Time, k *Ticket) {
 	t.FirstToken(now, k)
 	s := t.ticketSlot(k)
@@ -56,21 +56,21 @@
 		return
 	}
 	k.phase = phaseNone
-	t.note(k.slot, change{at: now, kv: -float64(k.kv), requests: -1})
+	t.recordChange(k.slot, change{at: now, kv: -float64(k.kv), requests: -1})
 }
 
-// Answered takes in the length of a whole answer.
-func (t *Table) Answered(tokens int) {
-	t.output = max(1, t.output+outputGain*(float64(tokens)-t.output))
+// RecordOutputLength adds the length of a complete answer to the mean output length.
+func (t *Table) RecordOutputLength(tokens int) {
+	t.meanOutput = max(1, t.meanOutput+meanOutputWeight*(float64(tokens)-t.meanOutput))
 }
 
-// NotStarted counts a request out that the runner did not start, and takes the
-// assumption of its prefix back.
+// NotStarted removes a request that the runner did not start from the load counts and
+// withdraws the assumption that the runner has its prefix cached.
 func (t *Table) NotStarted(now time.Time, k *Ticket, chain []prefix.Hash) {
 	if t.ticketSlot(k) == nil || k.phase == phaseNone {
 		return
 	}
-	t.index.Withdraw(k.slot, chain, k.kept)
+	t.index.Withdraw(k.slot, chain, k.heldBlocks)
 	t.Finished(now, k)
 }
 
--- a/daemon/edge/relay.go
+++ b/daemon/edge/relay.go
@@ -155,7 +155,7 @@
 	a.ticket = s.pool.dispatch(now, choice, &s.place, s.exchange.Sent() == 0)
 	s.dispatched()
 	s.note("dispatched", decisions.F("runner", choice.Runner), decisions.F("estimate", choice.Estimate),
-		decisions.F("uncached", choice.Uncached), decisions.F("ahead", choice.Ahead), decisions.F("running", choice.Running), decisions.F("fetch_from", choice.FetchFrom), decisions.F("attempt", s.exchange.Sent()+1), decisions.F("cost", s.cost))
+		decisions.F("uncached", choice.Uncached), decisions.F("ahead", choice.QueuedAhead), decisions.F("running", choice.Running), decisions.F("fetch_from", choice.FetchFrom), decisions.F("attempt", s.exchange.Sent()+1), decisions.F("cost", s.cost))
 	return a, nil
 }
 
@@ -213,8 +213,8 @@
 	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	a.cancel = cancel
-	s.pool.begin(a)
-	defer s.pool.end(a)
+	s.pool.beginAttempt(a)
+	defer s.pool.endAttempt(a)
 	answer, err := s.edge.deps.Runners.Send(sendCtx, &Attempt{
 		Request:     s.req,
 		Runner:      a.choice.Runner,
@@ -229,7 +229,7 @@
 		return a.failedToSend(ctx, err)
 	}
 	defer answer.Body.Close()
-	a.activity.note(time.Now())
+	a.activity.recordHeard(time.Now())
 	if answer.NotRun || answer.Misdirected {
 		return a.notRun(answer)
 	}
--- a/protocol/admission/queue.go
+++ b/protocol/admission/queue.go
@@ -7,70 +7,74 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// residenceGain is the weight of the latest answer in a class's mean time in a
-// place.
-const residenceGain = 0.05
+// residenceWeight is the weight of the latest answer in the moving average of
+// a class's residence time, which is the time that a request of the class
+// occupies a place.
+const residenceWeight = 0.05
 
 func (c *Controller) enqueue(e *entry) {
 	f := e.flow
 	if len(f.items) == 0 {
-		// A flow that comes back starts at the present virtual time: time in
-		// which it asked for nothing is not saved up.
-		f.start = max(f.start, f.class.virtual)
+		// A flow that becomes active again starts at the current virtual time,
+		// so that it gains no credit for the time in which it had no work.
+		f.start = max(f.start, f.class.virtualTime)
 		f.class.active = append(f.class.active, f)
 	}
 	f.items = append(f.items, e)
-	f.cost += e.Cost
-	f.class.cost += e.Cost
+	f.queuedCost += e.Cost
+	f.class.queuedCost += e.Cost
 	f.workspace.queued++
 	c.entries[e.ID] = e
 	c.queued++
 	c.bytes += e.Bytes
 }
 
-// dequeue takes the entry at the place out of its flow's queue.
-func (c *Controller) dequeue(f *flow, place int) *entry {
-	e := f.items[place]
-	f.items = slices.Delete(f.items, place, place+1)
-	f.cost -= e.Cost
-	f.class.cost -= e.Cost
+// dequeue removes the entry at the index from the queue of its flow.
+func (c *Controller) dequeue(f *flow, index int) *entry {
+	e := f.items[index]
+	f.items = slices.Delete(f.items, index, index+1)
+	f.queuedCost -= e.Cost
+	f.class.queuedCost -= e.Cost
 	f.workspace.queued--
 	c.queued--
 	c.bytes -= e.Bytes
 	if len(f.items) == 0 {
-		f.cost = 0
+		f.queuedCost = 0
 		f.class.active = slices.DeleteFunc(f.class.active, func(o *flow) bool { return o == f })
 	}
 	if len(f.class.active) == 0 {
-		f.class.cost, f.class.credit = 0, 0
+		f.class.queuedCost, f.class.credit = 0, 0
 	}
 	return e
 }
 
-// admit lets in what the limit has room for.
-func (c *Controller) admit(now time.Time, dst []Effect) []Effect {
+// admitEligible admits queued items until the concurrency limit is reached or
+// no item is eligible.
+func (c *Controller) admitEligible(now time.Time, dst []Effect) []Effect {
 	for {
-		f := c.next(now)
+		f := c.nextFlow(now)
 		if f == nil {
 			break
 		}
 		dst = append(dst, c.start(now, f))
 	}
 	if c.queued > 0 {
-		c.limiter.Reached(now)
+		c.limiter.MarkReached(now)
 	}
 	return dst
 }
 
-// next returns the flow to serve: that of a lower class whose credit is due,
-// else that of the highest class with anything eligible, or what has its turn.
-func (c *Controller) next(now time.Time) *flow {
+// nextFlow returns the flow to serve next, or nil if none is eligible. A lower
+// class whose credit covers its next item goes first; otherwise the highest
+// class with an eligible flow is served, unless yieldIfOverShare passes its
+// turn on.
+func (c *Controller) nextFlow(now time.Time) *flow {
 	var first *flow
-	for _, k := range c.order {
-		if !c.room(now, k) {
+	for _, k := range c.byPriority {
+		if !c.hasRoom(now, k) {
 			continue
 		}
-		f := c.fairest(now, k)
+		f := c.fairestFlow(now, k)
 		if f == nil {
 			continue
 		}
@@ -86,60 +90,61 @@
 	if first == nil {
 		return nil
 	}
-	c.payLower(first)
-	return c.giveTurn(now, first)
+	c.creditOtherClasses(first)
+	return c.yieldIfOverShare(now, first)
 }
 
-// giveTurn returns the flow itself or, where its workspace is over its share,
-// lower work of one that is under it. Without this a large workspace with work
-// of a middle class for more than the whole capacity would hold up the lower
-// classes of all others for ever.
-func (c *Controller) giveTurn(now time.Time, f *flow) *flow {
-	if f.class == c.order[0] || c.shareUsed(now, f.workspace) <= c.cfg.OverShare {
+// yieldIfOverShare returns the given flow or, if the workspace of that flow is
+// over its share, a flow of a lower class whose workspace is under its share.
+// Without this rule, a large workspace with more work of a middle class than
+// the whole capacity would starve the lower classes of all other workspaces.
+func (c *Controller) yieldIfOverShare(now time.Time, f *flow) *flow {
+	if f.class == c.byPriority[0] || c.usedShareRatio(now, f.workspace) <= c.cfg.OverShareRatio {
 		return f
 	}
-	for _, k := range c.order {
+	for _, k := range c.byPriority {
 		if k.Priority >= f.class.Priority {
 			continue
 		}
-		o := c.fairest(now, k)
-		if o != nil && c.shareUsed(now, o.workspace) < c.cfg.UnderShare {
+		o := c.fairestFlow(now, k)
+		if o != nil && c.usedShareRatio(now, o.workspace) < c.cfg.UnderShareRatio {
 			return o
 		}
 	}
 	return f
 }
 
-// shareUsed is what the workspace lately had as a multiple of its share of what
-// all had.
-func (c *Controller) shareUsed(now time.Time, w *workspace) float64 {
-	all := c.used.perSecond(now)
+// usedShareRatio returns the workspace's recent use divided by its weighted
+// share of the recent use of all workspaces.
+func (c *Controller) usedShareRatio(now time.Time, w *workspace) float64 {
+	all := c.recentUse.perSecond(now)
 	if all == 0 {
 		return 0
 	}
-	return w.used.perSecond(now) / all * c.weights / w.Weight
+	return w.recentUse.perSecond(now) / all * c.totalWeight / w.Weight
 }
 
-// payLower pays the classes below the served one, where work waits, their
-// share of the cost, and those of the same priority as much as it had itself.
-func (c *Controller) payLower(served *flow) {
-	for _, k := range c.order {
+// creditOtherClasses credits the other classes that have work waiting: a class
+// of lower priority gets MinClassShare of the cost of the item to be served,
+// and a class of the same priority gets the full cost.
+func (c *Controller) creditOtherClasses(served *flow) {
+	for _, k := range c.byPriority {
 		switch {
 		case k == served.class || len(k.active) == 0:
 		case k.Priority < served.class.Priority:
-			k.credit += c.cfg.LowerShare * served.items[0].Cost
+			k.credit += c.cfg.MinClassShare * served.items[0].Cost
 		case k.Priority == served.class.Priority:
 			k.credit += served.items[0].Cost
 		}
 	}
 }
 
-// fairest returns the eligible flow with the least virtual start, by name
-// among equals.
-func (c *Controller) fairest(now time.Time, k *class) *flow {
+// fairestFlow returns the eligible flow of the class with the lowest virtual
+// start time. Ties are broken by workspace name.
+func (c *Controller) fairestFlow(now time.Time, k *class) *flow {
 	var best *flow
 	for _, f := range k.active {
-		if f.workspace.over(now, c.cfg.RateBurst) != nil {
+		if f.workspace.limitRefusal(now, c.cfg.RateBurst) != nil {
 			continue
 		}
 		if best == nil || f.start < best.start || f.start == best.start && f.workspace.Name < best.workspace.Name {
@@ -149,17 +154,19 @@
 	return best
 }
 
+// start admits the item at the head of the flow and charges its cost to the
+// flow, the class and the workspace.
 func (c *Controller) start(now time.Time, f *flow) Effect {
 	e := c.dequeue(f, 0)
-	f.class.virtual = max(f.class.virtual, f.start)
+	f.class.virtualTime = max(f.class.virtualTime, f.start)
 	f.start += e.Cost / f.workspace.Weight
 	f.class.admitted.add(now, e.Cost)
 	f.class.served.add(now, e.Cost)
 	f.workspace.running++
-	f.workspace.tokens.take(e.Cost)
-	f.workspace.used.add(now, e.Cost)
-	c.used.add(now, e.Cost)
-	c.setBack(f, e.Cost)
+	f.workspace.tokens.spend(e.Cost)
+	f.workspace.recentUse.add(now, e.Cost)
+	c.recentUse.add(now, e.Cost)
+	c.delayLowerFlows(f, e.Cost)
 	e.admitted = true
 	e.started = now
 	f.class.running++
@@ -167,29 +174,33 @@
 	return Effect{Kind: Admit, ID: e.ID, Waited: now.Sub(e.offered)}
 }
 
-// setBack lets what a workspace uses in one class count in the classes below,
-// so that its use in all of them together nears its share: a large workspace's
-// urgent work would come on top of its full share of the rest otherwise.
-func (c *Controller) setBack(f *flow, cost float64) {
+// delayLowerFlows advances the virtual start times of the workspace's flows in
+// all classes below the class of the given flow, so that the total use of the
+// workspace over all classes approaches its share. Otherwise the urgent work
+// of a large workspace would come on top of its full share of the lower
+// classes.
+func (c *Controller) delayLowerFlows(f *flow, cost float64) {
 	w := f.workspace
-	for _, k := range c.order {
+	for _, k := range c.byPriority {
 		if k.Priority >= f.class.Priority {
 			continue
 		}
 		o := c.flowOf(k, w)
-		most := k.virtual + c.cfg.MaxLead.Seconds()*c.rate.perSecond/w.Weight
+		most := k.virtualTime + c.cfg.MaxVirtualLead.Seconds()*c.throughput.perSecond/w.Weight
 		o.start = max(o.start, min(o.start+cost/w.Weight, most))
 	}
 }
 
-// FirstToken takes in the time from admission to the first token.
+// FirstToken records the time from admission to the first token of an item.
+// The limiter compares it to the target of the item's class.
 func (c *Controller) FirstToken(now time.Time, id ID, took time.Duration) {
 	if e, ok := c.entries[id]; ok && !e.flow.class.Deferrable {
 		c.limiter.Sample(now, took.Seconds()/e.flow.class.target().Seconds())
 	}
 }
 
-// BetweenTokens takes in the mean time between an answer's tokens.
+// BetweenTokens records the mean time between the tokens of an answer. The
+// limiter compares it to the target of the item's class.
 func (c *Controller) BetweenTokens(now time.Time, id ID, mean time.Duration) {
 	if e, ok := c.entries[id]; ok && e.flow.class.TBTMillis > 0 {
 		target := time.Duration(e.flow.class.TBTMillis) * time.Millisecond
@@ -197,8 +208,8 @@
 	}
 }
 
-// Finish takes an admitted item out with what it really cost, and appends what
-// may go now.
+// Finish removes an admitted item, corrects the charges by its actual cost,
+// and appends the effects for items that can be admitted now.
 func (c *Controller) Finish(now time.Time, id ID, cost float64, dst []Effect) []Effect {
 	e, ok := c.entries[id]
 	if !ok || !e.admitted {
@@ -209,14 +220,15 @@
 	w.running--
 	c.running--
 	e.flow.class.running--
-	e.flow.class.residence += residenceGain * (now.Sub(e.started).Seconds() - e.flow.class.residence)
-	w.tokens.take(cost - e.Cost)
+	e.flow.class.residence += residenceWeight * (now.Sub(e.started).Seconds() - e.flow.class.residence)
+	w.tokens.spend(cost - e.Cost)
 	e.flow.start += (cost - e.Cost) / w.Weight
-	c.rate.finish(now, cost, c.queued > 0)
-	return c.admit(now, dst)
+	c.throughput.finish(now, cost, c.queued > 0)
+	return c.admitEligible(now, dst)
 }
 
-// Cancel takes out an item whose caller gave it up.
+// Cancel removes an item that its caller no longer wants and appends the
+// effects for items that can be admitted now.
 func (c *Controller) Cancel(now time.Time, id ID, dst []Effect) []Effect {
 	e, ok := c.entries[id]
 	if !ok {
@@ -227,20 +239,21 @@
 	}
 	c.dequeue(e.flow, slices.Index(e.flow.items, e))
 	delete(c.entries, id)
-	return c.admit(now, dst)
+	return c.admitEligible(now, dst)
 }
 
-// Tick refuses what can no longer keep its target and admits what may go.
+// Tick refuses the queued items that can no longer meet their target and
+// admits those that have become eligible.
 func (c *Controller) Tick(now time.Time, dst []Effect) []Effect {
-	for _, k := range c.order {
+	for _, k := range c.byPriority {
 		for _, f := range slices.Clone(k.active) {
-			dst = c.expire(now, f, dst)
+			dst = c.refuseExpired(now, f, dst)
 		}
 	}
-	return c.admit(now, dst)
+	return c.admitEligible(now, dst)
 }
 
-func (c *Controller) expire(now time.Time, f *flow, dst []Effect) []Effect {
+func (c *Controller) refuseExpired(now time.Time, f *flow, dst []Effect) []Effect {
 	for i := 0; i < len(f.items); {
 		e := f.items[i]
 		if e.expires.IsZero() || now.Before(e.expires) {
@@ -250,12 +263,12 @@
 		c.dequeue(f, i)
 		delete(c.entries, e.ID)
 		f.class.refused.add(now, e.Cost)
-		dst = c.refuse(dst, e.Item, now.Sub(e.offered), c.late(now, e))
+		dst = c.refuse(dst, e.Item, now.Sub(e.offered), c.expiredRefusal(now, e))
 	}
 	return dst
 }
 
-func (c *Controller) late(now time.Time, e *entry) *refusal.Refusal {
+func (c *Controller) expiredRefusal(now time.Time, e *entry) *refusal.Refusal {
 	k := e.flow.class
 	reason := refusal.Overloaded
 	if !e.Deadline.IsZero() && now.Add(e.Service).After(e.Deadline) {
@@ -264,12 +277,13 @@
 	return refusal.New(reason, "waited %s in vain", now.Sub(e.offered).Round(time.Millisecond)).After(c.retryAfter(now, k, 0))
 }
 
-// over returns the refusal of a workspace that is at one of its own limits.
-func (w *workspace) over(now time.Time, burst time.Duration) *refusal.Refusal {
+// limitRefusal returns a refusal if the workspace has reached one of its own
+// limits, or nil.
+func (w *workspace) limitRefusal(now time.Time, burst time.Duration) *refusal.Refusal {
 	if w.MaxConcurrent > 0 && w.running >= w.MaxConcurrent {
 		return refusal.New(refusal.WorkspaceLimit, "%d requests in progress", w.running).After(time.Second)
 	}
-	if left := w.tokens.empty(now, w.TokensPerSecond, burst); left > 0 {
+	if left := w.tokens.timeUntilTokens(now, w.TokensPerSecond, burst); left > 0 {
 		return refusal.New(refusal.WorkspaceLimit, "over %g tokens per second", w.TokensPerSecond).After(left)
 	}
 	return nil
