--- a/bench/control/figures.go
+++ b/bench/control/figures.go
@@ -67,12 +67,12 @@
 	for i := range int(runnersPerDaemon * float64(members)) {
 		vms = append(vms, membership.VM{ID: strconv.Itoa(i), State: membership.VMLive})
 	}
-	table.Listed(now, vms)
+	table.ApplyVMList(now, vms)
 	var daemons []membership.Member
 	for i := range members {
 		daemons = append(daemons, membership.Member{Daemon: view.Daemon{Incarnation: ident.Incarnation(strconv.Itoa(i))}})
 	}
-	table.Registered(now, daemons)
+	table.MergeRegistrations(now, daemons)
 	begin := time.Now()
 	for range ticks {
 		table.Tick(now)
--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -8,8 +8,8 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// finality orders the states that cannot be undone.
-func finality(s view.State) int {
+// stateRank orders the states that cannot be undone.
+func stateRank(s view.State) int {
 	switch s {
 	case view.Gone:
 		return 2
@@ -23,7 +23,7 @@
 // registration ("") or the daemon itself.
 func (t *Table) mergeMember(now time.Time, m Member, from ident.Incarnation) {
 	if m.Incarnation == t.self.Incarnation {
-		t.hearOfSelf(now, m)
+		t.mergeSelfReport(now, m)
 		return
 	}
 	key := memberKey(m.Incarnation)
@@ -43,7 +43,7 @@
 		merged.Heard = r.member.Heard
 	}
 	*r.member = merged
-	t.changed(key, from)
+	t.markChanged(key, from)
 }
 
 func (t *Table) addMember(now time.Time, m Member, from ident.Incarnation) {
@@ -53,15 +53,15 @@
 	}
 	key := memberKey(m.Incarnation)
 	t.log.records[key] = &record{member: &m}
-	t.order = nil
-	t.firstKnown[m.Incarnation] = now
-	t.changed(key, from)
+	t.sortedKeys = nil
+	t.firstSeen[m.Incarnation] = now
+	t.markChanged(key, from)
 }
 
 // supersedes orders two reports of one incarnation, the same at every daemon:
 // by finality, then by version, then suspicion before none.
 func supersedes(report, known Member) bool {
-	a, b := finality(report.State), finality(known.State)
+	a, b := stateRank(report.State), stateRank(known.State)
 	if a != b {
 		return a > b
 	}
@@ -74,23 +74,23 @@
 	return report.State == view.Suspect && known.State == view.Live
 }
 
-// hearOfSelf answers what others say of this daemon. Guards against a false
+// mergeSelfReport answers what others say of this daemon. Guards against a false
 // suspicion (a pause, a cut link): by a version above the suspected one, the
 // suspicion ends wherever the new version arrives, in any order.
-func (t *Table) hearOfSelf(now time.Time, m Member) {
-	if finality(m.State) > 0 {
+func (t *Table) mergeSelfReport(now time.Time, m Member) {
+	if stateRank(m.State) > 0 {
 		t.Drain(now, m.LeavesAt)
 		return
 	}
 	if m.State == view.Suspect && m.Version >= t.self.Version && t.self.State != view.Gone {
 		t.self.Version = m.Version + 1
 		t.refuted++
-		t.changed(memberKey(t.self.Incarnation), "")
+		t.markChanged(memberKey(t.self.Incarnation), "")
 	}
 }
 
-// heard notes a daemon's own word.
-func (t *Table) heard(now time.Time, m Member) {
+// recordContact notes a daemon's own word.
+func (t *Table) recordContact(now time.Time, m Member) {
 	m.Heard = now
 	t.mergeMember(now, m, m.Incarnation)
 	r, ok := t.log.records[memberKey(m.Incarnation)]
@@ -118,18 +118,18 @@
 	return r.member.State != view.Suspect && r.failures >= ProbeFailures
 }
 
-// ReachedByOther notes that another daemon could call one that this one could
+// ReachedByPeer notes that another daemon could call one that this one could
 // not. Guards against a cut between two daemons that both reach the rest: by
 // their own failed calls each would take the other out of service everywhere.
-func (t *Table) ReachedByOther(i ident.Incarnation) {
+func (t *Table) ReachedByPeer(i ident.Incarnation) {
 	if r, ok := t.log.records[memberKey(i)]; ok {
 		r.failures = 0
 	}
 }
 
-// Unreachable notes that neither this daemon nor any asked one could call a
+// MarkUnreachable notes that neither this daemon nor any asked one could call a
 // daemon: a live one is suspect, a leaving one that was silent for long is gone.
-func (t *Table) Unreachable(now time.Time, i ident.Incarnation) {
+func (t *Table) MarkUnreachable(now time.Time, i ident.Incarnation) {
 	key := memberKey(i)
 	r, ok := t.log.records[key]
 	if !ok || r.member == t.self || r.failures < ProbeFailures {
@@ -137,31 +137,31 @@
 	}
 	switch {
 	case r.member.State == view.Live:
-		t.conclude(now, key, view.Suspect)
+		t.setState(now, key, view.Suspect)
 	case r.member.State == view.Leaving && now.Sub(r.member.Heard) > goneAfterLeaving:
-		t.conclude(now, key, view.Gone)
+		t.setState(now, key, view.Gone)
 	}
 }
 
-// answered concludes that former incarnations at an address are over because
-// another one answered a call made to it. Guards against a replaced entry VM:
+// retireReplaced concludes that former incarnations at an address are over because
+// another one retireReplaced a call made to it. Guards against a replaced entry VM:
 // its former incarnation would stay suspect, and be tried, until forgotten.
 // An incarnation first heard of after the call was made is spared: the answer
 // may be older than it.
-func (t *Table) answered(now, asked time.Time, by Member) {
+func (t *Table) retireReplaced(now, askedAt time.Time, by Member) {
 	for key, r := range t.log.records {
 		m := r.member
 		if m == nil || m == t.self || m.Incarnation == by.Incarnation || m.State == view.Gone {
 			continue
 		}
-		if m.PeerAddress == by.PeerAddress && t.firstKnown[m.Incarnation].Before(asked) {
-			t.conclude(now, key, view.Gone)
+		if m.PeerAddress == by.PeerAddress && t.firstSeen[m.Incarnation].Before(askedAt) {
+			t.setState(now, key, view.Gone)
 		}
 	}
 }
 
-// Registered takes in the daemons that are registered in the key-value service.
-func (t *Table) Registered(now time.Time, members []Member) {
+// MergeRegistrations takes in the daemons that are registered in the key-value service.
+func (t *Table) MergeRegistrations(now time.Time, members []Member) {
 	for _, m := range members {
 		m.State = view.Live
 		m.Since = now
@@ -170,9 +170,9 @@
 	}
 }
 
-// Listed takes in a whole VM list as this daemon read it. It returns whether
+// ApplyVMList takes in a whole VM list as this daemon read it. It returns whether
 // some VM was missing for the first time: another list, read soon, decides.
-func (t *Table) Listed(now time.Time, vms []VM) bool {
+func (t *Table) ApplyVMList(now time.Time, vms []VM) bool {
 	present := make(map[string]bool, len(vms))
 	for _, vm := range vms {
 		present[vmKey(vm.ID)] = true
@@ -182,29 +182,29 @@
 			r.missed = 0
 		}
 	}
-	doubtful := false
+	needsRecheck := false
 	for key, r := range t.log.records {
 		if r.vm != nil && r.vm.State != VMGone && !present[key] {
-			doubtful = t.missing(now, key, r) || doubtful
+			needsRecheck = t.recordMissing(now, key, r) || needsRecheck
 		}
 	}
-	return doubtful
+	return needsRecheck
 }
 
-// missing counts a list without a VM. Guards against two lists that lag by
+// recordMissing counts a list without a VM. Guards against two lists that lag by
 // different times: a VM that was heard of from a peer may not be on this
 // daemon's list yet.
-func (t *Table) missing(now time.Time, key string, r *record) bool {
+func (t *Table) recordMissing(now time.Time, key string, r *record) bool {
 	if r.missed < 0 && now.Sub(r.known) < listLag {
 		return false
 	}
 	r.missed = max(r.missed, 0) + 1
-	if r.missed < missedLists {
+	if r.missed < maxMissedLists {
 		return true
 	}
 	r.vm.State = VMGone
 	r.vm.Since = now
-	t.changed(key, "")
+	t.markChanged(key, "")
 	return false
 }
 
@@ -216,7 +216,7 @@
 			return
 		}
 		t.log.records[key] = &record{vm: &vm, missed: -1, known: now}
-		t.changed(key, from)
+		t.markChanged(key, from)
 		return
 	}
 	old := *r.vm
@@ -233,39 +233,39 @@
 		r.vm.LeavesAt = vm.LeavesAt
 	}
 	if r.vm.State != old.State || r.vm.Service != old.Service || r.vm.LeavesAt != old.LeavesAt {
-		t.changed(key, from)
+		t.markChanged(key, from)
 	}
 }
 
-// Noticed takes in that a VM is leaving, from any source. It returns whether
+// ApplyNotice takes in that a VM is leaving, from any source. It returns whether
 // this daemon itself is meant.
-func (t *Table) Noticed(now time.Time, n Notice) bool {
+func (t *Table) ApplyNotice(now time.Time, n Notice) bool {
 	leavesAt := now.Add(n.Left)
-	for _, id := range t.vmsOf(n) {
+	for _, id := range t.matchingVMs(n) {
 		t.mergeVM(now, VM{
 			ID: id, Address: n.Address, State: VMLeaving, LeavesAt: leavesAt, Since: now,
 		}, "")
 	}
 	for key, r := range t.log.records {
 		m := r.member
-		if m == nil || !n.concerns(*m) {
+		if m == nil || !n.matches(*m) {
 			continue
 		}
 		if m == t.self {
 			t.Drain(now, leavesAt)
 			continue
 		}
-		if finality(m.State) == 0 {
+		if stateRank(m.State) == 0 {
 			m.LeavesAt = leavesAt
-			t.conclude(now, key, view.Leaving)
+			t.setState(now, key, view.Leaving)
 		}
 	}
-	return t.self.State != view.Live && n.concerns(*t.self)
+	return t.self.State != view.Live && n.matches(*t.self)
 }
 
-// vmsOf names the VMs that a notice means. By address alone it can only mean
+// matchingVMs names the VMs that a notice means. By address alone it can only mean
 // VMs that are known now, never one that takes the address over later.
-func (t *Table) vmsOf(n Notice) []string {
+func (t *Table) matchingVMs(n Notice) []string {
 	if n.VM != "" {
 		return []string{n.VM}
 	}
@@ -278,11 +278,11 @@
 	return ids
 }
 
-// concerns tells whether the notice means the daemon. Guards against a late
+// matches tells whether the notice means the daemon. Guards against a late
 // notice of a VM that was replaced at the same address: a daemon that knows its
 // VM's ID is matched by that only, and a notice whose time is over never by
 // address.
-func (n Notice) concerns(m Member) bool {
+func (n Notice) matches(m Member) bool {
 	if m.VM != "" && n.VM != "" {
 		return m.VM == n.VM
 	}
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -27,29 +27,29 @@
 		return m
 	}
 	p := t.peer(to)
-	records, reached := t.log.after(p.acked, to, MaxChanges)
+	records, reached := t.log.changedAfter(p.acked, to, MaxChanges)
 	m.Ack = p.received
 	m.Seq = reached
 	for _, r := range records {
-		m.Changes = append(m.Changes, r.change())
+		m.Changes = append(m.Changes, r.toChange())
 	}
-	m.Changes = t.withSuspicion(m.Changes, to)
+	m.Changes = t.appendSuspicion(m.Changes, to)
 	return m
 }
 
-// withSuspicion adds the receiver's own record if it is suspect here. Guards
+// appendSuspicion adds the receiver's own record if it is suspect here. Guards
 // against a long log: behind thousands of other changes the suspicion would
 // reach the suspected one many messages later, and last as long.
-func (t *Table) withSuspicion(changes []Change, to ident.Incarnation) []Change {
+func (t *Table) appendSuspicion(changes []Change, to ident.Incarnation) []Change {
 	r, ok := t.log.records[memberKey(to)]
 	if !ok || r.member.State != view.Suspect {
 		return changes
 	}
-	return append(changes, r.change())
+	return append(changes, r.toChange())
 }
 
-// change copies the record for a message.
-func (r *record) change() Change {
+// toChange copies the record for a message.
+func (r *record) toChange() Change {
 	if r.member != nil {
 		m := *r.member
 		return Change{Member: &m}
@@ -61,24 +61,24 @@
 // Receive takes in a peer's call and tells whether there was news in it.
 func (t *Table) Receive(now time.Time, m Message) bool {
 	before := t.revision
-	t.take(now, m)
+	t.apply(now, m)
 	return t.revision != before
 }
 
 // ReceiveAnswer takes in the answer to a call made at the time asked and tells
 // whether there was news in it.
-func (t *Table) ReceiveAnswer(now, asked time.Time, m Message) bool {
+func (t *Table) ReceiveAnswer(now, askedAt time.Time, m Message) bool {
 	before := t.revision
-	t.take(now, m)
-	t.answered(now, asked, m.From)
+	t.apply(now, m)
+	t.retireReplaced(now, askedAt, m.From)
 	return t.revision != before
 }
 
-func (t *Table) take(now time.Time, m Message) {
+func (t *Table) apply(now time.Time, m Message) {
 	if m.From.Incarnation == t.self.Incarnation {
 		return
 	}
-	t.heard(now, m.From)
+	t.recordContact(now, m.From)
 	for _, c := range m.Changes {
 		switch {
 		case c.Member != nil:
--- a/coordination/membership/gateways.go
+++ b/coordination/membership/gateways.go
@@ -15,9 +15,9 @@
 	// MaxGateways bounds the answer.
 	MaxGateways = 16
 
-	nearWeight    = 100
-	farWeight     = 10
-	suspectWeight = 1
+	sameDomainWeight  = 100
+	otherDomainWeight = 10
+	suspectWeight     = 1
 )
 
 // Gateway is one entry VM that a caller may use.
@@ -33,44 +33,44 @@
 // own domain's first, never a leaving one, suspects last and only in the room
 // that live ones leave. The seed draws a different choice for each caller where there are many.
 func Gateways(daemons []view.Daemon, domain ident.FailureDomain, seed uint64) []Gateway {
-	near, far := split(daemons, domain, view.Live)
-	// A quarter is kept for other failure domains, so that the loss of the
+	sameDomain, otherDomains := splitByDomain(daemons, domain, view.Live)
+	// A quarter is sameDomainCount for other failure domains, so that the loss of the
 	// caller's own leaves it with an address.
-	kept := min(len(near), MaxGateways-min(len(far), MaxGateways/4))
+	sameDomainCount := min(len(sameDomain), MaxGateways-min(len(otherDomains), MaxGateways/4))
 	random := rand.New(rand.NewPCG(seed, seed))
 	gateways := make([]Gateway, 0, MaxGateways)
-	for _, i := range sample(random, near, kept) {
-		gateways = append(gateways, gatewayOf(daemons[i], nearWeight))
+	for _, i := range sample(random, sameDomain, sameDomainCount) {
+		gateways = append(gateways, newGateway(daemons[i], sameDomainWeight))
 	}
-	for _, i := range sample(random, far, min(len(far), MaxGateways-kept)) {
-		gateways = append(gateways, gatewayOf(daemons[i], farWeight))
+	for _, i := range sample(random, otherDomains, min(len(otherDomains), MaxGateways-sameDomainCount)) {
+		gateways = append(gateways, newGateway(daemons[i], otherDomainWeight))
 	}
-	near, far = split(daemons, domain, view.Suspect)
-	suspects := append(near, far...)
+	sameDomain, otherDomains = splitByDomain(daemons, domain, view.Suspect)
+	suspects := append(sameDomain, otherDomains...)
 	for _, i := range sample(random, suspects, min(len(suspects), MaxGateways-len(gateways))) {
-		gateways = append(gateways, gatewayOf(daemons[i], suspectWeight))
+		gateways = append(gateways, newGateway(daemons[i], suspectWeight))
 	}
 	return gateways
 }
 
-func gatewayOf(d view.Daemon, weight int) Gateway {
+func newGateway(d view.Daemon, weight int) Gateway {
 	return Gateway{ID: d.ID, Address: d.CallerAddress, FailureDomain: d.FailureDomain, Weight: weight}
 }
 
-// split returns the indexes of the daemons of a state within and outside of a
+// splitByDomain returns the indexes of the daemons of a state within and outside of a
 // failure domain.
-func split(daemons []view.Daemon, domain ident.FailureDomain, state view.State) (near, far []int) {
+func splitByDomain(daemons []view.Daemon, domain ident.FailureDomain, state view.State) (sameDomain, otherDomains []int) {
 	for i := range daemons {
 		d := &daemons[i]
 		switch {
 		case d.State != state || d.CallerAddress == "":
 		case d.FailureDomain == domain:
-			near = append(near, i)
+			sameDomain = append(sameDomain, i)
 		default:
-			far = append(far, i)
+			otherDomains = append(otherDomains, i)
 		}
 	}
-	return near, far
+	return sameDomain, otherDomains
 }
 
 // sample draws n of the elements, in random order; it reorders all.
--- a/coordination/membership/log.go
+++ b/coordination/membership/log.go
@@ -74,9 +74,9 @@
 	l.entries = kept
 }
 
-// after lists at most limit records changed later than seq, without those that
+// changedAfter lists at most limit records changed later than seq, without those that
 // came from the peer, and the position that the list reaches.
-func (l *changeLog) after(seq uint64, peer ident.Incarnation, limit int) ([]*record, uint64) {
+func (l *changeLog) changedAfter(seq uint64, peer ident.Incarnation, limit int) ([]*record, uint64) {
 	start := sort.Search(len(l.entries), func(i int) bool { return l.entries[i].seq > seq })
 	var found []*record
 	for _, e := range l.entries[start:] {
@@ -99,7 +99,7 @@
 	if r.member != nil {
 		text += "\x00" + string(r.member.State)
 	}
-	if r.member != nil && finality(r.member.State) == 0 {
+	if r.member != nil && stateRank(r.member.State) == 0 {
 		text += "\x00" + strconv.FormatUint(r.member.Version, 10)
 	}
 	if r.vm != nil {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -14,21 +14,21 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-func member(i, run int) membership.Member {
+func member(i, startCount int) membership.Member {
 	id := ident.DaemonID(fmt.Sprintf("entry-%d", i))
 	return membership.Member{Daemon: view.Daemon{
-		ID: id, Incarnation: ident.NewIncarnation(id, []byte{byte(run)}), FailureDomain: "lima-norte",
+		ID: id, Incarnation: ident.NewIncarnation(id, []byte{byte(startCount)}), FailureDomain: "lima-norte",
 		CallerAddress: fmt.Sprintf("10.0.0.%d:8000", i), PeerAddress: fmt.Sprintf("10.0.0.%d:7000", i),
 	}}
 }
 
-// group is some daemons' tables with messages under way between them.
-type group struct {
+// cluster is some daemons' tables with messages under way between them.
+type cluster struct {
 	now    time.Time
 	tables []*membership.Table
-	// final holds the state that each table has concluded for good.
-	final []map[ident.Incarnation]view.State
-	under []delivery
+	// leaving holds the state that each table has concluded for good.
+	leaving  []map[ident.Incarnation]view.State
+	inFlight []delivery
 }
 
 type delivery struct {
@@ -36,19 +36,19 @@
 	membership.Message
 }
 
-func newGroup(n int) *group {
-	g := &group{now: time.Unix(100000, 0)}
+func newCluster(n int) *cluster {
+	g := &cluster{now: time.Unix(100000, 0)}
 	for i := range n {
 		g.tables = append(g.tables, membership.New(g.now, member(i, 1)))
-		g.final = append(g.final, map[ident.Incarnation]view.State{})
+		g.leaving = append(g.leaving, map[ident.Incarnation]view.State{})
 	}
 	return g
 }
 
-func (g *group) incarnation(i int) ident.Incarnation { return g.tables[i].Self().Incarnation }
+func (g *cluster) incarnation(i int) ident.Incarnation { return g.tables[i].Self().Incarnation }
 
-// pair draws two different daemons.
-func (g *group) pair(t *rapid.T) (int, int) {
+// drawPair draws two different daemons.
+func (g *cluster) drawPair(t *rapid.T) (int, int) {
 	a := rapid.IntRange(0, len(g.tables)-1).Draw(t, "a")
 	b := rapid.IntRange(0, len(g.tables)-2).Draw(t, "b")
 	if b >= a {
@@ -57,69 +57,69 @@
 	return a, b
 }
 
-func (g *group) exchange(a, b int) {
-	asked := g.now
+func (g *cluster) exchange(a, b int) {
+	askedAt := g.now
 	g.tables[b].Receive(g.now, g.tables[a].Compose(g.incarnation(b)))
-	g.tables[a].ReceiveAnswer(g.now, asked, g.tables[b].Compose(g.incarnation(a)))
+	g.tables[a].ReceiveAnswer(g.now, askedAt, g.tables[b].Compose(g.incarnation(a)))
 }
 
-func (g *group) send(t *rapid.T) {
-	a, b := g.pair(t)
-	g.under = append(g.under, delivery{b, g.tables[a].Compose(g.incarnation(b))})
+func (g *cluster) send(t *rapid.T) {
+	a, b := g.drawPair(t)
+	g.inFlight = append(g.inFlight, delivery{b, g.tables[a].Compose(g.incarnation(b))})
 }
 
 // deliver hands over or loses a message, in any order.
-func (g *group) deliver(t *rapid.T) {
-	if len(g.under) == 0 {
+func (g *cluster) deliver(t *rapid.T) {
+	if len(g.inFlight) == 0 {
 		t.Skip("nothing is under way")
 	}
-	i := rapid.IntRange(0, len(g.under)-1).Draw(t, "message")
-	d := g.under[i]
-	g.under = append(g.under[:i], g.under[i+1:]...)
+	i := rapid.IntRange(0, len(g.inFlight)-1).Draw(t, "message")
+	d := g.inFlight[i]
+	g.inFlight = append(g.inFlight[:i], g.inFlight[i+1:]...)
 	if rapid.Bool().Draw(t, "arrives") {
 		g.tables[d.to].Receive(g.now, d.Message)
 	}
 }
 
-func (g *group) suspect(t *rapid.T) {
-	a, b := g.pair(t)
+func (g *cluster) suspect(t *rapid.T) {
+	a, b := g.drawPair(t)
 	for range membership.ProbeFailures {
 		g.tables[a].ProbeFailed(g.incarnation(b))
 	}
-	g.tables[a].Unreachable(g.now, g.incarnation(b))
+	g.tables[a].MarkUnreachable(g.now, g.incarnation(b))
 }
 
-func (g *group) tick(t *rapid.T) {
+func (g *cluster) tick(t *rapid.T) {
 	g.now = g.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 	for _, table := range g.tables {
 		table.Tick(g.now)
 	}
 }
 
-func (g *group) notice(t *rapid.T) {
-	a, b := g.pair(t)
+func (g *cluster) notice(t *rapid.T) {
+	a, b := g.drawPair(t)
 	if b == 0 {
 		t.Skip("entry-0 stays")
 	}
-	g.tables[a].Noticed(g.now, membership.Notice{
+	g.tables[a].ApplyNotice(g.now, membership.Notice{
 		VM: fmt.Sprintf("vm-%d", b), Address: fmt.Sprintf("10.0.0.%d", b), Left: time.Hour,
 	})
 }
 
-func (g *group) check(t *rapid.T) {
+func (g *cluster) check(t *rapid.T) {
 	for i, table := range g.tables {
 		states := map[ident.Incarnation]view.State{}
 		for _, m := range table.Members() {
 			states[m.Incarnation] = m.State
 		}
-		for incarnation := range g.final[i] {
+		for incarnation := range g.leaving[i] {
 			if s, listed := states[incarnation]; listed && s != view.Leaving {
 				t.Fatalf("daemon %d takes %s back from leaving to %s", i, incarnation, s)
 			}
 		}
 		for incarnation, s := range states {
 			if s == view.Leaving {
-				g.final[i][incarnation] = s
+				g.leaving[i][incarnation] = s
 			}
 		}
 		if self := table.Self().State; self != view.Live && self != view.Leaving {
@@ -133,16 +133,16 @@
 // to end, or never again use a healthy one.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGroup(rapid.IntRange(2, 5).Draw(t, "daemons"))
+		g := newCluster(rapid.IntRange(2, 5).Draw(t, "daemons"))
 		t.Repeat(map[string]func(*rapid.T){
 			"send": g.send, "deliver": g.deliver, "suspect": g.suspect,
 			"tick": g.tick, "notice": g.notice, "": g.check,
 		})
-		g.settle(t)
+		g.checkConvergence(t)
 	})
 }
 
-func (g *group) settle(t *rapid.T) {
+func (g *cluster) checkConvergence(t *rapid.T) {
 	for range 6 {
 		g.now = g.now.Add(time.Second)
 		for a := range g.tables {
@@ -168,19 +168,19 @@
 
 // A notice that was read late names an address that a new VM has taken over.
 // The new daemon, just started, would be drained for its predecessor.
-func TestLateNoticeSparesTheNextVM(t *testing.T) {
+func TestLateNoticeIgnoresReplacementVM(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100000, 0)
 	self := member(0, 1)
 	self.VM = "vm-new"
 	table := membership.New(now, self)
-	is.True(!table.Noticed(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", Left: time.Minute}))
+	is.True(!table.ApplyNotice(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", Left: time.Minute}))
 	is.Equal(table.Self().State, view.Live)
 
 	// Without a VM's ID the address decides, but not after the time is over.
 	table = membership.New(now, member(0, 1))
-	is.True(!table.Noticed(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", Left: -time.Second}))
-	is.True(table.Noticed(now, membership.Notice{VM: "vm-0", Address: "10.0.0.0", Left: time.Minute}))
+	is.True(!table.ApplyNotice(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", Left: -time.Second}))
+	is.True(table.ApplyNotice(now, membership.Notice{VM: "vm-0", Address: "10.0.0.0", Left: time.Minute}))
 	is.Equal(table.Self().State, view.Leaving)
 }
 
@@ -191,9 +191,9 @@
 	now := time.Unix(100000, 0)
 	table := membership.New(now, member(0, 1))
 	listed := []membership.VM{{ID: "vm-1", Address: "10.1.0.1:9000", Service: "casos", State: membership.VMLive}}
-	table.Noticed(now, membership.Notice{VM: "vm-1", Address: "10.1.0.1", Left: 30 * time.Second})
+	table.ApplyNotice(now, membership.Notice{VM: "vm-1", Address: "10.1.0.1", Left: 30 * time.Second})
 	is.Equal(len(table.Runners("casos")), 0)
-	table.Listed(now.Add(time.Second), listed)
+	table.ApplyVMList(now.Add(time.Second), listed)
 	runners := table.Runners("casos")
 	is.Equal(len(runners), 1)
 	is.Equal(runners[0].State, view.Leaving)
@@ -201,45 +201,45 @@
 
 	// Another VM at the same address is another incarnation.
 	listed = append(listed, membership.VM{ID: "vm-2", Address: "10.1.0.1:9000", Service: "casos", State: membership.VMLive})
-	table.Listed(now.Add(2*time.Second), listed)
+	table.ApplyVMList(now.Add(2*time.Second), listed)
 	is.Equal(table.Runners("casos")[1].State, view.Live)
 
 	// One list without it proves nothing, two end it.
-	table.Listed(now.Add(3*time.Second), listed[1:])
+	table.ApplyVMList(now.Add(3*time.Second), listed[1:])
 	is.Equal(len(table.Runners("casos")), 2)
-	table.Listed(now.Add(4*time.Second), listed[1:])
+	table.ApplyVMList(now.Add(4*time.Second), listed[1:])
 	is.Equal(len(table.Runners("casos")), 1)
 }
 
 // The duty of reading the list goes round: the daemon that reads it now has heard
 // of a VM from others only. If it waited for its own list to have had the VM, one
 // that is long gone would get work until this daemon's next turn.
-func TestVMKnownFromPeersEndsByTwoLists(t *testing.T) {
+func TestVMKnownFromPeersIsGoneAfterTwoLists(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100000, 0)
 	table, other := membership.New(now, member(0, 1)), membership.New(now, member(1, 1))
-	other.Listed(now, []membership.VM{{ID: "vm-1", Service: "casos", State: membership.VMLive}})
+	other.ApplyVMList(now, []membership.VM{{ID: "vm-1", Service: "casos", State: membership.VMLive}})
 	table.Receive(now, other.Compose(table.Self().Incarnation))
 	is.Equal(len(table.Runners("casos")), 1)
-	is.True(!table.Listed(now.Add(time.Second), nil)) // its list may lag behind the other's
-	is.True(table.Listed(now.Add(3*time.Minute), nil))
+	is.True(!table.ApplyVMList(now.Add(time.Second), nil)) // its list may lag behind the other's
+	is.True(table.ApplyVMList(now.Add(3*time.Minute), nil))
 	is.Equal(len(table.Runners("casos")), 1)
-	is.True(!table.Listed(now.Add(4*time.Minute), nil))
+	is.True(!table.ApplyVMList(now.Add(4*time.Minute), nil))
 	is.Equal(len(table.Runners("casos")), 0)
 }
 
 // An answer of the former incarnation comes in after the new one was heard of.
 // Taken as proof against the new one, it would end a healthy daemon for good.
-func TestDelayedAnswerSparesTheNewIncarnation(t *testing.T) {
+func TestDelayedAnswerKeepsNewIncarnation(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100000, 0)
 	table := membership.New(now, member(0, 1))
 	former := membership.New(now, member(1, 1))
 	next := membership.New(now, member(1, 2))
-	asked := now.Add(time.Second)
+	askedAt := now.Add(time.Second)
 	answer := former.Compose(table.Self().Incarnation)
 	table.Receive(now.Add(1100*time.Millisecond), next.Compose(table.Self().Incarnation))
-	table.ReceiveAnswer(now.Add(1200*time.Millisecond), asked, answer)
+	table.ReceiveAnswer(now.Add(1200*time.Millisecond), askedAt, answer)
 	is.Equal(len(table.Members()), 3)
 	table.ReceiveAnswer(now.Add(3*time.Second), now.Add(2*time.Second), next.Compose(table.Self().Incarnation))
 	is.Equal(len(table.Members()), 2)
@@ -254,7 +254,7 @@
 	for range membership.ProbeFailures {
 		table.ProbeFailed(other.Self().Incarnation)
 	}
-	table.Unreachable(now, other.Self().Incarnation)
+	table.MarkUnreachable(now, other.Self().Incarnation)
 	is.Equal(len(table.Members()), 2)
 	table.Tick(now.Add(membership.ForgetAfter + time.Second))
 	is.Equal(len(table.Members()), 1)
@@ -277,14 +277,14 @@
 	for seed := range uint64(50) {
 		gateways := membership.Gateways(daemons, "lima-norte", seed)
 		is.Equal(len(gateways), membership.MaxGateways)
-		near := 0
+		sameDomain := 0
 		for _, g := range gateways {
 			is.True(g.Address != daemons[3].CallerAddress && g.Address != daemons[4].CallerAddress)
 			if g.FailureDomain == "lima-norte" {
-				near++
+				sameDomain++
 			}
 		}
-		is.Equal(near, 12)
+		is.Equal(sameDomain, 12)
 		is.Equal(gateways[0].FailureDomain, ident.FailureDomain("lima-norte"))
 	}
 	is.Equal(len(membership.Gateways(daemons[3:5], "lima-norte", 1)), 1) // a suspect goes before none
@@ -293,7 +293,7 @@
 
 // A daemon is suspected just after it was linked to one that has thousands of
 // records to tell. It would stay out of service until it has heard them all.
-func TestSuspicionGoesBeforeTheBacklog(t *testing.T) {
+func TestSuspicionIsSentBeforeBacklog(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100000, 0)
 	table, other := membership.New(now, member(0, 1)), membership.New(now, member(1, 1))
@@ -301,12 +301,12 @@
 	for i := range 3 * membership.MaxChanges {
 		vms = append(vms, membership.VM{ID: fmt.Sprintf("vm-%d", i), Service: "casos", State: membership.VMLive})
 	}
-	table.Listed(now, vms)
+	table.ApplyVMList(now, vms)
 	table.Receive(now, other.Compose(table.Self().Incarnation))
 	for range membership.ProbeFailures {
 		table.ProbeFailed(other.Self().Incarnation)
 	}
-	table.Unreachable(now, other.Self().Incarnation)
+	table.MarkUnreachable(now, other.Self().Incarnation)
 	message := table.Compose(other.Self().Incarnation)
 	is.True(len(message.Changes) <= membership.MaxChanges+1)
 	other.Receive(now, message)
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -15,12 +15,12 @@
 	log     *changeLog
 	peers   map[ident.Incarnation]*peerState
 	inForce map[ident.FailureDomain]ident.Generation
-	// firstKnown is when an incarnation was first heard of here.
-	firstKnown map[ident.Incarnation]time.Time
-	revision   Revision
-	refuted    uint64
-	// order holds the daemons' keys by ID, if it is not nil.
-	order []string
+	// firstSeen is when an incarnation was first heard of here.
+	firstSeen map[ident.Incarnation]time.Time
+	revision  Revision
+	refuted   uint64
+	// sortedKeys holds the daemons' keys by ID, if it is not nil.
+	sortedKeys []string
 }
 
 // Revision grows with every change of what the table returns; its parts tell
@@ -49,17 +49,17 @@
 // New returns a table that knows its own daemon only.
 func New(now time.Time, self Member) *Table {
 	t := &Table{
-		log:        newChangeLog(),
-		peers:      map[ident.Incarnation]*peerState{},
-		inForce:    map[ident.FailureDomain]ident.Generation{},
-		firstKnown: map[ident.Incarnation]time.Time{},
+		log:       newChangeLog(),
+		peers:     map[ident.Incarnation]*peerState{},
+		inForce:   map[ident.FailureDomain]ident.Generation{},
+		firstSeen: map[ident.Incarnation]time.Time{},
 	}
 	self.State = view.Live
 	self.Version = 1
 	self.Since = now
 	t.self = &self
 	t.log.records[memberKey(self.Incarnation)] = &record{member: t.self}
-	t.changed(memberKey(self.Incarnation), "")
+	t.markChanged(memberKey(self.Incarnation), "")
 	return t
 }
 
@@ -78,13 +78,13 @@
 // Self is this daemon as it tells others.
 func (t *Table) Self() Member { return *t.self }
 
-func (t *Table) changed(key string, from ident.Incarnation) {
+func (t *Table) markChanged(key string, from ident.Incarnation) {
 	isVM := t.log.records[key].vm != nil
 	t.log.touch(key, from)
-	t.bump(isVM)
+	t.bumpRevision(isVM)
 }
 
-func (t *Table) bump(isVM bool) {
+func (t *Table) bumpRevision(isVM bool) {
 	if isVM {
 		t.revision.VMs++
 		return
@@ -137,12 +137,12 @@
 	t.self.LeavesAt = leavesAt
 	t.self.Since = now
 	t.self.Version++
-	t.changed(memberKey(t.self.Incarnation), "")
+	t.markChanged(memberKey(t.self.Incarnation), "")
 }
 
-// Leave makes another daemon leaving on an operator's word. The daemon hears of
+// MarkLeaving makes another daemon leaving on an operator's word. The daemon hears of
 // it through the others. It returns false for one that is not known.
-func (t *Table) Leave(now, leavesAt time.Time, i ident.Incarnation) bool {
+func (t *Table) MarkLeaving(now, leavesAt time.Time, i ident.Incarnation) bool {
 	key := memberKey(i)
 	r, ok := t.log.records[key]
 	if !ok {
@@ -152,16 +152,16 @@
 		t.Drain(now, leavesAt)
 		return true
 	}
-	if finality(r.member.State) == 0 {
+	if stateRank(r.member.State) == 0 {
 		r.member.LeavesAt = leavesAt
-		t.conclude(now, key, view.Leaving)
+		t.setState(now, key, view.Leaving)
 	}
 	return true
 }
 
-// LeaveVM makes a VM leaving on an operator's word; when it ends is not known.
+// MarkVMLeaving makes a VM leaving on an operator's word; when it ends is not known.
 // It returns false for one that is not known.
-func (t *Table) LeaveVM(now time.Time, id string) bool {
+func (t *Table) MarkVMLeaving(now time.Time, id string) bool {
 	r, ok := t.log.records[vmKey(id)]
 	if !ok {
 		return false
@@ -173,18 +173,18 @@
 	return true
 }
 
-// Left makes this daemon gone: its last word before the process ends.
-func (t *Table) Left(now time.Time) {
+// MarkGone makes this daemon gone: its last word before the process ends.
+func (t *Table) MarkGone(now time.Time) {
 	t.self.State = view.Gone
 	t.self.Since = now
 	t.self.Version++
-	t.changed(memberKey(t.self.Incarnation), "")
+	t.markChanged(memberKey(t.self.Incarnation), "")
 }
 
 // Members lists all daemons but the gone, this one included, by ID.
 func (t *Table) Members() []Member {
-	all := make([]Member, 0, len(t.order))
-	for _, key := range t.ordered() {
+	all := make([]Member, 0, len(t.sortedKeys))
+	for _, key := range t.sortedMemberKeys() {
 		m := t.log.records[key].member
 		if m.State != view.Gone {
 			all = append(all, *m)
@@ -193,25 +193,25 @@
 	return all
 }
 
-// ordered returns the daemons' keys by ID; the order is kept until a record
+// sortedMemberKeys returns the daemons' keys by ID; the order is kept until a record
 // comes or goes.
-func (t *Table) ordered() []string {
-	if t.order != nil {
-		return t.order
+func (t *Table) sortedMemberKeys() []string {
+	if t.sortedKeys != nil {
+		return t.sortedKeys
 	}
 	for key, r := range t.log.records {
 		if r.member != nil {
-			t.order = append(t.order, key)
+			t.sortedKeys = append(t.sortedKeys, key)
 		}
 	}
-	sort.Slice(t.order, func(i, j int) bool {
-		a, b := t.log.records[t.order[i]].member, t.log.records[t.order[j]].member
+	sort.Slice(t.sortedKeys, func(i, j int) bool {
+		a, b := t.log.records[t.sortedKeys[i]].member, t.log.records[t.sortedKeys[j]].member
 		if a.ID != b.ID {
 			return a.ID < b.ID
 		}
 		return a.Incarnation < b.Incarnation
 	})
-	return t.order
+	return t.sortedKeys
 }
 
 // VMs lists all VMs but the gone, by ID.
@@ -228,11 +228,11 @@
 
 // Runners lists a service's runners that have started and are not gone, by ID.
 func (t *Table) Runners(service string) []view.Runner {
-	return RunnersOf(t.VMs(), service)
+	return FilterRunners(t.VMs(), service)
 }
 
-// RunnersOf picks a service's runners out of VMs.
-func RunnersOf(vms []VM, service string) []view.Runner {
+// FilterRunners picks a service's runners out of VMs.
+func FilterRunners(vms []VM, service string) []view.Runner {
 	var runners []view.Runner
 	for _, vm := range vms {
 		if vm.Service != service || vm.State == VMStarting {
@@ -256,45 +256,45 @@
 	for key, r := range t.log.records {
 		switch {
 		case r.member != nil && r.member != t.self:
-			t.ageMember(now, key, r.member)
+			t.expireMember(now, key, r.member)
 		case r.vm != nil && r.vm.State >= VMLeaving && now.Sub(r.vm.Since) > ForgetAfter:
-			t.ageVM(now, key, r)
+			t.expireVM(now, key, r)
 		}
 	}
 }
 
-func (t *Table) ageMember(now time.Time, key string, m *Member) {
+func (t *Table) expireMember(now time.Time, key string, m *Member) {
 	switch m.State {
 	case view.Leaving:
 		if !m.LeavesAt.IsZero() && now.Sub(m.LeavesAt) > goneAfterLeaving {
-			t.conclude(now, key, view.Gone)
+			t.setState(now, key, view.Gone)
 		}
 	case view.Suspect, view.Gone:
 		if now.Sub(m.Since) > ForgetAfter {
 			t.log.remove(key)
-			t.order = nil
+			t.sortedKeys = nil
 			delete(t.peers, m.Incarnation)
-			delete(t.firstKnown, m.Incarnation)
+			delete(t.firstSeen, m.Incarnation)
 			t.revision.Members++
 		}
 	}
 }
 
-// ageVM ends a leaving VM that the list never dropped, and forgets a gone one.
-func (t *Table) ageVM(now time.Time, key string, r *record) {
+// expireVM ends a leaving VM that the list never dropped, and forgets a gone one.
+func (t *Table) expireVM(now time.Time, key string, r *record) {
 	if r.vm.State == VMGone {
 		t.log.remove(key)
 		return
 	}
 	r.vm.State = VMGone
 	r.vm.Since = now
-	t.changed(key, "")
+	t.markChanged(key, "")
 }
 
-// conclude sets the state of another daemon from evidence found here.
-func (t *Table) conclude(now time.Time, key string, state view.State) {
+// setState sets the state of another daemon from evidence found here.
+func (t *Table) setState(now time.Time, key string, state view.State) {
 	m := t.log.records[key].member
 	m.State = state
 	m.Since = now
-	t.changed(key, "")
+	t.markChanged(key, "")
 }
--- a/coordination/membership/types.go
+++ b/coordination/membership/types.go
@@ -109,8 +109,8 @@
 	goneAfterLeaving = 30 * time.Second
 	// listLag is how much later one daemon's list may show a VM than another's.
 	listLag = 2 * time.Minute
-	// missedLists is the number of lists without a VM after which it is gone.
-	missedLists = 2
+	// maxMissedLists is the number of lists without a VM after which it is gone.
+	maxMissedLists = 2
 	// resyncAfter is how long two tables may differ with no change on its way
 	// before everything is sent again.
 	resyncAfter = 30 * time.Second
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -301,10 +301,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer c.afterLocked()
-	found := c.table.LeaveVM(now, target)
+	found := c.table.MarkVMLeaving(now, target)
 	for _, m := range c.membersLocked() {
 		if string(m.ID) == target || string(m.Incarnation) == target {
-			found = c.table.Leave(now, time.Time{}, m.Incarnation) || found
+			found = c.table.MarkLeaving(now, time.Time{}, m.Incarnation) || found
 		}
 	}
 	if !found {
@@ -358,7 +358,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range notices {
-		c.table.Noticed(time.Now(), n)
+		c.table.ApplyNotice(time.Now(), n)
 	}
 	c.afterLocked()
 }
--- a/daemon/control/mesh.go
+++ b/daemon/control/mesh.go
@@ -154,10 +154,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if reached {
-		c.table.ReachedByOther(m.Incarnation)
+		c.table.ReachedByPeer(m.Incarnation)
 		return
 	}
-	c.table.Unreachable(time.Now(), m.Incarnation)
+	c.table.MarkUnreachable(time.Now(), m.Incarnation)
 	c.afterLocked()
 }
 
@@ -348,7 +348,7 @@
 // leave tells the linked peers, after Run, that this incarnation is over.
 func (c *Control) leave() {
 	c.mu.Lock()
-	c.table.Left(time.Now())
+	c.table.MarkGone(time.Now())
 	c.mu.Unlock()
 	peers := c.linkedPeers(membership.NoPeer)
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
--- a/daemon/control/platform.go
+++ b/daemon/control/platform.go
@@ -63,7 +63,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	doubtful := c.table.Listed(time.Now(), vms)
+	doubtful := c.table.ApplyVMList(time.Now(), vms)
 	c.afterLocked()
 	rest := max(listLeast, time.Duration(len(vms))*listPerRecord)
 	if doubtful {
--- a/daemon/control/register.go
+++ b/daemon/control/register.go
@@ -161,7 +161,7 @@
 		members, err := c.readRegistrations(ctx)
 		if err == nil {
 			c.mu.Lock()
-			c.table.Registered(time.Now(), members)
+			c.table.MergeRegistrations(time.Now(), members)
 			c.afterLocked()
 			c.mu.Unlock()
 		}
