--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -8,7 +8,8 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// stateRank orders the states that cannot be undone.
+// stateRank orders states by how final they are: gone is above leaving, and leaving is
+// above live and suspect.
 func stateRank(s view.State) int {
 	switch s {
 	case view.Gone:
@@ -19,8 +20,8 @@
 	return 0
 }
 
-// mergeMember takes in a report of a daemon that came from a peer, a
-// registration ("") or the daemon itself.
+// mergeMember merges a report about a daemon. The report comes from the peer from; from is
+// empty for a registration in the key-value service.
 func (t *Table) mergeMember(now time.Time, m Member, from ident.Incarnation) {
 	if m.Incarnation == t.self.Incarnation {
 		t.mergeSelfReport(now, m)
@@ -58,8 +59,9 @@
 	t.markChanged(key, from)
 }
 
-// supersedes orders two reports of one incarnation, the same at every daemon:
-// by finality, then by version, then suspicion before none.
+// supersedes reports whether a report takes precedence over what is known of the same
+// incarnation. The order is the same at every daemon: the more final state first, then the
+// higher version, then suspect before live.
 func supersedes(report, known Member) bool {
 	a, b := stateRank(report.State), stateRank(known.State)
 	if a != b {
@@ -74,9 +76,9 @@
 	return report.State == view.Suspect && known.State == view.Live
 }
 
-// mergeSelfReport answers what others say of this daemon. Guards against a false
-// suspicion (a pause, a cut link): by a version above the suspected one, the
-// suspicion ends wherever the new version arrives, in any order.
+// mergeSelfReport handles a report about this daemon itself. It answers a false suspicion,
+// caused by a pause or a broken link, with a version above the suspected one. The suspicion
+// ends at every daemon that the new version reaches, in whatever order messages arrive.
 func (t *Table) mergeSelfReport(now time.Time, m Member) {
 	if stateRank(m.State) > 0 {
 		t.Drain(now, m.LeavesAt)
@@ -89,7 +91,7 @@
 	}
 }
 
-// recordContact notes a daemon's own word.
+// recordContact merges what a daemon reported about itself in a message received now.
 func (t *Table) recordContact(now time.Time, m Member) {
 	m.Heard = now
 	t.mergeMember(now, m, m.Incarnation)
@@ -106,9 +108,9 @@
 	t.raiseInForce(m.FailureDomain, m.Generation)
 }
 
-// ProbeFailed notes that a call to a daemon was not answered. It returns whether
-// there were enough in a row to ask others to try, and to call Unreachable if
-// they fail, too.
+// ProbeFailed records that a call to a daemon was not answered. It returns true once
+// ProbeFailures calls in a row have failed. The caller should then ask other daemons to
+// try, and call MarkUnreachable if they fail, too.
 func (t *Table) ProbeFailed(i ident.Incarnation) bool {
 	r, ok := t.log.records[memberKey(i)]
 	if !ok || r.member == t.self {
@@ -118,17 +120,18 @@
 	return r.member.State != view.Suspect && r.failures >= ProbeFailures
 }
 
-// ReachedByPeer notes that another daemon could call one that this one could
-// not. Guards against a cut between two daemons that both reach the rest: by
-// their own failed calls each would take the other out of service everywhere.
+// ReachedByPeer records that another daemon could call a daemon that this one could not.
+// Without it, two daemons whose link is broken but that both reach the rest would take each
+// other out of service everywhere.
 func (t *Table) ReachedByPeer(i ident.Incarnation) {
 	if r, ok := t.log.records[memberKey(i)]; ok {
 		r.failures = 0
 	}
 }
 
-// MarkUnreachable notes that neither this daemon nor any asked one could call a
-// daemon: a live one is suspect, a leaving one that was silent for long is gone.
+// MarkUnreachable records that neither this daemon nor any daemon that it asked could call
+// a daemon. A live daemon becomes suspect; a leaving one that has been silent for longer
+// than goneAfterLeaving becomes gone.
 func (t *Table) MarkUnreachable(now time.Time, i ident.Incarnation) {
 	key := memberKey(i)
 	r, ok := t.log.records[key]
@@ -143,11 +146,11 @@
 	}
 }
 
-// retireReplaced concludes that former incarnations at an address are over because
-// another one retireReplaced a call made to it. Guards against a replaced entry VM:
-// its former incarnation would stay suspect, and be tried, until forgotten.
-// An incarnation first heard of after the call was made is spared: the answer
-// may be older than it.
+// retireReplaced marks all other incarnations at an address as gone, because another
+// incarnation answered a call to that address made at askedAt. Otherwise, after an entry VM
+// is replaced, its former incarnation would stay suspect, and be tried, until it is
+// forgotten. An incarnation that was first seen after the call was made is kept, because
+// the answer may be older than that incarnation.
 func (t *Table) retireReplaced(now, askedAt time.Time, by Member) {
 	for key, r := range t.log.records {
 		m := r.member
@@ -160,7 +163,7 @@
 	}
 }
 
-// MergeRegistrations takes in the daemons that are registered in the key-value service.
+// MergeRegistrations merges the daemons that are registered in the key-value service.
 func (t *Table) MergeRegistrations(now time.Time, members []Member) {
 	for _, m := range members {
 		m.State = view.Live
@@ -170,8 +173,9 @@
 	}
 }
 
-// ApplyVMList takes in a whole VM list as this daemon read it. It returns whether
-// some VM was missing for the first time: another list, read soon, decides.
+// ApplyVMList merges a complete VM list that this daemon has read. It returns true if a VM
+// is missing from a list for the first time, in which case the list should be read again
+// soon to decide whether the VM is gone.
 func (t *Table) ApplyVMList(now time.Time, vms []VM) bool {
 	present := make(map[string]bool, len(vms))
 	for _, vm := range vms {
@@ -191,9 +195,10 @@
 	return needsRecheck
 }
 
-// recordMissing counts a list without a VM. Guards against two lists that lag by
-// different times: a VM that was heard of from a peer may not be on this
-// daemon's list yet.
+// recordMissing counts a list that lacks a known VM, marks the VM as gone after
+// maxMissedLists such lists, and returns true if another list is needed to decide. A VM
+// that is known only from a peer is not counted within listLag, because lists lag by
+// different times and this daemon's list may not contain the VM yet.
 func (t *Table) recordMissing(now time.Time, key string, r *record) bool {
 	if r.missed < 0 && now.Sub(r.known) < listLag {
 		return false
@@ -237,8 +242,8 @@
 	}
 }
 
-// ApplyNotice takes in that a VM is leaving, from any source. It returns whether
-// this daemon itself is meant.
+// ApplyNotice applies a notice that a VM is leaving, from any source. It returns true if
+// the notice concerns this daemon's own VM.
 func (t *Table) ApplyNotice(now time.Time, n Notice) bool {
 	leavesAt := now.Add(n.Left)
 	for _, id := range t.matchingVMs(n) {
@@ -263,8 +268,9 @@
 	return t.self.State != view.Live && n.matches(*t.self)
 }
 
-// matchingVMs names the VMs that a notice means. By address alone it can only mean
-// VMs that are known now, never one that takes the address over later.
+// matchingVMs returns the IDs of the VMs that a notice applies to. A notice that has only
+// an address applies to the VMs known at that address now, never to a VM that takes over
+// the address later.
 func (t *Table) matchingVMs(n Notice) []string {
 	if n.VM != "" {
 		return []string{n.VM}
@@ -278,9 +284,9 @@
 	return ids
 }
 
-// matches tells whether the notice means the daemon. Guards against a late
-// notice of a VM that was replaced at the same address: a daemon that knows its
-// VM's ID is matched by that only, and a notice whose time is over never by
+// matches reports whether the notice applies to the daemon. If the VM IDs of both are
+// known, only they decide, and a notice whose time is over never matches by address.
+// Otherwise a late notice would match the VM that replaced the noticed one at the same
 // address.
 func (n Notice) matches(m Member) bool {
 	if m.VM != "" && n.VM != "" {
@@ -292,8 +298,8 @@
 	return sameAddress(n.Address, m.PeerAddress) || sameAddress(n.Address, m.CallerAddress)
 }
 
-// sameAddress compares with host and port, or by host alone where the notice
-// has no port.
+// sameAddress compares the address of a notice with the host and port of a daemon, or with
+// the host alone if the notice has no port.
 func sameAddress(notice, address string) bool {
 	if notice == address {
 		return true
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -7,7 +7,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// NoPeer stands for a receiver whose incarnation is not known yet.
+// NoPeer is used as the receiver of a message if its incarnation is not known yet.
 const NoPeer ident.Incarnation = ""
 
 func (t *Table) peer(i ident.Incarnation) *peerState {
@@ -19,8 +19,8 @@
 	return p
 }
 
-// Compose returns the message for one peer: what changed since the last that
-// it acknowledged. To NoPeer it carries no changes.
+// Compose returns the message for one peer, with the records that changed since the
+// position that the peer last acknowledged. A message to NoPeer carries no changes.
 func (t *Table) Compose(to ident.Incarnation) Message {
 	m := Message{From: *t.self, Last: t.log.seq, Digest: t.log.digest, InForce: t.InForce()}
 	if to == NoPeer {
@@ -37,9 +37,9 @@
 	return m
 }
 
-// appendSuspicion adds the receiver's own record if it is suspect here. Guards
-// against a long log: behind thousands of other changes the suspicion would
-// reach the suspected one many messages later, and last as long.
+// appendSuspicion adds the receiver's own record if the receiver is suspect here.
+// Otherwise, if thousands of other changes come first in the log, the receiver would learn
+// of the suspicion only many messages later and could not refute it until then.
 func (t *Table) appendSuspicion(changes []Change, to ident.Incarnation) []Change {
 	r, ok := t.log.records[memberKey(to)]
 	if !ok || r.member.State != view.Suspect {
@@ -48,7 +48,7 @@
 	return append(changes, r.toChange())
 }
 
-// toChange copies the record for a message.
+// toChange returns a copy of the record for a message.
 func (r *record) toChange() Change {
 	if r.member != nil {
 		m := *r.member
@@ -58,15 +58,15 @@
 	return Change{VM: &vm}
 }
 
-// Receive takes in a peer's call and tells whether there was news in it.
+// Receive applies a peer's call and reports whether it changed anything.
 func (t *Table) Receive(now time.Time, m Message) bool {
 	before := t.revision
 	t.apply(now, m)
 	return t.revision != before
 }
 
-// ReceiveAnswer takes in the answer to a call made at the time asked and tells
-// whether there was news in it.
+// ReceiveAnswer applies the answer to a call made at askedAt and reports whether it changed
+// anything.
 func (t *Table) ReceiveAnswer(now, askedAt time.Time, m Message) bool {
 	before := t.revision
 	t.apply(now, m)
@@ -93,8 +93,8 @@
 	t.acknowledge(now, m)
 }
 
-// acknowledge moves both logs' positions. Positions are assigned, not raised:
-// after messages that crossed they may fall, which only repeats changes.
+// acknowledge updates the positions in both logs. Positions are assigned, not raised: if
+// messages cross, a position may fall, which only causes changes to be sent again.
 func (t *Table) acknowledge(now time.Time, m Message) {
 	p := t.peer(m.From.Incarnation)
 	p.acked = m.Ack
@@ -108,9 +108,9 @@
 	t.resync(now, p)
 }
 
-// resync starts the peer's log anew when the tables stay different although
-// every change was acknowledged. Guards against records that one side forgot
-// or never logged: they would stay different for good.
+// resync restarts the peer's log from the beginning if the tables still differ for
+// resyncAfter although every change was acknowledged. Otherwise records that one side
+// dropped or never logged would keep the tables different forever.
 func (t *Table) resync(now time.Time, p *peerState) {
 	if p.acked < t.log.seq {
 		p.differSince = time.Time{}
--- a/coordination/membership/gateways.go
+++ b/coordination/membership/gateways.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// GatewayTTL is how long a caller may keep the answer. With the time that a
-	// notice takes to spread it bounds the last new request on a leaving VM.
+	// GatewayTTL is how long a caller may keep the returned gateways. Together with the
+	// time that a notice takes to spread, it bounds how late a new request can reach a
+	// leaving VM.
 	GatewayTTL = 3 * time.Second
-	// MaxGateways bounds the answer.
+	// MaxGateways is the maximum number of gateways returned.
 	MaxGateways = 16
 
 	sameDomainWeight  = 100
@@ -20,22 +21,24 @@
 	suspectWeight     = 1
 )
 
-// Gateway is one entry VM that a caller may use.
+// Gateway is an entry VM that a caller may use.
 type Gateway struct {
 	ID            ident.DaemonID
 	Address       string
 	FailureDomain ident.FailureDomain
-	// Weight is the share of new connections relative to the others.
+	// Weight is the share of new connections that the gateway should get, relative to the
+	// others.
 	Weight int
 }
 
-// Gateways answers which entry VMs a caller of a failure domain should use: its
-// own domain's first, never a leaving one, suspects last and only in the room
-// that live ones leave. The seed draws a different choice for each caller where there are many.
+// Gateways returns the entry VMs that a caller in a failure domain should use: those of its
+// own domain first, never a leaving one, and suspect ones last and only if live ones leave
+// room. If there are more than MaxGateways, the seed selects a different sample for each
+// caller.
 func Gateways(daemons []view.Daemon, domain ident.FailureDomain, seed uint64) []Gateway {
 	sameDomain, otherDomains := splitByDomain(daemons, domain, view.Live)
-	// A quarter is sameDomainCount for other failure domains, so that the loss of the
-	// caller's own leaves it with an address.
+	// A quarter of the list is reserved for other failure domains, so that a caller still
+	// has addresses if its own domain fails.
 	sameDomainCount := min(len(sameDomain), MaxGateways-min(len(otherDomains), MaxGateways/4))
 	random := rand.New(rand.NewPCG(seed, seed))
 	gateways := make([]Gateway, 0, MaxGateways)
@@ -57,8 +60,8 @@
 	return Gateway{ID: d.ID, Address: d.CallerAddress, FailureDomain: d.FailureDomain, Weight: weight}
 }
 
-// splitByDomain returns the indexes of the daemons of a state within and outside of a
-// failure domain.
+// splitByDomain returns the indexes of the daemons in a state, separately for those inside
+// and outside of a failure domain.
 func splitByDomain(daemons []view.Daemon, domain ident.FailureDomain, state view.State) (sameDomain, otherDomains []int) {
 	for i := range daemons {
 		d := &daemons[i]
@@ -73,7 +76,7 @@
 	return sameDomain, otherDomains
 }
 
-// sample draws n of the elements, in random order; it reorders all.
+// sample returns n random elements of all in random order. It reorders all.
 func sample(random *rand.Rand, all []int, n int) []int {
 	for i := range n {
 		j := i + random.IntN(len(all)-i)
--- a/coordination/membership/log.go
+++ b/coordination/membership/log.go
@@ -10,19 +10,20 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// record is one row of the table with its place in the log.
+// record is one row of the table, with the sequence number of its last change in the log.
 type record struct {
 	member *Member
 	vm     *VM
 	seq    uint64
-	// from is the peer that the last change came from; it needs no echo.
+	// from is the peer that sent the last change; the change is not sent back to it.
 	from ident.Incarnation
 	hash uint64
-	// failures counts failed calls in a row; local, never sent.
+	// failures counts consecutive failed calls to the daemon. It is local and never sent.
 	failures int
-	// missed counts lists without the VM; -1 until this daemon's own list had it.
+	// missed counts consecutive VM lists without the VM. It is -1 until the VM has been in
+	// a list that this daemon read.
 	missed int
-	// known is when the VM was first heard of here.
+	// known is when this daemon first learned of the VM.
 	known time.Time
 }
 
@@ -31,7 +32,7 @@
 	key string
 }
 
-// changeLog orders the records by their last change and keeps the digest.
+// changeLog orders the records by their last change and maintains a digest of all of them.
 type changeLog struct {
 	records map[string]*record
 	entries []logEntry
@@ -41,7 +42,7 @@
 
 func newChangeLog() *changeLog { return &changeLog{records: map[string]*record{}} }
 
-// touch puts the record at the log's end.
+// touch moves the record to the end of the log and updates the digest.
 func (l *changeLog) touch(key string, from ident.Incarnation) {
 	r := l.records[key]
 	l.digest ^= r.hash
@@ -56,7 +57,7 @@
 	}
 }
 
-// remove drops a record; peers drop theirs by its age.
+// remove drops a record. Removals are not sent: peers drop their own copies by age.
 func (l *changeLog) remove(key string) {
 	if r, ok := l.records[key]; ok {
 		l.digest ^= r.hash
@@ -74,8 +75,8 @@
 	l.entries = kept
 }
 
-// changedAfter lists at most limit records changed later than seq, without those that
-// came from the peer, and the position that the list reaches.
+// changedAfter returns at most limit records that changed after seq, except those whose
+// last change came from the peer, and the log position up to which the result is complete.
 func (l *changeLog) changedAfter(seq uint64, peer ident.Incarnation, limit int) ([]*record, uint64) {
 	start := sort.Search(len(l.entries), func(i int) bool { return l.entries[i].seq > seq })
 	var found []*record
@@ -92,8 +93,8 @@
 	return found, l.seq
 }
 
-// digest hashes what has to be the same everywhere. The version of a final
-// state is left out: it depends on who concluded it.
+// digest hashes the parts of a record that must agree at all daemons. The version is left
+// out for leaving and gone members because it depends on which daemon set the state.
 func (r *record) digest(key string) uint64 {
 	text := key
 	if r.member != nil {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -22,11 +22,11 @@
 	}}
 }
 
-// cluster is some daemons' tables with messages under way between them.
+// cluster is a set of daemons' tables and the messages in flight between them.
 type cluster struct {
 	now    time.Time
 	tables []*membership.Table
-	// leaving holds the state that each table has concluded for good.
+	// leaving holds, for each table, the incarnations that it has marked as leaving.
 	leaving  []map[ident.Incarnation]view.State
 	inFlight []delivery
 }
@@ -68,10 +68,10 @@
 	g.inFlight = append(g.inFlight, delivery{b, g.tables[a].Compose(g.incarnation(b))})
 }
 
-// deliver hands over or loses a message, in any order.
+// deliver delivers or loses a random message in flight.
 func (g *cluster) deliver(t *rapid.T) {
 	if len(g.inFlight) == 0 {
-		t.Skip("nothing is under way")
+		t.Skip("no message is in flight")
 	}
 	i := rapid.IntRange(0, len(g.inFlight)-1).Draw(t, "message")
 	d := g.inFlight[i]
@@ -99,7 +99,7 @@
 func (g *cluster) notice(t *rapid.T) {
 	a, b := g.drawPair(t)
 	if b == 0 {
-		t.Skip("entry-0 stays")
+		t.Skip("entry-0 never leaves")
 	}
 	g.tables[a].ApplyNotice(g.now, membership.Notice{
 		VM: fmt.Sprintf("vm-%d", b), Address: fmt.Sprintf("10.0.0.%d", b), Left: time.Hour,
@@ -114,7 +114,7 @@
 		}
 		for incarnation := range g.leaving[i] {
 			if s, listed := states[incarnation]; listed && s != view.Leaving {
-				t.Fatalf("daemon %d takes %s back from leaving to %s", i, incarnation, s)
+				t.Fatalf("daemon %d changed the state of %s from leaving back to %s", i, incarnation, s)
 			}
 		}
 		for incarnation, s := range states {
@@ -123,14 +123,14 @@
 			}
 		}
 		if self := table.Self().State; self != view.Live && self != view.Leaving {
-			t.Fatalf("daemon %d is %s to itself", i, self)
+			t.Fatalf("daemon %d reports its own state as %s", i, self)
 		}
 	}
 }
 
-// Messages are lost, repeated and crossed, daemons suspect each other without
-// cause, notices arrive anywhere. Daemons would go on using a VM that is about
-// to end, or never again use a healthy one.
+// Messages are lost, repeated and reordered, daemons suspect each other without cause, and
+// notices arrive at any daemon. If the tables did not converge, daemons would go on using a
+// VM that is about to end, or never again use a healthy one.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newCluster(rapid.IntRange(2, 5).Draw(t, "daemons"))
@@ -156,18 +156,18 @@
 	g.check(t)
 	for i, table := range g.tables {
 		if table.Digest() != g.tables[0].Digest() {
-			t.Fatalf("daemon %d still differs from daemon 0:\n%v\n%v", i, table.Members(), g.tables[0].Members())
+			t.Fatalf("the table of daemon %d still differs from that of daemon 0:\n%v\n%v", i, table.Members(), g.tables[0].Members())
 		}
 		for _, m := range table.Members() {
 			if m.State == view.Suspect {
-				t.Fatalf("daemon %d still suspects %s, which answers it", i, m.Incarnation)
+				t.Fatalf("daemon %d still suspects %s, although it answers", i, m.Incarnation)
 			}
 		}
 	}
 }
 
-// A notice that was read late names an address that a new VM has taken over.
-// The new daemon, just started, would be drained for its predecessor.
+// A notice is read late, when a new VM has already taken over the address that it names.
+// The new daemon must not be drained in place of its predecessor.
 func TestLateNoticeIgnoresReplacementVM(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100000, 0)
@@ -177,15 +177,16 @@
 	is.True(!table.ApplyNotice(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", Left: time.Minute}))
 	is.Equal(table.Self().State, view.Live)
 
-	// Without a VM's ID the address decides, but not after the time is over.
+	// If no VM ID is known, the address decides, but only until the time of the notice is
+	// over.
 	table = membership.New(now, member(0, 1))
 	is.True(!table.ApplyNotice(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", Left: -time.Second}))
 	is.True(table.ApplyNotice(now, membership.Notice{VM: "vm-0", Address: "10.0.0.0", Left: time.Minute}))
 	is.Equal(table.Self().State, view.Leaving)
 }
 
-// The VM list lags: it still calls a VM live that has had its notice, and the
-// notice may come before the VM is listed at all. New work would go there.
+// The VM list lags: it shows a VM as live after its notice, or the notice arrives before
+// the VM is listed at all. In both cases the VM must not get new work.
 func TestListDoesNotUndoNotice(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100000, 0)
@@ -199,21 +200,21 @@
 	is.Equal(runners[0].State, view.Leaving)
 	is.Equal(runners[0].LeavesAt, now.Add(30*time.Second))
 
-	// Another VM at the same address is another incarnation.
+	// A second VM at the same address is not affected by the notice.
 	listed = append(listed, membership.VM{ID: "vm-2", Address: "10.1.0.1:9000", Service: "casos", State: membership.VMLive})
 	table.ApplyVMList(now.Add(2*time.Second), listed)
 	is.Equal(table.Runners("casos")[1].State, view.Live)
 
-	// One list without it proves nothing, two end it.
+	// One list without the VM is not enough; after two in a row the VM is gone.
 	table.ApplyVMList(now.Add(3*time.Second), listed[1:])
 	is.Equal(len(table.Runners("casos")), 2)
 	table.ApplyVMList(now.Add(4*time.Second), listed[1:])
 	is.Equal(len(table.Runners("casos")), 1)
 }
 
-// The duty of reading the list goes round: the daemon that reads it now has heard
-// of a VM from others only. If it waited for its own list to have had the VM, one
-// that is long gone would get work until this daemon's next turn.
+// The duty of reading the VM list moves between daemons, so the daemon that reads it now
+// may know a VM only from its peers. If it counted only VMs that had been on a list of its
+// own, a VM that is long gone would get work until this daemon reads the list again.
 func TestVMKnownFromPeersIsGoneAfterTwoLists(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100000, 0)
@@ -221,15 +222,16 @@
 	other.ApplyVMList(now, []membership.VM{{ID: "vm-1", Service: "casos", State: membership.VMLive}})
 	table.Receive(now, other.Compose(table.Self().Incarnation))
 	is.Equal(len(table.Runners("casos")), 1)
-	is.True(!table.ApplyVMList(now.Add(time.Second), nil)) // its list may lag behind the other's
+	is.True(!table.ApplyVMList(now.Add(time.Second), nil)) // the list of table may lag behind the list of other
 	is.True(table.ApplyVMList(now.Add(3*time.Minute), nil))
 	is.Equal(len(table.Runners("casos")), 1)
 	is.True(!table.ApplyVMList(now.Add(4*time.Minute), nil))
 	is.Equal(len(table.Runners("casos")), 0)
 }
 
-// An answer of the former incarnation comes in after the new one was heard of.
-// Taken as proof against the new one, it would end a healthy daemon for good.
+// An answer of the former incarnation arrives after the new one is known. If the answer
+// counted as evidence against the new incarnation, a healthy daemon would be marked as gone
+// for good.
 func TestDelayedAnswerKeepsNewIncarnation(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100000, 0)
@@ -287,12 +289,13 @@
 		is.Equal(sameDomain, 12)
 		is.Equal(gateways[0].FailureDomain, ident.FailureDomain("lima-norte"))
 	}
-	is.Equal(len(membership.Gateways(daemons[3:5], "lima-norte", 1)), 1) // a suspect goes before none
+	is.Equal(len(membership.Gateways(daemons[3:5], "lima-norte", 1)), 1) // a suspect gateway is better than none
 	is.Equal(len(membership.Gateways(daemons[3:4], "lima-norte", 1)), 0)
 }
 
-// A daemon is suspected just after it was linked to one that has thousands of
-// records to tell. It would stay out of service until it has heard them all.
+// A daemon becomes suspect just after it connected to a peer that has thousands of records
+// to send. It must learn of the suspicion before those records, or it would stay out of
+// service until it has received them all.
 func TestSuspicionIsSentBeforeBacklog(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100000, 0)
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -8,30 +8,30 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Table is one daemon's knowledge of all daemons and VMs. It is not safe for
-// concurrent use.
+// Table holds what one daemon knows of all daemons and VMs. It is not safe for concurrent
+// use.
 type Table struct {
 	self    *Member
 	log     *changeLog
 	peers   map[ident.Incarnation]*peerState
 	inForce map[ident.FailureDomain]ident.Generation
-	// firstSeen is when an incarnation was first heard of here.
+	// firstSeen is when this daemon first learned of an incarnation.
 	firstSeen map[ident.Incarnation]time.Time
 	revision  Revision
 	refuted   uint64
-	// sortedKeys holds the daemons' keys by ID, if it is not nil.
+	// sortedKeys caches the keys of the daemons' records sorted by ID. It is nil if it must
+	// be rebuilt.
 	sortedKeys []string
 }
 
-// Revision grows with every change of what the table returns; its parts tell
-// what changed.
+// Revision counts the changes to what the table returns, separately for its parts.
 type Revision struct {
 	Members uint64
 	VMs     uint64
 	InForce uint64
 }
 
-// peerState is how far the logs of two daemons have been exchanged.
+// peerState is the progress of the log exchange with one peer.
 type peerState struct {
 	acked       uint64
 	received    uint64
@@ -46,7 +46,7 @@
 func memberKey(i ident.Incarnation) string { return memberPrefix + string(i) }
 func vmKey(id string) string               { return vmPrefix + id }
 
-// New returns a table that knows its own daemon only.
+// New returns a table that contains only this daemon.
 func New(now time.Time, self Member) *Table {
 	t := &Table{
 		log:       newChangeLog(),
@@ -63,19 +63,20 @@
 	return t
 }
 
-// Revision tells whether anything changed.
+// Revision returns the current revision. It differs from an earlier one if anything changed
+// in between.
 func (t *Table) Revision() Revision { return t.revision }
 
-// Digest changes with the states of daemons and VMs.
+// Digest returns a hash over the states of all daemons and VMs.
 func (t *Table) Digest() uint64 { return t.log.digest }
 
-// Size is the number of records.
+// Size returns the number of records.
 func (t *Table) Size() int { return len(t.log.records) }
 
-// Refuted counts the false suspicions of this daemon that it ended.
+// Refuted returns how many false suspicions of itself this daemon has ended.
 func (t *Table) Refuted() uint64 { return t.refuted }
 
-// Self is this daemon as it tells others.
+// Self returns this daemon's own record as sent to others.
 func (t *Table) Self() Member { return *t.self }
 
 func (t *Table) markChanged(key string, from ident.Incarnation) {
@@ -92,7 +93,7 @@
 	t.revision.Members++
 }
 
-// SetGeneration notes the generation in force here.
+// SetGeneration sets the configuration generation in force at this daemon.
 func (t *Table) SetGeneration(g ident.Generation) {
 	if g <= t.self.Generation {
 		return
@@ -102,7 +103,8 @@
 	t.raiseInForce(t.self.FailureDomain, g)
 }
 
-// GenerationOf returns what a daemon last said to have in force.
+// GenerationOf returns the generation that a daemon last reported to have in force, or zero
+// if the daemon is not known.
 func (t *Table) GenerationOf(i ident.Incarnation) ident.Generation {
 	r, ok := t.log.records[memberKey(i)]
 	if !ok {
@@ -118,8 +120,8 @@
 	}
 }
 
-// InForce returns the highest generation that some daemon of each failure
-// domain has in force.
+// InForce returns, for each failure domain, the highest generation that any daemon in it
+// has in force.
 func (t *Table) InForce() map[ident.FailureDomain]ident.Generation {
 	all := make(map[ident.FailureDomain]ident.Generation, len(t.inForce))
 	for domain, g := range t.inForce {
@@ -128,7 +130,7 @@
 	return all
 }
 
-// Drain makes this daemon leaving, for good.
+// Drain marks this daemon as leaving. This can't be undone.
 func (t *Table) Drain(now, leavesAt time.Time) {
 	if t.self.State != view.Live {
 		return
@@ -140,8 +142,9 @@
 	t.markChanged(memberKey(t.self.Incarnation), "")
 }
 
-// MarkLeaving makes another daemon leaving on an operator's word. The daemon hears of
-// it through the others. It returns false for one that is not known.
+// MarkLeaving marks a daemon as leaving at an operator's request. Another daemon learns of
+// it through the exchange of messages. MarkLeaving returns false if the daemon is not
+// known.
 func (t *Table) MarkLeaving(now, leavesAt time.Time, i ident.Incarnation) bool {
 	key := memberKey(i)
 	r, ok := t.log.records[key]
@@ -159,8 +162,8 @@
 	return true
 }
 
-// MarkVMLeaving makes a VM leaving on an operator's word; when it ends is not known.
-// It returns false for one that is not known.
+// MarkVMLeaving marks a VM as leaving at an operator's request, without a known end. It
+// returns false if the VM is not known.
 func (t *Table) MarkVMLeaving(now time.Time, id string) bool {
 	r, ok := t.log.records[vmKey(id)]
 	if !ok {
@@ -173,7 +176,8 @@
 	return true
 }
 
-// MarkGone makes this daemon gone: its last word before the process ends.
+// MarkGone marks this daemon as gone. Its record is then sent a last time before the
+// process ends.
 func (t *Table) MarkGone(now time.Time) {
 	t.self.State = view.Gone
 	t.self.Since = now
@@ -181,7 +185,7 @@
 	t.markChanged(memberKey(t.self.Incarnation), "")
 }
 
-// Members lists all daemons but the gone, this one included, by ID.
+// Members returns all daemons that are not gone, including this one, sorted by ID.
 func (t *Table) Members() []Member {
 	all := make([]Member, 0, len(t.sortedKeys))
 	for _, key := range t.sortedMemberKeys() {
@@ -193,8 +197,8 @@
 	return all
 }
 
-// sortedMemberKeys returns the daemons' keys by ID; the order is kept until a record
-// comes or goes.
+// sortedMemberKeys returns the keys of the daemons' records sorted by ID. The result is
+// cached until a record is added or removed.
 func (t *Table) sortedMemberKeys() []string {
 	if t.sortedKeys != nil {
 		return t.sortedKeys
@@ -214,7 +218,7 @@
 	return t.sortedKeys
 }
 
-// VMs lists all VMs but the gone, by ID.
+// VMs returns all VMs that are not gone, sorted by ID.
 func (t *Table) VMs() []VM {
 	var all []VM
 	for _, r := range t.log.records {
@@ -226,12 +230,13 @@
 	return all
 }
 
-// Runners lists a service's runners that have started and are not gone, by ID.
+// Runners returns a service's runners that have started and are not gone, sorted by ID.
 func (t *Table) Runners(service string) []view.Runner {
 	return FilterRunners(t.VMs(), service)
 }
 
-// FilterRunners picks a service's runners out of VMs.
+// FilterRunners returns the runners of a service among the VMs, without those that are
+// still starting.
 func FilterRunners(vms []VM, service string) []view.Runner {
 	var runners []view.Runner
 	for _, vm := range vms {
@@ -251,7 +256,8 @@
 	return runners
 }
 
-// Tick drops what is too old and ends leaving daemons whose time is over.
+// Tick removes expired records and marks leaving daemons and VMs as gone once their time is
+// over.
 func (t *Table) Tick(now time.Time) {
 	for key, r := range t.log.records {
 		switch {
@@ -280,7 +286,8 @@
 	}
 }
 
-// expireVM ends a leaving VM that the list never dropped, and forgets a gone one.
+// expireVM marks a leaving VM that stayed on the list as gone, and removes a VM that is
+// already gone.
 func (t *Table) expireVM(now time.Time, key string, r *record) {
 	if r.vm.State == VMGone {
 		t.log.remove(key)
@@ -291,7 +298,7 @@
 	t.markChanged(key, "")
 }
 
-// setState sets the state of another daemon from evidence found here.
+// setState sets the state of another daemon based on what this daemon observed.
 func (t *Table) setState(now time.Time, key string, state view.State) {
 	m := t.log.records[key].member
 	m.State = state
--- a/coordination/membership/types.go
+++ b/coordination/membership/types.go
@@ -1,23 +1,24 @@
-// Package membership draws the conclusions about daemons and VMs, as one pure
-// module. Who is believed about what:
+// Package membership determines the states of daemons and VMs from the reports about them.
+// It does no I/O. The sources of information have these effects:
 //
-//   - Settings name addresses to try; they conclude nothing.
-//   - A registration in the key-value service makes a daemon known as live. It
-//     never ends one: a lease that lapsed may only mean an outage.
-//   - A heartbeat from a daemon itself is its own word: live or leaving, with a
-//     version that only it raises.
-//   - Calls to a daemon that fail in a row, here and for every other daemon that
-//     was asked to try, make it suspect. A suspect that hears of it raises its
-//     version, which ends the suspicion everywhere.
+//   - Addresses in the settings are only tried; they change no state.
+//   - A registration in the key-value service makes a daemon known as live. The end of a
+//     registration changes nothing, because a lease may also lapse during an outage of the
+//     service.
+//   - A heartbeat of a daemon reports its own state, live or leaving, with a version that
+//     only that daemon raises.
+//   - Consecutive failed calls to a daemon, both from here and from every other daemon
+//     that was asked to try, make it suspect. A suspect daemon that learns of the
+//     suspicion raises its version, which ends the suspicion everywhere.
 //   - An answer of another incarnation from a daemon's address makes the former
-//     one gone, for its process cannot be listening there any more.
-//   - The cloud's notice, the VM list's "leaving", a runner's own word or refusal
-//     and a peer's report make a VM leaving at once, whichever comes first.
-//   - A VM that was on a daemon's list, or is known for longer than lists lag, and
-//     is missing from two lists in a row is gone.
+//     incarnation gone, because its process can't be listening there any more.
+//   - The cloud's notice, the state "leaving" in the VM list, a runner's own report or
+//     refusal, or a peer's report makes a VM leaving at once, whichever comes first.
+//   - A VM is gone if it is missing from two consecutive lists, provided that it was on a
+//     list that this daemon read or has been known for longer than lists lag.
 //
-// Leaving and gone are final for an incarnation; live and suspect follow the
-// version. So states merge the same in any order and by any path.
+// The states leaving and gone are final for an incarnation; between live and suspect the
+// version decides. So merging reports gives the same result in any order and by any path.
 package membership
 
 import (
@@ -27,21 +28,22 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Member is one incarnation of a daemon with what decides between reports.
+// Member is one incarnation of a daemon with the fields that decide which of two reports is
+// newer.
 type Member struct {
 	view.Daemon
-	// Version is raised by the daemon itself only.
+	// Version is raised only by the daemon itself.
 	Version uint64
-	// VM names the machine that it runs on; empty if it was not told.
+	// VM is the ID of the VM that the daemon runs on; empty if not known.
 	VM string
-	// Since is when the state was concluded, wherever that was.
+	// Since is when the state was set, at whichever daemon that was.
 	Since time.Time
 }
 
-// VMState is what is concluded of a VM; later ones are final.
+// VMState is the state of a VM. A VM never returns to a smaller state.
 type VMState int
 
-// States of VMs, in the order in which a VM goes through them.
+// The states of a VM, in the order in which it passes through them.
 const (
 	VMStarting VMState = iota
 	VMLive
@@ -49,7 +51,7 @@
 	VMGone
 )
 
-// VM is one machine that holds a runner, or an entry VM.
+// VM is a machine that hosts a runner, or an entry VM.
 type VM struct {
 	ID            string
 	Address       string
@@ -57,63 +59,67 @@
 	Class         string
 	Reclaimable   bool
 	PricePerHour  float64
-	// Service is the service of the VM's runner; empty if there is none or if
-	// the VM is known by a notice only.
+	// Service is the service of the VM's runner. It is empty if there is no runner or if
+	// the VM is known only from a notice.
 	Service  string
 	State    VMState
 	LeavesAt time.Time
 	Since    time.Time
 }
 
-// Notice says that a VM is leaving.
+// Notice announces that a VM is leaving.
 type Notice struct {
-	// VM may be empty where only the address is known.
+	// VM is the VM's ID. It may be empty if only the address is known.
 	VM      string
 	Address string
-	// Left is the time left; not positive once it is over.
+	// Left is the time left until the VM ends. It is zero or negative once the VM's time is
+	// over.
 	Left time.Duration
 }
 
-// Change is one record of the table: exactly one field is set.
+// Change is one changed record of the table; exactly one field is set.
 type Change struct {
 	Member *Member
 	VM     *VM
 }
 
-// Message is what two daemons exchange. Seq, Last and Ack number the sender's
-// and the receiver's logs of changes.
+// Message is what two daemons send each other. Seq and Last are positions in the sender's
+// change log, Ack is a position in the receiver's.
 type Message struct {
 	From    Member
 	Changes []Change
-	// Seq is the position in the sender's log that Changes reach.
+	// Seq is the position in the sender's log up to which Changes are complete.
 	Seq uint64
-	// Last is the newest position of the sender's log.
+	// Last is the newest position in the sender's log.
 	Last uint64
-	// Ack is the position of the receiver's log that the sender has.
+	// Ack is the position in the receiver's log up to which the sender has the changes.
 	Ack uint64
-	// Digest is equal for equal tables.
+	// Digest is the sender's table digest. Equal tables have equal digests.
 	Digest uint64
 	// InForce holds the highest generation in force in each failure domain.
 	InForce map[ident.FailureDomain]ident.Generation
 }
 
 const (
-	// ProbeFailures is the number of failed calls in a row that make a daemon
-	// suspect.
+	// ProbeFailures is the number of consecutive failed calls after which a daemon may
+	// become suspect.
 	ProbeFailures = 3
-	// ForgetAfter is the age at which a record of a suspect or gone one is
-	// dropped. It is longer than any registration's lease.
+	// ForgetAfter is the age at which the record of a suspect daemon, or of a gone daemon or
+	// VM, is dropped, and at which a leaving VM is marked as gone. It is longer than the
+	// lease of any registration.
 	ForgetAfter = 10 * time.Minute
-	// goneAfterLeaving is how long after its end, or of silence without a known
-	// end, a leaving daemon is gone.
+	// goneAfterLeaving is when a leaving daemon becomes gone: this long after its announced
+	// end, or after this long without contact if its end is not known.
 	goneAfterLeaving = 30 * time.Second
-	// listLag is how much later one daemon's list may show a VM than another's.
+	// listLag is the longest time by which the VM lists of two daemons may differ in
+	// showing a VM.
 	listLag = 2 * time.Minute
-	// maxMissedLists is the number of lists without a VM after which it is gone.
+	// maxMissedLists is the number of consecutive lists without a VM after which it is
+	// gone.
 	maxMissedLists = 2
-	// resyncAfter is how long two tables may differ with no change on its way
-	// before everything is sent again.
+	// resyncAfter is how long two tables may differ without pending changes before all
+	// records are sent again.
 	resyncAfter = 30 * time.Second
-	// MaxChanges bounds the records in one message.
+	// MaxChanges is the maximum number of records in one message.
 	MaxChanges = 512
 )
