--- a/bench/fleet/arms.go
+++ b/bench/fleet/arms.go
@@ -8,7 +8,7 @@
 )
 
 func newArm(name string) arm {
-	planner := &planned{planner: fleet.New(fleet.DefaultLimits()), wanted: fleet.Wanted{Runners: runners, SurviveLoss: true}}
+	planner := &planned{planner: fleet.New(fleet.DefaultLimits()), wanted: fleet.Target{Runners: runners, SurviveLoss: true}}
 	switch name {
 	case armOnDemand:
 		planner.onDemandOnly = true
@@ -23,14 +23,14 @@
 // planned is the shipped planner, or the same without reclaimable VMs or spare.
 type planned struct {
 	planner      *fleet.Planner
-	wanted       fleet.Wanted
+	wanted       fleet.Target
 	onDemandOnly bool
 }
 
 func (a *planned) decide(now time.Duration, m *market) fleet.Decision {
 	vms := m.list(now)
 	for pool, n := range running(vms) {
-		a.planner.Exposed(now, pool, n, step)
+		a.planner.RecordExposure(now, pool, n, step)
 	}
 	offers := m.offers()
 	if a.onDemandOnly {
@@ -49,11 +49,11 @@
 	return have
 }
 
-func (a *planned) refused(now time.Duration, p fleet.Pool) { a.planner.Refused(now, p) }
+func (a *planned) refused(now time.Duration, p fleet.Pool) { a.planner.RecordRefusal(now, p) }
 
 func (a *planned) waves(now time.Duration, list []wave, _ *market) {
 	for _, w := range list {
-		a.planner.Reclaimed(now, spot(w.domain), w.count)
+		a.planner.RecordReclaims(now, spot(w.domain), w.count)
 	}
 }
 
--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -10,101 +10,103 @@
 
 const unlimited = int(^uint(0) >> 1)
 
-// choice is an offer with how many VMs it can hold in a plan.
-type choice struct {
+// candidate is an offer with how many VMs it can hold in a plan.
+type candidate struct {
 	Offer
-	price  float64
-	limit  int
-	domain int
+	expectedPrice float64
+	maxVMs        int
+	domainIndex   int
 }
 
-// choices are the offers, cheapest first, over a number of failure domains.
-type choices struct {
-	list    []choice
+// candidates are the offers, cheapest first, over a number of failure domains.
+type candidates struct {
+	list    []candidate
 	domains int
 }
 
-// open lists the offers. A pool in backoff holds what it has.
-func (p *Planner) open(now time.Duration, offers []Offer, have map[Pool]int) choices {
+// listCandidates lists the offers. A pool in backoff holds what it has.
+func (p *Planner) listCandidates(now time.Duration, offers []Offer, have map[Pool]int) candidates {
 	index := map[ident.FailureDomain]int{}
-	list := make([]choice, 0, len(offers))
+	list := make([]candidate, 0, len(offers))
 	for _, o := range offers {
 		if _, ok := index[o.FailureDomain]; !ok {
 			index[o.FailureDomain] = len(index)
 		}
-		c := choice{Offer: o, price: p.price(o), limit: unlimited, domain: index[o.FailureDomain]}
-		if s, ok := p.pools[o.Pool]; ok && now < s.until {
-			c.limit = have[o.Pool]
+		c := candidate{Offer: o, expectedPrice: p.expectedPrice(o), maxVMs: unlimited, domainIndex: index[o.FailureDomain]}
+		if s, ok := p.pools[o.Pool]; ok && now < s.backoffUntil {
+			c.maxVMs = have[o.Pool]
 		}
 		list = append(list, c)
 	}
-	slices.SortStableFunc(list, func(a, b choice) int {
-		return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(a.FailureDomain, b.FailureDomain), cmp.Compare(a.Class, b.Class))
+	slices.SortStableFunc(list, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.expectedPrice, b.expectedPrice), cmp.Compare(a.FailureDomain, b.FailureDomain), cmp.Compare(a.Class, b.Class))
 	})
-	return choices{list: list, domains: len(index)}
+	return candidates{list: list, domains: len(index)}
 }
 
-// filling is a plan under trial. It is used again for each trial, since a large
+// allocation is a plan under trial. It is used again for each trial, since a large
 // service needs thousands.
-type filling struct {
-	choices
-	counts []int
-	inDom  []int
+type allocation struct {
+	candidates
+	counts      []int
+	vmsByDomain []int
 	// atRisk is the part of inDom that goes with the failure domain.
-	atRisk  []int
-	got     int
-	price   float64
-	wanted  Wanted
-	maxCost float64
+	atRisk        []int
+	allocated     int
+	expectedPrice float64
+	target        Target
+	maxCost       float64
 }
 
-func newFilling(c choices, w Wanted) *filling {
-	return &filling{choices: c, counts: make([]int, len(c.list)), inDom: make([]int, c.domains), atRisk: make([]int, c.domains), wanted: w, maxCost: w.MaxCostPerHour}
+func newAllocation(c candidates, w Target) *allocation {
+	return &allocation{candidates: c, counts: make([]int, len(c.list)), vmsByDomain: make([]int, c.domains), atRisk: make([]int, c.domains), target: w, maxCost: w.MaxCostPerHour}
 }
 
-// fill takes total VMs from the cheapest choices, at most perDomain in one
+// allocate takes total VMs from the cheapest choices, at most perDomain in one
 // failure domain of those that can be lost with it, after the least number that
 // each failure domain must have.
-func (f *filling) fill(total, perDomain int) {
+func (f *allocation) allocate(total, perDomain int) {
 	clear(f.counts)
-	clear(f.inDom)
+	clear(f.vmsByDomain)
 	clear(f.atRisk)
-	f.got, f.price = 0, 0
-	most := unlimited
-	if f.wanted.MaxPerDomain > 0 {
-		most = f.wanted.MaxPerDomain
+	f.allocated, f.expectedPrice = 0, 0
+	maxPerDomain := unlimited
+	if f.target.MaxPerDomain > 0 {
+		maxPerDomain = f.target.MaxPerDomain
 	}
-	f.take(unlimited, f.wanted.MinPerDomain, perDomain)
-	f.take(total, most, perDomain)
+	f.addCheapest(unlimited, f.target.MinPerDomain, perDomain)
+	f.addCheapest(total, maxPerDomain, perDomain)
 }
 
-// lost tells whether a choice's VMs go with their failure domain.
-func (f *filling) lost(c *choice) bool { return c.Reclaimable || !f.wanted.ReclaimsOnly }
+// lostWithDomain tells whether a choice's VMs go with their failure domain.
+func (f *allocation) lostWithDomain(c *candidate) bool {
+	return c.Reclaimable || !f.target.ReclaimsOnly
+}
 
-func (f *filling) take(total, perDomain, atRisk int) {
+func (f *allocation) addCheapest(total, perDomain, atRisk int) {
 	for i := range f.list {
 		c := &f.list[i]
-		n := min(total-f.got, perDomain-f.inDom[c.domain], c.limit-f.counts[i])
-		if f.lost(c) {
-			n = min(n, atRisk-f.atRisk[c.domain])
+		n := min(total-f.allocated, perDomain-f.vmsByDomain[c.domainIndex], c.maxVMs-f.counts[i])
+		if f.lostWithDomain(c) {
+			n = min(n, atRisk-f.atRisk[c.domainIndex])
 		}
 		if f.maxCost > 0 {
-			n = min(n, int((f.maxCost-f.price)/c.PricePerHour))
+			n = min(n, int((f.maxCost-f.expectedPrice)/c.PricePerHour))
 		}
 		if n <= 0 {
 			continue
 		}
 		f.counts[i] += n
-		f.inDom[c.domain] += n
-		if f.lost(c) {
-			f.atRisk[c.domain] += n
+		f.vmsByDomain[c.domainIndex] += n
+		if f.lostWithDomain(c) {
+			f.atRisk[c.domainIndex] += n
 		}
-		f.got += n
-		f.price += float64(n) * c.price
+		f.allocated += n
+		f.expectedPrice += float64(n) * c.expectedPrice
 	}
 }
 
-func (f *filling) plan() map[Pool]int {
+func (f *allocation) plan() map[Pool]int {
 	plan := map[Pool]int{}
 	for i, n := range f.counts {
 		if n > 0 {
@@ -114,55 +116,55 @@
 	return plan
 }
 
-// cheapest is the plan of least cost; short is what it lacks.
-func cheapest(w Wanted, c choices) (map[Pool]int, int) {
-	f := newFilling(c, w)
+// cheapestPlan is the plan of least cost; short is what it lacks.
+func cheapestPlan(w Target, c candidates) (map[Pool]int, int) {
+	f := newAllocation(c, w)
 	if !w.SurviveLoss {
-		f.fill(w.Runners, w.Runners)
-		return f.plan(), w.Runners - f.got
+		f.allocate(w.Runners, w.Runners)
+		return f.plan(), w.Runners - f.allocated
 	}
 	best, bestCost := 0, 0.0
-	least := leastPerDomain(w.Runners, c.domains)
+	minAtRisk := minInFullestDomain(w.Runners, c.domains)
 	if w.ReclaimsOnly {
-		least = 0
+		minAtRisk = 0
 	}
 	found := false
-	for m := least; m <= w.Runners; m++ {
-		f.fill(w.Runners+m, m)
-		if f.got-slices.Max(f.atRisk) < w.Runners {
+	for m := minAtRisk; m <= w.Runners; m++ {
+		f.allocate(w.Runners+m, m)
+		if f.allocated-slices.Max(f.atRisk) < w.Runners {
 			continue
 		}
-		if !found || f.price < bestCost {
-			found, best, bestCost = true, m, f.price
+		if !found || f.expectedPrice < bestCost {
+			found, best, bestCost = true, m, f.expectedPrice
 		}
 	}
 	if !found {
-		return f.degraded(w)
+		return f.degradedPlan(w)
 	}
-	f.fill(w.Runners+best, best)
+	f.allocate(w.Runners+best, best)
 	return f.plan(), 0
 }
 
-// leastPerDomain is the least number in the fullest failure domain with which
+// minInFullestDomain is the least number in the fullest failure domain with which
 // the others can hold the runners; past runners if there is no other.
-func leastPerDomain(runners, domains int) int {
+func minInFullestDomain(runners, domains int) int {
 	if domains < 2 {
 		return runners + 1
 	}
 	return (runners + domains - 2) / (domains - 1)
 }
 
-// degraded gives up the spare for a lost failure domain where pools or money
+// degradedPlan gives up the spare for a lost failure domain where pools or money
 // don't reach: runners that serve now go before runners that would be left.
-func (f *filling) degraded(w Wanted) (map[Pool]int, int) {
-	spread := (w.Runners + f.domains - 1) / max(f.domains, 1)
+func (f *allocation) degradedPlan(w Target) (map[Pool]int, int) {
+	evenShare := (w.Runners + f.domains - 1) / max(f.domains, 1)
 	best, bestGot, bestCost := 0, -1, 0.0
-	for m := max(spread, 1); m <= w.Runners+spread; m++ {
-		f.fill(w.Runners+spread, m)
-		if f.got > bestGot || f.got == bestGot && f.price < bestCost {
-			best, bestGot, bestCost = m, f.got, f.price
+	for m := max(evenShare, 1); m <= w.Runners+evenShare; m++ {
+		f.allocate(w.Runners+evenShare, m)
+		if f.allocated > bestGot || f.allocated == bestGot && f.expectedPrice < bestCost {
+			best, bestGot, bestCost = m, f.allocated, f.expectedPrice
 		}
 	}
-	f.fill(w.Runners+spread, best)
+	f.allocate(w.Runners+evenShare, best)
 	return f.plan(), max(w.Runners-bestGot, 0)
 }
--- a/coordination/fleet/change.go
+++ b/coordination/fleet/decide.go
@@ -9,45 +9,45 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-func halve(halfLives float64) float64 { return math.Exp2(-halfLives) }
+func decayFactor(halfLives float64) float64 { return math.Exp2(-halfLives) }
 
-// turn is the work of one Decide: the way from what is there to the plan.
-type turn struct {
-	p      *Planner
-	now    time.Duration
-	wanted Wanted
-	offers []Offer
-	vms    []VM
-	have   map[Pool]int
-	plan   map[Pool]int
+// planningRound is the work of one Decide: the way from what is there to the plan.
+type planningRound struct {
+	p       *Planner
+	now     time.Duration
+	target  Target
+	offers  []Offer
+	vms     []VM
+	current map[Pool]int
+	plan    map[Pool]int
 }
 
-// decide keeps the fleet from being rebuilt at each change of price. VMs that
+// planChanges keeps the fleet from being rebuilt at each change of price. VMs that
 // are needed for the target start at once; where what runs already holds the
 // target, a cheaper plan must save MoveGain of the cost for SurplusHold, and
 // then a few VMs move at a time.
-func (t *turn) decide(d *Decision) {
-	starts := t.missing()
-	if !t.spread(t.have).holds(t.wanted) {
+func (t *planningRound) planChanges(d *Decision) {
+	starts := t.missingStarts()
+	if !t.domainTotals(t.current).meets(t.target) {
 		t.p.hasSurplus = false
 		t.p.hasMoves = false
-		d.Starts = t.needed(starts)
+		d.Starts = t.requiredStarts(starts)
 		return
 	}
 	if len(starts) == 0 || !t.worthMoving() {
 		t.p.hasMoves = false
-		d.Stops = t.surplus()
+		d.Stops = t.surplusStops()
 		return
 	}
 	t.p.hasSurplus = false
-	d.Starts = t.moves(starts)
+	d.Starts = t.allowedMoves(starts)
 }
 
-// missing lists what the plan has and the fleet has not.
-func (t *turn) missing() []Start {
+// missingStarts lists what the plan has and the fleet has not.
+func (t *planningRound) missingStarts() []Start {
 	var starts []Start
 	for id, n := range t.plan {
-		for range n - t.have[id] {
+		for range n - t.current[id] {
 			starts = append(starts, Start{Pool: id})
 		}
 	}
@@ -57,15 +57,15 @@
 	return starts
 }
 
-// needed drops the starts that are not needed to hold the target given what
+// requiredStarts drops the starts that are not requiredStarts to hold the target given what
 // runs already in pools that the plan would not choose.
-func (t *turn) needed(starts []Start) []Start {
-	trial := t.spread(t.have)
+func (t *planningRound) requiredStarts(starts []Start) []Start {
+	counts := t.domainTotals(t.current)
 	for i, s := range starts {
-		if trial.holds(t.wanted) {
+		if counts.meets(t.target) {
 			return starts[:i]
 		}
-		trial.add(s.Pool, 1)
+		counts.add(s.Pool, 1)
 	}
 	return starts
 }
@@ -73,43 +73,43 @@
 // worthMoving compares the plan with what would be left of the fleet without its
 // surplus. Against the whole fleet a surplus alone would look like a gain of moving,
 // and VMs be started in place of ones that only had to stay.
-func (t *turn) worthMoving() bool {
-	now := cost(t.trimmed(), t.offers)
-	return now-cost(t.plan, t.offers) >= t.p.limits.MoveGain*now
+func (t *planningRound) worthMoving() bool {
+	currentCost := cost(t.withoutSurplus(), t.offers)
+	return currentCost-cost(t.plan, t.offers) >= t.p.limits.MinMoveSaving*currentCost
 }
 
-// trimmed counts the VMs that are left when the dearest go as long as the target holds.
-func (t *turn) trimmed() map[Pool]int {
+// withoutSurplus counts the VMs that are left when the dearest go as long as the target holds.
+func (t *planningRound) withoutSurplus() map[Pool]int {
 	vms := slices.DeleteFunc(slices.Clone(t.vms), func(v VM) bool { return v.Leaving })
-	t.dearestFirst(vms)
-	left := t.spread(countPools(vms))
+	t.sortByPriceDescending(vms)
+	remaining := t.domainTotals(countByPool(vms))
 	kept := map[Pool]int{}
 	for _, v := range vms {
-		left.add(v.Pool, -1)
-		if left.holds(t.wanted) {
+		remaining.add(v.Pool, -1)
+		if remaining.meets(t.target) {
 			continue
 		}
-		left.add(v.Pool, 1)
+		remaining.add(v.Pool, 1)
 		kept[v.Pool]++
 	}
 	return kept
 }
 
-func (t *turn) moves(starts []Start) []Start {
+func (t *planningRound) allowedMoves(starts []Start) []Start {
 	if !t.p.hasMoves {
 		t.p.hasMoves = true
-		t.p.movesFrom = t.now
+		t.p.movesSince = t.now
 	}
-	if t.now < t.p.movesFrom+t.p.limits.SurplusHold && !t.p.reopened {
+	if t.now < t.p.movesSince+t.p.limits.SurplusHold && !t.p.skipMoveHold {
 		return nil
 	}
-	t.p.reopened = false
+	t.p.skipMoveHold = false
 	// VMs that are on their way in were moves of an earlier turn.
-	room := max(t.p.limits.MaxMoves-starting(t.vms), 0)
+	room := max(t.p.limits.MaxMoves-countStarting(t.vms), 0)
 	return starts[:min(len(starts), room)]
 }
 
-func starting(vms []VM) int {
+func countStarting(vms []VM) int {
 	n := 0
 	for _, v := range vms {
 		if v.Starting && !v.Leaving {
@@ -119,10 +119,10 @@
 	return n
 }
 
-// surplus picks VMs to let go after SurplusHold.
-func (t *turn) surplus() []string {
-	extra := t.removable()
-	if len(extra) == 0 {
+// surplusStops picks VMs to let go after SurplusHold.
+func (t *planningRound) surplusStops() []string {
+	ids := t.removableVMs()
+	if len(ids) == 0 {
 		t.p.hasSurplus = false
 		return nil
 	}
@@ -133,10 +133,10 @@
 	if t.now < t.p.surplusSince+t.p.limits.SurplusHold {
 		return nil
 	}
-	return extra
+	return ids
 }
 
-// removable lists VMs of pools that hold more than the plan does, the dearest
+// removableVMs lists VMs of pools that hold more than the plan does, the dearest
 // first, as long as the target holds without them. Letting others go would only
 // make the planner start them again: the fleet would be superfluous in one turn
 // and worth moving in the next.
@@ -144,36 +144,36 @@
 // Only VMs that serve count: one that is still starting may fail to, and must
 // not stand in for one that is let go. A fleet that costs more than it may
 // shrinks to the plan whatever becomes of the target.
-func (t *turn) removable() []string {
+func (t *planningRound) removableVMs() []string {
 	excess := t.excess()
 	if len(excess) == 0 {
 		return nil
 	}
 	serving := slices.DeleteFunc(slices.Clone(t.vms), func(v VM) bool { return v.Starting || v.Leaving })
-	left := t.spread(countPools(serving))
+	remaining := t.domainTotals(countByPool(serving))
 	serving = slices.DeleteFunc(serving, func(v VM) bool { return v.ID == "" || excess[v.Pool] == 0 })
-	t.dearestFirst(serving)
-	overBudget := t.wanted.MaxCostPerHour > 0 && cost(t.have, t.offers) > t.wanted.MaxCostPerHour
-	var out []string
+	t.sortByPriceDescending(serving)
+	overBudget := t.target.MaxCostPerHour > 0 && cost(t.current, t.offers) > t.target.MaxCostPerHour
+	var ids []string
 	for _, v := range serving {
 		if excess[v.Pool] == 0 {
 			continue
 		}
-		left.add(v.Pool, -1)
-		if !overBudget && !left.holds(t.wanted) {
-			left.add(v.Pool, 1)
+		remaining.add(v.Pool, -1)
+		if !overBudget && !remaining.meets(t.target) {
+			remaining.add(v.Pool, 1)
 			continue
 		}
 		excess[v.Pool]--
-		out = append(out, v.ID)
+		ids = append(ids, v.ID)
 	}
-	return out
+	return ids
 }
 
 // excess is what the fleet has over the plan; pools without any are left out.
-func (t *turn) excess() map[Pool]int {
+func (t *planningRound) excess() map[Pool]int {
 	out := map[Pool]int{}
-	for id, n := range t.have {
+	for id, n := range t.current {
 		if n > t.plan[id] {
 			out[id] = n - t.plan[id]
 		}
@@ -188,7 +188,7 @@
 		cmp.Compare(a.ID, b.ID))
 }
 
-func (t *turn) dearestFirst(vms []VM) {
+func (t *planningRound) sortByPriceDescending(vms []VM) {
 	price := map[Pool]float64{}
 	for _, o := range t.offers {
 		price[o.Pool] = o.PricePerHour
@@ -198,8 +198,8 @@
 	})
 }
 
-// spread counts VMs by failure domain.
-type spread struct {
+// domainTotals counts VMs by failure domain.
+type domainTotals struct {
 	total   int
 	domains map[ident.FailureDomain]int
 	// atRisk counts those that go with their failure domain.
@@ -208,7 +208,7 @@
 	safe map[Pool]bool
 }
 
-func (s *spread) add(id Pool, n int) {
+func (s *domainTotals) add(id Pool, n int) {
 	s.total += n
 	s.domains[id.FailureDomain] += n
 	if !s.safe[id] {
@@ -216,12 +216,12 @@
 	}
 }
 
-// spread counts the VMs of pools in all failure domains of the plan, empty ones
+// domainTotals counts the VMs of pools in all failure domains of the plan, empty ones
 // included.
-func (t *turn) spread(pools map[Pool]int) *spread {
-	s := &spread{domains: map[ident.FailureDomain]int{}, atRisk: map[ident.FailureDomain]int{}, safe: map[Pool]bool{}}
+func (t *planningRound) domainTotals(pools map[Pool]int) *domainTotals {
+	s := &domainTotals{domains: map[ident.FailureDomain]int{}, atRisk: map[ident.FailureDomain]int{}, safe: map[Pool]bool{}}
 	for _, o := range t.offers {
-		s.safe[o.Pool] = t.wanted.ReclaimsOnly && !o.Reclaimable
+		s.safe[o.Pool] = t.target.ReclaimsOnly && !o.Reclaimable
 	}
 	for id, n := range pools {
 		s.add(id, n)
@@ -232,9 +232,9 @@
 	return s
 }
 
-// holds tells whether the target holds, with the fullest failure domain lost if
+// meets tells whether the target meets, with the fullest failure domain lost if
 // it must survive that.
-func (s *spread) holds(w Wanted) bool {
+func (s *domainTotals) meets(w Target) bool {
 	for _, n := range s.domains {
 		if n < w.MinPerDomain {
 			return false
@@ -243,9 +243,9 @@
 	if !w.SurviveLoss {
 		return s.total >= w.Runners
 	}
-	most := 0
+	maxLoss := 0
 	for _, n := range s.atRisk {
-		most = max(most, n)
+		maxLoss = max(maxLoss, n)
 	}
-	return s.total-most >= w.Runners
+	return s.total-maxLoss >= w.Runners
 }
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -7,39 +7,39 @@
 
 // DemandConfig says how much more than the mean of the work runners must bear.
 type DemandConfig struct {
-	// Risk is the standard deviations of the work that comes within Work.Wait
-	// for which there must be room, Ample the same where runners cost little.
-	Risk, Ample float64
-	// Slowdown is how many times as long as alone a request may last: prompts are
+	// Headroom is the standard deviations of the work that comes within Work.Wait
+	// for which there must be room, ComfortableHeadroom the same where runners cost little.
+	Headroom, ComfortableHeadroom float64
+	// MaxSlowdown is how many times as long as alone a request may last: prompts are
 	// read between the tokens of streams, and the fuller a batch or the more places
 	// are taken, the longer each request takes.
-	Slowdown float64
-	// Rise and Fall are the time constants of the mean. A burst must be answered
-	// before it is over. AmpleFall is used where runners cost little: they are kept
+	MaxSlowdown float64
+	// RiseTime and FallTime are the time constants of the mean. A burst must be answered
+	// before it is over. ComfortableFallTime is used where runners cost little: they are kept
 	// for the next wave, which may come sooner than others start.
-	Rise, Fall, AmpleFall time.Duration
-	// Memory is the time constant of the variance.
-	Memory time.Duration
+	RiseTime, FallTime, ComfortableFallTime time.Duration
+	// VarianceTime is the time constant of the variance.
+	VarianceTime time.Duration
 	// Settle is how long there must have been work before it says what is
 	// needed; until then FirstShare of what is there is taken to be, or
 	// AmpleFirst where runners cost little.
-	Settle                 time.Duration
-	FirstShare, AmpleFirst float64
+	Settle                                time.Duration
+	InitialShare, ComfortableInitialShare float64
 }
 
 // DefaultDemand suits engines that start in seconds.
 func DefaultDemand() DemandConfig {
 	return DemandConfig{
-		Risk:       0.5,
-		Ample:      2.5,
-		Slowdown:   3,
-		Rise:       1500 * time.Millisecond,
-		Fall:       5 * time.Second,
-		AmpleFall:  15 * time.Second,
-		Memory:     15 * time.Second,
-		Settle:     4 * time.Second,
-		FirstShare: 0.5,
-		AmpleFirst: 0.8,
+		Headroom:                0.5,
+		ComfortableHeadroom:     2.5,
+		MaxSlowdown:             3,
+		RiseTime:                1500 * time.Millisecond,
+		FallTime:                5 * time.Second,
+		ComfortableFallTime:     15 * time.Second,
+		VarianceTime:            15 * time.Second,
+		Settle:                  4 * time.Second,
+		InitialShare:            0.5,
+		ComfortableInitialShare: 0.8,
 	}
 }
 
@@ -66,47 +66,47 @@
 // safe for concurrent use.
 type Demand struct {
 	cfg DemandConfig
-	// fresh says that the service has not served before.
-	fresh bool
-	// reading is the work of reading prompts, batch the requests in progress.
-	reading, batch load
-	// ample are the same as they are remembered for runners that cost little.
-	ample struct{ reading, batch load }
-	wait  time.Duration
-	slots int
-	// at and tokens are of the end of the last block.
-	at      time.Duration
-	tokens  float64
-	sampled bool
-	// began is the first sample, working the first with work, now the last.
-	began   time.Duration
-	working time.Duration
-	now     time.Duration
-	// resumes is when blocks count again after a suspension.
-	resumes time.Duration
-	// first is the runners that were there at the beginning.
-	first int
+	// neverServed says that the service has not served before.
+	neverServed bool
+	// prefill is the work of prefill prompts, batch the requests in progress.
+	prefill, batch loadStats
+	// comfortable are the same as they are remembered for runners that cost little.
+	comfortable struct{ prefill, batch loadStats }
+	wait        time.Duration
+	slots       int
+	// blockEnd and tokens are of the end of the last block.
+	blockEnd     time.Duration
+	promptTokens float64
+	sampled      bool
+	// firstSample is the first sample, working the first with work, now the last.
+	firstSample time.Duration
+	firstWork   time.Duration
+	now         time.Duration
+	// resumesAt is when blocks count again after a suspension.
+	resumesAt time.Duration
+	// initial is the runners that were there at the beginning.
+	initial int
 }
 
-// load is the mean of some work and its variance over a second.
-type load struct {
+// loadStats is the mean of some work and its variance over a second.
+type loadStats struct {
 	mean, variance float64
 	blocks         int
 }
 
 // add takes in the work of a span of time. The first spans count alike: a mean that
 // rose slowly from nothing would seem to be a variance.
-func (l *load) add(cfg *DemandConfig, fall time.Duration, work float64, span time.Duration) {
+func (l *loadStats) add(cfg *DemandConfig, fall time.Duration, work float64, span time.Duration) {
 	l.blocks++
-	equal := 1 / float64(l.blocks)
-	off := work - l.mean
-	constant := cfg.Rise
-	if off < 0 {
-		constant = fall
+	equalWeight := 1 / float64(l.blocks)
+	diff := work - l.mean
+	timeConstant := cfg.RiseTime
+	if diff < 0 {
+		timeConstant = fall
 	}
-	l.mean += off * max(equal, weight(span, constant))
+	l.mean += diff * max(equalWeight, weight(span, timeConstant))
 	if l.blocks > 1 {
-		l.variance += (off*off*span.Seconds() - l.variance) * max(equal, weight(span, cfg.Memory))
+		l.variance += (diff*diff*span.Seconds() - l.variance) * max(equalWeight, weight(span, cfg.VarianceTime))
 	}
 }
 
@@ -114,69 +114,71 @@
 	return 1 - math.Exp(-span.Seconds()/constant.Seconds())
 }
 
-// blockSpan is the least time that is taken as one. In a shorter one the daemons'
+// minBlock is the least time that is taken as one. In a shorter one the daemons'
 // word, which comes every 100 to 200 ms, would seem to be a variance of the work.
-const blockSpan = 390 * time.Millisecond
+const minBlock = 390 * time.Millisecond
 
-// longestSpan is the longest time that is taken as one. A daemon that was suspended
+// maxBlock is the longest time that is taken as one. A daemon that was suspended
 // reads in a moment what the others told in seconds, so for as long after that the
 // totals say nothing.
-const longestSpan = 5 * blockSpan
+const maxBlock = 5 * minBlock
 
 // NewDemand returns a measure that has seen nothing; fresh says that the service has
 // not served before, so that what is there stands for what is needed.
-func NewDemand(cfg DemandConfig, fresh bool) *Demand { return &Demand{cfg: cfg, fresh: fresh} }
+func NewDemand(cfg DemandConfig, neverServed bool) *Demand {
+	return &Demand{cfg: cfg, neverServed: neverServed}
+}
 
 // Sample takes in the work at a moment.
 func (d *Demand) Sample(now time.Duration, w Work) {
 	d.now, d.wait, d.slots = now, w.Wait, w.Slots
 	if !d.sampled {
-		d.began = now
+		d.firstSample = now
 	}
-	if now-d.began < d.cfg.Settle {
+	if now-d.firstSample < d.cfg.Settle {
 		// What is there at first, before any order shows.
-		d.first = max(d.first, w.Runners)
+		d.initial = max(d.initial, w.Runners)
 	}
-	if d.working == 0 && w.Requests > 0 {
-		d.working = now
+	if d.firstWork == 0 && w.Requests > 0 {
+		d.firstWork = now
 	}
-	span, tokens := now-d.at, w.PromptTokens-d.tokens
-	if d.sampled && span < blockSpan {
+	span, promptTokens := now-d.blockEnd, w.PromptTokens-d.promptTokens
+	if d.sampled && span < minBlock {
 		return
 	}
-	first := !d.sampled
-	d.at, d.tokens, d.sampled = now, w.PromptTokens, true
-	if span > longestSpan {
-		d.resumes = now + longestSpan
+	initial := !d.sampled
+	d.blockEnd, d.promptTokens, d.sampled = now, w.PromptTokens, true
+	if span > maxBlock {
+		d.resumesAt = now + maxBlock
 	}
-	if first || d.working == 0 || now < d.resumes {
+	if initial || d.firstWork == 0 || now < d.resumesAt {
 		return
 	}
 	if w.PrefillRate > 0 {
-		busy := tokens / w.PrefillRate / span.Seconds()
-		d.reading.add(&d.cfg, d.cfg.Fall, busy, span)
-		d.ample.reading.add(&d.cfg, d.cfg.AmpleFall, busy, span)
+		busy := promptTokens / w.PrefillRate / span.Seconds()
+		d.prefill.add(&d.cfg, d.cfg.FallTime, busy, span)
+		d.comfortable.prefill.add(&d.cfg, d.cfg.ComfortableFallTime, busy, span)
 	}
-	d.batch.add(&d.cfg, d.cfg.Fall, float64(w.Requests), span)
-	d.ample.batch.add(&d.cfg, d.cfg.AmpleFall, float64(w.Requests), span)
+	d.batch.add(&d.cfg, d.cfg.FallTime, float64(w.Requests), span)
+	d.comfortable.batch.add(&d.cfg, d.cfg.ComfortableFallTime, float64(w.Requests), span)
 }
 
-// withRoom is what some work needs, with room for chance and so much that whatever is
+// withHeadroom is what some work needs, with room for chance and so much that whatever is
 // in progress beside it is not slowed down too far.
-func (d *Demand) withRoom(mean, chance float64) float64 {
-	return max(mean+chance, mean/(1-1/d.cfg.Slowdown))
+func (d *Demand) withHeadroom(mean, deviation float64) float64 {
+	return max(mean+deviation, mean/(1-1/d.cfg.MaxSlowdown))
 }
 
-// runners is how many bear the work with room for so many standard deviations.
-func (d *Demand) runners(reading, batch *load, deviations, firstShare float64) int {
-	needed := d.withRoom(reading.mean, deviations*d.deviation(reading))
+// requiredRunners is how many bear the work with room for so many standard deviations.
+func (d *Demand) requiredRunners(prefill, batch *loadStats, deviations, initialShare float64) int {
+	needed := d.withHeadroom(prefill.mean, deviations*d.deviation(prefill))
 	if d.slots > 0 {
-		requests := d.withRoom(batch.mean, deviations*math.Sqrt(batch.mean))
+		requests := d.withHeadroom(batch.mean, deviations*math.Sqrt(batch.mean))
 		needed = max(needed, requests/float64(d.slots))
 	}
 	n := int(math.Ceil(needed))
-	if d.fresh && !d.settled() {
-		n = max(n, int(math.Ceil(firstShare*float64(d.first))))
+	if d.neverServed && !d.settled() {
+		n = max(n, int(math.Ceil(initialShare*float64(d.initial))))
 	}
 	return max(1, n)
 }
@@ -196,20 +198,20 @@
 // Estimate tells what is needed.
 func (d *Demand) Estimate() Estimate {
 	return Estimate{
-		Runners:     d.runners(&d.reading, &d.batch, d.cfg.Risk, d.cfg.FirstShare),
-		Comfortable: d.runners(&d.ample.reading, &d.ample.batch, d.cfg.Ample, d.cfg.AmpleFirst),
-		Busy:        d.reading.mean,
-		Deviation:   d.deviation(&d.reading),
+		Runners:     d.requiredRunners(&d.prefill, &d.batch, d.cfg.Headroom, d.cfg.InitialShare),
+		Comfortable: d.requiredRunners(&d.comfortable.prefill, &d.comfortable.batch, d.cfg.ComfortableHeadroom, d.cfg.ComfortableInitialShare),
+		Busy:        d.prefill.mean,
+		Deviation:   d.deviation(&d.prefill),
 		Settled:     d.settled(),
 	}
 }
 
-func (d *Demand) deviation(reading *load) float64 {
+func (d *Demand) deviation(prefill *loadStats) float64 {
 	if d.wait <= 0 {
 		return 0
 	}
-	return math.Sqrt(reading.variance / d.wait.Seconds())
+	return math.Sqrt(prefill.variance / d.wait.Seconds())
 }
 
 // settled tells whether there has been work for long enough to say what is needed.
-func (d *Demand) settled() bool { return d.working != 0 && d.now-d.working >= d.cfg.Settle }
+func (d *Demand) settled() bool { return d.firstWork != 0 && d.now-d.firstWork >= d.cfg.Settle }
--- a/coordination/fleet/demand_test.go
+++ b/coordination/fleet/demand_test.go
@@ -16,15 +16,15 @@
 // meanPrompt on average.
 type load struct {
 	*fleet.Demand
-	rng    *rand.Rand
-	now    time.Duration
-	work   fleet.Work
-	prompt float64
+	rng        *rand.Rand
+	now        time.Duration
+	work       fleet.Work
+	meanPrompt float64
 }
 
-func newLoad(fresh bool) *load {
+func newLoad(neverServed bool) *load {
 	return &load{
-		Demand: fleet.NewDemand(fleet.DefaultDemand(), fresh), rng: rand.New(rand.NewPCG(7, 1)), prompt: 2000,
+		Demand: fleet.NewDemand(fleet.DefaultDemand(), neverServed), rng: rand.New(rand.NewPCG(7, 1)), meanPrompt: 2000,
 		work: fleet.Work{Runners: 12, PrefillRate: 50_000, Slots: 64, Wait: 500 * time.Millisecond},
 	}
 }
@@ -33,9 +33,9 @@
 func (l *load) run(span time.Duration, perSecond float64, requests int) fleet.Estimate {
 	l.work.Requests = requests
 	for end := l.now + span; l.now < end; l.now += sampleEvery {
-		for left := perSecond * sampleEvery.Seconds() / l.prompt; left > 0; left-- {
+		for left := perSecond * sampleEvery.Seconds() / l.meanPrompt; left > 0; left-- {
 			if l.rng.Float64() < left {
-				l.work.PromptTokens += 2 * l.prompt * l.rng.Float64()
+				l.work.PromptTokens += 2 * l.meanPrompt * l.rng.Float64()
 			}
 		}
 		l.Sample(l.now, l.work)
@@ -62,9 +62,9 @@
 // prompts, and long prompts are chance of a coarser grain.
 func TestHeadroomFollowsVarianceNotSize(t *testing.T) {
 	is := is.New(t)
-	headroom := func(perSecond, prompt float64, wait time.Duration) float64 {
+	headroom := func(perSecond, meanPrompt float64, wait time.Duration) float64 {
 		l := newLoad(false)
-		l.prompt, l.work.Wait = prompt, wait
+		l.meanPrompt, l.work.Wait = meanPrompt, wait
 		sum := 0.0
 		for range 40 {
 			e := l.run(2*time.Second, perSecond, 20)
@@ -80,7 +80,7 @@
 
 // Requests that bring few tokens to read and many to write fill batches, not the time
 // for reading.
-func TestDemandHasPlaceForEachRequest(t *testing.T) {
+func TestDemandCountsBatchSlots(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
 	l.work.Slots = 16
@@ -98,7 +98,7 @@
 func TestStreamsAreNotStarvedByPrompts(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
-	l.prompt = 100
+	l.meanPrompt = 100
 	for _, perSecond := range []float64{325_000, 3_250_000} {
 		e := l.run(30*time.Second, perSecond, 100)
 		is.True(e.Deviation < 0.1*e.Busy)
@@ -109,7 +109,7 @@
 // Work falls to a half for ten seconds between two waves. What costs the full price is
 // given back within them; what costs a fraction is kept for the next wave, which comes
 // sooner than new runners serve.
-func TestCheapRunnersOutlastALull(t *testing.T) {
+func TestComfortableEstimateOutlastsLull(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
 	wave := l.run(30*time.Second, 400_000, 100)
@@ -121,7 +121,7 @@
 // The daemon that orders runners is suspended for eight seconds. When it wakes it reads
 // at once what the others told meanwhile: eight seconds' work seemed to have come in a
 // moment, and for half a minute seventy runners were ordered where twenty served.
-func TestSuspendedDaemonOrdersNoMore(t *testing.T) {
+func TestSuspensionIsNotTakenForBurst(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
 	before := l.run(30*time.Second, 250_000, 60)
@@ -137,38 +137,38 @@
 // A daemon is cut off from its peers for ten seconds and goes on serving. When it is
 // heard again its count has grown by ten seconds' work, which the daemon that orders
 // runners took for a burst. The same for one whose peers hear of it for the first time.
-func TestTallyTakesNoSilenceForABurst(t *testing.T) {
+func TestTallyIgnoresGrowthDuringSilence(t *testing.T) {
 	is := is.New(t)
 	var tally fleet.Tally
-	tally.Heard(0, "a", 500_000)
+	tally.Receive(0, "a", 500_000)
 	is.Equal(tally.Total(), 0.0)
 	for i := 1; i <= 10; i++ {
-		tally.Heard(time.Duration(i)*100*time.Millisecond, "a", 500_000+float64(i)*1000)
+		tally.Receive(time.Duration(i)*100*time.Millisecond, "a", 500_000+float64(i)*1000)
 	}
 	is.Equal(tally.Total(), 10_000.0)
-	tally.Heard(11*time.Second, "a", 800_000)
+	tally.Receive(11*time.Second, "a", 800_000)
 	is.Equal(tally.Total(), 10_000.0)
-	tally.Heard(11*time.Second+100*time.Millisecond, "a", 801_000)
+	tally.Receive(11*time.Second+100*time.Millisecond, "a", 801_000)
 	is.Equal(tally.Total(), 11_000.0)
-	tally.Heard(11*time.Second+200*time.Millisecond, "b", 70_000)
+	tally.Receive(11*time.Second+200*time.Millisecond, "b", 70_000)
 	is.Equal(tally.Total(), 11_000.0)
-	tally.Gone("a")
-	tally.Heard(11*time.Second+300*time.Millisecond, "a", 805_000)
+	tally.PeerEnded("a")
+	tally.Receive(11*time.Second+300*time.Millisecond, "a", 805_000)
 	is.Equal(tally.Total(), 11_000.0)
 }
 
 // Guards against a large fleet that orders too few runners: its daemons' counts come every
 // 400 ms, and with each that was lost or late what was brought in that time was forgotten.
-func TestCountsOfALargeFleetOutlastALostMessage(t *testing.T) {
+func TestRelayedCountsTolerateLostMessages(t *testing.T) {
 	is := is.New(t)
 	var tally fleet.Tally
-	tally.Relayed(true)
+	tally.SetRelayed(true)
 	const every = 400 * time.Millisecond
-	told := 0.0
+	count := 0.0
 	for i := range 100 {
-		told += 10
+		count += 10
 		if i%4 != 3 { // one in four is lost
-			tally.Heard(time.Duration(i)*every, "d~1", told)
+			tally.Receive(time.Duration(i)*every, "d~1", count)
 		}
 	}
 	is.Equal(tally.Total(), 980.0) // the first tells where the count goes on, the last is lost
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -43,8 +43,8 @@
 	Starting bool
 }
 
-// Wanted is what a service needs.
-type Wanted struct {
+// Target is what a service needs.
+type Target struct {
 	// Runners that must serve at the target.
 	Runners int
 	// SurviveLoss asks for Runners to be left when any one failure domain goes.
@@ -71,9 +71,9 @@
 	HazardHalfLife time.Duration
 	// SurplusHold is how long a VM must be superfluous before it is let go.
 	SurplusHold time.Duration
-	// MoveGain is the share of the cost that a cheaper plan must save before
+	// MinMoveSaving is the share of the cost that a cheaper plan must save before
 	// running VMs are moved to it.
-	MoveGain float64
+	MinMoveSaving float64
 	// MaxMoves bounds the VMs that are replaced for their price at once.
 	MaxMoves int
 }
@@ -86,7 +86,7 @@
 		ReclaimCost:    0.25,
 		HazardHalfLife: 6 * time.Hour,
 		SurplusHold:    5 * time.Minute,
-		MoveGain:       0.115,
+		MinMoveSaving:  0.115,
 		MaxMoves:       2,
 	}
 }
@@ -99,19 +99,19 @@
 	Starts []Start
 	// Stops are VMs to be let go, by graceful shutdown of their runners.
 	Stops []string
-	// Short is the number of runners that no pool gives now.
-	Short int
+	// Shortfall is the number of runners that no pool gives now.
+	Shortfall int
 	// CostPerHour of the plan aimed at.
 	CostPerHour float64
 }
 
 type poolState struct {
-	refusals int
-	until    time.Duration
+	refusals     int
+	backoffUntil time.Duration
 	// hazard is reclaims seen, decayed; per VM hours in exposure.
-	reclaims float64
-	exposure float64
-	decayed  time.Duration
+	reclaims  float64
+	exposure  float64
+	decayedAt time.Duration
 }
 
 // Planner plans for one service.
@@ -120,11 +120,11 @@
 	pools        map[Pool]*poolState
 	surplusSince time.Duration
 	hasSurplus   bool
-	movesFrom    time.Duration
+	movesSince   time.Duration
 	hasMoves     bool
-	// reopened says that the next move need not wait: what runs stood in for VMs
+	// skipMoveHold says that the next move need not wait: what runs stood in for VMs
 	// that are to be had again.
-	reopened bool
+	skipMoveHold bool
 }
 
 // New returns a planner that knows of no refusals or reclaims.
@@ -139,53 +139,53 @@
 	return s
 }
 
-// Refused tells that the cloud refused a start in the pool. Several refusals of
+// RecordRefusal tells that the cloud refused a start in the pool. Several refusals of
 // one turn count as one: they say the same thing.
-func (p *Planner) Refused(now time.Duration, id Pool) {
+func (p *Planner) RecordRefusal(now time.Duration, id Pool) {
 	s := p.pool(id)
-	if now < s.until {
+	if now < s.backoffUntil {
 		return
 	}
 	wait := min(p.limits.FirstBackoff<<min(s.refusals, 16), p.limits.MaxBackoff)
 	s.refusals++
-	s.until = now + wait
+	s.backoffUntil = now + wait
 }
 
-// Started tells that the cloud gave a VM in the pool.
-func (p *Planner) Started(id Pool) { p.pool(id).refusals = 0 }
+// RecordStart tells that the cloud gave a VM in the pool.
+func (p *Planner) RecordStart(id Pool) { p.pool(id).refusals = 0 }
 
-// Reopen tells that VMs which were hard to get in all pools are to be had again, so
+// ResetBackoff tells that VMs which were hard to get in all pools are to be had again, so
 // that earlier refusals say nothing any more and moving to them need not wait.
-func (p *Planner) Reopen() {
-	p.reopened = true
+func (p *Planner) ResetBackoff() {
+	p.skipMoveHold = true
 	for _, s := range p.pools {
-		s.refusals, s.until = 0, 0
+		s.refusals, s.backoffUntil = 0, 0
 	}
 }
 
-// Reclaimed tells that n VMs of the pool were given notice.
-func (p *Planner) Reclaimed(now time.Duration, id Pool, n int) {
+// RecordReclaims tells that n VMs of the pool were given notice.
+func (p *Planner) RecordReclaims(now time.Duration, id Pool, n int) {
 	s := p.pool(id)
 	p.decay(now, s)
 	s.reclaims += float64(n)
 }
 
-// Exposed tells that n VMs of the pool have run for d without notice.
-func (p *Planner) Exposed(now time.Duration, id Pool, n int, d time.Duration) {
+// RecordExposure tells that n VMs of the pool have run for d without notice.
+func (p *Planner) RecordExposure(now time.Duration, id Pool, n int, d time.Duration) {
 	s := p.pool(id)
 	p.decay(now, s)
 	s.exposure += float64(n) * d.Hours()
 }
 
 func (p *Planner) decay(now time.Duration, s *poolState) {
-	elapsed := now - s.decayed
+	elapsed := now - s.decayedAt
 	if elapsed < time.Minute {
 		return
 	}
-	keep := halve(float64(elapsed) / float64(p.limits.HazardHalfLife))
-	s.reclaims *= keep
-	s.exposure *= keep
-	s.decayed = now
+	factor := decayFactor(float64(elapsed) / float64(p.limits.HazardHalfLife))
+	s.reclaims *= factor
+	s.exposure *= factor
+	s.decayedAt = now
 }
 
 // priorExposure in VM hours keeps one reclaim in a new pool from ruling it out.
@@ -200,8 +200,8 @@
 	return s.reclaims / (s.exposure + priorExposure)
 }
 
-// price is what a VM of the offer costs in an hour, reclaims included.
-func (p *Planner) price(o Offer) float64 {
+// expectedPrice is what a VM of the offer costs in an hour, reclaims included.
+func (p *Planner) expectedPrice(o Offer) float64 {
 	if !o.Reclaimable {
 		return o.PricePerHour
 	}
@@ -210,23 +210,23 @@
 
 // Decide compares the VMs with the cheapest plan and returns the changes to
 // make now.
-func (p *Planner) Decide(now time.Duration, w Wanted, offers []Offer, vms []VM) Decision {
-	have := countPools(vms)
-	plan, short := cheapest(w, p.open(now, offers, have))
-	d := Decision{Short: short, CostPerHour: cost(plan, offers)}
-	t := turn{p: p, now: now, wanted: w, offers: offers, vms: vms, have: have, plan: plan}
-	t.decide(&d)
+func (p *Planner) Decide(now time.Duration, w Target, offers []Offer, vms []VM) Decision {
+	current := countByPool(vms)
+	plan, shortfall := cheapestPlan(w, p.listCandidates(now, offers, current))
+	d := Decision{Shortfall: shortfall, CostPerHour: cost(plan, offers)}
+	r := planningRound{p: p, now: now, target: w, offers: offers, vms: vms, current: current, plan: plan}
+	r.planChanges(&d)
 	return d
 }
 
-func countPools(vms []VM) map[Pool]int {
-	have := map[Pool]int{}
+func countByPool(vms []VM) map[Pool]int {
+	counts := map[Pool]int{}
 	for _, v := range vms {
 		if !v.Leaving {
-			have[v.Pool]++
+			counts[v.Pool]++
 		}
 	}
-	return have
+	return counts
 }
 
 func cost(plan map[Pool]int, offers []Offer) float64 {
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -18,14 +18,14 @@
 	return fleet.Offer{Pool: fleet.Pool{FailureDomain: domain, Class: class}, PricePerHour: price, Reclaimable: reclaimable}
 }
 
-func start(d fleet.Decision, vms []fleet.VM) []fleet.VM {
+func applyStarts(d fleet.Decision, vms []fleet.VM) []fleet.VM {
 	for _, s := range d.Starts {
 		vms = append(vms, fleet.VM{ID: fmt.Sprintf("vm%d", len(vms)), Pool: s.Pool})
 	}
 	return vms
 }
 
-func left(vms []fleet.VM, lost ident.FailureDomain) int {
+func remaining(vms []fleet.VM, lost ident.FailureDomain) int {
 	n := 0
 	for _, v := range vms {
 		if v.Pool.FailureDomain != lost && !v.Leaving {
@@ -49,15 +49,15 @@
 		p := fleet.New(fleet.DefaultLimits())
 		for _, o := range offers {
 			if o.Reclaimable && rapid.Bool().Draw(rt, "refused") {
-				p.Refused(0, o.Pool)
+				p.RecordRefusal(0, o.Pool)
 			}
 		}
-		w := fleet.Wanted{Runners: rapid.IntRange(1, 20).Draw(rt, "runners"), SurviveLoss: true}
+		w := fleet.Target{Runners: rapid.IntRange(1, 20).Draw(rt, "runners"), SurviveLoss: true}
 		d := p.Decide(time.Second, w, offers, nil)
-		vms := start(d, nil)
+		vms := applyStarts(d, nil)
 		for _, lost := range domains {
-			if left(vms, lost) < w.Runners {
-				rt.Fatalf("%d left of %d after %s", left(vms, lost), w.Runners, lost)
+			if remaining(vms, lost) < w.Runners {
+				rt.Fatalf("%d left of %d after %s", remaining(vms, lost), w.Runners, lost)
 			}
 		}
 	})
@@ -70,7 +70,7 @@
 		offer("c", "spot", 1, true), offer("d", "spot", 10, true),
 	}
 	p := fleet.New(fleet.DefaultLimits())
-	d := p.Decide(0, fleet.Wanted{Runners: 12, SurviveLoss: true}, offers, nil)
+	d := p.Decide(0, fleet.Target{Runners: 12, SurviveLoss: true}, offers, nil)
 	is.Equal(len(d.Starts), 18) // 6 in each of three beats 4 in each of four
 	is.Equal(d.CostPerHour, 18.0)
 }
@@ -79,13 +79,13 @@
 // then. The planner must go on to the next class at once and come back later.
 func TestRefusedStartMovesToNextPool(t *testing.T) {
 	is := is.New(t)
-	spot, dear := offer("a", "spot", 1, true), offer("a", "on-demand", 3, false)
-	offers := []fleet.Offer{spot, dear}
+	spot, onDemand := offer("a", "spot", 1, true), offer("a", "on-demand", 3, false)
+	offers := []fleet.Offer{spot, onDemand}
 	p := fleet.New(fleet.DefaultLimits())
-	w := fleet.Wanted{Runners: 1}
+	w := fleet.Target{Runners: 1}
 	is.Equal(p.Decide(0, w, offers, nil).Starts[0].Pool, spot.Pool)
-	p.Refused(0, spot.Pool)
-	is.Equal(p.Decide(time.Second, w, offers, nil).Starts[0].Pool, dear.Pool)
+	p.RecordRefusal(0, spot.Pool)
+	is.Equal(p.Decide(time.Second, w, offers, nil).Starts[0].Pool, onDemand.Pool)
 	is.Equal(p.Decide(time.Minute, w, offers, nil).Starts[0].Pool, spot.Pool)
 }
 
@@ -94,7 +94,7 @@
 func TestSwingingPricesDoNotMoveTheFleet(t *testing.T) {
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
-	w := fleet.Wanted{Runners: 4}
+	w := fleet.Target{Runners: 4}
 	var vms []fleet.VM
 	starts, stops := 0, 0
 	for minute := range 120 {
@@ -103,7 +103,7 @@
 			a, b = b, a
 		}
 		d := p.Decide(time.Duration(minute)*time.Minute, w, []fleet.Offer{offer("a", "spot", a, true), offer("b", "spot", b, true)}, vms)
-		vms = start(d, vms)
+		vms = applyStarts(d, vms)
 		starts += len(d.Starts)
 		stops += len(d.Stops)
 	}
@@ -113,7 +113,7 @@
 
 // A replacement is still starting when the VM that it stands in for is let go.
 // If the start then fails, the target is missed, so only serving VMs count.
-func TestStartingVMReplacesNothingYet(t *testing.T) {
+func TestStartingVMDoesNotReplaceServingVM(t *testing.T) {
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
 	offers := []fleet.Offer{offer("a", "spot", 1, true), offer("b", "spot", 5, true)}
@@ -121,7 +121,7 @@
 		{ID: "old", Pool: offers[1].Pool},
 		{ID: "new", Pool: offers[0].Pool, Starting: true},
 	}
-	w := fleet.Wanted{Runners: 1}
+	w := fleet.Target{Runners: 1}
 	for minute := range 20 {
 		is.Equal(len(p.Decide(time.Duration(minute)*time.Minute, w, offers, vms).Stops), 0)
 	}
@@ -136,29 +136,29 @@
 func TestHazardRaisesPrice(t *testing.T) {
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
-	risky, calm := offer("a", "spot", 1, true), offer("b", "spot", 1.05, true)
-	w := fleet.Wanted{Runners: 1}
-	is.Equal(p.Decide(0, w, []fleet.Offer{risky, calm}, nil).Starts[0].Pool, risky.Pool)
-	p.Reclaimed(0, risky.Pool, 10)
-	is.Equal(p.Decide(0, w, []fleet.Offer{risky, calm}, nil).Starts[0].Pool, calm.Pool)
+	risky, stable := offer("a", "spot", 1, true), offer("b", "spot", 1.05, true)
+	w := fleet.Target{Runners: 1}
+	is.Equal(p.Decide(0, w, []fleet.Offer{risky, stable}, nil).Starts[0].Pool, risky.Pool)
+	p.RecordReclaims(0, risky.Pool, 10)
+	is.Equal(p.Decide(0, w, []fleet.Offer{risky, stable}, nil).Starts[0].Pool, stable.Pool)
 }
 
 func TestCostBoundCutsSpareBeforeRunners(t *testing.T) {
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
 	offers := []fleet.Offer{offer("a", "spot", 1, true), offer("b", "spot", 1, true)}
-	d := p.Decide(0, fleet.Wanted{Runners: 4, SurviveLoss: true, MaxCostPerHour: 5}, offers, nil)
+	d := p.Decide(0, fleet.Target{Runners: 4, SurviveLoss: true, MaxCostPerHour: 5}, offers, nil)
 	is.Equal(len(d.Starts), 5) // all runners and the spare that the money reaches
-	is.Equal(d.Short, 0)
-	d = p.Decide(0, fleet.Wanted{Runners: 4, SurviveLoss: true, MaxCostPerHour: 3}, offers, nil)
+	is.Equal(d.Shortfall, 0)
+	d = p.Decide(0, fleet.Target{Runners: 4, SurviveLoss: true, MaxCostPerHour: 3}, offers, nil)
 	is.Equal(len(d.Starts), 3)
-	is.Equal(d.Short, 1)
+	is.Equal(d.Shortfall, 1)
 }
 
 // After a wave the fleet holds more than the plan in some failure domains and
 // less in others. Letting the dearest VMs go, wherever they are, would unbalance
 // it, and the planner would start the same VMs again some minutes later.
-func TestSurplusLeadsToThePlan(t *testing.T) {
+func TestSurplusStopsLeadToPlan(t *testing.T) {
 	is := is.New(t)
 	var offers []fleet.Offer
 	var vms []fleet.VM
@@ -169,7 +169,7 @@
 		}
 	}
 	p := fleet.New(fleet.DefaultLimits())
-	w := fleet.Wanted{Runners: 12, SurviveLoss: true}
+	w := fleet.Target{Runners: 12, SurviveLoss: true}
 	stopped := map[string]bool{}
 	for minute := range 30 {
 		d := p.Decide(time.Duration(minute)*time.Minute, w, offers, vms)
@@ -181,7 +181,7 @@
 	}
 	is.Equal(len(vms), 16)
 	for _, o := range offers {
-		is.Equal(left(vms, o.FailureDomain), 12)
+		is.Equal(remaining(vms, o.FailureDomain), 12)
 	}
 }
 
@@ -191,22 +191,22 @@
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
 	offers := []fleet.Offer{offer("a", "spot", 1, true), offer("b", "spot", 1, true)}
-	vms := start(p.Decide(0, fleet.Wanted{Runners: 8}, offers, nil), nil)
-	w := fleet.Wanted{Runners: 8, MaxCostPerHour: 5}
+	vms := applyStarts(p.Decide(0, fleet.Target{Runners: 8}, offers, nil), nil)
+	w := fleet.Target{Runners: 8, MaxCostPerHour: 5}
 	p.Decide(time.Minute, w, offers, vms)
 	is.Equal(len(p.Decide(10*time.Minute, w, offers, vms).Stops), 3)
 }
 
 // A wave's four refused starts of one turn say one thing; counted as four, the
 // pool would be left alone for minutes after it has VMs again.
-func TestRefusalsOfOneTurnCountOnce(t *testing.T) {
+func TestRefusalsOfOneRoundCountOnce(t *testing.T) {
 	is := is.New(t)
-	spot, dear := offer("a", "spot", 1, true), offer("a", "on-demand", 3, false)
+	spot, onDemand := offer("a", "spot", 1, true), offer("a", "on-demand", 3, false)
 	p := fleet.New(fleet.DefaultLimits())
 	for range 4 {
-		p.Refused(0, spot.Pool)
+		p.RecordRefusal(0, spot.Pool)
 	}
-	d := p.Decide(fleet.DefaultLimits().FirstBackoff, fleet.Wanted{Runners: 1}, []fleet.Offer{spot, dear}, nil)
+	d := p.Decide(fleet.DefaultLimits().FirstBackoff, fleet.Target{Runners: 1}, []fleet.Offer{spot, onDemand}, nil)
 	is.Equal(d.Starts[0].Pool, spot.Pool)
 }
 
@@ -217,8 +217,8 @@
 		d := ident.FailureDomain(fmt.Sprintf("fd%d", i))
 		offers = append(offers, offer(d, "spot", 1+float64(i)/100, true), offer(d, "on-demand", 3, false))
 	}
-	w := fleet.Wanted{Runners: runners, SurviveLoss: true}
-	vms := start(fleet.New(fleet.DefaultLimits()).Decide(0, w, offers, nil), nil)
+	w := fleet.Target{Runners: runners, SurviveLoss: true}
+	vms := applyStarts(fleet.New(fleet.DefaultLimits()).Decide(0, w, offers, nil), nil)
 	p := fleet.New(fleet.DefaultLimits())
 	for b.Loop() {
 		p.Decide(time.Second, w, offers, vms)
@@ -228,7 +228,7 @@
 // A fleet is twice as large as it must be and evenly spread, at one price everywhere. What
 // is too much may go; to start VMs in the failure domain that the plan would fill first
 // costs more for nothing.
-func TestSurplusIsNoReasonToMove(t *testing.T) {
+func TestSurplusAloneCausesNoMoves(t *testing.T) {
 	is := is.New(t)
 	var offers []fleet.Offer
 	var vms []fleet.VM
@@ -241,7 +241,7 @@
 	limits := fleet.DefaultLimits()
 	limits.SurplusHold = 0
 	p := fleet.New(limits)
-	w := fleet.Wanted{Runners: 10, MaxPerDomain: 10}
+	w := fleet.Target{Runners: 10, MaxPerDomain: 10}
 	for range 2 {
 		d := p.Decide(time.Second, w, offers, vms)
 		is.Equal(len(d.Starts), 0)
@@ -252,18 +252,18 @@
 // Reclaimable VMs run out in all failure domains and each start is refused, so that
 // every pool is asked less and less often. Then one of them gives again: the others
 // must not wait for the end of their backoff, while dear VMs stand in for theirs.
-func TestRefusalsEndWithTheScarcity(t *testing.T) {
+func TestResetBackoffAllowsAllPools(t *testing.T) {
 	is := is.New(t)
 	offers := []fleet.Offer{offer("a", "spot", 0.2, true), offer("b", "spot", 0.2, true), offer("a", "on-demand", 1, false)}
 	p := fleet.New(fleet.DefaultLimits())
 	for _, domain := range []ident.FailureDomain{"a", "b"} {
-		p.Refused(0, fleet.Pool{FailureDomain: domain, Class: "spot"})
+		p.RecordRefusal(0, fleet.Pool{FailureDomain: domain, Class: "spot"})
 	}
-	w := fleet.Wanted{Runners: 2}
+	w := fleet.Target{Runners: 2}
 	for _, s := range p.Decide(time.Second, w, offers, nil).Starts {
 		is.Equal(s.Pool.Class, "on-demand")
 	}
-	p.Reopen()
+	p.ResetBackoff()
 	for _, s := range p.Decide(time.Second, w, offers, nil).Starts {
 		is.Equal(s.Pool.Class, "spot")
 	}
--- a/coordination/fleet/orders.go
+++ b/coordination/fleet/orders.go
@@ -12,26 +12,26 @@
 // back and is still there as leaving, each for a while only: an order may be
 // lost or refused without a word.
 type Orders struct {
-	pools map[Pool]*ordered
-	// patience is how long an order may take to show.
-	patience time.Duration
+	pools map[Pool]*poolOrders
+	// timeout is how long an order may take to show.
+	timeout time.Duration
 }
 
-type ordered struct {
+type poolOrders struct {
 	present  int
 	starting []time.Duration
 	stopping []time.Duration
 }
 
 // NewOrders returns orders that forget what has not shown after patience.
-func NewOrders(patience time.Duration) *Orders {
-	return &Orders{pools: map[Pool]*ordered{}, patience: patience}
+func NewOrders(timeout time.Duration) *Orders {
+	return &Orders{pools: map[Pool]*poolOrders{}, timeout: timeout}
 }
 
-func (o *Orders) pool(id Pool) *ordered {
+func (o *Orders) pool(id Pool) *poolOrders {
 	p, ok := o.pools[id]
 	if !ok {
-		p = &ordered{}
+		p = &poolOrders{}
 		o.pools[id] = p
 	}
 	return p
@@ -44,21 +44,21 @@
 	}
 	for id, p := range o.pools {
 		n := present[id]
-		p.starting = shown(p.starting, n-p.present, now)
-		p.stopping = shown(p.stopping, p.present-n, now)
+		p.starting = dropCompleted(p.starting, n-p.present, now)
+		p.stopping = dropCompleted(p.stopping, p.present-n, now)
 		p.present = n
 	}
 }
 
-// shown drops the n oldest orders, which have shown, and those that are over.
-func shown(orders []time.Duration, n int, now time.Duration) []time.Duration {
+// dropCompleted drops the n oldest orders, which have dropCompleted, and those that are over.
+func dropCompleted(orders []time.Duration, n int, now time.Duration) []time.Duration {
 	orders = orders[min(max(n, 0), len(orders)):]
 	return slices.DeleteFunc(orders, func(until time.Duration) bool { return now >= until })
 }
 
-// Reclaimed tells that the pool's VMs have been given notice. Those of it that were
+// RecordReclaims tells that the pool's VMs have been given notice. Those of it that were
 // still to come won't, and would stand in for others that could be ordered.
-func (o *Orders) Reclaimed(id Pool) { o.pool(id).starting = nil }
+func (o *Orders) RecordReclaims(id Pool) { o.pool(id).starting = nil }
 
 // VMs lists what is there and what is on its way, for Planner.Decide. The names
 // stand for numbers and say nothing of which VM it is.
@@ -77,8 +77,8 @@
 	return vms
 }
 
-// Wanted is the number to order of a pool.
-func (o *Orders) Wanted(id Pool) int {
+// Target is the number to order of a pool.
+func (o *Orders) Target(id Pool) int {
 	p := o.pool(id)
 	return max(0, p.present-len(p.stopping)) + len(p.starting)
 }
@@ -87,10 +87,10 @@
 func (o *Orders) Change(now time.Duration, id Pool, n int) {
 	p := o.pool(id)
 	for range max(n, 0) {
-		p.starting = append(p.starting, now+o.patience)
+		p.starting = append(p.starting, now+o.timeout)
 	}
 	for range max(-n, 0) {
-		p.stopping = append(p.stopping, now+o.patience)
+		p.stopping = append(p.stopping, now+o.timeout)
 	}
 }
 
--- a/coordination/fleet/orders_test.go
+++ b/coordination/fleet/orders_test.go
@@ -14,17 +14,17 @@
 
 var northSpot = fleet.Pool{FailureDomain: "north", Class: "spot"}
 
-func TestOrdersShowAndExpire(t *testing.T) {
+func TestOrdersArriveAndExpire(t *testing.T) {
 	is := is.New(t)
 	o := fleet.NewOrders(6 * time.Second)
 	o.Sync(0, map[fleet.Pool]int{northSpot: 2})
 	o.Change(0, northSpot, 2)
-	is.Equal(o.Wanted(northSpot), 4)
+	is.Equal(o.Target(northSpot), 4)
 	o.Sync(4*time.Second, map[fleet.Pool]int{northSpot: 3})
-	is.Equal(o.Wanted(northSpot), 4) // one more is on its way
+	is.Equal(o.Target(northSpot), 4) // one more is on its way
 	is.Equal(len(o.VMs()), 4)
 	o.Sync(6*time.Second, map[fleet.Pool]int{northSpot: 3})
-	is.Equal(o.Wanted(northSpot), 3) // it never came
+	is.Equal(o.Target(northSpot), 3) // it never came
 }
 
 // The cloud reclaims all VMs of a pool. What was ordered there must not count as
@@ -34,20 +34,20 @@
 	o := fleet.NewOrders(6 * time.Second)
 	o.Sync(0, map[fleet.Pool]int{northSpot: 4})
 	o.Sync(time.Second, map[fleet.Pool]int{northSpot: 0})
-	is.Equal(o.Wanted(northSpot), 0)
+	is.Equal(o.Target(northSpot), 0)
 	is.Equal(len(o.VMs()), 0)
 }
 
-func TestGiveBack(t *testing.T) {
+func TestReduceAndUndo(t *testing.T) {
 	is := is.New(t)
 	o := fleet.NewOrders(6 * time.Second)
 	o.Sync(0, map[fleet.Pool]int{northSpot: 4})
 	o.Change(0, northSpot, -3)
-	is.Equal(o.Wanted(northSpot), 1)
+	is.Equal(o.Target(northSpot), 1)
 	o.Sync(time.Second, map[fleet.Pool]int{northSpot: 2})
-	is.Equal(o.Wanted(northSpot), 1)
+	is.Equal(o.Target(northSpot), 1)
 	o.Undo(northSpot, -1)
-	is.Equal(o.Wanted(northSpot), 2)
+	is.Equal(o.Target(northSpot), 2)
 }
 
 // Whatever the wanted number, the plan keeps the bounds of each failure domain.
@@ -58,7 +58,7 @@
 		offers = append(offers, offer(d, "spot", 0.2, true), offer(d, "on-demand", 1, false))
 	}
 	for runners := 1; runners < 20; runners++ {
-		w := fleet.Wanted{Runners: runners, SurviveLoss: true, MinPerDomain: 1, MaxPerDomain: 4}
+		w := fleet.Target{Runners: runners, SurviveLoss: true, MinPerDomain: 1, MaxPerDomain: 4}
 		d := fleet.New(fleet.DefaultLimits()).Decide(0, w, offers, nil)
 		inDomain := map[ident.FailureDomain]int{}
 		for _, s := range d.Starts {
@@ -75,7 +75,7 @@
 // Five VMs of a failure domain are on their way when its reclaimable ones are given
 // notice. They never come, but until their patience was over they stood in for others,
 // which were ordered seven seconds too late.
-func TestReclaimTakesWhatIsStillToCome(t *testing.T) {
+func TestReclaimDropsPendingStarts(t *testing.T) {
 	is := is.New(t)
 	spot := fleet.Pool{FailureDomain: "a", Class: "spot"}
 	other := fleet.Pool{FailureDomain: "b", Class: "spot"}
@@ -85,10 +85,10 @@
 	o.Change(0, other, 1)
 	is.Equal(len(o.VMs()), 10)
 	o.Sync(time.Second, map[fleet.Pool]int{spot: 0, other: 2})
-	o.Reclaimed(spot)
+	o.RecordReclaims(spot)
 	is.Equal(len(o.VMs()), 3)
-	is.Equal(o.Wanted(spot), 0)
-	is.Equal(o.Wanted(other), 3)
+	is.Equal(o.Target(spot), 0)
+	is.Equal(o.Target(other), 3)
 }
 
 // A reclaim takes the reclaimable VMs of a failure domain and leaves the others
@@ -102,31 +102,31 @@
 			offers = append(offers, offer(d, "spot", 0.15, true), offer(d, "on-demand", 1, false))
 		}
 		p := fleet.New(fleet.DefaultLimits())
-		dry := rapid.IntRange(0, 4).Draw(t, "dry domains")
+		refusedDomains := rapid.IntRange(0, 4).Draw(t, "dry domains")
 		var vms []fleet.VM
 		for i, d := range domains {
 			for n := range rapid.IntRange(0, 4).Draw(t, "have") {
 				vms = append(vms, fleet.VM{ID: fmt.Sprintf("%s%d", d, n), Pool: fleet.Pool{FailureDomain: d, Class: "spot"}})
 			}
-			if i < dry {
-				p.Refused(0, fleet.Pool{FailureDomain: d, Class: "spot"})
+			if i < refusedDomains {
+				p.RecordRefusal(0, fleet.Pool{FailureDomain: d, Class: "spot"})
 			}
 		}
-		w := fleet.Wanted{Runners: rapid.IntRange(1, 16).Draw(t, "runners"), SurviveLoss: true, ReclaimsOnly: true}
+		w := fleet.Target{Runners: rapid.IntRange(1, 16).Draw(t, "runners"), SurviveLoss: true, ReclaimsOnly: true}
 		d := p.Decide(time.Second, w, offers, vms)
-		vms = start(d, vms)
+		vms = applyStarts(d, vms)
 		for _, lost := range domains {
-			held, onDemand := 0, 0
+			remaining, onDemand := 0, 0
 			for _, v := range vms {
 				if v.Pool.Class == "on-demand" {
 					onDemand++
 				}
 				if v.Pool.Class == "on-demand" || v.Pool.FailureDomain != lost {
-					held++
+					remaining++
 				}
 			}
-			if held < w.Runners {
-				t.Fatalf("%d left of %d after a reclaim of %s", held, w.Runners, lost)
+			if remaining < w.Runners {
+				t.Fatalf("%d left of %d after a reclaim of %s", remaining, w.Runners, lost)
 			}
 			if onDemand > w.Runners {
 				t.Fatalf("%d at the full price for %d", onDemand, w.Runners)
--- a/coordination/fleet/tally.go
+++ b/coordination/fleet/tally.go
@@ -21,37 +21,37 @@
 // only says where the count goes on from. The total never falls. It is not safe for
 // concurrent use.
 type Tally struct {
-	total   float64
-	heard   map[ident.Incarnation]counted
-	relayed bool
+	total       float64
+	lastReading map[ident.Incarnation]reading
+	relayed     bool
 }
 
-// counted is where a daemon's count stood.
-type counted struct {
+// reading is where a daemon's count stood.
+type reading struct {
 	at    time.Duration
 	count float64
 }
 
-// Relayed says whether the counts are those of a large fleet.
-func (t *Tally) Relayed(relayed bool) { t.relayed = relayed }
+// SetRelayed says whether the counts are those of a large fleet.
+func (t *Tally) SetRelayed(relayed bool) { t.relayed = relayed }
 
-// Heard takes in a daemon's count.
-func (t *Tally) Heard(now time.Duration, id ident.Incarnation, count float64) {
-	if t.heard == nil {
-		t.heard = map[ident.Incarnation]counted{}
+// Receive takes in a daemon's count.
+func (t *Tally) Receive(now time.Duration, id ident.Incarnation, count float64) {
+	if t.lastReading == nil {
+		t.lastReading = map[ident.Incarnation]reading{}
 	}
 	silence := maxSilence
 	if t.relayed {
 		silence = maxRelayedSilence
 	}
-	if before, ok := t.heard[id]; ok && now-before.at <= silence {
-		t.total += max(0, count-before.count)
+	if previous, ok := t.lastReading[id]; ok && now-previous.at <= silence {
+		t.total += max(0, count-previous.count)
 	}
-	t.heard[id] = counted{now, count}
+	t.lastReading[id] = reading{now, count}
 }
 
-// Gone forgets a daemon.
-func (t *Tally) Gone(id ident.Incarnation) { delete(t.heard, id) }
+// PeerEnded forgets a daemon.
+func (t *Tally) PeerEnded(id ident.Incarnation) { delete(t.lastReading, id) }
 
 // Total is what all of them have counted while they were heard.
 func (t *Tally) Total() float64 { return t.total }
--- a/daemon/edge/demand.go
+++ b/daemon/edge/demand.go
@@ -20,10 +20,10 @@
 func demandConfig(p Policy) fleet.DemandConfig {
 	c := fleet.DefaultDemand()
 	if !p.Uses(RoomForStreams) {
-		c.Slowdown = math.Inf(1)
+		c.MaxSlowdown = math.Inf(1)
 	}
 	if !p.Uses(RoomForChance) {
-		c.Risk, c.Ample = 0, 0
+		c.Headroom, c.ComfortableHeadroom = 0, 0
 	}
 	return c
 }
--- a/daemon/edge/fleet.go
+++ b/daemon/edge/fleet.go
@@ -74,7 +74,7 @@
 	limits := fleet.DefaultLimits()
 	limits.FirstBackoff, limits.MaxBackoff = refusedFirst, refusedMost
 	limits.SurplusHold = surplusHold
-	limits.MoveGain = moveGain
+	limits.MinMoveSaving = moveGain
 	limits.MaxMoves = math.MaxInt
 	limits.ReclaimCost = 0
 	return &fleetDuty{
@@ -120,7 +120,7 @@
 // A daemon that has just started with all others knows nothing of the demand, or in a
 // large fleet that of its own callers only. It lets nobody go before it does, or at the
 // first start of all until it has seen which runners there are.
-func (f *fleetDuty) decide(now time.Duration, demand fleet.Estimate) (fleet.Decision, fleet.Wanted) {
+func (f *fleetDuty) decide(now time.Duration, demand fleet.Estimate) (fleet.Decision, fleet.Target) {
 	d, w := f.plan(now, demand)
 	if !f.edge.complete(now, knownFor) {
 		d.Stops = nil
@@ -135,11 +135,11 @@
 	return d, w
 }
 
-func (f *fleetDuty) plan(now time.Duration, demand fleet.Estimate) (fleet.Decision, fleet.Wanted) {
+func (f *fleetDuty) plan(now time.Duration, demand fleet.Estimate) (fleet.Decision, fleet.Target) {
 	// Runners that wait for the decision on a trial serve next to nothing.
 	demand.Runners += f.waiting
 	demand.Comfortable += f.waiting
-	needed := fleet.Wanted{
+	needed := fleet.Target{
 		Runners:      demand.Runners,
 		MinPerDomain: f.service.Scaling.Min,
 		MaxPerDomain: f.service.Scaling.Max,
@@ -153,12 +153,12 @@
 		if len(d.Stops) == 0 {
 			// What is to come at a fraction of the price needs no more than is
 			// needed to stand in for it.
-			d.Stops = fleet.Spare(vms, offers, needed.Runners, needed.MinPerDomain)
+			d.Stops = fleet.Releasable(vms, offers, needed.Runners, needed.MinPerDomain)
 		}
 		return d, plenty
 	}
 	d := f.planner.Decide(now, needed, offers, vms)
-	d.Stops = fleet.Spare(vms, offers, int(math.Ceil(scarceKept*float64(needed.Runners))), needed.MinPerDomain)
+	d.Stops = fleet.Releasable(vms, offers, int(math.Ceil(scarceKept*float64(needed.Runners))), needed.MinPerDomain)
 	if len(d.Starts) == 0 {
 		left := plenty
 		left.Runners = needed.Runners
@@ -182,7 +182,7 @@
 	pool := offers[f.asked%len(offers)].Pool
 	f.asked++
 	part := (runners + len(offers) - 1) / len(offers)
-	return slices.Repeat([]fleet.Start{{Pool: pool}}, max(0, part-f.orders.Wanted(pool)))
+	return slices.Repeat([]fleet.Start{{Pool: pool}}, max(0, part-f.orders.Target(pool)))
 }
 
 // ample is how many runners should be left after the reclaim of a failure domain
@@ -226,7 +226,7 @@
 		}
 		if r.Reclaimable && !r.LeavesAt.IsZero() {
 			f.scarceUntil = f.edge.deps.Steady() + scarceFor
-			f.orders.Reclaimed(poolOf(&r))
+			f.orders.RecordReclaims(poolOf(&r))
 		}
 	}
 	return present
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -107,16 +107,16 @@
 		counts = &offers{}
 		t.offered[o.Service] = counts
 	}
-	counts.followers.Relayed(relayed)
-	counts.all.Relayed(relayed)
+	counts.followers.SetRelayed(relayed)
+	counts.all.SetRelayed(relayed)
 	switch from {
 	case sourceFollower:
-		counts.followers.Heard(now, id, o.PromptTokens)
-		counts.all.Heard(now, id, o.PromptTokens)
+		counts.followers.Receive(now, id, o.PromptTokens)
+		counts.all.Receive(now, id, o.PromptTokens)
 	case sourceRelay:
-		counts.all.Heard(now, id, o.PromptTokens)
+		counts.all.Receive(now, id, o.PromptTokens)
 	case sourcePrimary:
-		counts.all.Heard(now, totalOf(id), o.PromptTokens)
+		counts.all.Receive(now, totalOf(id), o.PromptTokens)
 	}
 }
 
@@ -174,8 +174,8 @@
 		expired = true
 		delete(t.daemons, id)
 		for _, counts := range t.offered {
-			counts.followers.Gone(id)
-			counts.all.Gone(id)
+			counts.followers.PeerEnded(id)
+			counts.all.PeerEnded(id)
 		}
 	}
 	return expired
--- a/daemon/edge/order.go
+++ b/daemon/edge/order.go
@@ -41,7 +41,7 @@
 
 // carryOut turns a decision into numbers to order of each pool. A pool that has
 // none to give is asked again later, and the next round plans without it.
-func (f *fleetDuty) carryOut(ctx context.Context, now time.Duration, d fleet.Decision, w fleet.Wanted) {
+func (f *fleetDuty) carryOut(ctx context.Context, now time.Duration, d fleet.Decision, w fleet.Target) {
 	changes := map[fleet.Pool]int{}
 	for _, s := range d.Starts {
 		changes[s.Pool]++
@@ -61,7 +61,7 @@
 	}
 }
 
-func (f *fleetDuty) change(ctx context.Context, now time.Duration, pool fleet.Pool, n int, w fleet.Wanted) {
+func (f *fleetDuty) change(ctx context.Context, now time.Duration, pool fleet.Pool, n int, w fleet.Target) {
 	duty, ok := f.edge.permit()
 	if !ok {
 		return
@@ -71,7 +71,7 @@
 		Service:       f.service.Name,
 		FailureDomain: pool.FailureDomain,
 		Reclaimable:   pool.Class == reclaimable,
-		Runners:       f.orders.Wanted(pool),
+		Runners:       f.orders.Target(pool),
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	err := f.edge.deps.Cloud.Order(callCtx, duty, order)
@@ -80,16 +80,16 @@
 	var none *NoneAvailableError
 	switch {
 	case err == nil:
-		f.planner.Started(pool)
+		f.planner.RecordStart(pool)
 		if order.Reclaimable && n > 0 {
 			// They are to be had again. What costs more goes once these serve.
 			f.scarceUntil = now
-			f.planner.Reopen()
+			f.planner.ResetBackoff()
 		}
 	case errors.As(err, &none):
 		outcome = "none_available"
 		f.orders.Undo(pool, n)
-		f.planner.Refused(now, pool)
+		f.planner.RecordRefusal(now, pool)
 		f.scarceUntil = now + scarceFor
 	default:
 		// It may have been taken. The same number is ordered again if it does
--- a/daemon/orders/fleet.go
+++ b/daemon/orders/fleet.go
@@ -125,12 +125,12 @@
 	if err != nil {
 		return false, fmt.Errorf("quotes: %w", err)
 	}
-	wanted := fleet.Wanted{
+	wanted := fleet.Target{
 		Runners: service.Runners, SurviveLoss: m.Fleet.SurviveDomainLoss, MaxCostPerHour: costShare(m, f.service),
 	}
 	d := f.planner.Decide(f.holder.Now(), wanted, offersFor(m, f.service, quotes), f.vms(listed, runners))
 	f.note(d, listed)
-	idle = len(d.Starts) == 0 && len(d.Stops) == 0 && d.Short == 0
+	idle = len(d.Starts) == 0 && len(d.Stops) == 0 && d.Shortfall == 0
 	return idle, f.finish(ctx, listed)
 }
 
@@ -156,9 +156,9 @@
 		pool := fleet.Pool{FailureDomain: vm.FailureDomain, Class: vm.Class}
 		switch {
 		case vm.State != cloudapi.VMLeaving:
-			f.planner.Exposed(now, pool, 1, now-f.tenure.looked)
+			f.planner.RecordExposure(now, pool, 1, now-f.tenure.looked)
 		case known && before.State != cloudapi.VMLeaving && !f.tenure.ledger.stopping(id):
-			f.planner.Reclaimed(now, pool, 1)
+			f.planner.RecordReclaims(now, pool, 1)
 		}
 	}
 	f.tenure.seen = listed
@@ -303,7 +303,7 @@
 		case err != nil:
 			f.driver.failed(f.holder.Name(), err)
 		case s.VM == "":
-			f.planner.Started(s.Pool)
+			f.planner.RecordStart(s.Pool)
 			s.VM = results[i].vm.ID
 		}
 	}
@@ -341,7 +341,7 @@
 	var refused *cloudapi.StartRefusedError
 	if errors.As(err, &refused) {
 		f.driver.count("fleet.start_refused")
-		f.planner.Refused(f.holder.Now(), s.Pool)
+		f.planner.RecordRefusal(f.holder.Now(), s.Pool)
 		return true
 	}
 	var gone *cloudapi.NotFoundError
