--- a/coordination/membership/gateways.go
+++ b/coordination/membership/gateways.go
@@ -9,71 +9,74 @@
 )
 
 const (
-	// GatewayTTL is how long a caller may keep the answer. With the time that a
-	// notice takes to spread it bounds the last new request on a leaving VM.
+	// GatewayTTL is how long a caller may keep the returned gateways. Together with the
+	// time that a notice takes to spread, it bounds how late a new request can reach a
+	// leaving VM.
 	GatewayTTL = 3 * time.Second
-	// MaxGateways bounds the answer.
+	// MaxGateways is the maximum number of gateways returned.
 	MaxGateways = 16
 
-	nearWeight    = 100
-	farWeight     = 10
-	suspectWeight = 1
+	sameDomainWeight  = 100
+	otherDomainWeight = 10
+	suspectWeight     = 1
 )
 
-// Gateway is one entry VM that a caller may use.
+// Gateway is an entry VM that a caller may use.
 type Gateway struct {
 	ID            ident.DaemonID
 	Address       string
 	FailureDomain ident.FailureDomain
-	// Weight is the share of new connections relative to the others.
+	// Weight is the share of new connections that the gateway should get, relative to the
+	// others.
 	Weight int
 }
 
-// Gateways answers which entry VMs a caller of a failure domain should use: its
-// own domain's first, never a leaving one, suspects last and only in the room
-// that live ones leave. The seed draws a different choice for each caller where there are many.
+// Gateways returns the entry VMs that a caller in a failure domain should use: those of its
+// own domain first, never a leaving one, and suspect ones last and only if live ones leave
+// room. If there are more than MaxGateways, the seed selects a different sample for each
+// caller.
 func Gateways(daemons []view.Daemon, domain ident.FailureDomain, seed uint64) []Gateway {
-	near, far := split(daemons, domain, view.Live)
-	// A quarter is kept for other failure domains, so that the loss of the
-	// caller's own leaves it with an address.
-	kept := min(len(near), MaxGateways-min(len(far), MaxGateways/4))
+	sameDomain, otherDomains := splitByDomain(daemons, domain, view.Live)
+	// A quarter of the list is reserved for other failure domains, so that a caller still
+	// has addresses if its own domain fails.
+	sameDomainCount := min(len(sameDomain), MaxGateways-min(len(otherDomains), MaxGateways/4))
 	random := rand.New(rand.NewPCG(seed, seed))
 	gateways := make([]Gateway, 0, MaxGateways)
-	for _, i := range sample(random, near, kept) {
-		gateways = append(gateways, gatewayOf(daemons[i], nearWeight))
+	for _, i := range sample(random, sameDomain, sameDomainCount) {
+		gateways = append(gateways, newGateway(daemons[i], sameDomainWeight))
 	}
-	for _, i := range sample(random, far, min(len(far), MaxGateways-kept)) {
-		gateways = append(gateways, gatewayOf(daemons[i], farWeight))
+	for _, i := range sample(random, otherDomains, min(len(otherDomains), MaxGateways-sameDomainCount)) {
+		gateways = append(gateways, newGateway(daemons[i], otherDomainWeight))
 	}
-	near, far = split(daemons, domain, view.Suspect)
-	suspects := append(near, far...)
+	sameDomain, otherDomains = splitByDomain(daemons, domain, view.Suspect)
+	suspects := append(sameDomain, otherDomains...)
 	for _, i := range sample(random, suspects, min(len(suspects), MaxGateways-len(gateways))) {
-		gateways = append(gateways, gatewayOf(daemons[i], suspectWeight))
+		gateways = append(gateways, newGateway(daemons[i], suspectWeight))
 	}
 	return gateways
 }
 
-func gatewayOf(d view.Daemon, weight int) Gateway {
+func newGateway(d view.Daemon, weight int) Gateway {
 	return Gateway{ID: d.ID, Address: d.CallerAddress, FailureDomain: d.FailureDomain, Weight: weight}
 }
 
-// split returns the indexes of the daemons of a state within and outside of a
-// failure domain.
-func split(daemons []view.Daemon, domain ident.FailureDomain, state view.State) (near, far []int) {
+// splitByDomain returns the indexes of the daemons in a state, separately for those inside
+// and outside of a failure domain.
+func splitByDomain(daemons []view.Daemon, domain ident.FailureDomain, state view.State) (sameDomain, otherDomains []int) {
 	for i := range daemons {
 		d := &daemons[i]
 		switch {
 		case d.State != state || d.CallerAddress == "":
 		case d.FailureDomain == domain:
-			near = append(near, i)
+			sameDomain = append(sameDomain, i)
 		default:
-			far = append(far, i)
+			otherDomains = append(otherDomains, i)
 		}
 	}
-	return near, far
+	return sameDomain, otherDomains
 }
 
-// sample draws n of the elements, in random order; it reorders all.
+// sample returns n random elements of all in random order. It reorders all.
 func sample(random *rand.Rand, all []int, n int) []int {
 	for i := range n {
 		j := i + random.IntN(len(all)-i)
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -95,7 +95,7 @@
 	}
 	e.updateMembers(now, id, h, ended)
 	e.stamps[id] = freshness.Stamp{Sent: time.Duration(h.StampNs), Received: now}
-	e.wall.Heard(id, time.Unix(0, h.TimeUnixNs), now)
+	e.wall.Receive(id, time.Unix(0, h.TimeUnixNs), now)
 	e.updateQuotaUses(now, id, h)
 	e.handleCounts(now, id, h)
 	behind := e.fresh.Heard(freshness.Word{
