--- a/state/actionkey/actionkey.go
+++ b/state/actionkey/actionkey.go
@@ -17,10 +17,10 @@
 const MaxLength = 256
 
 const (
-	version   = "gk1"
-	separator = ":"
-	fields    = 6
-	base      = 36
+	keyVersion = "gk1"
+	separator  = ":"
+	fieldCount = 6
+	numberBase = 36
 
 	modeJournaled   = "j"
 	modeUnjournaled = "u"
@@ -66,10 +66,10 @@
 		mode = modeJournaled
 	}
 	parts := []string{
-		version,
+		keyVersion,
 		mode,
-		strconv.FormatInt(t.Issued.UnixMilli(), base),
-		strconv.FormatInt(t.Lifetime.Milliseconds(), base),
+		strconv.FormatInt(t.Issued.UnixMilli(), numberBase),
+		strconv.FormatInt(t.Lifetime.Milliseconds(), numberBase),
 		base64.RawURLEncoding.EncodeToString([]byte(t.Owner)),
 		"",
 	}
@@ -80,18 +80,18 @@
 func (t Token) Expires() time.Time { return t.Issued.Add(t.Lifetime) }
 
 // HasToken tells whether the key was made from a token.
-func HasToken(key string) bool { return strings.HasPrefix(key, version+separator) }
+func HasToken(key string) bool { return strings.HasPrefix(key, keyVersion+separator) }
 
 // Parse reads a key made from a token.
 func Parse(key string) (Key, error) {
 	if len(key) > MaxLength {
 		return Key{}, &MalformedError{Key: key[:MaxLength], Problem: "too long"}
 	}
-	if !printable(key) {
+	if !isPrintable(key) {
 		return Key{}, &MalformedError{Key: strconv.QuoteToASCII(key), Problem: "not printable ASCII"}
 	}
-	parts := strings.SplitN(key, separator, fields)
-	if len(parts) != fields || parts[0] != version {
+	parts := strings.SplitN(key, separator, fieldCount)
+	if len(parts) != fieldCount || parts[0] != keyVersion {
 		return Key{}, &MalformedError{Key: key, Problem: "not a token and a suffix"}
 	}
 	if parts[5] == "" {
@@ -117,7 +117,7 @@
 	return key.Token, nil
 }
 
-func printable(key string) bool {
+func isPrintable(key string) bool {
 	for i := range len(key) {
 		if key[i] <= ' ' || key[i] > '~' {
 			return false
@@ -131,11 +131,11 @@
 	if parts[1] != modeJournaled && parts[1] != modeUnjournaled {
 		return Token{}, &MalformedError{Key: text, Problem: "unknown mode"}
 	}
-	issued, err := strconv.ParseInt(parts[2], base, 64)
+	issued, err := strconv.ParseInt(parts[2], numberBase, 64)
 	if err != nil {
 		return Token{}, &MalformedError{Key: text, Problem: "issue time"}
 	}
-	lifetime, err := strconv.ParseInt(parts[3], base, 64)
+	lifetime, err := strconv.ParseInt(parts[3], numberBase, 64)
 	if err != nil || lifetime <= 0 || lifetime > maxLifetime.Milliseconds() {
 		return Token{}, &MalformedError{Key: text, Problem: "lifetime"}
 	}
