--- a/state/document/document.go
+++ b/state/document/document.go
@@ -53,7 +53,7 @@
 // Decode reads data into v, a pointer to a struct with json tags. The error is
 // an *InvalidError where the document is at fault.
 func Decode(data []byte, v any) error {
-	problems, err := structural(data, v)
+	problems, err := validateSchema(data, v)
 	if err != nil {
 		return err
 	}
@@ -91,11 +91,11 @@
 	return path.Base(t.PkgPath()) + "." + t.Name()
 }
 
-var compiled sync.Map // reflect.Type -> *checker.Schema
+var compiledSchemas sync.Map // reflect.Type -> *checker.Schema
 
 func schemaFor(v any) (*checker.Schema, error) {
 	t := reflect.TypeOf(v)
-	if s, ok := compiled.Load(t); ok {
+	if s, ok := compiledSchemas.Load(t); ok {
 		return s.(*checker.Schema), nil
 	}
 	data, err := Schema(v)
@@ -114,11 +114,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("compile schema of %T: %w", v, err)
 	}
-	compiled.Store(t, s)
+	compiledSchemas.Store(t, s)
 	return s, nil
 }
 
-func structural(data []byte, v any) ([]Problem, error) {
+func validateSchema(data []byte, v any) ([]Problem, error) {
 	s, err := schemaFor(v)
 	if err != nil {
 		return nil, err
@@ -135,22 +135,22 @@
 	if !ok {
 		return nil, fmt.Errorf("validate %T: %w", v, err)
 	}
-	problems := leaves(invalid, nil)
+	problems := appendLeafProblems(invalid, nil)
 	sort.SliceStable(problems, func(i, j int) bool { return problems[i].Path < problems[j].Path })
 	return problems, nil
 }
 
-func leaves(e *checker.ValidationError, into []Problem) []Problem {
+func appendLeafProblems(e *checker.ValidationError, problems []Problem) []Problem {
 	if len(e.Causes) > 0 {
 		for _, cause := range e.Causes {
-			into = leaves(cause, into)
+			problems = appendLeafProblems(cause, problems)
 		}
-		return into
+		return problems
 	}
 	pointer := ""
 	for _, part := range e.InstanceLocation {
 		pointer += "/" + part
 	}
 	reason := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-	return append(into, Problem{Path: pointer, Reason: reason})
+	return append(problems, Problem{Path: pointer, Reason: reason})
 }
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -29,14 +29,14 @@
 	is.Equal(paths, []string{"/count", "/inner", "/name"})
 }
 
-func TestDecodeAcceptsWholeDocument(t *testing.T) {
+func TestDecodeAcceptsValidDocument(t *testing.T) {
 	is := is.New(t)
 	var s sample
 	is.NoErr(document.Decode([]byte(`{"name":"a","count":2,"inner":{"on":true}}`), &s))
 	is.Equal(s.Count, 2)
 }
 
-type named struct {
+type sameNameTypes struct {
 	Label document.Problem `json:"label"`
 	Inner Problem          `json:"inner"`
 }
@@ -44,9 +44,9 @@
 // Problem has the name of another package's type.
 type Problem string
 
-func TestTypesOfOneNameAreKeptApart(t *testing.T) {
+func TestTypesWithSameNameAreDistinguished(t *testing.T) {
 	is := is.New(t)
-	var v named
+	var v sameNameTypes
 	is.NoErr(document.Decode([]byte(`{"label":{"path":"/a","reason":"b"},"inner":"c"}`), &v))
 	is.Equal(v.Inner, Problem("c"))
 }
