--- a/state/ident/request.go
+++ b/state/ident/request.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-const requestSeparator = "."
+const requestIDSeparator = "."
 
 // NewRequestID joins the daemon incarnation that accepts the request with
 // random bytes, so that any gateway knows whom to ask for it first.
 func NewRequestID(owner Incarnation, random []byte) RequestID {
-	return RequestID(string(owner) + requestSeparator + hex.EncodeToString(random))
+	return RequestID(string(owner) + requestIDSeparator + hex.EncodeToString(random))
 }
 
 // Owner returns the incarnation that accepted the request.
 func (r RequestID) Owner() (Incarnation, error) {
-	i := strings.LastIndex(string(r), requestSeparator)
+	i := strings.LastIndex(string(r), requestIDSeparator)
 	if i <= 0 {
 		return "", &MalformedRequestIDError{Value: string(r)}
 	}
