--- a/daemon/dispatch/poll.go
+++ b/daemon/dispatch/poll.go
@@ -129,7 +129,7 @@
 		PrefillRate:   l.PrefillRate,
 		DecodeRate:    l.DecodeRate,
 		Leaving:       l.Leaving,
-		Left:          time.Duration(l.DeadlineMillis) * time.Millisecond,
+		TimeLeft:      time.Duration(l.DeadlineMillis) * time.Millisecond,
 	}
 	for _, m := range l.Models {
 		r.Models = append(r.Models, load.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters, Loading: m.Loading})
--- a/state/load/load.go
+++ b/state/load/load.go
@@ -36,6 +36,6 @@
 	DecodeRate float64
 	Models     []Model
 	// Leaving says that the VM has been told to go, Left in how long.
-	Leaving bool
-	Left    time.Duration
+	Leaving  bool
+	TimeLeft time.Duration
 }
