--- a/state/manifest/diff.go
+++ b/state/manifest/diff.go
@@ -64,13 +64,13 @@
 	switch v := value.(type) {
 	case map[string]any:
 		for key, inner := range v {
-			if err := flattenInto(flat, path+"/"+escape(key), inner); err != nil {
+			if err := flattenInto(flat, path+"/"+escapePointer(key), inner); err != nil {
 				return err
 			}
 		}
 		return nil
 	case []any:
-		if elementsAreNamed(v) {
+		if allElementsNamed(v) {
 			return flattenNamed(flat, path, v)
 		}
 	}
@@ -85,25 +85,25 @@
 func flattenNamed(flat map[string]string, path string, list []any) error {
 	for _, element := range list {
 		object := element.(map[string]any)
-		if err := flattenInto(flat, path+"/"+escape(nameOf(object)), object); err != nil {
+		if err := flattenInto(flat, path+"/"+escapePointer(elementName(object)), object); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func elementsAreNamed(list []any) bool {
+func allElementsNamed(list []any) bool {
 	for _, element := range list {
 		object, ok := element.(map[string]any)
-		if !ok || nameOf(object) == "" {
+		if !ok || elementName(object) == "" {
 			return false
 		}
 	}
 	return len(list) > 0
 }
 
-// nameOf returns an element's name; a route goes by its method and path.
-func nameOf(object map[string]any) string {
+// elementName returns an element's name; a route goes by its method and path.
+func elementName(object map[string]any) string {
 	if name, ok := object["name"].(string); ok {
 		return name
 	}
@@ -112,7 +112,7 @@
 	return strings.TrimSpace(method + " " + path)
 }
 
-// escape writes a name as one part of a JSON pointer.
-func escape(part string) string {
+// escapePointer writes a name as one part of a JSON pointer.
+func escapePointer(part string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(part)
 }
--- a/state/manifest/manifest_test.go
+++ b/state/manifest/manifest_test.go
@@ -17,7 +17,7 @@
 
 const schemaFile = "../../docs/manifest.schema.json"
 
-func example(t *testing.T, name string) *manifest.Manifest {
+func loadExample(t *testing.T, name string) *manifest.Manifest {
 	t.Helper()
 	data, err := os.ReadFile("../../examples/" + name + ".json")
 	if err != nil {
@@ -30,14 +30,14 @@
 	return m
 }
 
-func TestExamplesHaveTheUsersSizes(t *testing.T) {
+func TestExamplesHaveExpectedSizes(t *testing.T) {
 	is := is.New(t)
 	sizes := map[string]map[string]int{
 		"huaman":       {"asistente": 12, "casos": 4},
 		"aspen-coulee": {"geranium-llm": 18, "broker-app": 4},
 	}
 	for name, services := range sizes {
-		m := example(t, name)
+		m := loadExample(t, name)
 		is.Equal(len(m.Workspaces), 5)
 		is.Equal(len(m.Fleet.FailureDomains), 4)
 		got := map[string]int{}
@@ -63,7 +63,7 @@
 
 func TestCheckReportsEveryContradiction(t *testing.T) {
 	is := is.New(t)
-	m := example(t, "huaman")
+	m := loadExample(t, "huaman")
 	m.Models[0].Service = "casos"
 	m.Models = append(m.Models, manifest.Model{Name: "asistente", Version: "1", Service: "nobody"})
 	m.Models[0].Canary = &manifest.Canary{Version: m.Models[0].Version, Share: 0.1}
@@ -93,10 +93,10 @@
 			t.Errorf("no problem at %s in %v", want, paths)
 		}
 	}
-	is.Equal(len(example(t, "aspen-coulee").Check()), 0)
+	is.Equal(len(loadExample(t, "aspen-coulee").Check()), 0)
 }
 
-func TestOtherFormatHasItsOwnError(t *testing.T) {
+func TestUnsupportedFormatIsReported(t *testing.T) {
 	is := is.New(t)
 	_, err := manifest.Decode([]byte(`{"format":"geraniumstack/v9"}`))
 	var unsupported *manifest.UnsupportedFormatError
@@ -108,7 +108,7 @@
 
 func TestSectionsJoinToTheSameManifest(t *testing.T) {
 	is := is.New(t)
-	m := example(t, "huaman")
+	m := loadExample(t, "huaman")
 	sections, err := manifest.Split(m)
 	is.NoErr(err)
 	data := map[manifest.Hash][]byte{}
@@ -134,9 +134,9 @@
 	is.True(errors.As(err, &corrupt))
 }
 
-func TestDiffGoesByName(t *testing.T) {
+func TestDiffMatchesElementsByName(t *testing.T) {
 	is := is.New(t)
-	before, after := example(t, "huaman"), example(t, "huaman")
+	before, after := loadExample(t, "huaman"), loadExample(t, "huaman")
 	after.Workspaces[0], after.Workspaces[1] = after.Workspaces[1], after.Workspaces[0]
 	changes, err := manifest.Diff(before, after)
 	is.NoErr(err)
--- a/state/manifest/sections.go
+++ b/state/manifest/sections.go
@@ -63,7 +63,7 @@
 // are *MissingSectionError, *CorruptSectionError, *UnsupportedFormatError and
 // *document.InvalidError.
 func Join(hashes []Hash, data map[Hash][]byte) (*Manifest, error) {
-	whole := map[string]json.RawMessage{}
+	merged := map[string]json.RawMessage{}
 	for _, hash := range hashes {
 		section, ok := data[hash]
 		if !ok {
@@ -72,11 +72,11 @@
 		if HashOf(section) != hash {
 			return nil, &CorruptSectionError{Hash: hash}
 		}
-		if err := json.Unmarshal(section, &whole); err != nil {
+		if err := json.Unmarshal(section, &merged); err != nil {
 			return nil, &CorruptSectionError{Hash: hash, Err: err}
 		}
 	}
-	encoded, err := json.Marshal(whole)
+	encoded, err := json.Marshal(merged)
 	if err != nil {
 		return nil, fmt.Errorf("join sections: %w", err)
 	}
