--- a/coordination/routing/candidates.go
+++ b/coordination/routing/candidates.go
@@ -51,7 +51,7 @@
 // those in the table. It returns false if the runner accepts no new requests.
 func (t *Table) QueueWait(id ident.RunnerID, tokens int) (time.Duration, bool) {
 	i, ok := t.byID[id]
-	if !ok || !t.live.Less(t.ejected).Has(i) {
+	if !ok || !t.live.Minus(t.ejected).Has(i) {
 		return 0, false
 	}
 	s := &t.scores[i]
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -160,7 +160,7 @@
 	if !r.Fetchable || r.Shared == 0 || t.cachedTokens(i, r) >= r.SharedTokens {
 		return ""
 	}
-	holders := t.index.Holders(r.Shared).And(t.used).Less(t.ejected).Less(t.suspect).Without(i)
+	holders := t.index.Holders(r.Shared).And(t.used).Minus(t.ejected).Minus(t.suspect).Without(i)
 	if live := holders.And(t.live); !live.Empty() {
 		holders = live
 	}
@@ -179,12 +179,12 @@
 	if usable.Empty() {
 		return prefix.Set{}, errNoneLive
 	}
-	if usable.Less(r.Exclude).Empty() {
+	if usable.Minus(r.Exclude).Empty() {
 		return prefix.Set{}, errAllTried
 	}
 	p := t.loadedSlots[modelKey{r.Model, r.Adapter}]
-	for _, states := range [...]prefix.Set{t.live.Less(t.ejected), usable} {
-		states = states.Less(r.Exclude)
+	for _, states := range [...]prefix.Set{t.live.Minus(t.ejected), usable} {
+		states = states.Minus(r.Exclude)
 		for _, loaded := range [...]prefix.Set{p.wanted, p.other, t.reported.Not()} {
 			if found := states.And(loaded); !found.Empty() {
 				return found, nil
@@ -215,7 +215,7 @@
 	if t.homeSlot != noHome && from.Has(t.homeSlot) {
 		chosen = chosen.With(t.homeSlot)
 	}
-	rest := from.Less(chosen)
+	rest := from.Minus(chosen)
 	for n := t.cfg.Samples; n > 0 && !rest.Empty(); n-- {
 		i := t.random(rest)
 		chosen = chosen.With(i)
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -158,7 +158,7 @@
 func (t *Table) Capacity() Capacity {
 	var c Capacity
 	prefillRate := 0.0
-	for i := range t.live.Less(t.ejected).All() {
+	for i := range t.live.Minus(t.ejected).All() {
 		s := &t.slots[i]
 		c.Runners++
 		c.Batch += s.batchSize
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -125,7 +125,7 @@
 	maxPrice    float64
 	// meanOutput is the mean output length of a request, in tokens.
 	meanOutput float64
-	depths     prefix.Depths
+	depths     prefix.MatchResult
 	// homeSlot is the home slot of the request that is being routed, or noHome.
 	homeSlot   int
 	trustHomes bool
@@ -352,7 +352,7 @@
 	if !ok {
 		return nil
 	}
-	if err := t.index.Apply(i, p); err != nil {
+	if err := t.index.ApplyPage(i, p); err != nil {
 		return fmt.Errorf("cache events of %s: %w", id, err)
 	}
 	return nil
@@ -361,7 +361,7 @@
 // Assume records that another daemon has sent a prompt with this prefix to a runner.
 func (t *Table) Assume(id ident.RunnerID, chain []prefix.Hash) {
 	if i, ok := t.byID[id]; ok {
-		t.index.Assume(i, chain)
+		t.index.AddExpected(i, chain)
 	}
 }
 
--- a/coordination/routing/targets.go
+++ b/coordination/routing/targets.go
@@ -16,7 +16,7 @@
 // move again.
 func (t *Table) Targets() []reclaim.Target {
 	var targets []reclaim.Target
-	for i := range t.live.Less(t.ejected).All() {
+	for i := range t.live.Minus(t.ejected).All() {
 		s, c := &t.slots[i], &t.scores[i]
 		places := s.report.MaxRunning
 		if places == 0 {
--- a/state/prefix/index_test.go
+++ b/state/prefix/index_test.go
@@ -10,7 +10,7 @@
 	_ "geraniumstack.org/geraniumstack/internal/fixedseed"
 )
 
-func chainOf(blocks int) []Hash {
+func newChain(blocks int) []Hash {
 	chain := make([]Hash, blocks)
 	for i := range chain {
 		chain[i] = Hash(100 + i)
@@ -21,17 +21,17 @@
 func TestMatchFindsEachSlotsDepth(t *testing.T) {
 	is := is.New(t)
 	x := NewIndex(100)
-	chain := chainOf(10)
-	x.Assume(3, chain[:2])
-	x.Assume(5, chain[:7])
-	x.Assume(9, chain[:7])
-	var d Depths
+	chain := newChain(10)
+	x.AddExpected(3, chain[:2])
+	x.AddExpected(5, chain[:7])
+	x.AddExpected(9, chain[:7])
+	var d MatchResult
 	x.Match(chain, &d)
 	is.Equal(d.Deepest, Set{}.With(5).With(9))
 	is.Equal(d.Held, Set{}.With(3).With(5).With(9))
 	is.Equal(d.Blocks[3], uint16(2))
 	is.Equal(d.Blocks[5], uint16(7))
-	x.Withdraw(5, chain, 1)
+	x.RemoveExpected(5, chain, 1)
 	x.Match(chain, &d)
 	is.Equal(d.Blocks[5], uint16(1))
 }
@@ -40,22 +40,22 @@
 // ago, and waits for a prefill that another runner would have spared. First the
 // reader of cache events falls behind, then the runner evicts, and its event
 // log wraps before the eviction is read: the loss is a gap in the sequence.
-func TestGapClearsTheSlotAndGoesOn(t *testing.T) {
+func TestEventGapClearsSlotAndReadingContinues(t *testing.T) {
 	is := is.New(t)
 	x := NewIndex(100)
-	is.NoErr(x.Apply(2, Page{Next: 2, Events: []Event{{0, 11, true}, {1, 12, true}}}))
-	x.Assume(4, []Hash{11})
+	is.NoErr(x.ApplyPage(2, Page{Next: 2, Events: []Event{{0, 11, true}, {1, 12, true}}}))
+	x.AddExpected(4, []Hash{11})
 	// A few lost events are borne.
-	is.NoErr(x.Apply(2, Page{First: 9, Next: 10, Events: []Event{{9, 13, true}}}))
+	is.NoErr(x.ApplyPage(2, Page{First: 9, Next: 10, Events: []Event{{9, 13, true}}}))
 	is.Equal(x.Holders(12), Set{}.With(2))
-	err := x.Apply(2, Page{First: 99, Next: 101, Events: []Event{{99, 15, true}, {100, 15, false}}})
+	err := x.ApplyPage(2, Page{First: 99, Next: 101, Events: []Event{{99, 15, true}, {100, 15, false}}})
 	var gap *GapError
 	is.True(errors.As(err, &gap))
 	is.Equal(gap.Lost, uint64(96))
 	is.Equal(x.Holders(11), Set{}.With(4))
 	is.Equal(x.Holders(12), Set{})
 	is.Equal(x.Cursor(2), uint64(101))
-	is.NoErr(x.Apply(2, Page{First: 99, Next: 102, Events: []Event{{100, 14, true}, {101, 12, true}}}))
+	is.NoErr(x.ApplyPage(2, Page{First: 99, Next: 102, Events: []Event{{100, 14, true}, {101, 12, true}}}))
 	is.Equal(x.Holders(14), Set{}) // an event read twice changes nothing
 	is.Equal(x.Holders(12), Set{}.With(2))
 }
@@ -73,12 +73,12 @@
 			chain := rapid.SliceOfN(hash, 1, 4).Draw(t, "chain")
 			switch rapid.IntRange(0, 2).Draw(t, "call") {
 			case 0:
-				x.Assume(slot, chain)
+				x.AddExpected(slot, chain)
 				for _, h := range chain {
 					want[h] = want[h].With(slot)
 				}
 			case 1:
-				x.Withdraw(slot, chain, 0)
+				x.RemoveExpected(slot, chain, 0)
 				for _, h := range chain {
 					want[h] = want[h].Without(slot)
 				}
@@ -92,7 +92,7 @@
 				t.Fatalf("%d prefixes in %d entries, capacity %d", x.Len(), len(x.entries), capacity)
 			}
 			for h, set := range want {
-				if got := x.Holders(h); !got.Less(set).Empty() || capacity >= 20 && got != set {
+				if got := x.Holders(h); !got.Minus(set).Empty() || capacity >= 20 && got != set {
 					t.Fatalf("holders of %d: %b, want %b", h, got, set)
 				}
 			}
--- a/state/prefix/match.go
+++ b/state/prefix/match.go
@@ -1,11 +1,11 @@
 package prefix
 
-// maxRounds bounds the different depths that Match tells apart. A prompt is
+// maxMatchDepths bounds the different depths that Match tells apart. A prompt is
 // rarely cached to more than a few depths, and the deepest are found first.
-const maxRounds = 4
+const maxMatchDepths = 4
 
-// Depths holds how many blocks of one chain each slot has.
-type Depths struct {
+// MatchResult holds how many blocks of one chain each slot has.
+type MatchResult struct {
 	// Held are the slots with at least one block.
 	Held Set
 	// Deepest are the slots that share the greatest depth.
@@ -17,10 +17,10 @@
 // stands for the whole prefix before it, presence falls along the chain and a
 // binary search finds the end; where a runner has dropped a block but not a
 // later one, the answer is too high until that runner's next event.
-func (x *Index) Match(chain []Hash, d *Depths) {
+func (x *Index) Match(chain []Hash, d *MatchResult) {
 	d.Held, d.Deepest = Set{}, Set{}
 	limit := min(len(chain), int(^uint16(0)))
-	for round := 0; round < maxRounds && limit > 0; round++ {
+	for round := 0; round < maxMatchDepths && limit > 0; round++ {
 		depth, fresh := x.deepest(chain[:limit], d.Held)
 		if depth == 0 {
 			return
@@ -43,7 +43,7 @@
 	var found Set
 	for low < high {
 		mid := int(uint(low+high+1) >> 1)
-		holders := x.Holders(chain[mid-1]).Less(known)
+		holders := x.Holders(chain[mid-1]).Minus(known)
 		if holders.Empty() {
 			high = mid - 1
 			continue
--- a/state/prefix/set.go
+++ b/state/prefix/set.go
@@ -52,8 +52,8 @@
 	return s
 }
 
-// Less returns the slots that are not in the other set.
-func (s Set) Less(o Set) Set {
+// Minus returns the slots that are not in the other set.
+func (s Set) Minus(o Set) Set {
 	for i := range s {
 		s[i] &^= o[i]
 	}
