--- a/state/prefixhash/prefixhash.go
+++ b/state/prefixhash/prefixhash.go
@@ -20,9 +20,9 @@
 
 var separator = []byte{0}
 
-// Root is the hash before the first block of a prompt to a model with an
+// RootHash is the hash before the first block of a prompt to a model with an
 // adapter; adapter is empty for the model alone.
-func Root(model, adapter string) uint64 {
+func RootHash(model, adapter string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	writeWord(&d, model)
@@ -30,8 +30,8 @@
 	return d.Sum64()
 }
 
-// Next is the hash of the block that follows the one with hash previous.
-func Next(previous uint64, words []string) uint64 {
+// NextBlockHash is the hash of the block that follows the one with hash previous.
+func NextBlockHash(previous uint64, words []string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	writeHash(&d, previous)
@@ -41,21 +41,21 @@
 	return d.Sum64()
 }
 
-// Blocks hashes every whole block of words.
-func Blocks(root uint64, words []string) []uint64 {
+// BlockHashes hashes every whole block of words.
+func BlockHashes(root uint64, words []string) []uint64 {
 	blocks := make([]uint64, 0, len(words)/BlockTokens)
 	for len(words) >= BlockTokens {
-		root = Next(root, words[:BlockTokens])
+		root = NextBlockHash(root, words[:BlockTokens])
 		blocks = append(blocks, root)
 		words = words[BlockTokens:]
 	}
 	return blocks
 }
 
-// Prompt hashes every whole block of a prompt and returns its length in tokens.
-func Prompt(model, adapter, prompt string) (blocks []uint64, tokens int) {
+// PromptHashes hashes every whole block of a prompt and returns its length in tokens.
+func PromptHashes(model, adapter, prompt string) (blocks []uint64, tokens int) {
 	var d xxhash.Digest
-	hash := Root(model, adapter)
+	hash := RootHash(model, adapter)
 	for word := range strings.FieldsSeq(prompt) {
 		if tokens%BlockTokens == 0 {
 			d.Reset()
