--- a/daemon/edge/demand.go
+++ b/daemon/edge/demand.go
@@ -32,7 +32,7 @@
 func (p *pool) measureDemand(now time.Duration) {
 	wait := defaultWait
 	if t := p.edge.table.Load(); t != nil {
-		wait = cmp.Or(t.Bearable(p.name), defaultWait)
+		wait = cmp.Or(t.TightestTargetLatency(p.name), defaultWait)
 	}
 	offered := p.edge.toldOffered(p.name)
 	p.mu.Lock()
--- a/daemon/edge/fleet.go
+++ b/daemon/edge/fleet.go
@@ -191,7 +191,7 @@
 // serves. More than reclaimable ones can give are not worth the full price, and where
 // those cost nearly as much as others, or there are none, nothing is spare.
 func (f *fleetDuty) ample(demand fleet.Estimate) int {
-	rate := f.service.Scaling.ReclaimableRate
+	rate := f.service.Scaling.ReclaimablePriceRatio
 	if rate <= 0 || rate > cheapRate || !f.uses(SpareRunners) {
 		return demand.Runners
 	}
@@ -213,7 +213,7 @@
 	present := map[fleet.Pool]int{}
 	for domain := range f.service.Scaling.Prices {
 		present[fleet.Pool{FailureDomain: domain, Class: onDemand}] = 0
-		if f.service.Scaling.ReclaimableRate > 0 {
+		if f.service.Scaling.ReclaimablePriceRatio > 0 {
 			present[fleet.Pool{FailureDomain: domain, Class: reclaimable}] = 0
 		}
 	}
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -24,7 +24,7 @@
 		Name:   "app",
 		Engine: &route.Engine{Slots: 64, KVTokens: 500_000},
 		Scaling: &route.Scaling{
-			Min: 0, Max: 10, BootTime: 4 * time.Second, ReclaimableRate: 0.2,
+			Min: 0, Max: 10, BootTime: 4 * time.Second, ReclaimablePriceRatio: 0.2,
 			Prices: map[ident.FailureDomain]float64{"north": 1, "south": 1, "east": 1, "west": 1},
 		},
 	}}
@@ -76,7 +76,7 @@
 func TestNothingIsSpareAtTheFullPrice(t *testing.T) {
 	for _, rate := range []float64{0, 0.9} {
 		c := scaled()
-		c.Services[0].Scaling.ReclaimableRate = rate
+		c.Services[0].Scaling.ReclaimablePriceRatio = rate
 		withFleet(t, 1, c, func(w *testFleet) {
 			w.addFleet(3, false)
 			time.Sleep(5 * time.Second)
--- a/daemon/edge/order.go
+++ b/daemon/edge/order.go
@@ -30,9 +30,9 @@
 		if !reclaimableOnly {
 			offers = append(offers, fleet.Offer{Pool: fleet.Pool{FailureDomain: domain, Class: onDemand}, PricePerHour: price})
 		}
-		if s.ReclaimableRate > 0 {
+		if s.ReclaimablePriceRatio > 0 {
 			offers = append(offers, fleet.Offer{
-				Pool: fleet.Pool{FailureDomain: domain, Class: reclaimable}, Reclaimable: true, PricePerHour: price * s.ReclaimableRate,
+				Pool: fleet.Pool{FailureDomain: domain, Class: reclaimable}, Reclaimable: true, PricePerHour: price * s.ReclaimablePriceRatio,
 			})
 		}
 	}
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -147,7 +147,7 @@
 func (p *pool) fetches() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.edge.set.Policy.Uses(CopyParts) && p.service.Engine != nil && p.service.Engine.FetchRate > fetchGain*p.engines.Rate()
+	return p.edge.set.Policy.Uses(CopyParts) && p.service.Engine != nil && p.service.Engine.CacheFetchRate > fetchGain*p.engines.Rate()
 }
 
 // assume takes in what another daemon placed.
--- a/state/route/route.go
+++ b/state/route/route.go
@@ -78,9 +78,9 @@
 	Slots int
 	// KVTokens is the room of the KV cache.
 	KVTokens int
-	// FetchRate is the tokens a second that a runner copies from another one's
+	// CacheFetchRate is the tokens a second that a runner copies from another one's
 	// cache; zero means that it can't.
-	FetchRate float64
+	CacheFetchRate float64
 }
 
 // Scaling bounds and prices the runners that can be ordered.
@@ -89,9 +89,9 @@
 	Min, Max int
 	// BootTime is from the order until the runner serves.
 	BootTime time.Duration
-	// ReclaimableRate is the price of a reclaimable runner as a part of the
+	// ReclaimablePriceRatio is the price of a reclaimable runner as a part of the
 	// failure domain's price; zero means that there are none.
-	ReclaimableRate float64
+	ReclaimablePriceRatio float64
 	// Prices are per runner and unit of time.
 	Prices map[ident.FailureDomain]float64
 }
--- a/state/route/table.go
+++ b/state/route/table.go
@@ -11,29 +11,29 @@
 
 // Table is a Config prepared for look-ups. It is safe for concurrent use.
 type Table struct {
-	config     Config
-	byHost     map[string][]*Route
-	byKey      map[string]*Workspace
-	workspaces map[ident.Workspace]*Workspace
-	services   map[string]*Service
-	bearable   map[string]time.Duration
+	config          Config
+	byHost          map[string][]*Route
+	byKey           map[string]*Workspace
+	workspaces      map[ident.Workspace]*Workspace
+	services        map[string]*Service
+	tightestLatency map[string]time.Duration
 }
 
 // NewTable prepares a configuration.
 func NewTable(c Config) *Table {
 	t := &Table{
-		config:     c,
-		byHost:     map[string][]*Route{},
-		byKey:      map[string]*Workspace{},
-		workspaces: map[ident.Workspace]*Workspace{},
-		services:   map[string]*Service{},
-		bearable:   map[string]time.Duration{},
+		config:          c,
+		byHost:          map[string][]*Route{},
+		byKey:           map[string]*Workspace{},
+		workspaces:      map[ident.Workspace]*Workspace{},
+		services:        map[string]*Service{},
+		tightestLatency: map[string]time.Duration{},
 	}
 	for i := range t.config.Routes {
 		r := &t.config.Routes[i]
 		host := strings.ToLower(r.Host)
 		t.byHost[host] = append(t.byHost[host], r)
-		t.bear(r)
+		t.recordTargetLatency(r)
 	}
 	for _, routes := range t.byHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int {
@@ -53,22 +53,24 @@
 	return t
 }
 
-// bear takes in what a route's callers bear of its services.
-func (t *Table) bear(r *Route) {
+// recordTargetLatency takes in what a route's callers recordTargetLatency of its services.
+func (t *Table) recordTargetLatency(r *Route) {
 	if r.TargetLatency <= 0 {
 		return
 	}
 	for _, target := range r.Targets {
-		known, ok := t.bearable[target.Service]
+		known, ok := t.tightestLatency[target.Service]
 		if !ok || r.TargetLatency < known {
-			t.bearable[target.Service] = r.TargetLatency
+			t.tightestLatency[target.Service] = r.TargetLatency
 		}
 	}
 }
 
-// Bearable is the longest wait at a service that is still on time on all of its
+// TightestTargetLatency is the longest wait at a service that is still on time on all of its
 // routes; zero if none of them bounds it.
-func (t *Table) Bearable(service string) time.Duration { return t.bearable[service] }
+func (t *Table) TightestTargetLatency(service string) time.Duration {
+	return t.tightestLatency[service]
+}
 
 // Config returns the configuration itself, which must not be changed.
 func (t *Table) Config() *Config { return &t.config }
--- a/state/route/table_test.go
+++ b/state/route/table_test.go
@@ -9,7 +9,7 @@
 	"geraniumstack.org/geraniumstack/state/route"
 )
 
-func table() *route.Table {
+func testTable() *route.Table {
 	return route.NewTable(route.Config{
 		Version: 3,
 		Routes: []route.Route{
@@ -32,7 +32,7 @@
 		{"b.example", "/x", ""},
 		{"c.example", "/x/", ""},
 	} {
-		r, ok := table().Lookup(c.host, c.path)
+		r, ok := testTable().Lookup(c.host, c.path)
 		is.Equal(ok, c.want != "")
 		if ok {
 			is.Equal(r.Name, c.want)
@@ -42,7 +42,7 @@
 
 func TestKeys(t *testing.T) {
 	is := is.New(t)
-	tab := table()
+	tab := testTable()
 	w, ok := tab.WorkspaceOf("k2")
 	is.True(ok)
 	is.Equal(string(w.Name), "w")
