--- a/state/usage/usage.go
+++ b/state/usage/usage.go
@@ -28,8 +28,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{counts: map[ident.Workspace]*Counts{}} }
 
-// at needs t.mu held.
-func (t *Table) at(ws ident.Workspace) *Counts {
+// countsFor needs t.mu held.
+func (t *Table) countsFor(ws ident.Workspace) *Counts {
 	c, ok := t.counts[ws]
 	if !ok {
 		c = &Counts{Refused: map[refusal.Reason]int64{}}
@@ -42,14 +42,14 @@
 func (t *Table) Accepted(ws ident.Workspace) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.at(ws).Accepted++
+	t.countsFor(ws).Accepted++
 }
 
 // Answered counts a whole answer and its generated tokens.
 func (t *Table) Answered(ws ident.Workspace, tokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.at(ws)
+	c := t.countsFor(ws)
 	c.Answered++
 	c.GeneratedTokens += int64(tokens)
 }
@@ -58,7 +58,7 @@
 func (t *Table) Refused(ws ident.Workspace, reason refusal.Reason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.at(ws).Refused[reason]++
+	t.countsFor(ws).Refused[reason]++
 }
 
 // Snapshot copies the counts.
