--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -73,9 +73,9 @@
 	// Total is the requests to the service, Sent those that went to the new version while
 	// Running, Ceiling the most that the former allowance lets through, zero if it has ended.
 	Total, Sent, Ceiling int
-	// Knows is the state that the daemon goes by, OldInFlight what it has in progress at old
+	// KnownState is the state that the daemon goes by, OldInFlight what it has in progress at old
 	// runners.
-	Knows       State
+	KnownState  State
 	OldInFlight int
 	Tally       Tally
 }
@@ -175,7 +175,7 @@
 	g.asked = now
 	r := Report{
 		Order: g.order.Revision, Ask: g.ask, Total: g.total, Sent: g.sent,
-		Knows: g.State(), OldInFlight: oldInFlight, Tally: g.tally.clone(),
+		KnownState: g.State(), OldInFlight: oldInFlight, Tally: g.tally.clone(),
 	}
 	if now < g.expiresAt {
 		r.Ceiling = g.allowance.Ceiling
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -343,7 +343,7 @@
 // progress at old runners.
 func (h *Holder) oldRunnersIdle(now time.Duration) bool {
 	for _, a := range h.daemons {
-		if now-a.reportedAt < reportTimeout && (a.report.Knows != Promoting || a.report.OldInFlight > 0) {
+		if now-a.reportedAt < reportTimeout && (a.report.KnownState != Promoting || a.report.OldInFlight > 0) {
 			return false
 		}
 	}
--- a/daemon/edge/trialduty.go
+++ b/daemon/edge/trialduty.go
@@ -210,7 +210,7 @@
 func (e *Edge) tellReport(service string, r canary.Report) *peersv1.TrialReport {
 	told := &peersv1.TrialReport{
 		Service: service, Order: r.Order, Incarnation: string(e.self), PeerAddress: e.set.PeerAddress, Ask: r.Ask,
-		Total: uint64(r.Total), Sent: uint64(r.Sent), Ceiling: uint64(r.Ceiling), Knows: string(r.Knows), OldInFlight: uint32(r.OldInFlight),
+		Total: uint64(r.Total), Sent: uint64(r.Sent), Ceiling: uint64(r.Ceiling), Knows: string(r.KnownState), OldInFlight: uint32(r.OldInFlight),
 	}
 	for s, b := range r.Tally {
 		told.Series = append(told.Series, &peersv1.TrialSeries{Route: s.Route, Pace: s.Pace, Old: tellTimes(&b.Old), New: tellTimes(&b.New)})
@@ -238,7 +238,7 @@
 func reportOf(r *peersv1.TrialReport) canary.Report {
 	report := canary.Report{
 		Order: r.Order, Ask: r.Ask, Total: int(r.Total), Sent: int(r.Sent), Ceiling: int(r.Ceiling),
-		Knows: canary.State(r.Knows), OldInFlight: int(r.OldInFlight), Tally: canary.Tally{},
+		KnownState: canary.State(r.Knows), OldInFlight: int(r.OldInFlight), Tally: canary.Tally{},
 	}
 	for _, s := range r.Series {
 		series := canary.Series{Route: s.Route, Pace: s.Pace}
