--- a/coordination/canary/canary_test.go
+++ b/coordination/canary/canary_test.go
@@ -13,7 +13,7 @@
 
 var seeds = flag.Uint64("seeds", 12, "orders played of each kind")
 
-// rollbackTime is how long after its fiftieth bad answer a bad version may get requests.
+// rollbackTime is how long a bad version may still get requests after its fiftieth bad answer.
 const rollbackTime = 5 * time.Second
 
 var badVersions = map[string]version{
@@ -31,14 +31,15 @@
 	"slow under load":  {slow: 1, times: 5, load: 3},
 }
 
-// withinBounds tells whether a bad version got no more than its share, and nothing late.
+// withinBounds reports whether a bad version got no more than its share of requests, got none
+// too late, and whether the verdict stayed final.
 func (p *simulation) withinBounds() bool {
 	return float64(p.exposed) <= share*float64(p.total)+slack &&
 		(p.fiftiethBadAt == 0 || p.lastNewAt <= p.fiftiethBadAt+rollbackTime) && !p.verdictChanged
 }
 
-// Guards against a bad version that is put into use, or that gets more than its share before
-// it is found out, in whatever way it is bad.
+// Guards against a bad version that is promoted, or that gets more than its share of requests
+// before it is found to be bad. Each case is bad in a different way.
 func TestBadVersionsAreRolledBack(t *testing.T) {
 	for name, v := range badVersions {
 		t.Run(name, func(t *testing.T) {
@@ -55,8 +56,8 @@
 	}
 }
 
-// Guards against a good version that is taken back by chance, and against callers whose
-// requests are cut or refused when the old runners are stopped.
+// Guards against a good version that is rolled back by chance, and against requests that are
+// interrupted or refused when the old runners are stopped.
 func TestGoodVersionsAreCompleted(t *testing.T) {
 	is := is.New(t)
 	for seed := range *seeds {
@@ -67,8 +68,9 @@
 	}
 }
 
-// Guards against exposure beyond the bound, late requests and verdicts that turn, when
-// messages are lost, daemons start anew and holders change while the former goes on for a while.
+// Guards against exposure beyond the bound, late requests to the new version and verdicts that
+// change, when messages are lost, daemons restart, and a former holder goes on for a while after
+// a new one has taken over.
 func TestExposureHoldsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newSimulation(rapid.Uint64().Draw(t, "seed"))
@@ -84,16 +86,16 @@
 		p.bad = version{fails: rapid.Float64Range(0.3, 1).Draw(t, "fails"), from: time.Duration(rapid.IntRange(0, 4).Draw(t, "from")) * time.Second}
 		p.run()
 		if !p.withinBounds() {
-			t.Fatalf("%d of %d exposed, %d bad, fiftieth at %v, last at %v, turned %v", p.exposed, p.total, p.badAnswers, p.fiftiethBadAt, p.lastNewAt, p.verdictChanged)
+			t.Fatalf("%d of %d requests exposed, %d bad answers, fiftieth at %v, last request at %v, verdict changed: %v", p.exposed, p.total, p.badAnswers, p.fiftiethBadAt, p.lastNewAt, p.verdictChanged)
 		}
 		if p.record.State != canary.RolledBack {
-			t.Fatalf("bad version is %s", p.record.State)
+			t.Fatalf("state of the bad version is %s, want rolled_back", p.record.State)
 		}
 	})
 }
 
-// Guards against a slower comparison of versions than the one that is measured beside it:
-// fixed steps let more requests go to a bad version.
+// Guards against a comparison that is slower than fixedSteps, which lets more requests go to a
+// bad version than CUSUM does.
 func TestCUSUMExposesLessThanFixedSteps(t *testing.T) {
 	is := is.New(t)
 	exposed := func(compare func() canary.Comparison) (sum int) {
@@ -109,12 +111,12 @@
 	sums := exposed(func() canary.Comparison { return canary.NewCUSUM() })
 	short := exposed(func() canary.Comparison { return newSteps(15) })
 	long := exposed(func() canary.Comparison { return newSteps(30) })
-	t.Logf("exposed in all: sums %d, steps of 15 %d, steps of 30 %d", sums, short, long)
+	t.Logf("requests exposed to bad versions: CUSUM %d, fixed steps of 15 %d, fixed steps of 30 %d", sums, short, long)
 	is.True(sums < short)
 	is.True(short < long)
 }
 
-// Guards against a version of a former order that gets requests once another one is ordered.
+// Guards against requests to the target of an earlier order after another order was placed.
 func TestFormerTargetsAreAvoided(t *testing.T) {
 	is := is.New(t)
 	first := canary.Record{Service: "app", Target: "v2", Order: 3, State: canary.Running}
@@ -131,8 +133,8 @@
 	is.Equal(len(canary.NewHolder(canary.Bounds{}, second, first, "me", 0).Record().Avoid), 0)
 }
 
-// Guards against an allowance that comes late, or to a report that the daemon has replaced:
-// the holder has given its part to others by then.
+// Guards against an allowance that arrives late or answers a report that the daemon has
+// replaced. The holder may have granted that part of the budget to other daemons by then.
 func TestLateAllowancesAreVoid(t *testing.T) {
 	is := is.New(t)
 	g := canary.NewGate(canary.Order{Service: "app", Target: "v2", Revision: 1})
--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -6,61 +6,65 @@
 )
 
 const (
-	// evidenceThreshold is the log likelihood ratio at which a difference is believed.
+	// evidenceThreshold is the log likelihood ratio at which a difference is accepted.
 	evidenceThreshold = 7.5
-	// failureShift and moreSlow are the shares of answers, beyond the old version's, that are
-	// taken for a bad version's. What lies under half of them is taken for chance.
+	// failureShift and slowShift are the increases over the old version's share of failed and
+	// of slow answers that define a bad version. The test attributes an increase of less than
+	// about half of that to chance.
 	failureShift = 0.2
 	slowShift    = 0.3
-	// minBaselineShare stands in for a smaller share of the old version's, so that no single
-	// answer decides.
+	// minBaselineShare replaces smaller shares of the old version, so that no single answer
+	// decides.
 	minBaselineShare = 0.04
-	// usualSlowShare of the old version's answers take longer than usual, and slowBuckets beyond
-	// that they are slow.
+	// The slowest usualSlowShare of the old version's answers sets the usual limit. Answers
+	// more than slowBuckets histogram buckets beyond that limit count as slow.
 	usualSlowShare = 0.1
 	slowBuckets    = 2
-	// excessThreshold, in standard deviations, is the difference of all failures at which one is
-	// believed, if there are at least fewestCompared answers of both, and fewestFailed of the
-	// new one's failed. leastExcess stands in for a smaller share of failures.
+	// A difference in the failure rates over all answers is accepted from excessThreshold
+	// standard deviations on, if both versions have at least minCompared answers and the new
+	// one at least minFailed failures. minFailureShare replaces a smaller share of failures.
 	excessThreshold = 4.0
 	minCompared     = 15
 	minFailed       = 4
 	minFailureShare = 0.01
-	// baselineHalfLife is the time in which the old version's answers lose half of their weight:
-	// what makes both versions fail for a while must not count against the new one.
+	// baselineHalfLife is the time in which the old version's answers lose half of their
+	// weight, so that a fault that makes both versions fail for a while does not count
+	// against the new one.
 	baselineHalfLife = 4 * time.Second
 )
 
-// Comparison tells from the answers of two versions whether the new one is bad.
+// Comparison decides from the answers of two versions whether the new one is bad.
 type Comparison interface {
-	// Add takes in the answers of a series that came since the last call.
+	// Add adds the answers of a series since the last call.
 	Add(s Series, old, fresh *Counts)
-	// Decay lets older answers of the old version count less.
+	// Decay reduces the weight of earlier answers of the old version.
 	Decay(now time.Duration)
-	// Bad tells which series shows that the new version is bad, and how; false is none.
+	// Bad returns the series and the reason that show the new version to be bad; false if
+	// there is none.
 	Bad() (Series, Reason, bool)
 }
 
-// CUSUM compares the answers of two versions as they come, series by series. It keeps a
-// cumulative sum of the log likelihood ratio of "bad" against "as the old version" that never
-// falls below zero (CUSUM), so that a version that turns bad late is found as soon as one that
-// is bad at once: what it did well before doesn't speak for it.
+// CUSUM compares the answers of two versions as they arrive, separately for each series. It
+// keeps a cumulative sum of the log likelihood ratio of "bad" against "like the old version".
+// The sum never falls below zero, so a version that turns bad late is found as quickly as one
+// that is bad from the start: its earlier good answers don't count in its favour.
 type CUSUM struct {
 	series    map[Series]*evidence
 	decayedAt time.Duration
 }
 
 type evidence struct {
-	// answers of the old version, with older ones counting less.
+	// answers and failed count the old version's answers, with decay; times is the
+	// histogram of their durations.
 	answers, failed float64
 	times           [timeBuckets]float64
-	// failing and slow are the sums.
+	// failing and slow are the cumulative sums.
 	failing, slow float64
-	// allOld and allNew are all answers, old ones at their full weight.
+	// allOld and allNew count all answers, without decay.
 	allOld, allNew outcomes
 }
 
-// outcomes is a number of answers and of those that failed.
+// outcomes counts answers and how many of them failed.
 type outcomes struct{ answers, failed float64 }
 
 func (t *outcomes) add(c *Counts) {
@@ -68,7 +72,7 @@
 	t.failed += float64(c.Failed)
 }
 
-// NewCUSUM returns a judge that has seen nothing.
+// NewCUSUM returns a comparison without any answers.
 func NewCUSUM() *CUSUM { return &CUSUM{series: map[Series]*evidence{}} }
 
 // Add implements Comparison.
@@ -97,7 +101,8 @@
 	e.slow = cusum(e.slow, share, slowShift, slow, fresh.Answers-fresh.Failed)
 }
 
-// slowLimit is the first bucket of slow answers, and the share of the old version's there.
+// slowLimit returns the first histogram bucket of slow answers and the share of the old
+// version's answers in it and above.
 func (e *evidence) slowLimit() (int, float64) {
 	total := e.answers - e.failed
 	if total < 1 {
@@ -116,14 +121,14 @@
 	return i, above / total
 }
 
-// cusum adds the evidence of some answers, of which hits speak against the version. The order
-// of those that come together isn't known; they are spread evenly.
+// cusum adds a batch of answers to a sum; hits is the number that speak against the version.
+// The order of answers within a batch is unknown, so the hits are spread evenly.
 func cusum(sum, share, shift float64, hits, answers int) float64 {
 	share = min(max(share, minBaselineShare), 1-shift-minBaselineShare)
 	against := math.Log((share + shift) / share)
 	inFavour := math.Log((1 - share - shift) / (1 - share))
 	for i := range answers {
-		// Evenly: as many hits up to here as their part of all.
+		// Counts a hit whenever the proportional number of hits reaches the next integer.
 		if (i+1)*hits/answers > i*hits/answers {
 			sum += against
 		} else {
@@ -149,8 +154,8 @@
 	}
 }
 
-// excess is by how many standard deviations more of the new version's answers failed, over
-// all that there were: a small part that fails all the while never adds up in the sums.
+// excess returns by how many standard deviations the new version's overall failure rate
+// exceeds the old one's. It finds a small constant increase, which the sums never accumulate.
 func (e *evidence) excess() float64 {
 	n, m := e.allNew.answers, e.allOld.answers
 	if n < minCompared || m < minCompared || e.allNew.failed < minFailed {
--- a/coordination/canary/doc.go
+++ b/coordination/canary/doc.go
@@ -1,24 +1,26 @@
-// Package canary moves a service's requests from the runners that serve it to runners of a
-// new software version that the operator has ordered, or takes the order back.
+// Package canary decides on the rollout of a new software version of a service: it moves the
+// service's requests from the runners of the current version to runners of the version that an
+// operator has ordered, or rolls the order back.
 //
-// One daemon decides, the holder: it gives out allowances, compares what the two versions
-// answered and writes the verdict into a Record in the key-value service. Each daemon has a
-// Gate for each order and sends to the new version only what an allowance lets through.
+// One daemon, the holder, decides on an order. It grants allowances to the daemons, compares
+// the answers of the two versions and writes the verdict into a Record in the key-value
+// service. Each daemon has a Gate per order and sends a request to the new version only if an
+// allowance permits it.
 //
-// The failure story. A version that turns out to be bad must have had a small part of the
-// requests, whoever fails meanwhile:
+// The number of requests that a bad version gets stays bounded under failures:
 //
-//   - A daemon that knows nothing of the others sends nothing to the new version. An allowance
-//     is a ceiling on all that the daemon ever sends there, so a lost, late or repeated message
-//     changes nothing, and it ends by itself a short time after it was asked for.
-//   - The holder writes down how much it may give out before it gives it. Its successor takes
-//     all of that for used, so two of them together stay within the bound.
-//   - A verdict is written under the condition that the record has not changed. It is final.
-//     After it no allowance is given out; those in force end within their life.
+//   - A daemon that hears nothing from the others sends nothing to the new version. An
+//     allowance is a ceiling on the total that the daemon ever sends there, so lost, late or
+//     repeated messages change nothing. It expires a short time after it was asked for.
+//   - The holder writes down how much it may grant before it grants it. A new holder counts
+//     all of that as used, so the two holders together stay within the bound.
+//   - A verdict is written by compare-and-swap on the record and is final. After it no
+//     allowance is granted, and those in force expire.
 //
-// A daemon that can't learn of a verdict keeps to the old runners while it finds any.
+// A daemon that can't learn of a verdict uses the old runners as long as it finds any.
 //
-// The versions of model weights, which the runners load, are the matter of package rollout.
+// This package handles the version of the software that runners execute. The versions of the
+// model weights that runners load are handled by package rollout.
 //
 // The package does no I/O and reads no clock. Its types are not safe for concurrent use.
 package canary
--- a/coordination/canary/export_test.go
+++ b/coordination/canary/export_test.go
@@ -1,4 +1,4 @@
 package canary
 
-// SetComparison has a holder decide by another comparison.
+// SetComparison replaces the method by which the holder compares the versions.
 func (h *Holder) SetComparison(c Comparison) { h.comparison = c }
--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// allowanceTTL is how long an allowance lets requests through after it was asked for. A
-	// verdict is in force everywhere after this time, whoever hears of it.
+	// allowanceTTL is how long an allowance is valid after it was asked for. A verdict is in
+	// force on all daemons after this time, even on those that have not heard of it.
 	allowanceTTL = time.Second
-	// preferNewFor is how long after it was completed an order's old runners, which are being
-	// stopped, are still used last. Their entries lapse meanwhile.
+	// preferNewFor is how long after an order was completed the old runners are still used
+	// as a last resort. They are being stopped, and their directory entries expire meanwhile.
 	preferNewFor = 10 * time.Second
-	// favouredFactor and others times its share are tried of the route of which the least is known,
-	// and of the others meanwhile.
+	// favouredFactor and otherFactor scale the share of requests sent to the new version:
+	// the former for the route with the fewest answers so far, the latter for all others.
 	favouredFactor = 3.0
 	otherFactor    = 0.75
 )
@@ -21,25 +21,25 @@
 // Placement says which runners a request may go to.
 type Placement int
 
-// Sides.
+// Values of Placement.
 const (
-	// AnyVersion is every runner.
+	// AnyVersion allows all runners.
 	AnyVersion Placement = iota
-	// OldOnly keeps to the version that serves, and never goes to the new one.
+	// OldOnly allows only runners of the old version.
 	OldOnly
-	// NewPreferred goes to the new version, to others only where it has no runner.
+	// NewPreferred allows runners of the old version only if the new one has none.
 	NewPreferred
-	// Trial is a request that an allowance lets through to the new version.
+	// Trial is a request that an allowance admits to the new version.
 	Trial
 )
 
-// Gate is what one daemon lets through to the new version of an order.
+// Gate decides in one daemon which requests go to the new version of an order.
 type Gate struct {
 	order  Order
 	record Record
-	// completedAt is when the order was seen to be completed.
+	// completedAt is when the gate learned that the order is completed.
 	completedAt time.Duration
-	// sent is all that went to the new version while Running, total all requests.
+	// sent counts the requests sent to the new version while Running, total all requests.
 	sent, total int
 	ask         uint64
 	asked       time.Duration
@@ -48,48 +48,51 @@
 	tally       Tally
 }
 
-// Allowance lets a daemon send to the new version.
+// Allowance permits a daemon to send requests to the new version.
 type Allowance struct {
 	Order uint64
-	// Ask is the number of the report that it answers.
+	// Ask is the number of the Report that the allowance answers.
 	Ask uint64
-	// Ceiling is on all that the daemon ever sent there for the order.
+	// Ceiling bounds the total number of requests that the daemon ever sends to the new
+	// version for the order.
 	Ceiling int
-	// Share is the part of the daemon's requests to send there, Runners how many of the new
-	// runners to use: so many take the load that each has when the new version has it all.
+	// Share is the fraction of the daemon's requests to send to the new version. Runners is
+	// how many of the new runners to use. The two are chosen together so that each of these
+	// runners gets the load that it will have when the new version serves all requests.
 	Share   float64
 	Runners int
-	// FavouredRoute is the route of which the least is known; empty is none.
+	// FavouredRoute is the route with the fewest answers of the new version; empty if none.
 	FavouredRoute string
-	// Halt stops everything to the new version: a verdict against it is being written.
+	// Halt stops all requests to the new version because a verdict against it is being written.
 	Halt bool
 }
 
-// Report is what a daemon tells the holder.
+// Report tells the holder what one daemon has sent and counted.
 type Report struct {
 	Order uint64
 	// Ask numbers the reports of one daemon.
 	Ask uint64
-	// Total is the requests to the service, Sent those that went to the new version while
-	// Running, Ceiling the most that the former allowance lets through, zero if it has ended.
+	// Total counts the requests to the service, Sent those that went to the new version
+	// while Running. Ceiling is that of the allowance in force, zero if none is.
 	Total, Sent, Ceiling int
-	// KnownState is the state that the daemon goes by, OldInFlight what it has in progress at old
-	// runners.
+	// KnownState is the latest state of the order that the daemon knows of. OldInFlight is
+	// the number of its requests in progress at old runners.
 	KnownState  State
 	OldInFlight int
 	Tally       Tally
 }
 
-// NewGate returns the gate of an order that nobody has decided on yet.
+// NewGate returns the gate of an order for which no record is known yet.
 func NewGate(o Order) *Gate { return &Gate{order: o, tally: Tally{}} }
 
-// Order is the order that the gate is of.
+// Order returns the order that the gate belongs to.
 func (g *Gate) Order() Order { return g.order }
 
-// Record is what is known of the order. It may be of a former one of the same service.
+// Record returns the latest known record, which may belong to an earlier order of the
+// same service.
 func (g *Gate) Record() Record { return g.record }
 
-// State is how far the order is known to be.
+// State returns the latest known state of the order.
 func (g *Gate) State() State {
 	if g.record.Order != g.order.Revision {
 		return Running
@@ -97,7 +100,7 @@
 	return g.record.State
 }
 
-// SetRecord takes in what is written of the service's orders.
+// SetRecord sets the service's record as read from the key-value service.
 func (g *Gate) SetRecord(now time.Duration, r Record) {
 	before := g.State()
 	g.record = r
@@ -106,11 +109,12 @@
 	}
 }
 
-// TakenUp tells whether a holder has taken the order up.
+// TakenUp reports whether a holder has written a record for the order.
 func (g *Gate) TakenUp() bool { return g.record.Order == g.order.Revision }
 
-// Avoids tells whether runners of a version get no new requests: while the order is open or
-// after it was taken back, those of its target and of earlier targets that were not completed.
+// Avoids reports whether runners of a version get no new requests. That holds for the
+// order's target while the order is open or after it was rolled back, and for the targets of
+// earlier orders that were not completed.
 func (g *Gate) Avoids(v Version) bool {
 	if g.record.Order != g.order.Revision {
 		return v == g.order.Target || slices.Contains(g.record.versionsToAvoid(g.order.Target), v)
@@ -118,7 +122,7 @@
 	return v == g.order.Target || slices.Contains(g.record.Avoid, v)
 }
 
-// PlaceRequest decides where a new request of a route goes. luck is drawn evenly from 0 to 1.
+// PlaceRequest decides where a new request of a route goes. random is uniform in [0, 1).
 func (g *Gate) PlaceRequest(now time.Duration, route string, random float64) Placement {
 	side := g.PlaceRetry(now)
 	if side != OldOnly || g.State() != Running {
@@ -131,7 +135,7 @@
 	return Trial
 }
 
-// trialShare is the part of a route's requests to try.
+// trialShare returns the fraction of a route's requests to send to the new version.
 func (g *Gate) trialShare(route string) float64 {
 	switch g.allowance.FavouredRoute {
 	case "":
@@ -142,7 +146,7 @@
 	return g.allowance.Share * otherFactor
 }
 
-// PlaceRetry decides where a request goes once more after an attempt has failed.
+// PlaceRetry decides where a request goes after a failed attempt.
 func (g *Gate) PlaceRetry(now time.Duration) Placement {
 	switch g.State() {
 	case Promoting:
@@ -159,17 +163,18 @@
 	return OldOnly
 }
 
-// Dispatched counts a request that is being sent for the first time.
+// Dispatched counts a request that is sent for the first time.
 func (g *Gate) Dispatched() { g.total++ }
 
-// TrialRunners is how many of the new runners trials use.
+// TrialRunners returns how many of the new runners may get trial requests.
 func (g *Gate) TrialRunners() int { return g.allowance.Runners }
 
-// Tally is where answers are counted.
+// Tally returns the counters for the answers of both versions.
 func (g *Gate) Tally() Tally { return g.tally }
 
-// Report asks for an allowance. What former reports asked for is void from now on unless it
-// has come. oldInFlight is what the daemon has in progress at old runners.
+// Report returns a report that asks the holder for an allowance. Allowances that answer
+// earlier reports are ignored from now on unless they have already arrived. oldInFlight is
+// the number of the daemon's requests in progress at old runners.
 func (g *Gate) Report(now time.Duration, oldInFlight int) Report {
 	g.ask++
 	g.asked = now
@@ -183,7 +188,7 @@
 	return r
 }
 
-// Allow takes in an allowance.
+// Allow applies an allowance if it answers the latest report.
 func (g *Gate) Allow(a Allowance) {
 	if a.Order != g.order.Revision || a.Ask != g.ask {
 		return
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -5,87 +5,94 @@
 	"time"
 )
 
-// Bounds are the users' figures for orders.
+// Bounds limits the exposure of a service's requests to a bad version.
 type Bounds struct {
-	// Of all requests to the service a bad version may get Share, and Slack more.
+	// A bad version may get the fraction Share of all requests to the service, plus Slack
+	// requests.
 	Share float64
 	Slack float64
 }
 
-// Fleet is what the holder sees of daemons and runners.
+// Fleet describes the daemons and runners of the service as the holder sees them.
 type Fleet struct {
-	// Reporting is the part of the daemons that report.
+	// Reporting is the fraction of the daemons that report.
 	Reporting float64
-	// OldRunners and NewRunners take new requests.
+	// OldRunners and NewRunners count the runners that accept new requests.
 	OldRunners, NewRunners int
 }
 
 const (
-	// usableShare and slackUsed are the parts of the bounds that are given out. The rest is
-	// for a version that turns bad when it gets all requests.
+	// usableShare and usableSlack are the fractions of the bounds that are granted. The rest
+	// is left for a version that turns bad when it gets all requests.
 	usableShare = 0.8
 	usableSlack = 0.6
-	// reserveStep is how many more requests are written down as given out at a time.
+	// reserveStep is the number of requests that are reserved in the record at a time.
 	reserveStep = 40
-	// Trials go on in bursts at the load that the new runners will have. burstShare is the
-	// part of the requests that goes to the new version meanwhile. One begins when as many
-	// requests are free to be given out as it takes in burstFor, at least leastBurst and at
-	// most mostBurst, and ends when under closeAt are.
+	// Trial requests are sent in bursts, so that the new runners are tested at the load they
+	// will have. burstShare is the fraction of the requests that goes to the new version
+	// during a burst. A burst starts when the ungranted budget covers burstDuration, bounded
+	// by minBurst and maxBurst, and ends when the budget falls below burstEndBelow requests.
 	burstShare    = 0.25
 	burstDuration = time.Second
 	minBurst      = 8
 	maxBurst      = 40
 	burstEndBelow = 4
-	// promoteAfter and completeBy are parts of the order's time: when a version of which nothing
-	// bad is known gets all requests, and when the old runners are stopped whatever they do.
+	// promoteAfter and completeBy are fractions of the order's duration. After promoteAfter,
+	// a version that isn't known to be bad may get all requests. At completeBy the old
+	// runners are stopped even if they still serve requests.
 	promoteAfter = 0.65
 	completeBy   = 0.92
-	// propagationTime is how long all daemons need to hear that they should send to the new version.
+	// propagationTime is how long all daemons need to learn that they should send to the new
+	// version.
 	propagationTime = 1500 * time.Millisecond
-	// minAnswersToPromote of the new version, and enoughOfRoute on each route that is judged, are
-	// needed to call it good before the time is over, fewAnswers at all.
+	// The new version is promoted before the deadline only with minAnswersToPromote answers
+	// in all and minAnswersPerRoute on each route that is judged. At the deadline,
+	// minAnswersAtDeadline answers are enough.
 	minAnswersToPromote  = 40
 	minAnswersPerRoute   = 20
 	minAnswersAtDeadline = 8
-	// minRouteShare of the requests are enough for a route to be tried more than others.
+	// minRouteShare is the fraction of all requests that a route needs to be judged and to be
+	// the favoured route.
 	minRouteShare = 0.05
-	// minRunnerRatio of the old runners' number must be there of the new ones.
+	// minRunnerRatio is the minimum ratio of new to old runners for a promotion.
 	minRunnerRatio = 0.75
-	// reportTimeout is how long a daemon may not report until it isn't waited for.
+	// reportTimeout is how long after its last report a daemon is no longer waited for.
 	reportTimeout = 2 * time.Second
 )
 
-// Holder decides on one order. It goes on from the record that a former holder left.
+// Holder decides on one order. It continues from the record that an earlier holder left.
 type Holder struct {
 	bounds     Bounds
 	order      Order
 	record     Record
 	comparison Comparison
-	// daemons by their incarnations.
+	// daemons maps the incarnation of each daemon to its state.
 	daemons map[string]*daemonState
-	// grantedBefore is what had been given out when this holder grantedBefore.
+	// grantedBefore is what earlier holders had reserved when this holder started.
 	grantedBefore int
 	burstOpen     bool
-	// unwritten says that nothing has been written of the order yet.
+	// unwritten is set until the first record of the order has been written.
 	unwritten  bool
 	promotedAt time.Duration
 	fleet      Fleet
-	// badReason is what spoke badReason the new version, in the series that showed it.
+	// badReason and badSeries are the reason for a verdict against the new version and the
+	// series that showed it.
 	badReason Reason
 	badSeries Series
 }
 
-// daemonState is what is known of one daemon.
+// daemonState is what the holder knows of one daemon.
 type daemonState struct {
 	report     Report
 	reportedAt time.Duration
-	// initialCeiling is the ceiling that the daemon had of former holders; ceiling is the present one.
+	// initialCeiling is the ceiling that earlier holders had granted; ceiling is the current one.
 	initialCeiling, ceiling int
-	// perSecond is how many requests it takes.
+	// perSecond is the daemon's rate of requests.
 	perSecond float64
 }
 
-// NewHolder goes on with an order. A record of another order says what to avoid.
+// NewHolder returns a holder that continues an order. If the record found belongs to another
+// order, the new record takes from it the versions to avoid.
 func NewHolder(b Bounds, o Order, found Record, self string, unixMillis int64) *Holder {
 	h := &Holder{bounds: b, order: o, comparison: NewCUSUM(), daemons: map[string]*daemonState{}, promotedAt: -1}
 	if found.Order == o.Revision {
@@ -101,16 +108,16 @@
 	return h
 }
 
-// Record is what has been written, or is to be written first.
+// Record returns the record last written, or the first one to write.
 func (h *Holder) Record() Record { return h.record }
 
-// Unwritten tells whether nothing has been written of the order yet.
+// Unwritten reports whether no record of the order has been written yet.
 func (h *Holder) Unwritten() bool { return h.unwritten }
 
-// SetWritten takes in that a record has been written.
+// SetWritten records that r has been written.
 func (h *Holder) SetWritten(r Record) { h.record, h.unwritten = r, false }
 
-// Sent is how many requests went to the new version while Running, as far as it is known.
+// Sent returns how many requests are known to have gone to the new version while Running.
 func (h *Holder) Sent() int {
 	sent := h.grantedBefore
 	for _, a := range h.daemons {
@@ -119,7 +126,7 @@
 	return sent
 }
 
-// Answers counts the new version's answers.
+// Answers returns the number of the new version's answers and how many of them failed.
 func (h *Holder) Answers() (answers, failed int) {
 	for _, a := range h.daemons {
 		for s, b := range a.report.Tally {
@@ -131,7 +138,8 @@
 	return answers, failed
 }
 
-// HandleReport takes in a daemon's report and answers with its allowance.
+// HandleReport processes a daemon's report and returns the daemon's new allowance. It returns
+// false for an outdated report and for a report on another order.
 func (h *Holder) HandleReport(now time.Duration, daemon string, r Report) (Allowance, bool) {
 	if r.Order != h.order.Revision {
 		return Allowance{}, false
@@ -153,7 +161,7 @@
 	return h.grant(a), true
 }
 
-// compare hands the judge what is new in a report.
+// compare passes the answers that are new in a report to the comparison.
 func (h *Holder) compare(a *daemonState, r *Report) {
 	for s, b := range r.Tally {
 		before := a.report.Tally[s]
@@ -165,7 +173,7 @@
 	}
 }
 
-// granted is how much has been granted out at the most.
+// granted returns the most requests that have been granted, those of earlier holders included.
 func (h *Holder) granted() int {
 	sum := h.grantedBefore
 	for _, a := range h.daemons {
@@ -174,7 +182,7 @@
 	return sum
 }
 
-// grantLimit is how much may be given out by the requests that are known of.
+// grantLimit returns how many requests may be granted in all, given the total reported so far.
 func (h *Holder) grantLimit() int {
 	total := 0
 	for _, a := range h.daemons {
@@ -183,7 +191,7 @@
 	return int(usableShare*h.bounds.Share*float64(total) + usableSlack*h.bounds.Slack)
 }
 
-// burstSize is how many requests must be free for a burstSize of trials to begin.
+// burstSize returns how many requests must be available to grant for a burst to start.
 func (h *Holder) burstSize() int {
 	perSecond := 0.0
 	for _, a := range h.daemons {
@@ -192,7 +200,7 @@
 	return min(max(int(burstShare*perSecond*burstDuration.Seconds()), minBurst), maxBurst)
 }
 
-// grant raises a daemon's ceiling by what it will need until it asks again.
+// grant raises a daemon's ceiling by what the daemon needs until its next report.
 func (h *Holder) grant(a *daemonState) Allowance {
 	answer := Allowance{Order: h.order.Revision, Ask: a.report.Ask, Ceiling: a.ceiling}
 	free := min(h.grantLimit(), h.record.Reserved) - h.granted()
@@ -222,8 +230,8 @@
 	return answer
 }
 
-// bad tells whether the new version was ever seen to be bad. Daemons were told to stop then,
-// so later answers don't change it.
+// bad reports whether the new version has ever been found bad. The result is kept, because
+// daemons stop sending to the new version then and later answers must not change the verdict.
 func (h *Holder) bad() bool {
 	if h.badReason != "" {
 		return true
@@ -235,8 +243,8 @@
 	return bad
 }
 
-// leastTestedRoute is the route that has the fewest answers of the new version, of those that are
-// asked for often enough to be judged, with their number.
+// leastTestedRoute returns the route with the fewest answers of the new version among those
+// with enough requests to be judged, and the number of these answers.
 func (h *Holder) leastTestedRoute() (route string, answers int) {
 	type known struct{ old, fresh int }
 	routes, total := map[string]known{}, 0
@@ -259,7 +267,7 @@
 	return least, fewest
 }
 
-// Tick returns the record as it should be now; the same as Record if there is nothing to do.
+// Tick returns the record as it should be now. It equals Record if there is nothing to write.
 func (h *Holder) Tick(now time.Duration, unixMillis int64, self string, f Fleet) Record {
 	h.fleet = f
 	defer h.comparison.Decay(now)
@@ -322,7 +330,7 @@
 	return r
 }
 
-// elapsedShare is the part of the order's time that is over.
+// elapsedShare returns the fraction of the order's duration that has passed.
 func (h *Holder) elapsedShare(unixMillis int64) float64 {
 	if h.order.Duration <= 0 {
 		return 1
@@ -331,7 +339,7 @@
 	return 1 - float64(left)/float64(h.order.Duration)
 }
 
-// propagationShare is the time that all daemons need to hear of a step, as a part of the order's.
+// propagationShare returns propagationTime as a fraction of the order's duration.
 func (h *Holder) propagationShare() float64 {
 	if h.order.Duration <= 0 {
 		return 0
@@ -339,8 +347,8 @@
 	return min(completeBy-promoteAfter, float64(propagationTime)/float64(h.order.Duration))
 }
 
-// oldRunnersIdle tells whether all daemons that report go by the present state and have nothing in
-// progress at old runners.
+// oldRunnersIdle reports whether all daemons that still report know the current state and have
+// no requests in progress at old runners.
 func (h *Holder) oldRunnersIdle(now time.Duration) bool {
 	for _, a := range h.daemons {
 		if now-a.reportedAt < reportTimeout && (a.report.KnownState != Promoting || a.report.OldInFlight > 0) {
--- a/coordination/canary/order.go
+++ b/coordination/canary/order.go
@@ -6,62 +6,62 @@
 	"time"
 )
 
-// Version names the software that a runner runs.
+// Version identifies the software that a runner executes.
 type Version string
 
-// Order is the operator's wish to move a service to a version.
+// Order is an operator's request to move a service to a version.
 type Order struct {
 	Service string
 	Target  Version
-	// Duration is the time in which the order should be decided.
+	// Duration is the time within which the order should be decided.
 	Duration time.Duration
-	// Revision is that of the order in the key-value service. It tells orders apart.
+	// Revision is the revision of the order in the key-value service. It identifies the order.
 	Revision uint64
 }
 
-// State is how far an order is.
+// State is the progress of an order.
 type State string
 
-// States of an order. The last two are final.
+// States of an order. Completed and RolledBack are final.
 const (
-	// Running compares the versions; the new one gets what allowances let through.
+	// Running compares the versions; the new one gets the requests that allowances permit.
 	Running State = "running"
-	// Promoting sends all new requests to the new version, until the old runners are idle.
+	// Promoting sends all new requests to the new version until the old runners are idle.
 	Promoting State = "promoting"
-	// Completed ones have the old runners stopped, at once and with what they are doing.
+	// Completed stops the old runners at once, including requests in progress there.
 	Completed State = "completed"
-	// RolledBack ones have the new runners drained and stopped.
+	// RolledBack drains and stops the new runners.
 	RolledBack State = "rolled_back"
 )
 
-// Final tells whether the order is decided.
+// Final reports whether the order is decided.
 func (s State) Final() bool { return s == Completed || s == RolledBack }
 
-// Record is what is known of an order in the key-value service.
+// Record is the stored state of an order in the key-value service.
 type Record struct {
 	Service string  `json:"service"`
 	Target  Version `json:"target"`
 	// Order is the revision of the order.
 	Order uint64 `json:"order"`
 	State State  `json:"state"`
-	// Reserved bounds the requests that were let to the new version while Running.
+	// Reserved bounds the number of requests that may go to the new version while Running.
 	Reserved int `json:"reserved"`
-	// Holder is the peer address of the daemon that gives out allowances.
+	// Holder is the peer address of the daemon that grants allowances.
 	Holder string `json:"holder"`
 	// DeadlineMillis is when the order should be decided, as Unix time.
 	DeadlineMillis int64 `json:"deadline_unix_ms"`
-	// Avoid are versions of earlier orders that were not completed.
+	// Avoid lists the versions of earlier orders that were not completed.
 	Avoid []Version `json:"avoid,omitempty"`
-	// Reason says what the last step rests on.
+	// Reason is the reason for the last step.
 	Reason Reason `json:"reason"`
-	// Route is the one whose answers decided; empty is none.
+	// Route is the route whose answers decided; empty if none did.
 	Route string `json:"route,omitempty"`
 }
 
-// Reason is what a step of an order rests on.
+// Reason is the reason for a step of an order.
 type Reason string
 
-// Reasons.
+// Values of Reason.
 const (
 	Ordered       Reason = "ordered"
 	TookOver      Reason = "new_holder"
@@ -76,14 +76,14 @@
 	TooFewAnswers Reason = "too_few_answers"
 )
 
-// Equal tells whether two records say the same.
+// Equal reports whether two records have the same content.
 func (r Record) Equal(other Record) bool {
 	avoid := slices.Equal(r.Avoid, other.Avoid)
 	r.Avoid, other.Avoid = nil, nil
 	return avoid && reflect.DeepEqual(r, other)
 }
 
-// versionsToAvoid are the versions to avoid once a newer order stands, beside the newer target.
+// versionsToAvoid returns the versions to avoid after a newer order, in addition to its target.
 func (r *Record) versionsToAvoid(target Version) []Version {
 	avoid := slices.Clone(r.Avoid)
 	if r.State != Completed && r.Target != "" {
--- a/coordination/canary/series.go
+++ b/coordination/canary/series.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Buckets of times, four an octave from a tenth of a millisecond on; the last one takes all
-// that is longer.
+// The histogram of durations has four buckets per octave, starting at a tenth of a
+// millisecond. The last bucket takes all longer durations.
 const (
 	timeBuckets      = 80
 	bucketsPerOctave = 4
 	firstBucketEnd   = 100 * time.Microsecond
 )
 
-// Counts are the answers of one version to one series of requests.
+// Counts holds the answers of one version in one series.
 type Counts struct {
-	// Answers of all kinds, of which Failed were none that a caller could use.
+	// Answers counts all answers. Failed counts those that a caller could not use.
 	Answers, Failed int
-	// Times are the whole answers by how long they took.
+	// Times is the histogram of the durations of complete answers.
 	Times [timeBuckets]int
 }
 
-// CountAnswer counts a whole answer.
+// CountAnswer counts a complete answer.
 func (c *Counts) CountAnswer(d time.Duration) {
 	c.Answers++
 	c.Times[bucketOf(d)]++
 }
 
-// CountFailure counts a failure.
+// CountFailure counts a failed answer.
 func (c *Counts) CountFailure() {
 	c.Answers++
 	c.Failed++
@@ -40,7 +40,7 @@
 	return min(timeBuckets-1, int(bucketsPerOctave*math.Log2(float64(d)/float64(firstBucketEnd))))
 }
 
-// minus is what came after a former state.
+// minus returns what was added since an earlier state.
 func (c *Counts) minus(earlier *Counts) Counts {
 	d := Counts{Answers: max(0, c.Answers-earlier.Answers), Failed: max(0, c.Failed-earlier.Failed)}
 	for i := range c.Times {
@@ -49,21 +49,21 @@
 	return d
 }
 
-// Series names answers that are compared with each other: a route's, by one measure.
+// Series identifies answers that are compared with each other: one measure of one route.
 type Series struct {
 	Route string
-	// Pace says that the times are those between the events of a stream, not up to the
-	// whole answer or the first event.
+	// Pace says that the durations are those between the events of a stream. Otherwise they
+	// run up to the complete answer or up to the first event.
 	Pace bool
 }
 
-// Tally is what one daemon has counted of an order, from its beginning on.
+// Tally holds what one daemon has counted since the beginning of an order.
 type Tally map[Series]*VersionCounts
 
-// VersionCounts are the answers of both versions.
+// VersionCounts holds the answers of both versions.
 type VersionCounts struct{ Old, New Counts }
 
-// Of returns the counts of a version in a series.
+// Of returns the counters of one version in a series.
 func (t Tally) Of(s Series, isNew bool) *Counts {
 	b, ok := t[s]
 	if !ok {
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -10,24 +10,25 @@
 	"geraniumstack.org/geraniumstack/coordination/canary"
 )
 
-// requestKind is a requestKind of requests to the service that is played.
+// requestKind is a kind of requests to the simulated service.
 type requestKind struct {
 	route     string
 	perSecond float64
 	fails     float64
 }
 
-// version is how a version's runners answer.
+// version describes how the runners of a version answer.
 type version struct {
-	// fails and slow are the shares of answers that fail, or take times as long, from a time
-	// on, on one route (empty is all) and from a number of requests at once at a runner on.
+	// fails and slow are the shares of answers that fail or take longer by the factor times.
+	// They apply from the time from on, to one route (empty means all routes), and to runners
+	// with at least load requests in progress.
 	fails, slow, times float64
 	from               time.Duration
 	route              string
 	load               int
 }
 
-// simulation is one order of a service, from request to request: its daemons, runners and messages.
+// simulation runs one order of a service, with its daemons, runners, requests and messages.
 type simulation struct {
 	rng         *rand.Rand
 	kinds       []requestKind
@@ -38,9 +39,9 @@
 	duration    time.Duration
 	bad         version
 	messageLoss float64
-	// holderEnds are when the holder ends and another daemon takes over.
+	// holderEnds are the times at which another daemon takes over as the holder.
 	holderEnds []time.Duration
-	// daemonEnds is the share of the daemons that start anew in each second.
+	// daemonEnds is the share of the daemons that restart per second.
 	daemonEnds float64
 	compare    func() canary.Comparison
 
@@ -49,7 +50,7 @@
 	oldInFlight  map[*canary.Gate]int
 	incarnations []int
 	holder       *canary.Holder
-	// previousHolder is a holder that doesn't know yet that its time is over.
+	// previousHolder is a holder that does not know yet that it has been replaced.
 	previousHolder *canary.Holder
 	previousEnds   time.Duration
 	holders        int
@@ -69,7 +70,7 @@
 
 type backend struct{ free []time.Duration }
 
-// inFlight is the requests at the runner.
+// inFlight returns the number of requests in progress at the runner.
 func (b *backend) inFlight(now time.Duration) int {
 	n := 0
 	for _, at := range b.free {
@@ -94,7 +95,7 @@
 	reportEvery = 250 * time.Millisecond
 	holderEvery = 200 * time.Millisecond
 	meanWork    = 60 * time.Millisecond
-	// leaseLeft is how long a former holder may go on giving out allowances.
+	// leaseLeft is how long a replaced holder may go on granting allowances.
 	leaseLeft  = 2 * time.Second
 	workSpread = 0.5
 	slack      = 50
@@ -154,7 +155,7 @@
 
 func (p *simulation) self() string { return fmt.Sprint("holder-", p.holders) }
 
-// replaceHoldersAndDaemons ends holders and daemons.
+// replaceHoldersAndDaemons replaces the holder and restarts daemons when their time has come.
 func (p *simulation) replaceHoldersAndDaemons() {
 	if len(p.holderEnds) > 0 && p.now >= p.holderEnds[0] {
 		p.holderEnds = p.holderEnds[1:]
@@ -185,7 +186,7 @@
 	return n
 }
 
-// serve sends one request where its daemon's gate lets it go.
+// serve sends one request to the version that the gate of a random daemon chooses.
 func (p *simulation) serve(k requestKind) {
 	gate := p.gates[p.rng.IntN(len(p.gates))]
 	if p.now <= p.duration {
@@ -226,7 +227,7 @@
 	p.pendingAnswer = append(p.pendingAnswer, pendingAnswer{b.free[slot], gate, canary.Series{Route: k.route}, isNew, b.free[slot] - p.now, failed})
 }
 
-// countNewVersionRequest counts a request that the new version got.
+// countNewVersionRequest counts a request that went to the new version.
 func (p *simulation) countNewVersionRequest(failed bool) {
 	if p.now <= p.duration {
 		p.exposed++
@@ -258,7 +259,7 @@
 	})
 }
 
-// sendReports has the daemons report, each in its turn.
+// sendReports lets each daemon report to the holder once per reportEvery.
 func (p *simulation) sendReports() {
 	turn := int(p.now/tick) % int(reportEvery/tick)
 	for i, g := range p.gates {
--- a/coordination/canary/steps_test.go
+++ b/coordination/canary/steps_test.go
@@ -6,8 +6,8 @@
 	"geraniumstack.org/geraniumstack/coordination/canary"
 )
 
-// fixedSteps is another way to compare: fixed fixedSteps of so many answers a series, each judged by
-// thresholds on its own. It is measured beside the one that the holder uses.
+// fixedSteps is an alternative Comparison that the tests measure against CUSUM. It judges
+// each batch of a fixed number of answers per series on its own by thresholds.
 type fixedSteps struct {
 	size   int
 	series map[canary.Series]*seriesStep
@@ -54,8 +54,8 @@
 
 func failureRate(c *canary.Counts) float64 { return float64(c.Failed) / float64(max(1, c.Answers)) }
 
-// slowShare is the part of a version's answers that take over twice as long as nine tenths of
-// the old one's.
+// slowShare returns the fraction of a version's answers that take more than twice as long as
+// the 90th percentile of the old version.
 func slowShare(c, old *canary.Counts) float64 {
 	limit, above := len(old.Times), 0
 	for limit > 0 && (above+old.Times[limit-1])*10 <= old.Answers {
