--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -13,34 +13,37 @@
 )
 
 type record struct {
-	id        actionkey.ID
-	bodyHash  string
-	state     State
-	expires   time.Time
-	journaled bool // the token's promise
-	durable   bool
-	policy    manifest.OutagePolicy
-	// call is dropped once it has been dispatched.
-	call    *call.ServiceCall
-	result  Result
-	notKept bool
-	bytes   int
-	waiters []Waiter
-}
-
-// Owner is the table of the actions that one incarnation alone may dispatch.
-// It is not safe for concurrent use.
+	id       actionkey.ID
+	bodyHash string
+	state    State
+	expires  time.Time
+	// journalPromised is set if the token promises that the action is journaled
+	// before it is dispatched.
+	journalPromised bool
+	// durable is set once the journal holds the intent.
+	durable bool
+	policy  manifest.OutagePolicy
+	// call is set to nil once the action has been dispatched or settled.
+	call          *call.ServiceCall
+	result        Result
+	answerDropped bool
+	bytes         int
+	waiters       []Waiter
+}
+
+// Owner holds the table of actions that only one daemon incarnation may
+// dispatch. It is not safe for concurrent use.
 type Owner struct {
 	cfg     Config
 	writer  *journal.Writer
 	records map[actionkey.ID]*record
 	expiry  expiryQueue
-	// received lists actions that wait for the journal, oldest first.
+	// received lists the actions that wait for the journal, oldest first.
 	received   []*record
 	dispatched int
 	bytes      int
 	tombstones tombstones
-	closing    bool
+	draining   bool
 	ended      bool
 	effects    []Effect
 }
@@ -55,11 +58,12 @@
 	}
 }
 
-// Incarnation names the owner.
+// Incarnation returns the daemon incarnation that owns the actions.
 func (o *Owner) Incarnation() ident.Incarnation { return o.cfg.Owner }
 
-// Token returns a token of this owner. While the journal can't be written it
-// doesn't promise that its keys are journaled before they are dispatched.
+// Token issues a token from which callers make keys for this owner. While the
+// journal can't be written, the token doesn't promise that actions are journaled
+// before they are dispatched.
 func (o *Owner) Token(now time.Time) actionkey.Token {
 	return actionkey.Token{
 		Owner:     o.cfg.Owner,
@@ -69,22 +73,24 @@
 	}
 }
 
-// Ended tells whether the owner dispatches nothing any more.
+// Ended reports whether the owner has stopped dispatching for good.
 func (o *Owner) Ended() bool { return o.ended }
 
-// Busy tells how many actions are dispatched without a result.
-func (o *Owner) Busy() int { return o.dispatched }
+// DispatchedCount returns the number of dispatched actions whose result is not
+// known yet.
+func (o *Owner) DispatchedCount() int { return o.dispatched }
 
-// Len tells how many actions the table holds.
+// Len returns the number of actions in the table.
 func (o *Owner) Len() int { return len(o.records) }
 
-// Submit takes a caller's request in.
+// Submit accepts a request, attaches it to the action that already has its key,
+// or refuses it.
 func (o *Owner) Submit(now time.Time, r Request) []Effect {
 	if rec, ok := o.records[r.ID]; ok {
-		o.join(rec, r)
+		o.attachDuplicate(rec, r)
 		return o.flush(now)
 	}
-	if refused := o.refuse(now, r); refused != nil {
+	if refused := o.refusalForNewKey(now, r); refused != nil {
 		o.reply(r.Waiter, Result{Refusal: refused})
 		return o.flush(now)
 	}
@@ -92,25 +98,28 @@
 	return o.flush(now)
 }
 
-// join attaches a duplicate to the one execution.
-func (o *Owner) join(rec *record, r Request) {
+// attachDuplicate handles a request whose key is already in the table: it
+// replies with the final result or waits for the running execution.
+func (o *Owner) attachDuplicate(rec *record, r Request) {
 	if rec.bodyHash != r.BodyHash {
-		// Unknown, not "no": its caller may take it for a repetition of the
-		// call that holds the key, and that one may have run.
+		// The reply must not say "not executed": the caller may regard this
+		// request as a repetition of the call that holds the key, and that
+		// call may have run.
 		o.reply(r.Waiter, Result{Refusal: refusal.New(refusal.KeyReused,
 			"another call holds this key; use a new suffix").Unknown()})
 		return
 	}
 	if rec.state.final() {
-		o.reply(r.Waiter, rec.kept())
+		o.reply(r.Waiter, rec.retainedResult())
 		return
 	}
 	rec.waiters = append(rec.waiters, r.Waiter)
 }
 
-// kept is the result as far as it was kept.
-func (r *record) kept() Result {
-	if r.notKept {
+// retainedResult returns the stored result. If the answer was too large to
+// store, it returns a refusal that says that the action was executed.
+func (r *record) retainedResult() Result {
+	if r.answerDropped {
 		refused := refusal.New(refusal.AnswerNotKept, "it ran; its answer was too large to keep")
 		refused.Executed = refusal.ExecutedYes
 		return Result{Refusal: refused}
@@ -118,11 +127,12 @@
 	return r.result
 }
 
-// refuse returns why a key that is not in the table can't be accepted, or nil.
-// Whatever is refused with executed "no" is remembered or can never be
-// accepted later: a copy of the same request may still be under way through
-// another gateway, and it must not run after this one's caller was told "no".
-func (o *Owner) refuse(now time.Time, r Request) *refusal.Refusal {
+// refusalForNewKey returns the refusal of a key that is not in the table, or nil
+// if the key can be accepted. A key refused as "not executed" must either be
+// remembered or never become acceptable later: a copy of the same request may
+// still arrive through another gateway, and that copy must not run after a
+// caller was told that the action was not executed.
+func (o *Owner) refusalForNewKey(now time.Time, r Request) *refusal.Refusal {
 	key, err := actionkey.Parse(r.ID.Key)
 	if err != nil {
 		return refusal.New(refusal.KeyMalformed, "%v", err)
@@ -131,42 +141,44 @@
 		return refusal.New(refusal.OwnerGone, "not the key's owner").Unknown()
 	}
 	if key.Issued.After(now) || key.Lifetime > o.cfg.TokenLifetime {
-		// Not "no": time could make the same key good.
+		// The refusal must not say "not executed": the same key may become
+		// valid later, for example when a clock that runs behind catches up.
 		return refusal.New(refusal.KeyMalformed, "token was not issued here").Unknown()
 	}
 	if !now.Before(key.Expires()) {
-		return o.refuseExpired()
+		return o.expiredRefusal()
 	}
 	if o.tombstones.has(r.ID) {
-		return refusal.New(refusal.ActionTableFull, "refused before").After(shortRetry)
+		return refusal.New(refusal.ActionTableFull, "refused before").After(newKeyRetryAfter)
 	}
-	if o.full(r) {
-		return o.refuseFull(r.ID, key)
+	if o.atCapacity(r) {
+		return o.tableFullRefusal(r.ID, key)
 	}
 	return nil
 }
 
-// refuseExpired doesn't say "no": an expired key's record may have been
-// dropped after the action ran.
-func (o *Owner) refuseExpired() *refusal.Refusal {
+// expiredRefusal leaves open whether the action ran: the record of an expired
+// key may have been dropped after its action ran.
+func (o *Owner) expiredRefusal() *refusal.Refusal {
 	expired := refusal.New(refusal.KeyExpired, "key is over; nothing is known of it")
-	if o.cfg.Fault == FaultExpiredNo {
+	if o.cfg.Fault == FaultExpiredNotExecuted {
 		return expired
 	}
 	return expired.Unknown()
 }
 
-func (o *Owner) full(r Request) bool {
+func (o *Owner) atCapacity(r Request) bool {
 	return len(o.records) >= o.cfg.MaxRecords ||
 		o.bytes+len(r.Call.Body)+o.cfg.AnswerReserve > o.cfg.MaxBytes
 }
 
-// shortRetry is when a caller may come back with a new key.
-const shortRetry = time.Second
+// newKeyRetryAfter is how long a refused caller should wait before it submits
+// the call again with a new key.
+const newKeyRetryAfter = time.Second
 
-func (o *Owner) refuseFull(id actionkey.ID, key actionkey.Key) *refusal.Refusal {
-	refused := refusal.New(refusal.ActionTableFull, "too many actions").After(shortRetry)
-	if o.cfg.Fault == FaultForgetRefused || o.tombstones.add(id, key.Expires()) {
+func (o *Owner) tableFullRefusal(id actionkey.ID, key actionkey.Key) *refusal.Refusal {
+	refused := refusal.New(refusal.ActionTableFull, "too many actions").After(newKeyRetryAfter)
+	if o.cfg.Fault == FaultNoTombstones || o.tombstones.add(id, key.Expires()) {
 		return refused
 	}
 	return refused.Unknown()
@@ -175,66 +187,67 @@
 func (o *Owner) accept(r Request) {
 	key, err := actionkey.Parse(r.ID.Key)
 	if err != nil {
-		return // refuse has looked at it
+		return // can't happen: refusalForNewKey has parsed the same key
 	}
 	rec := &record{
-		id:        r.ID,
-		bodyHash:  r.BodyHash,
-		state:     Received,
-		expires:   key.Expires(),
-		journaled: key.Journaled,
-		policy:    r.Policy,
-		call:      &r.Call,
-		bytes:     len(r.Call.Body) + o.cfg.AnswerReserve,
-		waiters:   []Waiter{r.Waiter},
+		id:              r.ID,
+		bodyHash:        r.BodyHash,
+		state:           Received,
+		expires:         key.Expires(),
+		journalPromised: key.Journaled,
+		policy:          r.Policy,
+		call:            &r.Call,
+		bytes:           len(r.Call.Body) + o.cfg.AnswerReserve,
+		waiters:         []Waiter{r.Waiter},
 	}
 	o.bytes += rec.bytes
 	o.records[r.ID] = rec
-	heap.Push(&o.expiry, expiring{rec: rec, at: rec.expires.Add(o.cfg.Grace).UnixMilli()})
-	if refused := o.inadmissible(r); refused != nil {
+	heap.Push(&o.expiry, expiryEntry{rec: rec, at: rec.expires.Add(o.cfg.Grace).UnixMilli()})
+	if refused := o.admissionRefusal(r); refused != nil {
 		o.settle(rec, NotExecuted, Result{Refusal: refused})
 		return
 	}
 	o.received = append(o.received, rec)
 	o.writer.Intend(journal.Intent{ID: rec.id, BodyHash: rec.bodyHash})
-	if o.cfg.Fault == FaultDispatchFirst {
+	if o.cfg.Fault == FaultDispatchBeforeJournal {
 		o.dispatch(rec)
 	}
 }
 
-func (o *Owner) inadmissible(r Request) *refusal.Refusal {
+func (o *Owner) admissionRefusal(r Request) *refusal.Refusal {
 	switch {
 	case r.Inadmissible != nil:
 		return r.Inadmissible
 	case o.ended:
-		return refusal.New(refusal.OwnerGone, "owner has ended; take a new token").After(shortRetry)
-	case o.closing:
-		return refusal.New(refusal.Draining, "VM is leaving; take a new token").After(shortRetry)
+		return refusal.New(refusal.OwnerGone, "owner has ended; take a new token").After(newKeyRetryAfter)
+	case o.draining:
+		return refusal.New(refusal.Draining, "VM is leaving; take a new token").After(newKeyRetryAfter)
 	}
 	return nil
 }
 
-// Finished takes the end of a dispatch in.
+// Finished processes the result of a Dispatch effect.
 func (o *Owner) Finished(now time.Time, id actionkey.ID, r Result) []Effect {
 	rec, ok := o.records[id]
 	if !ok || rec.state != Dispatched {
 		return nil
 	}
 	o.dispatched--
-	o.settle(rec, stateOf(r), r)
-	o.writer.Record(now, outcomeOf(rec))
-	o.keep(rec)
+	o.settle(rec, stateForResult(r), r)
+	o.writer.Record(now, journalOutcome(rec))
+	o.retainAnswer(rec)
 	return o.flush(now)
 }
 
-// Abandon ends the wait of a caller. An action that was not dispatched and
-// that nobody else waits for never runs.
-func (o *Owner) Abandon(now time.Time, id actionkey.ID, w Waiter) []Effect {
+// AbandonWait ends the wait of a caller whose deadline has passed. An action
+// that has not been dispatched and has no other waiter is settled as not
+// executed.
+func (o *Owner) AbandonWait(now time.Time, id actionkey.ID, w Waiter) []Effect {
 	rec, ok := o.records[id]
 	if !ok || rec.state.final() {
 		return nil
 	}
-	rec.drop(w)
+	rec.removeWaiter(w)
 	if rec.state != Received || len(rec.waiters) > 0 {
 		o.reply(w, Result{Refusal: refusal.New(refusal.DeadlineExceeded,
 			"still in progress; ask for its outcome").Unknown()})
@@ -246,7 +259,7 @@
 	return o.flush(now)
 }
 
-func (r *record) drop(w Waiter) {
+func (r *record) removeWaiter(w Waiter) {
 	for i := range r.waiters {
 		if r.waiters[i] == w {
 			r.waiters = append(r.waiters[:i], r.waiters[i+1:]...)
@@ -255,92 +268,95 @@
 	}
 }
 
-// Ask tells what is known of an action, without running it.
-func (o *Owner) Ask(id actionkey.ID) (r Result, pending bool) {
+// Lookup returns what is known about an action without running it. If pending is
+// true, the action has no result yet.
+func (o *Owner) Lookup(id actionkey.ID) (r Result, pending bool) {
 	if rec, ok := o.records[id]; ok {
-		return rec.kept(), !rec.state.final()
+		return rec.retainedResult(), !rec.state.final()
 	}
 	if o.tombstones.has(id) {
 		return Result{Refusal: refusal.New(refusal.ActionTableFull, "refused before")}, false
 	}
-	// A key that is not in the table may still be on its way here.
+	// The result must not say "not executed": a request with this key may still
+	// arrive.
 	return Result{Refusal: refusal.New(refusal.UnknownRequest, "nothing is known of this key").Unknown()}, false
 }
 
-// Written takes the result of a journal write in.
+// Written processes the result of a Write effect.
 func (o *Owner) Written(now time.Time, w journal.Written) []Effect {
 	progress := o.writer.Done(now, w)
 	for _, id := range progress.Durable {
 		if rec, ok := o.records[id]; ok {
 			rec.durable = true
-			o.dispatchDurable(now, rec)
+			o.dispatchUnlessExpired(now, rec)
 		}
 	}
 	if progress.Sealed {
-		o.end()
+		o.markEnded()
 	}
-	o.compact()
+	o.pruneReceived()
 	return o.flush(now)
 }
 
-// Tick lets time pass.
+// Tick drops expired records and performs other work that has become due.
 func (o *Owner) Tick(now time.Time) []Effect {
 	o.expire(now)
 	return o.flush(now)
 }
 
-// Close stops the acceptance of new actions. End follows when Busy is zero or
-// time is short.
-func (o *Owner) Close() { o.closing = true }
+// StopAccepting makes the owner refuse new actions. The caller should call End
+// once DispatchedCount is zero or little time is left.
+func (o *Owner) StopAccepting() { o.draining = true }
 
-// End seals the log, naming the successor that will get the table; Ended
-// follows when the seal stands.
+// End starts to seal the journal with the name of the successor that will
+// receive the table. The Ended effect follows once the seal has been written.
 func (o *Owner) End(now time.Time, successor ident.Incarnation) []Effect {
-	o.closing = true
+	o.draining = true
 	o.writer.End(successor)
 	return o.flush(now)
 }
 
-// Due returns when Tick is to be called next; zero is never.
+// Due returns when Tick must be called next. The zero time means never.
 func (o *Owner) Due(now time.Time) time.Time {
 	due := o.writer.Due(now)
 	if len(o.received) > 0 && !o.writer.Unavailable(now) {
-		due = earlier(due, o.writer.UnavailableAt())
+		due = earliest(due, o.writer.UnavailableAt())
 	}
 	if len(o.expiry) > 0 {
-		due = earlier(due, time.UnixMilli(o.expiry[0].at))
+		due = earliest(due, time.UnixMilli(o.expiry[0].at))
 	}
 	return due
 }
 
-func earlier(a, b time.Time) time.Time {
+func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// Quit ends the owner without its seal, when the service is down or time is
-// over: it dispatches nothing any more.
-func (o *Owner) Quit(now time.Time) []Effect {
-	o.end()
+// EndUnsealed stops the owner for good without a seal in the journal, for use
+// when the key-value service is down or no time is left.
+func (o *Owner) EndUnsealed(now time.Time) []Effect {
+	o.markEnded()
 	return o.flush(now)
 }
 
-// Detach drops a waiter that asks again later; the action goes on.
-func (o *Owner) Detach(id actionkey.ID, w Waiter) {
+// DetachWaiter removes a waiter that will ask again later. The action continues.
+func (o *Owner) DetachWaiter(id actionkey.ID, w Waiter) {
 	if rec, ok := o.records[id]; ok {
-		rec.drop(w)
+		rec.removeWaiter(w)
 	}
 }
 
-// Unavailable tells whether the journal can't be written for the time being.
+// Unavailable reports whether the journal currently can't be written.
 func (o *Owner) Unavailable(now time.Time) bool { return o.writer.Unavailable(now) }
 
-// flush applies the outage policies, then hands out the effects.
+// flush applies the outage policies if the journal is unavailable, collects due
+// journal operations, and returns all pending effects.
 func (o *Owner) flush(now time.Time) []Effect {
 	if !o.ended && o.writer.Unavailable(now) {
-		o.serveWithoutJournal(now)
+		o.applyOutagePolicies(now)
 	}
 	if write, ok := o.writer.Flush(now); ok {
 		o.effects = append(o.effects, &Write{write})
@@ -353,33 +369,35 @@
 	return effects
 }
 
-// serveWithoutJournal ends the wait of every received action while the
-// journal can't be written. What carries the token's promise never runs
-// unjournaled: a gateway that seals the log would tell its caller "no". If the
-// entry in flight takes effect after all, its keys are intents without an
-// outcome, and the gateway says "unknown".
-func (o *Owner) serveWithoutJournal(now time.Time) {
+// applyOutagePolicies dispatches or refuses every received action while the
+// journal can't be written. An action whose token promises journaling is never
+// dispatched unjournaled: a gateway that seals the journal would find no intent
+// and answer "not executed". If the journal write in flight takes effect after
+// all, its keys become intents without an outcome, and such a gateway answers
+// "unknown".
+func (o *Owner) applyOutagePolicies(now time.Time) {
 	for _, rec := range o.received {
 		if rec.state != Received {
 			continue
 		}
-		promised := rec.journaled && o.cfg.Fault != FaultBreakPromise
+		promised := rec.journalPromised && o.cfg.Fault != FaultUnjournaledPromise
 		if rec.policy == manifest.OutageRun && !promised {
 			o.dispatch(rec)
 			continue
 		}
 		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.JournalUnavailable,
-			"journal is unavailable; take a new token").After(shortRetry)})
+			"journal is unavailable; take a new token").After(newKeyRetryAfter)})
 	}
 	clear(o.received)
 	o.received = o.received[:0]
 	o.writer.Withdraw()
 }
 
-// dispatchDurable doesn't dispatch an expired key. The seal that would have kept
-// it out of the log may have been collected while this owner was paused, and
-// the key's caller been told "not executed".
-func (o *Owner) dispatchDurable(now time.Time, rec *record) {
+// dispatchUnlessExpired dispatches a journaled action unless its key has expired.
+// If this owner was paused, another gateway may have sealed the journal, told
+// the caller "not executed", and then deleted the seal that would have made this
+// owner's journal write fail.
+func (o *Owner) dispatchUnlessExpired(now time.Time, rec *record) {
 	if rec.state == Received && !now.Before(rec.expires) {
 		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.KeyExpired, "key was over before its dispatch")})
 		return
@@ -394,10 +412,10 @@
 	rec.state = Dispatched
 	o.dispatched++
 	o.effects = append(o.effects, &Dispatch{ID: rec.id, Call: *rec.call, Journaled: rec.durable})
-	o.dropCall(rec)
+	o.releaseCall(rec)
 }
 
-func (o *Owner) dropCall(rec *record) {
+func (o *Owner) releaseCall(rec *record) {
 	if rec.call == nil {
 		return
 	}
@@ -406,8 +424,9 @@
 	rec.call = nil
 }
 
-// end settles what was not dispatched: nobody else can dispatch it.
-func (o *Owner) end() {
+// markEnded stops the owner and settles every action that has not been
+// dispatched as not executed, since no other daemon can dispatch it.
+func (o *Owner) markEnded() {
 	if o.ended {
 		return
 	}
@@ -415,7 +434,7 @@
 	for _, rec := range o.received {
 		if rec.state == Received {
 			o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.OwnerGone,
-				"owner was sealed; take a new token").After(shortRetry)})
+				"owner was sealed; take a new token").After(newKeyRetryAfter)})
 		}
 	}
 	o.received = nil
@@ -429,15 +448,16 @@
 		o.reply(w, r)
 	}
 	rec.waiters = nil
-	o.dropCall(rec)
+	o.releaseCall(rec)
 }
 
-// keep accounts for the answer, or drops one over the reserve.
-func (o *Owner) keep(rec *record) {
+// retainAnswer accounts for the size of the answer. An answer over AnswerReserve
+// is dropped if it would exceed MaxBytes.
+func (o *Owner) retainAnswer(rec *record) {
 	size := answerSize(rec.result.Answer)
 	if size > o.cfg.AnswerReserve && o.bytes+size-rec.bytes > o.cfg.MaxBytes {
 		rec.result = Result{}
-		rec.notKept = true
+		rec.answerDropped = true
 		size = 0
 	}
 	o.bytes += size - rec.bytes
@@ -448,8 +468,9 @@
 	o.effects = append(o.effects, &Reply{Waiter: w, Result: r})
 }
 
-// compact drops what no longer waits for the journal from the list.
-func (o *Owner) compact() {
+// pruneReceived removes the actions that no longer wait for the journal from the
+// received list.
+func (o *Owner) pruneReceived() {
 	waiting := o.received[:0]
 	for _, rec := range o.received {
 		if rec.state == Received {
@@ -464,9 +485,9 @@
 	o.tombstones.expire(now)
 	ms := now.UnixMilli()
 	for len(o.expiry) > 0 && o.expiry[0].at <= ms {
-		rec := heap.Pop(&o.expiry).(expiring).rec
+		rec := heap.Pop(&o.expiry).(expiryEntry).rec
 		if !rec.state.final() {
-			heap.Push(&o.expiry, expiring{rec: rec, at: now.Add(o.cfg.Grace).UnixMilli()})
+			heap.Push(&o.expiry, expiryEntry{rec: rec, at: now.Add(o.cfg.Grace).UnixMilli()})
 			continue
 		}
 		o.bytes -= rec.bytes
--- a/protocol/action/record.go
+++ b/protocol/action/record.go
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-func stateOf(r Result) State {
+func stateForResult(r Result) State {
 	switch r.Executed() {
 	case refusal.ExecutedYes:
 		return Executed
@@ -21,7 +21,7 @@
 	}
 }
 
-func outcomeOf(rec *record) journal.Outcome {
+func journalOutcome(rec *record) journal.Outcome {
 	out := journal.Outcome{ID: rec.id, BodyHash: rec.bodyHash, Executed: rec.result.Executed()}
 	if refused := rec.result.Refusal; refused != nil {
 		out.Reason = refused.Reason
@@ -36,8 +36,9 @@
 	return out
 }
 
-// FromVerdict is what a caller gets by the verdict of a sealed log.
-func FromVerdict(v journal.Verdict) Result {
+// ResultFromVerdict converts the verdict of a sealed journal to the result that
+// the caller receives.
+func ResultFromVerdict(v journal.Verdict) Result {
 	o := v.Outcome
 	if o == nil {
 		return Result{Refusal: &refusal.Refusal{Reason: v.Reason, Executed: v.Executed,
@@ -65,24 +66,24 @@
 	return size
 }
 
-// expiring is an action with the time, in Unix milliseconds, at which its
-// record may be dropped. A tombstone's record holds nothing but the ID.
-type expiring struct {
+// expiryEntry holds a record and the time, in Unix milliseconds, at which it
+// may be dropped. The record of a tombstone holds only the ID.
+type expiryEntry struct {
 	rec *record
 	at  int64
 }
 
-// expiryQueue is a heap by time.
-type expiryQueue []expiring
+// expiryQueue is a min-heap ordered by expiry time.
+type expiryQueue []expiryEntry
 
 func (q expiryQueue) Len() int           { return len(q) }
 func (q expiryQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q expiryQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// Push is for container/heap.
-func (q *expiryQueue) Push(x any) { *q = append(*q, x.(expiring)) }
+// Push implements heap.Interface.
+func (q *expiryQueue) Push(x any) { *q = append(*q, x.(expiryEntry)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *expiryQueue) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
@@ -90,7 +91,8 @@
 	return e
 }
 
-// tombstones remember refused keys for little memory, up to a bound.
+// tombstones remembers the keys refused because the table was full. A tombstone
+// takes much less memory than a record, and their number is bounded.
 type tombstones struct {
 	limit  int
 	ids    map[actionkey.ID]struct{}
@@ -106,20 +108,21 @@
 	return ok
 }
 
-// add tells whether the key is remembered.
+// add remembers the key until it expires. It returns false if the limit is
+// reached.
 func (t *tombstones) add(id actionkey.ID, expires time.Time) bool {
 	if len(t.ids) >= t.limit {
 		return false
 	}
 	t.ids[id] = struct{}{}
-	heap.Push(&t.expiry, expiring{rec: &record{id: id}, at: expires.UnixMilli()})
+	heap.Push(&t.expiry, expiryEntry{rec: &record{id: id}, at: expires.UnixMilli()})
 	return true
 }
 
-// expire drops keys that would be refused as expired.
+// expire drops the keys that have expired: Submit refuses these anyway.
 func (t *tombstones) expire(now time.Time) {
 	for len(t.expiry) > 0 && t.expiry[0].at <= now.UnixMilli() {
-		e := heap.Pop(&t.expiry).(expiring)
+		e := heap.Pop(&t.expiry).(expiryEntry)
 		delete(t.ids, e.rec.id)
 	}
 }
--- a/protocol/admission/limiter.go
+++ b/protocol/admission/limiter.go
@@ -2,61 +2,66 @@
 
 import "time"
 
-// LimiterConfig sets how the concurrency limit adapts.
+// LimiterConfig holds the parameters by which the concurrency limit adapts.
 type LimiterConfig struct {
+	// Min is the lowest limit.
 	Min float64
-	// MaxOfHint is the most of what the runners say they can carry.
-	MaxOfHint float64
-	// Window is how long latencies are gathered before the limit changes.
+	// MaxHintRatio is the highest limit as a multiple of the concurrency that
+	// the runners report they can carry.
+	MaxHintRatio float64
+	// Window is how long latencies are collected before the limit changes.
 	Window time.Duration
-	// Congested is the share of a window's latencies over their target above
-	// which the limit falls.
-	Congested float64
-	// Decrease multiplies the limit, Increase is the share of it that is added.
+	// CongestionThreshold is the fraction of a window's latencies that may
+	// exceed their target. Above it the limit is decreased.
+	CongestionThreshold float64
+	// Decrease is the factor by which the limit is multiplied when it is
+	// decreased.
 	Decrease float64
+	// Increase is the fraction of the limit that is added when it is increased.
 	Increase float64
 }
 
-// DefaultLimiter is the policy in use; docs/design/limits.md gives the reasons.
+// DefaultLimiter returns the parameters used in production;
+// docs/design/limits.md gives the reasons for them.
 func DefaultLimiter() LimiterConfig {
 	return LimiterConfig{
-		Min:       1,
-		MaxOfHint: 1,
-		Window:    500 * time.Millisecond,
-		Congested: 0.05,
-		Decrease:  0.9,
-		Increase:  0.04,
+		Min:                 1,
+		MaxHintRatio:        1,
+		Window:              500 * time.Millisecond,
+		CongestionThreshold: 0.05,
+		Decrease:            0.9,
+		Increase:            0.04,
 	}
 }
 
-// Limiter adapts the number of requests in progress to what the runners carry:
-// additive increase while the limit is reached and latencies keep their
-// targets, multiplicative decrease when they don't.
+// Limiter adapts the number of concurrent requests to the capacity of the
+// runners. It increases the limit while the limit is reached and latencies
+// meet their targets, and decreases the limit by a factor when they don't.
 type Limiter struct {
-	cfg     LimiterConfig
-	limit   float64
-	hint    float64
-	samples int
-	late    int
-	reached bool
-	ends    time.Time
+	cfg        LimiterConfig
+	limit      float64
+	hint       float64
+	samples    int
+	overTarget int
+	reached    bool
+	windowEnd  time.Time
 }
 
-// NewLimiter returns a limiter at the minimum.
+// NewLimiter returns a limiter whose limit is the minimum.
 func NewLimiter(cfg LimiterConfig) *Limiter { return &Limiter{cfg: cfg, limit: cfg.Min} }
 
-// Limit is the number of requests that may be in progress.
+// Limit returns the number of requests that may be in progress at once.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// SetHint tells how many requests the runners in the table can carry by their
-// own reports. A change moves the limit in proportion, so that the loss of a
-// failure domain lowers it before latencies tell.
+// SetHint sets the number of concurrent requests that the known runners report
+// they can carry. A changed hint scales the limit in proportion, so that the
+// loss of a failure domain lowers the limit before latencies rise.
 func (l *Limiter) SetHint(requests float64) {
 	switch {
 	case requests <= 0:
 		return
 	case l.hint == 0:
-		l.limit = requests * l.cfg.MaxOfHint
+		l.limit = requests * l.cfg.MaxHintRatio
 	default:
 		l.limit *= requests / l.hint
 	}
@@ -64,34 +69,36 @@
 	l.clamp()
 }
 
-// Sample takes in a latency as a multiple of its target.
+// Sample records a latency as a multiple of its target.
 func (l *Limiter) Sample(now time.Time, ratio float64) {
 	l.samples++
 	if ratio > 1 {
-		l.late++
+		l.overTarget++
 	}
-	l.tick(now)
+	l.adjustAtWindowEnd(now)
 }
 
-// Reached notes that work waited for the limit.
-func (l *Limiter) Reached(now time.Time) {
+// MarkReached records that work had to wait because the limit was reached.
+func (l *Limiter) MarkReached(now time.Time) {
 	l.reached = true
-	l.tick(now)
+	l.adjustAtWindowEnd(now)
 }
 
-func (l *Limiter) tick(now time.Time) {
-	if now.Before(l.ends) {
+// adjustAtWindowEnd changes the limit by the latencies of the window once the
+// window has ended, and starts the next window.
+func (l *Limiter) adjustAtWindowEnd(now time.Time) {
+	if now.Before(l.windowEnd) {
 		return
 	}
 	switch {
-	case float64(l.late) > l.cfg.Congested*float64(l.samples):
+	case float64(l.overTarget) > l.cfg.CongestionThreshold*float64(l.samples):
 		l.limit *= l.cfg.Decrease
 	case l.reached && l.samples > 0:
 		l.limit += max(1, l.cfg.Increase*l.limit)
 	}
 	l.clamp()
-	l.samples, l.late, l.reached = 0, 0, false
-	l.ends = now.Add(l.cfg.Window)
+	l.samples, l.overTarget, l.reached = 0, 0, false
+	l.windowEnd = now.Add(l.cfg.Window)
 }
 
-func (l *Limiter) clamp() { l.limit = max(min(l.limit, l.hint*l.cfg.MaxOfHint), l.cfg.Min) }
+func (l *Limiter) clamp() { l.limit = max(min(l.limit, l.hint*l.cfg.MaxHintRatio), l.cfg.Min) }
