--- a/coordination/config/world_test.go
+++ b/coordination/config/cluster_test.go
@@ -12,16 +12,16 @@
 
 const daemons = 4
 
-// world is a key-value service, some daemons and some operators' submissions,
+// cluster is a key-value service, some daemons and some operators' submissions,
 // of which a test takes one step at a time.
-type world struct {
-	now      time.Time
-	head     config.Head
-	revision uint64
-	down     bool
-	sections map[manifest.Hash][]byte
-	// late holds swaps that were sent and may still take effect.
-	late []*config.SwapHead
+type cluster struct {
+	now       time.Time
+	head      config.Head
+	revision  uint64
+	storeDown bool
+	sections  map[manifest.Hash][]byte
+	// delayedSwaps holds swaps that were sent and may still take effect.
+	delayedSwaps []*config.SwapHead
 
 	followers []*config.Follower
 	fetches   []fetch
@@ -42,11 +42,11 @@
 	id       string
 	expected int64
 	content  int
-	gaveUp   error
+	abortErr error
 }
 
-func newWorld() *world {
-	w := &world{
+func newCluster() *cluster {
+	w := &cluster{
 		now: time.Unix(1000, 0), sections: map[manifest.Hash][]byte{},
 		highest: make([]ident.Generation, daemons), accepted: map[ident.Generation]config.Accepted{},
 		byID: map[string]int{},
@@ -75,7 +75,7 @@
 }
 
 // swap applies a compare-and-swap to the register and tells whether it won.
-func (w *world) swap(s *config.SwapHead) bool {
+func (w *cluster) swap(s *config.SwapHead) bool {
 	if s.Expected != w.revision {
 		return false
 	}
@@ -86,7 +86,7 @@
 	return true
 }
 
-func (w *world) submit(t *rapid.T) {
+func (w *cluster) submit(t *rapid.T) {
 	if len(w.submissions) >= 6 {
 		t.Skip("enough submissions")
 	}
@@ -105,19 +105,19 @@
 	w.submissions = append(w.submissions, &submission{Submission: s, id: id, expected: expected, content: number})
 }
 
-func (s *submission) over() bool {
+func (s *submission) finished() bool {
 	switch s.Step().(type) {
 	case *config.Done, *config.Failed:
 		return true
 	}
-	return s.gaveUp != nil
+	return s.abortErr != nil
 }
 
 // advance takes one step of one submission.
-func (w *world) advance(t *rapid.T) {
+func (w *cluster) advance(t *rapid.T) {
 	var open []*submission
 	for _, s := range w.submissions {
-		if !s.over() {
+		if !s.finished() {
 			open = append(open, s)
 		}
 	}
@@ -125,7 +125,7 @@
 		t.Skip("no submission is open")
 	}
 	s := rapid.SampledFrom(open).Draw(t, "submission")
-	if w.down {
+	if w.storeDown {
 		w.advanceInOutage(t, s)
 		return
 	}
@@ -142,18 +142,18 @@
 	}
 }
 
-func (w *world) advanceInOutage(t *rapid.T, s *submission) {
+func (w *cluster) advanceInOutage(t *rapid.T, s *submission) {
 	if rapid.Bool().Draw(t, "give up") {
-		s.gaveUp = s.GaveUp(nil)
+		s.abortErr = s.AbortError(nil)
 		return
 	}
 	if step, ok := s.Step().(*config.SwapHead); ok {
-		w.late = append(w.late, step)
+		w.delayedSwaps = append(w.delayedSwaps, step)
 		s.SwapLost()
 	}
 }
 
-func (w *world) sendSwap(t *rapid.T, s *submission, step *config.SwapHead) {
+func (w *cluster) sendSwap(t *rapid.T, s *submission, step *config.SwapHead) {
 	switch rapid.SampledFrom([]string{"answered", "answer lost", "late"}).Draw(t, "swap") {
 	case "answered":
 		if w.swap(step) {
@@ -165,21 +165,21 @@
 		w.swap(step)
 		s.SwapLost()
 	case "late":
-		w.late = append(w.late, step)
+		w.delayedSwaps = append(w.delayedSwaps, step)
 		s.SwapLost()
 	}
 }
 
-func (w *world) lateSwap(t *rapid.T) {
-	if len(w.late) == 0 {
+func (w *cluster) applyDelayedSwap(t *rapid.T) {
+	if len(w.delayedSwaps) == 0 {
 		t.Skip("no swap is under way")
 	}
-	i := rapid.IntRange(0, len(w.late)-1).Draw(t, "late")
-	w.swap(w.late[i])
-	w.late = append(w.late[:i], w.late[i+1:]...)
+	i := rapid.IntRange(0, len(w.delayedSwaps)-1).Draw(t, "late")
+	w.swap(w.delayedSwaps[i])
+	w.delayedSwaps = append(w.delayedSwaps[:i], w.delayedSwaps[i+1:]...)
 }
 
-func (w *world) carryOut(daemon int, effects []config.Effect) {
+func (w *cluster) queueFetches(daemon int, effects []config.Effect) {
 	for _, effect := range effects {
 		if f, ok := effect.(*config.Fetch); ok {
 			w.fetches = append(w.fetches, fetch{daemon, f})
@@ -189,24 +189,24 @@
 
 // announce tells one daemon of the register's head, or of a peer's
 // configuration in force.
-func (w *world) announce(t *rapid.T) {
+func (w *cluster) announce(t *rapid.T) {
 	daemon := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 	from := rapid.IntRange(-1, daemons-1).Draw(t, "from")
 	if from < 0 {
-		if w.down || w.revision == 0 {
+		if w.storeDown || w.revision == 0 {
 			t.Skip("the service says nothing")
 		}
-		w.carryOut(daemon, w.followers[daemon].Learn(w.now, w.head.Accepted, config.StoreSource))
+		w.queueFetches(daemon, w.followers[daemon].Learn(w.now, w.head.Accepted, config.StoreSource))
 		return
 	}
 	inForce, _ := w.followers[from].InForce()
-	w.carryOut(daemon, w.followers[daemon].Learn(w.now, inForce, peerName(from)))
+	w.queueFetches(daemon, w.followers[daemon].Learn(w.now, inForce, peerName(from)))
 }
 
 func peerName(i int) string { return string(rune('0' + i)) }
 
 // answerFetch answers or drops one fetch, in any order.
-func (w *world) answerFetch(t *rapid.T) {
+func (w *cluster) answerFetch(t *rapid.T) {
 	if len(w.fetches) == 0 {
 		t.Skip("nothing is asked for")
 	}
@@ -214,28 +214,28 @@
 	f := w.fetches[i]
 	w.fetches = append(w.fetches[:i], w.fetches[i+1:]...)
 	if rapid.Bool().Draw(t, "answered") {
-		w.carryOut(f.daemon, w.followers[f.daemon].Supply(w.now, w.found(f)))
+		w.queueFetches(f.daemon, w.followers[f.daemon].Supply(w.now, w.fetchResult(f)))
 	}
 }
 
-func (w *world) found(f fetch) map[manifest.Hash][]byte {
+func (w *cluster) fetchResult(f fetch) map[manifest.Hash][]byte {
 	if f.Source != config.StoreSource {
 		return w.followers[int(f.Source[0]-'0')].Sections(f.Hashes)
 	}
-	if w.down {
+	if w.storeDown {
 		return nil
 	}
 	return w.sections
 }
 
-func (w *world) tick(t *rapid.T) {
+func (w *cluster) tick(t *rapid.T) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 	for i, f := range w.followers {
-		w.carryOut(i, f.Tick(w.now))
+		w.queueFetches(i, f.Tick(w.now))
 	}
 }
 
-func (w *world) restart(t *rapid.T) {
+func (w *cluster) restart(t *rapid.T) {
 	daemon := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 	w.followers[daemon] = config.NewFollower()
 	w.highest[daemon] = 0
--- a/coordination/config/config_test.go
+++ b/coordination/config/config_test.go
@@ -15,8 +15,8 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// check holds after every step.
-func (w *world) check(t *rapid.T) {
+// checkInvariants holds after every step.
+func (w *cluster) checkInvariants(t *rapid.T) {
 	for i, f := range w.followers {
 		head, m := f.InForce()
 		if head.Generation < w.highest[i] {
@@ -40,7 +40,7 @@
 	}
 }
 
-func (w *world) checkInForce(t *rapid.T, head config.Accepted, m *manifest.Manifest) {
+func (w *cluster) checkInForce(t *rapid.T, head config.Accepted, m *manifest.Manifest) {
 	accepted, ok := w.accepted[head.Generation]
 	if !ok || accepted.SubmissionID != head.SubmissionID {
 		t.Fatalf("generation %d of %s is in force but was never accepted", head.Generation, head.SubmissionID)
@@ -52,7 +52,7 @@
 	}
 }
 
-func (w *world) checkSubmission(t *rapid.T, s *submission) {
+func (w *cluster) checkSubmission(t *rapid.T, s *submission) {
 	if w.byID[s.id] > 1 {
 		t.Fatalf("submission %s was accepted %d times", s.id, w.byID[s.id])
 	}
@@ -68,32 +68,32 @@
 		}
 	}
 	var notAccepted *config.NotAcceptedError
-	if errors.As(s.gaveUp, &notAccepted) && w.byID[s.id] > 0 {
+	if errors.As(s.abortErr, &notAccepted) && w.byID[s.id] > 0 {
 		t.Fatalf("submission %s says that nothing happened but was accepted", s.id)
 	}
 }
 
-// settle heals everything and lets every daemon hear of the head.
-func (w *world) settle(t *rapid.T) {
-	w.down = false
-	for _, s := range w.late {
+// converge heals everything and lets every daemon hear of the head.
+func (w *cluster) converge(t *rapid.T) {
+	w.storeDown = false
+	for _, s := range w.delayedSwaps {
 		w.swap(s)
 	}
-	w.late = nil
+	w.delayedSwaps = nil
 	for range 4 {
 		for i, f := range w.followers {
 			w.now = w.now.Add(10 * time.Second)
 			if w.revision > 0 {
-				w.carryOut(i, f.Learn(w.now, w.head.Accepted, config.StoreSource))
+				w.queueFetches(i, f.Learn(w.now, w.head.Accepted, config.StoreSource))
 			}
 			for len(w.fetches) > 0 {
-				asked := w.fetches[0]
+				pending := w.fetches[0]
 				w.fetches = w.fetches[1:]
-				w.carryOut(asked.daemon, w.followers[asked.daemon].Supply(w.now, w.found(asked)))
+				w.queueFetches(pending.daemon, w.followers[pending.daemon].Supply(w.now, w.fetchResult(pending)))
 			}
 		}
 	}
-	w.check(t)
+	w.checkInvariants(t)
 	for i, f := range w.followers {
 		if head, _ := f.InForce(); head.Generation != w.head.Generation {
 			t.Fatalf("daemon %d stays at generation %d, accepted is %d", i, head.Generation, w.head.Generation)
@@ -107,27 +107,27 @@
 // older one.
 func TestRegisterUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newCluster()
 		t.Repeat(map[string]func(*rapid.T){
 			"submit":   w.submit,
 			"advance":  w.advance,
 			"advance2": w.advance,
-			"late":     w.lateSwap,
+			"late":     w.applyDelayedSwap,
 			"announce": w.announce,
 			"fetch":    w.answerFetch,
 			"tick":     w.tick,
 			"restart":  w.restart,
-			"outage":   func(t *rapid.T) { w.down = rapid.Bool().Draw(t, "down") },
-			"":         w.check,
+			"outage":   func(t *rapid.T) { w.storeDown = rapid.Bool().Draw(t, "down") },
+			"":         w.checkInvariants,
 		})
-		w.settle(t)
+		w.converge(t)
 	})
 }
 
 // The answer to an operator's swap is lost after it took effect, and another
 // operator's change goes on top before the first one looks again. Told
 // "conflict", the first would apply the change a second time.
-func TestLostAnswerIsFoundInThePast(t *testing.T) {
+func TestLostSwapAnswerIsFoundInHistory(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	first, err := config.NewSubmission(content(1), "ana", "first", 0, 0)
@@ -156,7 +156,7 @@
 
 // The answer to a swap is lost and so many changes follow that the register no
 // longer remembers it. Any definite answer could be wrong.
-func TestLostAnswerBeyondThePastIsUnknown(t *testing.T) {
+func TestLostSwapAnswerBeyondHistoryIsUnknown(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	s, err := config.NewSubmission(content(1), "ana", "first", config.AnyGeneration, 0)
@@ -179,7 +179,7 @@
 
 // A program of an older version meets a manifest format that it can't read. It
 // must neither drop what it has nor try for ever.
-func TestUnreadableConfigurationLeavesTheFormerInForce(t *testing.T) {
+func TestUnreadableConfigurationKeepsPreviousInForce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	f := config.NewFollower()
@@ -204,8 +204,8 @@
 	is.Equal(len(f.Sections(manifest.Hashes(sections))), len(sections)) // still there for peers
 }
 
-// monotone is the model of the generation that one daemon shows.
-func monotone() porcupine.Model {
+// monotonicModel is the model of the generation that one daemon shows.
+func monotonicModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return int64(0) },
 		Step: func(state, _, output any) (bool, any) {
@@ -219,11 +219,11 @@
 // limits; with the guard taken out, the check of histories has to see it.
 func TestDelayedHeadDoesNotRevert(t *testing.T) {
 	is := is.New(t)
-	is.True(porcupine.CheckOperations(monotone(), readsAroundDelayedHead(t, func(*config.Follower) {})))
-	is.True(!porcupine.CheckOperations(monotone(), readsAroundDelayedHead(t, (*config.Follower).DropGuard)))
+	is.True(porcupine.CheckOperations(monotonicModel(), readsAroundDelayedHead(t, func(*config.Follower) {})))
+	is.True(!porcupine.CheckOperations(monotonicModel(), readsAroundDelayedHead(t, (*config.Follower).ResetInForceGeneration)))
 }
 
-func readsAroundDelayedHead(t *testing.T, harm func(*config.Follower)) []porcupine.Operation {
+func readsAroundDelayedHead(t *testing.T, corrupt func(*config.Follower)) []porcupine.Operation {
 	t.Helper()
 	f := config.NewFollower()
 	var reads []porcupine.Operation
@@ -238,7 +238,7 @@
 		}
 		now := time.Unix(int64(1000+10*i), 0)
 		head := config.Accepted{Generation: ident.Generation(g), Sections: manifest.Hashes(sections)}
-		harm(f)
+		corrupt(f)
 		f.Learn(now, head, config.StoreSource)
 		f.Supply(now, data)
 		inForce, _ := f.InForce()
--- a/coordination/config/export_test.go
+++ b/coordination/config/export_test.go
@@ -1,5 +1,5 @@
 package config
 
-// DropGuard makes the follower forget which generation it has in force, so that
+// ResetInForceGeneration makes the follower forget which generation it has in force, so that
 // a test can show that the check of histories sees a missing guard.
-func (f *Follower) DropGuard() { f.inForce.Generation = 0 }
+func (f *Follower) ResetInForceGeneration() { f.inForce.Generation = 0 }
--- a/coordination/config/follower.go
+++ b/coordination/config/follower.go
@@ -36,8 +36,8 @@
 	Hashes []manifest.Hash
 }
 
-// Enforce says that a higher generation is in force from now on.
-type Enforce struct {
+// Activate says that a higher generation is in force from now on.
+type Activate struct {
 	Head     Accepted
 	Manifest *manifest.Manifest
 }
@@ -49,9 +49,9 @@
 	Err  error
 }
 
-func (*Fetch) effect()   {}
-func (*Enforce) effect() {}
-func (*Reject) effect()  {}
+func (*Fetch) effect()    {}
+func (*Activate) effect() {}
+func (*Reject) effect()   {}
 
 // Follower is one daemon's side of the register. The generation in force only
 // grows for the life of the process; a new process takes the highest that the
@@ -63,16 +63,16 @@
 	rejected ident.Generation
 	sections map[manifest.Hash][]byte
 
-	sources []string
-	turn    int
-	askedAt time.Time
-	// storeAsked tells whether the last fetch went to the key-value service.
-	storeAsked bool
+	sources     []string
+	sourceIndex int
+	fetchedAt   time.Time
+	// lastFetchFromStore tells whether the last fetch went to the key-value service.
+	lastFetchFromStore bool
 
-	// firstHeard is when the first head came; storeHeard tells whether one came
+	// firstHeadAt is when the first head came; storeHeard tells whether one came
 	// from the key-value service.
-	firstHeard time.Time
-	storeHeard bool
+	firstHeadAt   time.Time
+	storeHeadSeen bool
 }
 
 // NewFollower returns one that has nothing in force.
@@ -89,7 +89,7 @@
 // paused or a service restored from an older state names a lower generation;
 // such heads are ignored, so the order of arrival cannot matter.
 func (f *Follower) Learn(now time.Time, head Accepted, source string) []Effect {
-	f.hear(now, head, source)
+	f.recordHead(now, head, source)
 	if head.Generation <= f.inForce.Generation || head.Generation <= f.rejected {
 		return nil
 	}
@@ -98,23 +98,23 @@
 		return nil
 	case head.Generation == f.wanted.Generation:
 		f.addSource(source)
-		if f.storeAsked && source != StoreSource {
-			return f.ask(now, source)
+		if f.lastFetchFromStore && source != StoreSource {
+			return f.fetch(now, source)
 		}
 		return f.Tick(now)
 	}
-	f.want(head)
+	f.setWanted(head)
 	f.addSource(source)
 	return f.advance(now)
 }
 
-func (f *Follower) hear(now time.Time, head Accepted, source string) {
+func (f *Follower) recordHead(now time.Time, head Accepted, source string) {
 	if head.Generation == 0 {
 		return
 	}
-	f.storeHeard = f.storeHeard || source == StoreSource
-	if f.firstHeard.IsZero() {
-		f.firstHeard = now
+	f.storeHeadSeen = f.storeHeadSeen || source == StoreSource
+	if f.firstHeadAt.IsZero() {
+		f.firstHeadAt = now
 	}
 }
 
@@ -123,27 +123,27 @@
 // be one that the newest generation has not reached, and a daemon that had that
 // generation before its restart would bring an older one into force.
 func (f *Follower) starting(now time.Time) bool {
-	return f.manifest == nil && !f.storeHeard && now.Sub(f.firstHeard) < startGrace
+	return f.manifest == nil && !f.storeHeadSeen && now.Sub(f.firstHeadAt) < startGrace
 }
 
-func (f *Follower) want(head Accepted) {
+func (f *Follower) setWanted(head Accepted) {
 	f.wanted = head
 	f.sources = nil
-	f.turn = 0
-	f.askedAt = time.Time{}
-	f.storeAsked = false
+	f.sourceIndex = 0
+	f.fetchedAt = time.Time{}
+	f.lastFetchFromStore = false
 }
 
 // Adopt is Learn and Supply in one, for the daemon that had the configuration
 // accepted and need not fetch it.
 func (f *Follower) Adopt(now time.Time, head Accepted, sections map[manifest.Hash][]byte) []Effect {
-	f.hear(now, head, StoreSource)
+	f.recordHead(now, head, StoreSource)
 	known := max(f.inForce.Generation, f.rejected)
 	if head.Generation <= known || head.Generation < f.wanted.Generation {
 		return nil
 	}
 	if head.Generation > f.wanted.Generation {
-		f.want(head)
+		f.setWanted(head)
 	}
 	return f.Supply(now, sections)
 }
@@ -168,7 +168,7 @@
 			f.sections[hash] = data
 		}
 	}
-	f.askedAt = now.Add(fetchRetry - fetchTimeout)
+	f.fetchedAt = now.Add(fetchRetry - fetchTimeout)
 	return f.advance(now)
 }
 
@@ -191,34 +191,34 @@
 		if f.starting(now) {
 			return nil
 		}
-		return f.enforce()
+		return f.activate()
 	}
-	if now.Sub(f.askedAt) < fetchTimeout {
+	if now.Sub(f.fetchedAt) < fetchTimeout {
 		return nil
 	}
-	return f.ask(now, f.nextSource())
+	return f.fetch(now, f.nextSource())
 }
 
-// ask fetches what is missing from one source. A peer that names the wanted
+// fetch fetches what is missing from one source. A peer that names the wanted
 // generation while only the key-value service was asked is asked at once: the
 // service may be slow, and the peer has the sections.
-func (f *Follower) ask(now time.Time, source string) []Effect {
-	f.askedAt = now
-	f.storeAsked = source == StoreSource
+func (f *Follower) fetch(now time.Time, source string) []Effect {
+	f.fetchedAt = now
+	f.lastFetchFromStore = source == StoreSource
 	return []Effect{&Fetch{Source: source, Hashes: manifest.Missing(f.wanted.Sections, f.sections)}}
 }
 
 func (f *Follower) nextSource() string {
-	choices := f.sources
-	if f.turn > 0 || len(choices) == 0 {
-		choices = append([]string{StoreSource}, f.sources...)
+	candidates := f.sources
+	if f.sourceIndex > 0 || len(candidates) == 0 {
+		candidates = append([]string{StoreSource}, f.sources...)
 	}
-	source := choices[f.turn%len(choices)]
-	f.turn++
+	source := candidates[f.sourceIndex%len(candidates)]
+	f.sourceIndex++
 	return source
 }
 
-func (f *Follower) enforce() []Effect {
+func (f *Follower) activate() []Effect {
 	head := f.wanted
 	m, err := manifest.Join(head.Sections, f.sections)
 	if err != nil {
@@ -231,7 +231,7 @@
 	f.manifest = m
 	f.wanted = Accepted{}
 	f.prune()
-	return []Effect{&Enforce{Head: head, Manifest: m}}
+	return []Effect{&Activate{Head: head, Manifest: m}}
 }
 
 // prune forgets the sections of earlier generations.
--- a/coordination/config/head.go
+++ b/coordination/config/head.go
@@ -70,8 +70,8 @@
 	return Accepted{}, false
 }
 
-// succeed returns the head that puts next in front of h.
-func (h Head) succeed(next Accepted) Head {
+// prepend returns the head that puts next in front of h.
+func (h Head) prepend(next Accepted) Head {
 	past := h.History()
 	if len(past) > MaxPast {
 		past = past[:MaxPast]
--- a/coordination/config/submission.go
+++ b/coordination/config/submission.go
@@ -52,10 +52,10 @@
 	floor    ident.Generation
 	sections []manifest.Section
 
-	next   Step
-	stored bool
-	// open holds the generation of a swap whose answer was lost.
-	open ident.Generation
+	next           Step
+	sectionsStored bool
+	// unknownSwap holds the generation of a swap whose answer was lost.
+	unknownSwap ident.Generation
 }
 
 // NewSubmission starts with reading the head. The expected generation is the
@@ -90,7 +90,7 @@
 // SectionsStored answers StoreSections. The head is read again, since what was
 // read before the writes may be old.
 func (s *Submission) SectionsStored() {
-	s.stored = true
+	s.sectionsStored = true
 	s.next = &ReadHead{}
 }
 
@@ -100,7 +100,7 @@
 		s.next = &Done{Accepted: a}
 		return
 	}
-	if s.forgotten(head) {
+	if s.mayBeTruncated(head) {
 		s.next = &Failed{Err: &OutcomeUnknownError{SubmissionID: s.id}}
 		return
 	}
@@ -108,28 +108,28 @@
 		s.next = &Failed{Err: &ConflictError{Expected: s.expected, Current: head.Accepted}}
 		return
 	}
-	if !s.stored {
+	if !s.sectionsStored {
 		s.next = &StoreSections{Sections: s.sections}
 		return
 	}
-	s.next = &SwapHead{Expected: revision, Head: head.succeed(s.successor(now, head))}
+	s.next = &SwapHead{Expected: revision, Head: head.prepend(s.nextAccepted(now, head))}
 }
 
-// forgotten tells whether a lost swap may have been accepted and has since
+// mayBeTruncated tells whether a lost swap may have been accepted and has since
 // fallen off the head's bounded past.
-func (s *Submission) forgotten(head Head) bool {
-	if s.open == 0 || len(head.Past) == 0 {
+func (s *Submission) mayBeTruncated(head Head) bool {
+	if s.unknownSwap == 0 || len(head.Past) == 0 {
 		return false
 	}
-	return head.Past[len(head.Past)-1].Generation > s.open
+	return head.Past[len(head.Past)-1].Generation > s.unknownSwap
 }
 
-// successor numbers the new configuration above the head and above what the
+// nextAccepted numbers the new configuration above the head and above what the
 // submitter's daemon has in force. Guards against a key-value service that
 // came back from an outage with an older head: by the head alone, a generation
 // that daemons have in force would be given out a second time, and they would
 // ignore the new content as already applied.
-func (s *Submission) successor(now time.Time, head Head) Accepted {
+func (s *Submission) nextAccepted(now time.Time, head Head) Accepted {
 	return Accepted{
 		Generation:         max(head.Generation, s.floor) + 1,
 		Sections:           manifest.Hashes(s.sections),
@@ -155,16 +155,16 @@
 // same revision, so at most one of the two can win.
 func (s *Submission) SwapLost() {
 	if swap, ok := s.next.(*SwapHead); ok {
-		s.open = swap.Head.Generation
+		s.unknownSwap = swap.Head.Generation
 	}
 	s.next = &ReadHead{}
 }
 
-// GaveUp returns the truthful error when the driver has to stop before Done or
+// AbortError returns the truthful error when the driver has to stop before Done or
 // Failed: *OutcomeUnknownError if a swap's answer is open, else
 // *NotAcceptedError.
-func (s *Submission) GaveUp(cause error) error {
-	if _, swapping := s.next.(*SwapHead); swapping || s.open != 0 {
+func (s *Submission) AbortError(cause error) error {
+	if _, swapping := s.next.(*SwapHead); swapping || s.unknownSwap != 0 {
 		return &OutcomeUnknownError{SubmissionID: s.id, Err: cause}
 	}
 	return &NotAcceptedError{SubmissionID: s.id, Err: cause}
--- a/daemon/control/apply.go
+++ b/daemon/control/apply.go
@@ -113,7 +113,7 @@
 			return config.Accepted{}, err
 		}
 		if err != nil && !pause.For(ctx, c.jittered(stepRetry)) {
-			return config.Accepted{}, machine.GaveUp(err)
+			return config.Accepted{}, machine.AbortError(err)
 		}
 	}
 }
--- a/daemon/control/follow.go
+++ b/daemon/control/follow.go
@@ -42,7 +42,7 @@
 		switch e := effect.(type) {
 		case *config.Fetch:
 			c.spawnLocked(func(ctx context.Context) { c.fetch(ctx, e) })
-		case *config.Enforce:
+		case *config.Activate:
 			c.enforceLocked(e)
 		case *config.Reject:
 			c.counters.rejected.Inc(1)
@@ -51,7 +51,7 @@
 	}
 }
 
-func (c *Control) enforceLocked(e *config.Enforce) {
+func (c *Control) enforceLocked(e *config.Activate) {
 	c.counters.enforced.Inc(1)
 	klog.InfoS("Configuration in force", "generation", e.Head.Generation, "author", e.Head.Author)
 	c.table.SetGeneration(e.Head.Generation)
