--- a/coordination/config/cluster_test.go
+++ b/coordination/config/cluster_test.go
@@ -12,8 +12,8 @@
 
 const daemons = 4
 
-// cluster is a key-value service, some daemons and some operators' submissions,
-// of which a test takes one step at a time.
+// cluster simulates a key-value service, daemons and operators' submissions. A test executes
+// one step at a time.
 type cluster struct {
 	now       time.Time
 	head      config.Head
@@ -74,7 +74,7 @@
 	}
 }
 
-// swap applies a compare-and-swap to the register and tells whether it won.
+// swap applies a compare-and-swap to the register and reports whether it succeeded.
 func (w *cluster) swap(s *config.SwapHead) bool {
 	if s.Expected != w.revision {
 		return false
@@ -113,7 +113,7 @@
 	return s.abortErr != nil
 }
 
-// advance takes one step of one submission.
+// advance executes one step of one submission.
 func (w *cluster) advance(t *rapid.T) {
 	var open []*submission
 	for _, s := range w.submissions {
@@ -172,7 +172,7 @@
 
 func (w *cluster) applyDelayedSwap(t *rapid.T) {
 	if len(w.delayedSwaps) == 0 {
-		t.Skip("no swap is under way")
+		t.Skip("no delayed swap")
 	}
 	i := rapid.IntRange(0, len(w.delayedSwaps)-1).Draw(t, "late")
 	w.swap(w.delayedSwaps[i])
@@ -187,14 +187,13 @@
 	}
 }
 
-// announce tells one daemon of the register's head, or of a peer's
-// configuration in force.
+// announce sends one daemon the register's head or a peer's configuration in force.
 func (w *cluster) announce(t *rapid.T) {
 	daemon := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 	from := rapid.IntRange(-1, daemons-1).Draw(t, "from")
 	if from < 0 {
 		if w.storeDown || w.revision == 0 {
-			t.Skip("the service says nothing")
+			t.Skip("no head to read")
 		}
 		w.queueFetches(daemon, w.followers[daemon].Learn(w.now, w.head.Accepted, config.StoreSource))
 		return
@@ -208,7 +207,7 @@
 // answerFetch answers or drops one fetch, in any order.
 func (w *cluster) answerFetch(t *rapid.T) {
 	if len(w.fetches) == 0 {
-		t.Skip("nothing is asked for")
+		t.Skip("no fetch is pending")
 	}
 	i := rapid.IntRange(0, len(w.fetches)-1).Draw(t, "fetch")
 	f := w.fetches[i]
--- a/coordination/config/config_test.go
+++ b/coordination/config/config_test.go
@@ -15,12 +15,12 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// checkInvariants holds after every step.
+// checkInvariants is called after every step.
 func (w *cluster) checkInvariants(t *rapid.T) {
 	for i, f := range w.followers {
 		head, m := f.InForce()
 		if head.Generation < w.highest[i] {
-			t.Fatalf("daemon %d went from generation %d back to %d", i, w.highest[i], head.Generation)
+			t.Fatalf("daemon %d returned from generation %d to %d", i, w.highest[i], head.Generation)
 		}
 		w.highest[i] = head.Generation
 		if head.Generation > 0 {
@@ -33,7 +33,7 @@
 		if done, ok := s.Step().(*config.Done); ok {
 			g := uint64(done.Accepted.Generation)
 			if other, taken := winner[g]; taken {
-				t.Fatalf("submissions %s and %s both won generation %d", other, s.id, g)
+				t.Fatalf("submissions %s and %s were both accepted as generation %d", other, s.id, g)
 			}
 			winner[g] = s.id
 		}
@@ -59,21 +59,21 @@
 	switch step := s.Step().(type) {
 	case *config.Done:
 		if w.accepted[step.Accepted.Generation].SubmissionID != s.id {
-			t.Fatalf("submission %s says that it won a generation that another one has", s.id)
+			t.Fatalf("submission %s is Done with a generation that belongs to another one", s.id)
 		}
 	case *config.Failed:
 		var conflict *config.ConflictError
 		if errors.As(step.Err, &conflict) && w.byID[s.id] > 0 {
-			t.Fatalf("submission %s says conflict but was accepted", s.id)
+			t.Fatalf("submission %s failed with a conflict but was accepted", s.id)
 		}
 	}
 	var notAccepted *config.NotAcceptedError
 	if errors.As(s.abortErr, &notAccepted) && w.byID[s.id] > 0 {
-		t.Fatalf("submission %s says that nothing happened but was accepted", s.id)
+		t.Fatalf("submission %s was reported as not accepted but was accepted", s.id)
 	}
 }
 
-// converge heals everything and lets every daemon hear of the head.
+// converge ends all faults and lets every daemon learn the head.
 func (w *cluster) converge(t *rapid.T) {
 	w.storeDown = false
 	for _, s := range w.delayedSwaps {
@@ -101,10 +101,9 @@
 	}
 }
 
-// Operators race, answers are lost, swaps take effect late, daemons restart and
-// the key-value service goes away at any step. Two operators would both believe
-// that their manifest is the accepted one, or a daemon would fall back to an
-// older one.
+// Operators submit concurrently, answers are lost, swaps take effect late, daemons restart,
+// and the key-value service fails at any step. Guards against two operators who both believe
+// that their manifest is the accepted one, and against a daemon that returns to an older one.
 func TestRegisterUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newCluster()
@@ -124,9 +123,9 @@
 	})
 }
 
-// The answer to an operator's swap is lost after it took effect, and another
-// operator's change goes on top before the first one looks again. Told
-// "conflict", the first would apply the change a second time.
+// Guards against a duplicate change. The answer to an operator's swap is lost after the swap
+// took effect, and another operator's change follows before the first one reads the head again.
+// If the first operator got a conflict error, it would apply its change a second time.
 func TestLostSwapAnswerIsFoundInHistory(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -154,8 +153,8 @@
 	is.Equal(int(done.Accepted.Generation), 1)
 }
 
-// The answer to a swap is lost and so many changes follow that the register no
-// longer remembers it. Any definite answer could be wrong.
+// Guards against a wrong definite answer: the answer to a swap is lost, and so many changes
+// follow that the head no longer lists the submission.
 func TestLostSwapAnswerBeyondHistoryIsUnknown(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -177,8 +176,8 @@
 	is.True(errors.As(failed.Err, &unknown))
 }
 
-// A program of an older version meets a manifest format that it can't read. It
-// must neither drop what it has nor try for ever.
+// Guards against a daemon of an older program version that drops its configuration, or
+// fetches for ever, when it gets a manifest format that it can't read.
 func TestUnreadableConfigurationKeepsPreviousInForce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -201,10 +200,10 @@
 	inForce, _ := f.InForce()
 	is.Equal(int(inForce.Generation), 1)
 	is.Equal(len(f.Learn(now, head, config.StoreSource)), 0)
-	is.Equal(len(f.Sections(manifest.Hashes(sections))), len(sections)) // still there for peers
+	is.Equal(len(f.Sections(manifest.Hashes(sections))), len(sections)) // still served to peers
 }
 
-// monotonicModel is the model of the generation that one daemon shows.
+// monotonicModel is the model of a generation that never decreases, as read from one daemon.
 func monotonicModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return int64(0) },
@@ -214,9 +213,9 @@
 	}
 }
 
-// A peer that was paused names the former generation after the newest is in
-// force. Without the guard in Learn the daemon goes back to old credentials and
-// limits; with the guard taken out, the check of histories has to see it.
+// Guards against a daemon that returns to old credentials and limits when a peer that was
+// paused announces an earlier generation. The second check removes the guard in Learn and
+// expects the history check to fail.
 func TestDelayedHeadDoesNotRevert(t *testing.T) {
 	is := is.New(t)
 	is.True(porcupine.CheckOperations(monotonicModel(), readsAroundDelayedHead(t, func(*config.Follower) {})))
--- a/coordination/config/follower.go
+++ b/coordination/config/follower.go
@@ -7,30 +7,30 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// StoreSource names the key-value service as the place to fetch from; every
-// other source is a peer's address.
+// StoreSource denotes the key-value service as the source of a fetch; every other source is
+// a peer's address.
 const StoreSource = ""
 
 const (
-	// fetchTimeout is when a fetch counts as unanswered.
+	// fetchTimeout is the time after which a fetch counts as unanswered.
 	fetchTimeout = 2 * time.Second
-	// fetchRetry is when the next source is asked after one that answered
-	// without the sections.
+	// fetchRetry is the delay before the next source is asked after a source has answered
+	// without all of the sections.
 	fetchRetry = 200 * time.Millisecond
-	// startGrace is how long a daemon that has nothing in force, and no answer
-	// from the key-value service, goes on listening to peers before it brings
-	// the highest generation that they have into force.
+	// startGrace is how long a daemon without a configuration in force waits for heads from
+	// peers if the key-value service doesn't answer. After that, the highest generation that
+	// a peer has announced comes into force.
 	startGrace = time.Second
-	// maxSources bounds the peers remembered as having the wanted generation.
+	// maxSources bounds the number of peers remembered as having the wanted generation.
 	maxSources = 8
 )
 
-// Effect is what the driver of a Follower has to carry out: *Fetch, *Enforce
-// or *Reject.
+// Effect is an action that the driver of a Follower must carry out: *Fetch, *Activate or
+// *Reject.
 type Effect interface{ effect() }
 
-// Fetch asks for sections by hash. Answer with Supply, or not at all: Tick
-// asks the next source.
+// Fetch asks for sections by hash. The driver calls Supply with the answer. If it doesn't,
+// Tick asks the next source after fetchTimeout.
 type Fetch struct {
 	Source string
 	Hashes []manifest.Hash
@@ -42,7 +42,7 @@
 	Manifest *manifest.Manifest
 }
 
-// Reject says that an accepted configuration can't be read by this program; a
+// Reject says that this version of the program can't read an accepted configuration; the
 // lower generation stays in force.
 type Reject struct {
 	Head Accepted
@@ -53,9 +53,9 @@
 func (*Activate) effect() {}
 func (*Reject) effect()   {}
 
-// Follower is one daemon's side of the register. The generation in force only
-// grows for the life of the process; a new process takes the highest that the
-// key-value service or any peer has. It is not safe for concurrent use.
+// Follower brings accepted configurations into force in one daemon. Within a process the
+// generation in force never decreases; a new process starts with the highest generation
+// that the key-value service or a peer announces. It is not safe for concurrent use.
 type Follower struct {
 	inForce  Accepted
 	manifest *manifest.Manifest
@@ -66,28 +66,28 @@
 	sources     []string
 	sourceIndex int
 	fetchedAt   time.Time
-	// lastFetchFromStore tells whether the last fetch went to the key-value service.
+	// lastFetchFromStore is set if the last fetch went to the key-value service.
 	lastFetchFromStore bool
 
-	// firstHeadAt is when the first head came; storeHeard tells whether one came
-	// from the key-value service.
+	// firstHeadAt is when the first head arrived. storeHeadSeen is set once a head has
+	// arrived from the key-value service.
 	firstHeadAt   time.Time
 	storeHeadSeen bool
 }
 
-// NewFollower returns one that has nothing in force.
+// NewFollower returns a Follower without a configuration in force.
 func NewFollower() *Follower {
 	return &Follower{sections: map[manifest.Hash][]byte{}}
 }
 
-// InForce returns the configuration in force; nil and a zero generation until
-// there is one.
+// InForce returns the configuration in force. Before there is one, the manifest is nil and
+// the generation zero.
 func (f *Follower) InForce() (Accepted, *manifest.Manifest) { return f.inForce, f.manifest }
 
-// Learn takes in an accepted configuration heard of from the key-value service
-// or a peer. Guards against reverting: a delayed answer, a peer that was
-// paused or a service restored from an older state names a lower generation;
-// such heads are ignored, so the order of arrival cannot matter.
+// Learn processes an accepted configuration announced by the key-value service or a peer.
+// It ignores generations that are not higher than the one in force. A delayed answer, a peer
+// that was paused, or a key-value service restored from an older state can announce such a
+// generation, and the daemon must not return to it.
 func (f *Follower) Learn(now time.Time, head Accepted, source string) []Effect {
 	f.recordHead(now, head, source)
 	if head.Generation <= f.inForce.Generation || head.Generation <= f.rejected {
@@ -118,10 +118,10 @@
 	}
 }
 
-// starting tells whether a higher generation may yet be heard of. Guards against
-// a restart in an outage of the key-value service: the first peer to answer may
-// be one that the newest generation has not reached, and a daemon that had that
-// generation before its restart would bring an older one into force.
+// starting reports whether the daemon should wait for a higher generation. After a restart
+// during an outage of the key-value service, the first peer to answer may not have the newest
+// generation yet. Without the wait, a daemon that had the newest generation in force before
+// its restart would bring an older one into force.
 func (f *Follower) starting(now time.Time) bool {
 	return f.manifest == nil && !f.storeHeadSeen && now.Sub(f.firstHeadAt) < startGrace
 }
@@ -134,8 +134,8 @@
 	f.lastFetchFromStore = false
 }
 
-// Adopt is Learn and Supply in one, for the daemon that had the configuration
-// accepted and need not fetch it.
+// Adopt combines Learn and Supply for the daemon that submitted the configuration: it has the
+// sections already and need not fetch them.
 func (f *Follower) Adopt(now time.Time, head Accepted, sections map[manifest.Hash][]byte) []Effect {
 	f.recordHead(now, head, StoreSource)
 	known := max(f.inForce.Generation, f.rejected)
@@ -159,8 +159,8 @@
 	}
 }
 
-// Supply takes in a fetch's answer, nil where it failed; sections that are not
-// wanted or that do not fit their hash are dropped.
+// Supply processes the answer to a fetch; nil means that the fetch failed. Sections that are
+// not wanted or don't match their hash are dropped.
 func (f *Follower) Supply(now time.Time, fetched map[manifest.Hash][]byte) []Effect {
 	for _, hash := range f.wanted.Sections {
 		data, ok := fetched[hash]
@@ -172,9 +172,9 @@
 	return f.advance(now)
 }
 
-// Tick asks the next source when the last one has not answered in time. The
-// key-value service has its turn among the peers, so neither an outage of it
-// nor the end of a peer stops the fetch.
+// Tick asks the next source if the last one has not answered in time. The sources include the
+// key-value service and peers in turn, so neither an outage of the service nor the end of a
+// peer stops the fetch.
 func (f *Follower) Tick(now time.Time) []Effect {
 	if f.wanted.Generation <= f.inForce.Generation {
 		return nil
@@ -199,9 +199,9 @@
 	return f.fetch(now, f.nextSource())
 }
 
-// fetch fetches what is missing from one source. A peer that names the wanted
-// generation while only the key-value service was asked is asked at once: the
-// service may be slow, and the peer has the sections.
+// fetch requests the missing sections from one source. Learn calls it at once for a peer that
+// announces the wanted generation while only the key-value service has been asked: the service
+// may be slow, and the peer has the sections.
 func (f *Follower) fetch(now time.Time, source string) []Effect {
 	f.fetchedAt = now
 	f.lastFetchFromStore = source == StoreSource
@@ -234,7 +234,7 @@
 	return []Effect{&Activate{Head: head, Manifest: m}}
 }
 
-// prune forgets the sections of earlier generations.
+// prune drops the sections that are not part of the configuration in force.
 func (f *Follower) prune() {
 	keep := map[manifest.Hash]bool{}
 	for _, hash := range f.inForce.Sections {
@@ -247,8 +247,8 @@
 	}
 }
 
-// Sections returns those of the asked sections that this daemon has, for a
-// peer's fetch.
+// Sections returns those of the requested sections that this daemon has, to answer a peer's
+// fetch.
 func (f *Follower) Sections(hashes []manifest.Hash) map[manifest.Hash][]byte {
 	found := map[manifest.Hash][]byte{}
 	for _, hash := range hashes {
--- a/coordination/config/head.go
+++ b/coordination/config/head.go
@@ -1,7 +1,7 @@
-// Package config holds the configuration register as pure state machines: a
-// Submission brings a manifest to acceptance by compare-and-swap of one head,
-// a Follower brings accepted heads into force in one daemon. Neither does any
-// I/O; a driver carries out the steps and effects that they return.
+// Package config implements the configuration register as state machines without I/O. A
+// Submission gets a manifest accepted by compare-and-swap of a single head key. A Follower
+// brings accepted configurations into force in one daemon. A driver carries out the steps and
+// effects that they return.
 package config
 
 import (
@@ -12,29 +12,29 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// MaxPast bounds the accepted configurations that a head remembers.
+// MaxPast bounds the number of earlier accepted configurations in a head.
 const MaxPast = 32
 
-// Accepted names one accepted configuration.
+// Accepted identifies one accepted configuration.
 type Accepted struct {
 	Generation ident.Generation `json:"generation"`
 	Sections   []manifest.Hash  `json:"sections"`
-	// SubmissionID was chosen by the submitter and is unique for all time.
+	// SubmissionID was chosen by the submitter and is never used for another submission.
 	SubmissionID       string `json:"submission_id"`
 	Author             string `json:"author"`
 	AcceptedUnixMillis int64  `json:"accepted_unix_ms"`
 }
 
-// Head is the register's value: the newest accepted configuration and, newest
-// first, at most MaxPast earlier ones. The earlier ones let a submitter whose
-// swap was answered by silence see that it had been accepted before others
-// went on; they are the history too.
+// Head is the value of the register: the newest accepted configuration and up to MaxPast
+// earlier ones, newest first. From the earlier ones, a submitter that got no answer to its
+// swap can tell that its submission was accepted even after others have followed. They also
+// serve as the history.
 type Head struct {
 	Accepted
 	Past []Accepted `json:"past,omitempty"`
 }
 
-// EncodeHead returns the stored form.
+// EncodeHead returns the stored form of a head.
 func EncodeHead(h Head) ([]byte, error) {
 	data, err := json.Marshal(h)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return data, nil
 }
 
-// DecodeHead reads the stored form; the error is a *MalformedHeadError.
+// DecodeHead parses the stored form of a head. Errors are *MalformedHeadError.
 func DecodeHead(data []byte) (Head, error) {
 	var h Head
 	if err := json.Unmarshal(data, &h); err != nil {
@@ -52,7 +52,7 @@
 	return h, nil
 }
 
-// History lists all that the head knows, newest first.
+// History returns all accepted configurations in the head, newest first.
 func (h Head) History() []Accepted {
 	if h.Generation == 0 {
 		return nil
@@ -60,7 +60,7 @@
 	return append([]Accepted{h.Accepted}, h.Past...)
 }
 
-// Find returns the configuration that came of a submission.
+// Find returns the accepted configuration of a submission.
 func (h Head) Find(submissionID string) (Accepted, bool) {
 	for _, a := range h.History() {
 		if a.SubmissionID == submissionID {
@@ -70,7 +70,7 @@
 	return Accepted{}, false
 }
 
-// prepend returns the head that puts next in front of h.
+// prepend returns the head in which next is the newest configuration, followed by those of h.
 func (h Head) prepend(next Accepted) Head {
 	past := h.History()
 	if len(past) > MaxPast {
@@ -79,10 +79,10 @@
 	return Head{Accepted: next, Past: past}
 }
 
-// MalformedHeadError says that the stored head can't be read.
+// MalformedHeadError reports that the stored head can't be parsed.
 type MalformedHeadError struct{ Err error }
 
 func (e *MalformedHeadError) Error() string { return fmt.Sprintf("malformed head: %v", e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *MalformedHeadError) Unwrap() error { return e.Err }
--- a/coordination/config/submission.go
+++ b/coordination/config/submission.go
@@ -8,33 +8,33 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// AnyGeneration is the expectation that replaces whatever is accepted.
+// AnyGeneration as the expected generation replaces whatever configuration is accepted.
 const AnyGeneration int64 = -1
 
-// Step is what the driver of a Submission has to do next: *ReadHead,
-// *StoreSections, *SwapHead, *Done or *Failed.
+// Step is the next action for the driver of a Submission: *ReadHead, *StoreSections,
+// *SwapHead, *Done or *Failed.
 type Step interface{ step() }
 
-// ReadHead asks for the head; answer with HeadRead.
+// ReadHead asks the driver to read the head and call HeadRead.
 type ReadHead struct{}
 
-// StoreSections asks to write sections under their hashes; repeating a write
-// does no harm. Answer with SectionsStored once all are there.
+// StoreSections asks the driver to write sections under their hashes, which is idempotent,
+// and to call SectionsStored once all of them are written.
 type StoreSections struct{ Sections []manifest.Section }
 
-// SwapHead asks for a compare-and-swap of the head. Answer with Swapped,
+// SwapHead asks for a compare-and-swap of the head. The driver then calls Swapped,
 // SwapConflict or SwapLost.
 type SwapHead struct {
-	// Expected is the store's revision of the head; zero is none there.
+	// Expected is the revision of the head in the key-value service; zero if there is no head.
 	Expected uint64
 	Head     Head
 }
 
-// Done says that the submission is known to be accepted.
+// Done says that the submission is accepted.
 type Done struct{ Accepted Accepted }
 
-// Failed says that the submission ended otherwise: *ConflictError or
-// *OutcomeUnknownError.
+// Failed says that the submission ended without a known acceptance. Err is a
+// *ConflictError or an *OutcomeUnknownError.
 type Failed struct{ Err error }
 
 func (*ReadHead) step()      {}
@@ -43,25 +43,25 @@
 func (*Done) step()          {}
 func (*Failed) step()        {}
 
-// Submission is one attempt to have a manifest accepted.
+// Submission is one attempt to get a manifest accepted.
 type Submission struct {
 	id       string
 	author   string
 	expected int64
-	// floor is the highest generation that the submitter has seen anywhere.
+	// floor is the highest generation that the submitter knows of.
 	floor    ident.Generation
 	sections []manifest.Section
 
 	next           Step
 	sectionsStored bool
-	// unknownSwap holds the generation of a swap whose answer was lost.
+	// unknownSwap is the generation of a swap whose answer was lost; zero if there is none.
 	unknownSwap ident.Generation
 }
 
-// NewSubmission starts with reading the head. The expected generation is the
-// one to replace, or AnyGeneration. Floor is the generation in force at the
-// submitter. A manifest that daemons could not read back is refused with
-// manifest.Join's error: once accepted it would block every daemon.
+// NewSubmission returns a submission whose first step reads the head. expected is the
+// generation to replace, or AnyGeneration. floor is the generation in force at the submitter.
+// A manifest that daemons could not read back fails with the error of manifest.Join, because
+// it would block every daemon once accepted.
 func NewSubmission(m *manifest.Manifest, author, id string, expected int64, floor ident.Generation) (*Submission, error) {
 	sections, err := manifest.Split(m)
 	if err != nil {
@@ -84,17 +84,17 @@
 	return data
 }
 
-// Step returns what to do now; repeating it while no answer was given is safe.
+// Step returns the next step. It returns the same step until the driver has answered it.
 func (s *Submission) Step() Step { return s.next }
 
-// SectionsStored answers StoreSections. The head is read again, since what was
-// read before the writes may be old.
+// SectionsStored answers StoreSections. The head is read again, because it may have changed
+// since it was read before the writes.
 func (s *Submission) SectionsStored() {
 	s.sectionsStored = true
 	s.next = &ReadHead{}
 }
 
-// HeadRead answers ReadHead; revision zero says that there is none.
+// HeadRead answers ReadHead; revision zero means that there is no head.
 func (s *Submission) HeadRead(now time.Time, head Head, revision uint64) {
 	if a, ok := head.Find(s.id); ok {
 		s.next = &Done{Accepted: a}
@@ -115,8 +115,8 @@
 	s.next = &SwapHead{Expected: revision, Head: head.prepend(s.nextAccepted(now, head))}
 }
 
-// mayBeTruncated tells whether a lost swap may have been accepted and has since
-// fallen off the head's bounded past.
+// mayBeTruncated reports whether a swap whose answer was lost may have been accepted and
+// since dropped from the head's bounded list of earlier configurations.
 func (s *Submission) mayBeTruncated(head Head) bool {
 	if s.unknownSwap == 0 || len(head.Past) == 0 {
 		return false
@@ -124,11 +124,10 @@
 	return head.Past[len(head.Past)-1].Generation > s.unknownSwap
 }
 
-// nextAccepted numbers the new configuration above the head and above what the
-// submitter's daemon has in force. Guards against a key-value service that
-// came back from an outage with an older head: by the head alone, a generation
-// that daemons have in force would be given out a second time, and they would
-// ignore the new content as already applied.
+// nextAccepted returns the new configuration with a generation above both the head and the
+// configuration in force at the submitter's daemon. After an outage the key-value service may
+// return an older head. A generation derived from that head alone could repeat one that daemons
+// already have in force, and they would ignore the new content as already applied.
 func (s *Submission) nextAccepted(now time.Time, head Head) Accepted {
 	return Accepted{
 		Generation:         max(head.Generation, s.floor) + 1,
@@ -139,20 +138,20 @@
 	}
 }
 
-// Swapped answers SwapHead: it took effect.
+// Swapped answers SwapHead: the swap took effect.
 func (s *Submission) Swapped() {
 	if swap, ok := s.next.(*SwapHead); ok {
 		s.next = &Done{Accepted: swap.Head.Accepted}
 	}
 }
 
-// SwapConflict answers SwapHead: it did not take effect, or an earlier sending
-// of the same swap did. Reading the head tells which.
+// SwapConflict answers SwapHead: the swap did not take effect, or an earlier attempt of the
+// same swap did. Reading the head shows which.
 func (s *Submission) SwapConflict() { s.next = &ReadHead{} }
 
-// SwapLost answers SwapHead: no answer came. The swap may take effect now,
-// later or never; what is read next decides, and a repeated swap expects the
-// same revision, so at most one of the two can win.
+// SwapLost answers SwapHead: no answer arrived, so the swap may take effect now, later or
+// never. The next read of the head decides. A repeated swap expects the same revision, so at
+// most one of the two can take effect.
 func (s *Submission) SwapLost() {
 	if swap, ok := s.next.(*SwapHead); ok {
 		s.unknownSwap = swap.Head.Generation
@@ -160,9 +159,8 @@
 	s.next = &ReadHead{}
 }
 
-// AbortError returns the truthful error when the driver has to stop before Done or
-// Failed: *OutcomeUnknownError if a swap's answer is open, else
-// *NotAcceptedError.
+// AbortError returns the error to report when the driver stops before Done or Failed:
+// *OutcomeUnknownError if the answer to a swap is missing, else *NotAcceptedError.
 func (s *Submission) AbortError(cause error) error {
 	if _, swapping := s.next.(*SwapHead); swapping || s.unknownSwap != 0 {
 		return &OutcomeUnknownError{SubmissionID: s.id, Err: cause}
@@ -170,7 +168,7 @@
 	return &NotAcceptedError{SubmissionID: s.id, Err: cause}
 }
 
-// ConflictError says that another configuration than the expected stands.
+// ConflictError reports that the accepted configuration is not the expected one.
 type ConflictError struct {
 	Expected int64
 	Current  Accepted
@@ -180,8 +178,8 @@
 	return fmt.Sprintf("expected generation %d, but generation %d of %s is accepted", e.Expected, e.Current.Generation, e.Current.Author)
 }
 
-// OutcomeUnknownError says that a submission may have been accepted. The same
-// submission ID can be sent again to find out.
+// OutcomeUnknownError reports that it is unknown whether a submission was accepted. Sending it
+// again with the same submission ID finds out.
 type OutcomeUnknownError struct {
 	SubmissionID string
 	Err          error
@@ -191,10 +189,10 @@
 	return fmt.Sprintf("outcome of submission %s is unknown: %v", e.SubmissionID, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Err }
 
-// NotAcceptedError says that a submission was given up before any swap.
+// NotAcceptedError reports that a submission was aborted before any swap.
 type NotAcceptedError struct {
 	SubmissionID string
 	Err          error
@@ -204,5 +202,5 @@
 	return fmt.Sprintf("submission %s was not accepted: %v", e.SubmissionID, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *NotAcceptedError) Unwrap() error { return e.Err }
