--- a/bench/orders/episode.go
+++ b/bench/orders/episode.go
@@ -44,7 +44,7 @@
 	}
 	r := lease.Result{Attempt: e.Attempt, Outcome: lease.Done}
 	switch e.Kind {
-	case lease.Look, lease.ReadBack:
+	case lease.ReadKey, lease.VerifyCreate:
 		r.FoundLease, r.Revision = s.holder, s.revision
 	case lease.Grant:
 		s.leases++
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -31,41 +31,41 @@
 	Drift float64
 	// Retry is the wait after a failed call.
 	Retry time.Duration
-	// Look is the time between a standby's reads of the key.
-	Look time.Duration
+	// PollInterval is the time between a standby's reads of the key.
+	PollInterval time.Duration
 }
 
 // DefaultTiming suits a key-value service that answers in milliseconds.
 func DefaultTiming() Timing {
 	return Timing{
-		TTL:      9 * time.Second,
-		Renew:    3 * time.Second,
-		MaxOrder: 2 * time.Second,
-		MaxPause: 20 * time.Second,
-		Drift:    0.01,
-		Retry:    time.Second,
-		Look:     2 * time.Second,
+		TTL:          9 * time.Second,
+		Renew:        3 * time.Second,
+		MaxOrder:     2 * time.Second,
+		MaxPause:     20 * time.Second,
+		Drift:        0.01,
+		Retry:        time.Second,
+		PollInterval: 2 * time.Second,
 	}
 }
 
 // Quarantine is how long a new holder waits before its first order to runners
 // that don't check fencing tokens.
 func (t Timing) Quarantine() time.Duration {
-	return stretch(t.MaxPause+t.MaxOrder, t.Drift)
+	return withDrift(t.MaxPause+t.MaxOrder, t.Drift)
 }
 
-// Takeover bounds the time from a holder's death to its successor's first order
+// MaxTakeover bounds the time from a holder's death to its successor's first order
 // to runners that don't check fencing tokens, without the time of the calls.
-func (t Timing) Takeover() time.Duration {
-	return stretch(t.TTL, t.Drift) + max(t.Look, t.Retry) + t.Quarantine()
+func (t Timing) MaxTakeover() time.Duration {
+	return withDrift(t.TTL, t.Drift) + max(t.PollInterval, t.Retry) + t.Quarantine()
 }
 
-func stretch(d time.Duration, drift float64) time.Duration {
+func withDrift(d time.Duration, drift float64) time.Duration {
 	return d + time.Duration(float64(d)*drift)
 }
 
-// usable is how long after sending a renewal the holder may rely on it.
-func (t Timing) usable() time.Duration {
+// usableFor is how long after sending a renewal the holder may rely on it.
+func (t Timing) usableFor() time.Duration {
 	return t.TTL - time.Duration(float64(t.TTL)*t.Drift) - t.MaxOrder
 }
 
@@ -74,16 +74,16 @@
 
 // Calls to the key-value service, in the order of a holder's life.
 const (
-	// Look reads the key. A standby writes nothing while another holds it: the
+	// ReadKey reads the key. A standby writes nothing while another holds it: the
 	// service takes far fewer writes than reads, and there are two standbys to
 	// each holder.
-	Look Kind = iota + 1
+	ReadKey Kind = iota + 1
 	// Grant a lease of Timing.TTL.
 	Grant
 	// Create the responsibility's key under the lease, if absent.
 	Create
-	// ReadBack reads the key after a Create whose answer was lost.
-	ReadBack
+	// VerifyCreate reads the key after a Create whose answer was lost.
+	VerifyCreate
 	// Renew the lease.
 	Renew
 	// Revoke the lease, at a graceful shutdown or after losing the race.
@@ -175,7 +175,7 @@
 	if m.state != Holding || m.stopping {
 		return false
 	}
-	if now >= m.renewedAt+m.timing.usable() {
+	if now >= m.renewedAt+m.timing.usableFor() {
 		return false
 	}
 	return checked || now >= m.heldSince+m.timing.Quarantine()
@@ -195,7 +195,7 @@
 		return m.call(now, Renew)
 	case m.state == Idle && candidate && !m.stopping:
 		m.state = Acquiring
-		return m.call(now, Look)
+		return m.call(now, ReadKey)
 	}
 	return nil
 }
@@ -204,11 +204,11 @@
 // have been unreachable for all of the lease; another may hold it by now.
 func (m *Machine) expire(now time.Duration) {
 	if m.state == Holding && now >= m.renewedAt+m.timing.TTL {
-		m.drop(now)
+		m.reset(now)
 	}
 }
 
-func (m *Machine) drop(now time.Duration) {
+func (m *Machine) reset(now time.Duration) {
 	m.state = Idle
 	if m.stopping {
 		m.state = Stopped
@@ -228,7 +228,7 @@
 
 func (m *Machine) release(now time.Duration) []Effect {
 	lease := m.lease
-	m.drop(now)
+	m.reset(now)
 	m.attempts++
 	// The answer is not waited for: the lease lapses by itself if it is lost.
 	return []Effect{{Kind: Revoke, Lease: lease, Attempt: m.attempts}}
@@ -257,36 +257,36 @@
 	kind := m.pending.Kind
 	m.pending = Effect{}
 	switch kind {
-	case Look:
-		return m.looked(now, r)
+	case ReadKey:
+		return m.handleReadKey(now, r)
 	case Grant:
-		return m.granted(now, r)
+		return m.handleGrant(now, r)
 	case Create:
-		return m.created(now, r)
-	case ReadBack:
-		return m.readBack(now, r)
+		return m.handleCreate(now, r)
+	case VerifyCreate:
+		return m.handleVerifyCreate(now, r)
 	case Renew:
-		return m.renewed(now, r)
+		return m.handleRenew(now, r)
 	}
 	return nil
 }
 
-func (m *Machine) looked(now time.Duration, r Result) []Effect {
+func (m *Machine) handleReadKey(now time.Duration, r Result) []Effect {
 	if r.Outcome != Done || m.stopping {
-		m.drop(now)
+		m.reset(now)
 		return nil
 	}
 	if r.FoundLease != 0 {
-		m.drop(now)
-		m.nextCall = now + m.timing.Look
+		m.reset(now)
+		m.nextCall = now + m.timing.PollInterval
 		return nil
 	}
 	return m.call(now, Grant)
 }
 
-func (m *Machine) granted(now time.Duration, r Result) []Effect {
+func (m *Machine) handleGrant(now time.Duration, r Result) []Effect {
 	if r.Outcome != Done || m.stopping {
-		m.drop(now)
+		m.reset(now)
 		return nil
 	}
 	m.lease = r.Lease
@@ -295,30 +295,30 @@
 	return m.call(now, Create)
 }
 
-func (m *Machine) created(now time.Duration, r Result) []Effect {
+func (m *Machine) handleCreate(now time.Duration, r Result) []Effect {
 	switch r.Outcome {
 	case Done:
-		m.hold(now, r.Revision)
+		m.acquire(now, r.Revision)
 		return nil
 	case Lost:
-		return m.call(now, ReadBack)
+		return m.call(now, VerifyCreate)
 	}
 	return m.release(now)
 }
 
-// readBack settles a Create whose answer was lost: the key stands under this
+// handleVerifyCreate settles a Create whose answer was lost: the key stands under this
 // candidate's own lease, which no other ever had, only if it took effect.
-func (m *Machine) readBack(now time.Duration, r Result) []Effect {
+func (m *Machine) handleVerifyCreate(now time.Duration, r Result) []Effect {
 	if r.Outcome == Done && r.FoundLease == m.lease {
-		m.hold(now, r.Revision)
+		m.acquire(now, r.Revision)
 		return nil
 	}
 	return m.release(now)
 }
 
-func (m *Machine) hold(now time.Duration, revision uint64) {
+func (m *Machine) acquire(now time.Duration, revision uint64) {
 	if m.stopping || now >= m.renewedAt+m.timing.TTL {
-		m.drop(now)
+		m.reset(now)
 		return
 	}
 	m.state = Holding
@@ -326,12 +326,12 @@
 	m.heldSince = now
 }
 
-func (m *Machine) renewed(now time.Duration, r Result) []Effect {
+func (m *Machine) handleRenew(now time.Duration, r Result) []Effect {
 	switch r.Outcome {
 	case Done:
 		m.renewedAt = m.sentAt
 	case Refused:
-		m.drop(now)
+		m.reset(now)
 	case Lost:
 		m.nextCall = now + m.timing.Retry
 	}
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -10,15 +10,15 @@
 	"geraniumstack.org/geraniumstack/coordination/lease"
 )
 
-// service is the key-value service's part: one key under a lease that lapses.
-type service struct {
+// fakeStore is the key-value fakeStore's part: one key under a lease that lapses.
+type fakeStore struct {
 	leases   uint64
 	holder   uint64
 	expires  time.Duration
 	revision uint64
 }
 
-func (s *service) do(now time.Duration, e lease.Effect, ttl time.Duration) lease.Result {
+func (s *fakeStore) execute(now time.Duration, e lease.Effect, ttl time.Duration) lease.Result {
 	if s.holder != 0 && now >= s.expires {
 		s.holder = 0
 	}
@@ -34,7 +34,7 @@
 		}
 		s.revision++
 		s.holder, s.expires, r.Revision = e.Lease, now+ttl, s.revision
-	case lease.Look, lease.ReadBack:
+	case lease.ReadKey, lease.VerifyCreate:
 		r.FoundLease, r.Revision = s.holder, s.revision
 	case lease.Renew:
 		if s.holder != e.Lease {
@@ -58,27 +58,27 @@
 // candidate is one daemon: its machine, its pauses, and an order that it had
 // decided on when a pause began.
 type candidate struct {
-	m           *lease.Machine
-	pausedUntil time.Duration
-	decided     uint64
+	m            *lease.Machine
+	pausedUntil  time.Duration
+	pendingToken uint64
 }
 
 const step = 100 * time.Millisecond
 
-type run struct {
+type simulation struct {
 	rng        *rand.Rand
 	timing     lease.Timing
-	service    service
+	service    fakeStore
 	candidates []*candidate
 	orders     []order
 	quarantine bool
 }
 
-func (r *run) effects(now time.Duration, c *candidate, effects []lease.Effect) {
+func (r *simulation) runEffects(now time.Duration, c *candidate, effects []lease.Effect) {
 	for len(effects) > 0 {
 		e := effects[0]
 		effects = effects[1:]
-		result := r.service.do(now, e, r.timing.TTL)
+		result := r.service.execute(now, e, r.timing.TTL)
 		if r.rng.IntN(20) == 0 {
 			result = lease.Result{Attempt: e.Attempt, Outcome: lease.Lost}
 		}
@@ -86,34 +86,34 @@
 	}
 }
 
-// act lets a daemon order, or pause between its check and its order, which is
+// stepCandidate lets a daemon order, or pause between its check and its order, which is
 // the interleaving that a fencing token exists for.
-func (r *run) act(now time.Duration, c *candidate) {
+func (r *simulation) stepCandidate(now time.Duration, c *candidate) {
 	if now < c.pausedUntil {
 		return
 	}
-	if c.decided != 0 {
-		r.send(now, c.decided)
-		c.decided = 0
+	if c.pendingToken != 0 {
+		r.send(now, c.pendingToken)
+		c.pendingToken = 0
 	}
-	r.effects(now, c, c.m.Tick(now, true))
+	r.runEffects(now, c, c.m.Tick(now, true))
 	if !c.m.MayOrder(now, !r.quarantine) {
 		return
 	}
 	if r.rng.IntN(40) == 0 {
-		c.decided = c.m.Token()
+		c.pendingToken = c.m.Token()
 		c.pausedUntil = now + time.Duration(r.rng.Int64N(int64(r.timing.MaxPause)))
 		return
 	}
 	r.send(now, c.m.Token())
 }
 
-func (r *run) send(now time.Duration, token uint64) {
+func (r *simulation) send(now time.Duration, token uint64) {
 	r.orders = append(r.orders, order{token: token, arrival: now + time.Duration(r.rng.Int64N(int64(r.timing.MaxOrder)))})
 }
 
-// staleAfterNewer counts orders that reach a runner after one of a later holder.
-func (r *run) staleAfterNewer() int {
+// countStaleOrders counts orders that reach a runner after one of a later holder.
+func (r *simulation) countStaleOrders() int {
 	stale := 0
 	for _, a := range r.orders {
 		for _, b := range r.orders {
@@ -126,14 +126,14 @@
 	return stale
 }
 
-func simulate(seed uint64, quarantine bool) *run {
-	r := &run{rng: rand.New(rand.NewPCG(seed, 1)), timing: lease.DefaultTiming(), quarantine: quarantine}
+func simulate(seed uint64, quarantine bool) *simulation {
+	r := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), timing: lease.DefaultTiming(), quarantine: quarantine}
 	for range 3 {
 		r.candidates = append(r.candidates, &candidate{m: lease.New(r.timing)})
 	}
 	for now := time.Duration(0); now < 3*time.Minute; now += step {
 		for _, c := range r.candidates {
-			r.act(now, c)
+			r.stepCandidate(now, c)
 		}
 	}
 	return r
@@ -148,7 +148,7 @@
 	takeovers := uint64(0)
 	for seed := range uint64(60) {
 		r := simulate(seed, true)
-		is.Equal(r.staleAfterNewer(), 0) // seed
+		is.Equal(r.countStaleOrders(), 0) // seed
 		takeovers += r.service.revision
 	}
 	is.True(takeovers > 120) // the run must bring take-overs about
@@ -156,11 +156,11 @@
 
 // The same run without the quarantine must be caught, or the check above
 // proves nothing.
-func TestCheckSeesMissingQuarantine(t *testing.T) {
+func TestMissingQuarantineIsDetected(t *testing.T) {
 	is := is.New(t)
 	stale := 0
 	for seed := range uint64(60) {
-		stale += simulate(seed, false).staleAfterNewer()
+		stale += simulate(seed, false).countStaleOrders()
 	}
 	is.True(stale > 0)
 }
@@ -171,9 +171,9 @@
 	is := is.New(t)
 	timing := lease.DefaultTiming()
 	m := lease.New(timing)
-	var s service
+	var s fakeStore
 	for effects := m.Tick(0, true); len(effects) > 0; {
-		effects = m.Step(0, s.do(0, effects[0], timing.TTL))
+		effects = m.Step(0, s.execute(0, effects[0], timing.TTL))
 	}
 	is.Equal(m.State(), lease.Holding)
 	is.True(m.MayOrder(time.Second, true))
@@ -189,18 +189,18 @@
 
 // The answer to the create is lost after it took effect. Without the read-back
 // nobody would hold the responsibility until the lease lapses.
-func TestLostCreateIsSettledByReadBack(t *testing.T) {
+func TestLostCreateIsResolvedByReadingKey(t *testing.T) {
 	is := is.New(t)
 	timing := lease.DefaultTiming()
 	m := lease.New(timing)
-	var s service
+	var s fakeStore
 	look := m.Tick(0, true)[0]
-	grant := m.Step(0, s.do(0, look, timing.TTL))[0]
-	create := m.Step(0, s.do(0, grant, timing.TTL))[0]
-	s.do(0, create, timing.TTL)
+	grant := m.Step(0, s.execute(0, look, timing.TTL))[0]
+	create := m.Step(0, s.execute(0, grant, timing.TTL))[0]
+	s.execute(0, create, timing.TTL)
 	readBack := m.Step(0, lease.Result{Attempt: create.Attempt, Outcome: lease.Lost})[0]
-	is.Equal(readBack.Kind, lease.ReadBack)
-	m.Step(0, s.do(0, readBack, timing.TTL))
+	is.Equal(readBack.Kind, lease.VerifyCreate)
+	m.Step(0, s.execute(0, readBack, timing.TTL))
 	is.Equal(m.State(), lease.Holding)
 }
 
@@ -209,28 +209,28 @@
 func TestStandbyOnlyReads(t *testing.T) {
 	is := is.New(t)
 	timing := lease.DefaultTiming()
-	s := service{holder: 7, expires: time.Hour}
+	s := fakeStore{holder: 7, expires: time.Hour}
 	m := lease.New(timing)
 	calls := 0
 	for now := time.Duration(0); now < time.Minute; now += step {
 		for _, e := range m.Tick(now, true) {
-			is.Equal(e.Kind, lease.Look)
+			is.Equal(e.Kind, lease.ReadKey)
 			calls++
-			is.Equal(len(m.Step(now, s.do(now, e, timing.TTL))), 0)
+			is.Equal(len(m.Step(now, s.execute(now, e, timing.TTL))), 0)
 		}
 	}
-	is.Equal(calls, int(time.Minute/timing.Look))
+	is.Equal(calls, int(time.Minute/timing.PollInterval))
 }
 
 func BenchmarkHoldOneSecond(b *testing.B) {
 	timing := lease.DefaultTiming()
 	m := lease.New(timing)
-	var s service
+	var s fakeStore
 	now := time.Duration(0)
 	for b.Loop() {
 		for range 4 {
 			for effects := m.Tick(now, true); len(effects) > 0; {
-				effects = m.Step(now, s.do(now, effects[0], timing.TTL))
+				effects = m.Step(now, s.execute(now, effects[0], timing.TTL))
 			}
 			now += time.Second / 4
 		}
--- a/daemon/holder/holder.go
+++ b/daemon/holder/holder.go
@@ -120,7 +120,7 @@
 		var revision kv.Revision
 		revision, err = h.opts.Store.CompareAndSwap(ctx, KeyPrefix+h.opts.Name, 0, []byte(h.opts.Self), id)
 		r.Revision = uint64(revision)
-	case lease.Look, lease.ReadBack:
+	case lease.ReadKey, lease.VerifyCreate:
 		var entry kv.Entry
 		entry, err = h.opts.Store.Get(ctx, KeyPrefix+h.opts.Name)
 		r.Revision, r.FoundLease = uint64(entry.Revision), uint64(entry.Lease)
--- a/daemon/orders/lease_test.go
+++ b/daemon/orders/lease_test.go
@@ -26,7 +26,7 @@
 			dead.kill()
 			w.version("2")
 			before := len(w.orders())
-			bound := timing.Takeover() + reaction
+			bound := timing.MaxTakeover() + reaction
 			if checks {
 				bound -= timing.Quarantine()
 			}
@@ -120,7 +120,7 @@
 		w.Equal(len(w.orders()), before)
 		w.Equal(len(w.running()), 2)
 		w.store.SetFaults(kvserver.Faults{})
-		w.until(timing.Takeover()+reaction, "orders again", func() bool { return len(w.orders()) > before })
+		w.until(timing.MaxTakeover()+reaction, "orders again", func() bool { return len(w.orders()) > before })
 		w.settled(4, "2")
 		w.Equal(len(w.running()), 4)
 	})
@@ -146,7 +146,7 @@
 		w.settled(1, "1")
 		first := w.holder(shard)
 		first.cancel()
-		time.Sleep(lease.DefaultTiming().Look + time.Second)
+		time.Sleep(lease.DefaultTiming().PollInterval + time.Second)
 		w.True(w.holder(shard) != nil)
 		w.True(w.holder(shard) != first)
 		first.done <- <-first.done
