--- a/bench/actions/run.go
+++ b/bench/actions/run.go
@@ -90,9 +90,9 @@
 	}
 	if a.lifetime > 0 {
 		cfg.TokenLifetime = a.lifetime
-		cfg.Journal.Grace = time.Second
+		cfg.Journal.KeyRetention = time.Second
 	}
-	r.grace = cfg.TokenLifetime + cfg.Journal.Grace
+	r.grace = cfg.TokenLifetime + cfg.Journal.KeyRetention
 	if a.perAction {
 		return &perAction{r: r, gateway: gateway, name: name, done: map[actionkey.ID]*record{}}
 	}
@@ -319,7 +319,7 @@
 		}
 		status := journal.Created
 		if !ok {
-			status = journal.Doubtful
+			status = journal.Unknown
 		}
 		j.apply(j.owner.Written(j.r.wall(), journal.Written{Index: w.Index, Status: status}))
 	})
--- a/coordination/journal/journal_test.go
+++ b/coordination/journal/journal_test.go
@@ -33,32 +33,32 @@
 func TestGroupCommit(t *testing.T) {
 	is := is.New(t)
 	w := journal.NewWriter(start, journal.DefaultConfig(owner))
-	w.Intend(journal.Intent{ID: id(start, "a")})
+	w.AddIntent(journal.Intent{ID: id(start, "a")})
 	first, ok := w.Flush(start)
 	is.True(ok)
 	for i := range 100 {
-		w.Intend(journal.Intent{ID: id(start, fmt.Sprint("b", i))})
+		w.AddIntent(journal.Intent{ID: id(start, fmt.Sprint("b", i))})
 	}
 	_, ok = w.Flush(start)
 	is.True(!ok)
-	p := w.Done(start, journal.Written{Index: first.Index})
+	p := w.HandleWritten(start, journal.Written{Index: first.Index})
 	is.Equal(len(p.Durable), 1)
 	second, ok := w.Flush(start)
 	is.True(ok)
 	is.Equal(len(decode(is, second).Intents), 100)
 }
 
-func TestWritesKeepToTheBudget(t *testing.T) {
+func TestWritesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
 	cfg := journal.DefaultConfig(owner)
 	w := journal.NewWriter(start, cfg)
 	writes := 0
 	for ms := range 10_000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
-		w.Intend(journal.Intent{ID: id(start, fmt.Sprint(ms))})
+		w.AddIntent(journal.Intent{ID: id(start, fmt.Sprint(ms))})
 		if write, ok := w.Flush(now); ok {
 			writes++
-			w.Done(now, journal.Written{Index: write.Index})
+			w.HandleWritten(now, journal.Written{Index: write.Index})
 		}
 	}
 	is.True(float64(writes) <= cfg.Burst+10*cfg.WritesPerSecond)
@@ -67,20 +67,20 @@
 
 // Story: after a busy minute nothing is journaled any more, since the entry is
 // over the service's bound of a megabyte and is refused for ever.
-func TestEntriesStayUnderTheServicesBound(t *testing.T) {
+func TestEntriesStayBelowValueLimit(t *testing.T) {
 	is := is.New(t)
 	w := journal.NewWriter(start, journal.DefaultConfig(owner))
 	for i := range 300 {
-		w.Record(start, journal.Outcome{ID: id(start, fmt.Sprint(i)), Body: []byte(strings.Repeat("\xff", 16<<10))})
+		w.AddOutcome(start, journal.Outcome{ID: id(start, fmt.Sprint(i)), Body: []byte(strings.Repeat("\xff", 16<<10))})
 	}
-	w.Record(start, journal.Outcome{ID: id(start, "large"), Body: make([]byte, 17<<10)})
+	w.AddOutcome(start, journal.Outcome{ID: id(start, "large"), Body: make([]byte, 17<<10)})
 	now := start.Add(time.Second)
 	outcomes := 0
 	for write, ok := w.Flush(now); ok; write, ok = w.Flush(now) {
 		is.True(len(write.Value) < 1<<20)
 		outcomes += len(decode(is, write).Outcomes)
 		now = now.Add(time.Second)
-		w.Done(now, journal.Written{Index: write.Index})
+		w.HandleWritten(now, journal.Written{Index: write.Index})
 	}
 	is.Equal(outcomes, 301)
 }
@@ -93,7 +93,7 @@
 	cfg.MaxQueuedBytes = 10 << 10
 	w := journal.NewWriter(start, cfg)
 	for i := range 1000 {
-		w.Record(start, journal.Outcome{ID: id(start, fmt.Sprint(i))})
+		w.AddOutcome(start, journal.Outcome{ID: id(start, fmt.Sprint(i))})
 	}
 	write, _ := w.Flush(start.Add(time.Second))
 	kept := decode(is, write).Outcomes
@@ -103,24 +103,24 @@
 
 // Story: a pledge is journaled twice under two indexes, or an owner takes its
 // own entry for another's seal. The answer to the first write was lost.
-func TestLostAnswerIsSettledByTheStandingEntry(t *testing.T) {
+func TestLostAnswerIsResolvedByExistingEntry(t *testing.T) {
 	is := is.New(t)
 	w := journal.NewWriter(start, journal.DefaultConfig(owner))
-	w.Intend(journal.Intent{ID: id(start, "a")})
+	w.AddIntent(journal.Intent{ID: id(start, "a")})
 	first, _ := w.Flush(start)
-	w.Done(start, journal.Written{Index: first.Index, Status: journal.Doubtful})
+	w.HandleWritten(start, journal.Written{Index: first.Index, Status: journal.Unknown})
 	now := start.Add(time.Second)
 	again, ok := w.Flush(now)
 	is.True(ok)
 	is.Equal(again, first)
-	p := w.Done(now, journal.Written{Index: again.Index, Status: journal.Conflict, Standing: decode(is, first)})
+	p := w.HandleWritten(now, journal.Written{Index: again.Index, Status: journal.Conflict, Existing: decode(is, first)})
 	is.Equal(len(p.Durable), 1)
 	is.True(!p.Sealed)
 
-	w.Intend(journal.Intent{ID: id(start, "b")})
+	w.AddIntent(journal.Intent{ID: id(start, "b")})
 	next, _ := w.Flush(now)
 	seal := journal.Entry{Nonce: "seal/entry-2~bb", Seal: &journal.Seal{By: "entry-2~bb"}}
-	p = w.Done(now, journal.Written{Index: next.Index, Status: journal.Conflict, Standing: seal})
+	p = w.HandleWritten(now, journal.Written{Index: next.Index, Status: journal.Conflict, Existing: seal})
 	is.True(p.Sealed)
 	is.Equal(len(p.Durable), 0)
 }
@@ -160,7 +160,7 @@
 // Story: a gateway seals a log, says "not run", and the owner goes on. The
 // gateway was paused between reading and sealing, so long that the owner had
 // written the index it won and collected it again.
-func TestSealBeforeTheLastEntryEndsNothing(t *testing.T) {
+func TestSealBeforeLastEntryIsIgnored(t *testing.T) {
 	is := is.New(t)
 	log := journal.NewLog(owner)
 	log.Add(3, journal.Entry{Seal: &journal.Seal{By: "entry-2~bb"}})
@@ -175,18 +175,18 @@
 	w := journal.NewWriter(start, journal.DefaultConfig(owner))
 	now := start
 	for i := range 3 {
-		w.Intend(journal.Intent{ID: id(now, fmt.Sprint(i))})
+		w.AddIntent(journal.Intent{ID: id(now, fmt.Sprint(i))})
 		write, ok := w.Flush(now)
 		is.True(ok)
-		w.Done(now, journal.Written{Index: write.Index, Revision: uint64(i + 10)})
+		w.HandleWritten(now, journal.Written{Index: write.Index, Revision: uint64(i + 10)})
 		_, early := w.CollectNext(now)
 		is.True(!early)
 		now = now.Add(20 * time.Second) // the keys live for a minute
 	}
 	now = now.Add(5 * time.Minute)
-	w.Intend(journal.Intent{ID: id(now, "last")})
+	w.AddIntent(journal.Intent{ID: id(now, "last")})
 	write, _ := w.Flush(now)
-	w.Done(now, journal.Written{Index: write.Index})
+	w.HandleWritten(now, journal.Written{Index: write.Index})
 	var collected []journal.Collect
 	for c, ok := w.CollectNext(now); ok; c, ok = w.CollectNext(now) {
 		collected = append(collected, c)
--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -21,15 +21,15 @@
 	// MaxAnswerBytes bounds an answer's body in the journal. Larger ones are
 	// journaled as executed without their body.
 	MaxAnswerBytes int
-	// Linger is how long outcomes may wait for intents to be written with.
-	Linger time.Duration
-	// Patience is how long an entry may wait for its answer, or be retried,
+	// OutcomeDelay is how long outcomes may wait for intents to be written with.
+	OutcomeDelay time.Duration
+	// Timeout is how long an entry may wait for its answer, or be retried,
 	// before the journal counts as unavailable.
-	Patience time.Duration
-	// RetryAfter is the pause before an entry without an answer is sent again.
-	RetryAfter time.Duration
-	// Grace is how long after their expiry keys stay in the log.
-	Grace time.Duration
+	Timeout time.Duration
+	// RetryDelay is the pause before an entry without an answer is sent again.
+	RetryDelay time.Duration
+	// KeyRetention is how long after their expiry keys stay in the log.
+	KeyRetention time.Duration
 	// MaxQueuedBytes bounds the outcomes that wait for the end of an outage;
 	// the oldest are dropped, so that a crash leaves them unknown.
 	MaxQueuedBytes int
@@ -44,10 +44,10 @@
 		Burst:           10,
 		MaxBytes:        512 << 10,
 		MaxAnswerBytes:  16 << 10,
-		Linger:          250 * time.Millisecond,
-		Patience:        time.Second,
-		RetryAfter:      200 * time.Millisecond,
-		Grace:           30 * time.Second,
+		OutcomeDelay:    250 * time.Millisecond,
+		Timeout:         time.Second,
+		RetryDelay:      200 * time.Millisecond,
+		KeyRetention:    30 * time.Second,
 		MaxQueuedBytes:  8 << 20,
 	}
 }
@@ -72,8 +72,8 @@
 const (
 	// Created says that the entry stands.
 	Created Status = iota
-	// Doubtful says that no answer came: the entry may stand or come to stand.
-	Doubtful
+	// Unknown says that no answer came: the entry may stand or come to stand.
+	Unknown
 	// Conflict says that an entry stood there already.
 	Conflict
 )
@@ -82,8 +82,8 @@
 type Written struct {
 	Index  uint64
 	Status Status
-	// Standing is the entry that stands there on a Conflict.
-	Standing Entry
+	// Existing is the entry that stands there on a Conflict.
+	Existing Entry
 	// Revision of the entry that stands there.
 	Revision uint64
 }
@@ -96,10 +96,10 @@
 	Sealed bool
 }
 
-// kept is an entry that stands in the log until its last key is over.
-type kept struct {
+// retainedEntry is an entry that stands in the log until its last key is over.
+type retainedEntry struct {
 	Collect
-	last time.Time
+	lastExpiry time.Time
 }
 
 // Writer groups intents and outcomes into entries: one write in flight, paced
@@ -115,30 +115,30 @@
 	outcomesSince time.Time
 	seal          *Seal
 
-	flight   *Entry
-	value    []byte
-	waiting  bool
-	retryAt  time.Time
-	since    time.Time
-	entryEnd time.Time
+	inFlight       *Entry
+	value          []byte
+	awaitingAnswer bool
+	retryAt        time.Time
+	inFlightSince  time.Time
+	inFlightExpiry time.Time
 
-	credit   float64
-	creditAt time.Time
+	tokens   float64
+	tokensAt time.Time
 	floor    int64
-	kept     []kept
+	retained []retainedEntry
 	sealed   bool
 }
 
 // NewWriter starts an empty log.
 func NewWriter(now time.Time, cfg Config) *Writer {
-	return &Writer{cfg: cfg, credit: cfg.Burst, creditAt: now}
+	return &Writer{cfg: cfg, tokens: cfg.Burst, tokensAt: now}
 }
 
-// Intend queues an action that may be dispatched once it is durable.
-func (w *Writer) Intend(i Intent) { w.intents = append(w.intents, i) }
+// AddIntent queues an action that may be dispatched once it is durable.
+func (w *Writer) AddIntent(i Intent) { w.intents = append(w.intents, i) }
 
-// Record queues an outcome.
-func (w *Writer) Record(now time.Time, o Outcome) {
+// AddOutcome queues an outcome.
+func (w *Writer) AddOutcome(now time.Time, o Outcome) {
 	if len(o.Body) > w.cfg.MaxAnswerBytes {
 		o.Body, o.Headers, o.NotKept = nil, nil, true
 	}
@@ -153,9 +153,9 @@
 	}
 }
 
-// Withdraw drops the intents that are not in flight: their actions don't wait
+// DropIntents drops the intents that are not in flight: their actions don't wait
 // for the journal any more.
-func (w *Writer) Withdraw() { w.intents = nil }
+func (w *Writer) DropIntents() { w.intents = nil }
 
 // End queues the seal by which the owner ends its own log.
 func (w *Writer) End(successor ident.Incarnation) {
@@ -170,39 +170,39 @@
 // Unavailable tells whether an entry has been without an answer for longer
 // than the patience.
 func (w *Writer) Unavailable(now time.Time) bool {
-	return w.flight != nil && now.Sub(w.since) >= w.cfg.Patience
+	return w.inFlight != nil && now.Sub(w.inFlightSince) >= w.cfg.Timeout
 }
 
 // UnavailableAt is when the entry in flight will have waited too long; zero if
 // there is none.
 func (w *Writer) UnavailableAt() time.Time {
-	if w.flight == nil {
+	if w.inFlight == nil {
 		return time.Time{}
 	}
-	return w.since.Add(w.cfg.Patience)
+	return w.inFlightSince.Add(w.cfg.Timeout)
 }
 
 // Flush returns the write that is due, if any. An entry without an answer is
 // sent again unchanged, under the same index, so that it can take effect only
 // once.
 func (w *Writer) Flush(now time.Time) (Write, bool) {
-	if w.sealed || w.waiting {
+	if w.sealed || w.awaitingAnswer {
 		return Write{}, false
 	}
 	w.refill(now)
-	if w.credit < 1 {
+	if w.tokens < 1 {
 		return Write{}, false
 	}
-	if w.flight == nil {
+	if w.inFlight == nil {
 		if !w.entryDue(now) {
 			return Write{}, false
 		}
-		w.prepare(now)
+		w.prepareEntry(now)
 	} else if now.Before(w.retryAt) {
 		return Write{}, false
 	}
-	w.credit--
-	w.waiting = true
+	w.tokens--
+	w.awaitingAnswer = true
 	return Write{Index: w.next, Value: w.value}, true
 }
 
@@ -211,29 +211,29 @@
 	w.refill(now)
 	// Deletions take every second write at most, so that entries don't wait
 	// for them; while an entry has no answer the service may be down.
-	if w.sealed || w.flight != nil || w.credit < 1 || len(w.kept) < 2 {
+	if w.sealed || w.inFlight != nil || w.tokens < 1 || len(w.retained) < 2 {
 		return Collect{}, false
 	}
-	oldest := w.kept[0]
-	if millis(oldest.last) >= w.floor {
+	oldest := w.retained[0]
+	if millis(oldest.lastExpiry) >= w.floor {
 		return Collect{}, false
 	}
-	w.kept = w.kept[1:]
-	w.credit--
+	w.retained = w.retained[1:]
+	w.tokens--
 	return oldest.Collect, true
 }
 
-// Done takes the result of a write in.
-func (w *Writer) Done(now time.Time, r Written) Progress {
-	if w.flight == nil || r.Index != w.next || w.sealed {
+// HandleWritten takes the result of a write in.
+func (w *Writer) HandleWritten(now time.Time, r Written) Progress {
+	if w.inFlight == nil || r.Index != w.next || w.sealed {
 		return Progress{}
 	}
-	w.waiting = false
-	if r.Status == Doubtful {
-		w.retryAt = now.Add(w.cfg.RetryAfter)
+	w.awaitingAnswer = false
+	if r.Status == Unknown {
+		w.retryAt = now.Add(w.cfg.RetryDelay)
 		return Progress{}
 	}
-	if r.Status == Conflict && r.Standing.Nonce != w.flight.Nonce {
+	if r.Status == Conflict && r.Existing.Nonce != w.inFlight.Nonce {
 		w.sealed = true
 		return Progress{Sealed: true}
 	}
@@ -241,40 +241,40 @@
 }
 
 func (w *Writer) advance(revision uint64) Progress {
-	e := w.flight
+	e := w.inFlight
 	p := Progress{Sealed: e.Seal != nil}
 	for _, i := range e.Intents {
 		p.Durable = append(p.Durable, i.ID)
 	}
 	w.sealed = p.Sealed
-	w.kept = append(w.kept, kept{Collect: Collect{Index: w.next, Revision: revision}, last: w.entryEnd})
+	w.retained = append(w.retained, retainedEntry{Collect: Collect{Index: w.next, Revision: revision}, lastExpiry: w.inFlightExpiry})
 	w.floor = max(w.floor, e.Floor)
-	w.flight, w.value = nil, nil
+	w.inFlight, w.value = nil, nil
 	w.next++
 	return p
 }
 
-// Due returns when Flush or CollectNext may next have something without a new
+// NextDue returns when Flush or CollectNext may next have something without a new
 // input; zero is never.
-func (w *Writer) Due(now time.Time) time.Time {
-	if w.sealed || w.waiting {
+func (w *Writer) NextDue(now time.Time) time.Time {
+	if w.sealed || w.awaitingAnswer {
 		return time.Time{}
 	}
 	var due time.Time
 	switch {
-	case w.flight != nil:
+	case w.inFlight != nil:
 		due = w.retryAt
 	case len(w.intents) > 0 || w.seal != nil:
 		due = now
 	case len(w.outcomes) > 0:
-		due = w.outcomesSince.Add(w.cfg.Linger)
-	case len(w.kept) > 1 && millis(w.kept[0].last) < w.floor:
+		due = w.outcomesSince.Add(w.cfg.OutcomeDelay)
+	case len(w.retained) > 1 && millis(w.retained[0].lastExpiry) < w.floor:
 		due = now
 	default:
 		return time.Time{}
 	}
-	if ready := w.creditReady(now); ready.After(due) {
-		return ready
+	if available := w.tokenAvailableAt(now); available.After(due) {
+		return available
 	}
 	return due
 }
@@ -283,15 +283,15 @@
 	if len(w.intents) > 0 || w.seal != nil {
 		return true
 	}
-	return len(w.outcomes) > 0 && !now.Before(w.outcomesSince.Add(w.cfg.Linger))
+	return len(w.outcomes) > 0 && !now.Before(w.outcomesSince.Add(w.cfg.OutcomeDelay))
 }
 
-// prepare makes the next entry of what waits. The seal goes last, alone in
+// prepareEntry makes the next entry of what waits. The seal goes last, alone in
 // the entry after all that waited.
-func (w *Writer) prepare(now time.Time) {
+func (w *Writer) prepareEntry(now time.Time) {
 	e := &Entry{
 		Nonce: fmt.Sprintf("%s/%d", w.cfg.Owner, w.next),
-		Floor: millis(now.Add(-w.cfg.Grace)),
+		Floor: millis(now.Add(-w.cfg.KeyRetention)),
 	}
 	size := 0
 	n := 0
@@ -309,60 +309,60 @@
 	if n == 0 && len(e.Intents) == 0 {
 		e.Seal, w.seal = w.seal, nil
 	}
-	w.flight = e
-	w.since = now
-	w.entryEnd = lastExpiry(e)
+	w.inFlight = e
+	w.inFlightSince = now
+	w.inFlightExpiry = latestExpiry(e)
 	w.value = mustEncode(e)
 }
 
 func (w *Writer) refill(now time.Time) {
-	gained := now.Sub(w.creditAt).Seconds() * w.cfg.WritesPerSecond
-	if gained <= 0 {
+	added := now.Sub(w.tokensAt).Seconds() * w.cfg.WritesPerSecond
+	if added <= 0 {
 		return
 	}
-	w.credit = min(w.cfg.Burst, w.credit+gained)
-	w.creditAt = now
+	w.tokens = min(w.cfg.Burst, w.tokens+added)
+	w.tokensAt = now
 }
 
-func (w *Writer) creditReady(now time.Time) time.Time {
+func (w *Writer) tokenAvailableAt(now time.Time) time.Time {
 	w.refill(now)
-	if w.credit >= 1 {
+	if w.tokens >= 1 {
 		return now
 	}
-	lacking := (1 - w.credit) / w.cfg.WritesPerSecond
+	missing := (1 - w.tokens) / w.cfg.WritesPerSecond
 	// A nanosecond more, so that rounding never leaves the credit short.
-	return now.Add(time.Duration(lacking*float64(time.Second)) + 1)
+	return now.Add(time.Duration(missing*float64(time.Second)) + 1)
 }
 
 const (
 	itemOverhead = 160
-	// base64Growth is what a body grows to, in thirds, in an entry.
-	base64Growth = 4
+	// base64GrowthThirds is what a body grows to, in thirds, in an entry.
+	base64GrowthThirds = 4
 )
 
 func intentSize(i Intent) int { return itemOverhead + len(i.ID.Key) + len(i.ID.Workspace) }
 
 func outcomeSize(o Outcome) int {
 	size := itemOverhead + len(o.ID.Key) + len(o.ID.Workspace) + len(o.Detail)
-	size += len(o.Body) * base64Growth / 3
+	size += len(o.Body) * base64GrowthThirds / 3
 	for _, h := range o.Headers {
 		size += len(h.Name) + len(h.Value) + itemOverhead
 	}
 	return size
 }
 
-func lastExpiry(e *Entry) time.Time {
+func latestExpiry(e *Entry) time.Time {
 	var last time.Time
 	for _, i := range e.Intents {
-		last = later(last, i.ID)
+		last = laterExpiry(last, i.ID)
 	}
 	for _, o := range e.Outcomes {
-		last = later(last, o.ID)
+		last = laterExpiry(last, o.ID)
 	}
 	return last
 }
 
-func later(last time.Time, id actionkey.ID) time.Time {
+func laterExpiry(last time.Time, id actionkey.ID) time.Time {
 	key, err := actionkey.Parse(id.Key)
 	if err == nil && key.Expires().After(last) {
 		return key.Expires()
--- a/daemon/actions/runners.go
+++ b/daemon/actions/runners.go
@@ -100,7 +100,7 @@
 	var conflict *kv.ConflictError
 	if !errors.As(err, &conflict) {
 		s.counters.inc(journalDoubtful)
-		return journal.Written{Index: w.Index, Status: journal.Doubtful}
+		return journal.Written{Index: w.Index, Status: journal.Unknown}
 	}
 	s.counters.inc(journalConflict)
 	standing, decodeErr := journal.Decode(conflict.Current.Key, conflict.Current.Value)
@@ -111,7 +111,7 @@
 	return journal.Written{
 		Index:    w.Index,
 		Status:   journal.Conflict,
-		Standing: standing,
+		Existing: standing,
 		Revision: uint64(conflict.Current.Revision),
 	}
 }
--- a/protocol/action/gateway_test.go
+++ b/protocol/action/gateway_test.go
@@ -173,7 +173,7 @@
 				Seal:  &journal.Seal{By: n.name, Successor: successor},
 			})
 			n.create(journal.EntryKey(owner, log.Next()), value, func(s journal.Status, _ []byte) {
-				if s == journal.Doubtful {
+				if s == journal.Unknown {
 					done(nil)
 					return
 				}
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -208,7 +208,7 @@
 		return
 	}
 	o.received = append(o.received, rec)
-	o.writer.Intend(journal.Intent{ID: rec.id, BodyHash: rec.bodyHash})
+	o.writer.AddIntent(journal.Intent{ID: rec.id, BodyHash: rec.bodyHash})
 	if o.cfg.Fault == FaultDispatchBeforeJournal {
 		o.dispatch(rec)
 	}
@@ -234,7 +234,7 @@
 	}
 	o.dispatched--
 	o.settle(rec, stateForResult(r), r)
-	o.writer.Record(now, journalOutcome(rec))
+	o.writer.AddOutcome(now, journalOutcome(rec))
 	o.retainAnswer(rec)
 	return o.flush(now)
 }
@@ -284,7 +284,7 @@
 
 // Written processes the result of a Write effect.
 func (o *Owner) Written(now time.Time, w journal.Written) []Effect {
-	progress := o.writer.Done(now, w)
+	progress := o.writer.HandleWritten(now, w)
 	for _, id := range progress.Durable {
 		if rec, ok := o.records[id]; ok {
 			rec.durable = true
@@ -318,7 +318,7 @@
 
 // Due returns when Tick must be called next. The zero time means never.
 func (o *Owner) Due(now time.Time) time.Time {
-	due := o.writer.Due(now)
+	due := o.writer.NextDue(now)
 	if len(o.received) > 0 && !o.writer.Unavailable(now) {
 		due = earliest(due, o.writer.UnavailableAt())
 	}
@@ -390,7 +390,7 @@
 	}
 	clear(o.received)
 	o.received = o.received[:0]
-	o.writer.Withdraw()
+	o.writer.DropIntents()
 }
 
 // dispatchUnlessExpired dispatches a journaled action unless its key has expired.
--- a/protocol/action/owner_test.go
+++ b/protocol/action/owner_test.go
@@ -70,7 +70,7 @@
 func (drv *ownerDriver) finishWrite(s journal.Status, standing journal.Entry) {
 	w := drv.write
 	drv.write = nil
-	drv.recordEffects(drv.owner.Written(drv.now, journal.Written{Index: w.Index, Status: s, Standing: standing}))
+	drv.recordEffects(drv.owner.Written(drv.now, journal.Written{Index: w.Index, Status: s, Existing: standing}))
 }
 
 func (drv *ownerDriver) advance(d time.Duration) {
@@ -182,7 +182,7 @@
 				if drv.write == nil {
 					t.Skip("nothing in flight")
 				}
-				drv.finishWrite(rapid.SampledFrom([]journal.Status{journal.Created, journal.Doubtful}).Draw(t, "status"), journal.Entry{})
+				drv.finishWrite(rapid.SampledFrom([]journal.Status{journal.Created, journal.Unknown}).Draw(t, "status"), journal.Entry{})
 			},
 			"finished": func(t *rapid.T) {
 				if len(keys) == 0 {
--- a/protocol/action/simulation_test.go
+++ b/protocol/action/simulation_test.go
@@ -186,7 +186,7 @@
 	cfg := action.DefaultConfig(name)
 	cfg.TokenLifetime = lifetime
 	cfg.Grace = second
-	cfg.Journal.Grace = second
+	cfg.Journal.KeyRetention = second
 	cfg.Fault = n.sim.fault
 	if n.sim.smallTables {
 		cfg.MaxRecords = 3
@@ -315,13 +315,13 @@
 	key := journal.EntryKey(o.Incarnation(), e.Index)
 	n.create(key, e.Value, func(status journal.Status, standing []byte) {
 		entry, _ := journal.Decode(key, standing)
-		n.apply(o, o.Written(n.clock(), journal.Written{Index: e.Index, Status: status, Standing: entry}))
+		n.apply(o, o.Written(n.clock(), journal.Written{Index: e.Index, Status: status, Existing: entry}))
 	})
 }
 
 func (n *node) create(key string, value []byte, done func(journal.Status, []byte)) {
 	sim := n.sim
-	doubtful := func() { sim.after(storeTimeout, n, func() { done(journal.Doubtful, nil) }) }
+	doubtful := func() { sim.after(storeTimeout, n, func() { done(journal.Unknown, nil) }) }
 	if n.cutOff.contains(sim.now) {
 		doubtful()
 		return
