--- a/bench/reclaim/machine.go
+++ b/bench/reclaim/machine.go
@@ -266,7 +266,7 @@
 // replan plans for all streams at leaving runners whose plan is not carried
 // out yet: a further notice may have hit their targets.
 func (m *machines) replan() {
-	b := planner.Batch{Margin: margin, Link: planner.Link{
+	b := planner.Batch{SafetyMargin: margin, Link: planner.Link{
 		BytesPerSecond: linkRate, Setup: linkSetup, BusyFor: max(m.linkFree-m.w.now, 0),
 	}}
 	b.Targets = m.table.Targets()
@@ -274,7 +274,7 @@
 	for _, r := range m.w.runners {
 		switch r.State {
 		case view.Leaving:
-			b.Sources = append(b.Sources, planner.Source{Runner: r.ID, Left: r.endsAt - m.w.now, DecodeRate: sureRate})
+			b.Sources = append(b.Sources, planner.Source{Runner: r.ID, TimeLeft: r.endsAt - m.w.now, DecodeRate: sureRate})
 			for _, j := range sorted(r.jobs) {
 				byID[j.request] = j
 				b.Streams = append(b.Streams, described(j, r))
--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -34,8 +34,8 @@
 // Source is a leaving runner.
 type Source struct {
 	Runner ident.RunnerID
-	// Left is the time until its VM goes.
-	Left time.Duration
+	// TimeLeft is the time until its VM goes.
+	TimeLeft time.Duration
 	// DecodeRate is the tokens that each of its streams emits a second.
 	DecodeRate float64
 }
@@ -71,8 +71,8 @@
 	Streams []Stream
 	Targets []Target
 	Link    Link
-	// Margin is kept free before each source's end.
-	Margin time.Duration
+	// SafetyMargin is kept free before each source's end.
+	SafetyMargin time.Duration
 }
 
 // Kind is what becomes of a stream.
@@ -107,28 +107,28 @@
 
 // plan is the work in progress on a batch.
 type plan struct {
-	b       Batch
-	sources map[ident.RunnerID]Source
-	targets []*room
-	out     []Decision
+	batch     Batch
+	sources   map[ident.RunnerID]Source
+	targets   []*targetState
+	decisions []Decision
 }
 
-// room is what is left of a target.
-type room struct {
+// targetState is what is left of a target.
+type targetState struct {
 	Target
-	slots  int
-	tokens int
-	// busy is until when its prefill is taken.
-	busy time.Duration
+	freeSlots  int
+	freeTokens int
+	// prefillBusyUntil is until when its prefill is taken.
+	prefillBusyUntil time.Duration
 }
 
 // candidate is a stream that can't stay, with its target.
 type candidate struct {
 	Stream
-	to    *room
-	limit time.Duration
-	saved int
-	takes time.Duration
+	target       *targetState
+	deadline     time.Duration
+	savedTokens  int
+	transferTime time.Duration
 }
 
 // Plan decides on every stream of the batch, in the order of their IDs.
@@ -139,16 +139,16 @@
 // the other at each target, so that none waits behind the whole wave.
 func Plan(b Batch) []Decision {
 	p := newPlan(b)
-	leaving := p.finish()
-	placed := p.place(leaving)
-	rest := p.move(placed)
-	p.resume(rest)
-	slices.SortFunc(p.out, func(a, b Decision) int { return cmp.Compare(a.Request, b.Request) })
-	return p.out
+	unfinished := p.decideFinish()
+	placed := p.assignTargets(unfinished)
+	rest := p.scheduleMoves(placed)
+	p.scheduleResumes(rest)
+	slices.SortFunc(p.decisions, func(a, b Decision) int { return cmp.Compare(a.Request, b.Request) })
+	return p.decisions
 }
 
 func newPlan(b Batch) *plan {
-	p := &plan{b: b, sources: map[ident.RunnerID]Source{}}
+	p := &plan{batch: b, sources: map[ident.RunnerID]Source{}}
 	for _, s := range b.Sources {
 		p.sources[s.Runner] = s
 	}
@@ -156,40 +156,40 @@
 		if _, leaving := p.sources[t.Runner]; leaving {
 			continue
 		}
-		r := &room{Target: t, slots: t.Slots, tokens: t.FreeTokens}
-		r.busy = r.prefill(t.QueuedTokens)
+		r := &targetState{Target: t, freeSlots: t.Slots, freeTokens: t.FreeTokens}
+		r.prefillBusyUntil = r.prefillTime(t.QueuedTokens)
 		p.targets = append(p.targets, r)
 	}
 	return p
 }
 
-func (r *room) prefill(tokens int) time.Duration {
+func (r *targetState) prefillTime(tokens int) time.Duration {
 	if r.PrefillRate <= 0 {
 		return 0
 	}
-	return seconds(float64(tokens) / r.PrefillRate)
+	return secondsToDuration(float64(tokens) / r.PrefillRate)
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// limit is when the last thing for a stream must be over at its source.
-func (p *plan) limit(s Stream) time.Duration {
-	return p.sources[s.Runner].Left - p.b.Margin
+// deadline is when the last thing for a stream must be over at its source.
+func (p *plan) deadline(s Stream) time.Duration {
+	return p.sources[s.Runner].TimeLeft - p.batch.SafetyMargin
 }
 
 func (p *plan) decide(s Stream, d Decision) {
 	d.Request = s.Request
 	d.Runner = s.Runner
-	p.out = append(p.out, d)
+	p.decisions = append(p.decisions, d)
 }
 
-// finish leaves the streams that surely end in time and returns the others,
+// decideFinish leaves the streams that surely end in time and returns the others,
 // urgent ones first, those with more to lose before the others.
-func (p *plan) finish() []Stream {
+func (p *plan) decideFinish() []Stream {
 	var rest []Stream
-	for _, s := range p.b.Streams {
+	for _, s := range p.batch.Streams {
 		rate := p.sources[s.Runner].DecodeRate
-		if rate > 0 && seconds(float64(s.Remaining)/rate) <= p.limit(s) {
+		if rate > 0 && secondsToDuration(float64(s.Remaining)/rate) <= p.deadline(s) {
 			p.decide(s, Decision{Kind: Finish})
 			continue
 		}
@@ -197,177 +197,177 @@
 	}
 	slices.SortStableFunc(rest, func(a, b Stream) int {
 		if a.Urgent != b.Urgent {
-			return boolOrder(a.Urgent)
+			return orderFirst(a.Urgent)
 		}
 		return cmp.Or(cmp.Compare(b.Context, a.Context), cmp.Compare(a.Request, b.Request))
 	})
 	return rest
 }
 
-func boolOrder(first bool) int {
+func orderFirst(first bool) int {
 	if first {
 		return -1
 	}
 	return 1
 }
 
-// place gives each stream a target; those without room wait.
-func (p *plan) place(streams []Stream) []*candidate {
+// assignTargets gives each stream a target; those without room wait.
+func (p *plan) assignTargets(streams []Stream) []*candidate {
 	var placed []*candidate
 	for _, s := range streams {
-		to := p.best(s)
+		to := p.bestTarget(s)
 		if to == nil {
 			p.decide(s, Decision{Kind: Wait, Recomputed: s.Context})
 			continue
 		}
-		to.slots--
-		to.tokens -= s.Context + s.Remaining
-		c := &candidate{Stream: s, to: to, limit: p.limit(s)}
-		c.saved = max(s.Context-s.CachedAt[to.Runner], 0)
-		c.takes = p.b.Link.transfer(s.CacheBytes)
+		to.freeSlots--
+		to.freeTokens -= s.Context + s.Remaining
+		c := &candidate{Stream: s, target: to, deadline: p.deadline(s)}
+		c.savedTokens = max(s.Context-s.CachedAt[to.Runner], 0)
+		c.transferTime = p.batch.Link.transferTime(s.CacheBytes)
 		placed = append(placed, c)
 	}
 	return placed
 }
 
-func (l Link) transfer(bytes int64) time.Duration {
+func (l Link) transferTime(bytes int64) time.Duration {
 	if l.BytesPerSecond <= 0 {
 		return 0
 	}
-	return l.Setup + seconds(float64(bytes)/l.BytesPerSecond)
+	return l.Setup + secondsToDuration(float64(bytes)/l.BytesPerSecond)
 }
 
-// best prefers the target that holds most of the context, then the one with
+// bestTarget prefers the target that holds most of the context, then the one with
 // most room. Streams that may wait are also put where no slot is free, as long
 // as their KV cache has room there: they wait at the engine without losing it.
-func (p *plan) best(s Stream) *room {
-	var best *room
+func (p *plan) bestTarget(s Stream) *targetState {
+	var best *targetState
 	for _, t := range p.targets {
-		if t.tokens < s.Context+s.Remaining || (s.Urgent && t.slots <= 0) {
+		if t.freeTokens < s.Context+s.Remaining || (s.Urgent && t.freeSlots <= 0) {
 			continue
 		}
-		if best == nil || better(s, t, best) {
+		if best == nil || betterTarget(s, t, best) {
 			best = t
 		}
 	}
 	return best
 }
 
-func better(s Stream, a, b *room) bool {
+func betterTarget(s Stream, a, b *targetState) bool {
 	order := cmp.Or(
 		cmp.Compare(s.CachedAt[b.Runner], s.CachedAt[a.Runner]),
-		cmp.Compare(min(b.slots, 1), min(a.slots, 1)),
-		cmp.Compare(a.crowd(), b.crowd()),
+		cmp.Compare(min(b.freeSlots, 1), min(a.freeSlots, 1)),
+		cmp.Compare(a.crowdRank(), b.crowdRank()),
 		compareRisk(s, a, b),
-		cmp.Compare(b.slots, a.slots),
-		cmp.Compare(b.tokens, a.tokens),
+		cmp.Compare(b.freeSlots, a.freeSlots),
+		cmp.Compare(b.freeTokens, a.freeTokens),
 		cmp.Compare(a.Runner, b.Runner),
 	)
 	return order < 0
 }
 
-// crowding is the slots that make one step of crowd.
-const crowding = 8
+// slotsPerCrowdRank is the slots that make one step of crowd.
+const slotsPerCrowdRank = 8
 
-// crowd ranks targets coarsely by their free slots, so that a whole wave is
+// crowdRank ranks targets coarsely by their free slots, so that a whole wave is
 // not put on the one safest runner, whose streams would all slow down.
-func (r *room) crowd() int { return -r.slots / crowding }
+func (r *targetState) crowdRank() int { return -r.freeSlots / slotsPerCrowdRank }
 
 // compareRisk keeps long work off VMs that are likely to go next.
-func compareRisk(s Stream, a, b *room) int {
+func compareRisk(s Stream, a, b *targetState) int {
 	if s.Urgent {
 		return 0
 	}
 	return cmp.Compare(a.Risk, b.Risk)
 }
 
-// move schedules the transfers and returns the streams that don't fit.
-func (p *plan) move(placed []*candidate) []*candidate {
-	byGain := slices.Clone(placed)
-	slices.SortStableFunc(byGain, func(a, b *candidate) int {
-		return cmp.Compare(b.gain(), a.gain())
+// scheduleMoves schedules the transfers and returns the streams that don't fit.
+func (p *plan) scheduleMoves(placed []*candidate) []*candidate {
+	byBenefit := slices.Clone(placed)
+	slices.SortStableFunc(byBenefit, func(a, b *candidate) int {
+		return cmp.Compare(b.tokensPerSecond(), a.tokensPerSecond())
 	})
-	link := newSchedule(p.b.Link.BusyFor, byGain)
+	link := newSchedule(p.batch.Link.BusyFor, byBenefit)
 	var moved, rest []*candidate
-	for _, c := range byGain {
-		if !c.Pinned && p.b.Link.BytesPerSecond > 0 && c.saved > 0 && link.fits(c) {
+	for _, c := range byBenefit {
+		if !c.Pinned && p.batch.Link.BytesPerSecond > 0 && c.savedTokens > 0 && link.tryAdd(c) {
 			moved = append(moved, c)
 			continue
 		}
 		rest = append(rest, c)
 	}
-	slices.SortStableFunc(moved, func(a, b *candidate) int { return cmp.Compare(a.limit, b.limit) })
-	at := p.b.Link.BusyFor
+	slices.SortStableFunc(moved, func(a, b *candidate) int { return cmp.Compare(a.deadline, b.deadline) })
+	at := p.batch.Link.BusyFor
 	for _, c := range moved {
-		p.decide(c.Stream, Decision{Kind: Move, Target: c.to.Runner, Start: at, End: at + c.takes})
-		at += c.takes
+		p.decide(c.Stream, Decision{Kind: Move, Target: c.target.Runner, Start: at, End: at + c.transferTime})
+		at += c.transferTime
 	}
 	return rest
 }
 
-// gain is the recomputed tokens saved for each second of transfer.
-func (c *candidate) gain() float64 {
-	if c.takes <= 0 {
+// tokensPerSecond is the recomputed tokens saved for each second of transfer.
+func (c *candidate) tokensPerSecond() float64 {
+	if c.transferTime <= 0 {
 		return 0
 	}
-	return float64(c.saved) / c.takes.Seconds()
+	return float64(c.savedTokens) / c.transferTime.Seconds()
 }
 
 // schedule keeps the transfers that the link carries before their limits, the
 // earliest limit first.
 type schedule struct {
-	busy   time.Duration
-	limits []time.Duration
-	load   []time.Duration
+	busy      time.Duration
+	deadlines []time.Duration
+	load      []time.Duration
 }
 
 func newSchedule(busy time.Duration, candidates []*candidate) *schedule {
 	s := &schedule{busy: busy}
 	for _, c := range candidates {
-		s.limits = append(s.limits, c.limit)
+		s.deadlines = append(s.deadlines, c.deadline)
 	}
-	slices.Sort(s.limits)
-	s.limits = slices.Compact(s.limits)
-	s.load = make([]time.Duration, len(s.limits))
+	slices.Sort(s.deadlines)
+	s.deadlines = slices.Compact(s.deadlines)
+	s.load = make([]time.Duration, len(s.deadlines))
 	return s
 }
 
-// fits takes the transfer if every one taken so far still ends in time.
-func (s *schedule) fits(c *candidate) bool {
-	own, _ := slices.BinarySearch(s.limits, c.limit)
-	s.load[own] += c.takes
+// tryAdd takes the transfer if every one taken so far still ends in time.
+func (s *schedule) tryAdd(c *candidate) bool {
+	index, _ := slices.BinarySearch(s.deadlines, c.deadline)
+	s.load[index] += c.transferTime
 	end := s.busy
 	for i, load := range s.load {
 		end += load
-		if load > 0 && end > s.limits[i] {
-			s.load[own] -= c.takes
+		if load > 0 && end > s.deadlines[i] {
+			s.load[index] -= c.transferTime
 			return false
 		}
 	}
 	return true
 }
 
-// resume starts the rest at their targets, one after the other at each. A
+// scheduleResumes starts the rest at their targets, one after the other at each. A
 // stream whose turn comes too late starts at its limit all the same, since
 // its runner goes then; one that may wait does so.
-func (p *plan) resume(rest []*candidate) {
+func (p *plan) scheduleResumes(rest []*candidate) {
 	slices.SortStableFunc(rest, func(a, b *candidate) int {
 		if a.Urgent != b.Urgent {
-			return boolOrder(a.Urgent)
+			return orderFirst(a.Urgent)
 		}
-		return cmp.Or(cmp.Compare(a.limit, b.limit), cmp.Compare(a.Request, b.Request))
+		return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.Request, b.Request))
 	})
 	for _, c := range rest {
-		start := c.to.busy
-		if start > c.limit && !c.Urgent {
+		start := c.target.prefillBusyUntil
+		if start > c.deadline && !c.Urgent {
 			p.decide(c.Stream, Decision{Kind: Wait, Recomputed: c.Context})
 			continue
 		}
-		start = max(min(start, c.limit), 0)
-		c.to.busy = max(c.to.busy, start) + c.to.prefill(c.saved)
+		start = max(min(start, c.deadline), 0)
+		c.target.prefillBusyUntil = max(c.target.prefillBusyUntil, start) + c.target.prefillTime(c.savedTokens)
 		p.decide(c.Stream, Decision{
-			Kind: Resume, Target: c.to.Runner,
-			Start: start, End: c.to.busy, Recomputed: c.saved,
+			Kind: Resume, Target: c.target.Runner,
+			Start: start, End: c.target.prefillBusyUntil, Recomputed: c.savedTokens,
 		})
 	}
 }
--- a/coordination/reclaim/plan_test.go
+++ b/coordination/reclaim/plan_test.go
@@ -15,7 +15,7 @@
 
 func drawBatch(t *rapid.T) reclaim.Batch {
 	b := reclaim.Batch{
-		Margin: time.Duration(rapid.IntRange(0, 5).Draw(t, "margin")) * time.Second,
+		SafetyMargin: time.Duration(rapid.IntRange(0, 5).Draw(t, "margin")) * time.Second,
 		Link: reclaim.Link{
 			BytesPerSecond: float64(rapid.IntRange(0, 1000).Draw(t, "rate")),
 			Setup:          time.Duration(rapid.IntRange(0, 500).Draw(t, "setup")) * time.Millisecond,
@@ -26,7 +26,7 @@
 	for i := range runners {
 		id := ident.RunnerID(fmt.Sprintf("s%d", i))
 		b.Sources = append(b.Sources, reclaim.Source{
-			Runner: id, Left: time.Duration(rapid.IntRange(0, 60).Draw(t, "left")) * time.Second,
+			Runner: id, TimeLeft: time.Duration(rapid.IntRange(0, 60).Draw(t, "left")) * time.Second,
 			DecodeRate: float64(rapid.IntRange(0, 50).Draw(t, "decode")),
 		})
 		// A second notice: a runner that was a target is leaving by now.
@@ -59,7 +59,7 @@
 // Every stream gets exactly one decision; nothing goes to a leaving runner,
 // nothing is left to start after its limit, the link carries one transfer at a
 // time, targets are not overfilled, and what can't be exported is not.
-func TestPlanKeepsItsBounds(t *testing.T) {
+func TestPlanRespectsConstraints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := drawBatch(t)
 		sources := map[ident.RunnerID]reclaim.Source{}
@@ -85,7 +85,7 @@
 			if _, leaving := sources[d.Target]; leaving {
 				t.Fatalf("%s goes to the leaving %s", d.Request, d.Target)
 			}
-			limit := sources[s.Runner].Left - b.Margin
+			limit := sources[s.Runner].TimeLeft - b.SafetyMargin
 			if (d.Kind == reclaim.Move && d.End > limit) || d.Start > max(limit, 0) {
 				t.Fatalf("%+v is later than %v", d, limit)
 			}
@@ -127,13 +127,13 @@
 // A wave takes a runner with a long review and a chat. The link carries only
 // one cache in time: it goes to the review, whose context costs most to
 // compute anew, and the chat is resumed at once.
-func TestLinkGoesToTheMostTokensSaved(t *testing.T) {
+func TestLinkIsUsedForMostTokensSaved(t *testing.T) {
 	is := is.New(t)
 	plan := reclaim.Plan(reclaim.Batch{
-		Margin:  time.Second,
-		Sources: []reclaim.Source{{Runner: "s", Left: 4 * time.Second, DecodeRate: 10}},
-		Targets: []reclaim.Target{{Runner: "t", Slots: 4, FreeTokens: 1 << 20, PrefillRate: 1000}},
-		Link:    reclaim.Link{BytesPerSecond: 100, Setup: time.Second},
+		SafetyMargin: time.Second,
+		Sources:      []reclaim.Source{{Runner: "s", TimeLeft: 4 * time.Second, DecodeRate: 10}},
+		Targets:      []reclaim.Target{{Runner: "t", Slots: 4, FreeTokens: 1 << 20, PrefillRate: 1000}},
+		Link:         reclaim.Link{BytesPerSecond: 100, Setup: time.Second},
 		Streams: []reclaim.Stream{
 			{Request: "chat", Runner: "s", Urgent: true, Context: 100, Remaining: 500, CacheBytes: 2},
 			{Request: "review", Runner: "s", Context: 9000, Remaining: 500, CacheBytes: 180},
@@ -149,10 +149,10 @@
 
 // Half the fleet goes and there are fewer slots than streams: callers who read
 // get them, the bulletin waits.
-func TestUrgentStreamsGetTheCapacityLeft(t *testing.T) {
+func TestUrgentStreamsGetRemainingCapacity(t *testing.T) {
 	is := is.New(t)
 	plan := reclaim.Plan(reclaim.Batch{
-		Sources: []reclaim.Source{{Runner: "s", Left: 30 * time.Second, DecodeRate: 1}},
+		Sources: []reclaim.Source{{Runner: "s", TimeLeft: 30 * time.Second, DecodeRate: 1}},
 		Targets: []reclaim.Target{{Runner: "t", Slots: 1, FreeTokens: 500, PrefillRate: 1000}},
 		Link:    reclaim.Link{BytesPerSecond: 100},
 		Streams: []reclaim.Stream{
@@ -165,9 +165,9 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	batch := reclaim.Batch{Margin: time.Second, Link: reclaim.Link{BytesPerSecond: 1e9, Setup: time.Millisecond}}
+	batch := reclaim.Batch{SafetyMargin: time.Second, Link: reclaim.Link{BytesPerSecond: 1e9, Setup: time.Millisecond}}
 	for i := range 16 {
-		batch.Sources = append(batch.Sources, reclaim.Source{Runner: ident.RunnerID(fmt.Sprintf("s%d", i)), Left: 30 * time.Second, DecodeRate: 20})
+		batch.Sources = append(batch.Sources, reclaim.Source{Runner: ident.RunnerID(fmt.Sprintf("s%d", i)), TimeLeft: 30 * time.Second, DecodeRate: 20})
 	}
 	for i := range 48 {
 		batch.Targets = append(batch.Targets, reclaim.Target{Runner: ident.RunnerID(fmt.Sprintf("t%d", i)), Slots: 16, FreeTokens: 100_000, PrefillRate: 7000})
--- a/daemon/models/reclaim.go
+++ b/daemon/models/reclaim.go
@@ -88,17 +88,17 @@
 		return
 	}
 	b := reclaim.Batch{
-		Streams: streams,
-		Targets: m.targets(service, lives),
-		Link:    m.link(now, link),
-		Margin:  m.c.Limits.ReclaimMargin,
+		Streams:      streams,
+		Targets:      m.targets(service, lives),
+		Link:         m.link(now, link),
+		SafetyMargin: m.c.Limits.ReclaimMargin,
 	}
 	for _, r := range leaving {
 		b.Sources = append(b.Sources, m.source(r, now))
 	}
 	for _, d := range reclaim.Plan(b) {
 		m.count("reclaim.planned." + string(d.Kind))
-		todo[d.Request].follow(d, now, sourceOf(b.Sources, d.Runner).Left-b.Margin)
+		todo[d.Request].follow(d, now, sourceOf(b.Sources, d.Runner).TimeLeft-b.SafetyMargin)
 	}
 }
 
@@ -158,7 +158,7 @@
 	if !r.LeavesAt.IsZero() {
 		left = r.LeavesAt.Sub(now)
 	}
-	return reclaim.Source{Runner: r.ID, Left: left, DecodeRate: m.c.Transfer.DecodeRate}
+	return reclaim.Source{Runner: r.ID, TimeLeft: left, DecodeRate: m.c.Transfer.DecodeRate}
 }
 
 // sharers is the gateways that may plan for the same wave at the same time.
