--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -31,20 +31,20 @@
 	Drift float64
 	// Retry is the wait after a failed call.
 	Retry time.Duration
-	// PollInterval is the time between a standby's reads of the key.
-	PollInterval time.Duration
+	// ReadKey is the time between a standby's reads of the key.
+	ReadKey time.Duration
 }
 
 // DefaultTiming suits a key-value service that answers in milliseconds.
 func DefaultTiming() Timing {
 	return Timing{
-		TTL:          9 * time.Second,
-		Renew:        3 * time.Second,
-		MaxOrder:     2 * time.Second,
-		MaxPause:     20 * time.Second,
-		Drift:        0.01,
-		Retry:        time.Second,
-		PollInterval: 2 * time.Second,
+		TTL:      9 * time.Second,
+		Renew:    3 * time.Second,
+		MaxOrder: 2 * time.Second,
+		MaxPause: 20 * time.Second,
+		Drift:    0.01,
+		Retry:    time.Second,
+		ReadKey:  2 * time.Second,
 	}
 }
 
@@ -57,7 +57,7 @@
 // MaxTakeover bounds the time from a holder's death to its successor's first order
 // to runners that don't check fencing tokens, without the time of the calls.
 func (t Timing) MaxTakeover() time.Duration {
-	return withDrift(t.TTL, t.Drift) + max(t.PollInterval, t.Retry) + t.Quarantine()
+	return withDrift(t.TTL, t.Drift) + max(t.ReadKey, t.Retry) + t.Quarantine()
 }
 
 func withDrift(d time.Duration, drift float64) time.Duration {
@@ -278,7 +278,7 @@
 	}
 	if r.FoundLease != 0 {
 		m.reset(now)
-		m.nextCall = now + m.timing.PollInterval
+		m.nextCall = now + m.timing.ReadKey
 		return nil
 	}
 	return m.call(now, Grant)
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -10,15 +10,15 @@
 	"geraniumstack.org/geraniumstack/coordination/lease"
 )
 
-// fakeStore is the key-value fakeStore's part: one key under a lease that lapses.
-type fakeStore struct {
+// store is the key-value store's part: one key under a lease that lapses.
+type store struct {
 	leases   uint64
 	holder   uint64
 	expires  time.Duration
 	revision uint64
 }
 
-func (s *fakeStore) execute(now time.Duration, e lease.Effect, ttl time.Duration) lease.Result {
+func (s *store) execute(now time.Duration, e lease.Effect, ttl time.Duration) lease.Result {
 	if s.holder != 0 && now >= s.expires {
 		s.holder = 0
 	}
@@ -68,17 +68,17 @@
 type simulation struct {
 	rng        *rand.Rand
 	timing     lease.Timing
-	service    fakeStore
+	store      store
 	candidates []*candidate
 	orders     []order
 	quarantine bool
 }
 
-func (r *simulation) runEffects(now time.Duration, c *candidate, effects []lease.Effect) {
+func (r *simulation) effects(now time.Duration, c *candidate, effects []lease.Effect) {
 	for len(effects) > 0 {
 		e := effects[0]
 		effects = effects[1:]
-		result := r.service.execute(now, e, r.timing.TTL)
+		result := r.store.execute(now, e, r.timing.TTL)
 		if r.rng.IntN(20) == 0 {
 			result = lease.Result{Attempt: e.Attempt, Outcome: lease.Lost}
 		}
@@ -96,7 +96,7 @@
 		r.send(now, c.pendingToken)
 		c.pendingToken = 0
 	}
-	r.runEffects(now, c, c.m.Tick(now, true))
+	r.effects(now, c, c.m.Tick(now, true))
 	if !c.m.MayOrder(now, !r.quarantine) {
 		return
 	}
@@ -149,7 +149,7 @@
 	for seed := range uint64(60) {
 		r := simulate(seed, true)
 		is.Equal(r.countStaleOrders(), 0) // seed
-		takeovers += r.service.revision
+		takeovers += r.store.revision
 	}
 	is.True(takeovers > 120) // the run must bring take-overs about
 }
@@ -171,7 +171,7 @@
 	is := is.New(t)
 	timing := lease.DefaultTiming()
 	m := lease.New(timing)
-	var s fakeStore
+	var s store
 	for effects := m.Tick(0, true); len(effects) > 0; {
 		effects = m.Step(0, s.execute(0, effects[0], timing.TTL))
 	}
@@ -193,7 +193,7 @@
 	is := is.New(t)
 	timing := lease.DefaultTiming()
 	m := lease.New(timing)
-	var s fakeStore
+	var s store
 	look := m.Tick(0, true)[0]
 	grant := m.Step(0, s.execute(0, look, timing.TTL))[0]
 	create := m.Step(0, s.execute(0, grant, timing.TTL))[0]
@@ -209,7 +209,7 @@
 func TestStandbyOnlyReads(t *testing.T) {
 	is := is.New(t)
 	timing := lease.DefaultTiming()
-	s := fakeStore{holder: 7, expires: time.Hour}
+	s := store{holder: 7, expires: time.Hour}
 	m := lease.New(timing)
 	calls := 0
 	for now := time.Duration(0); now < time.Minute; now += step {
@@ -219,13 +219,13 @@
 			is.Equal(len(m.Step(now, s.execute(now, e, timing.TTL))), 0)
 		}
 	}
-	is.Equal(calls, int(time.Minute/timing.PollInterval))
+	is.Equal(calls, int(time.Minute/timing.ReadKey))
 }
 
 func BenchmarkHoldOneSecond(b *testing.B) {
 	timing := lease.DefaultTiming()
 	m := lease.New(timing)
-	var s fakeStore
+	var s store
 	now := time.Duration(0)
 	for b.Loop() {
 		for range 4 {
--- a/daemon/orders/lease_test.go
+++ b/daemon/orders/lease_test.go
@@ -146,7 +146,7 @@
 		w.settled(1, "1")
 		first := w.holder(shard)
 		first.cancel()
-		time.Sleep(lease.DefaultTiming().PollInterval + time.Second)
+		time.Sleep(lease.DefaultTiming().ReadKey + time.Second)
 		w.True(w.holder(shard) != nil)
 		w.True(w.holder(shard) != first)
 		first.done <- <-first.done
