--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -96,8 +96,8 @@
 	Sealed bool
 }
 
-// retainedEntry is an entry that stands in the log until its last key is over.
-type retainedEntry struct {
+// retained is an entry that stands in the log until its last key is over.
+type retained struct {
 	Collect
 	lastExpiry time.Time
 }
@@ -125,7 +125,7 @@
 	tokens   float64
 	tokensAt time.Time
 	floor    int64
-	retained []retainedEntry
+	retained []retained
 	sealed   bool
 }
 
@@ -247,7 +247,7 @@
 		p.Durable = append(p.Durable, i.ID)
 	}
 	w.sealed = p.Sealed
-	w.retained = append(w.retained, retainedEntry{Collect: Collect{Index: w.next, Revision: revision}, lastExpiry: w.inFlightExpiry})
+	w.retained = append(w.retained, retained{Collect: Collect{Index: w.next, Revision: revision}, lastExpiry: w.inFlightExpiry})
 	w.floor = max(w.floor, e.Floor)
 	w.inFlight, w.value = nil, nil
 	w.next++
