--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -107,7 +107,7 @@
 
 // plan is the work in progress on a batch.
 type plan struct {
-	batch     Batch
+	b         Batch
 	sources   map[ident.RunnerID]Source
 	targets   []*targetState
 	decisions []Decision
@@ -148,7 +148,7 @@
 }
 
 func newPlan(b Batch) *plan {
-	p := &plan{batch: b, sources: map[ident.RunnerID]Source{}}
+	p := &plan{b: b, sources: map[ident.RunnerID]Source{}}
 	for _, s := range b.Sources {
 		p.sources[s.Runner] = s
 	}
@@ -174,7 +174,7 @@
 
 // deadline is when the last thing for a stream must be over at its source.
 func (p *plan) deadline(s Stream) time.Duration {
-	return p.sources[s.Runner].TimeLeft - p.batch.SafetyMargin
+	return p.sources[s.Runner].TimeLeft - p.b.SafetyMargin
 }
 
 func (p *plan) decide(s Stream, d Decision) {
@@ -187,7 +187,7 @@
 // urgent ones first, those with more to lose before the others.
 func (p *plan) decideFinish() []Stream {
 	var rest []Stream
-	for _, s := range p.batch.Streams {
+	for _, s := range p.b.Streams {
 		rate := p.sources[s.Runner].DecodeRate
 		if rate > 0 && secondsToDuration(float64(s.Remaining)/rate) <= p.deadline(s) {
 			p.decide(s, Decision{Kind: Finish})
@@ -215,16 +215,16 @@
 func (p *plan) assignTargets(streams []Stream) []*candidate {
 	var placed []*candidate
 	for _, s := range streams {
-		to := p.bestTarget(s)
-		if to == nil {
+		target := p.bestTarget(s)
+		if target == nil {
 			p.decide(s, Decision{Kind: Wait, Recomputed: s.Context})
 			continue
 		}
-		to.freeSlots--
-		to.freeTokens -= s.Context + s.Remaining
-		c := &candidate{Stream: s, target: to, deadline: p.deadline(s)}
-		c.savedTokens = max(s.Context-s.CachedAt[to.Runner], 0)
-		c.transferTime = p.batch.Link.transferTime(s.CacheBytes)
+		target.freeSlots--
+		target.freeTokens -= s.Context + s.Remaining
+		c := &candidate{Stream: s, target: target, deadline: p.deadline(s)}
+		c.savedTokens = max(s.Context-s.CachedAt[target.Runner], 0)
+		c.transferTime = p.b.Link.transferTime(s.CacheBytes)
 		placed = append(placed, c)
 	}
 	return placed
@@ -241,16 +241,16 @@
 // most room. Streams that may wait are also put where no slot is free, as long
 // as their KV cache has room there: they wait at the engine without losing it.
 func (p *plan) bestTarget(s Stream) *targetState {
-	var best *targetState
+	var bestTarget *targetState
 	for _, t := range p.targets {
 		if t.freeTokens < s.Context+s.Remaining || (s.Urgent && t.freeSlots <= 0) {
 			continue
 		}
-		if best == nil || betterTarget(s, t, best) {
-			best = t
+		if bestTarget == nil || betterTarget(s, t, bestTarget) {
+			bestTarget = t
 		}
 	}
-	return best
+	return bestTarget
 }
 
 func betterTarget(s Stream, a, b *targetState) bool {
@@ -287,17 +287,17 @@
 	slices.SortStableFunc(byBenefit, func(a, b *candidate) int {
 		return cmp.Compare(b.tokensPerSecond(), a.tokensPerSecond())
 	})
-	link := newSchedule(p.batch.Link.BusyFor, byBenefit)
+	link := newSchedule(p.b.Link.BusyFor, byBenefit)
 	var moved, rest []*candidate
 	for _, c := range byBenefit {
-		if !c.Pinned && p.batch.Link.BytesPerSecond > 0 && c.savedTokens > 0 && link.tryAdd(c) {
+		if !c.Pinned && p.b.Link.BytesPerSecond > 0 && c.savedTokens > 0 && link.tryAdd(c) {
 			moved = append(moved, c)
 			continue
 		}
 		rest = append(rest, c)
 	}
 	slices.SortStableFunc(moved, func(a, b *candidate) int { return cmp.Compare(a.deadline, b.deadline) })
-	at := p.batch.Link.BusyFor
+	at := p.b.Link.BusyFor
 	for _, c := range moved {
 		p.decide(c.Stream, Decision{Kind: Move, Target: c.target.Runner, Start: at, End: at + c.transferTime})
 		at += c.transferTime
