--- a/coordination/config/config_test.go
+++ b/coordination/config/config_test.go
@@ -15,12 +15,12 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// check holds after every step.
-func (w *world) check(t *rapid.T) {
+// checkInvariants is called after every step.
+func (w *cluster) checkInvariants(t *rapid.T) {
 	for i, f := range w.followers {
 		head, m := f.InForce()
 		if head.Generation < w.highest[i] {
-			t.Fatalf("daemon %d went from generation %d back to %d", i, w.highest[i], head.Generation)
+			t.Fatalf("daemon %d returned from generation %d to %d", i, w.highest[i], head.Generation)
 		}
 		w.highest[i] = head.Generation
 		if head.Generation > 0 {
@@ -33,14 +33,14 @@
 		if done, ok := s.Step().(*config.Done); ok {
 			g := uint64(done.Accepted.Generation)
 			if other, taken := winner[g]; taken {
-				t.Fatalf("submissions %s and %s both won generation %d", other, s.id, g)
+				t.Fatalf("submissions %s and %s were both accepted as generation %d", other, s.id, g)
 			}
 			winner[g] = s.id
 		}
 	}
 }
 
-func (w *world) checkInForce(t *rapid.T, head config.Accepted, m *manifest.Manifest) {
+func (w *cluster) checkInForce(t *rapid.T, head config.Accepted, m *manifest.Manifest) {
 	accepted, ok := w.accepted[head.Generation]
 	if !ok || accepted.SubmissionID != head.SubmissionID {
 		t.Fatalf("generation %d of %s is in force but was never accepted", head.Generation, head.SubmissionID)
@@ -52,48 +52,48 @@
 	}
 }
 
-func (w *world) checkSubmission(t *rapid.T, s *submission) {
+func (w *cluster) checkSubmission(t *rapid.T, s *submission) {
 	if w.byID[s.id] > 1 {
 		t.Fatalf("submission %s was accepted %d times", s.id, w.byID[s.id])
 	}
 	switch step := s.Step().(type) {
 	case *config.Done:
 		if w.accepted[step.Accepted.Generation].SubmissionID != s.id {
-			t.Fatalf("submission %s says that it won a generation that another one has", s.id)
+			t.Fatalf("submission %s is Done with a generation that belongs to another one", s.id)
 		}
 	case *config.Failed:
 		var conflict *config.ConflictError
 		if errors.As(step.Err, &conflict) && w.byID[s.id] > 0 {
-			t.Fatalf("submission %s says conflict but was accepted", s.id)
+			t.Fatalf("submission %s failed with a conflict but was accepted", s.id)
 		}
 	}
 	var notAccepted *config.NotAcceptedError
-	if errors.As(s.gaveUp, &notAccepted) && w.byID[s.id] > 0 {
-		t.Fatalf("submission %s says that nothing happened but was accepted", s.id)
+	if errors.As(s.abortErr, &notAccepted) && w.byID[s.id] > 0 {
+		t.Fatalf("submission %s was reported as not accepted but was accepted", s.id)
 	}
 }
 
-// settle heals everything and lets every daemon hear of the head.
-func (w *world) settle(t *rapid.T) {
-	w.down = false
-	for _, s := range w.late {
+// converge ends all faults and lets every daemon learn the head.
+func (w *cluster) converge(t *rapid.T) {
+	w.storeDown = false
+	for _, s := range w.delayedSwaps {
 		w.swap(s)
 	}
-	w.late = nil
+	w.delayedSwaps = nil
 	for range 4 {
 		for i, f := range w.followers {
 			w.now = w.now.Add(10 * time.Second)
 			if w.revision > 0 {
-				w.carryOut(i, f.Learn(w.now, w.head.Accepted, config.StoreSource))
+				w.queueFetches(i, f.Learn(w.now, w.head.Accepted, config.StoreSource))
 			}
 			for len(w.fetches) > 0 {
-				asked := w.fetches[0]
+				pending := w.fetches[0]
 				w.fetches = w.fetches[1:]
-				w.carryOut(asked.daemon, w.followers[asked.daemon].Supply(w.now, w.found(asked)))
+				w.queueFetches(pending.daemon, w.followers[pending.daemon].Supply(w.now, w.fetchResult(pending)))
 			}
 		}
 	}
-	w.check(t)
+	w.checkInvariants(t)
 	for i, f := range w.followers {
 		if head, _ := f.InForce(); head.Generation != w.head.Generation {
 			t.Fatalf("daemon %d stays at generation %d, accepted is %d", i, head.Generation, w.head.Generation)
@@ -101,33 +101,32 @@
 	}
 }
 
-// Operators race, answers are lost, swaps take effect late, daemons restart and
-// the key-value service goes away at any step. Two operators would both believe
-// that their manifest is the accepted one, or a daemon would fall back to an
-// older one.
+// Operators submit concurrently, answers are lost, swaps take effect late, daemons restart,
+// and the key-value service fails at any step. Guards against two operators who both believe
+// that their manifest is the accepted one, and against a daemon that returns to an older one.
 func TestRegisterUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newCluster()
 		t.Repeat(map[string]func(*rapid.T){
 			"submit":   w.submit,
 			"advance":  w.advance,
 			"advance2": w.advance,
-			"late":     w.lateSwap,
+			"late":     w.applyDelayedSwap,
 			"announce": w.announce,
 			"fetch":    w.answerFetch,
 			"tick":     w.tick,
 			"restart":  w.restart,
-			"outage":   func(t *rapid.T) { w.down = rapid.Bool().Draw(t, "down") },
-			"":         w.check,
+			"outage":   func(t *rapid.T) { w.storeDown = rapid.Bool().Draw(t, "down") },
+			"":         w.checkInvariants,
 		})
-		w.settle(t)
+		w.converge(t)
 	})
 }
 
-// The answer to an operator's swap is lost after it took effect, and another
-// operator's change goes on top before the first one looks again. Told
-// "conflict", the first would apply the change a second time.
-func TestLostAnswerIsFoundInThePast(t *testing.T) {
+// Guards against a duplicate change. The answer to an operator's swap is lost after the swap
+// took effect, and another operator's change follows before the first one reads the head again.
+// If the first operator got a conflict error, it would apply its change a second time.
+func TestLostSwapAnswerIsFoundInHistory(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	first, err := config.NewSubmission(content(1), "ana", "first", 0, 0)
@@ -154,9 +153,9 @@
 	is.Equal(int(done.Accepted.Generation), 1)
 }
 
-// The answer to a swap is lost and so many changes follow that the register no
-// longer remembers it. Any definite answer could be wrong.
-func TestLostAnswerBeyondThePastIsUnknown(t *testing.T) {
+// Guards against a wrong definite answer: the answer to a swap is lost, and so many changes
+// follow that the head no longer lists the submission.
+func TestLostSwapAnswerBeyondHistoryIsUnknown(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	s, err := config.NewSubmission(content(1), "ana", "first", config.AnyGeneration, 0)
@@ -177,9 +176,9 @@
 	is.True(errors.As(failed.Err, &unknown))
 }
 
-// A program of an older version meets a manifest format that it can't read. It
-// must neither drop what it has nor try for ever.
-func TestUnreadableConfigurationLeavesTheFormerInForce(t *testing.T) {
+// Guards against a daemon of an older program version that drops its configuration, or
+// fetches for ever, when it gets a manifest format that it can't read.
+func TestUnreadableConfigurationKeepsPreviousInForce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	f := config.NewFollower()
@@ -201,11 +200,11 @@
 	inForce, _ := f.InForce()
 	is.Equal(int(inForce.Generation), 1)
 	is.Equal(len(f.Learn(now, head, config.StoreSource)), 0)
-	is.Equal(len(f.Sections(manifest.Hashes(sections))), len(sections)) // still there for peers
+	is.Equal(len(f.Sections(manifest.Hashes(sections))), len(sections)) // still served to peers
 }
 
-// monotone is the model of the generation that one daemon shows.
-func monotone() porcupine.Model {
+// monotonicModel is the model of a generation that never decreases, as read from one daemon.
+func monotonicModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return int64(0) },
 		Step: func(state, _, output any) (bool, any) {
@@ -214,16 +213,16 @@
 	}
 }
 
-// A peer that was paused names the former generation after the newest is in
-// force. Without the guard in Learn the daemon goes back to old credentials and
-// limits; with the guard taken out, the check of histories has to see it.
+// Guards against a daemon that returns to old credentials and limits when a peer that was
+// paused announces an earlier generation. The second check removes the guard in Learn and
+// expects the history check to fail.
 func TestDelayedHeadDoesNotRevert(t *testing.T) {
 	is := is.New(t)
-	is.True(porcupine.CheckOperations(monotone(), readsAroundDelayedHead(t, func(*config.Follower) {})))
-	is.True(!porcupine.CheckOperations(monotone(), readsAroundDelayedHead(t, (*config.Follower).DropGuard)))
+	is.True(porcupine.CheckOperations(monotonicModel(), readsAroundDelayedHead(t, func(*config.Follower) {})))
+	is.True(!porcupine.CheckOperations(monotonicModel(), readsAroundDelayedHead(t, (*config.Follower).ResetInForceGeneration)))
 }
 
-func readsAroundDelayedHead(t *testing.T, harm func(*config.Follower)) []porcupine.Operation {
+func readsAroundDelayedHead(t *testing.T, corrupt func(*config.Follower)) []porcupine.Operation {
 	t.Helper()
 	f := config.NewFollower()
 	var reads []porcupine.Operation
@@ -238,7 +237,7 @@
 		}
 		now := time.Unix(int64(1000+10*i), 0)
 		head := config.Accepted{Generation: ident.Generation(g), Sections: manifest.Hashes(sections)}
-		harm(f)
+		corrupt(f)
 		f.Learn(now, head, config.StoreSource)
 		f.Supply(now, data)
 		inForce, _ := f.InForce()
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -62,7 +62,7 @@
 			MaxPause: e.set.Bounds.FreezeSlack,
 			Drift:    clockDrift,
 			Retry:    ttl / 10,
-			Look:     ttl / 2,
+			ReadKey:  ttl / 2,
 		},
 		Clock: e.deps.Steady,
 		Changed: func(held bool, token uint64) {
