--- a/protocol/handoff/keeper.go
+++ b/protocol/handoff/keeper.go
@@ -8,50 +8,53 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// PutOutcome is what became of a record that was sent to a keeper.
+// PutOutcome is the result of sending a record to a keeper.
 type PutOutcome int
 
-// Outcomes of a Put.
+// Results of Keeper.Put.
 const (
-	// Stored records are safe against the loss of their owner.
+	// Stored means that the keeper holds the record, which now survives the
+	// loss of its owner.
 	Stored PutOutcome = iota
-	// Superseded records belong to another daemon by now.
+	// Superseded means that another daemon owns the request now.
 	Superseded
-	// Incomplete ones lack a part that the keeper never got: send them whole.
+	// Incomplete means that the keeper lacks an earlier part of the record, so
+	// that the sender must send the whole record.
 	Incomplete
-	// Full keepers take no further record.
+	// Full means that the keeper accepts no further records.
 	Full
 )
 
-// Claim is who owns a request.
+// Claim identifies the owner of a request.
 type Claim struct {
 	Owner ident.Incarnation
 	Epoch uint64
 }
 
-// Keeper holds the records of other daemons' requests. It is not safe for
-// concurrent use.
+// Keeper holds copies of the records of other daemons' requests, so that
+// another daemon can continue these requests if their owner fails. It is not
+// safe for concurrent use.
 type Keeper struct {
-	limit   int
-	records map[ident.RequestID]*Record
-	claims  map[ident.RequestID]Claim
-	heard   map[ident.Incarnation]time.Time
+	limit     int
+	records   map[ident.RequestID]*Record
+	claims    map[ident.RequestID]Claim
+	lastHeard map[ident.Incarnation]time.Time
 }
 
-// NewKeeper returns a keeper of at most limit records.
+// NewKeeper returns a keeper that holds at most limit records.
 func NewKeeper(limit int) *Keeper {
 	return &Keeper{
-		limit:   limit,
-		records: map[ident.RequestID]*Record{},
-		claims:  map[ident.RequestID]Claim{},
-		heard:   map[ident.Incarnation]time.Time{},
+		limit:     limit,
+		records:   map[ident.RequestID]*Record{},
+		claims:    map[ident.RequestID]Claim{},
+		lastHeard: map[ident.Incarnation]time.Time{},
 	}
 }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (k *Keeper) Len() int { return len(k.records) }
 
-// Get returns a record; it must not be changed.
+// Get returns a record. The caller must not modify it.
 func (k *Keeper) Get(id ident.RequestID) (Record, bool) {
 	r, ok := k.records[id]
 	if !ok {
@@ -60,30 +63,31 @@
 	return *r, true
 }
 
-// Claim notes that a daemon (perhaps this one) owns a request. An owner that
-// was only paused renews its records when it wakes up; without this note it
-// would go on with a request that runs elsewhere, and two answers would be
-// read under one ID.
+// Claim records that a daemon, possibly this one, owns a request, unless a
+// newer claim is known. An owner that was only paused renews its records when
+// it resumes, and the claim tells it that another daemon has taken over.
+// Otherwise both daemons would run the request, and readers would see two
+// answers under one ID.
 func (k *Keeper) Claim(id ident.RequestID, c Claim) {
 	old, ok := k.claims[id]
-	if !ok || newer(c.Epoch, c.Owner, old.Epoch, old.Owner) {
+	if !ok || supersedes(c.Epoch, c.Owner, old.Epoch, old.Owner) {
 		k.claims[id] = c
 	}
 }
 
-// Release forgets the claim of an owner that keeps a request no longer.
-func (k *Keeper) Release(id ident.RequestID, owner ident.Incarnation) {
+// ReleaseClaim removes the claim on a request if the given daemon holds it.
+func (k *Keeper) ReleaseClaim(id ident.RequestID, owner ident.Incarnation) {
 	if k.claims[id].Owner == owner {
 		delete(k.claims, id)
 	}
 }
 
-// Put stores a record or a renewal. The claim is who owns the request if the
-// outcome is Superseded.
+// Put stores a record or a renewal of a record. If the outcome is Superseded,
+// the returned claim identifies the current owner.
 func (k *Keeper) Put(now time.Time, r Record) (PutOutcome, Claim) {
-	k.heard[r.Owner] = now
+	k.lastHeard[r.Owner] = now
 	c, claimed := k.claims[r.ID]
-	if claimed && newer(c.Epoch, c.Owner, r.Epoch, r.Owner) {
+	if claimed && supersedes(c.Epoch, c.Owner, r.Epoch, r.Owner) {
 		return Superseded, c
 	}
 	old, ok := k.records[r.ID]
@@ -99,29 +103,30 @@
 		k.records[r.ID] = &r
 		return Stored, Claim{}
 	}
-	return old.renew(r), Claim{}
+	return old.applyRenewal(r), Claim{}
 }
 
-// renew takes the tokens that are new; a late renewal changes nothing.
-func (r *Record) renew(by Record) PutOutcome {
-	end := by.EmittedFrom + len(by.Emitted)
-	if by.EmittedFrom > len(r.Emitted) {
+// applyRenewal appends the tokens of the renewal that the record lacks. A
+// renewal that arrives late appends nothing.
+func (r *Record) applyRenewal(renewal Record) PutOutcome {
+	end := renewal.EmittedFrom + len(renewal.Emitted)
+	if renewal.EmittedFrom > len(r.Emitted) {
 		return Incomplete
 	}
 	if end >= len(r.Emitted) {
-		fresh := by.Emitted[len(r.Emitted)-by.EmittedFrom:]
+		fresh := renewal.Emitted[len(r.Emitted)-renewal.EmittedFrom:]
 		r.Emitted = append(slices.Clip(r.Emitted), fresh...)
-		r.Runner = by.Runner
+		r.Runner = renewal.Runner
 	}
-	r.MayHaveRun = r.MayHaveRun || by.MayHaveRun
-	if by.Done {
+	r.MayHaveRun = r.MayHaveRun || renewal.MayHaveRun
+	if renewal.Done {
 		r.Done = true
-		r.FinishReason = by.FinishReason
+		r.FinishReason = renewal.FinishReason
 	}
 	return Stored
 }
 
-// Delete forgets a record on its owner's word.
+// Delete removes a record at the request of its owner.
 func (k *Keeper) Delete(owner ident.Incarnation, id ident.RequestID) {
 	if r, ok := k.records[id]; ok && r.Owner == owner {
 		delete(k.records, id)
@@ -129,24 +134,25 @@
 	}
 }
 
-// Forget drops what is known of a request that is kept no longer.
+// Forget removes the record and the claim of a request, whoever owns it.
 func (k *Keeper) Forget(id ident.RequestID) {
 	delete(k.records, id)
 	delete(k.claims, id)
 }
 
-// Adopt returns the records whose owner is gone, with this daemon as their
-// owner and the next epoch, in the order of their IDs; they are kept here no
-// longer. Present tells whether a daemon is still known. An owner that put a
-// record within quiet is alive whatever the directory says.
-func (k *Keeper) Adopt(now time.Time, self ident.Incarnation, quiet time.Duration, present func(ident.Incarnation) bool) []Record {
+// Adopt removes the records whose owner is gone and returns them, ordered by
+// request ID, with this daemon as the owner and with the next epoch. An owner
+// counts as gone only if isPresent returns false for it and it has sent no
+// record for the given time of silence: an owner that still sends records is
+// alive even if it is missing from the list of daemons.
+func (k *Keeper) Adopt(now time.Time, self ident.Incarnation, silence time.Duration, isPresent func(ident.Incarnation) bool) []Record {
 	var adopted []Record
 	for id, r := range k.records {
-		if present(r.Owner) {
-			k.heard[r.Owner] = now
+		if isPresent(r.Owner) {
+			k.lastHeard[r.Owner] = now
 			continue
 		}
-		if now.Sub(k.heard[r.Owner]) < quiet {
+		if now.Sub(k.lastHeard[r.Owner]) < silence {
 			continue
 		}
 		next := *r
