--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -10,36 +10,38 @@
 )
 
 const (
-	// dutyName is the one responsibility that covers all calls to the cloud.
+	// dutyName is the name of the single lease that covers all calls to the cloud.
 	dutyName = "cloud"
-	// dutyInterval is the least time between two looks at the duties.
+	// dutyInterval is the least time between two runs of the duties.
 	dutyInterval = 200 * time.Millisecond
-	// callTimeout bounds a call to the cloud; the holder's own lease has that
-	// much left when it begins. It covers a cloud that answers fifty times more
+	// callTimeout bounds a call to the cloud. The holder's lease is valid for at least that
+	// long when a call begins. The timeout allows for a cloud that answers fifty times more
 	// slowly than usual.
 	callTimeout = 500 * time.Millisecond
-	// renewalsPerLease in a lease's life, so that one or two may fail.
+	// renewalsPerLease is the number of renewals during the life of a lease, so that one or
+	// two may fail.
 	renewalsPerLease = 4
-	// clockDrift is the share by which clocks may run apart.
+	// clockDrift is the fraction by which the rates of two clocks may differ.
 	clockDrift = 0.01
-	// rankDelay keeps the daemons from all writing for a responsibility that has
-	// fallen free: each waits its place in the order of names times this.
+	// rankDelay is multiplied by a daemon's place in the order of IDs to get the time that it
+	// waits before it takes over a free lease, so that the daemons don't all write at once.
 	rankDelay = 150 * time.Millisecond
 )
 
-// duties are what this daemon does while it holds the responsibility.
+// duties holds the state of the work that one daemon of the fleet, the holder of the lease,
+// does for all: calls to the cloud for usage reports and runner orders.
 type duties struct {
 	holder *holder.Holder
 	usage  usageReportState
 	saved  savedCounts
 	fleets map[string]*fleetDuty
-	// tenureToken of the tenure that the duties were begun in.
+	// tenureToken is the lease token under which the present state was created.
 	tenureToken uint64
-	// wakeup is told when it may be time to look at the duties.
+	// wakeup is signalled when it may be time to run the duties.
 	wakeup chan struct{}
 }
 
-// wake has the duties looked at, unless that is still going on.
+// wake triggers a run of the duties, unless one is already pending.
 func (d *duties) wake() {
 	select {
 	case d.wakeup <- struct{}{}:
@@ -71,8 +73,8 @@
 	})
 }
 
-// runDuties stands for the responsibility and does what it asks for. It looks when tickLoop
-// does, so a daemon that is no candidate looks less often.
+// runDuties tries to hold the lease and performs the duties while it does. It is woken by
+// tickLoop, so a daemon that is no relay runs it less often.
 func (e *Edge) runDuties(ctx context.Context) {
 	lastRun := -dutyInterval
 	for {
@@ -98,14 +100,14 @@
 	}
 }
 
-// shouldHoldDuties tells whether this daemon should hold the duties: it does already, or
-// they have been free for long enough that those before it in the order of names
-// would have taken them. The watch tells who holds them, so standing by costs no
-// call.
+// shouldHoldDuties reports whether this daemon should hold the lease. A holder keeps it while
+// it is a relay. Another daemon takes it once it has been free for long enough that the daemons
+// before it in the order of IDs would have taken it. The watch of the key-value service shows
+// the current holder, so waiting for the lease costs no calls.
 //
-// Only relays hear all counts of usage and all work. One that no other counts takes itself
-// for the first in the order, and would report its own counts as all; one that follows
-// again hears those of others no more.
+// Only relays receive all usage counts and all work. A relay that no other relay elects ranks
+// itself first and would report its own counts as those of the whole fleet; a daemon that has
+// become a follower again no longer receives the counts of others.
 func (e *Edge) shouldHoldDuties() bool {
 	if e.duties.holder.Token() != 0 {
 		return e.relaying.Load()
@@ -123,7 +125,8 @@
 	return shares && e.dir.dutyHolder == "" && e.dir.dutyFree != 0 && now-e.dir.dutyFree >= time.Duration(rank)*rankDelay
 }
 
-// performDuties does the duties of the present tenure.
+// performDuties does the work of the lease holder, with new state if the lease was acquired
+// anew.
 func (e *Edge) performDuties(ctx context.Context) {
 	if token := e.duties.holder.Token(); token != e.duties.tenureToken {
 		e.duties.tenureToken = token
@@ -152,7 +155,8 @@
 	}
 }
 
-// permit returns on whose behalf a call may go out right now; false if none may.
+// permit returns the identity to use for a call to the cloud, or false if no call may start
+// now.
 func (e *Edge) permit() (Duty, bool) {
 	token, ok := e.duties.holder.Permit(false)
 	return Duty{Holder: e.set.ID, Token: token}, ok
--- a/daemon/edge/feed.go
+++ b/daemon/edge/feed.go
@@ -12,26 +12,28 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Relays watch the key-value service and pass on what was written, so that a change
-// does not answer the watches of a whole fleet.
+// Some relays watch the key-value service and pass changes on to the other daemons, so that a
+// change doesn't cost the service an answer to every daemon of the fleet.
 
 const (
-	// maxFeedBytes is passed on in one message; a wave of runners takes a few.
+	// maxFeedBytes bounds the changes in one message. When many runners change at once,
+	// several messages are needed.
 	maxFeedBytes = 8 << 10
-	// maxFeedValueBytes is the longest value that is passed on at all. A longer configuration
-	// is read from the service, as a newer one that is heard of is.
+	// maxFeedValueBytes is the size of the longest value that is passed on. A longer
+	// configuration is read from the service by each daemon, as soon as it hears of the newer
+	// revision.
 	maxFeedValueBytes = 32 << 10
-	// feedAgeShare is the part of the time in which a runner's notice must be known up to which
-	// a follower's copy of the service may be old before it watches itself. The rest covers
-	// a first watch of its own.
+	// feedAgeShare is the fraction of Bounds.DrainWithin, the time in which a runner's notice
+	// must be known, that a follower's copy of the service may be old before the follower
+	// watches the service itself. The rest of that time covers its first watch.
 	feedAgeShare = 0.55
-	// feedCheckInterval is between two looks at whether relays still pass changes on.
+	// feedCheckInterval is the time between two checks whether the feed is current.
 	feedCheckInterval = 500 * time.Millisecond
 )
 
-// feedIsCurrent tells whether relays pass on what is written. A relay that has lost the service goes
-// on speaking, and so does one that is feedIsCurrent by such a one: what counts is the age of what is
-// known.
+// feedIsCurrent reports whether relays pass changes on in time. It checks the age of the known
+// data, not whether a relay is heard: a relay that can't reach the service keeps sending
+// messages, and so does a relay that gets its feed from such a relay.
 func (e *Edge) feedIsCurrent() bool {
 	e.mu.Lock()
 	watches := e.plan.Watches
@@ -42,10 +44,10 @@
 	return !watches && !e.dir.incomplete && e.dir.at != 0 && e.dir.current >= oldest
 }
 
-// feedAfter is what a daemon lacks that knows everything up to a revision.
+// feedAfter returns the changes after a revision for a daemon that is up to date until then.
 func (e *Edge) feedAfter(now time.Duration, at uint64) *peersv1.Feed {
 	if at == 0 {
-		return nil // it has yet to list the service, or does not ask
+		return nil // the daemon has not listed the service yet, or doesn't need a feed
 	}
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
@@ -62,7 +64,7 @@
 	return told
 }
 
-// applyFeed takes in what a relay passes on.
+// applyFeed applies the changes that a relay passes on.
 func (e *Edge) applyFeed(f *peersv1.Feed) {
 	now := e.deps.Steady()
 	e.dir.mu.Lock()
@@ -75,7 +77,7 @@
 		}
 		e.dir.incomplete = true
 	case usable && (len(f.Changes) == 0 || f.Through >= f.Head):
-		// Nothing is missing up to the sender's own copy.
+		// With these changes this copy is as recent as the sender's.
 		e.dir.current = max(e.dir.current, now-age)
 	}
 	e.dir.mu.Unlock()
@@ -86,11 +88,12 @@
 	for _, c := range f.Changes {
 		events = append(events, kv.Event{Entry: kv.Entry{Key: c.Key, Value: c.Value, Revision: kv.Revision(c.Revision)}, Deleted: c.Deleted})
 	}
-	// When the relay read it is not known; the proof comes with its word.
+	// The time at which the relay read the changes is unknown. How recent the configuration is
+	// follows from the time stamps in the relay's message.
 	e.apply(events, kv.Revision(f.Through), freshness.Never)
 }
 
-// fedToFollowers tells whether followers need a key.
+// fedToFollowers reports whether changes of a key are passed on.
 func (e *Edge) fedToFollowers(key string) bool {
 	if key == e.deps.Codec.ConfigKey() {
 		return true
@@ -103,7 +106,7 @@
 	return false
 }
 
-// feedChanges are the events that are passed on.
+// feedChanges converts the events that are passed on.
 func (e *Edge) feedChanges(events []kv.Event) []feed.Change {
 	var changes []feed.Change
 	for _, event := range events {
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -13,48 +13,50 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// In a large fleet a daemon's part of a workspace's quota would be smaller than one
-// prompt. There the relays share the quotas among themselves, and every other daemon
-// asks one that it follows for each request, which costs it a message each way within
-// its failure domain. Whose part is used up asks another one, too, also in a small fleet.
-// A relay that has ended takes no more, so nothing is given out twice; what was granted
-// and not used, or not heard of, is only lost to the workspace.
+// In a large fleet, a daemon's share of a workspace's quota would be smaller than the cost of
+// one prompt. Therefore only the relays share the quotas there, and every other daemon asks a
+// relay that it follows for each request, at the cost of one message each way within its
+// failure domain. A relay whose share is used up asks another relay; the daemons of a small
+// fleet do the same.
+//
+// Quota is never granted twice, since a relay that has ended grants nothing more. Quota that
+// was granted but not used, or whose grant was lost, is lost to the workspace.
 
 const (
-	// grantTimeout is how long the primary may take to answer before the other relay is
-	// asked, too; a relay answers in a millisecond, or after a pause of its VM.
+	// grantTimeout is the time that the primary relay has to answer before the next relay is
+	// asked as well. A relay answers within a millisecond unless its VM is paused.
 	grantTimeout = 40 * time.Millisecond
-	// lastGrantTimeout is how long the answers may take after that.
+	// lastGrantTimeout is the time allowed for answers after the last relay was asked.
 	lastGrantTimeout = 80 * time.Millisecond
-	// maxAskedRelays bounds the relays that are asked for one request. The part of one may be
-	// used up while another's is not; while relays change, some of those that are known
-	// have ended and others don't know yet that they are ones.
+	// maxAskedRelays bounds the number of relays asked for one request. One relay's share may
+	// be used up while another's is not. While the elected relays change, some known relays
+	// have ended and others don't know yet that they are relays.
 	maxAskedRelays = 5
-	// lateGrantPeriod is how long an answer that nobody waits for is recognised, so that it
-	// is given back.
+	// lateGrantPeriod is the time for which an answer is still recognised after its request
+	// stopped waiting, so that the granted quota can be returned.
 	lateGrantPeriod = 5 * time.Second
-	// quotaUnknownRetryAfter is when to come back where no relay answered: by then another
-	// one has taken over.
+	// quotaUnknownRetryAfter is the retry delay sent to the caller if no relay answered.
+	// Another relay has taken over by then.
 	quotaUnknownRetryAfter = 300 * time.Millisecond
 )
 
-// pendingGrant is a request that waits for a relay's word.
+// pendingGrant is a question to a relay that has not been answered.
 type pendingGrant struct {
 	askedAt   time.Duration
 	workspace ident.Workspace
 	cost      float64
 	relay     string
-	// answer is taken by the first of the relays that grants; it is nil once nobody
-	// waits any more.
+	// answer receives the relay's answer. It is nil once the request no longer waits.
 	answer chan<- grantAnswer
 }
 
+// grantAnswer is a relay's answer together with the question.
 type grantAnswer struct {
 	*peersv1.Grant
 	pendingGrant
 }
 
-// pendingGrants keeps what was asked of relays.
+// pendingGrants holds the unanswered questions by ID.
 type pendingGrants struct {
 	mu      sync.Mutex
 	lastID  uint64
@@ -62,7 +64,8 @@
 }
 
 func (a *pendingGrants) init() {
-	// Not the numbers of a former run at this address, whose answers may be on their way.
+	// IDs start at a random number, so that answers to a former process at this address match
+	// no question of this one.
 	a.lastID = rand.Uint64()
 	a.pending = map[uint64]pendingGrant{}
 }
@@ -75,7 +78,8 @@
 	return a.lastID
 }
 
-// abandon says that nobody waits for the answers any more.
+// abandon marks the questions as no longer waited for. They stay until lateGrantPeriod has
+// passed.
 func (a *pendingGrants) abandon(ids []uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,7 +91,7 @@
 	}
 }
 
-// remove removes an asker and returns it; false if it isn't known.
+// remove removes a question and returns it, or false if the ID is unknown.
 func (a *pendingGrants) remove(id uint64) (pendingGrant, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,14 +110,15 @@
 	}
 }
 
-// candidateLister tells of the runners that a request may go to. A relay knows better than its
-// followers what has just been sent to them, and is asked anyway.
+// candidateLister lists the runners that a request may be sent to. The relay that grants the
+// quota chooses one of them: it learns of its followers' choices before the followers learn of
+// each other's.
 type candidateLister interface {
 	candidates() (service string, runners []*peersv1.Candidate)
 }
 
-// takeQuota takes a request's cost out of its workspace's quota. It returns the answer
-// of the relay that granted it, an empty one for this daemon itself, or a refusal.
+// takeQuota takes the cost of a request out of its workspace's quota. It returns the answer of
+// the relay that granted it, an empty answer if this daemon granted it itself, or a refusal.
 func (e *Edge) takeQuota(ctx context.Context, ws ident.Workspace, cost float64, lister candidateLister) (grantAnswer, *refusal.Refusal) {
 	own, elsewhere, ask := e.takeLocally(ws, cost)
 	if own != nil && (own.Taken || !elsewhere) {
@@ -151,7 +156,8 @@
 	return grantAnswer{}, refusal.New(refusal.QuotaUnknown, "none of %d relays can tell", len(ids)).After(quotaUnknownRetryAfter)
 }
 
-// addReferredRelays adds relays that another daemon knows.
+// addReferredRelays appends the addresses of relays that another daemon named, except this
+// daemon's own and those already listed.
 func (e *Edge) addReferredRelays(ask, to []string) []string {
 	for _, address := range to {
 		if address != e.set.PeerAddress && !slices.Contains(ask, address) {
@@ -161,8 +167,9 @@
 	return ask
 }
 
-// takeLocally takes a cost out of what this daemon gives out itself; nil if it gives out
-// nothing. It returns whether another one may grant it, and whom to ask.
+// takeLocally takes a cost out of this daemon's own share of the quota. own is nil if this
+// daemon grants no quota. elsewhere says that another relay may grant the cost, ask lists the
+// relays to ask.
 func (e *Edge) takeLocally(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, ask []string) {
 	now := e.deps.Steady()
 	e.mu.Lock()
@@ -176,14 +183,16 @@
 	return own, true, e.relaysToAsk()
 }
 
-// takeFromLimiter takes a cost out of what this daemon gives out; called with mu held.
+// takeFromLimiter takes a cost out of this daemon's share of a quota. The caller must hold
+// e.mu.
 func (e *Edge) takeFromLimiter(now time.Duration, ws ident.Workspace, cost float64) *peersv1.Grant {
 	wait, ok := e.limiter.Take(now, ws, cost)
 	return &peersv1.Grant{Taken: ok, WaitNs: int64(wait), Elsewhere: !ok && e.limiter.Covers(now, ws, cost)}
 }
 
-// relaysToAsk are the addresses of relays to ask: the followed ones, then others of this
-// failure domain, then others. Called with mu held.
+// relaysToAsk returns the addresses of the relays to ask for quota: those that this daemon
+// follows, then others of its failure domain, then those of other failure domains in random
+// order. The caller must hold e.mu.
 func (e *Edge) relaysToAsk() []string {
 	var ask, remote []string
 	for _, r := range e.plan.Own {
@@ -203,14 +212,15 @@
 	return ask[:min(maxAskedRelays, len(ask))]
 }
 
-// sharesQuotas tells whether this daemon gives out quotas: it does so only as a relay that another
-// one takes for one, too, or that is the last. Called with mu held.
+// sharesQuotas reports whether this daemon grants quota. It does if it is a relay and another
+// relay elects it, or if it hears no other relay for long enough to be the last one. In a
+// direct fleet every daemon does. The caller must hold e.mu.
 func (e *Edge) sharesQuotas(now time.Duration) bool {
 	return e.plan.Relay && (e.plan.Direct || e.standing.Shares(now, e.hearsRelay(now)))
 }
 
-// abandonGrants ends the wait for relays' answers and gives back what was granted beside the one
-// that counted.
+// abandonGrants stops waiting for relays' answers and returns the quota of those that have
+// arrived without being used.
 func (e *Edge) abandonGrants(ids []uint64, answers <-chan grantAnswer) {
 	e.asks.abandon(ids)
 	for {
@@ -225,7 +235,8 @@
 	}
 }
 
-// awaitGrant waits for a relay's word.
+// awaitGrant waits for a relay's answer. It returns false after the timeout or the end of the
+// context.
 func awaitGrant(ctx context.Context, answers <-chan grantAnswer, wait time.Duration) (grantAnswer, bool) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -238,7 +249,8 @@
 	return grantAnswer{}, false
 }
 
-// quotaRefusal is the refusal of what was not granted; nil if it was.
+// quotaRefusal returns the refusal for an answer that grants nothing, or nil if the quota was
+// granted.
 func quotaRefusal(g *peersv1.Grant, cost float64) *refusal.Refusal {
 	if g.Taken {
 		return nil
@@ -246,7 +258,7 @@
 	return refusal.New(refusal.WorkspaceLimit, "quota of the workspace is used up, the request costs %.0f", cost).After(time.Duration(g.WaitNs))
 }
 
-// handleAsk answers a daemon that asks for a part of a quota.
+// handleAsk answers a daemon that asks for quota.
 func (e *Edge) handleAsk(a *peersv1.Ask) {
 	now := e.deps.Steady()
 	var g *peersv1.Grant
@@ -264,8 +276,8 @@
 	e.sendTo(a.PeerAddress, &peersv1.Datagram{Grant: g})
 }
 
-// handleGrant hands a relay's answer to the request that waits for it. What comes too late
-// is given back.
+// handleGrant passes a relay's answer to the request that waits for it. Quota granted too late
+// is returned.
 func (e *Edge) handleGrant(g *peersv1.Grant) {
 	asked, ok := e.asks.remove(g.Id)
 	if !ok {
@@ -282,7 +294,7 @@
 	}
 }
 
-// returnQuota gives back what a request took that has not run and never will.
+// returnQuota gives back the quota of a request that has not run and never will.
 func (e *Edge) returnQuota(relay string, ws ident.Workspace, cost float64) {
 	if relay == "" {
 		e.mu.Lock()
@@ -293,6 +305,7 @@
 	e.sendTo(relay, &peersv1.Datagram{Refund: &peersv1.Refund{Workspace: string(ws), Cost: cost}})
 }
 
+// handleRefund returns quota to this relay's share that a daemon has given back.
 func (e *Edge) handleRefund(r *peersv1.Refund) {
 	if r.Cost <= 0 {
 		e.log.Note("message_ignored", decisions.F("reason", "refund of nothing"))
--- a/daemon/edge/hello.go
+++ b/daemon/edge/hello.go
@@ -11,17 +11,19 @@
 )
 
 const (
-	// maxAddresses bounds the addresses in a message. They only help daemons that have
-	// just started, which hear several daemons ten times a second.
+	// maxAddresses bounds the peer addresses in one message. Only daemons that have just
+	// started need them, and those hear several daemons ten times a second.
 	maxAddresses = 4
-	// noticeRepeatPeriod is how long the others are told of a runner's notice: as long as one may
-	// need to read it, and a few messages.
+	// noticeRepeatPeriod is the time for which the other daemons are told of a runner's notice
+	// that it leaves: the longest time that a daemon may need to read the notice, and a few
+	// messages more.
 	noticeRepeatPeriod = gatherLong + time.Second
-	// maxLeaving bounds the runners that are told to be leaving in one message.
+	// maxLeaving bounds the leaving runners listed in one message.
 	maxLeaving = 3000
 )
 
-// baseHello is what everybody is told; called with mu held.
+// baseHello returns a new message with the fields that every recipient gets. The caller must
+// hold e.mu.
 func (e *Edge) baseHello(now time.Duration) *peersv1.Hello {
 	self := e.peers.Self()
 	e.seq++
@@ -49,14 +51,15 @@
 	return h
 }
 
-// addQuotaUses tells what this relay took of the quotas; called with mu held.
+// addQuotaUses adds what this relay took out of the quotas. The caller must hold e.mu.
 func (e *Edge) addQuotaUses(now time.Duration, h *peersv1.Hello) {
 	for ws, use := range e.limiter.Uses(now) {
 		h.Uses = append(h.Uses, &peersv1.Use{Workspace: string(ws), Taken: use.Taken, Level: use.Level})
 	}
 }
 
-// addWork tells of work at the runners.
+// addWork adds work in progress at the runners, the prompt tokens that callers brought, and
+// recent placements.
 func addWork(h *peersv1.Hello, w work) {
 	for _, l := range w.loads {
 		if l.Requests > 0 {
@@ -71,7 +74,9 @@
 	h.Placed = w.placed
 }
 
-// stampReply is what one daemon is told of its last stamp; called with mu held.
+// stampReply returns the fields by which one daemon learns how recent its configuration is: the
+// echo of its last time stamp and this daemon's configuration revision. The caller must hold
+// e.mu.
 func (e *Edge) stampReply(to ident.Incarnation) *peersv1.Hello {
 	var stamp *freshness.Stamp
 	if s, ok := e.stamps[to]; ok {
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -17,13 +17,13 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// socketCloseGrace is how long after the socket's end the daemon's may follow.
+// socketCloseGrace is the time in which the context must end after the socket was closed, for
+// the close to count as part of the shutdown.
 const socketCloseGrace = 100 * time.Millisecond
 
-// receiveDatagrams takes the others' messages in until the context ends. The socket is closed when
-// it returns: a message that comes as the context ends lets it return before the close
-// that the end brings about, and the address would still be taken when a daemon is started
-// there next.
+// receiveDatagrams handles the datagrams of other daemons until the context ends. It closes the
+// socket itself before it returns: the close that the end of the context triggers may come
+// later, and a daemon that is started at the same address next would find the address in use.
 func (e *Edge) receiveDatagrams(ctx context.Context) error {
 	defer e.deps.Datagrams.Close()
 	stop := context.AfterFunc(ctx, func() { e.deps.Datagrams.Close() })
@@ -35,7 +35,7 @@
 			return nil
 		}
 		if errors.Is(err, net.ErrClosed) {
-			// Whoever ends the daemon may close the socket before the end is seen here.
+			// During shutdown the socket may be closed just before the context ends.
 			pause.For(ctx, socketCloseGrace)
 			if ctx.Err() != nil {
 				return nil
@@ -43,7 +43,7 @@
 			return fmt.Errorf("receive datagrams: %w", err)
 		}
 		if err != nil {
-			// A datagram to a closed port comes back as an error of the next read.
+			// A datagram sent to a closed port surfaces as an error of the next read.
 			e.log.Count("peers.receive_failed")
 			continue
 		}
@@ -73,10 +73,11 @@
 	}
 }
 
-// handleHello takes in what a daemon tells.
+// handleHello processes the state that another daemon sent.
 func (e *Edge) handleHello(ctx context.Context, h *peersv1.Hello) {
 	if h.Feed != nil {
-		// First of all, so that a newer configuration need not be read once more.
+		// The feed comes first, so that a newer configuration in it need not be read from the
+		// key-value service.
 		e.applyFeed(h.Feed)
 	}
 	id := ident.Incarnation(h.Incarnation)
@@ -112,7 +113,8 @@
 	e.heardPlaced(h.Placed, source == sourceFollower)
 }
 
-// updateMembers takes in whom a daemon knows; called with mu held.
+// updateMembers updates the peer table by the daemons that a message lists. The caller must
+// hold e.mu.
 func (e *Edge) updateMembers(now time.Duration, id ident.Incarnation, h *peersv1.Hello, ended []ident.Incarnation) {
 	if h.Roster != nil {
 		rows := make([]peers.Row, 0, len(h.Roster.Rows))
@@ -137,17 +139,17 @@
 	e.handleRelayClaim(now, id, h)
 }
 
-// dropFollowersQuotaUse takes in that daemons follow a relay: they give out no quotas. While a
-// fleet starts each daemon takes itself for a relay for a moment, and those that never
-// hear of it again would keep a part for it. Called with mu held.
+// dropFollowersQuotaUse notes that the followers of another relay grant no quota. While a fleet
+// starts, each daemon briefly claims to be a relay; without this, relays that hear no more of
+// it would keep a share of the quotas for it. The caller must hold e.mu.
 func (e *Edge) dropFollowersQuotaUse(rows []peers.Row) {
 	for _, r := range rows {
 		e.limiter.Left(r.Incarnation)
 	}
 }
 
-// updateQuotaUses takes in what another relay took of the quotas; called with mu held. One
-// that follows takes nothing itself.
+// updateQuotaUses records what another relay took out of the quotas. Daemons that are no relays
+// take nothing themselves. The caller must hold e.mu.
 func (e *Edge) updateQuotaUses(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if !e.plan.Relay {
 		return
@@ -157,9 +159,10 @@
 		return
 	}
 	if !e.plan.Direct && !e.elects(id) {
-		// It takes itself for a relay, as any daemon does that has just started, and gives
-		// out nothing until another one takes it for one, too; or it doesn't know yet that
-		// the fleet is no small one any more, and gives out its small part a moment longer.
+		// This daemon doesn't elect the sender. Either the sender has just started and claims
+		// to be a relay, as every daemon does at first, and grants nothing until another
+		// relay elects it. Or it doesn't know yet that the fleet has outgrown the direct
+		// mode, and grants its small share for a moment longer.
 		e.limiter.Left(id)
 		return
 	}
@@ -168,21 +171,21 @@
 	}
 }
 
-// workSource is what a daemon's account of work at the runners stands for.
+// workSource says whose work at the runners a message covers.
 type workSource int
 
 const (
-	// sourceIgnored is not counted.
+	// sourceIgnored is work that is not counted.
 	sourceIgnored workSource = iota
-	// sourceFollower is that daemon's own, which nobody else counts.
+	// sourceFollower is the work of one follower that only this relay counts.
 	sourceFollower
-	// sourceRelay is that of a relay and its followers.
+	// sourceRelay is the work of a relay and its followers.
 	sourceRelay
-	// sourcePrimary is that of all daemons, this one included.
+	// sourcePrimary is the work of all daemons, this one included.
 	sourcePrimary
 )
 
-// workSourceOf tells what a message's account of work stands for; called with mu held.
+// workSourceOf returns whose work a message covers. The caller must hold e.mu.
 func (e *Edge) workSourceOf(id ident.Incarnation, h *peersv1.Hello) workSource {
 	switch {
 	case h.Follows && h.Primary:
--- a/daemon/edge/registration.go
+++ b/daemon/edge/registration.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// registrationTTL outlives the replacement of any single call; the entry
-	// only helps daemons that can't reach any seed.
+	// registrationTTL is the life of a daemon's entry, which only serves daemons that can't
+	// reach any seed. It is long enough that single failed calls don't remove the entry.
 	registrationTTL = 30 * time.Second
-	// registerInterval renews the registration several times in its life.
+	// registerInterval renews the entry several times during its life.
 	registerInterval = 10 * time.Second
 )
 
-// keepRegistered keeps this daemon's address in the key-value service.
+// keepRegistered keeps an entry with this daemon's address in the key-value service.
 func (e *Edge) keepRegistered(ctx context.Context) {
 	var lease kv.LeaseID
 	for {
@@ -38,7 +38,8 @@
 	}
 }
 
-// register tells the address of this daemon to those that can't reach a seed.
+// register creates or renews the entry of this daemon. It returns the lease that the entry
+// depends on.
 func (e *Edge) register(ctx context.Context, lease kv.LeaseID) (kv.LeaseID, error) {
 	if lease != 0 {
 		err := e.deps.Store.KeepAlive(ctx, lease)
@@ -64,7 +65,7 @@
 	return granted, nil
 }
 
-// registration is what a daemon writes of itself.
+// registration is the stored entry of a daemon.
 type registration struct {
 	ID            ident.DaemonID      `json:"id"`
 	Incarnation   ident.Incarnation   `json:"incarnation"`
@@ -74,7 +75,8 @@
 	StartedMillis int64               `json:"started_unix_ms"`
 }
 
-// handleRegistration takes in a daemon's registration. It may outlive the daemon.
+// handleRegistration adds a daemon to the peer table by its entry. The entry may outlive the
+// daemon.
 func (e *Edge) handleRegistration(key string, value []byte) {
 	var r registration
 	if err := json.Unmarshal(value, &r); err != nil {
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -15,43 +15,50 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Who the other daemons are to this one: relays, followers and followed.
+// This file keeps track of the role of each daemon: relay, follower, or relay that this daemon
+// follows. Times are counted in rounds of gossipInterval.
 
 const (
-	// rosterIntervalRounds is between two rosters while nothing changes, each in rosterSpan turns
-	// so that relays and followers get one; a changed one is told rosterAgain times, since
-	// messages get lost.
+	// While the set of daemons doesn't change, rosters are sent during rosterBurstRounds
+	// consecutive rounds out of every rosterIntervalRounds, so that each relay and each
+	// follower gets one. After a change they are sent in rosterRepeats consecutive rounds,
+	// since datagrams get lost.
 	rosterIntervalRounds = standbyRounds
 	rosterBurstRounds    = followerRounds
 	rosterRepeats        = 6
-	// remoteRosterRows is how many daemons of other failure domains a follower is told of, by
-	// turns: callers whose own failure domain is lost must be sent somewhere.
+	// remoteRosterRows is the number of daemons of other failure domains in a roster for
+	// followers, a different subset each time. Callers need them if their own failure domain
+	// is lost.
 	remoteRosterRows = 8
-	// maxIntroducedRelays is how many relays the others are told of in a message, by turns: rosters
-	// hold followers only, and two relays that have never heard each other would not know
-	// that there is one more to share quotas with.
+	// maxIntroducedRelays is the number of relays that one message introduces to the other
+	// relays, a different subset each time. Rosters between relays list followers only, so
+	// without introductions two relays that have never heard each other would not know that
+	// they share quotas with one more relay.
 	maxIntroducedRelays = 4
-	// demotionRepeats is how often a daemon that is no relay any more tells those that were
-	// the other relays: until they know, they wait for its word on quotas.
+	// demotionRepeats is the number of times that a former relay announces its demotion to the
+	// other relays, which wait for its quota use until they know.
 	demotionRepeats = 4
-	// firstStartPeriod is how long after the very first start of the fleet nothing can have
-	// been taken of any quota.
+	// firstStartPeriod is the time after the first start ever of the fleet in which no quota
+	// can have been used yet.
 	firstStartPeriod = 5 * time.Second
 )
 
-// follower is a daemon that follows this one.
+// follower is a daemon that reports its state to this relay.
 type follower struct {
 	address   string
 	lastHeard time.Duration
-	// primary says that its work is counted here.
+	// primary is true if the follower's work is counted by this relay.
 	primary bool
-	// includedSeq is its message whose loads are in the sums.
+	// includedSeq is the sequence number of the follower's message whose loads the sums
+	// include.
 	includedSeq uint64
-	// feedRevision is the revision up to which it knows the key-value service.
+	// feedRevision is the revision of the key-value service up to which the follower is up to
+	// date.
 	feedRevision uint64
 }
 
-// tickPeers moves what rests on the other daemons on.
+// tickPeers updates the peer table, the elected relays, the quota limiter and the usage book to
+// the present time.
 func (e *Edge) tickPeers() {
 	now := e.deps.Steady()
 	e.mu.Lock()
@@ -68,7 +75,8 @@
 	e.refreshPhase(now)
 }
 
-// electRelays finds the relays anew; called with mu held.
+// electRelays recomputes which daemons are relays and which of them this daemon follows. The
+// caller must hold e.mu.
 func (e *Edge) electRelays(now time.Duration) {
 	alive := peers.AliveFor
 	if !e.plan.Direct {
@@ -99,8 +107,8 @@
 	}
 }
 
-// resetLimiter begins to share out quotas. What was known when this daemon did so last
-// is out of date.
+// resetLimiter creates a new quota limiter when this daemon becomes a relay, since the state of
+// an earlier period as a relay is out of date.
 func (e *Edge) resetLimiter(now time.Duration) {
 	first := e.set.FirstStart && now-e.began < firstStartPeriod
 	e.standing.Begin(now)
@@ -110,7 +118,7 @@
 	}
 }
 
-// quotaSharers is how many daemons may share out quotas beside this one, itself included.
+// quotaSharers returns the number of daemons that may grant quota, including this one.
 func (e *Edge) quotaSharers(now time.Duration) int {
 	if e.plan.Direct {
 		return 1 + len(e.peers.Addresses())
@@ -118,9 +126,10 @@
 	return 1 + len(e.plan.Others)
 }
 
-// isolatedQuotaParts is into how many parts quotas are to be divided where no other relay is
-// heard: this one's is that of its followers. Zero is not isolatedQuotaParts. In a small fleet the
-// limiter knows each daemon itself.
+// isolatedQuotaParts returns the number of parts into which quotas are divided while this relay
+// hears no other relay. This relay's part covers itself and the followers whose primary it is.
+// Zero means not isolated; it is also returned in a direct fleet, where the limiter knows every
+// daemon.
 func (e *Edge) isolatedQuotaParts(now time.Duration) int {
 	if e.plan.Direct {
 		return 0
@@ -137,25 +146,29 @@
 	return (e.peers.Size() + represented - 1) / represented
 }
 
-// hearsAny tells whether any of some daemons is heard directly; called with mu held.
+// hearsAny reports whether this daemon recently received a message from one of the members. The
+// caller must hold e.mu.
 func (e *Edge) hearsAny(now time.Duration, of []peers.Member) bool {
 	return slices.ContainsFunc(of, func(m peers.Member) bool { return e.peers.HeardLately(now, m.Incarnation) })
 }
 
-// hearsRelay tells whether another relay is heard directly; called with mu held.
+// hearsRelay reports whether this daemon recently received a message from another relay. The
+// caller must hold e.mu.
 func (e *Edge) hearsRelay(now time.Duration) bool { return e.hearsAny(now, e.plan.Others) }
 
-// elects tells whether this daemon takes another one for a relay; called with mu held.
+// elects reports whether another daemon is a relay according to this daemon's election. The
+// caller must hold e.mu.
 func (e *Edge) elects(id ident.Incarnation) bool { return containsMember(e.plan.Others, id) }
 
 func containsMember(members []peers.Member, id ident.Incarnation) bool {
 	return slices.ContainsFunc(members, func(m peers.Member) bool { return m.Incarnation == id })
 }
 
-// handleRelayClaim takes in that a daemon takes itself for a relay, and whether it takes this
-// one for one. Whoever is mistaken of itself is told who the relays are. The daemons of a
-// small fleet, in which nobody is mistaken, take each other for relays in good time before it
-// grows. Called with mu held.
+// handleRelayClaim processes the message of a daemon that claims to be a relay and states
+// whether it elects this daemon as one. A sender that this daemon doesn't elect is put on the
+// list of daemons that are sent the relays. In a direct fleet every daemon is a relay; the
+// daemons record each other's election there, too, so that they may share quotas without a gap
+// when the fleet outgrows that mode. The caller must hold e.mu.
 func (e *Edge) handleRelayClaim(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if !h.Relay || !e.plan.Relay {
 		return
@@ -170,8 +183,8 @@
 	}
 }
 
-// removePeer drops a daemon that has ended; its counts of usage stay. Called with mu
-// held.
+// removePeer drops all state of a daemon that has ended, except its usage counts, which are
+// still to be reported. The caller must hold e.mu.
 func (e *Edge) removePeer(id ident.Incarnation, why string) {
 	e.limiter.Gone(id)
 	e.wall.Gone(id)
@@ -183,7 +196,8 @@
 	e.log.Note("daemon_gone", decisions.F("incarnation", id), decisions.F("reason", why))
 }
 
-// updateFollower takes in whether a daemon follows this one; called with mu held.
+// updateFollower records whether the sender of a message follows this daemon. The caller must
+// hold e.mu.
 func (e *Edge) updateFollower(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if h.Joining {
 		e.joining[id] = h.PeerAddress
@@ -209,7 +223,7 @@
 	return e.peers.Size()
 }
 
-// rosterDue tells whether rosters are told in a turn; called with mu held.
+// rosterDue reports whether rosters are sent in a round. The caller must hold e.mu.
 func (e *Edge) rosterDue(turn uint64) bool {
 	if v := rosterDigest(e.alive); v != e.rosterVersion {
 		e.rosterVersion, e.rosterLeft = v, rosterRepeats
@@ -221,18 +235,20 @@
 	return turn%rosterIntervalRounds < rosterBurstRounds
 }
 
-// rosterDigest differs between two sets of daemons, or phases of theirs.
+// rosterDigest returns a hash of the members' incarnations and phases, by which a changed
+// roster is detected.
 func rosterDigest(members []peers.Member) uint64 {
 	d := xxhash.New()
 	for _, m := range members {
-		// A digest takes all that is written.
+		// A hash accepts every write without an error.
 		_, _ = d.WriteString(string(m.Incarnation))
 		_, _ = d.Write([]byte{0, byte(m.Phase)})
 	}
 	return d.Sum64()
 }
 
-// followersRoster is all that this relay hears itself; called with mu held.
+// followersRoster lists the followers of this relay, for the other relays. The caller must hold
+// e.mu.
 func (e *Edge) followersRoster() *peersv1.Roster {
 	ids := make([]ident.Incarnation, 0, len(e.followers))
 	for id := range e.followers {
@@ -243,7 +259,8 @@
 	return r
 }
 
-// domainRoster is all daemons of this failure domain and some others; called with mu held.
+// domainRoster lists all daemons of this failure domain and remoteRosterRows ready ones of
+// others, for followers. The caller must hold e.mu.
 func (e *Edge) domainRoster(now time.Duration) *peersv1.Roster {
 	var local, remote []ident.Incarnation
 	for _, m := range e.peers.Vouched(now) {
@@ -263,7 +280,7 @@
 	return &peersv1.Roster{Rows: e.rosterRows(ids), Fleet: uint32(e.peers.Known()), Domains: uint32(e.plan.Domains)}
 }
 
-// rosterRows are what daemons told of themselves last; called with mu held.
+// rosterRows returns the latest known state of the given daemons. The caller must hold e.mu.
 func (e *Edge) rosterRows(ids []ident.Incarnation) []*peersv1.Row {
 	var rows []*peersv1.Row
 	for _, row := range e.peers.Rows(ids) {
@@ -272,9 +289,9 @@
 	return rows
 }
 
-// introductions are the relays that are heard or told of, by which a daemon finds its
-// place. Introductions are never told on, or two daemons could keep a third one alive
-// that has ended. Called with mu held.
+// introductions lists the elected relays that are heard directly or listed in a roster, so that
+// a receiver can find the relays to follow. The receiver must not pass introductions on, or two
+// daemons could keep a third one alive for each other after its end. The caller must hold e.mu.
 func (e *Edge) introductions(now time.Duration) []*peersv1.Row {
 	if e.plan.Direct {
 		return nil
@@ -288,8 +305,8 @@
 	return e.rosterRows(ids)
 }
 
-// firstByID returns the first few in the order of names, in which daemons stand for
-// the duties.
+// firstByID returns the first n members in the order of daemon IDs, which is also the order in
+// which daemons take over the duties.
 func firstByID(members []peers.Member, n int) []peers.Member {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b peers.Member) int { return cmp.Compare(a.ID, b.ID) })
--- a/daemon/edge/runner_health.go
+++ b/daemon/edge/runner_health.go
@@ -9,10 +9,10 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// healthInterval is the least time between two looks at the runners.
+// healthInterval is the least time between two health checks of the pools.
 const healthInterval = 200 * time.Millisecond
 
-// healthDue tells whether it is time to look at the runners.
+// healthDue reports whether the health checks are due, and counts them as done.
 func (e *Edge) healthDue() bool {
 	now := e.deps.Steady()
 	if now-e.healthAt < healthInterval {
@@ -22,7 +22,8 @@
 	return true
 }
 
-// tickHealth moves the pools' time on.
+// tickHealth removes runner entries that have lapsed and advances the time-based state of the
+// pools: retry budgets, ejections and measured demand.
 func (e *Edge) tickHealth() {
 	e.expireLapsed()
 	size := e.fleetSize()
@@ -42,17 +43,17 @@
 
 func healthConfig() health.Config {
 	c := health.Default()
-	// A request is bounded by seconds, so a runner that fails them must be tried
-	// again within seconds, too.
+	// Requests are limited to seconds, so an ejected runner must be retried within seconds,
+	// too.
 	c.Ejection = time.Second
 	c.MaxEjection = 8 * time.Second
 	c.Window = 3 * time.Second
-	// A runner that is there answers its health check in milliseconds.
+	// A working runner answers its health check within milliseconds.
 	c.ProbeTimeout = 400 * time.Millisecond
 	return c
 }
 
-// observe takes in how a call to a runner went.
+// observe records the outcome of a call to a runner.
 func (p *pool) observe(id ident.RunnerID, o health.Outcome) {
 	if !p.edge.set.Policy.Uses(Ejection) {
 		return
--- a/daemon/edge/send.go
+++ b/daemon/edge/send.go
@@ -15,32 +15,40 @@
 	"geraniumstack.org/geraniumstack/internal/pause"
 )
 
-// Whom a daemon tells, and how often, in turns of tellEvery. What is told is made in
-// hello.go; what is heard is taken in in hear.go.
+// This file decides which daemons are sent a message and how often, in rounds of
+// gossipInterval. The contents of messages are built in hello.go; received messages are handled
+// in receive.go.
+//
+// In a small, direct fleet (relays.Plan.Direct) every daemon is a relay and sends its state to
+// every other daemon. In a larger one each failure domain elects a few relays, and every other
+// daemon follows two of them: its primary relay, which counts its work, and a standby. Relays
+// pass on what their followers send.
 const (
-	// gossipInterval is the time between two messages of the daemons of a small fleet. Quotas
-	// rest on it: what daemons do at once in this time, they do without knowing of each
-	// other. A large fleet's relays tell each other at half the pace.
+	// gossipInterval is the time between two messages of the daemons of a small fleet. The
+	// accuracy of quotas depends on it: within one interval, daemons grant quota without
+	// knowing of each other's grants. The relays of a large fleet send every relayRounds
+	// rounds.
 	gossipInterval = 100 * time.Millisecond
 	relayRounds    = 2
-	// followerRounds is between two messages of a daemon to its primary, and of a relay to
-	// the daemons whose primary it is. standbyTurns is the same for those that follow it
-	// beside their primary.
+	// followerRounds is the number of rounds between two messages of a daemon to its primary
+	// relay, and of a relay to the daemons whose primary it is. standbyRounds is the same
+	// between a daemon and the other relay that it follows.
 	followerRounds = 2 * relayRounds
 	standbyRounds  = 2 * followerRounds
-	// maxRelaysAtFullRate is how many relays are told at this pace at the most; of more, each is
-	// told half as often, or more seldom.
+	// maxRelaysAtFullRate is the greatest number of other relays that are each sent a message
+	// every relayRounds rounds. For each further maxRelaysAtFullRate relays the interval grows
+	// by relayRounds.
 	maxRelaysAtFullRate = 16
-	// maxUnheardPerRound bounds the messages to addresses at which nobody is heard, which a
-	// large fleet has many of while its daemons are down.
+	// maxUnheardPerRound bounds the messages to addresses that no known daemon sends from. A
+	// large fleet has many such addresses while daemons are down.
 	maxUnheardPerRound = 2
-	// maxDatagramBytes bounds a message; UDP carries no more.
+	// maxDatagramBytes bounds a message, below the limit of UDP.
 	maxDatagramBytes = 60 << 10
 )
 
-// tickLoop moves everything on that rests on time, and sends this daemon's state to the
-// others, until the context ends. It is one timer, since each time that an idle process
-// wakes up costs a large fleet more than what it does then.
+// tickLoop runs the periodic work and sends this daemon's state to the other daemons until the
+// context ends. All of it shares one timer, since in a large fleet each wake-up of an idle
+// process costs more than the work done in it.
 func (e *Edge) tickLoop(ctx context.Context) {
 	for round := uint64(0); ; {
 		step := e.roundsPerMessage()
@@ -64,7 +72,7 @@
 	}
 }
 
-// roundsPerMessage is how many roundsPerMessage pass until this daemon has anything to tell.
+// roundsPerMessage returns the number of rounds between two messages of this daemon.
 func (e *Edge) roundsPerMessage() uint64 {
 	switch {
 	case e.direct.Load():
@@ -75,19 +83,20 @@
 	return followerRounds
 }
 
-// recipient is one address of a message, with what is meant for it alone.
+// recipient is one address of a multicast with the fields that only it gets.
 type recipient struct {
 	address    string
 	individual *peersv1.Hello
 }
 
-// multicast is a message to several recipients.
+// multicast is a message to several recipients, with the fields that all of them get.
 type multicast struct {
 	hello *peersv1.Hello
 	to    []recipient
 }
 
-// sendRound sends what is due in a turn. Turn zero is everything.
+// sendRound sends all messages that are due in a round. In round zero every kind of message is
+// due.
 func (e *Edge) sendRound(round uint64) {
 	w := e.whatToTell()
 	now := e.deps.Steady()
@@ -110,17 +119,19 @@
 	}
 }
 
-// relayMessageRounds is how many turns are between two messages to the other relays: of more than
-// relaysAtOnce each is told more seldom.
+// relayMessageRounds returns the number of rounds between two messages to the other relays. It
+// grows with each maxRelaysAtFullRate of them.
 func (e *Edge) relayMessageRounds() uint64 {
 	return uint64(relayRounds * (1 + len(e.plan.Others)/maxRelaysAtFullRate))
 }
 
-// sendsRoster tells whether the other relays are told of this one's roster, if that is due, and
-// its own counts in their message of a number, instead of its followers' counts.
+// sendsRoster reports whether a message to the other relays carries this relay's own counts
+// and, if one is due, its roster; the other messages carry its followers' counts. messageNumber
+// counts the messages to the other relays.
 func sendsRoster(messageNumber uint64) bool { return messageNumber%2 == 1 }
 
-// relayMessages is for the other relays; in a small fleet for everybody.
+// relayMessages builds the message to the other relays, which are all daemons in a direct
+// fleet.
 func (e *Edge) relayMessages(now time.Duration, round uint64, w news) multicast {
 	period := e.relayMessageRounds()
 	if !e.plan.Direct && round%period != 0 {
@@ -155,7 +166,7 @@
 	return c
 }
 
-// followedRelayMessages is for the relays that this daemon follows.
+// followedRelayMessages builds the message to the relays that this daemon follows.
 func (e *Edge) followedRelayMessages(now time.Duration, round uint64, w news) multicast {
 	c := multicast{hello: e.baseHello(now)}
 	c.hello.Follows = true
@@ -174,7 +185,7 @@
 	return c
 }
 
-// followerMessages is for the daemons that follow this one.
+// followerMessages builds the message to the daemons that follow this one.
 func (e *Edge) followerMessages(now time.Duration, round uint64, w news) multicast {
 	c := multicast{}
 	for id, f := range e.followers {
@@ -202,9 +213,9 @@
 	return c
 }
 
-// formerRelayMessages is for the relays that this daemon was one of, and for those that it shared
-// quotas with while the fleet was small: they wait to hear of its use until they know, too,
-// that there are others now.
+// formerRelayMessages builds the announcement of a demotion. It goes to the relays that this
+// daemon was one of, and to the daemons that it shared quotas with while the fleet was direct:
+// they wait for its quota use until they know that other daemons are the relays now.
 func (e *Edge) formerRelayMessages(now time.Duration) multicast {
 	c := multicast{}
 	if e.demotionsLeft == 0 {
@@ -226,9 +237,9 @@
 	return c
 }
 
-// newcomerMessages is for those who may not know of the fleet, or are not known: addresses at
-// which nobody is heard, which a daemon that follows others leaves to the relays, and
-// daemons that ask who the relays are.
+// newcomerMessages builds the message to addresses that no known daemon sends from, and to
+// daemons that ask for the relays or wrongly claim to be one. A daemon that follows relays
+// leaves the unheard addresses to them.
 func (e *Edge) newcomerMessages(now time.Duration, round uint64) multicast {
 	c := multicast{}
 	if e.plan.Relay {
@@ -257,7 +268,8 @@
 	return c
 }
 
-// rotatingSubset picks a few of a list, all of them within a few turns.
+// rotatingSubset returns at most limit elements of a list. Consecutive rounds go through the
+// whole list.
 func rotatingSubset[T any](list []T, round uint64, limit int) []T {
 	if len(list) <= limit {
 		return list
@@ -269,8 +281,8 @@
 	return some
 }
 
-// sendMulticast sends a multicast: messages that are joined are merged by their reader, so what
-// is meant for one daemon is appended to what is meant for all.
+// sendMulticast encodes the common fields once and appends each recipient's own: a reader of
+// concatenated protobuf messages merges them.
 func (e *Edge) sendMulticast(c multicast) {
 	if len(c.to) == 0 {
 		return
@@ -290,7 +302,6 @@
 	}
 }
 
-// sendTo sends one message to an address.
 func (e *Edge) sendTo(address string, d *peersv1.Datagram) {
 	message, err := proto.Marshal(d)
 	if err != nil {
@@ -311,7 +322,7 @@
 	}
 }
 
-// udpAddresses keeps peers' addresses parsed; each is used several times a second.
+// udpAddresses caches parsed peer addresses, each of which is used several times a second.
 type udpAddresses struct {
 	mu     sync.Mutex
 	parsed map[string]*net.UDPAddr
@@ -325,7 +336,7 @@
 	}
 	parsed, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
-		return nil, fmt.Errorf("peer address: %w", err)
+		return nil, fmt.Errorf("resolve peer address: %w", err)
 	}
 	if a.parsed == nil || len(a.parsed) >= peers.MaxAddresses {
 		a.parsed = map[string]*net.UDPAddr{}
--- a/daemon/edge/silent_runners.go
+++ b/daemon/edge/silent_runners.go
@@ -8,34 +8,37 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// A runner that has lost its power or its network says nothing: its connections
-// stay open, its entry lapses after several heartbeats, and until then requests go
-// to it and wait. But a runner with work in progress is heard all the time, since
-// engines send tokens many times a second. One that has work and has been silent on
-// all connections is asked on a new one whether it is there. If it is not, it is
-// ejected, and what may be repeated goes on elsewhere while its callers still wait.
+// A runner that has lost its power or network sends nothing: its connections stay open, and its
+// entry lapses only after several missed heartbeats. Until then requests are sent to it and
+// wait.
+//
+// A runner with work in progress normally sends data all the time, since engines send tokens
+// many times a second. One that has work and has sent nothing on any connection is therefore
+// probed on a new connection. If the probe fails, the runner is ejected, and its requests that
+// may be repeated go to other runners while their callers still wait.
 
 const (
-	// silentAfter is how long a runner with work may be unheard. Prompts are read
-	// between the tokens of others, so only a runner that reads a single long
-	// prompt is silent for as long; it costs one probe.
+	// silentAfter is the time without data after which a runner with work is probed. Engines
+	// process a prompt in between the tokens of other requests, so only a runner that
+	// processes a single long prompt is silent for that long without a fault; it costs one
+	// probe.
 	silentAfter = 500 * time.Millisecond
-	// silenceProbeInterval is the time between two probes of a runner for its silence.
+	// silenceProbeInterval is the time between two probes of one silent runner.
 	silenceProbeInterval = 2 * time.Second
 )
 
-// activity is what this daemon has heard of one runner and waits for from it.
+// activity tracks this daemon's attempts at one runner and the last data received from it.
 type activity struct {
-	// lastHeard is the Unix time in nanoseconds of the last byte.
+	// lastHeard is the Unix time of the last byte received, in nanoseconds.
 	lastHeard atomic.Int64
-	// attempts are in progress; guarded by the pool's lock.
+	// attempts are those in progress, guarded by pool.mu.
 	attempts  map[*attempt]bool
 	lastProbe time.Time
 }
 
 func (a *activity) recordHeard(now time.Time) { a.lastHeard.Store(now.UnixNano()) }
 
-// beginAttempt counts an attempt as in progress.
+// beginAttempt registers an attempt as in progress.
 func (p *pool) beginAttempt(a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,7 +51,7 @@
 	a.activity = act
 }
 
-// endAttempt counts it out.
+// endAttempt removes an attempt that is no longer in progress.
 func (p *pool) endAttempt(a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,14 +61,14 @@
 	}
 }
 
-// silentRunners lists the runners that should be asked whether they are there. Called
-// with the pool's lock held.
+// silentRunners lists the runners to probe for their silence. The caller must hold p.mu.
 func (p *pool) silentRunners(now time.Time) []ident.RunnerID {
 	var silent []ident.RunnerID
 	for id, act := range p.active {
 		since := time.Unix(0, act.lastHeard.Load())
 		for a := range act.attempts {
-			// What the runner was expected to need is no silence.
+			// The time that the runner was expected to need for an attempt doesn't count as
+			// silence.
 			if due := a.sent.Add(a.choice.Estimate); since.Before(due) {
 				since = due
 			}
@@ -79,7 +82,7 @@
 	return silent
 }
 
-// probeSilentRunners asks the silent runners.
+// probeSilentRunners starts a probe of each runner that is due for one.
 func (p *pool) probeSilentRunners(now time.Time) {
 	p.mu.Lock()
 	silent := p.silentRunners(now)
@@ -89,8 +92,8 @@
 	}
 }
 
-// abandonAttempts gives up the attempts at a runner that is not there, as far as their
-// requests may be repeated. The others may have run; only the runner can tell.
+// abandonAttempts cancels those attempts at a failed runner whose requests may be repeated. The
+// others may have run; only the runner can tell.
 func (p *pool) abandonAttempts(id ident.RunnerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -11,37 +11,38 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// intentKey holds the report that was made last, or is about to be made.
+// intentKey is the key of the report that was sent last or is about to be sent.
 const intentKey = "usage/last"
 
-// countsCompleteAfter is how long after it became one a relay has heard the others' counts:
-// each tells all of its followers' within a second or two.
+// countsCompleteAfter is the time after its election in which a relay receives the counts of
+// all others: each sends all of its followers' counts within a second or two.
 const countsCompleteAfter = 3 * time.Second
 
-// reportMargin and a lease's life is how long before it is due a window is reported whatever
-// is known: should this holder end, another one must still have the time.
+// reportMargin, together with the duration of a lease, is the time before its due time at which
+// a window is reported even if counts are missing. If this holder ends, another one must still
+// have time to report.
 const reportMargin = time.Second
 
-// reportIntent is a report that may have been taken. Its counts must not change.
+// reportIntent is a report that the cloud may have accepted. Its counts must not change.
 type reportIntent struct {
 	Window accounting.Window `json:"window"`
 	Counts accounting.Counts `json:"counts"`
 }
 
-// usageReportState is what the holder knows of reports in its tenure.
+// usageReportState is what the holder of the duties knows of the reports during its tenure.
 type usageReportState struct {
 	loaded bool
-	// revision of the intent's key, zero if there is none.
+	// revision is that of intentKey, zero if the key doesn't exist.
 	revision kv.Revision
-	// pending is an intent that is not known to have been taken; nil is none.
+	// pending is an intent that the cloud has not confirmed, or nil.
 	pending *reportIntent
-	// lastWindow is the newest window of an intent.
+	// lastWindow is the newest window of any intent.
 	lastWindow accounting.Window
 }
 
-// reportUsage makes the reports that are due. Each is written down first, so that
-// a successor repeats it word for word: a second report with other counts would
-// contradict one that was taken and not answered.
+// reportUsage sends the reports that are due. Each is written to the key-value service first,
+// so that a successor repeats it unchanged: a second report with other counts would contradict
+// one that was accepted although its answer was lost.
 func (e *Edge) reportUsage(ctx context.Context) {
 	u := &e.duties.usage
 	if !e.duties.saved.loaded {
@@ -69,8 +70,9 @@
 	}
 }
 
-// hasAllCounts tells whether this daemon is a relay, and has been for long enough to have
-// been told what the followers of others counted before.
+// hasAllCounts reports whether this daemon has been a relay for long enough to have received
+// the counts of the other relays' followers. In a direct fleet every daemon receives all
+// counts.
 func (e *Edge) hasAllCounts() bool {
 	now := e.deps.Steady()
 	e.mu.Lock()
@@ -78,10 +80,11 @@
 	return e.plan.Direct || e.sharesQuotas(now) && now-e.standing.Began() >= countsCompleteAfter
 }
 
-// shouldDelayReport tells whether a window's report should wait: until this daemon has heard what
-// relays tell each other, and for the counts of a daemon that is cut off for a moment or whose
-// relay has just ended, which come with the next one that it follows. A window that is due
-// soon is reported as it is known: a report that lacks some counts tells more than none.
+// shouldDelayReport reports whether a window's report should wait. It waits until this daemon
+// has received the counts that relays send each other, and for the counts of a daemon that is
+// cut off for a moment or whose relay has just ended; those counts arrive through the next
+// relay that the daemon follows. A window that is due soon is reported with the counts that are
+// known, since an incomplete report is better than none.
 func (e *Edge) shouldDelayReport(w accounting.Window) bool {
 	if !e.hasAllCounts() {
 		return true
@@ -102,13 +105,13 @@
 	return false
 }
 
-// logUsageFailure notes a step of the reports that failed.
+// logUsageFailure logs a failed step of reporting usage.
 func (e *Edge) logUsageFailure(step string, err error, inputs ...decisions.Field) {
 	fields := append([]decisions.Field{decisions.F("step", step)}, inputs...)
 	e.log.Note("usage_failed", append(fields, decisions.F("error", err.Error()))...)
 }
 
-// readUsageKey reads a key of the reports; false if that failed.
+// readUsageKey reads a usage key of the key-value service; false if that failed.
 func (e *Edge) readUsageKey(ctx context.Context, key, step string) (kv.Entry, bool) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -132,7 +135,8 @@
 	}
 	var open reportIntent
 	if err := json.Unmarshal(entry.Value, &open); err != nil {
-		// Nobody else writes the key; what can't be read can't be repeated.
+		// No other program writes the key. An intent that can't be decoded can't be repeated,
+		// so the reports go on without it.
 		e.logUsageFailure("decode", err)
 		return true
 	}
@@ -157,7 +161,8 @@
 	defer cancel()
 	revision, err := e.deps.Store.CompareAndSwap(callCtx, intentKey, u.revision, data, 0)
 	if err != nil {
-		// Whether it was written, and by whom the key was changed, is read anew.
+		// It is unknown whether the write took effect, or who changed the key, so the key is
+		// read again.
 		u.loaded = false
 		var conflict *kv.ConflictError
 		e.logUsageFailure("write", err, decisions.F("window", int64(w)), decisions.F("conflict", errors.As(err, &conflict)))
@@ -167,7 +172,7 @@
 	return true
 }
 
-// sendIntent makes the open report and tells whether the next one may follow.
+// sendIntent sends the pending report and returns whether the next one may follow.
 func (e *Edge) sendIntent(ctx context.Context) bool {
 	u := &e.duties.usage
 	if e.reportTooLate(u.pending.Window) {
@@ -193,7 +198,7 @@
 	return true
 }
 
-// reportTooLate tells whether a window's report would come too late to count.
+// reportTooLate reports whether a window's report would arrive too late to count.
 func (e *Edge) reportTooLate(w accounting.Window) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -11,63 +11,66 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Counts of usage, as daemons tell them to those that may report them: a follower to its
-// relays, relays to each other, those of daemons that have ended by turns, and those that
-// one lacks when it asks.
+// This file sends and receives usage counts, so that each daemon that may report them knows all
+// of them. A follower sends its counts to its relays, and relays send theirs to each other,
+// with those of their followers. The counts of daemons that have ended are sent in rotation,
+// and a relay that lacks a daemon's counts asks for them.
 
 const (
-	// followerCountMessages is how many messages a relay tells the counts of all its followers in,
-	// or more where they are longer than countsBytes in one of them.
+	// followerCountMessages is the number of messages over which a relay spreads the counts of
+	// all its followers. It takes more messages if those counts exceed maxCountsBytes in one
+	// of them.
 	followerCountMessages = 3
 	maxCountsBytes        = 8 << 10
-	// refollowWithin is how long a daemon may be unheard of that has lost both relays that
-	// it followed, one after the other.
+	// refollowWithin is the time for which a daemon may be unheard that has lost both relays
+	// that it followed, one after the other.
 	refollowWithin = 4500 * time.Millisecond
-	// countsRelayedWithin is how long relays take to tell each other what they know of a daemon
-	// that has ended.
+	// countsRelayedWithin is the time that relays take to send each other what they know of a
+	// daemon that has ended.
 	countsRelayedWithin = 2400 * time.Millisecond
-	// requestCountsAfter is how long a relay waits for a daemon's counts before it asks others
-	// for what they know.
+	// requestCountsAfter is the time without a daemon's counts after which a relay asks the
+	// other relays for them.
 	requestCountsAfter = 2 * time.Second
-	// maxSuccessors is how many relays that may follow the holder of the duties are told
-	// the counts, too.
+	// maxSuccessors is the number of relays beside the holder of the duties that are sent
+	// counts: those that would take over the duties first.
 	maxSuccessors = 12
 )
 
-// addAllCounts tells this daemon's counts, and those of one that is not heard any more;
-// called with mu held.
+// addAllCounts adds this daemon's counts and those of one daemon that has ended. The caller
+// must hold e.mu.
 func (e *Edge) addAllCounts(now time.Duration, h *peersv1.Hello) {
 	e.addOwnCounts(now, h)
 	h.Ended = e.endedCounts(now)
 }
 
-// addOwnCounts tells this daemon's counts; called with mu held.
+// addOwnCounts adds this daemon's counts. The caller must hold e.mu.
 func (e *Edge) addOwnCounts(now time.Duration, h *peersv1.Hello) {
 	h.Counts = true
 	h.Windows = e.openWindowCounts(now, e.self)
 	h.Workspaces = convertNames[string](e.book.Workspaces())
 }
 
-// openWindowCounts are a daemon's counts of open windows, by the places of the book's workspaces;
-// called with mu held.
+// openWindowCounts returns a daemon's counts for the windows that can still be reported.
+// Workspaces are encoded by their index in the usage book's list. The caller must hold e.mu.
 func (e *Edge) openWindowCounts(now time.Duration, id ident.Incarnation) []*peersv1.Window {
 	return encodeWindows(e.book.Workspaces(), e.book.Open(e.wall.At(now), id))
 }
 
-// relayCounts are what relays that may report windows are told in a message.
+// relayCounts holds the counts that one message carries to the relays that may report windows.
 type relayCounts struct {
-	// recipients are those relays.
+	// recipients are the relays that are sent counts.
 	recipients map[ident.Incarnation]bool
-	// hello holds this relay's counts or those of some followers, ended those of one daemon
-	// that has ended.
+	// hello holds the counts of this relay or of some of its followers; ended holds those of
+	// one daemon that has ended.
 	hello *peersv1.Hello
 	ended []*peersv1.Ended
-	// missing are daemons whose counts were not told lately.
+	// missing lists the daemons without recent counts.
 	missing []ident.Incarnation
 }
 
-// requestFor is the daemon whose counts one of the relays is asked for in a message, by its place
-// among them; empty is none.
+// requestFor returns the daemon whose counts this message asks one relay for, or an empty
+// string for none. Messages and relays go through the list of missing daemons in rotation;
+// place is the relay's index.
 func (c relayCounts) requestFor(messageNumber uint64, place int) string {
 	if len(c.missing) == 0 {
 		return ""
@@ -75,9 +78,10 @@
 	return string(c.missing[(messageNumber/2+uint64(place))%uint64(len(c.missing))])
 }
 
-// countsForRelays gathers what relays that may report are told, nothing in a small fleet, in
-// which all are told the same; called with mu held. This relay's counts, with a roster, and
-// its followers' take turns: in one message they would outgrow all else.
+// countsForRelays returns the counts for the other relays that may report windows. Messages
+// alternate between this relay's own counts, together with its roster, and its followers'
+// counts, which would make a single message too long. In a direct fleet the result is empty,
+// since all daemons are sent the same counts there. The caller must hold e.mu.
 func (e *Edge) countsForRelays(now time.Duration, messageNumber uint64) relayCounts {
 	if e.plan.Direct {
 		return relayCounts{}
@@ -93,7 +97,8 @@
 	return c
 }
 
-// addRelayCounts tells one relay its part; called with mu held.
+// addRelayCounts adds the counts for one relay to the message sent to it. The caller must hold
+// e.mu.
 func (e *Edge) addRelayCounts(now time.Duration, to ident.Incarnation, c relayCounts, h *peersv1.Hello) {
 	if !c.recipients[to] {
 		return
@@ -102,9 +107,10 @@
 	h.Ended = append(slices.Clone(c.hello.Ended), e.requestedCounts(now, to, c.ended)...)
 }
 
-// requestedCounts are those that another relay asks for, or else some that all are told; called
-// with mu held. The relay that a daemon followed may have ended before that daemon finds it
-// out, and a relay that has just become one knows only what it was told since.
+// requestedCounts returns the counts that a relay has asked for, or otherwise those given. A
+// relay may need to ask because the relay that a daemon followed may end before that daemon
+// notices, and because a new relay knows only what it was sent since its election. The caller
+// must hold e.mu.
 func (e *Edge) requestedCounts(now time.Duration, to ident.Incarnation, otherwise []*peersv1.Ended) []*peersv1.Ended {
 	id, asked := e.lacked[to]
 	if !asked {
@@ -118,13 +124,15 @@
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: open}}
 }
 
-// missingCounts are the daemons, those that may have lost their relays among them, whose counts were
-// not told since a time; called with mu held.
+// missingCounts returns the daemons whose counts have not been received since a time. It
+// includes daemons that may have lost both their relays and are therefore not heard. The caller
+// must hold e.mu.
 func (e *Edge) missingCounts(now, since time.Duration) []ident.Incarnation {
 	return e.coverage.Lacking(e.peers.SeenSince(now-refollowWithin), since)
 }
 
-// followerCounts are those of some followers, by turns; called with mu held.
+// followerCounts returns the counts of some of the followers whose primary this relay is, in
+// rotation. The caller must hold e.mu.
 func (e *Edge) followerCounts(now time.Duration) []*peersv1.Ended {
 	var ids []ident.Incarnation
 	for id, f := range e.followers {
@@ -152,8 +160,8 @@
 	return told
 }
 
-// endedCounts are those of one of the daemons that are not alive, by turns; called with mu
-// held.
+// endedCounts returns the counts of one daemon that is not alive, in rotation. The caller must
+// hold e.mu.
 func (e *Edge) endedCounts(now time.Duration) []*peersv1.Ended {
 	alive := map[ident.Incarnation]bool{}
 	for _, m := range e.alive {
@@ -167,8 +175,8 @@
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: e.openWindowCounts(now, id)}}
 }
 
-// reportingRelays are the relays that are told of usage: the holder of the duties and those
-// that would follow it.
+// reportingRelays returns the relays that are sent counts: the holder of the duties and those
+// that would take them over.
 func (e *Edge) reportingRelays() map[ident.Incarnation]bool {
 	ids := map[ident.Incarnation]bool{e.dir.holder(): true}
 	for _, m := range firstByID(e.plan.Others, maxSuccessors) {
@@ -177,7 +185,8 @@
 	return ids
 }
 
-// encodeWindows counts by the places of some workspaces.
+// encodeWindows encodes the counts of windows, with workspaces by their index in the given
+// list.
 func encodeWindows(workspaces []ident.Workspace, counts map[accounting.Window]accounting.Counts) []*peersv1.Window {
 	windows := make([]*peersv1.Window, 0, len(counts))
 	for w, c := range counts {
@@ -186,7 +195,7 @@
 	return windows
 }
 
-// convertNames is a list of names as another type of names.
+// convertNames converts a list of names to another string type.
 func convertNames[To, From ~string](list []From) []To {
 	names := make([]To, len(list))
 	for i, name := range list {
@@ -195,7 +204,8 @@
 	return names
 }
 
-// handleCounts takes in counts of usage, and which the sender lacks; called with mu held.
+// handleCounts records the counts in a message, and which daemon's counts the sender asks for.
+// The caller must hold e.mu.
 func (e *Edge) handleCounts(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	workspaces := convertNames[ident.Workspace](h.Workspaces)
 	e.book.Heard(id, decodeWindows(workspaces, h.Windows))
--- a/daemon/edge/usage_saved.go
+++ b/daemon/edge/usage_saved.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// savedCountsKey holds the counts of usage of windows that are not reported yet.
+	// savedCountsKey is the key of the usage counts of windows that are not reported yet.
 	savedCountsKey = "usage/open"
-	// saveInterval is the least time between two writes of them.
+	// saveInterval is the least time between two writes of savedCountsKey.
 	saveInterval = time.Second
 )
 
 // savedCounts is what this daemon knows of the saved counts. Only runDuties uses it.
 type savedCounts struct {
-	// loaded says that they were taken in, as they stood at revision.
+	// loaded says that the saved counts were merged into the usage book, as of revision.
 	loaded   bool
 	revision kv.Revision
-	// lastWrite is when they were written here last, data what.
+	// lastWrite is the time of this daemon's last write, data the value written.
 	lastWrite time.Duration
 	data      []byte
 }
 
-// saveCounts writes down what is counted, if that is due and up to this daemon. Any may write,
-// since each takes in what stands there first.
+// saveCounts writes the counts of all open windows to the key-value service, if that is due and
+// this daemon's task. More than one daemon may write, since each merges the saved counts before
+// it replaces them.
 func (e *Edge) saveCounts(ctx context.Context) {
 	s := &e.duties.saved
 	now := e.deps.Steady()
 	if !e.shouldSaveCounts(now) {
-		s.loaded = false // another daemon writes
+		s.loaded = false // another daemon writes the key from now on
 		return
 	}
 	if !s.loaded && !e.readSavedCounts(ctx) || now-s.lastWrite < saveInterval {
@@ -64,7 +65,8 @@
 	e.log.Count("usage.saved")
 }
 
-// handleSaveError takes in what another daemon has written; after any other failure it is read anew.
+// handleSaveError merges the counts that another daemon has written. After any other failure
+// they are read again.
 func (e *Edge) handleSaveError(err error) {
 	s := &e.duties.saved
 	s.data = nil
@@ -78,7 +80,7 @@
 	e.logUsageFailure("save", err)
 }
 
-// readSavedCounts takes the saved counts in; false if they could not be read.
+// readSavedCounts reads the saved counts and merges them; false if they could not be read.
 func (e *Edge) readSavedCounts(ctx context.Context) bool {
 	entry, ok := e.readUsageKey(ctx, savedCountsKey, "read_saved")
 	if ok {
@@ -87,7 +89,8 @@
 	return ok
 }
 
-// applySavedCounts takes in the saved counts as they stand. What can't be read is written over.
+// applySavedCounts merges the saved counts into the usage book. A value that can't be decoded
+// is ignored and overwritten by the next write.
 func (e *Edge) applySavedCounts(entry kv.Entry) {
 	s := &e.duties.saved
 	s.loaded, s.revision, s.data = true, entry.Revision, nil
@@ -105,8 +108,8 @@
 	e.log.Note("usage_loaded", decisions.F("revision", uint64(entry.Revision)), decisions.F("daemons", len(open.Daemons)))
 }
 
-// shouldSaveCounts tells whether it is up to this daemon to save the counts: to the holder of the duties,
-// or while that has ended to the first relay in the order of names.
+// shouldSaveCounts reports whether this daemon saves the counts. The holder of the duties does;
+// while there is none alive, the first relay in the order of daemon IDs does.
 func (e *Edge) shouldSaveCounts(now time.Duration) bool {
 	if e.duties.holder.Token() != 0 {
 		return true
