--- a/daemon/edge/cloud_test.go
+++ b/daemon/edge/cloud_test.go
@@ -9,8 +9,8 @@
 	"geraniumstack.org/geraniumstack/daemon/edge"
 )
 
-// fakeCloud records reports and orders.
-type fakeCloud struct {
+// cloud records reports and orders.
+type cloud struct {
 	mu      sync.Mutex
 	reports []usageReport
 	orders  []edge.Order
@@ -27,7 +27,7 @@
 	counts string
 }
 
-func (c *fakeCloud) ReportUsage(_ context.Context, d edge.Duty, w accounting.Window, counts accounting.Counts) error {
+func (c *cloud) ReportUsage(_ context.Context, d edge.Duty, w accounting.Window, counts accounting.Counts) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	data, err := json.Marshal(counts)
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (c *fakeCloud) Order(_ context.Context, _ edge.Duty, o edge.Order) error {
+func (c *cloud) Order(_ context.Context, _ edge.Duty, o edge.Order) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.noReclaimable && o.Reclaimable {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (c *fakeCloud) receivedReports() []usageReport {
+func (c *cloud) received() []usageReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]usageReport{}, c.reports...)
@@ -63,7 +63,7 @@
 func (w *testFleet) totalReported() int64 {
 	sum := int64(0)
 	seen := map[accounting.Window]bool{}
-	for _, r := range w.cloud.receivedReports() {
+	for _, r := range w.cloud.received() {
 		if seen[r.window] {
 			continue
 		}
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -35,8 +35,8 @@
 	usage  usageReportState
 	saved  savedCounts
 	fleets map[string]*fleetDuty
-	// tenureToken is the lease token under which the present state was created.
-	tenureToken uint64
+	// token is the lease token under which the present state was created.
+	token uint64
 	// wakeup is signalled when it may be time to run the duties.
 	wakeup chan struct{}
 }
@@ -117,19 +117,19 @@
 	}
 	now := e.deps.Steady()
 	e.mu.Lock()
-	shares := e.sharesQuotas(now)
+	sharesQuotas := e.sharesQuotas(now)
 	rank, _ := placeAmong(e.set.ID, e.plan.Others)
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	return shares && e.dir.dutyHolder == "" && e.dir.dutyFree != 0 && now-e.dir.dutyFree >= time.Duration(rank)*rankDelay
+	return sharesQuotas && e.dir.dutyHolder == "" && e.dir.dutyFree != 0 && now-e.dir.dutyFree >= time.Duration(rank)*rankDelay
 }
 
 // performDuties does the work of the lease holder, with new state if the lease was acquired
 // anew.
 func (e *Edge) performDuties(ctx context.Context) {
-	if token := e.duties.holder.Token(); token != e.duties.tenureToken {
-		e.duties.tenureToken = token
+	if token := e.duties.holder.Token(); token != e.duties.token {
+		e.duties.token = token
 		e.duties.usage = usageReportState{}
 		clear(e.duties.fleets)
 		e.trials.forgetDuties()
--- a/daemon/edge/duties_test.go
+++ b/daemon/edge/duties_test.go
@@ -10,11 +10,11 @@
 
 // lastReporter is the daemon that reported last.
 func (w *testFleet) lastReporter() *daemon {
-	taken := w.cloud.receivedReports()
-	if len(taken) == 0 {
+	received := w.cloud.received()
+	if len(received) == 0 {
 		return nil
 	}
-	last := taken[len(taken)-1].duty.Holder
+	last := received[len(received)-1].duty.Holder
 	for i, d := range w.daemons {
 		if last == ident.DaemonID([]string{"d1", "d2", "d3"}[i]) {
 			return d
@@ -29,7 +29,7 @@
 	counts := map[accounting.Window]string{}
 	holders := map[uint64]ident.DaemonID{}
 	token := uint64(0)
-	for _, r := range w.cloud.receivedReports() {
+	for _, r := range w.cloud.received() {
 		if former, ok := counts[r.window]; ok {
 			w.Equal(former, r.counts)
 		}
@@ -61,8 +61,8 @@
 				w.cloud.mu.Lock()
 				w.cloud.lostAnswers = 1
 				w.cloud.mu.Unlock()
-				before := len(w.cloud.receivedReports())
-				for len(w.cloud.receivedReports()) == before {
+				before := len(w.cloud.received())
+				for len(w.cloud.received()) == before {
 					time.Sleep(10 * time.Millisecond)
 				}
 				dead.kill()
@@ -164,7 +164,7 @@
 			w.Equal(w.ask(w.daemons[1], "/read/1", key).status, 200)
 		}
 		reported := func() bool {
-			for _, r := range w.cloud.receivedReports() {
+			for _, r := range w.cloud.received() {
 				if r.window == window {
 					return true
 				}
--- a/daemon/edge/export_test.go
+++ b/daemon/edge/export_test.go
@@ -28,8 +28,8 @@
 // runners to be given back.
 func (e *Edge) KnowsFleetWork() bool { return e.complete(e.deps.Steady(), knownFor) }
 
-// LeavingRunners is the number of runners that the daemon knows to be leaving.
-func (e *Edge) LeavingRunners() int {
+// Leaving is the number of runners that the daemon knows to be leaving.
+func (e *Edge) Leaving() int {
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
 	n := 0
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -168,7 +168,7 @@
 
 // wantedAtFullPrice is what the last orders ask for in all failure domains that were
 // ordered from, where five were at first.
-func (c *fakeCloud) wantedAtFullPrice() int {
+func (c *cloud) wantedAtFullPrice() int {
 	wanted := map[ident.FailureDomain]int{}
 	for _, domain := range domains {
 		wanted[domain] = 5
@@ -186,25 +186,25 @@
 }
 
 // runDry lets reclaimable runners be hard to get.
-func (c *fakeCloud) runDry(dry bool) {
+func (c *cloud) runDry(noReclaimable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noReclaimable = dry
+	c.noReclaimable = noReclaimable
 }
 
-func (c *fakeCloud) refused() int {
+func (c *cloud) refused() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.refusals
 }
 
-func (c *fakeCloud) ordered() []edge.Order {
+func (c *cloud) ordered() []edge.Order {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]edge.Order{}, c.orders...)
 }
 
-func (c *fakeCloud) forget() {
+func (c *cloud) forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.orders = nil
--- a/daemon/edge/follow_test.go
+++ b/daemon/edge/follow_test.go
@@ -49,7 +49,7 @@
 			id := fmt.Sprintf("r%d", i)
 			w.addRunner(id, "app")
 			time.Sleep(100 * time.Millisecond)
-			w.markLeaving(id, "app")
+			w.leaving(id, "app")
 			time.Sleep(100 * time.Millisecond)
 		}
 		watches := w.store.Calls()[kvserver.CallWatch]
@@ -98,7 +98,7 @@
 		time.Sleep(200 * time.Millisecond)
 		cutOff := w.daemons[1]
 		cutOff.store.setFaults(true, false)
-		w.markLeaving("going", "app")
+		w.leaving("going", "app")
 		time.Sleep(400 * time.Millisecond)
 		before := going.count()
 		for range 20 {
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -78,9 +78,9 @@
 	return a.lastID
 }
 
-// abandon marks the questions as no longer waited for. They stay until lateGrantPeriod has
+// abandonGrants marks the questions as no longer waited for. They stay until lateGrantPeriod has
 // passed.
-func (a *pendingGrants) abandon(ids []uint64) {
+func (a *pendingGrants) abandonGrants(ids []uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, id := range ids {
@@ -222,7 +222,7 @@
 // abandonGrants stops waiting for relays' answers and returns the quota of those that have
 // arrived without being used.
 func (e *Edge) abandonGrants(ids []uint64, answers <-chan grantAnswer) {
-	e.asks.abandon(ids)
+	e.asks.abandonGrants(ids)
 	for {
 		select {
 		case g := <-answers:
--- a/daemon/edge/harness_test.go
+++ b/daemon/edge/harness_test.go
@@ -45,9 +45,9 @@
 	t       *testing.T
 	start   time.Time
 	store   *kvserver.Store
-	network *fakeNetwork
+	network *network
 	runners *runners
-	cloud   *fakeCloud
+	cloud   *cloud
 	daemons []*daemon
 	// storeUnavailable lets daemons that are started from now on begin without the service.
 	storeUnavailable bool
@@ -75,7 +75,7 @@
 // relays.SmallFleet elect relays; inDirectFleet is for a fleet whose daemons need none.
 func withFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &testFleet{I: is.New(t), t: t, start: time.Now(), store: kvserver.New(), network: newNetwork(), runners: newRunners(), cloud: &fakeCloud{}, directFleet: relays.SmallFleet}
+		w := &testFleet{I: is.New(t), t: t, start: time.Now(), store: kvserver.New(), network: newNetwork(), runners: newRunners(), cloud: &cloud{}, directFleet: relays.SmallFleet}
 		w.configure(c)
 		for range n {
 			w.addDaemon()
@@ -173,7 +173,7 @@
 	return r
 }
 
-func (w *testFleet) markLeaving(id, service string) {
+func (w *testFleet) leaving(id, service string) {
 	w.put(runnerPrefix+id, edge.Runner{Runner: view.Runner{
 		ID: ident.RunnerID(id), Address: id, Service: service, FailureDomain: "north", State: view.Leaving,
 	}, Slots: 8})
@@ -340,9 +340,9 @@
 	}
 	events, next, err := s.Store.Watch(ctx, prefix, after, wait)
 	s.mu.Lock()
-	blind := s.missesEvents
+	missesEvents := s.missesEvents
 	s.mu.Unlock()
-	if blind && len(events) > 0 {
+	if missesEvents && len(events) > 0 {
 		time.Sleep(wait)
 		return nil, next, err
 	}
--- a/daemon/edge/network_test.go
+++ b/daemon/edge/network_test.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// fakeNetwork carries datagrams between daemons.
-type fakeNetwork struct {
+// network carries datagrams between daemons.
+type network struct {
 	mu       sync.Mutex
 	sockets  map[string]*fakeSocket
 	isolated map[string]bool
@@ -17,63 +17,63 @@
 	// lossRate is the share of messages that are lost, drawn by luck.
 	lossRate float64
 	rng      *rand.Rand
-	// largestMessage is the size of the largest message so far, messageCount the number of all, byteCount their
+	// largestMessage is the size of the largest message so far, messageCount the number of all, bytes their
 	// sizes.
-	largestMessage, messageCount, byteCount int
+	largestMessage, messageCount, bytes int
 	// onMessage is shown each message that is sent; nil is nobody.
 	onMessage func(message []byte)
 }
 
 // observe shows each message from now on; nil ends that.
-func (n *fakeNetwork) observe(onMessage func(message []byte)) {
+func (n *network) observe(onMessage func(message []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onMessage = onMessage
 }
 
 // traffic is the number of messages so far and their bytes.
-func (n *fakeNetwork) traffic() (messages, bytes int) {
+func (n *network) traffic() (messages, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.messageCount, n.byteCount
+	return n.messageCount, n.bytes
 }
 
-func (n *fakeNetwork) largest() int {
+func (n *network) largest() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.largestMessage
 }
 
-func newNetwork() *fakeNetwork {
-	return &fakeNetwork{sockets: map[string]*fakeSocket{}, isolated: map[string]bool{}, partitioned: map[[2]string]bool{}}
+func newNetwork() *network {
+	return &network{sockets: map[string]*fakeSocket{}, isolated: map[string]bool{}, partitioned: map[[2]string]bool{}}
 }
 
-func (n *fakeNetwork) isolate(address string, cut bool) {
+func (n *network) isolate(address string, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.isolated[address] = cut
+	n.isolated[address] = isolated
 }
 
 // setLossRate has a share of all messages be lost from now on.
-func (n *fakeNetwork) setLossRate(share float64, rng *rand.Rand) {
+func (n *network) setLossRate(share float64, rng *rand.Rand) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lossRate, n.rng = share, rng
 }
 
 // isDropped tells whether a message does not arrive; called with mu held.
-func (n *fakeNetwork) isDropped(from, to string) bool {
+func (n *network) isDropped(from, to string) bool {
 	return n.isolated[from] || n.isolated[to] || n.partitioned[[2]string{from, to}] || n.lossRate > 0 && n.rng.Float64() < n.lossRate
 }
 
 // partition cuts two addresses off from each other.
-func (n *fakeNetwork) partition(a, b string, cut bool) {
+func (n *network) partition(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitioned[[2]string{a, b}], n.partitioned[[2]string{b, a}] = cut, cut
 }
 
-func (n *fakeNetwork) listen(address string) *fakeSocket {
+func (n *network) listen(address string) *fakeSocket {
 	s := &fakeSocket{network: n, address: address, incoming: make(chan []byte, 1000), closed: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,7 +83,7 @@
 
 type fakeSocket struct {
 	net.PacketConn
-	network  *fakeNetwork
+	network  *network
 	address  string
 	incoming chan []byte
 	closed   chan struct{}
@@ -107,7 +107,7 @@
 		s.network.onMessage(p)
 	}
 	s.network.messageCount++
-	s.network.byteCount += len(p)
+	s.network.bytes += len(p)
 	box := s.network.sockets[to.String()]
 	if box == nil || s.network.isDropped(s.address, to.String()) {
 		return len(p), nil
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -83,11 +83,11 @@
 	id := ident.Incarnation(h.Incarnation)
 	now := e.deps.Steady()
 	e.mu.Lock()
-	isNew, ended := e.peers.Heard(now, peers.Member{
+	fresh, ended := e.peers.Heard(now, peers.Member{
 		ID: ident.DaemonID(h.Daemon), Incarnation: id, FailureDomain: ident.FailureDomain(h.FailureDomain),
 		CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress, Phase: peers.Phase(h.Phase), Started: h.StartedUnixMs,
 	}, h.Seq)
-	if !isNew {
+	if !fresh {
 		e.mu.Unlock()
 		return
 	}
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -112,7 +112,7 @@
 		leavingRunner := w.addRunner("going", "app")
 		w.addRunner("staying", "app")
 		time.Sleep(2 * time.Second)
-		w.markLeaving("going", "app")
+		w.leaving("going", "app")
 		time.Sleep(2 * time.Second)
 		before := leavingRunner.count()
 		for _, d := range w.daemons {
@@ -133,13 +133,13 @@
 		}
 		time.Sleep(8 * time.Second)
 		for i := range leaving {
-			w.markLeaving(id(i), "app")
+			w.leaving(id(i), "app")
 		}
 		l := newPromptLoad(w, 17_000, slices.Repeat([]float64{150_000}, 4))
 		l.run(3*time.Second, anyDaemon)
 		asked, refused := l.totals()
 		t.Logf("%d refused of %d: %v; largest message %d bytes", refused, asked, l.reasons, w.network.largest())
-		w.Equal(w.countDaemons(func(d *daemon) bool { return d.LeavingRunners() < leaving }), 0)
+		w.Equal(w.countDaemons(func(d *daemon) bool { return d.Leaving() < leaving }), 0)
 		w.Equal(refused, 0)
 		w.True(w.network.largest() <= 32<<10)
 	})
--- a/daemon/edge/request_test.go
+++ b/daemon/edge/request_test.go
@@ -163,7 +163,7 @@
 		w.addRunner("r1", "app")
 		r2, r3 := w.addRunner("r2", "app"), w.addRunner("r3", "app")
 		time.Sleep(200 * time.Millisecond)
-		w.markLeaving("r2", "app")
+		w.leaving("r2", "app")
 		entry, err := w.store.Get(context.Background(), runnerPrefix+"r3")
 		w.NoErr(err)
 		w.NoErr(w.store.Delete(context.Background(), runnerPrefix+"r3", entry.Revision))
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -225,7 +225,7 @@
 
 // rosterDue reports whether rosters are sent in a round. The caller must hold e.mu.
 func (e *Edge) rosterDue(turn uint64) bool {
-	if v := rosterDigest(e.alive); v != e.rosterVersion {
+	if v := rosterVersion(e.alive); v != e.rosterVersion {
 		e.rosterVersion, e.rosterLeft = v, rosterRepeats
 	}
 	if e.rosterLeft > 0 {
@@ -235,9 +235,9 @@
 	return turn%rosterIntervalRounds < rosterBurstRounds
 }
 
-// rosterDigest returns a hash of the members' incarnations and phases, by which a changed
+// rosterVersion returns a hash of the members' incarnations and phases, by which a changed
 // roster is detected.
-func rosterDigest(members []peers.Member) uint64 {
+func rosterVersion(members []peers.Member) uint64 {
 	d := xxhash.New()
 	for _, m := range members {
 		// A hash accepts every write without an error.
@@ -282,11 +282,11 @@
 
 // rosterRows returns the latest known state of the given daemons. The caller must hold e.mu.
 func (e *Edge) rosterRows(ids []ident.Incarnation) []*peersv1.Row {
-	var rows []*peersv1.Row
+	var rosterRows []*peersv1.Row
 	for _, row := range e.peers.Rows(ids) {
-		rows = append(rows, encodeRow(row))
+		rosterRows = append(rosterRows, encodeRow(row))
 	}
-	return rows
+	return rosterRows
 }
 
 // introductions lists the elected relays that are heard directly or listed in a roster, so that
--- a/daemon/edge/send.go
+++ b/daemon/edge/send.go
@@ -51,12 +51,12 @@
 // process costs more than the work done in it.
 func (e *Edge) tickLoop(ctx context.Context) {
 	for round := uint64(0); ; {
-		step := e.roundsPerMessage()
-		if !pause.For(ctx, time.Duration(step)*gossipInterval) {
+		roundsPerMessage := e.roundsPerMessage()
+		if !pause.For(ctx, time.Duration(roundsPerMessage)*gossipInterval) {
 			return
 		}
-		round += step
-		round -= round % step
+		round += roundsPerMessage
+		round -= round % roundsPerMessage
 		e.tickPeers()
 		e.sendRound(round)
 		e.applyLoads()
@@ -85,8 +85,8 @@
 
 // recipient is one address of a multicast with the fields that only it gets.
 type recipient struct {
-	address    string
-	individual *peersv1.Hello
+	address string
+	own     *peersv1.Hello
 }
 
 // multicast is a message to several recipients, with the fields that all of them get.
@@ -153,15 +153,15 @@
 	}
 	counts := e.countsForRelays(now, messageNumber)
 	for i, r := range e.plan.Others {
-		individual := e.stampReply(r.Incarnation)
-		individual.Elects = true
-		individual.Lacks = counts.requestFor(messageNumber, i)
-		e.addRelayCounts(now, r.Incarnation, counts, individual)
-		individual.Feed = e.feedAfter(now, e.feeding[r.Incarnation])
+		own := e.stampReply(r.Incarnation)
+		own.Elects = true
+		own.Lacks = counts.requestFor(messageNumber, i)
+		e.addRelayCounts(now, r.Incarnation, counts, own)
+		own.Feed = e.feedAfter(now, e.feeding[r.Incarnation])
 		if r.Incarnation == e.plan.Source.Incarnation && !e.plan.Watches {
-			individual.FeedAt = e.dir.reached()
+			own.FeedAt = e.dir.reached()
 		}
-		c.to = append(c.to, recipient{r.PeerAddress, individual})
+		c.to = append(c.to, recipient{r.PeerAddress, own})
 	}
 	return c
 }
@@ -177,10 +177,10 @@
 		if i > 0 && round%standbyRounds != 0 {
 			break
 		}
-		individual := e.stampReply(r.Incarnation)
-		individual.Primary = i == 0
-		individual.FeedAt = e.dir.reached()
-		c.to = append(c.to, recipient{r.PeerAddress, individual})
+		own := e.stampReply(r.Incarnation)
+		own.Primary = i == 0
+		own.FeedAt = e.dir.reached()
+		c.to = append(c.to, recipient{r.PeerAddress, own})
 	}
 	return c
 }
@@ -196,10 +196,10 @@
 		if !f.primary && round%standbyRounds != 0 {
 			continue
 		}
-		individual := e.stampReply(id)
-		individual.IncludedSeq = f.includedSeq
-		individual.Feed = e.feedAfter(now, f.feedRevision)
-		c.to = append(c.to, recipient{f.address, individual})
+		own := e.stampReply(id)
+		own.IncludedSeq = f.includedSeq
+		own.Feed = e.feedAfter(now, f.feedRevision)
+		c.to = append(c.to, recipient{f.address, own})
 	}
 	if len(c.to) == 0 {
 		return c
@@ -293,7 +293,7 @@
 		return
 	}
 	for _, r := range c.to {
-		message, err := proto.MarshalOptions{}.MarshalAppend(common[:len(common):len(common)], &peersv1.Datagram{Hello: r.individual})
+		message, err := proto.MarshalOptions{}.MarshalAppend(common[:len(common):len(common)], &peersv1.Datagram{Hello: r.own})
 		if err != nil || len(message) > maxDatagramBytes {
 			e.log.Note("message_failed", decisions.F("bytes", len(message)))
 			continue
--- a/daemon/edge/silent_runners.go
+++ b/daemon/edge/silent_runners.go
@@ -63,7 +63,7 @@
 
 // silentRunners lists the runners to probe for their silence. The caller must hold p.mu.
 func (p *pool) silentRunners(now time.Time) []ident.RunnerID {
-	var silent []ident.RunnerID
+	var silentRunners []ident.RunnerID
 	for id, act := range p.active {
 		since := time.Unix(0, act.lastHeard.Load())
 		for a := range act.attempts {
@@ -77,17 +77,17 @@
 			continue
 		}
 		act.lastProbe = now
-		silent = append(silent, id)
+		silentRunners = append(silentRunners, id)
 	}
-	return silent
+	return silentRunners
 }
 
 // probeSilentRunners starts a probe of each runner that is due for one.
 func (p *pool) probeSilentRunners(now time.Time) {
 	p.mu.Lock()
-	silent := p.silentRunners(now)
+	silentRunners := p.silentRunners(now)
 	p.mu.Unlock()
-	for _, id := range silent {
+	for _, id := range silentRunners {
 		p.observe(id, health.SilentConnection)
 	}
 }
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -94,14 +94,14 @@
 	defer e.mu.Unlock()
 	ended := e.book.EndedFor(e.wall.At(now), w)
 	since := now - ended + accounting.SettleAfter
-	missing := append(e.missingCounts(now, since), e.coverage.Passing(now, countsRelayedWithin, since)...)
-	if len(missing) == 0 {
+	uncounted := append(e.uncounted(now, since), e.coverage.Passing(now, countsRelayedWithin, since)...)
+	if len(uncounted) == 0 {
 		return false
 	}
 	if ended < e.set.Bounds.UsageDue-e.set.Bounds.LeaseTTL-reportMargin {
 		return true
 	}
-	e.log.Note("usage_incomplete", decisions.F("window", int64(w)), decisions.F("ended_for", ended), decisions.F("lacking", missing))
+	e.log.Note("usage_incomplete", decisions.F("window", int64(w)), decisions.F("ended_for", ended), decisions.F("lacking", uncounted))
 	return false
 }
 
@@ -133,14 +133,14 @@
 	if entry.Revision == 0 {
 		return true
 	}
-	var open reportIntent
-	if err := json.Unmarshal(entry.Value, &open); err != nil {
+	var pending reportIntent
+	if err := json.Unmarshal(entry.Value, &pending); err != nil {
 		// No other program writes the key. An intent that can't be decoded can't be repeated,
 		// so the reports go on without it.
 		e.logUsageFailure("decode", err)
 		return true
 	}
-	u.pending, u.lastWindow = &open, open.Window
+	u.pending, u.lastWindow = &pending, pending.Window
 	return true
 }
 
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -58,24 +58,24 @@
 
 // relayCounts holds the counts that one message carries to the relays that may report windows.
 type relayCounts struct {
-	// recipients are the relays that are sent counts.
-	recipients map[ident.Incarnation]bool
+	// to are the relays that are sent counts.
+	to map[ident.Incarnation]bool
 	// hello holds the counts of this relay or of some of its followers; ended holds those of
 	// one daemon that has ended.
 	hello *peersv1.Hello
 	ended []*peersv1.Ended
-	// missing lists the daemons without recent counts.
-	missing []ident.Incarnation
+	// uncounted lists the daemons without recent counts.
+	uncounted []ident.Incarnation
 }
 
 // requestFor returns the daemon whose counts this message asks one relay for, or an empty
 // string for none. Messages and relays go through the list of missing daemons in rotation;
 // place is the relay's index.
 func (c relayCounts) requestFor(messageNumber uint64, place int) string {
-	if len(c.missing) == 0 {
+	if len(c.uncounted) == 0 {
 		return ""
 	}
-	return string(c.missing[(messageNumber/2+uint64(place))%uint64(len(c.missing))])
+	return string(c.uncounted[(messageNumber/2+uint64(place))%uint64(len(c.uncounted))])
 }
 
 // countsForRelays returns the counts for the other relays that may report windows. Messages
@@ -86,12 +86,12 @@
 	if e.plan.Direct {
 		return relayCounts{}
 	}
-	c := relayCounts{recipients: e.reportingRelays(), hello: &peersv1.Hello{}, ended: e.endedCounts(now)}
+	c := relayCounts{to: e.reportingRelays(), hello: &peersv1.Hello{}, ended: e.endedCounts(now)}
 	if sendsRoster(messageNumber) {
 		e.addOwnCounts(now, c.hello)
 		return c
 	}
-	c.missing = e.missingCounts(now, max(e.standing.Began(), now-requestCountsAfter))
+	c.uncounted = e.uncounted(now, max(e.standing.Began(), now-requestCountsAfter))
 	c.hello.Workspaces = convertNames[string](e.book.Workspaces())
 	c.hello.Ended = e.followerCounts(now)
 	return c
@@ -100,7 +100,7 @@
 // addRelayCounts adds the counts for one relay to the message sent to it. The caller must hold
 // e.mu.
 func (e *Edge) addRelayCounts(now time.Duration, to ident.Incarnation, c relayCounts, h *peersv1.Hello) {
-	if !c.recipients[to] {
+	if !c.to[to] {
 		return
 	}
 	h.Counts, h.Windows, h.Workspaces = c.hello.Counts, c.hello.Windows, c.hello.Workspaces
@@ -124,10 +124,10 @@
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: open}}
 }
 
-// missingCounts returns the daemons whose counts have not been received since a time. It
+// uncounted returns the daemons whose counts have not been received since a time. It
 // includes daemons that may have lost both their relays and are therefore not heard. The caller
 // must hold e.mu.
-func (e *Edge) missingCounts(now, since time.Duration) []ident.Incarnation {
+func (e *Edge) uncounted(now, since time.Duration) []ident.Incarnation {
 	return e.coverage.Lacking(e.peers.SeenSince(now-refollowWithin), since)
 }
 
--- a/daemon/edge/usage_load_test.go
+++ b/daemon/edge/usage_load_test.go
@@ -23,14 +23,14 @@
 	asked      int
 	served     map[accounting.Window]int64
 	// servedRequests are when requests were served.
-	servedRequests []servedRequest
+	servedRequests []served
 }
 
 func newServedLoad(w *testFleet, workspaces int) *servedLoad {
 	return &servedLoad{w: w, workspaces: workspaces, served: map[accounting.Window]int64{}}
 }
 
-type servedRequest struct {
+type served struct {
 	at     time.Duration
 	window accounting.Window
 }
@@ -58,7 +58,7 @@
 			}
 			if l.w.ask(d, "/read/", fmt.Sprintf("key-%d", l.asked%l.workspaces)).status == 200 {
 				l.served[currentWindow()]++
-				l.servedRequests = append(l.servedRequests, servedRequest{l.w.steady(), currentWindow()})
+				l.servedRequests = append(l.servedRequests, served{l.w.steady(), currentWindow()})
 			}
 		}
 		time.Sleep(step - time.Since(begin))
@@ -97,7 +97,7 @@
 // reportedByWindow adds up the requests of each window.
 func (w *testFleet) reportedByWindow() map[accounting.Window]int64 {
 	by := map[accounting.Window]int64{}
-	for _, r := range w.cloud.receivedReports() {
+	for _, r := range w.cloud.received() {
 		by[r.window] = r.requests(w)
 	}
 	return by
