--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -298,7 +298,7 @@
 func (e *Edge) returnQuota(relay string, ws ident.Workspace, cost float64) {
 	if relay == "" {
 		e.mu.Lock()
-		e.limiter.Return(ws, cost)
+		e.limiter.Release(ws, cost)
 		e.mu.Unlock()
 		return
 	}
@@ -314,6 +314,6 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.plan.Relay {
-		e.limiter.Return(ident.Workspace(r.Workspace), r.Cost)
+		e.limiter.Release(ident.Workspace(r.Workspace), r.Cost)
 	}
 }
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -144,7 +144,7 @@
 // it would keep a share of the quotas for it. The caller must hold e.mu.
 func (e *Edge) dropFollowersQuotaUse(rows []peers.Row) {
 	for _, r := range rows {
-		e.limiter.Left(r.Incarnation)
+		e.limiter.PeerLeft(r.Incarnation)
 	}
 }
 
@@ -155,7 +155,7 @@
 		return
 	}
 	if !h.Relay {
-		e.limiter.Left(id)
+		e.limiter.PeerLeft(id)
 		return
 	}
 	if !e.plan.Direct && !e.elects(id) {
@@ -163,11 +163,11 @@
 		// to be a relay, as every daemon does at first, and grants nothing until another
 		// relay elects it. Or it doesn't know yet that the fleet has outgrown the direct
 		// mode, and grants its small share for a moment longer.
-		e.limiter.Left(id)
+		e.limiter.PeerLeft(id)
 		return
 	}
 	if h.Elects || e.plan.Direct {
-		e.limiter.Heard(now, id, time.Duration(h.AgeNs), decodeUses(h))
+		e.limiter.ApplyPeerState(now, id, time.Duration(h.AgeNs), decodeUses(h))
 	}
 }
 
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -68,8 +68,8 @@
 	}
 	e.electRelays(now)
 	e.told.noteComplete(now, len(e.plan.Others))
-	e.limiter.Expect(now, e.quotaSharers(now))
-	e.limiter.Isolate(e.isolatedQuotaParts(now))
+	e.limiter.SetExpectedDaemons(now, e.quotaSharers(now))
+	e.limiter.SetIsolatedParts(e.isolatedQuotaParts(now))
 	e.limiter.Tick(now)
 	e.book.Tick(e.wall.At(now))
 	e.refreshPhase(now)
@@ -186,7 +186,7 @@
 // removePeer drops all state of a daemon that has ended, except its usage counts, which are
 // still to be reported. The caller must hold e.mu.
 func (e *Edge) removePeer(id ident.Incarnation, why string) {
-	e.limiter.Gone(id)
+	e.limiter.PeerEnded(id)
 	e.wall.Gone(id)
 	delete(e.stamps, id)
 	delete(e.followers, id)
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -1,10 +1,12 @@
-// Package admission decides which requests of one service go to runners now,
-// which wait and which are refused.
+// Package admission decides which requests of a service are sent to runners
+// now, which are queued and which are refused.
 //
-// Classes go by priority. Within a class the workspaces share by weight
-// (start-time fair queuing over the cost in tokens); what one doesn't use, the
-// others borrow. Work that can't meet its target is refused at once. The
-// package is pure: time comes with each call and effects are returned.
+// Classes are served by priority. Within a class, workspaces share the
+// capacity by weight: start-time fair queuing over the cost in tokens.
+// Capacity that one workspace doesn't use is available to the others. A
+// request that can't meet its target is refused at once. The package performs
+// no I/O and reads no clock: the time is passed to each call, and the
+// resulting effects are returned.
 package admission
 
 import (
@@ -18,159 +20,175 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// ID names an item for its life in one controller.
+// ID identifies an item within one controller, until the item is finished,
+// refused or cancelled.
 type ID uint64
 
-// Item is a request for admission.
+// Item is a request that asks for admission.
 type Item struct {
 	ID        ID
 	Workspace ident.Workspace
 	Class     string
-	// Cost is in output tokens; prompt tokens count as the part of one that
-	// their prefill takes. See Cost.
+	// Cost is the cost in output tokens. A prompt token counts as the fraction
+	// of an output token that its prefill takes.
 	Cost float64
-	// Bytes is the memory that the item holds while it waits.
+	// Bytes is the memory that the item occupies while it is queued.
 	Bytes int
-	// FirstToken is the expected time to first token once admitted, Service
-	// the expected time to the last one.
+	// FirstToken is the expected time from admission to the first token.
 	FirstToken time.Duration
-	Service    time.Duration
-	// Deadline is when the answer is of no more use; zero is never.
+	// Service is the expected time from admission to the last token.
+	Service time.Duration
+	// Deadline is the time after which the answer is useless to the caller. The
+	// zero time means that there is none.
 	Deadline time.Time
 }
 
-// Kind is what became of an item.
+// Kind is the decision on an item.
 type Kind string
 
-// Kinds of effects.
+// Decisions on items.
 const (
 	Admit  Kind = "admit"
 	Refuse Kind = "refuse"
 )
 
-// Effect tells what became of an item that was offered.
+// Effect is the decision on an item that was offered.
 type Effect struct {
 	Kind Kind
 	ID   ID
-	// Refusal is set for Refuse; nothing ran.
+	// Refusal is set if Kind is Refuse. A refused item was never sent to a
+	// runner.
 	Refusal *refusal.Refusal
-	// Waited is how long the item was queued.
+	// Waited is how long the item was queued before the decision.
 	Waited time.Duration
 }
 
-// Config sets a controller's policy.
+// Config holds the policy of a controller.
 type Config struct {
 	Limiter LimiterConfig
-	// MaxQueued and MaxQueuedBytes bound the items that wait.
+	// MaxQueued and MaxQueuedBytes limit the number and the total size of the
+	// queued items.
 	MaxQueued      int
 	MaxQueuedBytes int
-	// LowerShare is the share of admitted cost that a class with work waiting
-	// gets whatever the classes above it have: without it an overload of
-	// urgent work would hold accepted long work up for ever.
-	LowerShare float64
-	// Reserve is the share of the limit that all but the highest class leave
-	// free, since places are not spread evenly over the runners.
-	Reserve float64
-	// Headroom is how many standard deviations above their mean need the
-	// places are that lower classes leave to higher ones; see Controller.room.
-	Headroom float64
-	// OverShare and UnderShare are multiples of a workspace's share of what was
-	// lately admitted. Below the highest class, a workspace over the one gives
-	// its turn to lower work of a workspace under the other.
-	OverShare  float64
-	UnderShare float64
-	// MaxLead bounds, in seconds of the whole rate, how far use in higher
-	// classes can set a workspace back in a lower one.
-	MaxLead time.Duration
-	// RateBurst is how long a workspace may run ahead of its tokens per second.
+	// MinClassShare is the share of the admitted cost that a class with queued
+	// work gets regardless of the classes above it. Without it, an overload of
+	// urgent work would block accepted long work indefinitely.
+	MinClassShare float64
+	// ReservedShare is the share of the concurrency limit that all classes but
+	// the highest leave free, since requests are not distributed evenly over
+	// the runners.
+	ReservedShare float64
+	// HeadroomDeviations is the number of standard deviations above the mean
+	// for which lower classes leave places free for higher classes. See
+	// Controller.hasRoom.
+	HeadroomDeviations float64
+	// OverShareRatio and UnderShareRatio are multiples of a workspace's share
+	// of what was recently admitted. In all classes but the highest, a
+	// workspace above OverShareRatio yields its turn to work of a lower class
+	// of a workspace below UnderShareRatio.
+	OverShareRatio  float64
+	UnderShareRatio float64
+	// MaxVirtualLead limits how far the use in higher classes can delay a
+	// workspace in a lower class. It is given as time at the full throughput.
+	MaxVirtualLead time.Duration
+	// RateBurst is how long a workspace may run ahead of its tokens-per-second
+	// limit.
 	RateBurst time.Duration
-	// MaxRetryAfter bounds what refusals ask for.
+	// MaxRetryAfter is the longest retry delay that a refusal asks for.
 	MaxRetryAfter time.Duration
-	// Count is called for every refusal; nil is allowed.
-	Count func(refusal.Reason, ident.Workspace, string)
+	// OnRefusal is called with the reason, the workspace and the class of every
+	// refusal. It may be nil.
+	OnRefusal func(refusal.Reason, ident.Workspace, string)
 }
 
-// Default returns the policy in use; docs/design/limits.md gives the reasons.
+// Default returns the policy used in production; docs/design/limits.md gives
+// the reasons for it.
 func Default() Config {
 	return Config{
-		Limiter:        DefaultLimiter(),
-		MaxQueued:      4096,
-		MaxQueuedBytes: 16 << 20,
-		LowerShare:     0.05,
-		Reserve:        0.1,
-		Headroom:       1,
-		OverShare:      1.1,
-		UnderShare:     0.9,
-		MaxLead:        10 * time.Second,
-		RateBurst:      2 * time.Second,
-		MaxRetryAfter:  30 * time.Second,
+		Limiter:            DefaultLimiter(),
+		MaxQueued:          4096,
+		MaxQueuedBytes:     16 << 20,
+		MinClassShare:      0.05,
+		ReservedShare:      0.1,
+		HeadroomDeviations: 1,
+		OverShareRatio:     1.1,
+		UnderShareRatio:    0.9,
+		MaxVirtualLead:     10 * time.Second,
+		RateBurst:          2 * time.Second,
+		MaxRetryAfter:      30 * time.Second,
 	}
 }
 
+// entry is an item that is queued or admitted.
 type entry struct {
 	Item
 	flow    *flow
 	offered time.Time
 	started time.Time
-	// expires is when it is too late to admit it; zero is never.
+	// expires is the time after which it is too late to admit the item. The
+	// zero time means never.
 	expires  time.Time
 	admitted bool
 }
 
-// flow is the work of one workspace in one class.
+// flow is the queue of one workspace in one class.
 type flow struct {
-	workspace *workspace
-	class     *class
-	items     []*entry
-	cost      float64
+	workspace  *workspace
+	class      *class
+	items      []*entry
+	queuedCost float64
 	// start is the virtual time at which the next item starts.
 	start float64
 }
 
+// class is the state of one service class.
 type class struct {
 	manifest.Class
-	flows   map[ident.Workspace]*flow
-	active  []*flow
-	virtual float64
-	cost    float64
-	// credit is the cost to be admitted before higher classes.
+	flows       map[ident.Workspace]*flow
+	active      []*flow
+	virtualTime float64
+	queuedCost  float64
+	// credit is the cost that this class may have admitted ahead of higher
+	// classes.
 	credit   float64
-	admitted meter
-	refused  meter
-	offered  meter
-	// served is the admitted cost over a longer time.
-	served  meter
+	admitted decayingRate
+	refused  decayingRate
+	offered  decayingRate
+	// served is the admitted cost, averaged over a longer time than admitted.
+	served  decayingRate
 	running int
-	// residence is the mean seconds from admission to the end.
+	// residence is the mean time in seconds from admission to the end of a
+	// request.
 	residence float64
 }
 
+// workspace is the state of one workspace over all classes.
 type workspace struct {
 	manifest.Workspace
-	running int
-	queued  int
-	tokens  bucket
-	used    meter
+	running   int
+	queued    int
+	tokens    bucket
+	recentUse decayingRate
 }
 
 // Controller admits the requests of one service at one gateway. It is not safe
 // for concurrent use.
 type Controller struct {
-	cfg        Config
-	limiter    *Limiter
-	classes    map[string]*class
-	order      []*class
-	workspaces map[ident.Workspace]*workspace
-	weights    float64
-	entries    map[ID]*entry
-	running    int
-	queued     int
-	bytes      int
-	rate       rate
-	used       meter
+	cfg         Config
+	limiter     *Limiter
+	classes     map[string]*class
+	byPriority  []*class
+	workspaces  map[ident.Workspace]*workspace
+	totalWeight float64
+	entries     map[ID]*entry
+	running     int
+	queued      int
+	bytes       int
+	throughput  throughput
+	recentUse   decayingRate
 }
 
-// New returns a controller that knows no class and no workspace.
+// New returns a controller without classes and workspaces.
 func New(cfg Config) *Controller {
 	return &Controller{
 		cfg:        cfg,
@@ -178,7 +196,7 @@
 		classes:    map[string]*class{},
 		workspaces: map[ident.Workspace]*workspace{},
 		entries:    map[ID]*entry{},
-		used:       meter{halfLife: useHalfLife},
+		recentUse:  decayingRate{halfLife: useHalfLife},
 	}
 }
 
@@ -186,24 +204,25 @@
 	return &class{
 		Class:    k,
 		flows:    map[ident.Workspace]*flow{},
-		admitted: meter{halfLife: rateHalfLife},
-		refused:  meter{halfLife: rateHalfLife},
-		offered:  meter{halfLife: rateHalfLife},
-		served:   meter{halfLife: useHalfLife},
+		admitted: decayingRate{halfLife: rateHalfLife},
+		refused:  decayingRate{halfLife: rateHalfLife},
+		offered:  decayingRate{halfLife: rateHalfLife},
+		served:   decayingRate{halfLife: useHalfLife},
 	}
 }
 
-// SetLimits takes in the workspaces and classes in force. Work of a workspace
-// that is no longer listed ends under its old limits; then it is forgotten.
+// SetLimits sets the workspaces and classes in force. A workspace that is no
+// longer listed keeps its old limits until its work has ended; then it is
+// removed.
 func (c *Controller) SetLimits(workspaces []manifest.Workspace, classes []manifest.Class) {
-	c.weights = 0
+	c.totalWeight = 0
 	for _, w := range workspaces {
-		c.weights += w.Weight
+		c.totalWeight += w.Weight
 		if known, ok := c.workspaces[w.Name]; ok {
 			known.Workspace = w
 			continue
 		}
-		c.workspaces[w.Name] = &workspace{Workspace: w, used: meter{halfLife: useHalfLife}}
+		c.workspaces[w.Name] = &workspace{Workspace: w, recentUse: decayingRate{halfLife: useHalfLife}}
 	}
 	for _, k := range classes {
 		if known, ok := c.classes[k.Name]; ok {
@@ -212,17 +231,17 @@
 		}
 		c.classes[k.Name] = newClass(k)
 	}
-	c.forget(workspaces)
-	c.order = c.order[:0]
+	c.removeUnlisted(workspaces)
+	c.byPriority = c.byPriority[:0]
 	for _, k := range c.classes {
-		c.order = append(c.order, k)
+		c.byPriority = append(c.byPriority, k)
 	}
-	slices.SortFunc(c.order, func(a, b *class) int {
+	slices.SortFunc(c.byPriority, func(a, b *class) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-func (c *Controller) forget(listed []manifest.Workspace) {
+func (c *Controller) removeUnlisted(listed []manifest.Workspace) {
 	for name, w := range c.workspaces {
 		if w.running > 0 || w.queued > 0 || slices.ContainsFunc(listed, func(l manifest.Workspace) bool { return l.Name == name }) {
 			continue
@@ -234,63 +253,69 @@
 	}
 }
 
-// SetCapacity tells what this gateway's share of the runners carries by their
-// own reports: requests at a time and cost per second.
+// SetCapacity sets the capacity of this gateway's share of the runners, as
+// they report it: the number of concurrent requests and the cost per second.
 func (c *Controller) SetCapacity(requests, costPerSecond float64) {
 	c.limiter.SetHint(requests)
-	c.rate.hint(costPerSecond)
+	c.throughput.setHint(costPerSecond)
 }
 
-// Limit is the number of requests that may be in progress now.
+// Limit returns the number of requests that may be in progress at once.
 func (c *Controller) Limit() int { return c.limiter.Limit() }
 
-// Running counts the requests that were admitted and have not ended.
+// Running returns the number of requests that were admitted and have not
+// ended.
 func (c *Controller) Running() int { return c.running }
 
-// Queued counts the requests that wait.
+// Queued returns the number of queued requests.
 func (c *Controller) Queued() int { return c.queued }
 
-// Offer asks for admission and appends what became of it and of others to dst.
-// An item without an effect waits.
+// Offer asks for the admission of an item. It appends the decision on this
+// item, and on others that the call affects, to dst. An item without an effect
+// is queued.
 func (c *Controller) Offer(now time.Time, it Item, dst []Effect) []Effect {
 	k, ok := c.classes[it.Class]
 	w, known := c.workspaces[it.Workspace]
 	if !ok || !known {
 		return c.refuse(dst, it, 0, refusal.New(refusal.BadRequest, "unknown class %q or workspace", it.Class))
 	}
-	e := &entry{Item: it, flow: c.flowOf(k, w), offered: now, expires: expiry(now, k, it)}
-	k.note(now, it)
-	if r := c.check(now, e); r != nil {
+	e := &entry{Item: it, flow: c.flowOf(k, w), offered: now, expires: admissionDeadline(now, k, it)}
+	k.recordOffer(now, it)
+	if r := c.offerRefusal(now, e); r != nil {
 		k.refused.add(now, it.Cost)
-		return c.admit(now, c.refuse(dst, it, 0, r))
+		return c.admitEligible(now, c.refuse(dst, it, 0, r))
 	}
 	c.enqueue(e)
-	return c.admit(now, dst)
+	return c.admitEligible(now, dst)
 }
 
-// waitShare is the part of the time until it expires that an item may be
-// expected to wait. Under overload the queue grows until the expected wait meets
-// this bound; at 1 many items would expire in the queue, since the wait is not
-// known exactly.
-const waitShare = 0.85
+// maxWaitFraction is the fraction of the time until an item expires that its
+// expected wait may take up. Under overload the queue grows until the expected
+// wait reaches this bound. With 1, many items would expire in the queue, since
+// the wait is only an estimate.
+const maxWaitFraction = 0.85
 
-// minSlack is the part of its target that an item may wait even if its own
-// prompt takes longer than the target: it would be refused for ever otherwise.
-const minSlack = 4
+// minWaitDivisor sets the shortest wait allowed to an item: its target divided
+// by minWaitDivisor, even if the prefill of its prompt takes longer than the
+// target. Otherwise such an item would always be refused.
+const minWaitDivisor = 4
 
-// note counts an offered item.
-func (k *class) note(now time.Time, it Item) {
+// recordOffer updates the arrival rate of the class. The first item also
+// provides the initial estimate of the residence time.
+func (k *class) recordOffer(now time.Time, it Item) {
 	if k.residence == 0 {
 		k.residence = it.Service.Seconds()
 	}
 	k.offered.add(now, 1)
 }
 
-// expiry is when it is too late for the item to keep its target.
-func expiry(now time.Time, k *class, it Item) time.Time {
+// admissionDeadline returns the latest time of admission at which the item can
+// still meet its target and its deadline. The zero time means that there is
+// none.
+func admissionDeadline(now time.Time, k *class, it Item) time.Time {
 	var at time.Time
 	if !k.Deferrable {
-		at = now.Add(max(k.target()/minSlack, k.target()-it.FirstToken))
+		at = now.Add(max(k.target()/minWaitDivisor, k.target()-it.FirstToken))
 	}
 	if it.Deadline.IsZero() {
 		return at
@@ -312,41 +337,43 @@
 	return f
 }
 
-// check returns the refusal of an item that can't be served, or nil.
-func (c *Controller) check(now time.Time, e *entry) *refusal.Refusal {
+// offerRefusal returns the refusal of an item that can't be served in time or
+// exceeds a limit, or nil.
+func (c *Controller) offerRefusal(now time.Time, e *entry) *refusal.Refusal {
 	k, w := e.flow.class, e.flow.workspace
 	if !k.Deferrable {
-		if r := w.over(now, c.cfg.RateBurst); r != nil {
+		if r := w.limitRefusal(now, c.cfg.RateBurst); r != nil {
 			return r
 		}
 	}
-	if c.queued >= c.mayQueue(w) || c.bytes+e.Bytes > c.cfg.MaxQueuedBytes {
+	if c.queued >= c.queueLimit(w) || c.bytes+e.Bytes > c.cfg.MaxQueuedBytes {
 		return refusal.New(refusal.Overloaded, "too much work waits").After(c.retryAfter(now, k, 0))
 	}
-	wait := c.wait(now, e)
-	at := now.Add(wait)
+	expectedWait := c.expectedWait(now, e)
+	at := now.Add(expectedWait)
 	if !e.Deadline.IsZero() && at.Add(e.Service).After(e.Deadline) {
-		return refusal.New(refusal.DeadlineUnreachable, "the answer would take %s", (wait + e.Service).Round(time.Millisecond)).After(c.retryAfter(now, k, wait))
+		return refusal.New(refusal.DeadlineUnreachable, "the answer would take %s", (expectedWait + e.Service).Round(time.Millisecond)).After(c.retryAfter(now, k, expectedWait))
 	}
-	if !e.expires.IsZero() && wait > time.Duration(waitShare*float64(e.expires.Sub(now))) {
-		return refusal.New(refusal.Overloaded, "the first token would take %s", (wait + e.FirstToken).Round(time.Millisecond)).After(c.retryAfter(now, k, at.Sub(e.expires)))
+	if !e.expires.IsZero() && expectedWait > time.Duration(maxWaitFraction*float64(e.expires.Sub(now))) {
+		return refusal.New(refusal.Overloaded, "the first token would take %s", (expectedWait + e.FirstToken).Round(time.Millisecond)).After(c.retryAfter(now, k, at.Sub(e.expires)))
 	}
 	return nil
 }
 
-// mayQueue bounds what waits in all before an item of the workspace is
-// refused. Up to half of the room is anyone's; of the rest a workspace that
-// already has more than its share waiting gets nothing.
-func (c *Controller) mayQueue(w *workspace) int {
-	if float64(w.queued) < float64(c.cfg.MaxQueued)*w.Weight/c.weights {
+// queueLimit returns the queue length at which items of the workspace are
+// refused. The first half of the queue is open to every workspace. The second
+// half is closed to a workspace that already has more than its share queued.
+func (c *Controller) queueLimit(w *workspace) int {
+	if float64(w.queued) < float64(c.cfg.MaxQueued)*w.Weight/c.totalWeight {
 		return c.cfg.MaxQueued
 	}
 	return c.cfg.MaxQueued / 2
 }
 
-// retryAfter is when a request like the refused one may find room: the excess
-// and, as long as much is refused, a multiple of the target, so that callers
-// that come back don't keep the overload up.
+// retryAfter estimates when a request like the refused one may be accepted:
+// the excess wait plus a multiple of the target that grows with the ratio of
+// refused to admitted work, so that returning callers don't sustain the
+// overload.
 func (c *Controller) retryAfter(now time.Time, k *class, excess time.Duration) time.Duration {
 	admitted, refused := k.admitted.perSecond(now), k.refused.perSecond(now)
 	times := 1.0
@@ -357,53 +384,58 @@
 	return min(max(after, 100*time.Millisecond), c.cfg.MaxRetryAfter)
 }
 
-// lateGrowth is how much faster than of late a class is expected to go on.
-const lateGrowth = 1.25
+// maxServedGrowth is the factor over its recent rate of admission at which a
+// class is expected to be served at most.
+const maxServedGrowth = 1.25
 
-// wait is the expected time until the item is admitted.
-func (c *Controller) wait(now time.Time, e *entry) time.Duration {
+// expectedWait estimates the time until the item is admitted.
+func (c *Controller) expectedWait(now time.Time, e *entry) time.Duration {
 	k := e.flow.class
-	if c.room(now, k) && !c.anyWaits(k) {
+	if c.hasRoom(now, k) && !c.anyWaitsAtOrAbove(k) {
 		return 0
 	}
-	perSecond := c.rate.perSecond
+	perSecond := c.throughput.perSecond
 	if perSecond <= 0 {
 		return 0
 	}
 	higher, taken := 0.0, 0.0
-	for _, o := range c.order {
+	for _, o := range c.byPriority {
 		if o.Priority > k.Priority {
-			higher += o.cost
+			higher += o.queuedCost
 			taken += o.admitted.perSecond(now)
 		}
 	}
 	left := perSecond - taken
-	if k != c.order[0] && len(k.active) > 0 {
-		// What the class had of late tells of turns that it loses, too.
-		left = min(left, lateGrowth*k.served.perSecond(now))
-	}
-	perSecond = max(left, c.cfg.LowerShare*perSecond)
-	seconds := (higher + k.ahead(e.flow) + c.meanCost()) / perSecond
-	wait := time.Duration(min(seconds, time.Hour.Seconds()) * float64(time.Second))
+	if k != c.byPriority[0] && len(k.active) > 0 {
+		// The recent rate of the class also reflects the turns that it yields to
+		// lower classes.
+		left = min(left, maxServedGrowth*k.served.perSecond(now))
+	}
+	perSecond = max(left, c.cfg.MinClassShare*perSecond)
+	seconds := (higher + k.costAhead(e.flow) + c.meanCost()) / perSecond
+	expectedWait := time.Duration(min(seconds, time.Hour.Seconds()) * float64(time.Second))
 	if len(e.flow.items) == 0 {
-		return wait
+		return expectedWait
 	}
-	// At a steady rate who comes now waits as long as the first in the queue
-	// has waited. It shows what the rates above leave out.
-	return max(wait, now.Sub(e.flow.items[0].offered))
+	// At a steady rate, a new item waits as long as the item at the head of the
+	// queue has waited. This accounts for effects that the rates above don't
+	// capture.
+	return max(expectedWait, now.Sub(e.flow.items[0].offered))
 }
 
-// meanCost is the mean cost of the finished requests: over the rate, the time
-// until the next one finishes.
+// meanCost returns the mean cost of the finished requests. Divided by the
+// throughput, it is the mean time until the next request finishes.
 func (c *Controller) meanCost() float64 {
-	if c.rate.finished == 0 {
+	if c.throughput.finishedCount == 0 {
 		return 0
 	}
-	return c.rate.total / float64(c.rate.finished)
+	return c.throughput.finishedCost / float64(c.throughput.finishedCount)
 }
 
-func (c *Controller) anyWaits(k *class) bool {
-	for _, o := range c.order {
+// anyWaitsAtOrAbove reports whether the class, or any class of the same or a
+// higher priority, has queued items.
+func (c *Controller) anyWaitsAtOrAbove(k *class) bool {
+	for _, o := range c.byPriority {
 		if o.Priority >= k.Priority && len(o.active) > 0 {
 			return true
 		}
@@ -411,53 +443,57 @@
 	return false
 }
 
-// ahead is the cost that goes before a new item of the flow: its own queue and
-// what the other flows have with an earlier virtual start.
-func (k *class) ahead(f *flow) float64 {
-	start := max(f.start, k.virtual) + f.cost/f.workspace.Weight
-	ahead := f.cost
+// costAhead returns the cost that is served before a new item of the flow: the
+// queue of the flow itself and the items of other flows with an earlier
+// virtual start time.
+func (k *class) costAhead(f *flow) float64 {
+	start := max(f.start, k.virtualTime) + f.queuedCost/f.workspace.Weight
+	costAhead := f.queuedCost
 	for _, o := range k.active {
 		if o != f {
-			ahead += min(o.cost, max(0, start-o.start)*o.workspace.Weight)
+			costAhead += min(o.queuedCost, max(0, start-o.start)*o.workspace.Weight)
 		}
 	}
-	return ahead
+	return costAhead
 }
 
-// room tells whether the limit lets an item of the class in. A lower class
-// leaves the places free that the higher ones need by Little's law (their rate
-// of arrival times their time in a place): answers are long beside the target
-// for the first token, so that urgent work can't wait for one to end. A class
-// always has LowerShare of the limit.
-func (c *Controller) room(now time.Time, k *class) bool {
+// hasRoom reports whether the concurrency limit allows another item of the
+// class. A lower class leaves free the places that the higher classes need by
+// Little's law (arrival rate times residence time). It must do so because
+// answers take long compared to the target for the first token, so that urgent
+// work can't wait until one of them ends. Each class may always use
+// MinClassShare of the limit.
+func (c *Controller) hasRoom(now time.Time, k *class) bool {
 	limit := float64(c.limiter.Limit())
 	if float64(c.running) >= limit {
 		return false
 	}
-	if float64(k.running) < c.cfg.LowerShare*limit {
+	if float64(k.running) < c.cfg.MinClassShare*limit {
 		return true
 	}
-	if k == c.order[0] {
+	if k == c.byPriority[0] {
 		return true
 	}
-	kept := c.cfg.Reserve * limit
-	for _, o := range c.order {
+	reserved := c.cfg.ReservedShare * limit
+	for _, o := range c.byPriority {
 		if o.Priority > k.Priority {
-			kept += max(0, o.need(now, c.cfg.Headroom)-float64(o.running))
+			reserved += max(0, o.expectedPlaces(now, c.cfg.HeadroomDeviations)-float64(o.running))
 		}
 	}
-	return float64(c.running)+kept < limit
+	return float64(c.running)+reserved < limit
 }
 
-// need is the places that the class takes if all that is offered gets one.
-func (k *class) need(now time.Time, headroom float64) float64 {
+// expectedPlaces returns the number of places that the class occupies if
+// everything offered is admitted: the mean plus headroom standard deviations
+// of a Poisson distribution.
+func (k *class) expectedPlaces(now time.Time, headroom float64) float64 {
 	mean := k.offered.perSecond(now) * k.residence
 	return mean + headroom*math.Sqrt(mean)
 }
 
 func (c *Controller) refuse(dst []Effect, it Item, waited time.Duration, r *refusal.Refusal) []Effect {
-	if c.cfg.Count != nil {
-		c.cfg.Count(r.Reason, it.Workspace, it.Class)
+	if c.cfg.OnRefusal != nil {
+		c.cfg.OnRefusal(r.Reason, it.Workspace, it.Class)
 	}
 	return append(dst, Effect{Kind: Refuse, ID: it.ID, Refusal: r, Waited: waited})
 }
