--- a/daemon/edge/cloud_test.go
+++ b/daemon/edge/cloud_test.go
@@ -9,14 +9,15 @@
 	"geraniumstack.org/geraniumstack/daemon/edge"
 )
 
-// cloud records reports and orders.
+// cloud is a fake edge.Cloud that records reports and orders.
 type cloud struct {
 	mu      sync.Mutex
 	reports []usageReport
 	orders  []edge.Order
-	// lostAnswers lets a report be taken and its answer be lost.
+	// lostAnswers is the number of next reports that are accepted although their answers are
+	// lost.
 	lostAnswers int
-	// noReclaimable lets orders of reclaimable runners be refused, which refusals counts.
+	// noReclaimable refuses orders of reclaimable runners; refusals counts these.
 	noReclaimable bool
 	refusals      int
 }
@@ -59,7 +60,8 @@
 	return append([]usageReport{}, c.reports...)
 }
 
-// totalReported adds up all requests of the reports, each window once.
+// totalReported returns the number of requests in all reports. Of several reports for one
+// window only the first counts.
 func (w *testFleet) totalReported() int64 {
 	sum := int64(0)
 	seen := map[accounting.Window]bool{}
@@ -73,7 +75,7 @@
 	return sum
 }
 
-// requests adds up a report's counts.
+// requests returns the number of requests in a report.
 func (r usageReport) requests(w *testFleet) int64 {
 	var counts accounting.Counts
 	w.NoErr(json.Unmarshal([]byte(r.counts), &counts))
--- a/daemon/edge/duties_test.go
+++ b/daemon/edge/duties_test.go
@@ -8,7 +8,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// lastReporter is the daemon that reported last.
+// lastReporter returns the daemon that sent the last report.
 func (w *testFleet) lastReporter() *daemon {
 	received := w.cloud.received()
 	if len(received) == 0 {
@@ -23,8 +23,9 @@
 	return nil
 }
 
-// checkReports checks what the platform must never see: two counts for one window,
-// tokens that fall, or two holders with one token.
+// checkReports checks that the cloud never received different counts for one window, a lower
+// token after a higher one, or the same token from two daemons. It returns the counts of each
+// window.
 func (w *testFleet) checkReports() map[accounting.Window]string {
 	counts := map[accounting.Window]string{}
 	holders := map[uint64]ident.DaemonID{}
@@ -44,9 +45,10 @@
 	return counts
 }
 
-// The holder of the duties makes a report, its answer is lost, and the holder dies.
-// More requests of the window become known meanwhile. Its successor must repeat the
-// same counts, and every window must be reported.
+// Guards against a successor that reports a window with other counts than its predecessor. The
+// holder of the duties sends a report, the answer is lost, and the holder dies; more requests
+// of the window become known meanwhile. The successor must repeat the same counts, and every
+// window must be reported.
 func TestHolderDiesBetweenReportAndAnswer(t *testing.T) {
 	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
@@ -81,12 +83,12 @@
 		for window := range counts {
 			first, last = min(first, window), max(last, window)
 		}
-		w.Equal(int(last-first)+1, len(counts)) // none is missing
+		w.Equal(int(last-first)+1, len(counts)) // no window is missing
 		w.True(len(counts) >= 7)
 	})
 }
 
-// What a daemon counted is reported although it died before its window ended.
+// Guards against the loss of a daemon's counts if it dies before its window ends.
 func TestUsageOfDeadDaemonIsReported(t *testing.T) {
 	withFleet(t, 2, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
@@ -106,8 +108,8 @@
 	})
 }
 
-// The holder loses the service and only it. It must have stopped acting before
-// another can have taken over, and no daemon may act without holding.
+// Guards against two daemons that act as the holder of the duties at once. The holder loses
+// only the key-value service: it must stop acting before another daemon can take over.
 func TestHolderLosesService(t *testing.T) {
 	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
@@ -123,8 +125,9 @@
 	})
 }
 
-// One daemon counts requests and dies, the other one is restarted and takes the
-// duties over: it has never heard the dead one. A third one knows its counts.
+// Guards against the loss of counts that the next holder of the duties never received from the
+// daemon that counted. One daemon counts requests and dies, and another is restarted and takes
+// over the duties. It must get the counts from a third daemon.
 func TestRestartedHolderKnowsDeadDaemonsCounts(t *testing.T) {
 	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
@@ -137,19 +140,20 @@
 		}
 		time.Sleep(300 * time.Millisecond)
 		w.daemons[1].kill()
-		w.daemons[0].kill() // the holder; the third one counts nothing of its own
+		w.daemons[0].kill() // the holder of the duties; the third daemon has counted nothing itself
 		time.Sleep(1500 * time.Millisecond)
 		fresh := w.restart(0)
-		w.daemons[2].Drain() // so that the restarted one is the only candidate
+		w.daemons[2].Drain() // only the restarted daemon may take over the duties
 		time.Sleep(10 * time.Second)
 		w.Equal(w.checkReports()[window], `{"shelter":7}`)
 		w.True(w.lastReporter() == fresh)
 	})
 }
 
-// A daemon that the others can't hear counts requests. The holder reports the
-// window without them, the answer is lost and the holder dies. Then the cut heals and
-// the successor knows more than was reported: it must repeat the report all the same.
+// Guards against a second report with other counts for one window. A daemon that the others
+// can't hear counts requests. The holder reports the window without them, the answer is lost,
+// and the holder dies. After the daemon is heard again, the successor knows more requests than
+// were reported, but must repeat the report unchanged.
 func TestReportIsRepeatedThoughMoreIsKnown(t *testing.T) {
 	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
@@ -158,7 +162,7 @@
 		}
 		window := accounting.Window(time.Now().UnixMilli() / 5000)
 		w.network.isolate("10.0.0.3:7600", true)
-		w.daemons[2].store.setFaults(true, false) // or it saves its counts, and the holder reads them
+		w.daemons[2].store.setFaults(true, false) // otherwise the daemon saves its counts, and the holder reads them
 		for range 5 {
 			w.Equal(w.ask(w.daemons[2], "/read/1", key).status, 200)
 			w.Equal(w.ask(w.daemons[1], "/read/1", key).status, 200)
--- a/daemon/edge/export_test.go
+++ b/daemon/edge/export_test.go
@@ -6,8 +6,8 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// PutInForceWhile reads a configuration at a revision and runs during in the middle of
-// putting it into force, when what others know of it is still the former one.
+// PutInForceWhile puts a configuration into force. It calls during, with e.mu held, before the
+// former configuration is replaced.
 func (e *Edge) PutInForceWhile(c route.Config, revision kv.Revision, during func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -16,7 +16,7 @@
 	e.putInForce(route.NewTable(c), revision)
 }
 
-// EngineRate is the tokens a second that a service's engines are taken to read.
+// EngineRate returns the estimated prompt tokens per second that a service's engines process.
 func (e *Edge) EngineRate(service string) float64 {
 	p := e.pool(service)
 	p.mu.Lock()
@@ -24,11 +24,11 @@
 	return p.engines.Rate()
 }
 
-// KnowsFleetWork tells whether the work of most of the fleet is known for long enough for
-// runners to be given back.
+// KnowsFleetWork reports whether the work of most of the fleet has been known for long enough
+// for runners to be given back.
 func (e *Edge) KnowsFleetWork() bool { return e.complete(e.deps.Steady(), knownFor) }
 
-// Leaving is the number of runners that the daemon knows to be leaving.
+// Leaving returns the number of runners that the daemon knows to be leaving.
 func (e *Edge) Leaving() int {
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
@@ -41,23 +41,23 @@
 	return n
 }
 
-// IsRelay tells whether the daemon takes itself for a relay.
+// IsRelay reports whether the daemon claims to be a relay.
 func (e *Edge) IsRelay() bool { return e.relaying.Load() }
 
-// Elects tells whether the daemon takes another one for a relay.
+// Elects reports whether the other daemon is a relay according to this daemon's election.
 func (e *Edge) Elects(other *Edge) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.elects(other.self)
 }
 
-// HoldsDuties tells whether the daemon holds the duties.
+// HoldsDuties reports whether the daemon holds the lease for calls to the cloud.
 func (e *Edge) HoldsDuties() bool { return e.duties.holder.Token() != 0 }
 
-// FleetSize is the number of daemons that the daemon counts on.
+// FleetSize returns the number of daemons by which the daemon divides shared budgets.
 func (e *Edge) FleetSize() int { return e.fleetSize() }
 
-// AlivePeers is the number of other daemons that the daemon takes to be alive.
+// AlivePeers returns the number of other daemons that the daemon considers alive.
 func (e *Edge) AlivePeers() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/daemon/edge/harness_test.go
+++ b/daemon/edge/harness_test.go
@@ -38,8 +38,8 @@
 	workspace    = ident.Workspace("shelter")
 )
 
-// testFleet is a fleet of daemons in virtual time before one key-value service,
-// runners and a cloud, all of them small fakes whose faults tests switch.
+// testFleet is a fleet of daemons in virtual time with one key-value service, runners and a
+// cloud. All of these are small fakes in which tests can switch on faults.
 type testFleet struct {
 	*is.I
 	t       *testing.T
@@ -49,30 +49,32 @@
 	runners *runners
 	cloud   *cloud
 	daemons []*daemon
-	// storeUnavailable lets daemons that are started from now on begin without the service.
+	// storeUnavailable starts daemons from now on without access to the key-value service.
 	storeUnavailable bool
-	// servedBefore lets them begin as ones of a fleet that has served before.
+	// servedBefore starts daemons from now on as members of a fleet that has served before.
 	servedBefore bool
-	// domains are the failure domains that daemons are in by turns; none is one for all.
+	// domains are the failure domains that daemons are assigned to in turn. If empty, all
+	// daemons are in one.
 	domains []ident.FailureDomain
-	// tolerance is by how much quotas may be exceeded.
+	// tolerance is the amount by which quotas may be exceeded.
 	tolerance quota.Tolerance
-	// directFleet is the number of daemons up to which they tell each other directly; zero is
-	// the program's own.
+	// directFleet is the number of daemons up to which all send to each other; zero is the
+	// program's default.
 	directFleet int
 }
 
 type daemon struct {
 	*edge.Edge
 	store *faultyStore
-	// address is where it takes datagrams.
+	// address is the daemon's peer address.
 	address string
 	cancel  context.CancelFunc
 	done    chan struct{}
 }
 
-// withFleet runs a test of n daemons that have read a configuration. Those of more than
-// relays.SmallFleet elect relays; inDirectFleet is for a fleet whose daemons need none.
+// withFleet runs a test with n daemons that have read a configuration. If n is greater than
+// relays.SmallFleet they elect relays; withDirectFleet starts a larger fleet in which every
+// daemon is a relay.
 func withFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &testFleet{I: is.New(t), t: t, start: time.Now(), store: kvserver.New(), network: newNetwork(), runners: newRunners(), cloud: &cloud{}, directFleet: relays.SmallFleet}
@@ -98,13 +100,13 @@
 	return d
 }
 
-// restart starts a daemon that was killed anew.
+// restart starts a daemon that was killed again, as a new incarnation.
 func (w *testFleet) restart(i int) *daemon {
 	w.daemons[i] = w.startDaemon(i)
 	return w.daemons[i]
 }
 
-// startDaemon starts the daemon of a place.
+// startDaemon starts the daemon with index i.
 func (w *testFleet) startDaemon(i int) *daemon {
 	address := fmt.Sprintf("10.0.0.%d:7600", i+1)
 	store := &faultyStore{Store: w.store, unavailable: w.storeUnavailable}
@@ -153,7 +155,7 @@
 	<-d.done
 }
 
-// put writes a key whatever stands there.
+// put writes a key regardless of its present value.
 func (w *testFleet) put(key string, value any) {
 	data, err := json.Marshal(value)
 	w.NoErr(err)
@@ -173,13 +175,15 @@
 	return r
 }
 
+// leaving marks a runner's entry as leaving.
 func (w *testFleet) leaving(id, service string) {
 	w.put(runnerPrefix+id, edge.Runner{Runner: view.Runner{
 		ID: ident.RunnerID(id), Address: id, Service: service, FailureDomain: "north", State: view.Leaving,
 	}, Slots: 8})
 }
 
-// config is a version with one workspace and a plain and an at-most-once route.
+// config returns a configuration with one workspace and four routes: idempotent, at-most-once,
+// a resumable stream and a stream that can't be resumed.
 func config(version uint64) route.Config {
 	return route.Config{
 		Version: ident.Generation(version),
@@ -196,7 +200,7 @@
 
 var lastRequestID atomic.Int64
 
-// ask sends a request to a daemon and returns what the caller got.
+// ask sends a request to a daemon and returns the caller's reply.
 func (w *testFleet) ask(d *daemon, path, callerKey string) *recordedReply {
 	return w.askWithin(context.Background(), d, path, callerKey, 0)
 }
@@ -210,7 +214,7 @@
 	return a
 }
 
-// recordedReply is what a caller got.
+// recordedReply is an edge.Reply that records what the caller received.
 type recordedReply struct {
 	refusal  *refusal.Refusal
 	status   int
@@ -232,7 +236,7 @@
 	return a.refusal.Reason
 }
 
-// jsonCodec reads what the tests write: the product's own types as JSON.
+// jsonCodec is an edge.Codec that reads the product's own types encoded as JSON.
 type jsonCodec struct{}
 
 func (jsonCodec) ConfigKey() string    { return configKey }
@@ -263,17 +267,19 @@
 	return statusPrefix + service, value, err
 }
 
-// orderStatus is what the operator reads.
+// orderStatus is the status of an order that the operator reads.
 type orderStatus struct {
 	Target canary.Version
 	State  canary.State
 }
 
-// faultyStore is one daemon's way to the service.
+// faultyStore is one daemon's access to the key-value service, in which tests can switch on
+// faults.
 type faultyStore struct {
 	kv.Store
 	mu sync.Mutex
-	// unavailable calls fail; missesEvents watches see no change though the revision moves on.
+	// unavailable makes calls fail. missesEvents makes watches return no events though the
+	// revision advances.
 	unavailable, missesEvents bool
 }
 
--- a/daemon/edge/message_size_test.go
+++ b/daemon/edge/message_size_test.go
@@ -9,7 +9,7 @@
 	"geraniumstack.org/geraniumstack/state/route"
 )
 
-// manyWorkspaces is a configuration with n workspaces, each with a key of its own.
+// manyWorkspaces returns a configuration with n workspaces, each with its own key.
 func manyWorkspaces(n int) route.Config {
 	c := config(1)
 	c.Workspaces = nil
@@ -22,14 +22,13 @@
 	return c
 }
 
-// A user rolls a new version out: all daemons of a fleet are restarted one after
-// the other while they serve. Every daemon told every other what all those that had
-// ended had counted, so messages grew with the number of restarts; on a larger fleet
-// they filled the VMs' links and requests came late for as long as that went on.
-// Messages must stay small, and no counted request may be lost all the same.
+// Guards against messages that grow with the number of restarts, for example in the rollout of
+// a new version. Every daemon sent every other one the counts of all ended daemons in each
+// message; in larger fleets this filled the VMs' links and delayed requests for as long as the
+// rollout went on. Messages must stay small, and no counted request may be lost.
 //
-// Largest message of this test: 17,763 bytes when all were told in each message,
-// 2,531 by turns.
+// The largest message of this test was 17,763 bytes with the counts of all ended daemons in
+// each message, and is 2,531 bytes with those of one in rotation.
 func TestMessagesStaySmallThroughRestarts(t *testing.T) {
 	const (
 		daemons    = 12
@@ -56,7 +55,7 @@
 	})
 }
 
-// askEachWorkspace sends one request of each workspace.
+// askEachWorkspace sends one request of each workspace to a daemon and checks that it succeeds.
 func (w *testFleet) askEachWorkspace(d *daemon, workspaces int) {
 	for i := range workspaces {
 		a := w.ask(d, "/read/", fmt.Sprintf("key-%d", i))
--- a/daemon/edge/network_test.go
+++ b/daemon/edge/network_test.go
@@ -7,31 +7,31 @@
 	"sync"
 )
 
-// network carries datagrams between daemons.
+// network is a fake that carries datagrams between daemons.
 type network struct {
 	mu       sync.Mutex
 	sockets  map[string]*fakeSocket
 	isolated map[string]bool
-	// partitioned are pairs of addresses that don't reach each other.
+	// partitioned holds the pairs of addresses between which messages are lost.
 	partitioned map[[2]string]bool
-	// lossRate is the share of messages that are lost, drawn by luck.
+	// lossRate is the fraction of messages that are lost, drawn with rng.
 	lossRate float64
 	rng      *rand.Rand
-	// largestMessage is the size of the largest message so far, messageCount the number of all, bytes their
-	// sizes.
+	// largestMessage is the size of the largest message so far, messageCount the number of
+	// messages, and bytes the sum of their sizes.
 	largestMessage, messageCount, bytes int
-	// onMessage is shown each message that is sent; nil is nobody.
+	// onMessage is called with each message sent, unless it is nil.
 	onMessage func(message []byte)
 }
 
-// observe shows each message from now on; nil ends that.
+// observe sets the function that is called with each message; nil removes it.
 func (n *network) observe(onMessage func(message []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onMessage = onMessage
 }
 
-// traffic is the number of messages so far and their bytes.
+// traffic returns the number of messages so far and the sum of their sizes.
 func (n *network) traffic() (messages, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -54,19 +54,19 @@
 	n.isolated[address] = isolated
 }
 
-// setLossRate has a share of all messages be lost from now on.
+// setLossRate sets the fraction of messages that are lost from now on.
 func (n *network) setLossRate(share float64, rng *rand.Rand) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lossRate, n.rng = share, rng
 }
 
-// isDropped tells whether a message does not arrive; called with mu held.
+// isDropped reports whether a message is lost. The caller must hold n.mu.
 func (n *network) isDropped(from, to string) bool {
 	return n.isolated[from] || n.isolated[to] || n.partitioned[[2]string{from, to}] || n.lossRate > 0 && n.rng.Float64() < n.lossRate
 }
 
-// partition cuts two addresses off from each other.
+// partition blocks the messages between two addresses, or lets them pass again.
 func (n *network) partition(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 	select {
 	case box.incoming <- bytes.Clone(p):
-	default: // a full socket drops what comes
+	default: // a full socket drops messages
 	}
 	return len(p), nil
 }
--- a/daemon/edge/relay_election_test.go
+++ b/daemon/edge/relay_election_test.go
@@ -13,16 +13,16 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// settleTime is the time in which the daemons of a fleet that hear each other agree on
-// their relays.
+// settleTime is the time within which daemons that hear each other agree on their relays.
 const settleTime = 4 * time.Second
 
-// relayCount counts the daemons that take themselves for relayCount.
+// relayCount returns the number of daemons that claim to be relays.
 func (w *testFleet) relayCount() int {
 	return w.countDaemons(func(d *daemon) bool { return d.IsRelay() })
 }
 
-// cutOffFromDomain cuts a daemon off from all others of its failure domain.
+// cutOffFromDomain blocks the messages between a daemon and the others of its failure domain,
+// or lets them pass again.
 func (w *testFleet) cutOffFromDomain(i int, cut bool) {
 	for other := i % largeDomains; other < len(w.daemons); other += largeDomains {
 		if other != i {
@@ -31,8 +31,8 @@
 	}
 }
 
-// waitUntilRelay waits until a daemon that reaches none of those it could follow takes itself
-// for a relay.
+// waitUntilRelay waits until a daemon that reaches no other one of its failure domain claims to
+// be a relay.
 func (w *testFleet) waitUntilRelay(i int) {
 	const within = 10 * time.Second
 	time.Sleep(3 * time.Second)
@@ -47,8 +47,8 @@
 
 func peerAddress(i int) string { return fmt.Sprintf("10.0.0.%d:7600", i+1) }
 
-// Guards against a daemon that gives out a whole quota beside the relays, since it hears
-// some of them but none of its own failure domain and takes itself for one.
+// Guards against quota granted beyond the relays' shares by a daemon that wrongly claims to be
+// a relay, because it hears some relays but no daemon of its own failure domain.
 func TestMistakenRelayGivesOutNoQuota(t *testing.T) {
 	const (
 		daemons, last              = 60, 59
@@ -68,14 +68,15 @@
 		l.run(window+2*time.Second, anyDaemon)
 		for ws := range workspaces {
 			most := l.maxTokensIn(ws, window)
-			t.Logf("most in a window: %.0f of %.0f", most, tolerated)
+			t.Logf("most tokens in a window: %.0f, tolerated: %.0f", most, tolerated)
 			w.True(most <= tolerated)
 		}
 	})
 }
 
-// Guards against a daemon that stays a relay whom no other one counts after it has lost its
-// failure domain for a while: its own callers are refused, and it watches the service.
+// Guards against a daemon that keeps claiming to be a relay, though no other daemon elects it,
+// after it was cut off from its failure domain for a while. Its callers would be refused, and
+// it would watch the key-value service.
 func TestMistakenRelayFindsItsPlace(t *testing.T) {
 	const daemons, last = 60, 59
 	withRelayFleet(t, daemons, config(1), func(w *testFleet) {
@@ -95,8 +96,8 @@
 	})
 }
 
-// Guards against relays whom no other one counts and that stay so when the messages of a
-// fleet's start were lost.
+// Guards against daemons that keep claiming to be relays, though no other daemon elects them,
+// after messages were lost while the fleet started.
 func TestLossyStartLeavesNoMistakenRelay(t *testing.T) {
 	const loss, lossyFor = 0.4, 3 * time.Second
 	for seed := range uint64(2) {
@@ -117,8 +118,8 @@
 	}
 }
 
-// Guards against relays that share out a quota without counting each other, since they have
-// not heard of each other for so long that they forgot their addresses.
+// Guards against relays that share a quota without counting each other, because they were
+// partitioned for so long that they dropped each other's addresses.
 func TestRelaysThatLostEachOtherMeetAgain(t *testing.T) {
 	const (
 		daemons, partitionedFor = 60, peers.ForgetAfter + 5*time.Second
@@ -140,7 +141,7 @@
 		l := newPromptLoad(w, cost, []float64{perSecond * 6})
 		l.run(window+2*time.Second, anyDaemon)
 		most := l.maxTokensIn(0, window)
-		t.Logf("most in a window: %.0f of %.0f", most, tolerated)
+		t.Logf("most tokens in a window: %.0f, tolerated: %.0f", most, tolerated)
 		w.True(most <= tolerated)
 		for _, p := range pairs {
 			w.True(w.daemons[p[0]].Elects(w.daemons[p[1]].Edge))
@@ -149,7 +150,7 @@
 	})
 }
 
-// relayPairs are pairs of different failure domains, each relay in one.
+// relayPairs groups the relays in pairs of different failure domains, each relay in one pair.
 func (w *testFleet) relayPairs() [][2]int {
 	var all []int
 	for i, d := range w.daemons {
@@ -166,8 +167,8 @@
 	return pairs
 }
 
-// Guards against two halves of a fleet that each go on giving out whole quotas after a cut
-// between them that lasted until they had forgotten each other's addresses.
+// Guards against two halves of a fleet that each keep granting whole quotas after a partition
+// that lasted until they dropped each other's addresses.
 func TestHalvesOfAFleetMeetAgain(t *testing.T) {
 	const daemons, partitionedFor = 30, peers.ForgetAfter + 10*time.Second
 	withRelayFleet(t, daemons, config(1), func(w *testFleet) {
@@ -185,7 +186,8 @@
 	})
 }
 
-// partitionHalves cuts half of the failure domains off from the others.
+// partitionHalves blocks the messages between the two halves of the failure domains, or lets
+// them pass again.
 func (w *testFleet) partitionHalves(cut bool) {
 	for i := range w.daemons {
 		for j := range w.daemons {
@@ -196,8 +198,8 @@
 	}
 }
 
-// Guards against a fleet that goes on dividing its retries and quotas by the number of daemons
-// that it once had.
+// Guards against retry budgets and quotas that stay divided by the number of daemons that a
+// fleet once had.
 func TestShrunkenFleetIsCountedAsSmaller(t *testing.T) {
 	const daemons, left = 24, 12
 	withRelayFleet(t, daemons, config(1), func(w *testFleet) {
@@ -211,19 +213,19 @@
 	})
 }
 
-// Guards against callers who are refused while a fleet grows beyond the size at which every
-// daemon tells every other: a daemon must not wait for its first election then.
+// Guards against refused callers while a fleet outgrows the size up to which every daemon sends
+// to every other one: a daemon must not wait for its first election then.
 func TestSmallFleetGrowsUnderLoad(t *testing.T) {
 	growUnderLoad(t, 10)
 }
 
-// Guards against callers who are refused for as long as the daemons of a fleet that grows don't
-// know of each other who shares quotas from now on.
+// Guards against refused callers while a direct fleet grows and its daemons don't know yet
+// which of them share the quotas from then on.
 func TestDirectFleetGrowsUnderLoad(t *testing.T) {
 	growUnderLoad(t, relays.DirectFleet)
 }
 
-// growUnderLoad has some daemons join and checks that no caller is refused.
+// growUnderLoad adds daemons to a fleet under load and checks that no caller is refused.
 func growUnderLoad(t *testing.T, daemons int) {
 	const joining, perSecond, cost = 6, 300_000.0, 17_000
 	withSettledFleet(t, daemons, daemons, promptWorkspaces(4, perSecond, cost), func(w *testFleet) {
@@ -241,9 +243,9 @@
 	})
 }
 
-// Guards against relays that never learn who follows the others, once there are so many of
-// them that each is told more seldom: their daemons then know a part of the fleet only, and
-// many take themselves for relays.
+// Guards against relays that never learn of other relays' followers once there are so many
+// relays that each is sent messages less often. Their daemons would know only a part of the
+// fleet, and many would claim to be relays.
 func TestManyRelaysKnowTheWholeFleet(t *testing.T) {
 	const daemons, domains, relaysOfADomain = 60, 12, 2
 	withFleet(t, 0, config(1), func(w *testFleet) {
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -17,8 +17,8 @@
 	"geraniumstack.org/geraniumstack/state/route"
 )
 
-// A fleet of this many daemons over as many failure domains told each other everything
-// in that many messages a second.
+// allToAllMessages is the number of messages per second of a fleet of largeFleet daemons in
+// which every daemon sends to every other one five times a second.
 const (
 	largeFleet       = 119
 	largeDomains     = 6
@@ -26,21 +26,24 @@
 	largeWorkspaces  = 40
 )
 
-// fleetRunner runs a test of n daemons in a fleet of a kind.
+// fleetRunner runs a test with n daemons in one kind of fleet: one of relays and followers, or
+// a direct one.
 type fleetRunner func(t *testing.T, n int, c route.Config, f func(w *testFleet))
 
-// withRelayFleet runs a test of n daemons over the failure domains that have found their
-// relays.
+// withRelayFleet runs a test with n daemons that have elected relays.
 func withRelayFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
 	withSettledFleet(t, n, relays.SmallFleet, c, f)
 }
 
-// withDirectFleet runs a test of n daemons over the failure domains that tell each other
-// directly if that is the program's own way for so many.
+// withDirectFleet runs a test with n daemons that all send to each other if n is at most
+// relays.DirectFleet, the default limit.
 func withDirectFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
 	withSettledFleet(t, n, relays.DirectFleet, c, f)
 }
 
+// withSettledFleet runs a test with n daemons spread over largeDomains failure domains, after
+// they have found each other. direct is the number of daemons up to which all send to each
+// other.
 func withSettledFleet(t *testing.T, n, direct int, c route.Config, f func(w *testFleet)) {
 	withFleet(t, 0, c, func(w *testFleet) {
 		w.directFleet = direct
@@ -54,14 +57,15 @@
 	})
 }
 
-// spreadOverDomains has the daemons that are started from now on be in the failure domains by turns.
+// spreadOverDomains assigns the daemons started from now on to largeDomains failure domains in
+// turn.
 func (w *testFleet) spreadOverDomains() {
 	for i := range largeDomains {
 		w.domains = append(w.domains, ident.FailureDomain(fmt.Sprintf("domain-%d", i)))
 	}
 }
 
-// countDaemons counts the daemons of which something is true.
+// countDaemons returns the number of daemons that match a predicate.
 func (w *testFleet) countDaemons(matches func(d *daemon) bool) int {
 	n := 0
 	for _, d := range w.daemons {
@@ -72,7 +76,7 @@
 	return n
 }
 
-// Guards against messages that grow with the square of the fleet.
+// Guards against message rates that grow with the square of the fleet's size.
 func TestMessagesOfALargeFleetAreFew(t *testing.T) {
 	withRelayFleet(t, largeFleet, manyWorkspaces(largeWorkspaces), func(w *testFleet) {
 		w.addRunner("r1", "app")
@@ -86,7 +90,8 @@
 	})
 }
 
-// Guards against a fleet whose watches are all answered by each change.
+// Guards against calls to the key-value service that grow with the fleet's size because each
+// change completes the watches of all daemons.
 func TestStoreCallsOfALargeFleetAreFew(t *testing.T) {
 	withRelayFleet(t, largeFleet, config(1), func(w *testFleet) {
 		w.store.ResetCalls()
@@ -97,7 +102,7 @@
 		}
 		calls := w.store.Calls()
 		t.Logf("calls: %v", calls)
-		// When every daemon watched, each made one and a quarter a second.
+		// With a watch in every daemon, each made 1.25 calls per second.
 		w.True(float64(calls[kvserver.CallWatch]) <= largeFleet*1.25*changes*every.Seconds()/10)
 		w.True(calls[kvserver.CallList] == 0)
 		for _, d := range w.daemons {
@@ -106,7 +111,8 @@
 	})
 }
 
-// Guards against followers that go on sending requests to a runner that has given notice.
+// Guards against followers that keep sending requests to a runner that has given notice that it
+// leaves.
 func TestFollowersHearOfLeavingRunners(t *testing.T) {
 	withRelayFleet(t, 40, config(1), func(w *testFleet) {
 		leavingRunner := w.addRunner("going", "app")
@@ -122,8 +128,9 @@
 	})
 }
 
-// Guards against notices that don't reach daemons in time when thousands of runners leave at
-// once: messages that hold them all don't fit into a datagram, and daemons fall silent.
+// Guards against notices that reach daemons late when thousands of runners leave at once.
+// Messages that list all of them exceed the datagram size, so they are not sent and daemons go
+// silent.
 func TestThousandsOfRunnersLeave(t *testing.T) {
 	const daemons, runners, leaving = 119, 3000, 2500
 	withRelayFleet(t, daemons, promptWorkspaces(4, 300_000, 17_000), func(w *testFleet) {
@@ -145,13 +152,13 @@
 	})
 }
 
-// Guards against keys that go on working at a daemon that is cut off from its relays and
-// the service.
+// Guards against revoked keys that still work at a daemon that reaches neither its relays nor
+// the key-value service.
 func TestRevokedKeyAtCutOffFollower(t *testing.T) {
 	withRelayFleet(t, 40, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(2 * time.Second)
-		const last = 39 // the youngest is no relay
+		const last = 39 // the daemon started last is no relay
 		d := w.daemons[last]
 		d.store.setFaults(true, false)
 		w.network.isolate(fmt.Sprintf("10.0.0.%d:7600", last+1), true)
@@ -167,18 +174,18 @@
 	})
 }
 
-// promptLoad is callers of many workspaces who send long prompts to all daemons.
+// promptLoad simulates callers of many workspaces who send long prompts to all daemons.
 type promptLoad struct {
 	w    *testFleet
 	cost int
-	// perSecond is the tokens a second of each workspace.
+	// perSecond is the number of tokens per second that each workspace sends.
 	perSecond []float64
 
 	mu      sync.Mutex
 	asked   []int
 	refused []int
 	reasons map[refusal.Reason]int
-	// servedTokens are the tokens of each workspace that were served in each tenth of a second.
+	// servedTokens holds the tokens served to each workspace in each loadStep.
 	servedTokens [][]float64
 }
 
@@ -192,7 +199,7 @@
 	}
 }
 
-// run sends for a while; daemons that serve nothing are left out, as callers do.
+// run sends requests for a while to the daemons for which serves returns true.
 func (l *promptLoad) run(span time.Duration, serves func(i int) bool) {
 	var wg sync.WaitGroup
 	due := make([]float64, len(l.perSecond))
@@ -231,7 +238,7 @@
 	l.servedTokens[ws][slot] += float64(l.cost)
 }
 
-// maxTokensIn is the most tokens of a workspace in any span.
+// maxTokensIn returns the most tokens served to a workspace in any period of the given length.
 func (l *promptLoad) maxTokensIn(ws int, span time.Duration) float64 {
 	most := 0.0
 	n := int(span / loadStep)
@@ -245,7 +252,7 @@
 	return most
 }
 
-// totals is the requests of all workspaces, and those of them that were refused.
+// totals returns the number of requests of all workspaces and how many of them were refused.
 func (l *promptLoad) totals() (asked, refused int) {
 	for ws := range l.perSecond {
 		asked, refused = asked+l.asked[ws], refused+l.refused[ws]
@@ -253,7 +260,7 @@
 	return asked, refused
 }
 
-// addRunners adds as many runners as nobody waits for.
+// addRunners adds n runners and waits until the daemons know them.
 func (w *testFleet) addRunners(n int) {
 	for i := range n {
 		w.addRunner(fmt.Sprintf("r%d", i), "app")
@@ -261,7 +268,7 @@
 	time.Sleep(2 * time.Second)
 }
 
-// promptWorkspaces have a quota in tokens; their callers send two thirds of it.
+// promptWorkspaces returns a configuration with n workspaces whose quotas count tokens.
 func promptWorkspaces(n int, perSecond, cost float64) route.Config {
 	c := manyWorkspaces(n)
 	for i := range c.Workspaces {
@@ -272,8 +279,9 @@
 
 func anyDaemon(int) bool { return true }
 
-// Guards against refusals of callers who stay within their limit, where a daemon's part
-// of it is smaller than one prompt, and against floods that exceed it over many daemons.
+// Guards against refusals of callers who stay within their quota while a single daemon's share
+// of it is smaller than one prompt, and against callers who exceed their quota by spreading
+// requests over many daemons.
 func TestPromptsWithinTheLimitOfALargeFleet(t *testing.T) {
 	const (
 		perSecond, cost = 300_000.0, 17_000
@@ -296,7 +304,7 @@
 			most := l.maxTokensIn(ws, 8*time.Second)
 			w.True(most <= tolerated)
 			if ws < floods {
-				t.Logf("flood: most in a window %.0f of %.0f", most, tolerated)
+				t.Logf("flood: most tokens in a window: %.0f, tolerated: %.0f", most, tolerated)
 				w.True(most >= perSecond*8)
 				continue
 			}
@@ -307,15 +315,15 @@
 	})
 }
 
-// Guards against callers who are refused for long when relays end: all those of a failure
-// domain are killed, while their followers go on.
+// Guards against callers who are refused for long after relays end. All relays of one failure
+// domain are killed while their followers keep running.
 func TestRelaysAreKilled(t *testing.T) {
 	const perSecond, cost = 300_000.0, 17_000
 	withRelayFleet(t, 60, promptWorkspaces(10, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
 		rates := slices.Repeat([]float64{perSecond * 0.5}, 10)
 		var dead [60]atomic.Bool
-		// The oldest daemons of the first failure domain are its relays.
+		// The daemons of the first failure domain that have run for longest are its relays.
 		for _, i := range []int{0, 6} {
 			dead[i].Store(true)
 			w.daemons[i].kill()
@@ -324,7 +332,7 @@
 		l.run(4*time.Second, func(i int) bool { return !dead[i].Load() })
 		asked, refused := l.totals()
 		t.Logf("%d refused of %d: %v", refused, asked, l.reasons)
-		// A sixth of the daemons has no relay for less than a second and a half of four.
+		// A sixth of the daemons has no relay for less than 1.5 of the 4 seconds.
 		w.True(refused*6*4 <= asked*3/2)
 		l = newPromptLoad(w, cost, rates)
 		l.run(4*time.Second, func(i int) bool { return !dead[i].Load() })
@@ -334,8 +342,8 @@
 	})
 }
 
-// Guards against newcomers that take callers before they can serve them, and against
-// daemons that refuse while three quarters more come.
+// Guards against new daemons that accept callers before they can serve them, and against
+// refusals by the running daemons while the fleet grows by three quarters.
 func TestManyDaemonsJoin(t *testing.T) {
 	const perSecond, cost = 300_000.0, 17_000
 	withRelayFleet(t, 40, promptWorkspaces(10, perSecond, cost), func(w *testFleet) {
@@ -357,8 +365,8 @@
 	})
 }
 
-// Guards against callers within their limit who are refused while a fleet is rolled: each
-// daemon is told to stop and starts anew, one a second, the relays first of all.
+// Guards against refusals of callers within their quota during a rolling restart. The daemons
+// are drained, stopped and restarted one per second, relays first.
 func TestRollingRestartOfLargeFleet(t *testing.T) {
 	const daemons, perSecond, cost = 60, 300_000.0, 17_000
 	withRelayFleet(t, daemons, promptWorkspaces(10, perSecond, cost), func(w *testFleet) {
@@ -392,8 +400,8 @@
 	})
 }
 
-// Guards against callers who are refused for long after all daemons of a fleet were killed
-// at once and started anew.
+// Guards against callers who are refused for long after all daemons of a fleet with relays were
+// killed at once and restarted.
 func TestFleetIsKilledAtOnce(t *testing.T) {
 	const daemons, perSecond, cost = 60, 300_000.0, 17_000
 	withRelayFleet(t, daemons, promptWorkspaces(10, perSecond, cost), func(w *testFleet) {
@@ -426,8 +434,8 @@
 	})
 }
 
-// Guards against callers who are refused in the seconds after all daemons of a fleet were
-// killed, since the few that give out quotas have to find each other first.
+// Guards against refused callers in the first seconds after all daemons of a direct fleet were
+// killed and restarted, while the daemons that grant quota have yet to find each other.
 func TestDirectFleetIsKilledAtOnce(t *testing.T) {
 	const daemons, workspaces, perSecond, cost = 33, 16, 100_000.0, 17_000
 	withDirectFleet(t, daemons, promptWorkspaces(workspaces, perSecond, cost), func(w *testFleet) {
@@ -448,25 +456,25 @@
 	})
 }
 
-// Guards against calls to the key-value service that grow with a fleet whose daemons tell each
-// other everything themselves: only some of them watch.
+// Guards against calls to the key-value service that grow with the size of a direct fleet. Only
+// one daemon of each failure domain may watch it.
 func TestStoreCallsOfADirectFleetAreFew(t *testing.T) {
 	const span = 10 * time.Second
 	withDirectFleet(t, 33, config(1), func(w *testFleet) {
 		w.store.ResetCalls()
 		time.Sleep(span)
-		// One in half a second by each failure domain's, and none beside.
+		// Each failure domain makes one call every half second, and no other calls are made.
 		w.True(int(w.store.Calls()[kvserver.CallWatch]) <= largeDomains*int(2*span.Seconds())+largeDomains)
 	})
 }
 
-// daemonsKnowingWork counts the daemons that know the work of most of the fleet.
+// daemonsKnowingWork returns the number of daemons that know the work of most of the fleet.
 func (w *testFleet) daemonsKnowingWork() int {
 	return w.countDaemons(func(d *daemon) bool { return d.KnowsFleetWork() })
 }
 
 // Guards against a holder of the duties that gives most runners back right after all daemons
-// have started anew, since it knows of its own callers only.
+// were restarted, when it knows only its own callers' work.
 func TestFleetWorkIsUnknownAfterFullRestart(t *testing.T) {
 	withRelayFleet(t, 24, config(1), func(w *testFleet) {
 		time.Sleep(8 * time.Second)
@@ -478,7 +486,8 @@
 		for i := range w.daemons {
 			w.restart(i)
 		}
-		// Until its first look at the others a daemon is alone; nobody holds the duties then.
+		// Until its first round a daemon believes that it is alone in the fleet, so it knows
+		// all work there is. No daemon holds the duties then.
 		time.Sleep(500 * time.Millisecond)
 		for range 35 {
 			w.Equal(w.daemonsKnowingWork(), 0)
--- a/daemon/edge/restarts_test.go
+++ b/daemon/edge/restarts_test.go
@@ -10,8 +10,8 @@
 	peersv1 "geraniumstack.org/geraniumstack/gen/geranium/peers/v1"
 )
 
-// restartOneByOne kills the first daemons one after the other and starts them anew, while all are
-// asked.
+// restartOneByOne kills and restarts the first daemons one after the other. Before each kill
+// every daemon serves a request of each workspace.
 func (w *testFleet) restartOneByOne(daemons, workspaces int) {
 	w.servedBefore = true
 	for i := range daemons {
@@ -25,8 +25,9 @@
 	}
 }
 
-// Guards against messages that grow with the restarts of a fleet, and counts that are lost by
-// them, where the program's own choice is that relays pass the counts on.
+// Guards against messages that grow with the number of restarts in a fleet, and against counts
+// lost by the restarts, while relays pass the counts on. The fleet size at which relays are
+// used is the program's default.
 func TestMessagesStaySmallThroughRestartsOfALargeFleet(t *testing.T) {
 	const (
 		daemons    = 40
@@ -46,8 +47,8 @@
 	})
 }
 
-// Guards against messages that grow with the number of daemons that have ended: each tells the
-// counts of one of them.
+// Guards against messages that grow with the number of daemons that have ended: each message
+// carries the counts of one of them at most.
 func TestMessagesTellOfOneEndedDaemon(t *testing.T) {
 	const daemons, workspaces = 12, 2
 	for name, direct := range map[string]int{"relays": relays.SmallFleet, "direct": relays.DirectFleet} {
@@ -66,7 +67,8 @@
 	}
 }
 
-// endedDaemonsIn counts the daemons of a message that it tells the counts of without hearing them.
+// endedDaemonsIn returns the number of ended daemons whose counts a message carries. Counts of
+// the sender's own followers are not included.
 func endedDaemonsIn(message []byte) int {
 	var d peersv1.Datagram
 	if err := proto.Unmarshal(message, &d); err != nil {
--- a/daemon/edge/serial_failures_test.go
+++ b/daemon/edge/serial_failures_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// withSerialFailures plays a fleet of twelve whose four relays end one after the other while all
-// are asked, at as many offsets to the windows of usage. spareHolder
-// leaves the second holder of the duties: a window is lost whole when several end before one
-// can report it. look is called every loadStep, after at the end with the number of requests
-// that were served.
+// withSerialFailures runs a fleet of twelve daemons whose four relays are killed one after the
+// other while all daemons serve requests, once for each offset from the start of a usage
+// window. keepSecondHolder spares the daemon that takes over the duties: if several holders end
+// before one can report a window, the window is lost. check is called every loadStep, after at
+// the end with the number of requests served.
 func withSerialFailures(t *testing.T, offsets int, keepSecondHolder bool, check func(w *testFleet), after func(w *testFleet, served int64)) {
 	const (
 		daemons, workspaces = 12, 2
@@ -42,7 +42,7 @@
 	}
 }
 
-// anotherDaemonHoldsDuties tells whether a daemon other than one holds the duties.
+// anotherDaemonHoldsDuties reports whether a daemon other than the given one holds the duties.
 func (w *testFleet) anotherDaemonHoldsDuties(i int) bool {
 	for j, d := range w.daemons {
 		if j != i && !d.stopped() && d.HoldsDuties() {
@@ -68,8 +68,9 @@
 	}
 }
 
-// Guards against a daemon that reports its own counts as those of all: it took itself for the
-// only relay when the holder of the duties had ended, and went on holding them as a follower.
+// Guards against a daemon that reports its own counts as those of the whole fleet. After the
+// holder of the duties had ended, such a daemon considered itself the only relay, took over the
+// duties, and kept them as a follower.
 func TestFollowerHoldsNoDuties(t *testing.T) {
 	const offsets, atMost = 20, time.Second
 	held := time.Duration(0)
@@ -86,8 +87,8 @@
 	})
 }
 
-// Guards against usage that is lost though a daemon that lives knows of it: a relay that has
-// just become one reports before the followers of those that ended are told to it.
+// Guards against the loss of usage that a running daemon knows of. A new relay reported a
+// window before it had received the counts of the ended relays' followers.
 func TestCountsOutliveRelaysThatEndInSeries(t *testing.T) {
 	const offsets = 20
 	withSerialFailures(t, offsets, true, func(*testFleet) {}, func(w *testFleet, served int64) {
--- a/daemon/edge/usage_load_test.go
+++ b/daemon/edge/usage_load_test.go
@@ -8,7 +8,7 @@
 	"geraniumstack.org/geraniumstack/coordination/accounting"
 )
 
-// isolateAndKill ends a daemon that can't give anything back.
+// isolateAndKill ends a daemon without any message or write, as after a power failure.
 func (w *testFleet) isolateAndKill(d *daemon) {
 	d.store.setFaults(true, false)
 	w.network.isolate(d.address, true)
@@ -16,13 +16,14 @@
 	w.network.isolate(d.address, false)
 }
 
-// servedLoad is callers of all daemons, with what was served of each window.
+// servedLoad simulates callers of all daemons and counts the requests served in each usage
+// window.
 type servedLoad struct {
 	w          *testFleet
 	workspaces int
 	asked      int
 	served     map[accounting.Window]int64
-	// servedRequests are when requests were served.
+	// servedRequests lists the time and window of each request served.
 	servedRequests []served
 }
 
@@ -37,7 +38,7 @@
 
 const (
 	usageWindow = 5 * time.Second
-	// usageTolerance is the part by which the counts of a window may be off.
+	// usageTolerance is the fraction by which the reported count of a window may deviate.
 	usageTolerance = 0.05
 )
 
@@ -45,7 +46,7 @@
 	return accounting.Window(time.Now().UnixMilli() / usageWindow.Milliseconds())
 }
 
-// run asks one daemon after the other, each step some.
+// run sends requests to the daemons in turn for a while.
 func (l *servedLoad) run(span time.Duration) {
 	const step, requests = 50 * time.Millisecond, 3
 	for range int(span / step) {
@@ -65,7 +66,7 @@
 	}
 }
 
-// servedSince counts the requests of a window that were served after a time.
+// servedSince returns the number of a window's requests that were served at a time or later.
 func (l *servedLoad) servedSince(at time.Duration, window accounting.Window) int64 {
 	n := int64(0)
 	for _, s := range l.servedRequests {
@@ -76,12 +77,12 @@
 	return n
 }
 
-// holderIndex is the place of the daemon that holds the duties; negative is none.
+// holderIndex returns the index of the daemon that holds the duties, or -1.
 func (w *testFleet) holderIndex() int {
 	return slices.IndexFunc(w.daemons, func(d *daemon) bool { return !d.stopped() && d.HoldsDuties() })
 }
 
-// crashAndRestartAll ends all daemons at once and starts them anew.
+// crashAndRestartAll ends all daemons at once, without any message or write, and restarts them.
 func (w *testFleet) crashAndRestartAll() {
 	w.servedBefore = true
 	for _, d := range w.daemons {
@@ -94,7 +95,7 @@
 	}
 }
 
-// reportedByWindow adds up the requests of each window.
+// reportedByWindow returns the number of requests reported for each window.
 func (w *testFleet) reportedByWindow() map[accounting.Window]int64 {
 	by := map[accounting.Window]int64{}
 	for _, r := range w.cloud.received() {
--- a/daemon/edge/usage_saved_test.go
+++ b/daemon/edge/usage_saved_test.go
@@ -10,14 +10,16 @@
 	"geraniumstack.org/geraniumstack/coordination/relays"
 )
 
-// Guards against usage that is lost since all daemons end together and only they know it, also
-// where the holder of the duties, which saves it, has ended a moment before.
+// Guards against usage that is lost when all daemons end at once, since only they know it. The
+// holder of the duties, which saves the counts, ends together with the others or a moment
+// before them.
 func TestUsageOutlivesAnEndOfAll(t *testing.T) {
 	const (
 		daemons, workspaces = 12, 4
 		offsets             = 10
-		// What was served in that time before the end may be lost: until it is told to the
-		// daemon that saves it, until that saves next, and until another one does.
+		// Requests served within this time before the end may be lost: the time until the
+		// daemon that saves counts has received theirs (direct or through relays), until it
+		// saves next, and until its successor saves instead.
 		direct, relayed, successor = 1600 * time.Millisecond, 3 * time.Second, 1600 * time.Millisecond
 	)
 	for name, fleet := range map[string]struct {
@@ -62,8 +64,8 @@
 	}
 }
 
-// Guards against windows that were saved and are not reported, since all daemons end once more
-// before one of them can.
+// Guards against saved windows that are never reported, because all daemons end a second time
+// before one of them can report.
 func TestUsageOutlivesTwoEndsOfAll(t *testing.T) {
 	const (
 		daemons, workspaces = 12, 4
@@ -91,8 +93,8 @@
 	}
 }
 
-// Guards against a window that is reported while a daemon that was heard a moment before can't
-// tell what it counted: in a fleet that tells each other directly nobody waits for it.
+// Guards against a window that is reported without the counts of a daemon that was heard a
+// moment before and is cut off for a short time. In a direct fleet no daemon waited for it.
 func TestWindowWaitsForADaemonThatIsCutOff(t *testing.T) {
 	const daemons, requests, cutFor = 12, 10, 2 * time.Second
 	withDirectFleet(t, daemons, manyWorkspaces(1), func(w *testFleet) {
@@ -112,9 +114,9 @@
 	})
 }
 
-var seriesOffsets = flag.Int("series-offsets", 2, "offsets to the windows of usage at which daemons end in series")
+var seriesOffsets = flag.Int("series-offsets", 2, "number of offsets from the start of a usage window at which the series of daemon failures begins")
 
-// victimSelectors choose which daemon of a series ends next.
+// victimSelectors choose the daemon that a series kills next.
 var victimSelectors = map[string]func(w *testFleet, i int, rng *rand.Rand) int{
 	"in order": func(w *testFleet, i int, _ *rand.Rand) int { return i % len(w.daemons) },
 	"relays": func(w *testFleet, i int, rng *rand.Rand) int {
@@ -123,8 +125,8 @@
 	"holders": func(w *testFleet, _ int, _ *rand.Rand) int { return w.waitForHolder(2 * time.Second) },
 }
 
-// waitForHolder waits until a daemon has held the duties for so long: for the first second it may
-// not act.
+// waitForHolder waits until one daemon has held the duties for the given time, and returns its
+// index. A new holder may not act during its first second.
 func (w *testFleet) waitForHolder(span time.Duration) int {
 	holder, since := -1, w.steady()
 	for holder < 0 || w.steady()-since < span {
@@ -137,7 +139,8 @@
 	return holder
 }
 
-// pickDaemon draws a daemon of a kind, or else one in order.
+// pickDaemon returns the index of a random daemon that matches, or that of the next daemon in
+// order if none does.
 func (w *testFleet) pickDaemon(i int, rng *rand.Rand, matches func(d *daemon) bool) int {
 	for _, k := range rng.Perm(len(w.daemons)) {
 		if matches(w.daemons[k]) {
@@ -147,12 +150,12 @@
 	return i % len(w.daemons)
 }
 
-// killOneByOne has daemons end one after the other while all are asked, from an offset to the
-// windows of usage on.
+// killOneByOne kills and restarts daemons one after the other while all of them serve requests.
+// offset shifts the start within a usage window.
 func (l *servedLoad) killOneByOne(ends int, spacing time.Duration, offset int, victim func(w *testFleet, i int, rng *rand.Rand) int) {
 	const (
 		offsetStep = 370 * time.Millisecond
-		// countsShared is how long after it was served a request is known to another daemon.
+		// countsShared is the time until another daemon knows of a served request.
 		countsShared = 500 * time.Millisecond
 	)
 	w, rng := l.w, rand.New(rand.NewPCG(uint64(offset), 1))
@@ -170,9 +173,10 @@
 	}
 }
 
-// Guards against usage that is lost, of some daemons or of a whole window, while daemons end
-// one after the other faster than a window is reported: relays that alone know of others, or
-// each holder of the duties.
+// Guards against usage that is lost, of some daemons or for whole windows, while daemons end
+// one after the other faster than a window is reported. The victims are daemons in order,
+// relays, which may be the only ones that know other daemons' counts, or the holders of the
+// duties.
 func TestUsageOutlivesSeriesOfEnds(t *testing.T) {
 	const daemons, workspaces, ends = 12, 4, 12
 	for who, victim := range victimSelectors {
--- a/daemon/edge/workspaces_test.go
+++ b/daemon/edge/workspaces_test.go
@@ -9,8 +9,9 @@
 	"geraniumstack.org/geraniumstack/coordination/relays"
 )
 
-// Guards against daemons that fall silent since the counts of many workspaces don't fit into
-// a message: they are taken for ended, and the usage is reported without them.
+// Guards against daemons that go silent because the counts of many workspaces exceed the size
+// of a datagram. They would be considered dead, and usage would be reported without their
+// counts.
 func TestCountsOfManyWorkspacesFitAMessage(t *testing.T) {
 	const workspaces, rounds, atOnce = 700, 4, 20
 	for name, fleet := range map[string]struct{ daemons, direct int }{
