--- a/daemon/edge/feed.go
+++ b/daemon/edge/feed.go
@@ -55,13 +55,13 @@
 	if !ok {
 		return &peersv1.Feed{After: at, Gap: e.dir.log.At() != 0}
 	}
-	told := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.log.At(), AgeNs: int64(now - e.dir.current)}
+	encoded := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.log.At(), AgeNs: int64(now - e.dir.current)}
 	for _, c := range part.Changes {
 		if len(c.Value) <= maxFeedValueBytes {
-			told.Changes = append(told.Changes, &peersv1.Change{Key: c.Key, Value: c.Value, Revision: c.Revision, Deleted: c.Deleted})
+			encoded.Changes = append(encoded.Changes, &peersv1.Change{Key: c.Key, Value: c.Value, Revision: c.Revision, Deleted: c.Deleted})
 		}
 	}
-	return told
+	return encoded
 }
 
 // applyFeed applies the changes that a relay passes on.
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -63,49 +63,49 @@
 	pending map[uint64]pendingGrant
 }
 
-func (a *pendingGrants) init() {
+func (p *pendingGrants) init() {
 	// IDs start at a random number, so that answers to a former process at this address match
 	// no question of this one.
-	a.lastID = rand.Uint64()
-	a.pending = map[uint64]pendingGrant{}
+	p.lastID = rand.Uint64()
+	p.pending = map[uint64]pendingGrant{}
 }
 
-func (a *pendingGrants) add(g pendingGrant) uint64 {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.lastID++
-	a.pending[a.lastID] = g
-	return a.lastID
+func (p *pendingGrants) add(g pendingGrant) uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastID++
+	p.pending[p.lastID] = g
+	return p.lastID
 }
 
 // abandonGrants marks the questions as no longer waited for. They stay until lateGrantPeriod has
 // passed.
-func (a *pendingGrants) abandonGrants(ids []uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (p *pendingGrants) abandonGrants(ids []uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, id := range ids {
-		if g, ok := a.pending[id]; ok {
+		if g, ok := p.pending[id]; ok {
 			g.answer = nil
-			a.pending[id] = g
+			p.pending[id] = g
 		}
 	}
 }
 
 // remove removes a question and returns it, or false if the ID is unknown.
-func (a *pendingGrants) remove(id uint64) (pendingGrant, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	g, ok := a.pending[id]
-	delete(a.pending, id)
+func (p *pendingGrants) remove(id uint64) (pendingGrant, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	g, ok := p.pending[id]
+	delete(p.pending, id)
 	return g, ok
 }
 
-func (a *pendingGrants) expire(now time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for id, g := range a.pending {
+func (p *pendingGrants) expire(now time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for id, g := range p.pending {
 		if now-g.askedAt > lateGrantPeriod {
-			delete(a.pending, id)
+			delete(p.pending, id)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 // takeQuota takes the cost of a request out of its workspace's quota. It returns the answer of
 // the relay that granted it, an empty answer if this daemon granted it itself, or a refusal.
 func (e *Edge) takeQuota(ctx context.Context, ws ident.Workspace, cost float64, lister candidateLister) (grantAnswer, *refusal.Refusal) {
-	own, elsewhere, ask := e.takeLocally(ws, cost)
+	own, elsewhere, addresses := e.takeLocally(ws, cost)
 	if own != nil && (own.Taken || !elsewhere) {
 		return grantAnswer{}, quotaRefusal(own, cost)
 	}
@@ -128,49 +128,49 @@
 	answers := make(chan grantAnswer, maxAskedRelays)
 	var ids []uint64
 	defer func() { e.abandonGrants(ids, answers) }()
-	refused := own
-	for i := 0; i < len(ask) && i < maxAskedRelays && ctx.Err() == nil; i++ {
-		id := e.asks.add(pendingGrant{askedAt: e.deps.Steady(), workspace: ws, cost: cost, relay: ask[i], answer: answers})
+	lastRefused := own
+	for i := 0; i < len(addresses) && i < maxAskedRelays && ctx.Err() == nil; i++ {
+		id := e.asks.add(pendingGrant{askedAt: e.deps.Steady(), workspace: ws, cost: cost, relay: addresses[i], answer: answers})
 		ids = append(ids, id)
-		e.sendTo(ask[i], &peersv1.Datagram{Ask: &peersv1.Ask{
+		e.sendTo(addresses[i], &peersv1.Datagram{Ask: &peersv1.Ask{
 			Id: id, Workspace: string(ws), Cost: cost, PeerAddress: e.set.PeerAddress, Service: service, Candidates: candidates,
 		}})
 		wait := grantTimeout
-		if i == len(ask)-1 {
+		if i == len(addresses)-1 {
 			wait = lastGrantTimeout
 		}
 		g, ok := awaitGrant(ctx, answers, wait)
 		switch {
 		case !ok:
 		case g.Unable:
-			ask = e.addReferredRelays(ask, g.Ask)
+			addresses = e.addReferredRelays(addresses, g.Ask)
 		case g.Taken || !g.Elsewhere:
 			return g, quotaRefusal(g.Grant, cost)
 		default:
-			refused = g.Grant
+			lastRefused = g.Grant
 		}
 	}
-	if refused != nil {
-		return grantAnswer{}, quotaRefusal(refused, cost)
+	if lastRefused != nil {
+		return grantAnswer{}, quotaRefusal(lastRefused, cost)
 	}
 	return grantAnswer{}, refusal.New(refusal.QuotaUnknown, "none of %d relays can tell", len(ids)).After(quotaUnknownRetryAfter)
 }
 
 // addReferredRelays appends the addresses of relays that another daemon named, except this
 // daemon's own and those already listed.
-func (e *Edge) addReferredRelays(ask, to []string) []string {
-	for _, address := range to {
-		if address != e.set.PeerAddress && !slices.Contains(ask, address) {
-			ask = append(ask, address)
+func (e *Edge) addReferredRelays(addresses, referred []string) []string {
+	for _, address := range referred {
+		if address != e.set.PeerAddress && !slices.Contains(addresses, address) {
+			addresses = append(addresses, address)
 		}
 	}
-	return ask
+	return addresses
 }
 
 // takeLocally takes a cost out of this daemon's own share of the quota. own is nil if this
 // daemon grants no quota. elsewhere says that another relay may grant the cost, ask lists the
 // relays to ask.
-func (e *Edge) takeLocally(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, ask []string) {
+func (e *Edge) takeLocally(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, addresses []string) {
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -194,22 +194,22 @@
 // follows, then others of its failure domain, then those of other failure domains in random
 // order. The caller must hold e.mu.
 func (e *Edge) relaysToAsk() []string {
-	var ask, remote []string
+	var addresses, remote []string
 	for _, r := range e.plan.Own {
-		ask = append(ask, r.PeerAddress)
+		addresses = append(addresses, r.PeerAddress)
 	}
 	for _, r := range e.plan.Others {
 		switch {
-		case slices.Contains(ask, r.PeerAddress):
+		case slices.Contains(addresses, r.PeerAddress):
 		case r.FailureDomain == e.set.FailureDomain:
-			ask = append(ask, r.PeerAddress)
+			addresses = append(addresses, r.PeerAddress)
 		default:
 			remote = append(remote, r.PeerAddress)
 		}
 	}
 	rand.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
-	ask = append(ask, remote...)
-	return ask[:min(maxAskedRelays, len(ask))]
+	addresses = append(addresses, remote...)
+	return addresses[:min(maxAskedRelays, len(addresses))]
 }
 
 // sharesQuotas reports whether this daemon grants quota. It does if it is a relay and another
@@ -279,18 +279,18 @@
 // handleGrant passes a relay's answer to the request that waits for it. Quota granted too late
 // is returned.
 func (e *Edge) handleGrant(g *peersv1.Grant) {
-	asked, ok := e.asks.remove(g.Id)
+	pending, ok := e.asks.remove(g.Id)
 	if !ok {
 		e.log.Count("quota.unknown_grant")
 		return
 	}
-	if asked.answer != nil {
-		asked.answer <- grantAnswer{g, asked}
+	if pending.answer != nil {
+		pending.answer <- grantAnswer{g, pending}
 		return
 	}
 	e.log.Count("quota.late_grant")
 	if g.Taken {
-		e.returnQuota(asked.relay, asked.workspace, asked.cost)
+		e.returnQuota(pending.relay, pending.workspace, pending.cost)
 	}
 }
 
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -99,11 +99,11 @@
 	relaysChanged := !slices.Equal(e.plan.Own, previous.Own)
 	e.followsAnew = e.followsAnew || relaysChanged
 	if e.plan.Relay != previous.Relay || relaysChanged {
-		var own []ident.Incarnation
+		var followed []ident.Incarnation
 		for _, r := range e.plan.Own {
-			own = append(own, r.Incarnation)
+			followed = append(followed, r.Incarnation)
 		}
-		e.log.Note("role", decisions.F("relay", e.plan.Relay), decisions.F("follows", own), decisions.F("daemons", v.Fleet))
+		e.log.Note("role", decisions.F("relay", e.plan.Relay), decisions.F("follows", followed), decisions.F("daemons", v.Fleet))
 	}
 }
 
@@ -148,8 +148,8 @@
 
 // hearsAny reports whether this daemon recently received a message from one of the members. The
 // caller must hold e.mu.
-func (e *Edge) hearsAny(now time.Duration, of []peers.Member) bool {
-	return slices.ContainsFunc(of, func(m peers.Member) bool { return e.peers.HeardLately(now, m.Incarnation) })
+func (e *Edge) hearsAny(now time.Duration, members []peers.Member) bool {
+	return slices.ContainsFunc(members, func(m peers.Member) bool { return e.peers.HeardLately(now, m.Incarnation) })
 }
 
 // hearsRelay reports whether this daemon recently received a message from another relay. The
@@ -185,7 +185,7 @@
 
 // removePeer drops all state of a daemon that has ended, except its usage counts, which are
 // still to be reported. The caller must hold e.mu.
-func (e *Edge) removePeer(id ident.Incarnation, why string) {
+func (e *Edge) removePeer(id ident.Incarnation, reason string) {
 	e.limiter.PeerEnded(id)
 	e.wall.Gone(id)
 	delete(e.stamps, id)
@@ -193,7 +193,7 @@
 	delete(e.feeding, id)
 	delete(e.lacked, id)
 	e.coverage.Gone(e.deps.Steady(), id)
-	e.log.Note("daemon_gone", decisions.F("incarnation", id), decisions.F("reason", why))
+	e.log.Note("daemon_gone", decisions.F("incarnation", id), decisions.F("reason", reason))
 }
 
 // updateFollower records whether the sender of a message follows this daemon. The caller must
@@ -224,7 +224,7 @@
 }
 
 // rosterDue reports whether rosters are sent in a round. The caller must hold e.mu.
-func (e *Edge) rosterDue(turn uint64) bool {
+func (e *Edge) rosterDue(round uint64) bool {
 	if v := rosterVersion(e.alive); v != e.rosterVersion {
 		e.rosterVersion, e.rosterLeft = v, rosterRepeats
 	}
@@ -232,7 +232,7 @@
 		e.rosterLeft--
 		return true
 	}
-	return turn%rosterIntervalRounds < rosterBurstRounds
+	return round%rosterIntervalRounds < rosterBurstRounds
 }
 
 // rosterVersion returns a hash of the members' incarnations and phases, by which a changed
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -92,16 +92,16 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	ended := e.book.EndedFor(e.wall.At(now), w)
-	since := now - ended + accounting.SettleAfter
+	endedFor := e.book.EndedFor(e.wall.At(now), w)
+	since := now - endedFor + accounting.SettleAfter
 	uncounted := append(e.uncounted(now, since), e.coverage.Passing(now, countsRelayedWithin, since)...)
 	if len(uncounted) == 0 {
 		return false
 	}
-	if ended < e.set.Bounds.UsageDue-e.set.Bounds.LeaseTTL-reportMargin {
+	if endedFor < e.set.Bounds.UsageDue-e.set.Bounds.LeaseTTL-reportMargin {
 		return true
 	}
-	e.log.Note("usage_incomplete", decisions.F("window", int64(w)), decisions.F("ended_for", ended), decisions.F("lacking", uncounted))
+	e.log.Note("usage_incomplete", decisions.F("window", int64(w)), decisions.F("ended_for", endedFor), decisions.F("lacking", uncounted))
 	return false
 }
 
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -71,11 +71,11 @@
 // requestFor returns the daemon whose counts this message asks one relay for, or an empty
 // string for none. Messages and relays go through the list of missing daemons in rotation;
 // place is the relay's index.
-func (c relayCounts) requestFor(messageNumber uint64, place int) string {
+func (c relayCounts) requestFor(messageNumber uint64, relayIndex int) string {
 	if len(c.uncounted) == 0 {
 		return ""
 	}
-	return string(c.uncounted[(messageNumber/2+uint64(place))%uint64(len(c.uncounted))])
+	return string(c.uncounted[(messageNumber/2+uint64(relayIndex))%uint64(len(c.uncounted))])
 }
 
 // countsForRelays returns the counts for the other relays that may report windows. Messages
@@ -111,15 +111,15 @@
 // relay may need to ask because the relay that a daemon followed may end before that daemon
 // notices, and because a new relay knows only what it was sent since its election. The caller
 // must hold e.mu.
-func (e *Edge) requestedCounts(now time.Duration, to ident.Incarnation, otherwise []*peersv1.Ended) []*peersv1.Ended {
+func (e *Edge) requestedCounts(now time.Duration, to ident.Incarnation, fallback []*peersv1.Ended) []*peersv1.Ended {
 	id, asked := e.lacked[to]
 	if !asked {
-		return otherwise
+		return fallback
 	}
 	delete(e.lacked, to)
 	open := e.openWindowCounts(now, id)
 	if len(open) == 0 {
-		return otherwise
+		return fallback
 	}
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: open}}
 }
@@ -146,18 +146,18 @@
 		next++
 	}
 	ids = slices.Concat(ids[next:], ids[:next])
-	var told []*peersv1.Ended
+	var selected []*peersv1.Ended
 	bytes := 0
 	for _, id := range ids[:(len(ids)+followerCountMessages-1)/followerCountMessages] {
 		one := &peersv1.Ended{Incarnation: string(id), Windows: e.openWindowCounts(now, id), Follows: true}
 		bytes += proto.Size(one)
-		if bytes > maxCountsBytes && len(told) > 0 {
+		if bytes > maxCountsBytes && len(selected) > 0 {
 			break
 		}
-		told = append(told, one)
+		selected = append(selected, one)
 		e.lastFollower = id
 	}
-	return told
+	return selected
 }
 
 // endedCounts returns the counts of one daemon that is not alive, in rotation. The caller must
@@ -213,10 +213,10 @@
 		e.coverage.Heard(now, id)
 	}
 	for _, one := range h.Ended {
-		of := ident.Incarnation(one.Incarnation)
-		e.book.Heard(of, decodeWindows(workspaces, one.Windows))
+		ended := ident.Incarnation(one.Incarnation)
+		e.book.Heard(ended, decodeWindows(workspaces, one.Windows))
 		if one.Follows {
-			e.coverage.Told(now, of)
+			e.coverage.Told(now, ended)
 		}
 	}
 	if h.Lacks != "" {
