--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -40,23 +40,23 @@
 	quotaUnknownRetryAfter = 300 * time.Millisecond
 )
 
-// pendingGrant is a question to a relay that has not been answered.
+// pendingGrant is an Ask for quota that was sent to a relay and has not been answered.
 type pendingGrant struct {
 	askedAt   time.Duration
 	workspace ident.Workspace
 	cost      float64
 	relay     string
-	// answer receives the relay's answer. It is nil once the request no longer waits.
+	// answer receives the relay's Grant. It is nil once the request no longer waits.
 	answer chan<- grantAnswer
 }
 
-// grantAnswer is a relay's answer together with the question.
+// grantAnswer is a relay's Grant together with the Ask that it answers.
 type grantAnswer struct {
 	*peersv1.Grant
 	pendingGrant
 }
 
-// pendingGrants holds the unanswered questions by ID.
+// pendingGrants holds the unanswered Asks by ID.
 type pendingGrants struct {
 	mu      sync.Mutex
 	lastID  uint64
@@ -64,8 +64,8 @@
 }
 
 func (p *pendingGrants) init() {
-	// IDs start at a random number, so that answers to a former process at this address match
-	// no question of this one.
+	// IDs start at a random number, so that a Grant sent to a former process at this address
+	// matches no Ask of this one.
 	p.lastID = rand.Uint64()
 	p.pending = map[uint64]pendingGrant{}
 }
@@ -78,8 +78,8 @@
 	return p.lastID
 }
 
-// abandonGrants marks the questions as no longer waited for. They stay until lateGrantPeriod has
-// passed.
+// abandonGrants marks Asks whose request no longer waits. They are kept until lateGrantPeriod
+// has passed.
 func (p *pendingGrants) abandonGrants(ids []uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// remove removes a question and returns it, or false if the ID is unknown.
+// remove removes an Ask and returns it, or false if the ID is unknown.
 func (p *pendingGrants) remove(id uint64) (pendingGrant, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,8 +168,8 @@
 }
 
 // takeLocally takes a cost out of this daemon's own share of the quota. own is nil if this
-// daemon grants no quota. elsewhere says that another relay may grant the cost, ask lists the
-// relays to ask.
+// daemon grants no quota. elsewhere says that another relay may grant the cost; addresses lists
+// the relays to ask.
 func (e *Edge) takeLocally(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, addresses []string) {
 	now := e.deps.Steady()
 	e.mu.Lock()
@@ -219,8 +219,8 @@
 	return e.plan.Relay && (e.plan.Direct || e.standing.Shares(now, e.hearsRelay(now)))
 }
 
-// abandonGrants stops waiting for relays' answers and returns the quota of those that have
-// arrived without being used.
+// abandonGrants stops waiting for relays' Grants and returns the quota of those that have
+// arrived and are not used.
 func (e *Edge) abandonGrants(ids []uint64, answers <-chan grantAnswer) {
 	e.asks.abandonGrants(ids)
 	for {
@@ -276,7 +276,7 @@
 	e.sendTo(a.PeerAddress, &peersv1.Datagram{Grant: g})
 }
 
-// handleGrant passes a relay's answer to the request that waits for it. Quota granted too late
+// handleGrant passes a relay's Grant to the request that waits for it. Quota granted too late
 // is returned.
 func (e *Edge) handleGrant(g *peersv1.Grant) {
 	pending, ok := e.asks.remove(g.Id)
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -164,11 +164,11 @@
 	return slices.ContainsFunc(members, func(m peers.Member) bool { return m.Incarnation == id })
 }
 
-// handleRelayClaim processes the message of a daemon that claims to be a relay and states
-// whether it elects this daemon as one. A sender that this daemon doesn't elect is put on the
-// list of daemons that are sent the relays. In a direct fleet every daemon is a relay; the
-// daemons record each other's election there, too, so that they may share quotas without a gap
-// when the fleet outgrows that mode. The caller must hold e.mu.
+// handleRelayClaim processes the message of a daemon that claims to be a relay. If this daemon
+// doesn't elect the sender, the sender is sent the elected relays with the next
+// newcomerMessages. Otherwise its statement whether it elects this daemon is recorded. In a
+// direct fleet, where every daemon is a relay, this happens too, so that the daemons may share
+// quotas without a gap when the fleet outgrows that mode. The caller must hold e.mu.
 func (e *Edge) handleRelayClaim(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if !h.Relay || !e.plan.Relay {
 		return
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -69,8 +69,7 @@
 }
 
 // requestFor returns the daemon whose counts this message asks one relay for, or an empty
-// string for none. Messages and relays go through the list of missing daemons in rotation;
-// place is the relay's index.
+// string for none. Messages and relays go through the uncounted daemons in rotation.
 func (c relayCounts) requestFor(messageNumber uint64, relayIndex int) string {
 	if len(c.uncounted) == 0 {
 		return ""
@@ -107,10 +106,10 @@
 	h.Ended = append(slices.Clone(c.hello.Ended), e.requestedCounts(now, to, c.ended)...)
 }
 
-// requestedCounts returns the counts that a relay has asked for, or otherwise those given. A
-// relay may need to ask because the relay that a daemon followed may end before that daemon
-// notices, and because a new relay knows only what it was sent since its election. The caller
-// must hold e.mu.
+// requestedCounts returns the counts that a relay has asked for, or else the fallback. A relay
+// may need to ask because the relay that a daemon followed may end before that daemon notices,
+// and because a new relay knows only what it was sent since its election. The caller must hold
+// e.mu.
 func (e *Edge) requestedCounts(now time.Duration, to ident.Incarnation, fallback []*peersv1.Ended) []*peersv1.Ended {
 	id, asked := e.lacked[to]
 	if !asked {
@@ -124,9 +123,9 @@
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: open}}
 }
 
-// uncounted returns the daemons whose counts have not been received since a time. It
-// includes daemons that may have lost both their relays and are therefore not heard. The caller
-// must hold e.mu.
+// uncounted returns the daemons whose counts have not been received since a time. It includes
+// daemons that may have lost both their relays and are therefore not heard. The caller must
+// hold e.mu.
 func (e *Edge) uncounted(now, since time.Duration) []ident.Incarnation {
 	return e.coverage.Lacking(e.peers.SeenSince(now-refollowWithin), since)
 }
