--- a/coordination/walltime/walltime_test.go
+++ b/coordination/walltime/walltime_test.go
@@ -9,17 +9,17 @@
 	"geraniumstack.org/geraniumstack/coordination/walltime"
 )
 
-// A daemon starts while its VM's clock is two seconds ahead. Alone it would
-// count requests into the wrong window of usage; with two others it does not.
+// A daemon starts while its VM's clock is two seconds ahead. On its own it would count
+// requests into the wrong accounting window; with two peers it does not.
 func TestMedianCorrectsWrongStart(t *testing.T) {
 	is := is.New(t)
 	truth := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	e := walltime.New(truth.Add(2*time.Second), 5*time.Second)
 	is.Equal(e.At(6*time.Second), truth.Add(3*time.Second))
-	e.Heard("a", truth.Add(time.Second), 6*time.Second)
-	e.Heard("b", truth.Add(time.Second+time.Millisecond), 6*time.Second)
+	e.Receive("a", truth.Add(time.Second), 6*time.Second)
+	e.Receive("b", truth.Add(time.Second+time.Millisecond), 6*time.Second)
 	is.Equal(e.At(7*time.Second), truth.Add(2*time.Second+time.Millisecond))
-	e.Gone("a")
-	e.Gone("b")
+	e.PeerEnded("a")
+	e.PeerEnded("b")
 	is.Equal(e.At(7*time.Second), truth.Add(4*time.Second))
 }
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -55,7 +55,7 @@
 		return
 	}
 	e.mu.Lock()
-	due := e.book.Due(e.wall.At(e.deps.Steady()))
+	due := e.book.WindowsDue(e.wall.At(e.deps.Steady()))
 	e.mu.Unlock()
 	for _, w := range due {
 		if w <= u.lastWindow {
@@ -92,9 +92,9 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	endedFor := e.book.EndedFor(e.wall.At(now), w)
+	endedFor := e.book.TimeSinceEnd(e.wall.At(now), w)
 	since := now - endedFor + accounting.SettleAfter
-	uncounted := append(e.uncounted(now, since), e.coverage.Passing(now, countsRelayedWithin, since)...)
+	uncounted := append(e.uncounted(now, since), e.coverage.InTransit(now, countsRelayedWithin, since)...)
 	if len(uncounted) == 0 {
 		return false
 	}
@@ -191,7 +191,7 @@
 		return false
 	}
 	e.mu.Lock()
-	e.book.Reported(u.pending.Window)
+	e.book.MarkReported(u.pending.Window)
 	e.mu.Unlock()
 	e.log.Note("usage_reported", decisions.F("window", int64(u.pending.Window)), decisions.F("workspaces", len(u.pending.Counts)), decisions.F("token", duty.Token))
 	u.pending = nil
@@ -202,5 +202,5 @@
 func (e *Edge) reportTooLate(w accounting.Window) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.book.Late(e.wall.At(e.deps.Steady()), w)
+	return e.book.PastDue(e.wall.At(e.deps.Steady()), w)
 }
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -53,7 +53,7 @@
 // openWindowCounts returns a daemon's counts for the windows that can still be reported.
 // Workspaces are encoded by their index in the usage book's list. The caller must hold e.mu.
 func (e *Edge) openWindowCounts(now time.Duration, id ident.Incarnation) []*peersv1.Window {
-	return encodeWindows(e.book.Workspaces(), e.book.Open(e.wall.At(now), id))
+	return encodeWindows(e.book.Workspaces(), e.book.OpenWindows(e.wall.At(now), id))
 }
 
 // relayCounts holds the counts that one message carries to the relays that may report windows.
@@ -127,7 +127,7 @@
 // daemons that may have lost both their relays and are therefore not heard. The caller must
 // hold e.mu.
 func (e *Edge) uncounted(now, since time.Duration) []ident.Incarnation {
-	return e.coverage.Lacking(e.peers.SeenSince(now-refollowWithin), since)
+	return e.coverage.Missing(e.peers.SeenSince(now-refollowWithin), since)
 }
 
 // followerCounts returns the counts of some of the followers whose primary this relay is, in
@@ -166,7 +166,7 @@
 	for _, m := range e.alive {
 		alive[m.Incarnation] = true
 	}
-	id, ok := e.book.NextEnded(e.wall.At(now), e.lastEnded, alive)
+	id, ok := e.book.NextEndedDaemon(e.wall.At(now), e.lastEnded, alive)
 	if !ok {
 		return nil
 	}
@@ -207,15 +207,15 @@
 // The caller must hold e.mu.
 func (e *Edge) handleCounts(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	workspaces := convertNames[ident.Workspace](h.Workspaces)
-	e.book.Heard(id, decodeWindows(workspaces, h.Windows))
+	e.book.Receive(id, decodeWindows(workspaces, h.Windows))
 	if h.Counts {
-		e.coverage.Heard(now, id)
+		e.coverage.Receive(now, id)
 	}
 	for _, one := range h.Ended {
 		ended := ident.Incarnation(one.Incarnation)
-		e.book.Heard(ended, decodeWindows(workspaces, one.Windows))
+		e.book.Receive(ended, decodeWindows(workspaces, one.Windows))
 		if one.Follows {
-			e.coverage.Told(now, ended)
+			e.coverage.ReceiveRelayed(now, ended)
 		}
 	}
 	if h.Lacks != "" {
--- a/daemon/edge/usage_saved.go
+++ b/daemon/edge/usage_saved.go
@@ -43,7 +43,7 @@
 		return
 	}
 	e.mu.Lock()
-	open := e.book.Save(e.wall.At(now))
+	open := e.book.TakeSnapshot(e.wall.At(now))
 	e.mu.Unlock()
 	data, err := json.Marshal(open)
 	if err != nil {
@@ -97,7 +97,7 @@
 	if len(entry.Value) == 0 {
 		return
 	}
-	var open accounting.Saved
+	var open accounting.Snapshot
 	if err := json.Unmarshal(entry.Value, &open); err != nil {
 		e.logUsageFailure("decode_saved", err)
 		return
