--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -13,109 +13,114 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// In a large fleet a daemon's part of a workspace's quota would be smaller than one
-// prompt. There the relays share the quotas among themselves, and every other daemon
-// asks one that it follows for each request, which costs it a message each way within
-// its failure domain. Whose part is used up asks another one, too, also in a small fleet.
-// A relay that has ended takes no more, so nothing is given out twice; what was granted
-// and not used, or not heard of, is only lost to the workspace.
+// In a large fleet, a daemon's share of a workspace's quota would be smaller than the cost of
+// one prompt. Therefore only the relays share the quotas there, and every other daemon asks a
+// relay that it follows for each request, at the cost of one message each way within its
+// failure domain. A relay whose share is used up asks another relay; the daemons of a small
+// fleet do the same.
+//
+// Quota is never granted twice, since a relay that has ended grants nothing more. Quota that
+// was granted but not used, or whose grant was lost, is lost to the workspace.
 
 const (
-	// grantTimeout is how long the primary may take to answer before the other relay is
-	// asked, too; a relay answers in a millisecond, or after a pause of its VM.
+	// grantTimeout is the time that the primary relay has to answer before the next relay is
+	// asked as well. A relay answers within a millisecond unless its VM is paused.
 	grantTimeout = 40 * time.Millisecond
-	// lastGrantTimeout is how long the answers may take after that.
+	// lastGrantTimeout is the time allowed for answers after the last relay was asked.
 	lastGrantTimeout = 80 * time.Millisecond
-	// maxAskedRelays bounds the relays that are asked for one request. The part of one may be
-	// used up while another's is not; while relays change, some of those that are known
-	// have ended and others don't know yet that they are ones.
+	// maxAskedRelays bounds the number of relays asked for one request. One relay's share may
+	// be used up while another's is not. While the elected relays change, some known relays
+	// have ended and others don't know yet that they are relays.
 	maxAskedRelays = 5
-	// lateGrantPeriod is how long an answer that nobody waits for is recognised, so that it
-	// is given back.
+	// lateGrantPeriod is the time for which an answer is still recognised after its request
+	// stopped waiting, so that the granted quota can be returned.
 	lateGrantPeriod = 5 * time.Second
-	// quotaUnknownRetryAfter is when to come back where no relay answered: by then another
-	// one has taken over.
+	// quotaUnknownRetryAfter is the retry delay sent to the caller if no relay answered.
+	// Another relay has taken over by then.
 	quotaUnknownRetryAfter = 300 * time.Millisecond
 )
 
-// pendingGrant is a request that waits for a relay's word.
+// pendingGrant is an Ask for quota that was sent to a relay and has not been answered.
 type pendingGrant struct {
 	askedAt   time.Duration
 	workspace ident.Workspace
 	cost      float64
 	relay     string
-	// answer is taken by the first of the relays that grants; it is nil once nobody
-	// waits any more.
+	// answer receives the relay's Grant. It is nil once the request no longer waits.
 	answer chan<- grantAnswer
 }
 
+// grantAnswer is a relay's Grant together with the Ask that it answers.
 type grantAnswer struct {
 	*peersv1.Grant
 	pendingGrant
 }
 
-// pendingGrants keeps what was asked of relays.
+// pendingGrants holds the unanswered Asks by ID.
 type pendingGrants struct {
 	mu      sync.Mutex
 	lastID  uint64
 	pending map[uint64]pendingGrant
 }
 
-func (a *pendingGrants) init() {
-	// Not the numbers of a former run at this address, whose answers may be on their way.
-	a.lastID = rand.Uint64()
-	a.pending = map[uint64]pendingGrant{}
+func (p *pendingGrants) init() {
+	// IDs start at a random number, so that a Grant sent to a former process at this address
+	// matches no Ask of this one.
+	p.lastID = rand.Uint64()
+	p.pending = map[uint64]pendingGrant{}
 }
 
-func (a *pendingGrants) add(g pendingGrant) uint64 {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.lastID++
-	a.pending[a.lastID] = g
-	return a.lastID
+func (p *pendingGrants) add(g pendingGrant) uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastID++
+	p.pending[p.lastID] = g
+	return p.lastID
 }
 
-// abandon says that nobody waits for the answers any more.
-func (a *pendingGrants) abandon(ids []uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// abandonGrants marks Asks whose request no longer waits. They are kept until lateGrantPeriod
+// has passed.
+func (p *pendingGrants) abandonGrants(ids []uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, id := range ids {
-		if g, ok := a.pending[id]; ok {
+		if g, ok := p.pending[id]; ok {
 			g.answer = nil
-			a.pending[id] = g
+			p.pending[id] = g
 		}
 	}
 }
 
-// remove removes an asker and returns it; false if it isn't known.
-func (a *pendingGrants) remove(id uint64) (pendingGrant, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	g, ok := a.pending[id]
-	delete(a.pending, id)
+// remove removes an Ask and returns it, or false if the ID is unknown.
+func (p *pendingGrants) remove(id uint64) (pendingGrant, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	g, ok := p.pending[id]
+	delete(p.pending, id)
 	return g, ok
 }
 
-func (a *pendingGrants) expire(now time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for id, g := range a.pending {
+func (p *pendingGrants) expire(now time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for id, g := range p.pending {
 		if now-g.askedAt > lateGrantPeriod {
-			delete(a.pending, id)
+			delete(p.pending, id)
 		}
 	}
 }
 
-// candidateLister tells of the runners that a request may go to. A relay knows better than its
-// followers what has just been sent to them, and is asked anyway.
+// candidateLister lists the runners that a request may be sent to. The relay that grants the
+// quota chooses one of them: it learns of its followers' choices before the followers learn of
+// each other's.
 type candidateLister interface {
 	candidates() (service string, runners []*peersv1.Candidate)
 }
 
-// takeQuota takes a request's cost out of its workspace's quota. It returns the answer
-// of the relay that granted it, an empty one for this daemon itself, or a refusal.
+// takeQuota takes the cost of a request out of its workspace's quota. It returns the answer of
+// the relay that granted it, an empty answer if this daemon granted it itself, or a refusal.
 func (e *Edge) takeQuota(ctx context.Context, ws ident.Workspace, cost float64, lister candidateLister) (grantAnswer, *refusal.Refusal) {
-	own, elsewhere, ask := e.takeLocally(ws, cost)
+	own, elsewhere, addresses := e.takeLocally(ws, cost)
 	if own != nil && (own.Taken || !elsewhere) {
 		return grantAnswer{}, quotaRefusal(own, cost)
 	}
@@ -123,47 +128,49 @@
 	answers := make(chan grantAnswer, maxAskedRelays)
 	var ids []uint64
 	defer func() { e.abandonGrants(ids, answers) }()
-	refused := own
-	for i := 0; i < len(ask) && i < maxAskedRelays && ctx.Err() == nil; i++ {
-		id := e.asks.add(pendingGrant{askedAt: e.deps.Steady(), workspace: ws, cost: cost, relay: ask[i], answer: answers})
+	lastRefused := own
+	for i := 0; i < len(addresses) && i < maxAskedRelays && ctx.Err() == nil; i++ {
+		id := e.asks.add(pendingGrant{askedAt: e.deps.Steady(), workspace: ws, cost: cost, relay: addresses[i], answer: answers})
 		ids = append(ids, id)
-		e.sendTo(ask[i], &peersv1.Datagram{Ask: &peersv1.Ask{
+		e.sendTo(addresses[i], &peersv1.Datagram{Ask: &peersv1.Ask{
 			Id: id, Workspace: string(ws), Cost: cost, PeerAddress: e.set.PeerAddress, Service: service, Candidates: candidates,
 		}})
 		wait := grantTimeout
-		if i == len(ask)-1 {
+		if i == len(addresses)-1 {
 			wait = lastGrantTimeout
 		}
 		g, ok := awaitGrant(ctx, answers, wait)
 		switch {
 		case !ok:
 		case g.Unable:
-			ask = e.addReferredRelays(ask, g.Ask)
+			addresses = e.addReferredRelays(addresses, g.Ask)
 		case g.Taken || !g.Elsewhere:
 			return g, quotaRefusal(g.Grant, cost)
 		default:
-			refused = g.Grant
+			lastRefused = g.Grant
 		}
 	}
-	if refused != nil {
-		return grantAnswer{}, quotaRefusal(refused, cost)
+	if lastRefused != nil {
+		return grantAnswer{}, quotaRefusal(lastRefused, cost)
 	}
 	return grantAnswer{}, refusal.New(refusal.QuotaUnknown, "none of %d relays can tell", len(ids)).After(quotaUnknownRetryAfter)
 }
 
-// addReferredRelays adds relays that another daemon knows.
-func (e *Edge) addReferredRelays(ask, to []string) []string {
-	for _, address := range to {
-		if address != e.set.PeerAddress && !slices.Contains(ask, address) {
-			ask = append(ask, address)
+// addReferredRelays appends the addresses of relays that another daemon named, except this
+// daemon's own and those already listed.
+func (e *Edge) addReferredRelays(addresses, referred []string) []string {
+	for _, address := range referred {
+		if address != e.set.PeerAddress && !slices.Contains(addresses, address) {
+			addresses = append(addresses, address)
 		}
 	}
-	return ask
+	return addresses
 }
 
-// takeLocally takes a cost out of what this daemon gives out itself; nil if it gives out
-// nothing. It returns whether another one may grant it, and whom to ask.
-func (e *Edge) takeLocally(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, ask []string) {
+// takeLocally takes a cost out of this daemon's own share of the quota. own is nil if this
+// daemon grants no quota. elsewhere says that another relay may grant the cost; addresses lists
+// the relays to ask.
+func (e *Edge) takeLocally(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, addresses []string) {
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -176,43 +183,46 @@
 	return own, true, e.relaysToAsk()
 }
 
-// takeFromLimiter takes a cost out of what this daemon gives out; called with mu held.
+// takeFromLimiter takes a cost out of this daemon's share of a quota. The caller must hold
+// e.mu.
 func (e *Edge) takeFromLimiter(now time.Duration, ws ident.Workspace, cost float64) *peersv1.Grant {
 	wait, ok := e.limiter.Take(now, ws, cost)
 	return &peersv1.Grant{Taken: ok, WaitNs: int64(wait), Elsewhere: !ok && e.limiter.Covers(now, ws, cost)}
 }
 
-// relaysToAsk are the addresses of relays to ask: the followed ones, then others of this
-// failure domain, then others. Called with mu held.
+// relaysToAsk returns the addresses of the relays to ask for quota: those that this daemon
+// follows, then others of its failure domain, then those of other failure domains in random
+// order. The caller must hold e.mu.
 func (e *Edge) relaysToAsk() []string {
-	var ask, remote []string
+	var addresses, remote []string
 	for _, r := range e.plan.Own {
-		ask = append(ask, r.PeerAddress)
+		addresses = append(addresses, r.PeerAddress)
 	}
 	for _, r := range e.plan.Others {
 		switch {
-		case slices.Contains(ask, r.PeerAddress):
+		case slices.Contains(addresses, r.PeerAddress):
 		case r.FailureDomain == e.set.FailureDomain:
-			ask = append(ask, r.PeerAddress)
+			addresses = append(addresses, r.PeerAddress)
 		default:
 			remote = append(remote, r.PeerAddress)
 		}
 	}
 	rand.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
-	ask = append(ask, remote...)
-	return ask[:min(maxAskedRelays, len(ask))]
+	addresses = append(addresses, remote...)
+	return addresses[:min(maxAskedRelays, len(addresses))]
 }
 
-// sharesQuotas tells whether this daemon gives out quotas: it does so only as a relay that another
-// one takes for one, too, or that is the last. Called with mu held.
+// sharesQuotas reports whether this daemon grants quota. It does if it is a relay and another
+// relay elects it, or if it hears no other relay for long enough to be the last one. In a
+// direct fleet every daemon does. The caller must hold e.mu.
 func (e *Edge) sharesQuotas(now time.Duration) bool {
 	return e.plan.Relay && (e.plan.Direct || e.standing.Shares(now, e.hearsRelay(now)))
 }
 
-// abandonGrants ends the wait for relays' answers and gives back what was granted beside the one
-// that counted.
+// abandonGrants stops waiting for relays' Grants and returns the quota of those that have
+// arrived and are not used.
 func (e *Edge) abandonGrants(ids []uint64, answers <-chan grantAnswer) {
-	e.asks.abandon(ids)
+	e.asks.abandonGrants(ids)
 	for {
 		select {
 		case g := <-answers:
@@ -225,7 +235,8 @@
 	}
 }
 
-// awaitGrant waits for a relay's word.
+// awaitGrant waits for a relay's answer. It returns false after the timeout or the end of the
+// context.
 func awaitGrant(ctx context.Context, answers <-chan grantAnswer, wait time.Duration) (grantAnswer, bool) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -238,7 +249,8 @@
 	return grantAnswer{}, false
 }
 
-// quotaRefusal is the refusal of what was not granted; nil if it was.
+// quotaRefusal returns the refusal for an answer that grants nothing, or nil if the quota was
+// granted.
 func quotaRefusal(g *peersv1.Grant, cost float64) *refusal.Refusal {
 	if g.Taken {
 		return nil
@@ -246,7 +258,7 @@
 	return refusal.New(refusal.WorkspaceLimit, "quota of the workspace is used up, the request costs %.0f", cost).After(time.Duration(g.WaitNs))
 }
 
-// handleAsk answers a daemon that asks for a part of a quota.
+// handleAsk answers a daemon that asks for quota.
 func (e *Edge) handleAsk(a *peersv1.Ask) {
 	now := e.deps.Steady()
 	var g *peersv1.Grant
@@ -264,25 +276,25 @@
 	e.sendTo(a.PeerAddress, &peersv1.Datagram{Grant: g})
 }
 
-// handleGrant hands a relay's answer to the request that waits for it. What comes too late
-// is given back.
+// handleGrant passes a relay's Grant to the request that waits for it. Quota granted too late
+// is returned.
 func (e *Edge) handleGrant(g *peersv1.Grant) {
-	asked, ok := e.asks.remove(g.Id)
+	pending, ok := e.asks.remove(g.Id)
 	if !ok {
 		e.log.Count("quota.unknown_grant")
 		return
 	}
-	if asked.answer != nil {
-		asked.answer <- grantAnswer{g, asked}
+	if pending.answer != nil {
+		pending.answer <- grantAnswer{g, pending}
 		return
 	}
 	e.log.Count("quota.late_grant")
 	if g.Taken {
-		e.returnQuota(asked.relay, asked.workspace, asked.cost)
+		e.returnQuota(pending.relay, pending.workspace, pending.cost)
 	}
 }
 
-// returnQuota gives back what a request took that has not run and never will.
+// returnQuota gives back the quota of a request that has not run and never will.
 func (e *Edge) returnQuota(relay string, ws ident.Workspace, cost float64) {
 	if relay == "" {
 		e.mu.Lock()
@@ -293,6 +305,7 @@
 	e.sendTo(relay, &peersv1.Datagram{Refund: &peersv1.Refund{Workspace: string(ws), Cost: cost}})
 }
 
+// handleRefund returns quota to this relay's share that a daemon has given back.
 func (e *Edge) handleRefund(r *peersv1.Refund) {
 	if r.Cost <= 0 {
 		e.log.Note("message_ignored", decisions.F("reason", "refund of nothing"))
