--- a/daemon/edge/cloud_test.go
+++ b/daemon/edge/cloud_test.go
@@ -13,7 +13,7 @@
 type cloud struct {
 	mu      sync.Mutex
 	reports []report
-	orders  []edge.Order
+	orders  []edge.RunnerOrder
 	// lose lets a report be taken and its answer be lost.
 	lose int
 	// dry lets orders of reclaimable runners be refused, which refusals counts.
@@ -22,12 +22,12 @@
 }
 
 type report struct {
-	duty   edge.Duty
+	duty   edge.DutyLease
 	window accounting.Window
 	counts string
 }
 
-func (c *cloud) ReportUsage(_ context.Context, d edge.Duty, w accounting.Window, counts accounting.Counts) error {
+func (c *cloud) ReportUsage(_ context.Context, d edge.DutyLease, w accounting.Window, counts accounting.Counts) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	data, err := json.Marshal(counts)
@@ -42,12 +42,12 @@
 	return nil
 }
 
-func (c *cloud) Order(_ context.Context, _ edge.Duty, o edge.Order) error {
+func (c *cloud) OrderRunners(_ context.Context, _ edge.DutyLease, o edge.RunnerOrder) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.dry && o.Reclaimable {
 		c.refusals++
-		return &edge.NoneAvailableError{Order: o}
+		return &edge.NoRunnersAvailableError{Order: o}
 	}
 	c.orders = append(c.orders, o)
 	return nil
--- a/daemon/edge/counts.go
+++ b/daemon/edge/counts.go
@@ -45,13 +45,13 @@
 func (e *Edge) addOwnCounts(now time.Duration, h *peersv1.Hello) {
 	h.Counts = true
 	h.Windows = e.openCounts(now, e.self)
-	h.Workspaces = retyped[string](e.book.Workspaces())
+	h.Workspaces = retyped[string](e.usageBook.Workspaces())
 }
 
 // openCounts are a daemon's counts of open windows, by the places of the book's workspaces;
 // called with mu held.
 func (e *Edge) openCounts(now time.Duration, id ident.Incarnation) []*peersv1.Window {
-	return tellWindows(e.book.Workspaces(), e.book.Open(e.wall.At(now), id))
+	return tellWindows(e.usageBook.Workspaces(), e.usageBook.Open(e.wallClock.At(now), id))
 }
 
 // relayCounts are what relays that may report windows are told in a message.
@@ -79,7 +79,7 @@
 // which all are told the same; called with mu held. This relay's counts, with a roster, and
 // its followers' take turns: in one message they would outgrow all else.
 func (e *Edge) countsForRelays(now time.Duration, beat uint64) relayCounts {
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		return relayCounts{}
 	}
 	c := relayCounts{to: e.counters(), hello: &peersv1.Hello{}, ended: e.endedCounts(now)}
@@ -87,8 +87,8 @@
 		e.addOwnCounts(now, c.hello)
 		return c
 	}
-	c.lacking = e.lacking(now, max(e.standing.Began(), now-countsAskedAfter))
-	c.hello.Workspaces = retyped[string](e.book.Workspaces())
+	c.lacking = e.lacking(now, max(e.relayStanding.Began(), now-countsAskedAfter))
+	c.hello.Workspaces = retyped[string](e.usageBook.Workspaces())
 	c.hello.Ended = e.followersCounts(now)
 	return c
 }
@@ -106,11 +106,11 @@
 // with mu held. The relay that a daemon followed may have ended before that daemon finds it
 // out, and a relay that has just become one knows only what it was told since.
 func (e *Edge) lackedCounts(now time.Duration, to ident.Incarnation, otherwise []*peersv1.Ended) []*peersv1.Ended {
-	id, asked := e.lacked[to]
+	id, asked := e.requestedCounts[to]
 	if !asked {
 		return otherwise
 	}
-	delete(e.lacked, to)
+	delete(e.requestedCounts, to)
 	open := e.openCounts(now, id)
 	if len(open) == 0 {
 		return otherwise
@@ -133,7 +133,7 @@
 		}
 	}
 	slices.Sort(ids)
-	next, found := slices.BinarySearch(ids, e.lastFollower)
+	next, found := slices.BinarySearch(ids, e.lastFollowerSent)
 	if found {
 		next++
 	}
@@ -147,7 +147,7 @@
 			break
 		}
 		told = append(told, one)
-		e.lastFollower = id
+		e.lastFollowerSent = id
 	}
 	return told
 }
@@ -156,14 +156,14 @@
 // held.
 func (e *Edge) endedCounts(now time.Duration) []*peersv1.Ended {
 	alive := map[ident.Incarnation]bool{}
-	for _, m := range e.alive {
+	for _, m := range e.alivePeers {
 		alive[m.Incarnation] = true
 	}
-	id, ok := e.book.NextEnded(e.wall.At(now), e.lastEnded, alive)
+	id, ok := e.usageBook.NextEnded(e.wallClock.At(now), e.lastEndedSent, alive)
 	if !ok {
 		return nil
 	}
-	e.lastEnded = id
+	e.lastEndedSent = id
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: e.openCounts(now, id)}}
 }
 
@@ -171,7 +171,7 @@
 // that would follow it.
 func (e *Edge) counters() map[ident.Incarnation]bool {
 	ids := map[ident.Incarnation]bool{e.dir.holder(): true}
-	for _, m := range firstByName(e.plan.Others, successors) {
+	for _, m := range firstByName(e.relayPlan.Others, successors) {
 		ids[m.Incarnation] = true
 	}
 	return ids
@@ -198,19 +198,19 @@
 // heardCounts takes in counts of usage, and which the sender lacks; called with mu held.
 func (e *Edge) heardCounts(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	workspaces := retyped[ident.Workspace](h.Workspaces)
-	e.book.Heard(id, windowsOf(workspaces, h.Windows))
+	e.usageBook.Heard(id, windowsOf(workspaces, h.Windows))
 	if h.Counts {
 		e.coverage.Heard(now, id)
 	}
 	for _, one := range h.Ended {
 		of := ident.Incarnation(one.Incarnation)
-		e.book.Heard(of, windowsOf(workspaces, one.Windows))
+		e.usageBook.Heard(of, windowsOf(workspaces, one.Windows))
 		if one.Follows {
 			e.coverage.Told(now, of)
 		}
 	}
 	if h.Lacks != "" {
-		e.lacked[id] = ident.Incarnation(h.Lacks)
+		e.requestedCounts[id] = ident.Incarnation(h.Lacks)
 	}
 }
 
--- a/daemon/edge/demand.go
+++ b/daemon/edge/demand.go
@@ -13,8 +13,8 @@
 // successor that began to measure when it took over would know nothing for seconds,
 // and what is there would stand for what is needed.
 
-// defaultWait is what callers are taken to bear where no route tells it.
-const defaultWait = 500 * time.Millisecond
+// defaultAcceptableWait is what callers are taken to bear where no route tells it.
+const defaultAcceptableWait = 500 * time.Millisecond
 
 // demandConfig is the measure's without what the policy leaves out.
 func demandConfig(p Policy) fleet.DemandConfig {
@@ -30,19 +30,19 @@
 
 // measureDemand takes in the work that has come to a service.
 func (p *pool) measureDemand(now time.Duration) {
-	wait := defaultWait
+	wait := defaultAcceptableWait
 	if t := p.edge.table.Load(); t != nil {
-		wait = cmp.Or(t.Bearable(p.name), defaultWait)
+		wait = cmp.Or(t.Bearable(p.name), defaultAcceptableWait)
 	}
-	offered := p.edge.toldOffered(p.name)
+	offered := p.edge.peerOfferedTokens(p.name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.edge.relaying.Load() {
+	if p.edge.relayMode.Load() {
 		// The primary of a follower tells of this daemon's part among all others'.
-		p.counted += p.offered - p.seen
+		p.countedOffered += p.offered - p.lastOffered
 	}
-	p.seen = p.offered
-	w := fleet.Work{PromptTokens: p.counted + offered, PrefillRate: p.engines.Rate(), Wait: wait}
+	p.lastOffered = p.offered
+	w := fleet.Work{PromptTokens: p.countedOffered + offered, PrefillRate: p.prefillModel.Rate(), Wait: wait}
 	if p.service.Engine != nil {
 		w.Slots = p.service.Engine.Slots
 	}
@@ -55,14 +55,14 @@
 		if p.service.Engine == nil {
 			w.Slots = max(w.Slots, r.Slots)
 		}
-		w.Requests += own.Requests + p.others[own.Runner].Requests
+		w.Requests += own.Requests + p.peerLoads[own.Runner].Requests
 	}
 	p.demand.Sample(now, w)
 	p.work = w
 }
 
-// demanded is the work as it was measured last, and what it needs.
-func (p *pool) demanded() (fleet.Work, fleet.Estimate) {
+// currentDemand is the work as it was measured last, and what it needs.
+func (p *pool) currentDemand() (fleet.Work, fleet.Estimate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.work, p.demand.Estimate()
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -32,7 +32,7 @@
 	holder *holder.Holder
 	usage  usageDuty
 	saved  savedCounts
-	fleets map[string]*fleetDuty
+	fleets map[string]*fleetScaler
 	// token of the tenure that the duties were begun in.
 	token uint64
 	// due is told when it may be time to look at the duties.
@@ -48,9 +48,9 @@
 }
 
 func (d *duties) init(e *Edge) {
-	d.fleets = map[string]*fleetDuty{}
+	d.fleets = map[string]*fleetScaler{}
 	d.due = make(chan struct{}, 1)
-	ttl := e.set.Bounds.LeaseTTL
+	ttl := e.settings.Bounds.LeaseTTL
 	d.holder = holder.New(holder.Options{
 		Name:  dutyName,
 		Self:  string(e.self),
@@ -59,7 +59,7 @@
 			TTL:      ttl,
 			Renew:    ttl / renewals,
 			MaxOrder: callTimeout,
-			MaxPause: e.set.Bounds.FreezeSlack,
+			MaxPause: e.settings.Bounds.FreezeSlack,
 			Drift:    drift,
 			Retry:    ttl / 10,
 			Look:     ttl / 2,
@@ -89,7 +89,7 @@
 			cancel()
 			return
 		}
-		_, draining := e.drainedFor()
+		_, draining := e.timeSinceDrain()
 		e.duties.holder.Tick(ctx, !draining && e.candidate())
 		e.saveCounts(ctx)
 		if e.duties.holder.Token() != 0 {
@@ -108,7 +108,7 @@
 // again hears those of others no more.
 func (e *Edge) candidate() bool {
 	if e.duties.holder.Token() != 0 {
-		return e.relaying.Load()
+		return e.relayMode.Load()
 	}
 	if !e.Ready() {
 		return false
@@ -116,11 +116,11 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	shares := e.shares(now)
-	rank, _ := placeAmong(e.set.ID, e.plan.Others)
+	rank, _ := placeAmong(e.settings.ID, e.relayPlan.Others)
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	return shares && e.dir.dutyHolder == "" && e.dir.dutyFree != 0 && now-e.dir.dutyFree >= time.Duration(rank)*rankDelay
+	return shares && e.dir.dutyHolder == "" && e.dir.dutyFreeSince != 0 && now-e.dir.dutyFreeSince >= time.Duration(rank)*rankDelay
 }
 
 // perform does the duties of the present tenure.
@@ -129,10 +129,10 @@
 		e.duties.token = token
 		e.duties.usage = usageDuty{}
 		clear(e.duties.fleets)
-		e.trials.forgetDuties()
+		e.trials.forgetControllers()
 	}
 	e.reportUsage(ctx)
-	e.decideTrials(ctx)
+	e.advanceTrials(ctx)
 	t := e.table.Load()
 	if t == nil {
 		return
@@ -144,16 +144,16 @@
 		}
 		f, ok := e.duties.fleets[s.Name]
 		if !ok {
-			f = newFleetDuty(e, s)
+			f = newFleetScaler(e, s)
 			e.duties.fleets[s.Name] = f
 		}
 		f.service = *s
-		f.round(ctx)
+		f.reconcile(ctx)
 	}
 }
 
 // permit returns on whose behalf a call may go out right now; false if none may.
-func (e *Edge) permit() (Duty, bool) {
+func (e *Edge) permit() (DutyLease, bool) {
 	token, ok := e.duties.holder.Permit(false)
-	return Duty{Holder: e.set.ID, Token: token}, ok
+	return DutyLease{Holder: e.settings.ID, Token: token}, ok
 }
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -42,12 +42,12 @@
 
 // Edge is the daemon of one entry VM.
 type Edge struct {
-	set  Settings
-	deps Deps
-	log  *decisions.Log
-	self ident.Incarnation
-	// began is the steady time of the start.
-	began time.Duration
+	settings Settings
+	deps     Deps
+	log      *decisions.Log
+	self     ident.Incarnation
+	// startedAt is the steady time of the start.
+	startedAt time.Duration
 
 	// table is nil until the configuration has been read.
 	table atomic.Pointer[route.Table]
@@ -57,44 +57,44 @@
 
 	// mu guards what the daemons tell each other and the proof of the
 	// configuration.
-	mu      sync.Mutex
-	fresh   *freshness.Tracker
-	peers   *peers.Table
-	stamps  map[ident.Incarnation]freshness.Stamp
-	wall    *walltime.Estimate
-	book    *accounting.Book
-	limiter *quota.Limiter
-	seq     uint64
-	// alive are the other daemons as they were looked at last, plan is whom this daemon
+	mu              sync.Mutex
+	configFreshness *freshness.Tracker
+	peers           *peers.Table
+	stamps          map[ident.Incarnation]freshness.Stamp
+	wallClock       *walltime.Estimate
+	usageBook       *accounting.Book
+	limiter         *quota.Limiter
+	seq             uint64
+	// alivePeers are the other daemons as they were looked at last, plan is whom this daemon
 	// tells by that, standing what other relays say of it as one, followers those that
 	// follow it.
-	alive    []peers.Member
-	plan     relays.Plan
-	standing relays.Standing
-	// followsAnew says that the relays that this daemon follows now were not told yet.
-	followsAnew bool
-	followers   map[ident.Incarnation]follower
-	// feeding are the other relays that this daemon watches for, with the revision up to
+	alivePeers    []peers.Member
+	relayPlan     relays.Plan
+	relayStanding relays.Standing
+	// relaysChanged says that the relays that this daemon follows now were not told yet.
+	relaysChanged bool
+	followers     map[ident.Incarnation]follower
+	// fedRelays are the other relays that this daemon watches for, with the revision up to
 	// which they know the key-value service.
-	feeding map[ident.Incarnation]uint64
+	fedRelays map[ident.Incarnation]uint64
 	// coverage is when whose counts of usage were told, lacked those that other
 	// relays ask for.
-	coverage accounting.Coverage
-	lacked   map[ident.Incarnation]ident.Incarnation
-	// formerRelays are the relays to tell, so many times more, that this daemon is none any more.
-	formerRelays  []peers.Member
-	demotionsLeft int
-	// joining are the addresses of daemons that ask who the relays are, or are mistaken.
-	joining map[ident.Incarnation]string
+	coverage        accounting.Coverage
+	requestedCounts map[ident.Incarnation]ident.Incarnation
+	// demotionRecipients are the relays to tell, so many times more, that this daemon is none any more.
+	demotionRecipients []peers.Member
+	demotionSendsLeft  int
+	// rosterRequesters are the addresses of daemons that ask who the relays are, or are mistaken.
+	rosterRequesters map[ident.Incarnation]string
 	// rosterVersion is of the daemons that were told last, rosterLeft in how many more
 	// messages.
-	rosterVersion uint64
-	rosterLeft    int
-	// unreadable says that the newest configuration could not be read.
-	unreadable bool
-	// lastEnded is the daemon whose counts were told last after its end, lastFollower the
+	rosterVersion   uint64
+	rosterSendsLeft int
+	// configUnreadable says that the newest configuration could not be read.
+	configUnreadable bool
+	// lastEndedSent is the daemon whose counts were told last after its end, lastFollowerSent the
 	// follower whose counts were.
-	lastEnded, lastFollower ident.Incarnation
+	lastEndedSent, lastFollowerSent ident.Incarnation
 
 	// poolsMu guards the set of pools; each has a lock of its own.
 	poolsMu sync.RWMutex
@@ -103,19 +103,19 @@
 	// dir is what was read of the service; it has a lock of its own.
 	dir directory
 
-	// direct and relaying are the plan's, for those who can't wait for mu.
-	direct, relaying, allWatch atomic.Bool
+	// directMode and relayMode are the plan's, for those who can't wait for mu.
+	directMode, relayMode, allWatch atomic.Bool
 
-	trials     trials
-	told       toldLoads
-	placements placements
-	asks       asker
-	advised    advice
-	resolved   udpAddresses
-	confirms   confirmer
-	duties     duties
-	// healthAt is when the runners were looked at last; only tickLoop uses it.
-	healthAt time.Duration
+	trials            trials
+	peerLoads         peerLoads
+	placements        placements
+	grantRequests     asker
+	recommended       recommendations
+	resolvedAddresses udpAddresses
+	configCheck       configChecker
+	duties            duties
+	// healthCheckedAt is when the runners were looked at last; only tickLoop uses it.
+	healthCheckedAt time.Duration
 }
 
 const incarnationBytes = 6
@@ -128,43 +128,43 @@
 	now := deps.Steady()
 	self := ident.NewIncarnation(set.ID, random[:])
 	e := &Edge{
-		set:   set,
-		deps:  deps,
-		log:   deps.Log,
-		self:  self,
-		began: now,
-		fresh: freshness.New(),
+		settings:        set,
+		deps:            deps,
+		log:             deps.Log,
+		self:            self,
+		startedAt:       now,
+		configFreshness: freshness.New(),
 		peers: peers.New(peers.Member{
 			ID: set.ID, Incarnation: self, FailureDomain: set.FailureDomain,
 			CallerAddress: set.CallerAddress, PeerAddress: set.PeerAddress, Phase: peers.Starting,
 			Started: time.Now().UnixMilli(),
 		}),
-		followers: map[ident.Incarnation]follower{},
-		feeding:   map[ident.Incarnation]uint64{},
-		joining:   map[ident.Incarnation]string{},
-		lacked:    map[ident.Incarnation]ident.Incarnation{},
-		stamps:    map[ident.Incarnation]freshness.Stamp{},
-		wall:      walltime.New(time.Now(), now),
-		book: accounting.NewBook(self, accounting.Timing{
+		followers:        map[ident.Incarnation]follower{},
+		fedRelays:        map[ident.Incarnation]uint64{},
+		rosterRequesters: map[ident.Incarnation]string{},
+		requestedCounts:  map[ident.Incarnation]ident.Incarnation{},
+		stamps:           map[ident.Incarnation]freshness.Stamp{},
+		wallClock:        walltime.New(time.Now(), now),
+		usageBook: accounting.NewBook(self, accounting.Timing{
 			Length: set.Bounds.UsageWindow, Due: set.Bounds.UsageDue, Settle: accounting.SettleAfter,
 		}),
 		limiter: quota.New(now, set.Bounds.QuotaWindow, set.Bounds.QuotaTolerance, set.FirstStart),
 		// Each daemon begins at its own name, so that together they tell of all
 		// that have ended within a few messages.
-		lastEnded: self,
-		pools:     map[string]*pool{},
+		lastEndedSent: self,
+		pools:         map[string]*pool{},
 	}
 	e.dir.init()
 	e.trials.init()
-	e.told.init()
-	e.asks.init()
+	e.peerLoads.init()
+	e.grantRequests.init()
 	e.duties.init(e)
 	// Until it hears of others a daemon is alone.
-	e.plan = relays.Make(relays.View{Self: e.peers.Self(), DirectFleet: set.Policy.DirectFleet()})
-	e.standing.Begin(now)
-	e.direct.Store(e.plan.Direct)
-	e.allWatch.Store(e.plan.AllWatch)
-	e.relaying.Store(e.plan.Relay)
+	e.relayPlan = relays.Make(relays.View{Self: e.peers.Self(), DirectFleet: set.Policy.DirectFleet()})
+	e.relayStanding.Begin(now)
+	e.directMode.Store(e.relayPlan.Direct)
+	e.allWatch.Store(e.relayPlan.AllWatch)
+	e.relayMode.Store(e.relayPlan.Relay)
 	for _, seed := range set.Seeds {
 		e.peers.Learn(now, seed)
 	}
@@ -185,18 +185,18 @@
 
 // Run works until the context ends. Draining is begun by Drain before that.
 func (e *Edge) Run(ctx context.Context) error {
-	e.log.Note("start", decisions.F("daemon", e.set.ID), decisions.F("incarnation", e.self),
-		decisions.F("failure_domain", e.set.FailureDomain), decisions.F("first_start", e.set.FirstStart), decisions.F("without", e.set.Policy), decisions.F("direct_fleet", e.set.Policy.DirectFleet()))
+	e.log.Note("start", decisions.F("daemon", e.settings.ID), decisions.F("incarnation", e.self),
+		decisions.F("failure_domain", e.settings.FailureDomain), decisions.F("first_start", e.settings.FirstStart), decisions.F("without", e.settings.Policy), decisions.F("direct_fleet", e.settings.Policy.DirectFleet()))
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return e.receive(ctx) })
 	group.Go(func() error { e.tickLoop(ctx); return nil })
-	group.Go(func() error { e.follow(ctx); return nil })
+	group.Go(func() error { e.syncStore(ctx); return nil })
 	group.Go(func() error { e.keepRegistered(ctx); return nil })
 	if e.deps.Cloud != nil {
 		group.Go(func() error { e.runDuties(ctx); return nil })
 	}
 	err := group.Wait()
-	e.log.Note("stop", decisions.F("daemon", e.set.ID), decisions.F("in_flight", e.inFlight.Load()))
+	e.log.Note("stop", decisions.F("daemon", e.settings.ID), decisions.F("in_flight", e.inFlight.Load()))
 	if err != nil {
 		return fmt.Errorf("run daemon: %w", err)
 	}
@@ -217,8 +217,8 @@
 	e.tellTurn(0)
 }
 
-// drainedFor is how long ago Drain was called; false if it was not.
-func (e *Edge) drainedFor() (time.Duration, bool) {
+// timeSinceDrain is how long ago Drain was called; false if it was not.
+func (e *Edge) timeSinceDrain() (time.Duration, bool) {
 	since := e.drainingSince.Load()
 	if since == 0 {
 		return 0, false
@@ -241,7 +241,7 @@
 // only refuses. Called with mu held.
 func (e *Edge) refreshPhase(now time.Duration) {
 	phase := peers.Starting
-	if e.table.Load() != nil && e.fresh.Age(now) <= e.keyLimit() {
+	if e.table.Load() != nil && e.configFreshness.Age(now) <= e.maxConfigAgeForKeys() {
 		phase = peers.Ready
 	}
 	before := e.peers.Self().Phase
@@ -249,7 +249,7 @@
 		return
 	}
 	e.peers.SetPhase(phase)
-	e.log.Note("phase", decisions.F("ready", phase == peers.Ready), decisions.F("config_age", e.fresh.Age(now)))
+	e.log.Note("phase", decisions.F("ready", phase == peers.Ready), decisions.F("config_age", e.configFreshness.Age(now)))
 }
 
 // Directory lists the daemons that a caller in a failure domain should use.
--- a/daemon/edge/export_test.go
+++ b/daemon/edge/export_test.go
@@ -12,8 +12,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	during()
-	e.fresh.Read(uint64(revision), e.deps.Steady())
-	e.putInForce(route.NewTable(c), revision)
+	e.configFreshness.Read(uint64(revision), e.deps.Steady())
+	e.activateConfig(route.NewTable(c), revision)
 }
 
 // EngineRate is the tokens a second that a service's engines are taken to read.
@@ -21,12 +21,12 @@
 	p := e.pool(service)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.engines.Rate()
+	return p.prefillModel.Rate()
 }
 
 // KnowsWork tells whether the work of most of the fleet is known for long enough for
 // runners to be given back.
-func (e *Edge) KnowsWork() bool { return e.complete(e.deps.Steady(), knownFor) }
+func (e *Edge) KnowsWork() bool { return e.workKnownFor(e.deps.Steady(), workSettlePeriod) }
 
 // Leaving is the number of runners that the daemon knows to be leaving.
 func (e *Edge) Leaving() int {
@@ -42,7 +42,7 @@
 }
 
 // IsRelay tells whether the daemon takes itself for a relay.
-func (e *Edge) IsRelay() bool { return e.relaying.Load() }
+func (e *Edge) IsRelay() bool { return e.relayMode.Load() }
 
 // Elects tells whether the daemon takes another one for a relay.
 func (e *Edge) Elects(other *Edge) bool {
@@ -61,5 +61,5 @@
 func (e *Edge) Alive() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.alive)
+	return len(e.alivePeers)
 }
--- a/daemon/edge/feed.go
+++ b/daemon/edge/feed.go
@@ -34,12 +34,12 @@
 // known.
 func (e *Edge) fed() bool {
 	e.mu.Lock()
-	watches := e.plan.Watches
+	watches := e.relayPlan.Watches
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	oldest := e.deps.Steady() - time.Duration(fedShare*float64(e.set.Bounds.DrainWithin))
-	return !watches && !e.dir.incomplete && e.dir.at != 0 && e.dir.current >= oldest
+	oldest := e.deps.Steady() - time.Duration(fedShare*float64(e.settings.Bounds.DrainWithin))
+	return !watches && !e.dir.incomplete && e.dir.revision != 0 && e.dir.currentAt >= oldest
 }
 
 // feedAfter is what a daemon lacks that knows everything up to a revision.
@@ -49,11 +49,11 @@
 	}
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	part, ok := e.dir.log.Since(at, feedBytes)
+	part, ok := e.dir.changeLog.Since(at, feedBytes)
 	if !ok {
-		return &peersv1.Feed{After: at, Gap: e.dir.log.At() != 0}
+		return &peersv1.Feed{After: at, Gap: e.dir.changeLog.At() != 0}
 	}
-	told := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.log.At(), AgeNs: int64(now - e.dir.current)}
+	told := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.changeLog.At(), AgeNs: int64(now - e.dir.currentAt)}
 	for _, c := range part.Changes {
 		if len(c.Value) <= wholeBytes {
 			told.Changes = append(told.Changes, &peersv1.Change{Key: c.Key, Value: c.Value, Revision: c.Revision, Deleted: c.Deleted})
@@ -66,7 +66,7 @@
 func (e *Edge) takeFeed(f *peersv1.Feed) {
 	now := e.deps.Steady()
 	e.dir.mu.Lock()
-	at, age := uint64(e.dir.at), time.Duration(f.AgeNs)
+	at, age := uint64(e.dir.revision), time.Duration(f.AgeNs)
 	usable := !f.Gap && f.Through != 0 && f.After <= at && at != 0
 	switch {
 	case f.Gap && f.After == at && at != 0:
@@ -76,7 +76,7 @@
 		e.dir.incomplete = true
 	case usable && (len(f.Changes) == 0 || f.Through >= f.Head):
 		// Nothing is missing up to the sender's own copy.
-		e.dir.current = max(e.dir.current, now-age)
+		e.dir.currentAt = max(e.dir.currentAt, now-age)
 	}
 	e.dir.mu.Unlock()
 	if !usable {
@@ -87,7 +87,7 @@
 		events = append(events, kv.Event{Entry: kv.Entry{Key: c.Key, Value: c.Value, Revision: kv.Revision(c.Revision)}, Deleted: c.Deleted})
 	}
 	// When the relay read it is not known; the proof comes with its word.
-	e.apply(events, kv.Revision(f.Through), freshness.Never)
+	e.applyChanges(events, kv.Revision(f.Through), freshness.Never)
 }
 
 // passedOn tells whether followers need a key.
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -17,8 +17,8 @@
 
 var domains = []ident.FailureDomain{"north", "south", "east", "west"}
 
-// scaled is a configuration whose service's runners are ordered.
-func scaled() route.Config {
+// scaledConfig is a configuration whose service's runners are ordered.
+func scaledConfig() route.Config {
 	c := config(1)
 	c.Services = []route.Service{{
 		Name:   "app",
@@ -52,14 +52,14 @@
 // failure domain, so the dear ones ran on for seconds after the cheap ones were to be
 // had again. Each failure domain must be asked again soon, and nobody flooded with calls.
 func TestReclaimableRunnersAreAskedForAgainSoon(t *testing.T) {
-	inWorld(t, 1, scaled(), func(w *world) {
+	inWorld(t, 1, scaledConfig(), func(w *world) {
 		w.addFleet(3, false)
-		w.cloud.runDry(true)
+		w.cloud.setDry(true)
 		time.Sleep(20 * time.Second)
 		asked := w.cloud.refused()
 		w.True(asked >= 40) // two tries a second
 		w.True(asked <= 120)
-		w.cloud.runDry(false)
+		w.cloud.setDry(false)
 		time.Sleep(time.Second + 50*time.Millisecond) // the daemon's own looks fall on whole seconds
 		got := map[ident.FailureDomain]bool{}
 		for _, o := range w.cloud.ordered() {
@@ -75,7 +75,7 @@
 // ones would be paid in full: nothing beyond what is needed may be ordered.
 func TestNothingIsSpareAtTheFullPrice(t *testing.T) {
 	for _, rate := range []float64{0, 0.9} {
-		c := scaled()
+		c := scaledConfig()
 		c.Services[0].Scaling.ReclaimableRate = rate
 		inWorld(t, 1, c, func(w *world) {
 			w.addFleet(3, false)
@@ -92,10 +92,10 @@
 // order runners again took what it saw in its first moments for all there is and gave
 // runners back that the load, still to be measured, needed.
 func TestRestartedDaemonsGiveNothingBackUnmeasured(t *testing.T) {
-	inWorld(t, 1, scaled(), func(w *world) {
+	inWorld(t, 1, scaledConfig(), func(w *world) {
 		w.addFleet(3, true)
 		w.daemons[0].kill()
-		w.cloud.forget()
+		w.cloud.clearOrders()
 		w.notFirst = true
 		w.restart(0)
 		time.Sleep(30 * time.Second)
@@ -110,17 +110,17 @@
 // in for these; then, as runners register one after the other, the first that were seen
 // were taken for all there are, and too many were given back.
 func TestFirstRunnersAtTheFullPriceAreGivenBackOnceAllAreSeen(t *testing.T) {
-	inWorld(t, 1, scaled(), func(w *world) {
-		w.addDomain("north", 5)
+	inWorld(t, 1, scaledConfig(), func(w *world) {
+		w.addOnDemandRunners("north", 5)
 		time.Sleep(1200 * time.Millisecond)
 		for _, o := range w.cloud.ordered() {
 			w.True(o.Reclaimable) // nobody is given back yet
 		}
 		for _, domain := range domains[1:] {
-			w.addDomain(domain, 5)
+			w.addOnDemandRunners(domain, 5)
 		}
 		time.Sleep(2500 * time.Millisecond)
-		w.Equal(w.cloud.wantedAtFullPrice(), 10) // half of what was there at first
+		w.Equal(w.cloud.wantedOnDemand(), 10) // half of what was there at first
 	})
 }
 
@@ -130,12 +130,12 @@
 // back. The speed must be known again after some tens of prompts.
 func TestSpeedOfEnginesIsLearnedRightAfterARestart(t *testing.T) {
 	const rate, prompt = 100_000, 4000
-	inWorld(t, 1, scaled(), func(w *world) {
+	inWorld(t, 1, scaledConfig(), func(w *world) {
 		w.addFleet(1, true)
 		for _, domain := range domains {
-			w.runners.add(string(domain) + "a").play(func(context.Context, *edge.Attempt) (*edge.Answer, error) {
+			w.runners.add(string(domain) + "a").setScript(func(context.Context, *edge.Attempt) (*edge.Answer, error) {
 				time.Sleep(time.Duration(prompt) * time.Second / rate)
-				return events("id: 1\ndata: x\n\n", io.EOF), nil
+				return eventAnswer("id: 1\ndata: x\n\n", io.EOF), nil
 			})
 		}
 		w.daemons[0].kill()
@@ -143,15 +143,15 @@
 		d := w.restart(0)
 		time.Sleep(time.Second)
 		for i := range 80 {
-			w.prompt(d, prompt, i)
+			w.sendPrompt(d, prompt, i)
 		}
 		w.True(time.Since(w.start) < 10*time.Second)
 		w.True(d.EngineRate("app") > 0.8*rate)
 	})
 }
 
-// prompt sends a prompt that shares nothing to the stream's route.
-func (w *world) prompt(d *daemon, tokens, i int) {
+// sendPrompt sends a sendPrompt that shares nothing to the stream's route.
+func (w *world) sendPrompt(d *daemon, tokens, i int) {
 	d.Serve(context.Background(), &edge.Request{
 		ID: fmt.Sprintf("prompt-%d", i), Host: host, Path: "/match/", Method: http.MethodPost, Target: "/match/",
 		Header: http.Header{}, Key: key, Received: time.Now(),
@@ -159,16 +159,16 @@
 	}, &answer{})
 }
 
-// addDomain adds runners of one failure domain at the full price.
-func (w *world) addDomain(domain ident.FailureDomain, n int) {
+// addOnDemandRunners adds runners of one failure domain at the full price.
+func (w *world) addOnDemandRunners(domain ident.FailureDomain, n int) {
 	for i := range n {
 		w.addRunnerOf(domain, string(domain)+string(rune('a'+i)), false)
 	}
 }
 
-// wantedAtFullPrice is what the last orders ask for in all failure domains that were
+// wantedOnDemand is what the last orders ask for in all failure domains that were
 // ordered from, where five were at first.
-func (c *cloud) wantedAtFullPrice() int {
+func (c *cloud) wantedOnDemand() int {
 	wanted := map[ident.FailureDomain]int{}
 	for _, domain := range domains {
 		wanted[domain] = 5
@@ -185,8 +185,8 @@
 	return sum
 }
 
-// runDry lets reclaimable runners be hard to get.
-func (c *cloud) runDry(dry bool) {
+// setDry lets reclaimable runners be hard to get.
+func (c *cloud) setDry(dry bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dry = dry
@@ -198,13 +198,13 @@
 	return c.refusals
 }
 
-func (c *cloud) ordered() []edge.Order {
+func (c *cloud) ordered() []edge.RunnerOrder {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]edge.Order{}, c.orders...)
+	return append([]edge.RunnerOrder{}, c.orders...)
 }
 
-func (c *cloud) forget() {
+func (c *cloud) clearOrders() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.orders = nil
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -125,10 +125,10 @@
 	defer func() { e.leave(ids, answers) }()
 	refused := own
 	for i := 0; i < len(ask) && i < maxAsked && ctx.Err() == nil; i++ {
-		id := e.asks.add(pendingGrant{at: e.deps.Steady(), workspace: ws, cost: cost, relay: ask[i], answer: answers})
+		id := e.grantRequests.add(pendingGrant{at: e.deps.Steady(), workspace: ws, cost: cost, relay: ask[i], answer: answers})
 		ids = append(ids, id)
 		e.sendTo(ask[i], &peersv1.Datagram{Ask: &peersv1.Ask{
-			Id: id, Workspace: string(ws), Cost: cost, PeerAddress: e.set.PeerAddress, Service: service, Candidates: candidates,
+			Id: id, Workspace: string(ws), Cost: cost, PeerAddress: e.settings.PeerAddress, Service: service, Candidates: candidates,
 		}})
 		wait := grantWait
 		if i == len(ask)-1 {
@@ -154,7 +154,7 @@
 // referred adds relays that another daemon knows.
 func (e *Edge) referred(ask, to []string) []string {
 	for _, address := range to {
-		if address != e.set.PeerAddress && !slices.Contains(ask, address) {
+		if address != e.settings.PeerAddress && !slices.Contains(ask, address) {
 			ask = append(ask, address)
 		}
 	}
@@ -186,13 +186,13 @@
 // failure domain, then others. Called with mu held.
 func (e *Edge) askable() []string {
 	var ask, far []string
-	for _, r := range e.plan.Own {
+	for _, r := range e.relayPlan.Own {
 		ask = append(ask, r.PeerAddress)
 	}
-	for _, r := range e.plan.Others {
+	for _, r := range e.relayPlan.Others {
 		switch {
 		case slices.Contains(ask, r.PeerAddress):
-		case r.FailureDomain == e.set.FailureDomain:
+		case r.FailureDomain == e.settings.FailureDomain:
 			ask = append(ask, r.PeerAddress)
 		default:
 			far = append(far, r.PeerAddress)
@@ -206,13 +206,13 @@
 // shares tells whether this daemon gives out quotas: it does so only as a relay that another
 // one takes for one, too, or that is the last. Called with mu held.
 func (e *Edge) shares(now time.Duration) bool {
-	return e.plan.Relay && (e.plan.Direct || e.standing.Shares(now, e.hearsRelay(now)))
+	return e.relayPlan.Relay && (e.relayPlan.Direct || e.relayStanding.Shares(now, e.hearsRelay(now)))
 }
 
 // leave ends the wait for relays' answers and gives back what was granted beside the one
 // that counted.
 func (e *Edge) leave(ids []uint64, answers <-chan grantAnswer) {
-	e.asks.leave(ids)
+	e.grantRequests.leave(ids)
 	for {
 		select {
 		case g := <-answers:
@@ -259,7 +259,7 @@
 	e.mu.Unlock()
 	g.Id = a.Id
 	if g.Taken {
-		g.Runner = e.advise(now, a)
+		g.Runner = e.recommendRunner(now, a)
 	}
 	e.sendTo(a.PeerAddress, &peersv1.Datagram{Grant: g})
 }
@@ -267,7 +267,7 @@
 // granted hands a relay's answer to the request that waits for it. What comes too late
 // is given back.
 func (e *Edge) granted(g *peersv1.Grant) {
-	asked, ok := e.asks.take(g.Id)
+	asked, ok := e.grantRequests.take(g.Id)
 	if !ok {
 		e.log.Count("quota.unknown_grant")
 		return
@@ -300,7 +300,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.plan.Relay {
+	if e.relayPlan.Relay {
 		e.limiter.Return(ident.Workspace(r.Workspace), r.Cost)
 	}
 }
--- a/daemon/edge/hear.go
+++ b/daemon/edge/hear.go
@@ -65,9 +65,9 @@
 	case d.Refund != nil:
 		e.refunded(d.Refund)
 	case d.TrialReport != nil:
-		e.heardReport(d.TrialReport)
+		e.receiveTrialReport(d.TrialReport)
 	case d.TrialAllowance != nil:
-		e.heardAllowance(d.TrialAllowance)
+		e.receiveAllowance(d.TrialAllowance)
 	case d.Hello != nil:
 		e.heard(ctx, d.Hello)
 	}
@@ -95,21 +95,21 @@
 	}
 	e.heardMembers(now, id, h, ended)
 	e.stamps[id] = freshness.Stamp{Sent: time.Duration(h.StampNs), Received: now}
-	e.wall.Heard(id, time.Unix(0, h.TimeUnixNs), now)
+	e.wallClock.Heard(id, time.Unix(0, h.TimeUnixNs), now)
 	e.heardUses(now, id, h)
 	e.heardCounts(now, id, h)
-	behind := e.fresh.Heard(freshness.Word{
+	behind := e.configFreshness.Heard(freshness.Word{
 		Revision: h.ConfigRevision, Echo: time.Duration(h.EchoNs), Lag: time.Duration(h.LagNs), Proved: h.Proved,
 	})
 	e.refreshPhase(now)
 	source := e.sourceOf(id, h)
 	e.mu.Unlock()
 	if behind && e.table.Load() != nil {
-		go e.confirm(ctx)
+		go e.confirmConfig(ctx)
 	}
-	e.heardLeaving(h.Leaving)
-	e.heardWork(id, h, source)
-	e.heardPlaced(h.Placed, source == fromFollower)
+	e.receiveLeaving(h.Leaving)
+	e.receiveWork(id, h, source)
+	e.receivePlacements(h.Placed, source == fromFollower)
 }
 
 // heardMembers takes in whom a daemon knows; called with mu held.
@@ -149,21 +149,21 @@
 // heardUses takes in what another relay took of the quotas; called with mu held. One
 // that follows takes nothing itself.
 func (e *Edge) heardUses(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
-	if !e.plan.Relay {
+	if !e.relayPlan.Relay {
 		return
 	}
 	if !h.Relay {
 		e.limiter.Left(id)
 		return
 	}
-	if !e.plan.Direct && !e.elects(id) {
+	if !e.relayPlan.Direct && !e.elects(id) {
 		// It takes itself for a relay, as any daemon does that has just started, and gives
 		// out nothing until another one takes it for one, too; or it doesn't know yet that
 		// the fleet is no small one any more, and gives out its small part a moment longer.
 		e.limiter.Left(id)
 		return
 	}
-	if h.Elects || e.plan.Direct {
+	if h.Elects || e.relayPlan.Direct {
 		e.limiter.Heard(now, id, time.Duration(h.AgeNs), usesOf(h))
 	}
 }
@@ -189,9 +189,9 @@
 		return fromFollower
 	case h.Follows:
 		return fromNobody
-	case e.plan.Relay && h.Relay:
+	case e.relayPlan.Relay && h.Relay:
 		return fromRelay
-	case len(e.plan.Own) > 0 && e.plan.Own[0].Incarnation == id:
+	case len(e.relayPlan.Own) > 0 && e.relayPlan.Own[0].Incarnation == id:
 		return fromPrimary
 	}
 	return fromNobody
--- a/daemon/edge/hello.go
+++ b/daemon/edge/hello.go
@@ -16,7 +16,7 @@
 	maxTold = 4
 	// noticeTold is how long the others are told of a runner's notice: as long as one may
 	// need to read it, and a few messages.
-	noticeTold = gatherLong + time.Second
+	noticeTold = largeFleetBatchDelay + time.Second
 	// mostLeaving bounds the runners that are told to be leaving in one message.
 	mostLeaving = 3000
 )
@@ -36,14 +36,14 @@
 		Seq:           e.seq,
 		StampNs:       int64(now),
 		AgeNs:         int64(e.limiter.Age(now)),
-		TimeUnixNs:    e.wall.Own(now).UnixNano(),
-		Relay:         e.plan.Relay,
-		Joining:       !e.hearsAny(now, e.alive),
+		TimeUnixNs:    e.wallClock.Own(now).UnixNano(),
+		Relay:         e.relayPlan.Relay,
+		Joining:       !e.hearsAny(now, e.alivePeers),
 	}
-	if e.set.Policy.Uses(TellLeaving) {
-		h.Leaving = inTurn(e.dir.noticedSince(now-noticeTold), e.seq, mostLeaving)
+	if e.settings.Policy.Uses(TellLeaving) {
+		h.Leaving = inTurn(e.dir.leavingHashesSince(now-noticeTold), e.seq, mostLeaving)
 	}
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		h.Addresses = inTurn(e.peers.Addresses(), e.seq, maxTold)
 	}
 	return h
@@ -57,7 +57,7 @@
 }
 
 // addWork tells of work at the runners.
-func addWork(h *peersv1.Hello, w work) {
+func addWork(h *peersv1.Hello, w workSummary) {
 	for _, l := range w.loads {
 		if l.Requests > 0 {
 			h.Loads = append(h.Loads, &peersv1.Load{
@@ -77,7 +77,7 @@
 	if s, ok := e.stamps[to]; ok {
 		stamp = &s
 	}
-	w := e.fresh.Answer(stamp)
+	w := e.configFreshness.Answer(stamp)
 	return &peersv1.Hello{EchoNs: int64(w.Echo), LagNs: int64(w.Lag), Proved: w.Proved, ConfigRevision: w.Revision}
 }
 
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -11,69 +11,69 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// remembered is how many of its own messages a daemon keeps the loads of: those that
+// rememberedMessages is how many of its own messages a daemon keeps the loads of: those that
 // its primary may have heard last.
-const remembered = 16
+const rememberedMessages = 16
 
-// adviceLag is how long before it is heard a message may have been made.
-const adviceLag = 10 * time.Millisecond
+// minMessageAge is how long before it is heard a message may have been made.
+const minMessageAge = 10 * time.Millisecond
 
-// work is what some daemons have in progress at the runners, and what callers brought
+// workSummary is what some daemons have in progress at the runners, and what callers brought
 // them.
-type work struct {
+type workSummary struct {
 	loads []routing.OwnLoad
 	// offered is prompt tokens by service since some time.
 	offered map[string]float64
 	placed  []*peersv1.Placed
 }
 
-// news is what the daemons that are told in a turn hear, each one of these: this
+// workSummaries is what the daemons that are told in a turn hear, each one of these: this
 // daemon's own work, that of it and its followers, or that of all.
-type news struct {
-	own, cell, all work
+type workSummaries struct {
+	own, cell, all workSummary
 	roster         bool
 }
 
-// toldLoads is the work of the other daemons at the runners.
-type toldLoads struct {
+// peerLoads is the work of the other daemons at the runners.
+type peerLoads struct {
 	mu sync.Mutex
-	// daemons are followers and other relays, total all as the primary knows them.
-	daemons map[ident.Incarnation]toldLoad
-	total   toldLoad
+	// byDaemon are followers and other relays, total all as the primary knows them.
+	byDaemon map[ident.Incarnation]peerLoad
+	total    peerLoad
 	// sent are this daemon's own loads in its last messages, by their number.
 	sent map[uint64][]routing.OwnLoad
-	// offered is the prompt tokens that were brought to others, by service.
-	offered map[string]*offers
-	changed bool
-	// completeSince is since when most relays have told of their work; zero is not.
-	completeSince time.Duration
+	// offeredTallies is the prompt tokens that were brought to others, by service.
+	offeredTallies map[string]*offeredTally
+	changed        bool
+	// mostKnownSince is since when most relays have told of their work; zero is not.
+	mostKnownSince time.Duration
 }
 
-type toldLoad struct {
-	at   time.Duration
-	work []routing.OwnLoad
+type peerLoad struct {
+	receivedAt time.Duration
+	loads      []routing.OwnLoad
 	// follower says that nobody else counts it.
 	follower bool
-	// included is the own message that is part of a total.
-	included uint64
+	// includedSeq is the own message that is part of a total.
+	includedSeq uint64
 }
 
-// offers are counts of the work that was brought to one service.
-type offers struct{ followers, all fleet.Tally }
+// offeredTally are counts of the work that was brought to one service.
+type offeredTally struct{ followers, all fleet.Tally }
 
-func (t *toldLoads) init() {
-	t.daemons = map[ident.Incarnation]toldLoad{}
+func (t *peerLoads) init() {
+	t.byDaemon = map[ident.Incarnation]peerLoad{}
 	t.sent = map[uint64][]routing.OwnLoad{}
-	t.offered = map[string]*offers{}
+	t.offeredTallies = map[string]*offeredTally{}
 }
 
 // totalOf names the count of all work that a daemon tells; its own is another one.
 func totalOf(id ident.Incarnation) ident.Incarnation { return id + "/all" }
 
-// heardWork takes in a daemon's account of work. The pools hear of it with the next
+// receiveWork takes in a daemon's account of work. The pools hear of it with the next
 // applyLoads: to work the sums out for each message would cost a large fleet's
 // daemon more than its requests.
-func (e *Edge) heardWork(id ident.Incarnation, h *peersv1.Hello, from source) {
+func (e *Edge) receiveWork(id ident.Incarnation, h *peersv1.Hello, from source) {
 	if from == fromNobody || len(h.Offered) == 0 {
 		return
 	}
@@ -84,28 +84,28 @@
 		})
 	}
 	now := e.deps.Steady()
-	e.told.mu.Lock()
-	defer e.told.mu.Unlock()
-	e.told.changed = true
+	e.peerLoads.mu.Lock()
+	defer e.peerLoads.mu.Unlock()
+	e.peerLoads.changed = true
 	if from == fromFollower {
-		e.advised.told(h.PeerAddress, now-adviceLag)
+		e.recommended.dropReported(h.PeerAddress, now-minMessageAge)
 	}
-	heard := toldLoad{at: now, work: loads, follower: from == fromFollower, included: h.IncludedSeq}
+	heard := peerLoad{receivedAt: now, loads: loads, follower: from == fromFollower, includedSeq: h.IncludedSeq}
 	for _, o := range h.Offered {
-		e.told.heardOffered(now, id, o, from, !e.direct.Load())
+		e.peerLoads.receiveOffered(now, id, o, from, !e.directMode.Load())
 	}
 	if from == fromPrimary {
-		e.told.total = heard
+		e.peerLoads.total = heard
 		return
 	}
-	e.told.daemons[id] = heard
+	e.peerLoads.byDaemon[id] = heard
 }
 
-func (t *toldLoads) heardOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from source, relayed bool) {
-	counts, ok := t.offered[o.Service]
+func (t *peerLoads) receiveOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from source, relayed bool) {
+	counts, ok := t.offeredTallies[o.Service]
 	if !ok {
-		counts = &offers{}
-		t.offered[o.Service] = counts
+		counts = &offeredTally{}
+		t.offeredTallies[o.Service] = counts
 	}
 	counts.followers.Relayed(relayed)
 	counts.all.Relayed(relayed)
@@ -120,44 +120,44 @@
 	}
 }
 
-// remember keeps what was told of this daemon's own loads.
-func (t *toldLoads) remember(seq uint64, loads []routing.OwnLoad) {
+// rememberSent keeps what was told of this daemon's own loads.
+func (t *peerLoads) rememberSent(seq uint64, loads []routing.OwnLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent[seq] = loads
 	for s := range t.sent {
-		if s+remembered*followTurns < seq {
+		if s+rememberedMessages*followTurns < seq {
 			delete(t.sent, s)
 		}
 	}
 }
 
-// applyLoads hands the sums of the other daemons' work to the pools.
-func (e *Edge) applyLoads() {
+// applyPeerLoads hands the sums of the other daemons' work to the pools.
+func (e *Edge) applyPeerLoads() {
 	now := e.deps.Steady()
-	e.told.mu.Lock()
-	if e.told.expire(now) || e.told.changed {
-		e.told.changed = false
+	e.peerLoads.mu.Lock()
+	if e.peerLoads.expire(now) || e.peerLoads.changed {
+		e.peerLoads.changed = false
 	} else {
-		e.told.mu.Unlock()
+		e.peerLoads.mu.Unlock()
 		return
 	}
-	sums := e.told.others(now)
-	e.told.mu.Unlock()
-	sums.add(e.advised.loads(now), 1)
+	sums := e.peerLoads.sumOthers(now)
+	e.peerLoads.mu.Unlock()
+	sums.add(e.recommended.loads(now), 1)
 	e.poolsMu.RLock()
 	defer e.poolsMu.RUnlock()
 	for _, p := range e.pools {
-		p.setOthers(time.Now(), sums)
+		p.setPeerLoads(time.Now(), sums)
 	}
 }
 
-// toldOffered is the prompt tokens that were brought to other daemons; where the
+// peerOfferedTokens is the prompt tokens that were brought to other daemons; where the
 // primary tells of all, those that were brought to this one are among them.
-func (e *Edge) toldOffered(service string) float64 {
-	e.told.mu.Lock()
-	defer e.told.mu.Unlock()
-	if counts, ok := e.told.offered[service]; ok {
+func (e *Edge) peerOfferedTokens(service string) float64 {
+	e.peerLoads.mu.Lock()
+	defer e.peerLoads.mu.Unlock()
+	if counts, ok := e.peerLoads.offeredTallies[service]; ok {
 		return counts.all.Total()
 	}
 	return 0
@@ -165,15 +165,15 @@
 
 // expire drops daemons that are not heard any more: they have most likely ended, and
 // their work with them. It tells whether there were any.
-func (t *toldLoads) expire(now time.Duration) bool {
+func (t *peerLoads) expire(now time.Duration) bool {
 	expired := false
-	for id, told := range t.daemons {
-		if now-told.at <= peers.RelayedAliveFor {
+	for id, told := range t.byDaemon {
+		if now-told.receivedAt <= peers.RelayedAliveFor {
 			continue
 		}
 		expired = true
-		delete(t.daemons, id)
-		for _, counts := range t.offered {
+		delete(t.byDaemon, id)
+		for _, counts := range t.offeredTallies {
 			counts.followers.Gone(id)
 			counts.all.Gone(id)
 		}
@@ -181,33 +181,33 @@
 	return expired
 }
 
-// complete tells whether the work of most of the fleet has been known for a while. Right
+// workKnownFor tells whether the work of most of the fleet has been known for a while. Right
 // after a start of all daemons each knows of its own callers only.
-func (e *Edge) complete(now, forSoLong time.Duration) bool {
+func (e *Edge) workKnownFor(now, forSoLong time.Duration) bool {
 	if e.allWatch.Load() {
 		return true
 	}
-	e.told.mu.Lock()
-	defer e.told.mu.Unlock()
-	since := e.told.completeSince
+	e.peerLoads.mu.Lock()
+	defer e.peerLoads.mu.Unlock()
+	since := e.peerLoads.mostKnownSince
 	return since != 0 && now-since >= forSoLong
 }
 
-// noteComplete looks whether most of so many other relays have told of their work.
-func (t *toldLoads) noteComplete(now time.Duration, others int) {
+// updateMostKnown looks whether most of so many other relays have told of their work.
+func (t *peerLoads) updateMostKnown(now time.Duration, others int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	told := 0
-	for _, d := range t.daemons {
+	for _, d := range t.byDaemon {
 		if !d.follower {
 			told++
 		}
 	}
 	switch {
 	case 2*told < others:
-		t.completeSince = 0
-	case t.completeSince == 0:
-		t.completeSince = max(1, now)
+		t.mostKnownSince = 0
+	case t.mostKnownSince == 0:
+		t.mostKnownSince = max(1, now)
 	}
 }
 
@@ -232,35 +232,35 @@
 	return list
 }
 
-// others adds up the work of all other daemons: what the primary tells without the own
+// sumOthers adds up the work of all other daemons: what the primary tells without the own
 // part of it, or what followers and other relays tell.
-func (t *toldLoads) others(now time.Duration) loadSums {
+func (t *peerLoads) sumOthers(now time.Duration) loadSums {
 	sums := loadSums{}
-	if t.total.work != nil && now-t.total.at <= peers.RelayedAliveFor {
-		sums.add(t.total.work, 1)
-		sums.add(t.sent[t.total.included], -1)
+	if t.total.loads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
+		sums.add(t.total.loads, 1)
+		sums.add(t.sent[t.total.includedSeq], -1)
 		return sums
 	}
-	for _, told := range t.daemons {
-		sums.add(told.work, 1)
+	for _, told := range t.byDaemon {
+		sums.add(told.loads, 1)
 	}
 	return sums
 }
 
-// followers adds up the work of the followers.
-func (t *toldLoads) followers() loadSums {
+// sumFollowers adds up the work of the sumFollowers.
+func (t *peerLoads) sumFollowers() loadSums {
 	sums := loadSums{}
-	for _, told := range t.daemons {
+	for _, told := range t.byDaemon {
 		if told.follower {
-			sums.add(told.work, 1)
+			sums.add(told.loads, 1)
 		}
 	}
 	return sums
 }
 
-// whatToTell gathers the work that is told.
-func (e *Edge) whatToTell() news {
-	own := work{offered: map[string]float64{}}
+// summarizeWork gathers the work that is told.
+func (e *Edge) summarizeWork() workSummaries {
+	own := workSummary{offered: map[string]float64{}}
 	e.poolsMu.RLock()
 	for name, p := range e.pools {
 		own.loads = p.loads(own.loads)
@@ -268,21 +268,21 @@
 	}
 	e.poolsMu.RUnlock()
 	now := e.deps.Steady()
-	own.placed = e.placements.recent(now, e.tellFor(), ownPlaced)
-	n := news{own: own}
-	e.told.mu.Lock()
-	defer e.told.mu.Unlock()
-	cell, all := e.told.followers(), e.told.others(now)
-	advised := e.advised.loads(now)
-	for _, sums := range []loadSums{cell, all} {
+	own.placed = e.placements.recent(now, e.placementSendTime(), originSelf)
+	n := workSummaries{own: own}
+	e.peerLoads.mu.Lock()
+	defer e.peerLoads.mu.Unlock()
+	ownAndFollowers, all := e.peerLoads.sumFollowers(), e.peerLoads.sumOthers(now)
+	advised := e.recommended.loads(now)
+	for _, sums := range []loadSums{ownAndFollowers, all} {
 		sums.add(own.loads, 1)
 		sums.add(advised, 1)
 	}
-	n.cell = work{loads: cell.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.tellFor(), cellPlaced)}
-	n.all = work{loads: all.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.tellFor(), anyPlaced)}
+	n.cell = workSummary{loads: ownAndFollowers.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originFollower)}
+	n.all = workSummary{loads: all.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originAny)}
 	for name, tokens := range own.offered {
 		n.cell.offered[name], n.all.offered[name] = tokens, tokens
-		if counts, ok := e.told.offered[name]; ok {
+		if counts, ok := e.peerLoads.offeredTallies[name]; ok {
 			n.cell.offered[name] += counts.followers.Total()
 			n.all.offered[name] += counts.all.Total()
 		}
--- a/daemon/edge/order.go
+++ b/daemon/edge/order.go
@@ -23,7 +23,7 @@
 	return fleet.Pool{FailureDomain: r.FailureDomain, Class: class}
 }
 
-func (f *fleetDuty) offers(reclaimableOnly bool) []fleet.Offer {
+func (f *fleetScaler) offers(reclaimableOnly bool) []fleet.Offer {
 	var offers []fleet.Offer
 	s := f.service.Scaling
 	for domain, price := range s.Prices {
@@ -39,9 +39,9 @@
 	return offers
 }
 
-// carryOut turns a decision into numbers to order of each pool. A pool that has
+// applyDecision turns a decision into numbers to order of each pool. A pool that has
 // none to give is asked again later, and the next round plans without it.
-func (f *fleetDuty) carryOut(ctx context.Context, now time.Duration, d fleet.Decision, w fleet.Wanted) {
+func (f *fleetScaler) applyDecision(ctx context.Context, now time.Duration, d fleet.Decision, w fleet.Wanted) {
 	changes := map[fleet.Pool]int{}
 	for _, s := range d.Starts {
 		changes[s.Pool]++
@@ -57,27 +57,27 @@
 		if n == 0 {
 			continue
 		}
-		f.change(ctx, now, pool, n, w)
+		f.orderChange(ctx, now, pool, n, w)
 	}
 }
 
-func (f *fleetDuty) change(ctx context.Context, now time.Duration, pool fleet.Pool, n int, w fleet.Wanted) {
+func (f *fleetScaler) orderChange(ctx context.Context, now time.Duration, pool fleet.Pool, n int, w fleet.Wanted) {
 	duty, ok := f.edge.permit()
 	if !ok {
 		return
 	}
 	f.orders.Change(now, pool, n)
-	order := Order{
+	order := RunnerOrder{
 		Service:       f.service.Name,
 		FailureDomain: pool.FailureDomain,
 		Reclaimable:   pool.Class == reclaimable,
 		Runners:       f.orders.Wanted(pool),
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-	err := f.edge.deps.Cloud.Order(callCtx, duty, order)
+	err := f.edge.deps.Cloud.OrderRunners(callCtx, duty, order)
 	cancel()
 	outcome := "ordered"
-	var none *NoneAvailableError
+	var none *NoRunnersAvailableError
 	switch {
 	case err == nil:
 		f.planner.Started(pool)
@@ -90,7 +90,7 @@
 		outcome = "none_available"
 		f.orders.Undo(pool, n)
 		f.planner.Refused(now, pool)
-		f.scarceUntil = now + scarceFor
+		f.scarceUntil = now + scarcityPeriod
 	default:
 		// It may have been taken. The same number is ordered again if it does
 		// not show.
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -12,153 +12,153 @@
 )
 
 const (
-	// fetchGain is how many times faster than reading a copy must be: a copy is paid
+	// minFetchSpeedup is how many times faster than reading a copy must be: a copy is paid
 	// for, too.
-	fetchGain = 4
-	// forgetfulFor is how long after a restart a daemon knows too little of what the
+	minFetchSpeedup = 4
+	// cacheLearningPeriod is how long after a restart a daemon knows too little of what the
 	// runners have cached. Most of what is asked for again is so within seconds.
-	forgetfulFor = 20 * time.Second
-	// placedTold is how long the others are told of a placement: about three messages
+	cacheLearningPeriod = 20 * time.Second
+	// placementSendPeriod is how long the others are told of a placement: about three messages
 	// of a small fleet. relayedTold is the same in a large one, two messages of those
 	// that are told most seldom.
-	placedTold  = 350 * time.Millisecond
-	relayedTold = 850 * time.Millisecond
-	// mostPlaced bounds the placements in a message, the newest ones: after a crash of many
+	placementSendPeriod        = 350 * time.Millisecond
+	relayedPlacementSendPeriod = 850 * time.Millisecond
+	// maxPlacements bounds the placements in a message, the newest ones: after a crash of many
 	// runners all prompts go to new ones, and messages grew until links lost them.
-	mostPlaced = 80
-	// placedQuiet is how long a placement that has been told is not told again in a
+	maxPlacements = 80
+	// placementRepeatInterval is how long a placement that has been told is not told again in a
 	// large fleet. Most prompts go where their shared parts were before.
-	placedQuiet = 8 * time.Second
+	placementRepeatInterval = 8 * time.Second
 )
 
-// placedBy says whose placements are told.
-type placedBy int
+// placementOrigin says whose placements are told.
+type placementOrigin int
 
 const (
-	ownPlaced placedBy = iota
-	// cellPlaced are those of this daemon and its followers.
-	cellPlaced
-	anyPlaced
+	originSelf placementOrigin = iota
+	// originFollower are those of this daemon and its followers.
+	originFollower
+	originAny
 )
 
-// placedKey is a prompt's shared parts at a runner.
-type placedKey struct {
+// placementKey is a prompt's shared parts at a runner.
+type placementKey struct {
 	runner ident.RunnerID
 	last   prefix.Hash
 }
 
-// placedAt is where a prompt's shared parts were sent.
-type placedAt struct {
-	at   time.Duration
-	by   placedBy
-	told *peersv1.Placed
+// placement is where a prompt's shared parts were sent.
+type placement struct {
+	at      time.Duration
+	origin  placementOrigin
+	message *peersv1.Placed
 }
 
 // placements are those of the last seconds.
 type placements struct {
 	mu    sync.Mutex
-	known map[placedKey]placedAt
+	byKey map[placementKey]placement
 }
 
 // note takes in a placement, which is told unless it is known from a moment ago. It
 // returns false if it is.
-func (p *placements) note(now, quiet time.Duration, by placedBy, told *peersv1.Placed) bool {
+func (p *placements) note(now, quiet time.Duration, by placementOrigin, told *peersv1.Placed) bool {
 	if len(told.Prefix) == 0 {
 		return false
 	}
-	key := placedKey{ident.RunnerID(told.Runner), told.Prefix[len(told.Prefix)-1]}
+	key := placementKey{ident.RunnerID(told.Runner), told.Prefix[len(told.Prefix)-1]}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if before, known := p.known[key]; known && now-before.at < quiet {
+	if before, known := p.byKey[key]; known && now-before.at < quiet {
 		return false
 	}
-	if p.known == nil {
-		p.known = map[placedKey]placedAt{}
+	if p.byKey == nil {
+		p.byKey = map[placementKey]placement{}
 	}
-	p.known[key] = placedAt{now, by, told}
+	p.byKey[key] = placement{now, by, told}
 	return true
 }
 
 // recent lists what was placed a moment ago, and forgets what is older than matters.
-func (p *placements) recent(now, told time.Duration, by placedBy) []*peersv1.Placed {
+func (p *placements) recent(now, told time.Duration, by placementOrigin) []*peersv1.Placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var recent []placedAt
-	for key, one := range p.known {
+	var recent []placement
+	for key, one := range p.byKey {
 		switch age := now - one.at; {
-		case age > placedQuiet:
-			delete(p.known, key)
-		case age <= told && one.by <= by:
+		case age > placementRepeatInterval:
+			delete(p.byKey, key)
+		case age <= told && one.origin <= by:
 			recent = append(recent, one)
 		}
 	}
-	slices.SortFunc(recent, func(a, b placedAt) int { return cmp.Compare(b.at, a.at) })
-	list := make([]*peersv1.Placed, 0, mostPlaced)
-	for _, one := range recent[:min(mostPlaced, len(recent))] {
-		list = append(list, one.told)
+	slices.SortFunc(recent, func(a, b placement) int { return cmp.Compare(b.at, a.at) })
+	list := make([]*peersv1.Placed, 0, maxPlacements)
+	for _, one := range recent[:min(maxPlacements, len(recent))] {
+		list = append(list, one.message)
 	}
 	return list
 }
 
-// tellFor is how long a placement is told.
-func (e *Edge) tellFor() time.Duration {
-	if e.direct.Load() {
-		return placedTold
+// placementSendTime is how long a placement is told.
+func (e *Edge) placementSendTime() time.Duration {
+	if e.directMode.Load() {
+		return placementSendPeriod
 	}
-	return relayedTold
+	return relayedPlacementSendPeriod
 }
 
-// quietFor is how long a placement that has been told need not be told again.
-func (e *Edge) quietFor() time.Duration {
-	if e.direct.Load() {
+// placementRepeatTime is how long a placement that has been told need not be told again.
+func (e *Edge) placementRepeatTime() time.Duration {
+	if e.directMode.Load() {
 		return 0
 	}
-	return placedQuiet
+	return placementRepeatInterval
 }
 
-// placed tells the others where a prompt's shared parts were sent.
-func (e *Edge) placed(service string, runner ident.RunnerID, chain []prefix.Hash) {
-	if !e.set.Policy.Uses(TellPlacements) {
+// notePlacement tells the others where a prompt's shared parts were sent.
+func (e *Edge) notePlacement(service string, runner ident.RunnerID, chain []prefix.Hash) {
+	if !e.settings.Policy.Uses(TellPlacements) {
 		return
 	}
-	e.placements.note(e.deps.Steady(), e.quietFor(), ownPlaced, &peersv1.Placed{Service: service, Runner: string(runner), Prefix: chain})
+	e.placements.note(e.deps.Steady(), e.placementRepeatTime(), originSelf, &peersv1.Placed{Service: service, Runner: string(runner), Prefix: chain})
 }
 
-// heardPlaced takes in what other daemons placed. What is news is passed on.
-func (e *Edge) heardPlaced(told []*peersv1.Placed, follower bool) {
+// receivePlacements takes in what other daemons placed. What is news is passed on.
+func (e *Edge) receivePlacements(told []*peersv1.Placed, follower bool) {
 	if len(told) == 0 {
 		return
 	}
-	by := anyPlaced
+	by := originAny
 	if follower {
-		by = cellPlaced
+		by = originFollower
 	}
-	now, quiet := e.deps.Steady(), e.quietFor()
+	now, quiet := e.deps.Steady(), e.placementRepeatTime()
 	for _, one := range told {
 		e.placements.note(now, quiet, by, one)
 		if p := e.pool(one.Service); p != nil {
-			p.assume(ident.RunnerID(one.Runner), one.Prefix)
+			p.assumeCached(ident.RunnerID(one.Runner), one.Prefix)
 		}
 	}
 }
 
-// fetches tells whether a runner gets a cached prefix sooner from another runner
+// canFetchPrefix tells whether a runner gets a cached prefix sooner from another runner
 // than by reading it again. A copy is paid for, too, so it must be much sooner.
-func (p *pool) fetches() bool {
+func (p *pool) canFetchPrefix() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.edge.set.Policy.Uses(CopyParts) && p.service.Engine != nil && p.service.Engine.FetchRate > fetchGain*p.engines.Rate()
+	return p.edge.settings.Policy.Uses(CopyParts) && p.service.Engine != nil && p.service.Engine.FetchRate > minFetchSpeedup*p.prefillModel.Rate()
 }
 
-// assume takes in what another daemon placed.
-func (p *pool) assume(id ident.RunnerID, chain []prefix.Hash) {
+// assumeCached takes in what another daemon placed.
+func (p *pool) assumeCached(id ident.RunnerID, chain []prefix.Hash) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.Assume(id, chain)
 }
 
-// forgetful says that this daemon has restarted and knows too little yet of what the
+// recentlyRestarted says that this daemon has restarted and knows too little yet of what the
 // runners have cached.
-func (p *pool) forgetful() bool {
-	return p.edge.set.Policy.Uses(TrustHomes) && !p.edge.set.FirstStart && p.edge.deps.Steady()-p.edge.began < forgetfulFor
+func (p *pool) recentlyRestarted() bool {
+	return p.edge.settings.Policy.Uses(TrustHomes) && !p.edge.settings.FirstStart && p.edge.deps.Steady()-p.edge.startedAt < cacheLearningPeriod
 }
--- a/daemon/edge/plain_test.go
+++ b/daemon/edge/plainservice_test.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	plainPlaces = 6
-	plainQueue  = 24
-	plainWork   = 60 * time.Millisecond
+	plainSlots       = 6
+	plainQueue       = 24
+	plainServiceTime = 60 * time.Millisecond
 )
 
-// addPlaces adds a runner that works on a few requests at once, queues some more and turns
+// addPlainRunner adds a runner that works on a few requests at once, queues some more and turns
 // away the others.
-func (w *world) addPlaces(id string) {
-	places, queue := make(chan struct{}, plainPlaces), make(chan struct{}, plainPlaces+plainQueue)
-	w.runners.add(id).play(func(_ context.Context, _ *edge.Attempt) (*edge.Answer, error) {
+func (w *world) addPlainRunner(id string) {
+	slots, queue := make(chan struct{}, plainSlots), make(chan struct{}, plainSlots+plainQueue)
+	w.runners.add(id).setScript(func(_ context.Context, _ *edge.Attempt) (*edge.Answer, error) {
 		select {
 		case queue <- struct{}{}:
 		default:
-			a := plain(http.StatusServiceUnavailable, "")
+			a := plainAnswer(http.StatusServiceUnavailable, "")
 			a.NotRun = true
 			return a, nil
 		}
-		places <- struct{}{}
-		time.Sleep(plainWork)
-		<-places
+		slots <- struct{}{}
+		time.Sleep(plainServiceTime)
+		<-slots
 		<-queue
-		return plain(http.StatusOK, "from "+id), nil
+		return plainAnswer(http.StatusOK, "from "+id), nil
 	})
 	w.put(runnerPrefix+id, edge.Runner{Runner: view.Runner{
 		ID: ident.RunnerID(id), Address: id, Service: "app", FailureDomain: "north", State: view.Live,
-	}, Slots: plainPlaces})
+	}, Slots: plainSlots})
 }
 
 // Guards against callers who are refused as if they could not be answered in time, while the
@@ -53,10 +53,10 @@
 	)
 	inWorld(t, daemons, config(1), func(w *world) {
 		for i := range runners {
-			w.addPlaces(fmt.Sprintf("r%d", i))
+			w.addPlainRunner(fmt.Sprintf("r%d", i))
 		}
 		time.Sleep(time.Second)
-		luck := rand.New(rand.NewPCG(1, 0))
+		random := rand.New(rand.NewPCG(1, 0))
 		var asking sync.WaitGroup
 		var mu sync.Mutex
 		asked, refused, reasons := 0, 0, map[refusal.Reason]int{}
@@ -75,7 +75,7 @@
 				time.Sleep(time.Second / time.Duration(perSecond))
 				asking.Add(1)
 				asked++
-				go ask(w.daemons[luck.IntN(daemons)])
+				go ask(w.daemons[random.IntN(daemons)])
 			}
 		}
 		play(calm, 3*time.Second)
--- a/daemon/edge/policy.go
+++ b/daemon/edge/policy.go
@@ -64,23 +64,23 @@
 	directFleet int
 }
 
-// MostDirectFleet is the largest fleet whose daemons may tell each other directly: messages
+// MaxDirectFleet is the largest fleet whose daemons may tell each other directly: messages
 // grow with the square of it.
-const MostDirectFleet = 100
+const MaxDirectFleet = 100
 
 // DirectFleetError says that a fleet is too small or too large for its daemons to tell each
 // other directly up to that size.
 type DirectFleetError struct{ Daemons int }
 
 func (e *DirectFleetError) Error() string {
-	return fmt.Sprintf("direct fleet %d: must be %d to %d daemons", e.Daemons, relays.SmallFleet, MostDirectFleet)
+	return fmt.Sprintf("direct fleet %d: must be %d to %d daemons", e.Daemons, relays.SmallFleet, MaxDirectFleet)
 }
 
 // WithDirectFleet returns the policy by which the daemons of a fleet of so many at the most
 // tell each other directly. It must be the same for all of a fleet. It fails with
 // *DirectFleetError.
 func (p Policy) WithDirectFleet(daemons int) (Policy, error) {
-	if daemons < relays.SmallFleet || daemons > MostDirectFleet {
+	if daemons < relays.SmallFleet || daemons > MaxDirectFleet {
 		return Policy{}, &DirectFleetError{daemons}
 	}
 	p.directFleet = daemons
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -26,22 +26,22 @@
 	firstPrefillRate = 40_000
 	// engineDecodeRate is tokens per second of one request in a half-full batch.
 	engineDecodeRate = 150
-	// plainServiceTime stands in for the mean time that a plain service's request
+	// initialServiceTime stands in for the mean time that a plain service's request
 	// takes.
-	plainServiceTime = 20 * time.Millisecond
-	// spreadRate times faster than they work plain runners are taken to be for the sake of
+	initialServiceTime = 20 * time.Millisecond
+	// plainPrefillFactor times faster than they work plain runners are taken to be for the sake of
 	// those with free places: the less busy one is chosen then, though none would wait.
-	spreadRate = 2
+	plainPrefillFactor = 2
 	// defaultSlots is used for a service whose runners don't tell theirs.
 	defaultSlots = 16
 	// remotePenalty is what another failure domain costs at the least: its way
 	// there and back. Bytes between failure domains are paid for, too.
 	remotePenalty = 5 * time.Millisecond
-	// largeSamples is how many random runners the daemons of a large fleet choose from.
-	largeSamples = 2
-	// budgetKept is the part of the shared retry budget that is used; the rest
+	// largeFleetSamples is how many random runners the daemons of a large fleet choose from.
+	largeFleetSamples = 2
+	// retryBudgetShare is the part of the shared retry budget that is used; the rest
 	// covers daemons that started anew.
-	budgetKept = 0.85
+	retryBudgetShare = 0.85
 )
 
 // pool is one service's runners as one daemon uses them.
@@ -56,47 +56,47 @@
 	tracker *health.Tracker
 	retry   *retry.Policy
 	runners map[ident.RunnerID]Runner
-	// others is the work of the other daemons at each runner, as it was known at othersAt.
-	others   map[ident.RunnerID]routing.OwnLoad
-	othersAt time.Duration
-	// active is what is in progress at each runner.
-	active map[ident.RunnerID]*activity
-	// engines is what is known of the speed of model engines, plain that of other runners.
-	engines *prefill.Model
-	plain   *servicetime.Mean
+	// peerLoads is the work of the other daemons at each runner, as it was known at othersAt.
+	peerLoads   map[ident.RunnerID]routing.OwnLoad
+	peerLoadsAt time.Duration
+	// activities is what is in progress at each runner.
+	activities map[ident.RunnerID]*activity
+	// prefillModel is what is known of the speed of model prefillModel, plain that of other runners.
+	prefillModel *prefill.Model
+	serviceTime  *servicetime.Mean
 	// offered is the prompt tokens that callers brought here and that had to be
 	// read.
 	offered float64
 	daemons int
 	// demand is measured from work, which was looked at last. counted is the part of
 	// offered that nobody else counted, up to where offered was seen last.
-	demand  *fleet.Demand
-	work    fleet.Work
-	counted float64
-	seen    float64
+	demand         *fleet.Demand
+	work           fleet.Work
+	countedOffered float64
+	lastOffered    float64
 }
 
 func newPool(e *Edge, s route.Service) *pool {
 	return &pool{
-		edge:    e,
-		name:    s.Name,
-		service: s,
-		table:   routing.New(tableConfig(e, s)),
-		tracker: health.New(healthConfig()),
-		retry:   retry.New(retryConfig(0, 0, 0)),
-		runners: map[ident.RunnerID]Runner{},
-		others:  map[ident.RunnerID]routing.OwnLoad{},
-		active:  map[ident.RunnerID]*activity{},
-		engines: prefill.New(firstPrefillRate),
-		plain:   servicetime.New(plainServiceTime),
-		demand:  fleet.NewDemand(demandConfig(e.set.Policy), e.set.FirstStart),
+		edge:         e,
+		name:         s.Name,
+		service:      s,
+		table:        routing.New(tableConfig(e, s)),
+		tracker:      health.New(healthConfig()),
+		retry:        retry.New(retryConfig(0, 0, 0)),
+		runners:      map[ident.RunnerID]Runner{},
+		peerLoads:    map[ident.RunnerID]routing.OwnLoad{},
+		activities:   map[ident.RunnerID]*activity{},
+		prefillModel: prefill.New(firstPrefillRate),
+		serviceTime:  servicetime.New(initialServiceTime),
+		demand:       fleet.NewDemand(demandConfig(e.settings.Policy), e.settings.FirstStart),
 	}
 }
 
 func tableConfig(e *Edge, s route.Service) routing.Config {
-	c := routing.Default(e.set.ID, e.set.FailureDomain)
+	c := routing.Default(e.settings.ID, e.settings.FailureDomain)
 	c.RemotePenalty = remotePenalty
-	c.IgnorePrefix = !e.set.Policy.Uses(PlaceByPrefix)
+	c.IgnorePrefix = !e.settings.Policy.Uses(PlaceByPrefix)
 	// The daemons tell each other their load several times a second, so the best
 	// of all runners is not the same one for all of them for long.
 	c.Samples = 0
@@ -106,8 +106,8 @@
 	// the second request of one is already far above the mean.
 	c.LoadBound = 0
 	if s.Engine == nil {
-		c.PrefillRate = defaultSlots / plainServiceTime.Seconds()
-		c.DecodeRate = 1 / plainServiceTime.Seconds()
+		c.PrefillRate = defaultSlots / initialServiceTime.Seconds()
+		c.DecodeRate = 1 / initialServiceTime.Seconds()
 		// A plain service's request is one token of output.
 		c.Output = 1
 		c.Batch = defaultSlots
@@ -135,15 +135,15 @@
 	p.service = s
 }
 
-// share sets this daemon's part of the shared retry budget.
-func (p *pool) share(b Bounds, daemons int) {
+// setRetryShare sets this daemon's part of the shared retry budget.
+func (p *pool) setRetryShare(b Bounds, daemons int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if daemons == p.daemons {
 		return
 	}
 	p.table.SetSamples(samplesFor(daemons))
-	perFirst, perSecond, burst := retry.Share(b.RetryRatio, b.RetrySlack, budgetKept, b.RetryWindow, daemons)
+	perFirst, perSecond, burst := retry.Share(b.RetryRatio, b.RetrySlack, retryBudgetShare, b.RetryWindow, daemons)
 	if p.daemons == 0 {
 		// A new pool starts with its savings; without them the first failures
 		// after a start could not be answered by another runner.
@@ -160,7 +160,7 @@
 	if daemons <= relays.SmallFleet {
 		return 0
 	}
-	return largeSamples
+	return largeFleetSamples
 }
 
 func (p *pool) setRunners(now time.Time, runners []Runner) {
@@ -177,32 +177,32 @@
 	}
 	p.table.SetRunners(now, list)
 	p.tracker.SetRunners(ids)
-	p.reportLocked(now)
+	p.updateLoadsLocked(now)
 }
 
-// setOthers takes in the other daemons' work at this pool's runners.
-func (p *pool) setOthers(now time.Time, others map[ident.RunnerID]routing.OwnLoad) {
+// setPeerLoads takes in the other daemons' work at this pool's runners.
+func (p *pool) setPeerLoads(now time.Time, others map[ident.RunnerID]routing.OwnLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.others, p.othersAt = others, p.edge.deps.Steady()
-	p.reportLocked(now)
+	p.peerLoads, p.peerLoadsAt = others, p.edge.deps.Steady()
+	p.updateLoadsLocked(now)
 }
 
-// reportLocked tells the table each runner's whole load, own work included. The
+// updateLoadsLocked tells the table each runner's whole load, own work included. The
 // runners' own reports are not asked for: all of their work comes from these daemons,
 // whose word is younger.
-func (p *pool) reportLocked(now time.Time) {
+func (p *pool) updateLoadsLocked(now time.Time) {
 	for _, own := range p.table.OwnLoads(nil) {
 		r, ok := p.runners[own.Runner]
 		if !ok {
 			continue
 		}
-		other := p.others[own.Runner]
-		p.table.Report(now, own.Runner, p.report(now, r, own, other))
+		other := p.peerLoads[own.Runner]
+		p.table.Report(now, own.Runner, p.loadReport(now, r, own, other))
 	}
 }
 
-func (p *pool) report(now time.Time, r Runner, own, other routing.OwnLoad) load.Report {
+func (p *pool) loadReport(now time.Time, r Runner, own, other routing.OwnLoad) load.Report {
 	rep := load.Report{
 		AsOf:          now,
 		Running:       own.Requests + other.Requests,
@@ -216,11 +216,11 @@
 		rep.Models = []load.Model{{}}
 	}
 	if p.service.Engine == nil {
-		rep.DecodeRate = 1 / p.plain.Seconds()
-		rep.PrefillRate = spreadRate * float64(p.placesOf(r.ID)) * rep.DecodeRate
+		rep.DecodeRate = 1 / p.serviceTime.Seconds()
+		rep.PrefillRate = plainPrefillFactor * float64(p.slotsOf(r.ID)) * rep.DecodeRate
 	} else {
 		rep.KVBlocksTotal = p.service.Engine.KVTokens / prefix.BlockTokens
-		rep.PrefillRate = p.engines.Rate()
+		rep.PrefillRate = p.prefillModel.Rate()
 	}
 	return rep
 }
@@ -230,7 +230,7 @@
 func (p *pool) pick(now time.Time, r *routing.Request, advised ident.RunnerID, first bool) (routing.Choice, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.table.TrustHomes(p.forgetful())
+	p.table.TrustHomes(p.recentlyRestarted())
 	c, ok := p.table.PickFrom(advised, r)
 	var err error
 	if !ok {
@@ -249,13 +249,13 @@
 		p.retry.FirstAttempt(now)
 	}
 	if n := len(r.Prefix); n > 1 {
-		p.edge.placed(p.name, c.Runner, r.Prefix[:n-1])
+		p.edge.notePlacement(p.name, c.Runner, r.Prefix[:n-1])
 	}
 	return p.table.Dispatch(now, c, r)
 }
 
-// scales tells whether the runners are the system's to order.
-func (p *pool) scales() bool {
+// isScaled tells whether the runners are the system's to order.
+func (p *pool) isScaled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.service.Scaling != nil
@@ -282,8 +282,8 @@
 	if p.service.Engine == nil {
 		return
 	}
-	if c.FetchFrom == "" && p.edge.set.Policy.Uses(LearnSpeed) {
-		p.engines.Observe(prefill.Sample{Tokens: c.Uncached, Ahead: c.Ahead, Took: took})
+	if c.FetchFrom == "" && p.edge.settings.Policy.Uses(LearnSpeed) {
+		p.prefillModel.Observe(prefill.Sample{Tokens: c.Uncached, Ahead: c.Ahead, Took: took})
 	}
 }
 
@@ -296,25 +296,25 @@
 	}
 }
 
-// placesOf is how many requests a runner works on at once; called with mu held.
-func (p *pool) placesOf(id ident.RunnerID) int {
+// slotsOf is how many requests a runner works on at once; called with mu held.
+func (p *pool) slotsOf(id ident.RunnerID) int {
 	if n := p.runners[id].Slots; n > 0 {
 		return n
 	}
 	return defaultSlots
 }
 
-// answered learns from how long a plain service's answer took.
-func (p *pool) answered(c routing.Choice, took time.Duration) {
+// observeServiceTime learns from how long a plain service's answer took.
+func (p *pool) observeServiceTime(c routing.Choice, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.service.Engine == nil {
-		p.plain.Observe(took, c.Running, p.placesOf(c.Runner))
+		p.serviceTime.Observe(took, c.Running, p.slotsOf(c.Runner))
 	}
 }
 
-// next answers a failed attempt under the pool's lock; see forward.Exchange.
-func (p *pool) next(decide func(*retry.Policy)) {
+// withRetryPolicy answers a failed attempt under the pool's lock; see forward.Exchange.
+func (p *pool) withRetryPolicy(decide func(*retry.Policy)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	decide(p.retry)
--- a/daemon/edge/advice.go
+++ b/daemon/edge/recommendations.go
@@ -15,36 +15,36 @@
 // its followers' choices at once, since it makes them, and of the other relays' several
 // times a second.
 
-// adviceFrom is how many runners a relay chooses from.
-const adviceFrom = 4
+// maxCandidates is how many runners a relay chooses from.
+const maxCandidates = 4
 
-// advised is a prompt that was sent to a runner by this relay's advice. It counts until
+// recommendation is a prompt that was sent to a runner by this relay's advice. It counts until
 // the runner should have read it, or its daemon tells of it.
-type advised struct {
-	at, until time.Duration
-	by        string
-	runner    ident.RunnerID
-	tokens    int
+type recommendation struct {
+	at, until     time.Duration
+	daemonAddress string
+	runner        ident.RunnerID
+	tokens        int
 }
 
-// advice is what was advised a moment ago.
-type advice struct {
+// recommendations is what was advised a moment ago.
+type recommendations struct {
 	mu     sync.Mutex
-	recent []advised
+	recent []recommendation
 }
 
-func (a *advice) add(one advised) {
+func (a *recommendations) add(one recommendation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.recent = append(a.recent, one)
 }
 
-// told drops what a daemon has told of itself by now.
-func (a *advice) told(by string, before time.Duration) {
-	a.keep(func(one advised) bool { return one.by != by || one.at > before })
+// dropReported drops what a daemon has dropReported of itself by now.
+func (a *recommendations) dropReported(by string, before time.Duration) {
+	a.retain(func(one recommendation) bool { return one.daemonAddress != by || one.at > before })
 }
 
-func (a *advice) keep(keep func(advised) bool) {
+func (a *recommendations) retain(keep func(recommendation) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	kept := a.recent[:0]
@@ -57,8 +57,8 @@
 }
 
 // loads is the prompts that the runners are still to read.
-func (a *advice) loads(now time.Duration) []routing.OwnLoad {
-	a.keep(func(one advised) bool { return one.until > now })
+func (a *recommendations) loads(now time.Duration) []routing.OwnLoad {
+	a.retain(func(one recommendation) bool { return one.until > now })
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var loads []routing.OwnLoad
@@ -69,7 +69,7 @@
 }
 
 // tokensAt is what one runner is still to read of the prompts advised after a time.
-func (a *advice) tokensAt(runner ident.RunnerID, now, after time.Duration) int {
+func (a *recommendations) tokensAt(runner ident.RunnerID, now, after time.Duration) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	tokens := 0
@@ -81,8 +81,8 @@
 	return tokens
 }
 
-// advise chooses the candidate with the soonest first token; empty if there is none.
-func (e *Edge) advise(now time.Duration, a *peersv1.Ask) string {
+// recommendRunner chooses the candidate with the soonest first token; empty if there is none.
+func (e *Edge) recommendRunner(now time.Duration, a *peersv1.Ask) string {
 	p := e.pool(a.Service)
 	if p == nil {
 		return ""
@@ -90,7 +90,7 @@
 	best, soonest := -1, time.Duration(0)
 	for i, c := range a.Candidates {
 		runner := ident.RunnerID(c.Runner)
-		wait, ok := p.wait(runner, e.advised.tokensAt(runner, now, p.lastTold()))
+		wait, ok := p.expectedWait(runner, e.recommended.tokensAt(runner, now, p.peerLoadsTime()))
 		if first := wait + time.Duration(c.AloneNs); ok && (best < 0 || first < soonest) {
 			best, soonest = i, first
 		}
@@ -99,36 +99,36 @@
 		return ""
 	}
 	c := a.Candidates[best]
-	e.advised.add(advised{at: now, until: now + soonest, by: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
+	e.recommended.add(recommendation{at: now, until: now + soonest, daemonAddress: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
 	return c.Runner
 }
 
-// wait is the expected time until a runner begins to read a prompt.
-func (p *pool) wait(id ident.RunnerID, tokens int) (time.Duration, bool) {
+// expectedWait is the expected time until a runner begins to read a prompt.
+func (p *pool) expectedWait(id ident.RunnerID, tokens int) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Wait(id, tokens)
 }
 
-// lastTold is when the table heard of the others' work last.
-func (p *pool) lastTold() time.Duration {
+// peerLoadsTime is when the table heard of the others' work last.
+func (p *pool) peerLoadsTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.othersAt
+	return p.peerLoadsAt
 }
 
 // candidates implements whereTo.
-func (s *serving) candidates() (string, []*peersv1.Candidate) {
+func (s *requestHandler) candidates() (string, []*peersv1.Candidate) {
 	if s.pool == nil || !s.pool.hasEngine() {
 		return "", nil
 	}
-	return s.pool.name, s.pool.candidates(&s.place)
+	return s.pool.name, s.pool.candidates(&s.routingRequest)
 }
 
 func (p *pool) candidates(r *routing.Request) []*peersv1.Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best, err := p.table.Candidates(r, adviceFrom)
+	best, err := p.table.Candidates(r, maxCandidates)
 	if err != nil {
 		// The request is refused when a runner is chosen.
 		return nil
--- a/daemon/edge/advice_test.go
+++ b/daemon/edge/recommendations_test.go
@@ -17,47 +17,47 @@
 	"geraniumstack.org/geraniumstack/state/route"
 )
 
-// reader is an engine that reads one prompt after the other.
-type reader struct {
-	mu   sync.Mutex
-	free time.Time
+// serialEngine is an engine that reads one prompt after the other.
+type serialEngine struct {
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-// read returns when a prompt has been read.
-func (r *reader) read(took time.Duration) {
+// readPrompt returns when a prompt has been readPrompt.
+func (r *serialEngine) readPrompt(took time.Duration) {
 	r.mu.Lock()
 	begins := time.Now()
-	if r.free.After(begins) {
-		begins = r.free
+	if r.freeAt.After(begins) {
+		begins = r.freeAt
 	}
-	r.free = begins.Add(took)
-	until := r.free
+	r.freeAt = begins.Add(took)
+	until := r.freeAt
 	r.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
 
-func (w *world) addReader(id string, domain ident.FailureDomain, rate float64) {
-	engine := &reader{}
-	w.runners.add(id).play(func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
-		engine.read(time.Duration(float64(a.Request.Prompt.PromptTokens) / rate * float64(time.Second)))
-		return events("id: 1\ndata: x\n\n", io.EOF), nil
+func (w *world) addSerialEngine(id string, domain ident.FailureDomain, rate float64) {
+	engine := &serialEngine{}
+	w.runners.add(id).setScript(func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
+		engine.readPrompt(time.Duration(float64(a.Request.Prompt.PromptTokens) / rate * float64(time.Second)))
+		return eventAnswer("id: 1\ndata: x\n\n", io.EOF), nil
 	})
 	w.put(runnerPrefix+id, edge.Runner{Runner: view.Runner{
 		ID: ident.RunnerID(id), Address: id, Service: "app", FailureDomain: domain, State: view.Live,
 	}, Slots: 32})
 }
 
-// lateOf plays prompts on a large fleet before half busy engines and returns the share
+// lateShare plays prompts on a large fleet before half busy engines and returns the share
 // whose first token came late.
-func lateOf(t *testing.T, quota float64) float64 {
+func lateShare(t *testing.T, quota float64) float64 {
 	const (
-		daemons, engines  = 60, 24
-		rate, prompt      = 64_000.0, 3000
-		perSecond         = 200
-		warm, played      = 3 * time.Second, 20 * time.Second
-		target            = 300 * time.Millisecond
-		spacing           = time.Second / perSecond
-		promptsWhileWarms = int(warm / spacing)
+		daemons, engines = 60, 24
+		rate, prompt     = 64_000.0, 3000
+		perSecond        = 200
+		warm, played     = 3 * time.Second, 20 * time.Second
+		target           = 300 * time.Millisecond
+		spacing          = time.Second / perSecond
+		warmupPrompts    = int(warm / spacing)
 	)
 	c := config(1)
 	c.Services = []route.Service{{Name: "app", Engine: &route.Engine{Slots: 32, KVTokens: 500_000}}}
@@ -65,7 +65,7 @@
 	late := 0
 	inLargeFleet(t, daemons, c, func(w *world) {
 		for i := range engines {
-			w.addReader(fmt.Sprintf("r%d", i), w.domains[i%len(w.domains)], rate)
+			w.addSerialEngine(fmt.Sprintf("r%d", i), w.domains[i%len(w.domains)], rate)
 		}
 		time.Sleep(3 * time.Second)
 		random := rand.New(rand.NewPCG(1, 1))
@@ -83,7 +83,7 @@
 				}, a)
 				mu.Lock()
 				defer mu.Unlock()
-				if i >= promptsWhileWarms && (a.refusal != nil || time.Since(asked) > target) {
+				if i >= warmupPrompts && (a.refusal != nil || time.Since(asked) > target) {
 					late++
 				}
 			})
@@ -102,7 +102,7 @@
 	c.Services = []route.Service{{Name: "app", Engine: &route.Engine{Slots: 32, KVTokens: 500_000}}}
 	inLargeFleet(t, daemons, c, func(w *world) {
 		for i := range 60 {
-			w.addReader(fmt.Sprintf("i-0123456789~%013d", i), w.domains[i%len(w.domains)], 64_000)
+			w.addSerialEngine(fmt.Sprintf("i-0123456789~%013d", i), w.domains[i%len(w.domains)], 64_000)
 		}
 		time.Sleep(3 * time.Second)
 		var wg sync.WaitGroup
@@ -134,8 +134,8 @@
 // that grants a request's quota also chooses its runner.
 func TestRelaysChooseBetterThanTheirFollowers(t *testing.T) {
 	var alone, advised float64
-	t.Run("alone", func(t *testing.T) { alone = lateOf(t, 0) })
-	t.Run("advised", func(t *testing.T) { advised = lateOf(t, 10_000_000) })
+	t.Run("alone", func(t *testing.T) { alone = lateShare(t, 0) })
+	t.Run("advised", func(t *testing.T) { advised = lateShare(t, 10_000_000) })
 	t.Logf("late: %.3f alone, %.3f advised", alone, advised)
 	// Nineteen in twenty first tokens are to come in time.
 	if advised >= alone || advised > 0.05 {
--- a/daemon/edge/request_test.go
+++ b/daemon/edge/request_test.go
@@ -15,12 +15,12 @@
 	"geraniumstack.org/geraniumstack/state/route"
 )
 
-func broken(context.Context, *edge.Attempt) (*edge.Answer, error) {
+func breakConnection(context.Context, *edge.Attempt) (*edge.Answer, error) {
 	return nil, &edge.SendError{Reason: retry.Broken, Sent: true, Err: io.ErrUnexpectedEOF}
 }
 
-func notRun(context.Context, *edge.Attempt) (*edge.Answer, error) {
-	a := plain(http.StatusServiceUnavailable, "")
+func refuseUnrun(context.Context, *edge.Attempt) (*edge.Answer, error) {
+	a := plainAnswer(http.StatusServiceUnavailable, "")
 	a.NotRun = true
 	return a, nil
 }
@@ -30,7 +30,7 @@
 func TestBrokenAttempt(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
-		r1.script, r2.script = broken, broken
+		r1.script, r2.script = breakConnection, breakConnection
 		time.Sleep(100 * time.Millisecond)
 		a := w.ask(w.daemons[0], "/pledge/1", key)
 		w.Equal(a.reason(), refusal.RunnerFailed)
@@ -47,7 +47,7 @@
 func TestRunnersThatDidNotRun(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
-		r1.script, r2.script = notRun, notRun
+		r1.script, r2.script = refuseUnrun, refuseUnrun
 		time.Sleep(100 * time.Millisecond)
 		a := w.ask(w.daemons[0], "/pledge/1", key)
 		w.Equal(a.refusal.Executed, refusal.ExecutedNo)
@@ -87,7 +87,7 @@
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
 		slow := func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error) {
 			time.Sleep(200 * time.Millisecond)
-			return broken(ctx, a)
+			return breakConnection(ctx, a)
 		}
 		r1.script, r2.script = slow, slow
 		time.Sleep(100 * time.Millisecond)
@@ -115,10 +115,10 @@
 	inWorld(t, 1, config(1), func(w *world) {
 		dying := func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
 			if a.LastEventID == "" {
-				return events(eventText(1, 3)+"id: 4\nda", errors.New("reset")), nil
+				return eventAnswer(eventText(1, 3)+"id: 4\nda", errors.New("reset")), nil
 			}
 			w.Equal(a.LastEventID, "3")
-			return events(eventText(3, 6), io.EOF), nil
+			return eventAnswer(eventText(3, 6), io.EOF), nil
 		}
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
 		r1.script, r2.script = dying, dying
@@ -142,9 +142,9 @@
 		inWorld(t, 1, config(1), func(w *world) {
 			script := func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
 				if a.LastEventID == "" {
-					return events(eventText(1, 3), errors.New("reset")), nil
+					return eventAnswer(eventText(1, 3), errors.New("reset")), nil
 				}
-				return plain(status, "early"), nil
+				return plainAnswer(status, "early"), nil
 			}
 			w.addRunner("r1", "app").script = script
 			w.addRunner("r2", "app").script = script
@@ -270,7 +270,7 @@
 		var all []*runner
 		for i := range 4 {
 			r := w.addRunner(fmt.Sprintf("r%d", i), "app")
-			r.script = func(context.Context, *edge.Attempt) (*edge.Answer, error) { return plain(500, "oops"), nil }
+			r.script = func(context.Context, *edge.Attempt) (*edge.Answer, error) { return plainAnswer(500, "oops"), nil }
 			all = append(all, r)
 		}
 		time.Sleep(time.Second)
@@ -339,15 +339,15 @@
 		}
 		dark.script = hang
 		time.Sleep(100 * time.Millisecond)
-		w.runners.dark("r1", true)
+		w.runners.setUnresponsive("r1", true)
 		stream, pledge := make(chan *answer, 1), make(chan *answer, 1)
 		begun := time.Now()
 		go func() { stream <- w.ask(w.daemons[0], "/draft/1", key) }()
 		go func() { pledge <- w.ask(w.daemons[0], "/pledge/1", key) }()
 		time.Sleep(100 * time.Millisecond)
 		other := w.addRunner("r2", "app")
-		other.play(func(context.Context, *edge.Attempt) (*edge.Answer, error) {
-			return events(eventText(1, 3), io.EOF), nil
+		other.setScript(func(context.Context, *edge.Attempt) (*edge.Answer, error) {
+			return eventAnswer(eventText(1, 3), io.EOF), nil
 		})
 		a := <-stream
 		w.True(a.whole)
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -60,51 +60,51 @@
 		e.forget(id, "silent")
 	}
 	e.elect(now)
-	e.told.noteComplete(now, len(e.plan.Others))
+	e.peerLoads.updateMostKnown(now, len(e.relayPlan.Others))
 	e.limiter.Expect(now, e.expected(now))
 	e.limiter.Isolate(e.isolated(now))
 	e.limiter.Tick(now)
-	e.book.Tick(e.wall.At(now))
+	e.usageBook.Tick(e.wallClock.At(now))
 	e.refreshPhase(now)
 }
 
 // elect finds the relays anew; called with mu held.
 func (e *Edge) elect(now time.Duration) {
 	alive := peers.AliveFor
-	if !e.plan.Direct {
+	if !e.relayPlan.Direct {
 		alive = peers.RelayedAliveFor
 	}
 	e.peers.SetAliveFor(alive)
-	e.alive = e.peers.Alive(now)
-	v := relays.View{Self: e.peers.Self(), Alive: e.alive, Fleet: e.peers.Size(), Domains: e.peers.Domains(now), DirectFleet: e.set.Policy.DirectFleet()}
-	before := e.plan
-	e.plan = relays.Make(v)
-	e.direct.Store(e.plan.Direct)
-	e.allWatch.Store(e.plan.AllWatch)
-	e.relaying.Store(e.plan.Relay)
+	e.alivePeers = e.peers.Alive(now)
+	v := relays.View{Self: e.peers.Self(), Alive: e.alivePeers, Fleet: e.peers.Size(), Domains: e.peers.Domains(now), DirectFleet: e.settings.Policy.DirectFleet()}
+	before := e.relayPlan
+	e.relayPlan = relays.Make(v)
+	e.directMode.Store(e.relayPlan.Direct)
+	e.allWatch.Store(e.relayPlan.AllWatch)
+	e.relayMode.Store(e.relayPlan.Relay)
 	switch {
-	case e.plan.Relay && !before.Relay:
+	case e.relayPlan.Relay && !before.Relay:
 		e.renewLimiter(now)
-	case before.Relay && !e.plan.Relay, before.Direct && !e.plan.Direct:
-		e.formerRelays, e.demotionsLeft = before.Others, demotionRepeats
+	case before.Relay && !e.relayPlan.Relay, before.Direct && !e.relayPlan.Direct:
+		e.demotionRecipients, e.demotionSendsLeft = before.Others, demotionRepeats
 	}
-	moved := !slices.Equal(e.plan.Own, before.Own)
-	e.followsAnew = e.followsAnew || moved
-	if e.plan.Relay != before.Relay || moved {
+	moved := !slices.Equal(e.relayPlan.Own, before.Own)
+	e.relaysChanged = e.relaysChanged || moved
+	if e.relayPlan.Relay != before.Relay || moved {
 		var own []ident.Incarnation
-		for _, r := range e.plan.Own {
+		for _, r := range e.relayPlan.Own {
 			own = append(own, r.Incarnation)
 		}
-		e.log.Note("role", decisions.F("relay", e.plan.Relay), decisions.F("follows", own), decisions.F("daemons", v.Fleet))
+		e.log.Note("role", decisions.F("relay", e.relayPlan.Relay), decisions.F("follows", own), decisions.F("daemons", v.Fleet))
 	}
 }
 
 // renewLimiter begins to share out quotas. What was known when this daemon did so last
 // is out of date.
 func (e *Edge) renewLimiter(now time.Duration) {
-	first := e.set.FirstStart && now-e.began < firstStartFor
-	e.standing.Begin(now)
-	e.limiter = quota.New(now, e.set.Bounds.QuotaWindow, e.set.Bounds.QuotaTolerance, first)
+	first := e.settings.FirstStart && now-e.startedAt < firstStartFor
+	e.relayStanding.Begin(now)
+	e.limiter = quota.New(now, e.settings.Bounds.QuotaWindow, e.settings.Bounds.QuotaTolerance, first)
 	if t := e.table.Load(); t != nil {
 		e.limiter.SetLimits(now, limitsOf(t))
 	}
@@ -112,17 +112,17 @@
 
 // expected is how many daemons may share out quotas beside this one, itself included.
 func (e *Edge) expected(now time.Duration) int {
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		return 1 + len(e.peers.Addresses())
 	}
-	return 1 + len(e.plan.Others)
+	return 1 + len(e.relayPlan.Others)
 }
 
 // isolated is into how many parts quotas are to be divided where no other relay is
 // heard: this one's is that of its followers. Zero is not isolated. In a small fleet the
 // limiter knows each daemon itself.
 func (e *Edge) isolated(now time.Duration) int {
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		return 0
 	}
 	if e.hearsRelay(now) {
@@ -143,10 +143,10 @@
 }
 
 // hearsRelay tells whether another relay is heard directly; called with mu held.
-func (e *Edge) hearsRelay(now time.Duration) bool { return e.hearsAny(now, e.plan.Others) }
+func (e *Edge) hearsRelay(now time.Duration) bool { return e.hearsAny(now, e.relayPlan.Others) }
 
 // elects tells whether this daemon takes another one for a relay; called with mu held.
-func (e *Edge) elects(id ident.Incarnation) bool { return contain(e.plan.Others, id) }
+func (e *Edge) elects(id ident.Incarnation) bool { return contain(e.relayPlan.Others, id) }
 
 func contain(members []peers.Member, id ident.Incarnation) bool {
 	return slices.ContainsFunc(members, func(m peers.Member) bool { return m.Incarnation == id })
@@ -157,16 +157,16 @@
 // small fleet, in which nobody is mistaken, take each other for relays in good time before it
 // grows. Called with mu held.
 func (e *Edge) heardRelay(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
-	if !h.Relay || !e.plan.Relay {
+	if !h.Relay || !e.relayPlan.Relay {
 		return
 	}
-	if !e.plan.Direct && !e.elects(id) {
-		e.joining[id] = h.PeerAddress
+	if !e.relayPlan.Direct && !e.elects(id) {
+		e.rosterRequesters[id] = h.PeerAddress
 		return
 	}
-	if e.standing.Heard(now, h.Elects) && !e.plan.Direct {
-		e.log.Note("role_doubted", decisions.F("by", id), decisions.F("relays", 1+len(e.plan.Others)),
-			decisions.F("knows", len(e.alive)), decisions.F("daemons", e.peers.Size()))
+	if e.relayStanding.Heard(now, h.Elects) && !e.relayPlan.Direct {
+		e.log.Note("role_doubted", decisions.F("by", id), decisions.F("relays", 1+len(e.relayPlan.Others)),
+			decisions.F("knows", len(e.alivePeers)), decisions.F("daemons", e.peers.Size()))
 	}
 }
 
@@ -174,11 +174,11 @@
 // held.
 func (e *Edge) forget(id ident.Incarnation, why string) {
 	e.limiter.Gone(id)
-	e.wall.Gone(id)
+	e.wallClock.Gone(id)
 	delete(e.stamps, id)
 	delete(e.followers, id)
-	delete(e.feeding, id)
-	delete(e.lacked, id)
+	delete(e.fedRelays, id)
+	delete(e.requestedCounts, id)
 	e.coverage.Gone(e.deps.Steady(), id)
 	e.log.Note("daemon_gone", decisions.F("incarnation", id), decisions.F("reason", why))
 }
@@ -186,13 +186,13 @@
 // noteFollower takes in whether a daemon follows this one; called with mu held.
 func (e *Edge) noteFollower(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if h.Joining {
-		e.joining[id] = h.PeerAddress
+		e.rosterRequesters[id] = h.PeerAddress
 	}
-	delete(e.feeding, id)
+	delete(e.fedRelays, id)
 	if !h.Follows {
 		delete(e.followers, id)
 		if h.FeedAt != 0 {
-			e.feeding[id] = h.FeedAt
+			e.fedRelays[id] = h.FeedAt
 		}
 		return
 	}
@@ -211,11 +211,11 @@
 
 // rosterDue tells whether rosters are told in a turn; called with mu held.
 func (e *Edge) rosterDue(turn uint64) bool {
-	if v := rosterVersion(e.alive); v != e.rosterVersion {
-		e.rosterVersion, e.rosterLeft = v, rosterAgain
+	if v := rosterVersion(e.alivePeers); v != e.rosterVersion {
+		e.rosterVersion, e.rosterSendsLeft = v, rosterAgain
 	}
-	if e.rosterLeft > 0 {
-		e.rosterLeft--
+	if e.rosterSendsLeft > 0 {
+		e.rosterSendsLeft--
 		return true
 	}
 	return turn%rosterTurns < rosterSpan
@@ -247,7 +247,7 @@
 func (e *Edge) domainRoster(now time.Duration) *peersv1.Roster {
 	var near, far []ident.Incarnation
 	for _, m := range e.peers.Vouched(now) {
-		if m.FailureDomain == e.set.FailureDomain {
+		if m.FailureDomain == e.settings.FailureDomain {
 			near = append(near, m.Incarnation)
 		} else if m.Phase == peers.Ready {
 			far = append(far, m.Incarnation)
@@ -260,7 +260,7 @@
 }
 
 func (e *Edge) roster(ids []ident.Incarnation) *peersv1.Roster {
-	return &peersv1.Roster{Rows: e.rows(ids), Fleet: uint32(e.peers.Known()), Domains: uint32(e.plan.Domains)}
+	return &peersv1.Roster{Rows: e.rows(ids), Fleet: uint32(e.peers.Known()), Domains: uint32(e.relayPlan.Domains)}
 }
 
 // rows are what daemons told of themselves last; called with mu held.
@@ -276,7 +276,7 @@
 // place. Introductions are never told on, or two daemons could keep a third one alive
 // that has ended. Called with mu held.
 func (e *Edge) introductions(now time.Duration) []*peersv1.Row {
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		return nil
 	}
 	var ids []ident.Incarnation
--- a/daemon/edge/runners.go
+++ b/daemon/edge/runners.go
@@ -15,23 +15,23 @@
 // maxRevisions bounds the keys whose latest revision is remembered after their end.
 const maxRevisions = 20_000
 
-// lapseAfter is how long after a disturbance of the service a runner whose
+// lapsedGrace is how long after a disturbance of the service a runner whose
 // entry has lapsed goes on being used, last of all: its entry lapsed with the
 // service away and comes back with it, if it lives.
-const lapseAfter = 1500 * time.Millisecond
+const lapsedGrace = 1500 * time.Millisecond
 
 // runnerHash stands for a runner's name in messages.
 func runnerHash(id ident.RunnerID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// noticedSince lists the runners, by hash, that were read to be leaving since a time, and
+// leavingHashesSince lists the runners, by hash, that were read to be leaving since a time, and
 // forgets the others.
-func (f *directory) noticedSince(from time.Duration) []uint64 {
+func (f *directory) leavingHashesSince(from time.Duration) []uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var hashes []uint64
-	for id, at := range f.noticed {
+	for id, at := range f.leavingSince {
 		if at < from {
-			delete(f.noticed, id)
+			delete(f.leavingSince, id)
 			continue
 		}
 		hashes = append(hashes, runnerHash(id))
@@ -40,9 +40,9 @@
 	return hashes
 }
 
-// newer tells whether a change of a key is news, and notes it. A relay may pass on what
+// recordRevision tells whether a change of a key is news, and notes it. A relay may pass on what
 // the own watch has told already, or the other way round. Called with dir.mu held.
-func (f *directory) newer(key string, revision kv.Revision) bool {
+func (f *directory) recordRevision(key string, revision kv.Revision) bool {
 	if revision <= f.revisions[key] {
 		return false
 	}
@@ -71,7 +71,7 @@
 		r.State = view.Leaving
 	}
 	if r.State == view.Leaving && (!known || before.State != view.Leaving) {
-		e.dir.noticed[r.ID] = e.deps.Steady()
+		e.dir.leavingSince[r.ID] = e.deps.Steady()
 	}
 	e.dir.runners[entry.Key] = r
 	if !known || before.State != r.State || before.ID != r.ID {
@@ -80,9 +80,9 @@
 	}
 }
 
-// heardLeaving takes in that a peer has read of runners that are leaving. This daemon
+// receiveLeaving takes in that a peer has read of runners that are leaving. This daemon
 // may read it later: it lets changes come together, or can't reach the service.
-func (e *Edge) heardLeaving(hashes []uint64) {
+func (e *Edge) receiveLeaving(hashes []uint64) {
 	if len(hashes) == 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 		r.State = view.Leaving
 		e.dir.runners[key] = r
 		// Those who hear it from this daemon only are told, too.
-		e.dir.noticed[r.ID] = e.deps.Steady()
+		e.dir.leavingSince[r.ID] = e.deps.Steady()
 		changed = true
 		e.log.Note("runner", decisions.F("runner", r.ID), decisions.F("service", r.Service), decisions.F("failure_domain", r.FailureDomain),
 			decisions.F("state", r.State), decisions.F("told_by", "peer"))
@@ -117,11 +117,11 @@
 		return
 	}
 	now := e.deps.Steady()
-	if r.State == view.Live && e.dir.disturbed != 0 && now-e.dir.disturbed < lapseAfter {
+	if r.State == view.Live && e.dir.storeFailedAt != 0 && now-e.dir.storeFailedAt < lapsedGrace {
 		r.State = view.Suspect
 		e.dir.runners[key] = r
-		e.dir.lapsed[key] = now + lapseAfter
-		e.log.Note("runner_lapsed", decisions.F("runner", r.ID), decisions.F("since_store_trouble", now-e.dir.disturbed))
+		e.dir.lapsed[key] = now + lapsedGrace
+		e.log.Note("runner_lapsed", decisions.F("runner", r.ID), decisions.F("since_store_trouble", now-e.dir.storeFailedAt))
 		return
 	}
 	delete(e.dir.runners, key)
--- a/daemon/edge/runners_test.go
+++ b/daemon/edge/runners_test.go
@@ -21,8 +21,8 @@
 	script   func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error)
 }
 
-// play sets the script while requests may be under way.
-func (r *runner) play(script func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error)) {
+// setScript sets the script while requests may be under way.
+func (r *runner) setScript(script func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.script = script
@@ -37,11 +37,13 @@
 type runners struct {
 	mu   sync.Mutex
 	byID map[string]*runner
-	// darkIDs don't answer health checks.
-	darkIDs map[string]bool
+	// unresponsiveIDs don't answer health checks.
+	unresponsiveIDs map[string]bool
 }
 
-func newRunners() *runners { return &runners{byID: map[string]*runner{}, darkIDs: map[string]bool{}} }
+func newRunners() *runners {
+	return &runners{byID: map[string]*runner{}, unresponsiveIDs: map[string]bool{}}
+}
 
 func (s *runners) add(id string) *runner {
 	s.mu.Lock()
@@ -66,36 +68,36 @@
 		return script(ctx, a)
 	}
 	time.Sleep(10 * time.Millisecond)
-	return plain(http.StatusOK, "from "+a.Address), nil
+	return plainAnswer(http.StatusOK, "from "+a.Address), nil
 }
 
-func plain(status int, body string) *edge.Answer {
+func plainAnswer(status int, body string) *edge.Answer {
 	return &edge.Answer{Status: status, Header: http.Header{}, Length: int64(len(body)), Body: io.NopCloser(bytes.NewBufferString(body))}
 }
 
-// events answers with a stream that fails with err after the given bytes.
-func events(body string, err error) *edge.Answer {
-	return &edge.Answer{Status: http.StatusOK, Header: http.Header{}, Length: -1, Events: true, Body: io.NopCloser(io.MultiReader(bytes.NewBufferString(body), &failing{err}))}
+// eventAnswer answers with a stream that fails with err after the given bytes.
+func eventAnswer(body string, err error) *edge.Answer {
+	return &edge.Answer{Status: http.StatusOK, Header: http.Header{}, Length: -1, Events: true, Body: io.NopCloser(io.MultiReader(bytes.NewBufferString(body), &failingReader{err}))}
 }
 
-type failing struct{ err error }
+type failingReader struct{ err error }
 
-func (f *failing) Read([]byte) (int, error) { return 0, f.err }
+func (f *failingReader) Read([]byte) (int, error) { return 0, f.err }
 
-func (s *runners) dark(id string, dark bool) {
+func (s *runners) setUnresponsive(id string, unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.darkIDs[id] = dark
+	s.unresponsiveIDs[id] = unresponsive
 }
 
 func (s *runners) Healthy(ctx context.Context, address, _ string, _ ident.RunnerID) bool {
 	s.mu.Lock()
-	dark := s.darkIDs[address]
+	unresponsive := s.unresponsiveIDs[address]
 	s.mu.Unlock()
-	if dark {
+	if unresponsive {
 		<-ctx.Done()
 	}
-	return !dark
+	return !unresponsive
 }
 
 func (s *runners) Retain(map[string]bool) {}
--- a/daemon/edge/saved.go
+++ b/daemon/edge/saved.go
@@ -42,7 +42,7 @@
 		return
 	}
 	e.mu.Lock()
-	open := e.book.Save(e.wall.At(now))
+	open := e.usageBook.Save(e.wallClock.At(now))
 	e.mu.Unlock()
 	data, err := json.Marshal(open)
 	if err != nil {
@@ -100,7 +100,7 @@
 		return
 	}
 	e.mu.Lock()
-	e.book.Load(open)
+	e.usageBook.Load(open)
 	e.mu.Unlock()
 	e.log.Note("usage_loaded", decisions.F("revision", uint64(entry.Revision)), decisions.F("daemons", len(open.Daemons)))
 }
@@ -117,9 +117,9 @@
 	holding := e.dir.holder()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.shares(now) || contain(e.alive, holding) {
+	if !e.shares(now) || contain(e.alivePeers, holding) {
 		return false
 	}
-	place, _ := placeAmong(e.set.ID, e.plan.Others)
+	place, _ := placeAmong(e.settings.ID, e.relayPlan.Others)
 	return place == 0
 }
--- a/daemon/edge/serve.go
+++ b/daemon/edge/serve.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// notReadyAfter is when to come back to a daemon that has no configuration
+	// notReadyRetryAfter is when to come back to a daemon that has no configuration
 	// or none that is recent enough: another one may answer meanwhile.
-	notReadyAfter = 500 * time.Millisecond
-	// acceptWhileDraining is how long after the order to stop new requests are
+	notReadyRetryAfter = 500 * time.Millisecond
+	// drainAcceptPeriod is how long after the order to stop new requests are
 	// still taken on connections that callers keep. They ask for the directory
 	// again within a few seconds; what comes later could not end within the grace.
-	acceptWhileDraining = 2500 * time.Millisecond
-	// defaultPatience is used where neither caller nor route gives a bound.
-	defaultPatience = 30 * time.Second
+	drainAcceptPeriod = 2500 * time.Millisecond
+	// defaultTimeout is used where neither caller nor route gives a bound.
+	defaultTimeout = 30 * time.Second
 )
 
-// serving is one request on its way through this daemon.
-type serving struct {
+// requestHandler is one request on its way through this daemon.
+type requestHandler struct {
 	edge      *Edge
 	req       *Request
 	reply     Reply
@@ -41,28 +41,28 @@
 	// relay that charged it, empty for this daemon.
 	cost    float64
 	granter string
-	// advised is the runner that the relay chose; empty is none.
-	advised  ident.RunnerID
-	deadline time.Time
-	pool     *pool
-	place    routing.Request
-	// failed are the runners that have failed the request.
-	failed prefix.Set
+	// recommended is the runner that the relay chose; empty is none.
+	recommended    ident.RunnerID
+	deadline       time.Time
+	pool           *pool
+	routingRequest routing.Request
+	// failedRunners are the runners that have failedRunners the request.
+	failedRunners prefix.Set
 	// gate is that of the operator's order to change the service's software; nil is none.
 	gate     *canary.Gate
 	exchange forward.Exchange
 	events   *forward.EventStream
-	// counted says that the request was counted as begun.
-	counted bool
-	// kept is a runner's own failure that is passed on if nothing better comes.
-	kept *keptAnswer
+	// usageCounted says that the request was usageCounted as begun.
+	usageCounted bool
+	// bufferedFailure is a runner's own failure that is passed on if nothing better comes.
+	bufferedFailure *bufferedAnswer
 }
 
 // Serve answers one request. The context ends when the caller has left.
 func (e *Edge) Serve(ctx context.Context, req *Request, reply Reply) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	s := &serving{edge: e, req: req, reply: reply}
+	s := &requestHandler{edge: e, req: req, reply: reply}
 	if r := s.admit(ctx); r != nil {
 		s.refuse(r)
 		return
@@ -71,18 +71,18 @@
 }
 
 // refuse sends the final answer of a request that is not served.
-func (s *serving) refuse(r *refusal.Refusal) {
+func (s *requestHandler) refuse(r *refusal.Refusal) {
 	if s.cost > 0 && r.Executed == refusal.ExecutedNo {
 		s.edge.returnQuota(s.granter, s.workspace, s.cost)
 	}
 	s.note("refused", decisions.F("reason", r.Reason), decisions.F("executed", r.Executed),
 		decisions.F("retry_after", r.RetryAfter), decisions.F("detail", r.Detail))
 	s.edge.log.Count("refused." + string(r.Reason))
-	s.reply.Refuse(r, s.closing())
+	s.reply.Refuse(r, s.connectionClosing())
 }
 
 // note writes a line about the request with what every such line holds.
-func (s *serving) note(event decisions.Event, fields ...decisions.Field) {
+func (s *requestHandler) note(event decisions.Event, fields ...decisions.Field) {
 	name, version := "", ident.Generation(0)
 	if s.route != nil {
 		name = s.route.Name
@@ -97,16 +97,16 @@
 	s.edge.log.Note(event, all...)
 }
 
-// closing asks the caller to use another daemon from now on.
-func (s *serving) closing() bool {
-	_, draining := s.edge.drainedFor()
+// connectionClosing asks the caller to use another daemon from now on.
+func (s *requestHandler) connectionClosing() bool {
+	_, draining := s.edge.timeSinceDrain()
 	return draining
 }
 
 // admit finds the request's route and workspace and charges its quota.
-func (s *serving) admit(ctx context.Context) *refusal.Refusal {
-	if since, draining := s.edge.drainedFor(); draining && since > acceptWhileDraining {
-		return refusal.New(refusal.Draining, "this daemon is shutting down").After(notReadyAfter)
+func (s *requestHandler) admit(ctx context.Context) *refusal.Refusal {
+	if since, draining := s.edge.timeSinceDrain(); draining && since > drainAcceptPeriod {
+		return refusal.New(refusal.Draining, "this daemon is shutting down").After(notReadyRetryAfter)
 	}
 	if r := s.identify(ctx); r != nil {
 		return r
@@ -117,16 +117,16 @@
 	if s.pool == nil {
 		return refusal.New(refusal.UnknownService, "no service %q", service)
 	}
-	s.place = placement(s.req)
-	s.place.Fetchable = s.pool.fetches()
+	s.routingRequest = routingRequestOf(s.req)
+	s.routingRequest.Fetchable = s.pool.canFetchPrefix()
 	if s.gate = s.edge.trials.gate(service); s.gate != nil {
-		s.pool.bar(&s.place, s.failed, s.gate, s.edge.again(s.gate))
+		s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, s.edge.sideOfRepeat(s.gate))
 	}
 	if r := s.charge(ctx); r != nil {
 		return r
 	}
 	attempts := max(1, s.route.MaxAttempts)
-	if !s.edge.set.Policy.Uses(Retries) {
+	if !s.edge.settings.Policy.Uses(Retries) {
 		attempts = 1
 	}
 	s.exchange.Terms = forward.Terms{
@@ -138,7 +138,7 @@
 	return nil
 }
 
-func placement(r *Request) routing.Request {
+func routingRequestOf(r *Request) routing.Request {
 	p := routing.Request{
 		Prefix:       r.Prompt.Prefix,
 		PrefixTokens: r.Prompt.PrefixTokens,
@@ -156,11 +156,11 @@
 // identify finds the request's route and workspace. What the configuration says counts
 // only if it is known to be recent: an unknown key or route may have been added a moment
 // ago, a known key taken away. If it is not recent enough the service is read once.
-func (s *serving) identify(ctx context.Context) *refusal.Refusal {
+func (s *requestHandler) identify(ctx context.Context) *refusal.Refusal {
 	for retry := true; ; retry = false {
-		table, age := s.edge.inForce()
+		table, age := s.edge.activeConfig()
 		if table == nil {
-			return refusal.New(refusal.NotReady, "no configuration yet").After(notReadyAfter)
+			return refusal.New(refusal.NotReady, "no configuration yet").After(notReadyRetryAfter)
 		}
 		s.table = table
 		r, within := s.lookUp()
@@ -169,21 +169,21 @@
 		}
 		if !retry {
 			s.workspace = ""
-			return refusal.New(refusal.StaleConfiguration, "configuration was proved %v ago", age).After(notReadyAfter)
+			return refusal.New(refusal.StaleConfiguration, "configuration was proved %v ago", age).After(notReadyRetryAfter)
 		}
-		s.edge.confirm(ctx)
+		s.edge.confirmConfig(ctx)
 	}
 }
 
-// anyAge is the bound on the configuration's age where it doesn't matter.
-const anyAge = -freshness.Never
+// maxAge is the bound on the configuration's age where it doesn't matter.
+const maxAge = -freshness.Never
 
 // lookUp says what the configuration has for the request, a refusal or nil, and up to
 // which age of the configuration that counts.
-func (s *serving) lookUp() (*refusal.Refusal, time.Duration) {
+func (s *requestHandler) lookUp() (*refusal.Refusal, time.Duration) {
 	found, ok := s.table.Lookup(s.req.Host, s.req.Path)
 	if !ok {
-		return refusal.New(refusal.UnknownRoute, "no route for this host and path"), s.edge.denyWithin()
+		return refusal.New(refusal.UnknownRoute, "no route for this host and path"), s.edge.maxConfigAgeForDenial()
 	}
 	s.route = found
 	s.priority = found.Priority
@@ -192,31 +192,31 @@
 		if ok {
 			s.workspace = w.Name
 		}
-		return nil, anyAge
+		return nil, maxAge
 	}
 	if !ok {
-		return refusal.New(refusal.Unauthenticated, "unknown key"), s.edge.denyWithin()
+		return refusal.New(refusal.Unauthenticated, "unknown key"), s.edge.maxConfigAgeForDenial()
 	}
 	s.workspace = w.Name
 	if w.HasPriority {
 		s.priority = w.Priority
 	}
-	return nil, s.edge.keyLimit()
+	return nil, s.edge.maxConfigAgeForKeys()
 }
 
-func (s *serving) setDeadline() {
-	patience := s.req.Patience
-	if patience <= 0 || s.route.Timeout > 0 && s.route.Timeout < patience {
-		patience = s.route.Timeout
+func (s *requestHandler) setDeadline() {
+	timeout := s.req.CallerTimeout
+	if timeout <= 0 || s.route.Timeout > 0 && s.route.Timeout < timeout {
+		timeout = s.route.Timeout
 	}
-	if patience <= 0 {
-		patience = defaultPatience
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
-	s.deadline = s.req.Received.Add(patience)
+	s.deadline = s.req.Received.Add(timeout)
 }
 
 // charge takes the request out of its workspace's quota.
-func (s *serving) charge(ctx context.Context) *refusal.Refusal {
+func (s *requestHandler) charge(ctx context.Context) *refusal.Refusal {
 	w, ok := s.table.Workspace(s.workspace)
 	if !ok || w.Quota.PerSecond <= 0 {
 		return nil
@@ -228,7 +228,7 @@
 	}
 	s.cost, s.granter = cost, granted.relay
 	if granted.Grant != nil {
-		s.advised = ident.RunnerID(granted.Runner)
+		s.recommended = ident.RunnerID(granted.Runner)
 	}
 	return nil
 }
--- a/daemon/edge/silence.go
+++ b/daemon/edge/silence.go
@@ -39,10 +39,10 @@
 func (p *pool) begin(a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	act, ok := p.active[a.choice.Runner]
+	act, ok := p.activities[a.choice.Runner]
 	if !ok {
 		act = &activity{attempts: map[*attempt]bool{}}
-		p.active[a.choice.Runner] = act
+		p.activities[a.choice.Runner] = act
 	}
 	act.attempts[a] = true
 	a.activity = act
@@ -54,7 +54,7 @@
 	defer p.mu.Unlock()
 	delete(a.activity.attempts, a)
 	if len(a.activity.attempts) == 0 {
-		delete(p.active, a.choice.Runner)
+		delete(p.activities, a.choice.Runner)
 	}
 }
 
@@ -62,7 +62,7 @@
 // with the pool's lock held.
 func (p *pool) silent(now time.Time) []ident.RunnerID {
 	var silent []ident.RunnerID
-	for id, act := range p.active {
+	for id, act := range p.activities {
 		since := time.Unix(0, act.heard.Load())
 		for a := range act.attempts {
 			// What the runner was expected to need is no silence.
@@ -94,7 +94,7 @@
 func (p *pool) abandon(id ident.RunnerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	act, ok := p.active[id]
+	act, ok := p.activities[id]
 	if !ok {
 		return
 	}
--- a/daemon/edge/stop_test.go
+++ b/daemon/edge/stop_test.go
@@ -16,9 +16,9 @@
 	"geraniumstack.org/geraniumstack/standin/kvserver"
 )
 
-// tardySocket is a socket whose reader is woken by the daemon's end before it is closed,
+// slowClosingSocket is a socket whose reader is woken by the daemon's end before it is closed,
 // as by a message of a peer, and whose close takes its time.
-type tardySocket struct {
+type slowClosingSocket struct {
 	net.PacketConn
 	ended context.Context
 
@@ -26,14 +26,14 @@
 	closed bool
 }
 
-func (s *tardySocket) ReadFrom([]byte) (int, net.Addr, error) {
+func (s *slowClosingSocket) ReadFrom([]byte) (int, net.Addr, error) {
 	<-s.ended.Done()
 	return 0, nil, net.ErrClosed
 }
 
-func (s *tardySocket) WriteTo(p []byte, _ net.Addr) (int, error) { return len(p), nil }
+func (s *slowClosingSocket) WriteTo(p []byte, _ net.Addr) (int, error) { return len(p), nil }
 
-func (s *tardySocket) Close() error {
+func (s *slowClosingSocket) Close() error {
 	time.Sleep(100 * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
-		socket := &tardySocket{ended: ctx}
+		socket := &slowClosingSocket{ended: ctx}
 		start := time.Now()
 		e := edge.New(edge.Settings{ID: "d1", PeerAddress: "10.0.0.1:7600", FirstStart: true, Bounds: edge.Bounds{
 			RevokeWithin: 5 * time.Second, QuotaWindow: 8 * time.Second, LeaseTTL: 3 * time.Second, UsageWindow: 5 * time.Second, UsageDue: 10 * time.Second,
--- a/daemon/edge/follow.go
+++ b/daemon/edge/storesync.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	// everything is the prefix of all keys: one watch serves the configuration,
+	// allKeys is the prefix of all keys: one watch serves the configuration,
 	// the runners, the peers and the duties in one order.
-	everything = ""
+	allKeys = ""
 	// maxEntries bounds a list of the service.
 	maxEntries = 100_000
-	// watchPerDaemon times the number of daemons is how long a watch waits. An
+	// watchTimeoutPerDaemon times the number of daemons is how long a watch waits. An
 	// empty answer proves the configuration to this daemon and, by word, to all
 	// others, so the fleet makes about one such call in this time.
-	watchPerDaemon = time.Second
-	maxWatch       = 10 * time.Second
-	// relayedWatch is how long those of a large fleet wait who watch for the others: as
+	watchTimeoutPerDaemon = time.Second
+	maxWatchTimeout       = 10 * time.Second
+	// relayWatchTimeout is how long those of a large fleet wait who watch for the others: as
 	// long the others know nothing of a service that has fallen silent.
-	relayedWatch = 500 * time.Millisecond
-	// gatherFor is how long a daemon waits after a change before it watches on,
+	relayWatchTimeout = 500 * time.Millisecond
+	// smallFleetBatchDelay is how long a daemon waits after a change before it watches on,
 	// so that one call brings what changes together. It is a small part of the
 	// two seconds in which a change must be in force.
-	gatherFor = 60 * time.Millisecond
-	// gatherLong is the same in a larger fleet, where each change answers the watches
+	smallFleetBatchDelay = 60 * time.Millisecond
+	// largeFleetBatchDelay is the same in a larger fleet, where each change answers the watches
 	// of several daemons. What can't wait is told by peers: a newer configuration and runners
 	// that are leaving. The daemon that orders runners waits for gatherOrders only, since a
 	// reclaim is followed by an order, so there is always one that has read them.
-	gatherLong   = 600 * time.Millisecond
-	gatherOrders = 250 * time.Millisecond
-	// gatherYoung is the same for a daemon that has run for less than youngFor: all of a
+	largeFleetBatchDelay = 600 * time.Millisecond
+	dutyHolderBatchDelay = 250 * time.Millisecond
+	// startupBatchDelay is the same for a daemon that has run for less than youngFor: all of a
 	// fleet that was killed register anew then, and find each other by that.
-	gatherYoung = 150 * time.Millisecond
-	youngFor    = 1500 * time.Millisecond
+	startupBatchDelay = 150 * time.Millisecond
+	startupPeriod     = 1500 * time.Millisecond
 	// firstBackoff and maxBackoff space calls to a service that is away.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = time.Second
@@ -58,13 +58,13 @@
 // directory is what this daemon has read of the service, or was told by relays.
 type directory struct {
 	mu sync.Mutex
-	// log is all that followers need, at the revision up to which nothing is missing,
+	// changeLog is all that followers need, at the revision up to which nothing is missing,
 	// and incomplete says that something is.
-	log        *feed.Log
-	at         kv.Revision
+	changeLog  *feed.Log
+	revision   kv.Revision
 	incomplete bool
-	// current is when the copy was last known to be.
-	current time.Duration
+	// currentAt is when the copy was last known to be.
+	currentAt time.Duration
 	// revisions are the latest ones of keys.
 	revisions map[string]kv.Revision
 	// runners by key of their entries.
@@ -72,30 +72,30 @@
 	// lapsed are runners that are still used although their entry is gone, with
 	// the time at which that ends.
 	lapsed map[string]time.Duration
-	// noticed is when runners were read to be leaving.
-	noticed map[ident.RunnerID]time.Duration
-	// disturbed is when the service last failed to answer.
-	disturbed time.Duration
+	// leavingSince is when runners were read to be leaving.
+	leavingSince map[ident.RunnerID]time.Duration
+	// storeFailedAt is when the service last failed to answer.
+	storeFailedAt time.Duration
 	// dutyHolder is whose key of the duties stands there; empty is nobody's.
 	dutyHolder ident.Incarnation
-	// dutyFree is since when there is none.
-	dutyFree time.Duration
+	// dutyFreeSince is since when there is none.
+	dutyFreeSince time.Duration
 }
 
 func (f *directory) init() {
-	f.log = feed.NewLog()
-	f.current = freshness.Never
+	f.changeLog = feed.NewLog()
+	f.currentAt = freshness.Never
 	f.revisions = map[string]kv.Revision{}
 	f.runners = map[string]Runner{}
 	f.lapsed = map[string]time.Duration{}
-	f.noticed = map[ident.RunnerID]time.Duration{}
+	f.leavingSince = map[ident.RunnerID]time.Duration{}
 }
 
-// reached is the revision up to which nothing is missing.
-func (f *directory) reached() uint64 {
+// revisionReached is the revision up to which nothing is missing.
+func (f *directory) revisionReached() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return uint64(f.at)
+	return uint64(f.revision)
 }
 
 // holder is who holds the duties; empty is nobody.
@@ -105,9 +105,9 @@
 	return f.dutyHolder
 }
 
-// follow keeps this daemon's copy of the service current: by the relays that it follows,
+// syncStore keeps this daemon's copy of the service current: by the relays that it follows,
 // by a watch where there are none. What a watch has lost is read anew as a whole.
-func (e *Edge) follow(ctx context.Context) {
+func (e *Edge) syncStore(ctx context.Context) {
 	backoff := firstBackoff
 	reachable := true
 	for ctx.Err() == nil {
@@ -118,34 +118,34 @@
 		err := e.catchUp(ctx)
 		if err == nil {
 			if !reachable {
-				e.log.Note("store_regained", decisions.F("revision", e.dir.reached()))
+				e.log.Note("store_regained", decisions.F("revision", e.dir.revisionReached()))
 			}
 			reachable = true
 			backoff = firstBackoff
-			err = e.watch(ctx)
+			err = e.watchStore(ctx)
 		}
 		var compacted *kv.CompactedError
 		if errors.As(err, &compacted) {
-			e.dir.lose()
+			e.dir.markIncomplete()
 		}
 		if err == nil || ctx.Err() != nil || compacted != nil {
 			// A service that forgets its history all the time must not be listed as
 			// fast as it answers.
-			pause.For(ctx, gatherFor)
+			pause.For(ctx, smallFleetBatchDelay)
 			continue
 		}
 		if reachable {
 			e.log.Note("store_lost", decisions.F("error", err.Error()))
 		}
 		reachable = false
-		e.noteDisturbed()
+		e.noteStoreFailure()
 		pause.For(ctx, backoff)
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// lose notes that a part of the service's history is gone.
-func (f *directory) lose() {
+// markIncomplete notes that a part of the service's history is gone.
+func (f *directory) markIncomplete() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.incomplete = true
@@ -154,7 +154,7 @@
 // catchUp lists all keys if this daemon has none of them, or has lost some.
 func (e *Edge) catchUp(ctx context.Context) error {
 	e.dir.mu.Lock()
-	complete := e.dir.at != 0 && !e.dir.incomplete
+	complete := e.dir.revision != 0 && !e.dir.incomplete
 	e.dir.mu.Unlock()
 	if complete {
 		return nil
@@ -162,16 +162,16 @@
 	return e.readAll(ctx)
 }
 
-func (e *Edge) noteDisturbed() {
+func (e *Edge) noteStoreFailure() {
 	e.dir.mu.Lock()
-	e.dir.disturbed = e.deps.Steady()
+	e.dir.storeFailedAt = e.deps.Steady()
 	e.dir.mu.Unlock()
 }
 
 // readAll lists all keys, after the revision from which to watch on.
 func (e *Edge) readAll(ctx context.Context) error {
 	var compacted *kv.CompactedError
-	_, _, err := e.deps.Store.Watch(ctx, everything, 0, time.Millisecond)
+	_, _, err := e.deps.Store.Watch(ctx, allKeys, 0, time.Millisecond)
 	if err != nil && !errors.As(err, &compacted) {
 		return err
 	}
@@ -180,7 +180,7 @@
 		from = compacted.Current
 	}
 	sent := e.deps.Steady()
-	entries, err := e.deps.Store.List(ctx, everything, "", maxEntries)
+	entries, err := e.deps.Store.List(ctx, allKeys, "", maxEntries)
 	if err != nil {
 		return err
 	}
@@ -195,22 +195,22 @@
 	for _, entry := range entries {
 		events = append(events, kv.Event{Entry: entry})
 	}
-	e.takeOrders(events)
+	e.applyTrialChanges(events)
 	e.dir.mu.Lock()
 	missing := make(map[string]bool, len(e.dir.runners))
 	for key := range e.dir.runners {
 		missing[key] = true
 	}
-	holding := ident.Incarnation("")
+	dutyHolder := ident.Incarnation("")
 	for _, entry := range entries {
 		switch {
 		case strings.HasPrefix(entry.Key, e.deps.Codec.RunnerPrefix()):
-			if e.dir.newer(entry.Key, entry.Revision) {
+			if e.dir.recordRevision(entry.Key, entry.Revision) {
 				e.setRunner(entry, now)
 			}
 			delete(missing, entry.Key)
 		case strings.HasPrefix(entry.Key, holder.KeyPrefix):
-			holding = ident.Incarnation(entry.Value)
+			dutyHolder = ident.Incarnation(entry.Value)
 		}
 	}
 	for key := range missing {
@@ -219,15 +219,15 @@
 			e.removeRunner(key)
 		}
 	}
-	e.noteDuty(holding)
-	e.dir.log.Reset(e.changesOf(events), uint64(from))
-	e.dir.at = max(e.dir.at, from)
+	e.noteDutyHolder(dutyHolder)
+	e.dir.changeLog.Reset(e.changesOf(events), uint64(from))
+	e.dir.revision = max(e.dir.revision, from)
 	e.dir.incomplete = false
 	e.dir.mu.Unlock()
 	for _, entry := range entries {
 		switch {
 		case entry.Key == e.deps.Codec.ConfigKey():
-			e.takeConfig(kv.Event{Entry: entry}, sent)
+			e.applyConfig(kv.Event{Entry: entry}, sent)
 		case strings.HasPrefix(entry.Key, daemonPrefix):
 			e.registered(entry.Key, entry.Value)
 		}
@@ -235,54 +235,54 @@
 	e.publishRunners()
 }
 
-// watch follows the changes until the service fails to answer, has lost them, or relays
+// watchStore follows the changes until the service fails to answer, has lost them, or relays
 // pass them on.
 //
 // It goes on from the last change that it was told, not from the revision that
-// the service says it is at: a watch that goes blind for a moment ends without a
+// the service says it is at: a watchStore that goes blind for a moment ends without a
 // change while the revision moves on, and from there the change would never be
 // told. All keys are watched, so a revision that moves on without a change is no
 // proof of anything either.
-func (e *Edge) watch(ctx context.Context) error {
-	together := true
+func (e *Edge) watchStore(ctx context.Context) error {
+	sawChanges := true
 	for ctx.Err() == nil && !e.fed() {
-		at := kv.Revision(e.dir.reached())
-		wait := e.watchWait(together)
+		at := kv.Revision(e.dir.revisionReached())
+		wait := e.watchTimeout(sawChanges)
 		sent := e.deps.Steady()
-		events, next, err := e.deps.Store.Watch(ctx, everything, at, wait)
+		events, next, err := e.deps.Store.Watch(ctx, allKeys, at, wait)
 		if err != nil {
 			return err
 		}
 		if len(events) == 0 && next > at {
 			e.log.Note("watch_blind", decisions.F("at", uint64(at)), decisions.F("service_at", uint64(next)))
 		} else if len(events) == 0 {
-			e.provedByWait(sent, wait)
+			e.confirmedByIdleWatch(sent, wait)
 		}
-		e.apply(events, at, sent)
-		together = len(events) > 0
-		if together {
+		e.applyChanges(events, at, sent)
+		sawChanges = len(events) > 0
+		if sawChanges {
 			// Changes are told without gaps, so when the service answered there was no
 			// newer configuration than those among them; it answered after it was asked.
-			e.provedByWatch(sent)
+			e.confirmedByWatch(sent)
 			// Changes come in groups: runners start and leave together.
-			pause.For(ctx, e.gather())
+			pause.For(ctx, e.batchDelay())
 		}
 	}
 	return nil
 }
 
-// watchWait is how long the next watch waits. A change answers the watches of
+// watchTimeout is how long the next watch waits. A change answers the watches of
 // all daemons together; so that their next empty answers come in turn, each then
 // waits its place in the order of names first.
-func (e *Edge) watchWait(together bool) time.Duration {
+func (e *Edge) watchTimeout(together bool) time.Duration {
 	if !e.allWatch.Load() {
-		return relayedWatch
+		return relayWatchTimeout
 	}
 	place, size := e.rank()
 	if together {
 		size = place + 1
 	}
-	return min(maxWatch, watchPerDaemon*time.Duration(size))
+	return min(maxWatchTimeout, watchTimeoutPerDaemon*time.Duration(size))
 }
 
 // rank is this daemon's place in the order of names among those that watch, and their
@@ -290,7 +290,7 @@
 func (e *Edge) rank() (place, size int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return placeAmong(e.set.ID, e.plan.Watchers)
+	return placeAmong(e.settings.ID, e.relayPlan.Watchers)
 }
 
 // placeAmong is a daemon's place in the order of names among others, and their number
@@ -304,54 +304,54 @@
 	return place, len(others) + 1
 }
 
-// provedByWait dates the proof of an empty answer. The service answered after it
+// confirmedByIdleWatch dates the proof of an empty answer. The service answered after it
 // had waited, so it found no change up to then; one that came sooner is dated
 // by its question.
-func (e *Edge) provedByWait(sent, wait time.Duration) {
+func (e *Edge) confirmedByIdleWatch(sent, wait time.Duration) {
 	at := sent
 	if e.deps.Steady()-sent >= wait {
 		at = sent + wait
 	}
-	e.provedByWatch(at)
+	e.confirmedByWatch(at)
 }
 
-// provedByWatch takes the configuration in force for the newest at a time. It isn't if
+// confirmedByWatch takes the configuration in force for the newest at a time. It isn't if
 // the watch has told a newer one that can't be read.
-func (e *Edge) provedByWatch(at time.Duration) {
+func (e *Edge) confirmedByWatch(at time.Duration) {
 	e.dir.mu.Lock()
-	e.dir.current = max(e.dir.current, at)
+	e.dir.currentAt = max(e.dir.currentAt, at)
 	e.dir.mu.Unlock()
 	e.mu.Lock()
-	revision := e.fresh.Revision()
-	newest := !e.unreadable
+	revision := e.configFreshness.Revision()
+	newest := !e.configUnreadable
 	e.mu.Unlock()
 	if revision > 0 && newest {
-		e.proved(revision, at)
+		e.markConfirmed(revision, at)
 	}
 }
 
-// gather is how long to let changes come together.
-func (e *Edge) gather() time.Duration {
+// batchDelay is how long to let changes come together.
+func (e *Edge) batchDelay() time.Duration {
 	switch {
 	case e.fleetSize() <= relays.SmallFleet:
-		return gatherFor
+		return smallFleetBatchDelay
 	case e.duties.holder.Token() != 0:
-		return gatherOrders
-	case e.deps.Steady()-e.began < youngFor:
-		return gatherYoung
+		return dutyHolderBatchDelay
+	case e.deps.Steady()-e.startedAt < startupPeriod:
+		return startupBatchDelay
 	}
-	return gatherLong
+	return largeFleetBatchDelay
 }
 
-// apply takes in changes up to a revision, or up to the last of them if that is later.
-func (e *Edge) apply(events []kv.Event, through kv.Revision, sent time.Duration) {
+// applyChanges takes in changes up to a revision, or up to the last of them if that is later.
+func (e *Edge) applyChanges(events []kv.Event, through kv.Revision, sent time.Duration) {
 	now := time.Now()
 	changed := false
-	e.takeOrders(events)
+	e.applyTrialChanges(events)
 	e.dir.mu.Lock()
 	for _, event := range events {
 		through = max(through, event.Revision)
-		if !e.passedOn(event.Key) || !e.dir.newer(event.Key, event.Revision) {
+		if !e.passedOn(event.Key) || !e.dir.recordRevision(event.Key, event.Revision) {
 			continue
 		}
 		switch {
@@ -363,18 +363,18 @@
 				e.setRunner(event.Entry, now)
 			}
 		case strings.HasPrefix(event.Key, holder.KeyPrefix) && event.Deleted:
-			e.noteDuty("")
+			e.noteDutyHolder("")
 		case strings.HasPrefix(event.Key, holder.KeyPrefix):
-			e.noteDuty(ident.Incarnation(event.Value))
+			e.noteDutyHolder(ident.Incarnation(event.Value))
 		}
 	}
-	e.dir.log.Apply(e.changesOf(events), uint64(through))
-	e.dir.at = max(e.dir.at, through)
+	e.dir.changeLog.Apply(e.changesOf(events), uint64(through))
+	e.dir.revision = max(e.dir.revision, through)
 	e.dir.mu.Unlock()
 	for _, event := range events {
 		switch {
 		case event.Key == e.deps.Codec.ConfigKey():
-			e.takeConfig(event, sent)
+			e.applyConfig(event, sent)
 		case strings.HasPrefix(event.Key, daemonPrefix) && !event.Deleted:
 			e.registered(event.Key, event.Value)
 		}
@@ -384,18 +384,18 @@
 	}
 }
 
-// noteDuty notes who holds the duties; called with dir.mu held.
-func (e *Edge) noteDuty(holding ident.Incarnation) {
-	if e.dir.dutyHolder != "" && holding == "" || e.dir.dutyFree == 0 {
-		e.dir.dutyFree = max(1, e.deps.Steady())
+// noteDutyHolder notes who holds the duties; called with dir.mu held.
+func (e *Edge) noteDutyHolder(dutyHolder ident.Incarnation) {
+	if e.dir.dutyHolder != "" && dutyHolder == "" || e.dir.dutyFreeSince == 0 {
+		e.dir.dutyFreeSince = max(1, e.deps.Steady())
 	}
-	e.dir.dutyHolder = holding
+	e.dir.dutyHolder = dutyHolder
 }
 
-// takeConfig puts an operator's configuration into force unless it is older than
+// applyConfig puts an operator's configuration into force unless it is older than
 // the one in force. Operators' versions grow, and so do the service's revisions;
 // a stale answer must not bring back what was taken away.
-func (e *Edge) takeConfig(event kv.Event, sent time.Duration) {
+func (e *Edge) applyConfig(event kv.Event, sent time.Duration) {
 	if event.Deleted {
 		e.log.Note("config_ignored", decisions.F("reason", "deleted"), decisions.F("revision", uint64(event.Revision)))
 		return
@@ -404,17 +404,17 @@
 	if err != nil {
 		e.log.Note("config_ignored", decisions.F("reason", err.Error()), decisions.F("revision", uint64(event.Revision)))
 		e.mu.Lock()
-		e.unreadable = true
+		e.configUnreadable = true
 		e.mu.Unlock()
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	before := e.table.Load()
-	changed := e.fresh.Read(uint64(event.Revision), sent)
-	e.unreadable = e.unreadable && !changed
+	changed := e.configFreshness.Read(uint64(event.Revision), sent)
+	e.configUnreadable = e.configUnreadable && !changed
 	if changed && (before == nil || config.Version > before.Version()) {
-		e.putInForce(route.NewTable(config), event.Revision)
+		e.activateConfig(route.NewTable(config), event.Revision)
 	}
 	e.refreshPhase(e.deps.Steady())
 }
@@ -429,8 +429,8 @@
 	return limits
 }
 
-// putInForce is called with mu held.
-func (e *Edge) putInForce(t *route.Table, revision kv.Revision) {
+// activateConfig is called with mu held.
+func (e *Edge) activateConfig(t *route.Table, revision kv.Revision) {
 	e.limiter.SetLimits(e.deps.Steady(), limitsOf(t))
 	e.table.Store(t)
 	e.setServices(t)
--- a/daemon/edge/stream.go
+++ b/daemon/edge/stream.go
@@ -22,7 +22,7 @@
 	}
 	s.events.Restart()
 	if !s.exchange.Begun {
-		s.reply.Start(answer.Status, answer.Header, -1, s.closing())
+		s.reply.Start(answer.Status, answer.Header, -1, s.connectionClosing())
 		s.exchange.Begun = true
 	}
 	err := a.copyEvents(answer)
@@ -39,13 +39,13 @@
 	}
 	if ctx.Err() != nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			a.failed()
+			a.recordFailure()
 		}
 		s.exchange.Interrupted()
 		return &forward.Attempt{Reason: retry.Broken, MayHaveRun: true}
 	}
 	s.pool.observe(a.choice.Runner, health.Failure)
-	a.failed()
+	a.recordFailure()
 	reason := retry.Broken
 	if a.abandoned.Load() {
 		reason = retry.Silent
@@ -61,16 +61,16 @@
 // Unwrap returns the cause.
 func (e *callerLeftError) Unwrap() error { return e.Err }
 
-// tornError says that a stream ended within an event.
-type tornError struct{}
+// truncatedEventError says that a stream ended within an event.
+type truncatedEventError struct{}
 
-func (*tornError) Error() string { return "stream ended within an event" }
+func (*truncatedEventError) Error() string { return "stream ended within an event" }
 
 // copyEvents passes events on until the runner's stream ends. Nil means that it
 // ended whole.
 func (a *attempt) copyEvents(answer *Answer) error {
 	s := a.s
-	buffer := make([]byte, copyBytes)
+	buffer := make([]byte, copyBufferBytes)
 	var out []byte
 	first := true
 	for {
@@ -82,19 +82,19 @@
 			first = false
 			a.firstToken()
 		}
-		var whole error
-		out, whole = s.events.Push(out[:0], buffer[:n])
-		if whole != nil {
-			return whole
+		var pushErr error
+		out, pushErr = s.events.Push(out[:0], buffer[:n])
+		if pushErr != nil {
+			return pushErr
 		}
 		if len(out) > 0 {
-			if werr := s.reply.Write(out); werr != nil {
-				return &callerLeftError{werr}
+			if writeErr := s.reply.Write(out); writeErr != nil {
+				return &callerLeftError{writeErr}
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			if s.events.Torn() {
-				return &tornError{}
+				return &truncatedEventError{}
 			}
 			return nil
 		}
@@ -106,7 +106,7 @@
 
 func (a *attempt) firstToken() {
 	took := time.Since(a.sent)
-	a.first = took
+	a.firstEventAfter = took
 	a.s.pool.firstToken(&a.ticket, a.choice, took)
 	a.s.edge.log.Time("first_event_us", took)
 }
@@ -115,7 +115,7 @@
 	s := a.s
 	s.pool.finished(&a.ticket, max(1, s.req.Prompt.ExpectedOutput))
 	s.pool.observe(a.choice.Runner, health.Success)
-	a.tookStream()
-	s.note("answered", decisions.F("runner", a.choice.Runner), decisions.F("events", s.events.Events()), decisions.F("first_event", a.first), decisions.F("attempts", s.exchange.Sent()+1))
+	a.recordStreamLatency()
+	s.note("answered", decisions.F("runner", a.choice.Runner), decisions.F("events", s.events.Events()), decisions.F("first_event", a.firstEventAfter), decisions.F("attempts", s.exchange.Sent()+1))
 	s.reply.Finish()
 }
--- a/daemon/edge/tell.go
+++ b/daemon/edge/tell.go
@@ -51,15 +51,15 @@
 		turn -= turn % turns
 		e.tickPeers()
 		e.tellTurn(turn)
-		e.applyLoads()
+		e.applyPeerLoads()
 		e.reportTrials(e.deps.Steady())
 		if e.healthDue() {
 			e.tickHealth()
 		}
 		e.duties.wake()
-		e.asks.expire(e.deps.Steady())
+		e.grantRequests.expire(e.deps.Steady())
 		if e.configAge() > confirmAfter && e.table.Load() != nil {
-			go e.confirm(ctx)
+			go e.confirmConfig(ctx)
 		}
 	}
 }
@@ -67,9 +67,9 @@
 // turns is how many turns pass until this daemon has anything to tell.
 func (e *Edge) turns() uint64 {
 	switch {
-	case e.direct.Load():
+	case e.directMode.Load():
 		return 1
-	case e.relaying.Load():
+	case e.relayMode.Load():
 		return relayTurns
 	}
 	return followTurns
@@ -89,15 +89,15 @@
 
 // tellTurn sends what is due in a turn. Turn zero is everything.
 func (e *Edge) tellTurn(turn uint64) {
-	w := e.whatToTell()
+	w := e.summarizeWork()
 	now := e.deps.Steady()
 	var out []multicast
 	e.mu.Lock()
 	w.roster = e.rosterDue(turn)
-	if e.plan.Relay {
+	if e.relayPlan.Relay {
 		out = append(out, e.toRelays(now, turn, w))
-	} else if turn%followTurns == 0 || e.followsAnew {
-		e.followsAnew = false
+	} else if turn%followTurns == 0 || e.relaysChanged {
+		e.relaysChanged = false
 		out = append(out, e.toFollowed(now, turn, w))
 	}
 	if turn%followTurns == 0 {
@@ -113,7 +113,7 @@
 // relayPeriod is how many turns are between two messages to the other relays: of more than
 // relaysAtOnce each is told more seldom.
 func (e *Edge) relayPeriod() uint64 {
-	return uint64(relayTurns * (1 + len(e.plan.Others)/relaysAtOnce))
+	return uint64(relayTurns * (1 + len(e.relayPlan.Others)/relaysAtOnce))
 }
 
 // rosterBeat tells whether the other relays are told of this one's roster, if that is due, and
@@ -121,34 +121,34 @@
 func rosterBeat(beat uint64) bool { return beat%2 == 1 }
 
 // toRelays is for the other relays; in a small fleet for everybody.
-func (e *Edge) toRelays(now time.Duration, turn uint64, w news) multicast {
+func (e *Edge) toRelays(now time.Duration, turn uint64, w workSummaries) multicast {
 	period := e.relayPeriod()
-	if !e.plan.Direct && turn%period != 0 {
+	if !e.relayPlan.Direct && turn%period != 0 {
 		return multicast{}
 	}
 	beat := turn / period
 	c := multicast{hello: e.presence(now)}
 	e.addUses(now, c.hello)
-	if e.plan.Direct || period >= followTurns || !rosterBeat(beat) {
+	if e.relayPlan.Direct || period >= followTurns || !rosterBeat(beat) {
 		addWork(c.hello, w.cell)
 	}
-	if e.plan.Direct && w.roster || !e.plan.Direct && rosterBeat(beat) && (w.roster || period >= followTurns) {
+	if e.relayPlan.Direct && w.roster || !e.relayPlan.Direct && rosterBeat(beat) && (w.roster || period >= followTurns) {
 		c.hello.Roster = e.followersRoster()
 	}
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		e.addAllCounts(now, c.hello)
 	} else if rosterBeat(beat) {
 		c.hello.Introduced = inTurn(e.introductions(now), beat/2, relayRows)
 	}
 	counts := e.countsForRelays(now, beat)
-	for i, r := range e.plan.Others {
+	for i, r := range e.relayPlan.Others {
 		own := e.answer(r.Incarnation)
 		own.Elects = true
 		own.Lacks = counts.lacked(beat, i)
 		e.addRelayCounts(now, r.Incarnation, counts, own)
-		own.Feed = e.feedAfter(now, e.feeding[r.Incarnation])
-		if r.Incarnation == e.plan.Source.Incarnation && !e.plan.Watches {
-			own.FeedAt = e.dir.reached()
+		own.Feed = e.feedAfter(now, e.fedRelays[r.Incarnation])
+		if r.Incarnation == e.relayPlan.Source.Incarnation && !e.relayPlan.Watches {
+			own.FeedAt = e.dir.revisionReached()
 		}
 		c.to = append(c.to, recipient{r.PeerAddress, own})
 	}
@@ -156,26 +156,26 @@
 }
 
 // toFollowed is for the relays that this daemon follows.
-func (e *Edge) toFollowed(now time.Duration, turn uint64, w news) multicast {
+func (e *Edge) toFollowed(now time.Duration, turn uint64, w workSummaries) multicast {
 	c := multicast{hello: e.presence(now)}
 	c.hello.Follows = true
 	addWork(c.hello, w.own)
 	e.addOwnCounts(now, c.hello)
-	e.told.remember(c.hello.Seq, w.own.loads)
-	for i, r := range e.plan.Own {
+	e.peerLoads.rememberSent(c.hello.Seq, w.own.loads)
+	for i, r := range e.relayPlan.Own {
 		if i > 0 && turn%standbyTurns != 0 {
 			break
 		}
 		own := e.answer(r.Incarnation)
 		own.Primary = i == 0
-		own.FeedAt = e.dir.reached()
+		own.FeedAt = e.dir.revisionReached()
 		c.to = append(c.to, recipient{r.PeerAddress, own})
 	}
 	return c
 }
 
 // toFollowers is for the daemons that follow this one.
-func (e *Edge) toFollowers(now time.Duration, turn uint64, w news) multicast {
+func (e *Edge) toFollowers(now time.Duration, turn uint64, w workSummaries) multicast {
 	c := multicast{}
 	for id, f := range e.followers {
 		if now-f.heard > e.peers.AliveFor() {
@@ -194,7 +194,7 @@
 		return c
 	}
 	c.hello = e.presence(now)
-	c.hello.TimeUnixNs = e.wall.At(now).UnixNano()
+	c.hello.TimeUnixNs = e.wallClock.At(now).UnixNano()
 	addWork(c.hello, w.all)
 	if w.roster {
 		c.hello.Roster = e.domainRoster(now)
@@ -207,18 +207,18 @@
 // that there are others now.
 func (e *Edge) toFormerRelays(now time.Duration) multicast {
 	c := multicast{}
-	if e.demotionsLeft == 0 {
+	if e.demotionSendsLeft == 0 {
 		return c
 	}
-	e.demotionsLeft--
+	e.demotionSendsLeft--
 	c.hello = e.presence(now)
-	told := e.plan.Own
-	if e.plan.Relay {
-		told = e.plan.Others
+	told := e.relayPlan.Own
+	if e.relayPlan.Relay {
+		told = e.relayPlan.Others
 		e.addUses(now, c.hello)
 		c.hello.Roster = e.domainRoster(now)
 	}
-	for _, r := range e.formerRelays {
+	for _, r := range e.demotionRecipients {
 		if !contain(told, r.Incarnation) {
 			c.to = append(c.to, recipient{r.PeerAddress, e.answer(r.Incarnation)})
 		}
@@ -231,27 +231,27 @@
 // daemons that ask who the relays are.
 func (e *Edge) toOthers(now time.Duration, turn uint64) multicast {
 	c := multicast{}
-	if e.plan.Relay {
-		unheard := e.peers.Unheard(e.alive)
-		if !e.plan.Direct {
+	if e.relayPlan.Relay {
+		unheard := e.peers.Unheard(e.alivePeers)
+		if !e.relayPlan.Direct {
 			unheard = inTurn(unheard, turn, unheardATurn)
 		}
 		for _, address := range unheard {
-			c.to = append(c.to, recipient{address, &peersv1.Hello{ConfigRevision: e.fresh.Revision()}})
+			c.to = append(c.to, recipient{address, &peersv1.Hello{ConfigRevision: e.configFreshness.Revision()}})
 		}
 	}
-	if !e.plan.Direct {
-		for id, address := range e.joining {
+	if !e.relayPlan.Direct {
+		for id, address := range e.rosterRequesters {
 			c.to = append(c.to, recipient{address, e.answer(id)})
 		}
 	}
-	clear(e.joining)
+	clear(e.rosterRequesters)
 	if len(c.to) == 0 {
 		return c
 	}
 	c.hello = e.presence(now)
 	c.hello.Introduced = e.introductions(now)
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		e.addUses(now, c.hello)
 	}
 	return c
@@ -301,7 +301,7 @@
 }
 
 func (e *Edge) sendBytes(address string, message []byte) {
-	to, err := e.resolved.of(address)
+	to, err := e.resolvedAddresses.of(address)
 	if err != nil {
 		e.log.Note("message_failed", decisions.F("address", address), decisions.F("error", err.Error()))
 		return
--- a/daemon/edge/trialduty.go
+++ b/daemon/edge/trialcontroller.go
@@ -11,19 +11,19 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// trialDuty is the holder's part in one order.
-type trialDuty struct {
+// trialController is the holder's part in one order.
+type trialController struct {
 	holder *canary.Holder
 	order  canary.Order
 	// revision is that of the record, zero if there is none.
 	revision kv.Revision
-	// told is the state that the operator was told last.
-	told canary.State
+	// reportedState is the state that the operator was reportedState last.
+	reportedState canary.State
 }
 
-// decideTrials moves the orders on that this daemon holds the duty for.
-func (e *Edge) decideTrials(ctx context.Context) {
-	if !e.trials.any.Load() {
+// advanceTrials moves the orders on that this daemon holds the duty for.
+func (e *Edge) advanceTrials(ctx context.Context) {
+	if !e.trials.hasOrders.Load() {
 		return
 	}
 	e.trials.mu.Lock()
@@ -33,25 +33,25 @@
 	}
 	e.trials.mu.Unlock()
 	for _, o := range orders {
-		d := e.trialDuty(ctx, o)
-		if d == nil || !e.decideTrial(ctx, d) {
+		d := e.controllerFor(ctx, o)
+		if d == nil || !e.advanceTrial(ctx, d) {
 			continue
 		}
-		e.tellOperator(ctx, d)
+		e.publishTrialStatus(ctx, d)
 	}
 }
 
-// forgetDuties has the next tenure read all orders' records anew.
-func (t *trials) forgetDuties() {
+// forgetControllers has the next tenure read all orders' records anew.
+func (t *trials) forgetControllers() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	clear(t.duties)
+	clear(t.controllers)
 }
 
-// trialDuty is that of an order. A new one goes on from the record in the service.
-func (e *Edge) trialDuty(ctx context.Context, o canary.Order) *trialDuty {
+// controllerFor is that of an order. A new one goes on from the record in the service.
+func (e *Edge) controllerFor(ctx context.Context, o canary.Order) *trialController {
 	e.trials.mu.Lock()
-	d := e.trials.duties[o.Service]
+	d := e.trials.controllers[o.Service]
 	e.trials.mu.Unlock()
 	if d != nil && d.order.Revision == o.Revision {
 		return d
@@ -67,10 +67,10 @@
 		e.log.Note("trial_unread", decisions.F("service", o.Service), decisions.F("error", err.Error()))
 		return nil
 	}
-	d = &trialDuty{order: o, revision: entry.Revision}
-	d.holder = canary.NewHolder(e.set.Bounds.Trials, o, found, e.set.PeerAddress, e.unixMillis())
+	d = &trialController{order: o, revision: entry.Revision}
+	d.holder = canary.NewHolder(e.settings.Bounds.Trials, o, found, e.settings.PeerAddress, e.unixMillis())
 	e.trials.mu.Lock()
-	e.trials.duties[o.Service] = d
+	e.trials.controllers[o.Service] = d
 	e.trials.mu.Unlock()
 	return d
 }
@@ -78,20 +78,20 @@
 func (e *Edge) unixMillis() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.wall.At(e.deps.Steady()).UnixMilli()
+	return e.wallClock.At(e.deps.Steady()).UnixMilli()
 }
 
-// decideTrial writes the next step of an order down, if there is one. False means that it
+// advanceTrial writes the next step of an order down, if there is one. False means that it
 // could not be written: then what stands in the service is read again.
-func (e *Edge) decideTrial(ctx context.Context, d *trialDuty) bool {
+func (e *Edge) advanceTrial(ctx context.Context, d *trialController) bool {
 	old, fresh := 0, 0
 	if p := e.pool(d.order.Service); p != nil {
-		old, fresh, _ = p.versions(e.trials.gate(d.order.Service))
+		old, fresh, _ = p.countVersions(e.trials.gate(d.order.Service))
 	}
-	fleet := canary.Fleet{Reporting: reporting(e.fleetSize()), OldRunners: old, NewRunners: fresh}
+	fleet := canary.Fleet{Reporting: reporterShare(e.fleetSize()), OldRunners: old, NewRunners: fresh}
 	unix := e.unixMillis()
 	e.trials.mu.Lock()
-	next := d.holder.Tick(e.deps.Steady(), unix, e.set.PeerAddress, fleet)
+	next := d.holder.Tick(e.deps.Steady(), unix, e.settings.PeerAddress, fleet)
 	due := d.holder.Fresh() || !next.Equal(d.holder.Record())
 	sent := d.holder.Sent()
 	answers, failed := d.holder.Answers()
@@ -99,7 +99,7 @@
 	if !due {
 		return true
 	}
-	revision, err := e.writeRecord(ctx, d, next)
+	revision, err := e.writeTrialRecord(ctx, d, next)
 	outcome := "written"
 	if err != nil {
 		outcome = err.Error()
@@ -111,7 +111,7 @@
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	if err != nil {
-		delete(e.trials.duties, d.order.Service)
+		delete(e.trials.controllers, d.order.Service)
 		return false
 	}
 	e.log.Count("trials." + string(next.State) + "." + string(next.Reason))
@@ -120,8 +120,8 @@
 	return true
 }
 
-// writeRecord fails with a *kv.ConflictError if another holder has written meanwhile.
-func (e *Edge) writeRecord(ctx context.Context, d *trialDuty, r canary.Record) (kv.Revision, error) {
+// writeTrialRecord fails with a *kv.ConflictError if another holder has written meanwhile.
+func (e *Edge) writeTrialRecord(ctx context.Context, d *trialController, r canary.Record) (kv.Revision, error) {
 	if _, ok := e.permit(); !ok {
 		return 0, &notHolderError{}
 	}
@@ -134,7 +134,7 @@
 	revision, err := e.deps.Store.CompareAndSwap(callCtx, trialPrefix+r.Service, d.revision, value, 0)
 	if err == nil {
 		// The own watch may bring it later.
-		e.takeRecord(kv.Entry{Key: trialPrefix + r.Service, Value: value, Revision: revision})
+		e.applyTrialRecord(kv.Entry{Key: trialPrefix + r.Service, Value: value, Revision: revision})
 	}
 	return revision, err
 }
@@ -144,19 +144,19 @@
 
 func (*notHolderError) Error() string { return "not sure to hold the duties" }
 
-// tellOperator writes what the operator reads, until it stands there.
-func (e *Edge) tellOperator(ctx context.Context, d *trialDuty) {
+// publishTrialStatus writes what the operator reads, until it stands there.
+func (e *Edge) publishTrialStatus(ctx context.Context, d *trialController) {
 	state := d.holder.Record().State
 	if state == canary.Promoting {
 		state = canary.Running
 	}
-	if d.told == state {
+	if d.reportedState == state {
 		return
 	}
 	if _, ok := e.permit(); !ok {
 		return
 	}
-	err := e.writeStatus(ctx, d.order, state)
+	err := e.writeTrialStatus(ctx, d.order, state)
 	var conflict *kv.ConflictError
 	if errors.As(err, &conflict) {
 		return
@@ -165,11 +165,11 @@
 		e.log.Note("trial_status_failed", decisions.F("service", d.order.Service), decisions.F("state", state), decisions.F("error", err.Error()))
 		return
 	}
-	d.told = state
+	d.reportedState = state
 	e.log.Note("trial_status", decisions.F("service", d.order.Service), decisions.F("target", d.order.Target), decisions.F("state", state))
 }
 
-func (e *Edge) writeStatus(ctx context.Context, o canary.Order, state canary.State) error {
+func (e *Edge) writeTrialStatus(ctx context.Context, o canary.Order, state canary.State) error {
 	key, value, err := e.deps.Codec.Status(o.Service, o.Target, state)
 	if err != nil {
 		return err
@@ -187,38 +187,38 @@
 	return err
 }
 
-// heardReport takes in a daemon's report and answers with its allowance, as long as this
+// receiveTrialReport takes in a daemon's report and answers with its allowance, as long as this
 // daemon is sure to hold the duties.
-func (e *Edge) heardReport(r *peersv1.TrialReport) {
+func (e *Edge) receiveTrialReport(r *peersv1.TrialReport) {
 	if _, ok := e.permit(); !ok {
 		return
 	}
 	e.trials.mu.Lock()
-	d := e.trials.duties[r.Service]
+	d := e.trials.controllers[r.Service]
 	var allowance canary.Allowance
 	known := false
-	if d != nil && d.holder.Record().Holder == e.set.PeerAddress {
-		allowance, known = d.holder.Hear(e.deps.Steady(), r.Incarnation, reportOf(r))
+	if d != nil && d.holder.Record().Holder == e.settings.PeerAddress {
+		allowance, known = d.holder.Hear(e.deps.Steady(), r.Incarnation, decodeTrialReport(r))
 	}
 	e.trials.mu.Unlock()
 	if known {
-		e.sendTo(r.PeerAddress, &peersv1.Datagram{TrialAllowance: tellAllowance(r.Service, allowance)})
+		e.sendTo(r.PeerAddress, &peersv1.Datagram{TrialAllowance: encodeAllowance(r.Service, allowance)})
 	}
 }
 
-// tellReport, reportOf, tellAllowance and allowanceOf translate messages.
-func (e *Edge) tellReport(service string, r canary.Report) *peersv1.TrialReport {
+// encodeTrialReport, reportOf, tellAllowance and allowanceOf translate messages.
+func (e *Edge) encodeTrialReport(service string, r canary.Report) *peersv1.TrialReport {
 	told := &peersv1.TrialReport{
-		Service: service, Order: r.Order, Incarnation: string(e.self), PeerAddress: e.set.PeerAddress, Ask: r.Ask,
+		Service: service, Order: r.Order, Incarnation: string(e.self), PeerAddress: e.settings.PeerAddress, Ask: r.Ask,
 		Total: uint64(r.Total), Sent: uint64(r.Sent), Ceiling: uint64(r.Ceiling), Knows: string(r.Knows), OldInFlight: uint32(r.OldInFlight),
 	}
 	for s, b := range r.Tally {
-		told.Series = append(told.Series, &peersv1.TrialSeries{Route: s.Route, Pace: s.Pace, Old: tellTimes(&b.Old), New: tellTimes(&b.New)})
+		told.Series = append(told.Series, &peersv1.TrialSeries{Route: s.Route, Pace: s.Pace, Old: encodeTrialCounts(&b.Old), New: encodeTrialCounts(&b.New)})
 	}
 	return told
 }
 
-func tellTimes(c *canary.Counts) *peersv1.TrialCounts {
+func encodeTrialCounts(c *canary.Counts) *peersv1.TrialCounts {
 	told := &peersv1.TrialCounts{Answers: uint32(c.Answers), Failed: uint32(c.Failed)}
 	first, last := len(c.Times), 0
 	for i, n := range c.Times {
@@ -235,20 +235,20 @@
 	return told
 }
 
-func reportOf(r *peersv1.TrialReport) canary.Report {
+func decodeTrialReport(r *peersv1.TrialReport) canary.Report {
 	report := canary.Report{
 		Order: r.Order, Ask: r.Ask, Total: int(r.Total), Sent: int(r.Sent), Ceiling: int(r.Ceiling),
 		Knows: canary.State(r.Knows), OldInFlight: int(r.OldInFlight), Tally: canary.Tally{},
 	}
 	for _, s := range r.Series {
 		series := canary.Series{Route: s.Route, Pace: s.Pace}
-		readTimes(report.Tally.Of(series, false), s.Old)
-		readTimes(report.Tally.Of(series, true), s.New)
+		decodeTrialCounts(report.Tally.Of(series, false), s.Old)
+		decodeTrialCounts(report.Tally.Of(series, true), s.New)
 	}
 	return report
 }
 
-func readTimes(c *canary.Counts, told *peersv1.TrialCounts) {
+func decodeTrialCounts(c *canary.Counts, told *peersv1.TrialCounts) {
 	if told == nil {
 		return
 	}
@@ -260,14 +260,14 @@
 	}
 }
 
-func tellAllowance(service string, a canary.Allowance) *peersv1.TrialAllowance {
+func encodeAllowance(service string, a canary.Allowance) *peersv1.TrialAllowance {
 	return &peersv1.TrialAllowance{
 		Service: service, Order: a.Order, Ask: a.Ask, Ceiling: uint64(a.Ceiling), Share: a.Share,
 		Runners: uint32(a.Runners), Favour: a.Favour, Halt: a.Halt,
 	}
 }
 
-func allowanceOf(a *peersv1.TrialAllowance) canary.Allowance {
+func decodeAllowance(a *peersv1.TrialAllowance) canary.Allowance {
 	return canary.Allowance{
 		Order: a.Order, Ask: a.Ask, Ceiling: int(a.Ceiling), Share: a.Share,
 		Runners: int(a.Runners), Favour: a.Favour, Halt: a.Halt,
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -29,44 +29,44 @@
 const (
 	// trialPrefix begins the keys of orders' records.
 	trialPrefix = "trials/"
-	// trialReportEvery is between two reports, several in an allowance's life.
-	trialReportEvery = 250 * time.Millisecond
-	// leastEstimate stands in for a shorter expected time to a stream's first event.
-	leastEstimate = 10 * time.Millisecond
-	// mostReporting is how many daemons report of an order. Those of a large fleet send
+	// trialReportInterval is between two reports, several in an allowance's life.
+	trialReportInterval = 250 * time.Millisecond
+	// minEstimate stands in for a shorter expected time to a stream's first event.
+	minEstimate = 10 * time.Millisecond
+	// maxReporters is how many daemons report of an order. Those of a large fleet send
 	// enough requests for it.
-	mostReporting = 64
+	maxReporters = 64
 )
 
 // trials are the orders that this daemon knows of.
 type trials struct {
-	// any spares requests the lock while no service has an order.
-	any atomic.Bool
+	// hasOrders spares requests the lock while no service has an order.
+	hasOrders atomic.Bool
 
 	// mu is taken after a pool's lock where both are.
 	mu      sync.Mutex
 	gates   map[string]*canary.Gate
-	records map[string]writtenRecord
-	// reported is when the last reports were made, duties the holder's part.
-	reported time.Duration
-	duties   map[string]*trialDuty
+	records map[string]storedRecord
+	// reportedAt is when the last reports were made, duties the holder's part.
+	reportedAt  time.Duration
+	controllers map[string]*trialController
 }
 
-// writtenRecord is a record with its revision.
-type writtenRecord struct {
+// storedRecord is a record with its revision.
+type storedRecord struct {
 	canary.Record
 	revision kv.Revision
 }
 
 func (t *trials) init() {
 	t.gates = map[string]*canary.Gate{}
-	t.records = map[string]writtenRecord{}
-	t.duties = map[string]*trialDuty{}
+	t.records = map[string]storedRecord{}
+	t.controllers = map[string]*trialController{}
 }
 
 // gate is that of a service; nil is no order.
 func (t *trials) gate(service string) *canary.Gate {
-	if !t.any.Load() {
+	if !t.hasOrders.Load() {
 		return nil
 	}
 	t.mu.Lock()
@@ -74,21 +74,21 @@
 	return t.gates[service]
 }
 
-// takeOrders takes in orders and their records. It must be done before new runners are used:
+// applyTrialChanges takes in orders and their records. It must be done before new runners are used:
 // those of a new version are ordered first, and without the order would be like any others.
-func (e *Edge) takeOrders(events []kv.Event) {
+func (e *Edge) applyTrialChanges(events []kv.Event) {
 	for _, event := range events {
 		switch {
 		case event.Deleted:
 		case strings.HasPrefix(event.Key, e.deps.Codec.OrderPrefix()):
-			e.takeOrder(event.Entry)
+			e.applyTrialOrder(event.Entry)
 		case strings.HasPrefix(event.Key, trialPrefix):
-			e.takeRecord(event.Entry)
+			e.applyTrialRecord(event.Entry)
 		}
 	}
 }
 
-func (e *Edge) takeOrder(entry kv.Entry) {
+func (e *Edge) applyTrialOrder(entry kv.Entry) {
 	o, err := e.deps.Codec.Order(entry.Key, entry.Value)
 	if err != nil {
 		e.log.Note("trial_ignored", decisions.F("key", entry.Key), decisions.F("reason", err.Error()))
@@ -104,12 +104,12 @@
 	g := canary.NewGate(o)
 	g.SetRecord(now, e.trials.records[o.Service].Record)
 	e.trials.gates[o.Service] = g
-	e.trials.any.Store(true)
+	e.trials.hasOrders.Store(true)
 	e.log.Note("trial_ordered", decisions.F("service", o.Service), decisions.F("target", o.Target),
 		decisions.F("within", o.Duration), decisions.F("order", o.Revision))
 }
 
-func (e *Edge) takeRecord(entry kv.Entry) {
+func (e *Edge) applyTrialRecord(entry kv.Entry) {
 	var r canary.Record
 	if err := json.Unmarshal(entry.Value, &r); err != nil {
 		e.log.Note("trial_ignored", decisions.F("key", entry.Key), decisions.F("reason", err.Error()))
@@ -121,7 +121,7 @@
 		return
 	}
 	before := e.trials.records[r.Service]
-	e.trials.records[r.Service] = writtenRecord{r, entry.Revision}
+	e.trials.records[r.Service] = storedRecord{r, entry.Revision}
 	if g := e.trials.gates[r.Service]; g != nil {
 		g.SetRecord(e.deps.Steady(), r)
 	}
@@ -131,15 +131,15 @@
 	}
 }
 
-// enter decides where a new request goes.
-func (e *Edge) enter(g *canary.Gate, route string) canary.Side {
+// sideOfNewRequest decides where a new request goes.
+func (e *Edge) sideOfNewRequest(g *canary.Gate, route string) canary.Side {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	return g.Enter(e.deps.Steady(), route, rand.Float64())
 }
 
-// again decides where a request goes that is not new.
-func (e *Edge) again(g *canary.Gate) canary.Side {
+// sideOfRepeat decides where a request goes that is not new.
+func (e *Edge) sideOfRepeat(g *canary.Gate) canary.Side {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	return g.Again(e.deps.Steady())
@@ -151,13 +151,13 @@
 	if e.configAge() <= confirmTimeout {
 		return false
 	}
-	e.confirm(ctx)
+	e.confirmConfig(ctx)
 	return e.configAge() > confirmTimeout
 }
 
-// barred is the set of a service's runners that a side keeps requests from; called with the
+// excludedBySide is the set of a service's runners that a side keeps requests from; called with the
 // pool's lock held.
-func (p *pool) barred(g *canary.Gate, side canary.Side) prefix.Set {
+func (p *pool) excludedBySide(g *canary.Gate, side canary.Side) prefix.Set {
 	var ids []ident.RunnerID
 	p.edge.trials.mu.Lock()
 	defer p.edge.trials.mu.Unlock()
@@ -203,51 +203,51 @@
 	return p.table.Exclude(ids...)
 }
 
-// bar keeps a request from the runners that a side doesn't use, and from those that have
+// excludeBySide keeps a request from the runners that a side doesn't use, and from those that have
 // failed it.
-func (p *pool) bar(r *routing.Request, failed prefix.Set, g *canary.Gate, side canary.Side) {
+func (p *pool) excludeBySide(r *routing.Request, failed prefix.Set, g *canary.Gate, side canary.Side) {
 	r.Exclude = failed
 	if g == nil || side == canary.Either {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.Exclude = failed.Or(p.barred(g, side))
+	r.Exclude = failed.Or(p.excludedBySide(g, side))
 }
 
 // pick chooses a runner among those that the request's side of a trial uses. One that finds
 // none there, or would wait too long there, may go to the others, but to a version on trial
 // only if this daemon has lost touch, since the old runners may have been stopped then, or if
 // there is no other version yet before the order is taken up: then it is in use already.
-func (s *serving) pick(ctx context.Context, now time.Time) (routing.Choice, error) {
+func (s *requestHandler) pick(ctx context.Context, now time.Time) (routing.Choice, error) {
 	first := s.exchange.Sent() == 0
 	if s.gate == nil {
-		return s.pool.pick(now, &s.place, s.advised, first)
+		return s.pool.pick(now, &s.routingRequest, s.recommended, first)
 	}
-	side := s.edge.again(s.gate)
+	side := s.edge.sideOfRepeat(s.gate)
 	if first {
-		side = s.edge.enter(s.gate, s.route.Name)
+		side = s.edge.sideOfNewRequest(s.gate, s.route.Name)
 	}
-	s.pool.bar(&s.place, s.failed, s.gate, side)
-	choice, err := s.pool.pick(now, &s.place, s.advised, first)
-	late := err == nil && choice.Estimate > s.useful(now)
+	s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, side)
+	choice, err := s.pool.pick(now, &s.routingRequest, s.recommended, first)
+	late := err == nil && choice.Estimate > s.maxFirstTokenWait(now)
 	if err == nil && !late || side == canary.Either {
 		return choice, err
 	}
 	switch {
 	case side == canary.Trial:
-		s.pool.bar(&s.place, s.failed, s.gate, canary.OldOnly)
-	case side == canary.NewFirst || !late && (s.edge.outOfContact(ctx) || s.pool.inUse(s.gate)):
-		s.pool.bar(&s.place, s.failed, s.gate, canary.Either)
+		s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, canary.OldOnly)
+	case side == canary.NewFirst || !late && (s.edge.outOfContact(ctx) || s.pool.targetInUse(s.gate)):
+		s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, canary.Either)
 	default:
 		return choice, err
 	}
-	return s.pool.pick(now, &s.place, s.advised, first)
+	return s.pool.pick(now, &s.routingRequest, s.recommended, first)
 }
 
-// inUse tells whether the service has only runners of an order's target, and nobody has begun
+// targetInUse tells whether the service has only runners of an order's target, and nobody has begun
 // to decide on the order.
-func (p *pool) inUse(g *canary.Gate) bool {
+func (p *pool) targetInUse(g *canary.Gate) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.edge.trials.mu.Lock()
@@ -263,9 +263,9 @@
 	return true
 }
 
-// versions counts the runners that take new requests, of the version that serves and of an
-// order's target, and what this daemon has in progress at runners of other versions.
-func (p *pool) versions(g *canary.Gate) (old, fresh, oldInFlight int) {
+// countVersions counts the runners that take new requests, of the version that serves and of an
+// order's target, and what this daemon has in progress at runners of other countVersions.
+func (p *pool) countVersions(g *canary.Gate) (old, fresh, oldInFlight int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.edge.trials.mu.Lock()
@@ -278,15 +278,15 @@
 		case r.Version != target && r.State == view.Live && !g.Avoids(r.Version):
 			old++
 		}
-		if act := p.active[id]; act != nil && r.Version != target {
+		if act := p.activities[id]; act != nil && r.Version != target {
 			oldInFlight += len(act.attempts)
 		}
 	}
 	return old, fresh, oldInFlight
 }
 
-// undecided is how many runners of a version wait for the decision on an order.
-func (e *Edge) undecided(p *pool) int {
+// awaitingDecision is how many runners of a version wait for the decision on an order.
+func (e *Edge) awaitingDecision(p *pool) int {
 	g := e.trials.gate(p.name)
 	if g == nil {
 		return 0
@@ -297,39 +297,39 @@
 	if final {
 		return 0
 	}
-	_, fresh, _ := p.versions(g)
+	_, fresh, _ := p.countVersions(g)
 	return fresh
 }
 
-// reports tells whether this daemon is one of those that report of an order.
-func (e *Edge) reports(o canary.Order, fleet int) bool {
-	if fleet <= mostReporting {
+// isTrialReporter tells whether this daemon is one of those that report of an order.
+func (e *Edge) isTrialReporter(o canary.Order, fleet int) bool {
+	if fleet <= maxReporters {
 		return true
 	}
-	return xxhash.Sum64String(string(e.self)+"/"+o.Service)%uint64(fleet) < mostReporting
+	return xxhash.Sum64String(string(e.self)+"/"+o.Service)%uint64(fleet) < maxReporters
 }
 
-// reporting is the part of the daemons that do.
-func reporting(fleet int) float64 { return min(1, mostReporting/float64(max(1, fleet))) }
+// reporterShare is the part of the daemons that do.
+func reporterShare(fleet int) float64 { return min(1, maxReporters/float64(max(1, fleet))) }
 
 // reportTrials asks the holder for allowances and tells it what was counted.
 func (e *Edge) reportTrials(now time.Duration) {
-	if !e.trials.any.Load() || now-e.trials.reported < trialReportEvery {
+	if !e.trials.hasOrders.Load() || now-e.trials.reportedAt < trialReportInterval {
 		return
 	}
-	e.trials.reported = now
+	e.trials.reportedAt = now
 	fleet := e.fleetSize()
 	for _, g := range e.openGates(fleet) {
 		p := e.pool(g.Order().Service)
 		if p == nil {
 			continue
 		}
-		_, _, oldInFlight := p.versions(g)
+		_, _, oldInFlight := p.countVersions(g)
 		e.trials.mu.Lock()
 		holder := g.Record().Holder
 		r := g.Report(now, oldInFlight)
 		e.trials.mu.Unlock()
-		e.sendTo(holder, &peersv1.Datagram{TrialReport: e.tellReport(g.Order().Service, r)})
+		e.sendTo(holder, &peersv1.Datagram{TrialReport: e.encodeTrialReport(g.Order().Service, r)})
 	}
 }
 
@@ -340,24 +340,24 @@
 	var open []*canary.Gate
 	for _, g := range e.trials.gates {
 		r := g.Record()
-		if r.Order == g.Order().Revision && r.Holder != "" && !r.State.Final() && e.reports(g.Order(), fleet) {
+		if r.Order == g.Order().Revision && r.Holder != "" && !r.State.Final() && e.isTrialReporter(g.Order(), fleet) {
 			open = append(open, g)
 		}
 	}
 	return open
 }
 
-// heardAllowance takes in the holder's answer.
-func (e *Edge) heardAllowance(a *peersv1.TrialAllowance) {
+// receiveAllowance takes in the holder's answer.
+func (e *Edge) receiveAllowance(a *peersv1.TrialAllowance) {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	if g := e.trials.gates[a.Service]; g != nil {
-		g.Allow(allowanceOf(a))
+		g.Allow(decodeAllowance(a))
 	}
 }
 
-// dispatched counts a request that is being sent for the first time.
-func (s *serving) dispatched() {
+// countTrialDispatch counts a request that is being sent for the first time.
+func (s *requestHandler) countTrialDispatch() {
 	if s.gate == nil || s.exchange.Sent() > 0 {
 		return
 	}
@@ -366,51 +366,51 @@
 	s.gate.Dispatched()
 }
 
-// judged is an attempt's answer for the comparison of versions.
-type judged struct {
+// trialSample is an attempt's answer for the comparison of versions.
+type trialSample struct {
 	gate  *canary.Gate
 	isNew bool
 }
 
-// trialOf notes which version an attempt goes to; the zero value is not compared.
-func (s *serving) trialOf(id ident.RunnerID) judged {
+// sampleFor notes which version an attempt goes to; the zero value is not compared.
+func (s *requestHandler) sampleFor(id ident.RunnerID) trialSample {
 	g := s.edge.trials.gate(s.pool.name)
 	if g == nil {
-		return judged{}
+		return trialSample{}
 	}
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return judged{g, s.pool.runners[id].Version == g.Order().Target}
+	return trialSample{g, s.pool.runners[id].Version == g.Order().Target}
 }
 
-// took counts a whole answer, or with pace the time between its events.
-func (a *attempt) took(d time.Duration, pace bool) {
-	a.judge(pace, func(c *canary.Counts) { c.Took(d) })
+// recordLatency counts a whole answer, or with pace the time between its events.
+func (a *attempt) recordLatency(d time.Duration, pace bool) {
+	a.recordSample(pace, func(c *canary.Counts) { c.Took(d) })
 }
 
-// tookStream counts a whole stream. Prompts differ in length and in what is cached of them, so
+// recordStreamLatency counts a whole stream. Prompts differ in length and in what is cached of them, so
 // the time to the first event counts against what was expected of the runner: one second
 // stands for as long as that. The pace is counted apart.
-func (a *attempt) tookStream() {
-	if a.trial.gate == nil {
+func (a *attempt) recordStreamLatency() {
+	if a.trialSample.gate == nil {
 		return
 	}
-	against := max(a.choice.Estimate, leastEstimate)
-	a.took(time.Duration(float64(time.Second)*float64(a.first)/float64(against)), false)
+	against := max(a.choice.Estimate, minEstimate)
+	a.recordLatency(time.Duration(float64(time.Second)*float64(a.firstEventAfter)/float64(against)), false)
 	if n := a.s.events.Events(); n > 1 {
-		a.took((time.Since(a.sent)-a.first)/time.Duration(n-1), true)
+		a.recordLatency((time.Since(a.sent)-a.firstEventAfter)/time.Duration(n-1), true)
 	}
 }
 
-// failed counts an answer that was none.
-func (a *attempt) failed() { a.judge(false, func(c *canary.Counts) { c.Fail() }) }
+// recordFailure counts an answer that was none.
+func (a *attempt) recordFailure() { a.recordSample(false, func(c *canary.Counts) { c.Fail() }) }
 
-func (a *attempt) judge(pace bool, count func(*canary.Counts)) {
-	if a.trial.gate == nil {
+func (a *attempt) recordSample(pace bool, count func(*canary.Counts)) {
+	if a.trialSample.gate == nil {
 		return
 	}
 	t := &a.s.edge.trials
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	count(a.trial.gate.Tally().Of(canary.Series{Route: a.s.route.Name, Pace: pace}, a.trial.isNew))
+	count(a.trialSample.gate.Tally().Of(canary.Series{Route: a.s.route.Name, Pace: pace}, a.trialSample.isNew))
 }
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -19,72 +19,72 @@
 )
 
 const (
-	trialShare    = 0.1
-	trialSlack    = 50
-	trialFor      = 12 * time.Second
-	trialRunners  = 4
-	trialRate     = 160
-	rolledBackIn  = 5 * time.Second
-	badsTolerated = 50
-	oldVersion    = canary.Version("v1")
-	newVersion    = canary.Version("v2")
+	trialShare          = 0.1
+	trialSlack          = 50
+	trialDuration       = 12 * time.Second
+	trialRunners        = 4
+	trialRate           = 160
+	maxRollbackTime     = 5 * time.Second
+	toleratedBadAnswers = 50
+	oldVersion          = canary.Version("v1")
+	newVersion          = canary.Version("v2")
 )
 
-// trialWorld plays an operator's order while callers ask all daemons.
-type trialWorld struct {
+// trialTest plays an operator's order while callers ask all daemons.
+type trialTest struct {
 	*world
-	// luck draws the load, answers the new version's answers.
-	luck, answers *rand.Rand
-	// fails and slower say how the new version answers a path now.
-	fails  func(path string) float64
-	slower func(path string) float64
+	// loadRandom draws the load, answerRandom the new version's answerRandom.
+	loadRandom, answerRandom *rand.Rand
+	// failureRate and slower say how the new version answers a path now.
+	failureRate func(path string) float64
+	slowdown    func(path string) float64
 
 	mu sync.Mutex
 	// asked are all requests from the order until its time is over, exposed those of them
-	// that the new version got, bads its bad answers, fiftieth when it gave the fiftieth.
-	asked, exposed, bads int
-	fiftieth, lastNew    time.Duration
-	orderedAt            time.Duration
+	// that the new version got, badAnswers its bad answers, fiftieth when it gave the fiftieth.
+	asked, exposed, badAnswers        int
+	toleranceReachedAt, lastExposedAt time.Duration
+	orderedAt                         time.Duration
 	// stopped are the old runners' ends.
 	stopped bool
 	// results are what callers got in all.
 	served, refused, failed int
 	reasons                 map[refusal.Reason]int
 	states                  []canary.State
-	down                    map[int]bool
+	downDaemons             map[int]bool
 }
 
-func newTrial(w *world) *trialWorld {
-	tw := &trialWorld{
-		world: w, luck: rand.New(rand.NewPCG(1, 0)), answers: rand.New(rand.NewPCG(1, 1)),
-		fails: func(string) float64 { return 0 }, slower: func(string) float64 { return 1 },
-		reasons: map[refusal.Reason]int{}, down: map[int]bool{},
+func newTrial(w *world) *trialTest {
+	tw := &trialTest{
+		world: w, loadRandom: rand.New(rand.NewPCG(1, 0)), answerRandom: rand.New(rand.NewPCG(1, 1)),
+		failureRate: func(string) float64 { return 0 }, slowdown: func(string) float64 { return 1 },
+		reasons: map[refusal.Reason]int{}, downDaemons: map[int]bool{},
 	}
-	tw.start(oldVersion)
+	tw.startRunners(oldVersion)
 	time.Sleep(time.Second)
 	return tw
 }
 
-// start starts runners of a version.
-func (tw *trialWorld) start(v canary.Version) {
+// startRunners starts runners of a version.
+func (tw *trialTest) startRunners(v canary.Version) {
 	for i := range trialRunners {
 		id := fmt.Sprintf("%s-%d", v, i)
-		tw.runners.add(id).play(tw.answer(v))
+		tw.runners.add(id).setScript(tw.answerOf(v))
 		tw.put(runnerPrefix+id, edge.Runner{Runner: view.Runner{
 			ID: ident.RunnerID(id), Address: id, Service: "app", FailureDomain: "north", State: view.Live,
 		}, Slots: 8, Version: v})
 	}
 }
 
-// stop stops a version's runners at once, with what they are doing.
-func (tw *trialWorld) stop(v canary.Version) {
+// stopRunners stops a version's runners at once, with what they are doing.
+func (tw *trialTest) stopRunners(v canary.Version) {
 	for i := range trialRunners {
 		tw.remove(fmt.Sprintf("%s-%d", v, i))
 	}
 }
 
 // remove ends a runner.
-func (tw *trialWorld) remove(id string) {
+func (tw *trialTest) remove(id string) {
 	tw.runners.mu.Lock()
 	delete(tw.runners.byID, id)
 	tw.runners.mu.Unlock()
@@ -93,48 +93,48 @@
 	tw.NoErr(tw.store.Delete(context.Background(), runnerPrefix+id, entry.Revision))
 }
 
-func (tw *trialWorld) answer(v canary.Version) func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error) {
+func (tw *trialTest) answerOf(v canary.Version) func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error) {
 	return func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
 		work, bad := 20*time.Millisecond, false
 		if v == newVersion {
-			bad = tw.badly(a.Request.Path, &work)
+			bad = tw.countExposed(a.Request.Path, &work)
 		}
 		time.Sleep(work)
 		if bad {
-			return plain(http.StatusInternalServerError, "failed"), nil
+			return plainAnswer(http.StatusInternalServerError, "failed"), nil
 		}
-		return plain(http.StatusOK, "from "+a.Address), nil
+		return plainAnswer(http.StatusOK, "from "+a.Address), nil
 	}
 }
 
-// badly counts a request at the new version and tells whether it fails.
-func (tw *trialWorld) badly(path string, work *time.Duration) bool {
+// countExposed counts a request at the new version and tells whether it fails.
+func (tw *trialTest) countExposed(path string, work *time.Duration) bool {
 	tw.mu.Lock()
 	defer tw.mu.Unlock()
-	fails, slower := tw.answers.Float64() < tw.fails(path), tw.slower(path)
+	fails, slower := tw.answerRandom.Float64() < tw.failureRate(path), tw.slowdown(path)
 	*work = time.Duration(float64(*work) * slower)
 	now := tw.steady()
-	tw.lastNew = now
-	if now <= tw.orderedAt+trialFor {
+	tw.lastExposedAt = now
+	if now <= tw.orderedAt+trialDuration {
 		tw.exposed++
 	}
 	if fails || slower > 1 {
-		tw.bads++
-		if tw.bads == badsTolerated {
-			tw.fiftieth = now
+		tw.badAnswers++
+		if tw.badAnswers == toleratedBadAnswers {
+			tw.toleranceReachedAt = now
 		}
 	}
 	return fails
 }
 
 // order asks for the new version; its runners come a second later.
-func (tw *trialWorld) order(target canary.Version) {
+func (tw *trialTest) order(target canary.Version) {
 	tw.orderedAt = tw.steady()
-	tw.put(orderPrefix+"app", canary.Order{Service: "app", Target: target, Duration: trialFor})
+	tw.put(orderPrefix+"app", canary.Order{Service: "app", Target: target, Duration: trialDuration})
 }
 
 // status is what the operator reads.
-func (tw *trialWorld) status() (s orderStatus) {
+func (tw *trialTest) status() (s orderStatus) {
 	entry, err := tw.store.Get(context.Background(), statusPrefix+"app")
 	tw.NoErr(err)
 	if entry.Revision != 0 {
@@ -143,22 +143,22 @@
 	return s
 }
 
-// load has callers ask for a time. The operator stops what the status says at once.
-func (tw *trialWorld) load(length time.Duration) {
+// runLoad has callers ask for a time. The operator stops what the status says at once.
+func (tw *trialTest) runLoad(length time.Duration) {
 	var asking sync.WaitGroup
 	for end := tw.steady() + length; tw.steady() < end; {
 		time.Sleep(time.Second / trialRate)
-		tw.operate()
+		tw.pollStatus()
 		path := "/pledge/1"
-		if tw.luck.IntN(5) == 0 {
+		if tw.loadRandom.IntN(5) == 0 {
 			path = "/read/1"
 		}
-		i := tw.luck.IntN(len(tw.daemons))
-		if tw.down[i] {
+		i := tw.loadRandom.IntN(len(tw.daemons))
+		if tw.downDaemons[i] {
 			continue
 		}
 		tw.mu.Lock()
-		if tw.orderedAt > 0 && tw.steady() <= tw.orderedAt+trialFor {
+		if tw.orderedAt > 0 && tw.steady() <= tw.orderedAt+trialDuration {
 			tw.asked++
 		}
 		tw.mu.Unlock()
@@ -166,13 +166,13 @@
 		d := tw.daemons[i]
 		go func() {
 			defer asking.Done()
-			tw.got(tw.ask(d, path, key))
+			tw.recordAnswer(tw.ask(d, path, key))
 		}()
 	}
 	asking.Wait()
 }
 
-func (tw *trialWorld) got(a *answer) {
+func (tw *trialTest) recordAnswer(a *answer) {
 	tw.mu.Lock()
 	defer tw.mu.Unlock()
 	switch {
@@ -186,23 +186,23 @@
 	}
 }
 
-func (tw *trialWorld) operate() {
+func (tw *trialTest) pollStatus() {
 	s := tw.status()
 	if n := len(tw.states); s.State != "" && (n == 0 || tw.states[n-1] != s.State) {
 		tw.states = append(tw.states, s.State)
 	}
 	if s.State == canary.Completed && s.Target == newVersion && !tw.stopped {
 		tw.stopped = true
-		tw.stop(oldVersion)
+		tw.stopRunners(oldVersion)
 	}
 }
 
-// check checks what must hold of every order, and of a bad version.
-func (tw *trialWorld) check(bad bool) {
+// checkResult checks what must hold of every order, and of a bad version.
+func (tw *trialTest) checkResult(bad bool) {
 	tw.t.Logf("%v: %d of %d requests exposed, %d bad, served %d refused %d failed %d %v",
-		tw.states, tw.exposed, tw.asked, tw.bads, tw.served, tw.refused, tw.failed, tw.reasons)
+		tw.states, tw.exposed, tw.asked, tw.badAnswers, tw.served, tw.refused, tw.failed, tw.reasons)
 	tw.True(!bad || float64(tw.exposed) <= trialShare*float64(tw.asked)+trialSlack)
-	tw.True(tw.fiftieth == 0 || tw.lastNew <= tw.fiftieth+rolledBackIn)
+	tw.True(tw.toleranceReachedAt == 0 || tw.lastExposedAt <= tw.toleranceReachedAt+maxRollbackTime)
 	for i, s := range tw.states {
 		tw.True(!s.Final() || i == len(tw.states)-1) // a verdict never turns
 	}
@@ -210,30 +210,30 @@
 
 // inTrial plays the order of a version until its time is over. faults is called once the new
 // runners are there.
-func inTrial(t *testing.T, daemons int, bad, faults func(tw *trialWorld)) {
+func inTrial(t *testing.T, daemons int, bad, faults func(tw *trialTest)) {
 	in := inWorld
 	if daemons > relays.SmallFleet {
 		in = inLargeFleet
 	}
-	inTrialOf(t, in, daemons, bad, faults)
+	inTrialWith(t, in, daemons, bad, faults)
 }
 
-// inTrialOf is inTrial in a fleet of a kind.
-func inTrialOf(t *testing.T, in fleetRunner, daemons int, bad, faults func(tw *trialWorld)) {
+// inTrialWith is inTrial in a fleet of a kind.
+func inTrialWith(t *testing.T, in fleetRunner, daemons int, bad, faults func(tw *trialTest)) {
 	in(t, daemons, config(1), func(w *world) {
 		tw := newTrial(w)
 		if bad != nil {
 			bad(tw)
 		}
-		tw.load(3 * time.Second)
+		tw.runLoad(3 * time.Second)
 		tw.order(newVersion)
-		tw.load(time.Second)
-		tw.start(newVersion)
+		tw.runLoad(time.Second)
+		tw.startRunners(newVersion)
 		if faults != nil {
 			faults(tw)
 		}
-		tw.load(tw.orderedAt + trialFor + time.Second - tw.steady())
-		tw.check(bad != nil)
+		tw.runLoad(tw.orderedAt + trialDuration + time.Second - tw.steady())
+		tw.checkResult(bad != nil)
 	})
 }
 
@@ -242,8 +242,8 @@
 func TestGoodVersionIsCompleted(t *testing.T) {
 	for _, daemons := range []int{1, 5, 33, 40} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
-			inTrial(t, daemons, nil, func(tw *trialWorld) {
-				tw.load(trialFor - time.Second)
+			inTrial(t, daemons, nil, func(tw *trialTest) {
+				tw.runLoad(trialDuration - time.Second)
 				tw.Equal(tw.status(), orderStatus{newVersion, canary.Completed})
 				tw.Equal(tw.refused+tw.failed, 0)
 			})
@@ -253,12 +253,12 @@
 
 // Guards against a bad version that gets more than its share, or that is not taken back.
 func TestBadVersionIsRolledBack(t *testing.T) {
-	for name, bad := range map[string]func(tw *trialWorld){
-		"fails":           func(tw *trialWorld) { tw.fails = func(string) float64 { return 0.4 } },
-		"fails on a path": func(tw *trialWorld) { tw.fails = failsOn("/read/1") },
-		"slow":            func(tw *trialWorld) { tw.slower = func(string) float64 { return 4 } },
-		"fails late": func(tw *trialWorld) {
-			tw.fails = func(string) float64 {
+	for name, bad := range map[string]func(tw *trialTest){
+		"fails":           func(tw *trialTest) { tw.failureRate = func(string) float64 { return 0.4 } },
+		"fails on a path": func(tw *trialTest) { tw.failureRate = failsOn("/read/1") },
+		"slow":            func(tw *trialTest) { tw.slowdown = func(string) float64 { return 4 } },
+		"fails late": func(tw *trialTest) {
+			tw.failureRate = func(string) float64 {
 				if tw.steady()-tw.orderedAt > 5*time.Second {
 					return 0.5
 				}
@@ -268,8 +268,8 @@
 	} {
 		for _, daemons := range []int{5, 33, 40} {
 			t.Run(fmt.Sprintf("%s/%d", name, daemons), func(t *testing.T) {
-				inTrial(t, daemons, bad, func(tw *trialWorld) {
-					tw.load(trialFor - time.Second)
+				inTrial(t, daemons, bad, func(tw *trialTest) {
+					tw.runLoad(trialDuration - time.Second)
 					tw.Equal(tw.status(), orderStatus{newVersion, canary.RolledBack})
 				})
 			})
@@ -279,13 +279,13 @@
 
 // Guards against verdicts that are wrong where all daemons tell each other everything.
 func TestTrialsOfADirectFleet(t *testing.T) {
-	for name, bad := range map[string]func(tw *trialWorld){
+	for name, bad := range map[string]func(tw *trialTest){
 		"good": nil,
-		"bad":  func(tw *trialWorld) { tw.fails = failsOn("/read/1") },
+		"bad":  func(tw *trialTest) { tw.failureRate = failsOn("/read/1") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inTrialOf(t, inDirectFleet, 33, bad, func(tw *trialWorld) {
-				tw.load(trialFor - time.Second)
+			inTrialWith(t, inDirectFleet, 33, bad, func(tw *trialTest) {
+				tw.runLoad(trialDuration - time.Second)
 				want := canary.Completed
 				if bad != nil {
 					want = canary.RolledBack
@@ -308,15 +308,15 @@
 // Guards against an order that starts anew, or gives out its share twice, when the holder of
 // the duties is killed in the middle of it.
 func TestTrialOutlivesItsHolder(t *testing.T) {
-	for name, bad := range map[string]func(tw *trialWorld){
+	for name, bad := range map[string]func(tw *trialTest){
 		"good": nil,
-		"bad":  func(tw *trialWorld) { tw.fails = func(string) float64 { return 0.08 } },
+		"bad":  func(tw *trialTest) { tw.failureRate = func(string) float64 { return 0.08 } },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inTrial(t, 5, bad, func(tw *trialWorld) {
-				tw.load(1500 * time.Millisecond)
+			inTrial(t, 5, bad, func(tw *trialTest) {
+				tw.runLoad(1500 * time.Millisecond)
 				tw.killHolder()
-				tw.load(trialFor - 2500*time.Millisecond)
+				tw.runLoad(trialDuration - 2500*time.Millisecond)
 				tw.True(tw.status().State.Final())
 				tw.Equal(tw.refused, 0)
 				if bad == nil {
@@ -327,25 +327,25 @@
 	}
 }
 
-func (tw *trialWorld) killHolder() {
+func (tw *trialTest) killHolder() {
 	i := tw.holderPlace()
 	tw.True(i >= 0)
-	tw.down[i] = true
+	tw.downDaemons[i] = true
 	tw.daemons[i].kill()
 }
 
 // Guards against a bad version that goes on being tried while the key-value service is away.
 func TestTrialWhileTheServiceIsAway(t *testing.T) {
-	inTrial(t, 5, func(tw *trialWorld) { tw.fails = func(string) float64 { return 0.5 } }, func(tw *trialWorld) {
+	inTrial(t, 5, func(tw *trialTest) { tw.failureRate = func(string) float64 { return 0.5 } }, func(tw *trialTest) {
 		tw.cutStore(true)
-		tw.load(4 * time.Second)
+		tw.runLoad(4 * time.Second)
 		tw.cutStore(false)
-		tw.load(trialFor - 5*time.Second)
+		tw.runLoad(trialDuration - 5*time.Second)
 		tw.Equal(tw.status().State, canary.RolledBack)
 	})
 }
 
-func (tw *trialWorld) cutStore(cut bool) {
+func (tw *trialTest) cutStore(cut bool) {
 	for _, d := range tw.daemons {
 		d.store.set(cut, false)
 	}
@@ -353,9 +353,9 @@
 
 // Guards against shares that are given out twice because messages are lost.
 func TestTrialWithLostMessages(t *testing.T) {
-	inTrial(t, 5, func(tw *trialWorld) { tw.fails = failsOn("/read/1") }, func(tw *trialWorld) {
+	inTrial(t, 5, func(tw *trialTest) { tw.failureRate = failsOn("/read/1") }, func(tw *trialTest) {
 		tw.network.lose(0.3, rand.New(rand.NewPCG(2, 0)))
-		tw.load(trialFor - time.Second)
+		tw.runLoad(trialDuration - time.Second)
 		tw.Equal(tw.status().State, canary.RolledBack)
 	})
 }
@@ -363,15 +363,15 @@
 // Guards against callers who are refused after the old runners have been stopped, at a daemon
 // that can't learn of it: it goes to the new ones as it has lost touch.
 func TestDaemonCutOffFindsTheNewRunners(t *testing.T) {
-	inTrial(t, 5, nil, func(tw *trialWorld) {
-		tw.load(5 * time.Second)
+	inTrial(t, 5, nil, func(tw *trialTest) {
+		tw.runLoad(5 * time.Second)
 		cut := tw.daemons[4]
 		if cut.Holds() {
 			cut = tw.daemons[3]
 		}
 		tw.network.isolate(cut.address, true)
 		cut.store.set(true, false)
-		tw.load(trialFor - 6*time.Second)
+		tw.runLoad(trialDuration - 6*time.Second)
 		tw.Equal(tw.status().State, canary.Completed)
 		// Its callers were refused as their keys may have been taken away, not for want of runners.
 		tw.Equal(tw.reasons[refusal.NoRunner], 0)
@@ -380,11 +380,11 @@
 
 // Guards against a version that is put into use without runners to serve all callers.
 func TestTooFewNewRunners(t *testing.T) {
-	inTrial(t, 5, nil, func(tw *trialWorld) {
+	inTrial(t, 5, nil, func(tw *trialTest) {
 		for i := 1; i < trialRunners; i++ {
 			tw.remove(fmt.Sprintf("%s-%d", newVersion, i))
 		}
-		tw.load(trialFor - time.Second)
+		tw.runLoad(trialDuration - time.Second)
 		tw.Equal(tw.status(), orderStatus{newVersion, canary.RolledBack})
 		tw.Equal(tw.refused+tw.failed, 0)
 	})
@@ -397,7 +397,7 @@
 		tw := newTrial(w)
 		tw.put(orderPrefix+"none", canary.Order{Service: "none", Target: newVersion, Duration: 2 * time.Second})
 		tw.order(oldVersion)
-		tw.load(4 * time.Second)
+		tw.runLoad(4 * time.Second)
 		tw.Equal(tw.status(), orderStatus{oldVersion, canary.Completed})
 		tw.Equal(tw.refused+tw.failed, 0)
 		entry, err := tw.store.Get(context.Background(), statusPrefix+"none")
@@ -411,13 +411,13 @@
 // Guards against a version that was taken back and gets requests again when another one is
 // ordered, or while that one is on trial.
 func TestSecondOrderWhileOneRuns(t *testing.T) {
-	inTrial(t, 5, func(tw *trialWorld) { tw.fails = func(string) float64 { return 1 } }, func(tw *trialWorld) {
-		tw.load(5 * time.Second)
+	inTrial(t, 5, func(tw *trialTest) { tw.failureRate = func(string) float64 { return 1 } }, func(tw *trialTest) {
+		tw.runLoad(5 * time.Second)
 		tw.mu.Lock()
 		before := tw.exposed
 		tw.mu.Unlock()
-		tw.put(orderPrefix+"app", canary.Order{Service: "app", Target: "v3", Duration: trialFor})
-		tw.load(trialFor)
+		tw.put(orderPrefix+"app", canary.Order{Service: "app", Target: "v3", Duration: trialDuration})
+		tw.runLoad(trialDuration)
 		tw.Equal(tw.exposed, before)
 		tw.Equal(tw.status(), orderStatus{"v3", canary.RolledBack})
 		tw.states = nil
@@ -426,14 +426,14 @@
 
 // Guards against a trial that goes wrong when the operator moves routes meanwhile.
 func TestConfigurationChangesDuringATrial(t *testing.T) {
-	inTrial(t, 5, func(tw *trialWorld) { tw.fails = func(string) float64 { return 0.4 } }, func(tw *trialWorld) {
+	inTrial(t, 5, func(tw *trialTest) { tw.failureRate = func(string) float64 { return 0.4 } }, func(tw *trialTest) {
 		for i := range 10 {
 			c := config(uint64(i + 2))
 			c.Routes[i%2].Name = fmt.Sprint("moved-", i)
 			tw.configure(c)
-			tw.load(300 * time.Millisecond)
+			tw.runLoad(300 * time.Millisecond)
 		}
-		tw.load(trialFor - 4*time.Second)
+		tw.runLoad(trialDuration - 4*time.Second)
 		tw.Equal(tw.status().State, canary.RolledBack)
 	})
 }
@@ -441,8 +441,8 @@
 // Guards against a version that is tried after all daemons were killed as if nothing had been
 // known of it.
 func TestTrialAfterAllDaemonsWereKilled(t *testing.T) {
-	inTrial(t, 5, func(tw *trialWorld) { tw.fails = func(string) float64 { return 0.08 } }, func(tw *trialWorld) {
-		tw.load(2 * time.Second)
+	inTrial(t, 5, func(tw *trialTest) { tw.failureRate = func(string) float64 { return 0.08 } }, func(tw *trialTest) {
+		tw.runLoad(2 * time.Second)
 		for _, d := range tw.daemons {
 			d.kill()
 		}
@@ -451,7 +451,7 @@
 			tw.restart(i)
 		}
 		time.Sleep(time.Second)
-		tw.load(trialFor - 4*time.Second)
+		tw.runLoad(trialDuration - 4*time.Second)
 		tw.True(tw.status().State.Final())
 	})
 }
--- a/daemon/edge/types.go
+++ b/daemon/edge/types.go
@@ -111,8 +111,8 @@
 	Key string
 	// Received is when the request had been read, Patience how long its caller
 	// waits from then on; zero is not told.
-	Received time.Time
-	Patience time.Duration
+	Received      time.Time
+	CallerTimeout time.Duration
 	// LastEventID is where the caller's stream goes on; empty is the beginning.
 	LastEventID string
 	Prompt      Prompt
@@ -219,31 +219,31 @@
 	Status(service string, target canary.Version, state canary.State) (key string, value []byte, err error)
 }
 
-// Duty is on whose behalf a call to the cloud is made.
-type Duty struct {
+// DutyLease is on whose behalf a call to the cloud is made.
+type DutyLease struct {
 	Holder ident.DaemonID
 	// Token grows with each change of the holder.
 	Token uint64
 }
 
-// Order asks for a number of runners of one kind.
-type Order struct {
+// RunnerOrder asks for a number of runners of one kind.
+type RunnerOrder struct {
 	Service       string
 	FailureDomain ident.FailureDomain
 	Reclaimable   bool
 	Runners       int
 }
 
-// NoneAvailableError says that the cloud has no such runner now.
-type NoneAvailableError struct{ Order Order }
+// NoRunnersAvailableError says that the cloud has no such runner now.
+type NoRunnersAvailableError struct{ Order RunnerOrder }
 
-func (e *NoneAvailableError) Error() string {
+func (e *NoRunnersAvailableError) Error() string {
 	return fmt.Sprintf("no runner of %s to be had in %s", e.Order.Service, e.Order.FailureDomain)
 }
 
 // Cloud takes reports and orders of the duties' holder.
 type Cloud interface {
-	ReportUsage(ctx context.Context, d Duty, w accounting.Window, counts accounting.Counts) error
-	// Order fails with *NoneAvailableError where there are none.
-	Order(ctx context.Context, d Duty, o Order) error
+	ReportUsage(ctx context.Context, d DutyLease, w accounting.Window, counts accounting.Counts) error
+	// OrderRunners fails with *NoneAvailableError where there are none.
+	OrderRunners(ctx context.Context, d DutyLease, o RunnerOrder) error
 }
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -54,7 +54,7 @@
 		return
 	}
 	e.mu.Lock()
-	due := e.book.Due(e.wall.At(e.deps.Steady()))
+	due := e.usageBook.Due(e.wallClock.At(e.deps.Steady()))
 	e.mu.Unlock()
 	for _, w := range due {
 		if w <= u.last {
@@ -75,7 +75,7 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.plan.Direct || e.shares(now) && now-e.standing.Began() >= countsHeardAfter
+	return e.relayPlan.Direct || e.shares(now) && now-e.relayStanding.Began() >= countsHeardAfter
 }
 
 // awaitsCounts tells whether a window's report should wait: until this daemon has heard what
@@ -89,13 +89,13 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	ended := e.book.EndedFor(e.wall.At(now), w)
+	ended := e.usageBook.EndedFor(e.wallClock.At(now), w)
 	since := now - ended + accounting.SettleAfter
 	lacking := append(e.lacking(now, since), e.coverage.Passing(now, passedOnWithin, since)...)
 	if len(lacking) == 0 {
 		return false
 	}
-	if ended < e.set.Bounds.UsageDue-e.set.Bounds.LeaseTTL-reportMargin {
+	if ended < e.settings.Bounds.UsageDue-e.settings.Bounds.LeaseTTL-reportMargin {
 		return true
 	}
 	e.log.Note("usage_incomplete", decisions.F("window", int64(w)), decisions.F("ended_for", ended), decisions.F("lacking", lacking))
@@ -143,7 +143,7 @@
 func (e *Edge) writeIntent(ctx context.Context, w accounting.Window) bool {
 	u := &e.duties.usage
 	e.mu.Lock()
-	next := &intent{Window: w, Counts: e.book.Sum(w)}
+	next := &intent{Window: w, Counts: e.usageBook.Sum(w)}
 	e.mu.Unlock()
 	data, err := json.Marshal(next)
 	if err != nil {
@@ -186,7 +186,7 @@
 		return false
 	}
 	e.mu.Lock()
-	e.book.Reported(u.open.Window)
+	e.usageBook.Reported(u.open.Window)
 	e.mu.Unlock()
 	e.log.Note("usage_reported", decisions.F("window", int64(u.open.Window)), decisions.F("workspaces", len(u.open.Counts)), decisions.F("token", duty.Token))
 	u.open = nil
@@ -197,5 +197,5 @@
 func (e *Edge) tooOld(w accounting.Window) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.book.Late(e.wall.At(e.deps.Steady()), w)
+	return e.usageBook.Late(e.wallClock.At(e.deps.Steady()), w)
 }
--- a/daemon/edge/watch.go
+++ b/daemon/edge/watch.go
@@ -15,10 +15,10 @@
 // healthDue tells whether it is time to look at the runners.
 func (e *Edge) healthDue() bool {
 	now := e.deps.Steady()
-	if now-e.healthAt < healthEvery {
+	if now-e.healthCheckedAt < healthEvery {
 		return false
 	}
-	e.healthAt = now
+	e.healthCheckedAt = now
 	return true
 }
 
@@ -29,12 +29,12 @@
 	e.poolsMu.RLock()
 	defer e.poolsMu.RUnlock()
 	for _, p := range e.pools {
-		p.share(e.set.Bounds, size)
+		p.setRetryShare(e.settings.Bounds, size)
 		p.tick(time.Now())
-		if e.set.Policy.Uses(ProbeSilent) {
+		if e.settings.Policy.Uses(ProbeSilent) {
 			p.watchSilence(time.Now())
 		}
-		if p.scales() {
+		if p.isScaled() {
 			p.measureDemand(e.deps.Steady())
 		}
 	}
@@ -54,7 +54,7 @@
 
 // observe takes in how a call to a runner went.
 func (p *pool) observe(id ident.RunnerID, o health.Outcome) {
-	if !p.edge.set.Policy.Uses(Ejection) {
+	if !p.edge.settings.Policy.Uses(Ejection) {
 		return
 	}
 	p.mu.Lock()
--- a/daemon/edge/world_test.go
+++ b/daemon/edge/world_test.go
@@ -205,7 +205,7 @@
 	a := &answer{}
 	d.Serve(ctx, &edge.Request{
 		ID: fmt.Sprintf("r%d", requestSeq.Add(1)), Host: host, Path: path, Method: http.MethodPost, Target: path,
-		Header: http.Header{}, Key: callerKey, Received: time.Now(), Patience: patience,
+		Header: http.Header{}, Key: callerKey, Received: time.Now(), CallerTimeout: patience,
 	}, a)
 	return a
 }
