--- a/daemon/decisions/decisions.go
+++ b/daemon/decisions/decisions.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// queued bounds the lines that wait; at 300 bytes each they hold 1.2 MB.
-	queued = 4096
-	// bufferBytes is written at once.
-	bufferBytes = 32 << 10
-	// writeEvery is how long a line may wait for others, so that a busy daemon writes
+	// maxQueuedLines bounds the lines that wait; at 300 bytes each they hold 1.2 MB.
+	maxQueuedLines = 4096
+	// writeBufferBytes is written at once.
+	writeBufferBytes = 32 << 10
+	// flushInterval is how long a line may wait for others, so that a busy daemon writes
 	// several times a second and not for each request. A daemon that is killed takes the
 	// lines of this time with it.
-	writeEvery = 100 * time.Millisecond
+	flushInterval = 100 * time.Millisecond
 )
 
 // Event names what was decided; it is the line's message and its counter's name.
@@ -48,19 +48,19 @@
 
 // Log takes decisions. It is safe for concurrent use; its methods never block.
 type Log struct {
-	lines    chan line
-	dropped  atomic.Int64
-	registry metrics.Registry
-	drops    metrics.Counter
+	lines        chan line
+	dropped      atomic.Int64
+	registry     metrics.Registry
+	droppedTotal metrics.Counter
 }
 
 // New returns a log that counts into the registry; Run must be called for its
 // lines to be written.
 func New(registry metrics.Registry) *Log {
 	return &Log{
-		lines:    make(chan line, queued),
-		registry: registry,
-		drops:    metrics.GetOrRegisterCounter("log.dropped_lines", registry),
+		lines:        make(chan line, maxQueuedLines),
+		registry:     registry,
+		droppedTotal: metrics.GetOrRegisterCounter("log.dropped_lines", registry),
 	}
 }
 
@@ -71,7 +71,7 @@
 	case l.lines <- line{event, fields}:
 	default:
 		l.dropped.Add(1)
-		l.drops.Inc(1)
+		l.droppedTotal.Inc(1)
 	}
 }
 
@@ -86,17 +86,17 @@
 	h.Update(d.Microseconds())
 }
 
-// samples of a histogram weigh the last minutes most.
-const samples, alpha = 1028, 0.015
+// reservoirSize of a histogram weigh the last minutes most.
+const reservoirSize, decayAlpha = 1028, 0.015
 
 func newHistogram() metrics.Histogram {
-	return metrics.NewHistogram(metrics.NewExpDecaySample(samples, alpha))
+	return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, decayAlpha))
 }
 
 // Run writes the queued lines to w until the context ends, and then those that
 // are left. It takes klog over.
 func (l *Log) Run(ctx context.Context, w io.Writer) {
-	buffer := bufio.NewWriterSize(w, bufferBytes)
+	buffer := bufio.NewWriterSize(w, writeBufferBytes)
 	klog.SetOutput(buffer)
 	defer l.flush(buffer)
 	var due <-chan time.Time
@@ -105,7 +105,7 @@
 		case next := <-l.lines:
 			l.write(next)
 			if due == nil {
-				due = time.After(writeEvery)
+				due = time.After(flushInterval)
 			}
 		case <-due:
 			l.flush(buffer)
