--- a/daemon/holder/holder.go
+++ b/daemon/holder/holder.go
@@ -73,15 +73,15 @@
 
 // Tick moves time on and makes the calls that are due; see lease.Machine.Tick.
 func (h *Holder) Tick(ctx context.Context, candidate bool) {
-	h.perform(ctx, h.step(func(now time.Duration) []lease.Effect { return h.machine.Tick(now, candidate) }))
+	h.runEffects(ctx, h.step(func(now time.Duration) []lease.Effect { return h.machine.Tick(now, candidate) }))
 }
 
 // Stop gives the responsibility back.
 func (h *Holder) Stop(ctx context.Context) {
-	h.perform(ctx, h.step(h.machine.Stop))
+	h.runEffects(ctx, h.step(h.machine.Stop))
 }
 
-func (h *Holder) perform(ctx context.Context, effects []lease.Effect) {
+func (h *Holder) runEffects(ctx context.Context, effects []lease.Effect) {
 	for len(effects) > 0 {
 		result := h.call(ctx, effects[0])
 		more := h.step(func(now time.Duration) []lease.Effect { return h.machine.Step(now, result) })
