--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -49,10 +49,10 @@
 	firstEventAfter time.Duration
 	// activity is the runner's; cancel gives the attempt up from our side, and
 	// abandoned says that this was done because the runner is silent.
-	activity    *activity
-	cancel      context.CancelFunc
-	abandoned   atomic.Bool
-	trialSample trialSample
+	activity  *activity
+	cancel    context.CancelFunc
+	abandoned atomic.Bool
+	trial     trialSample
 }
 
 // run makes attempts until one answers, the exchange ends or the caller leaves.
@@ -122,8 +122,8 @@
 		s.reply.Abort()
 		return
 	}
-	if s.bufferedFailure != nil {
-		s.sendBuffered(s.bufferedFailure)
+	if s.buffered != nil {
+		s.sendBuffered(s.buffered)
 		return
 	}
 	s.refuse(r)
@@ -151,7 +151,7 @@
 	if late := choice.Estimate - s.maxFirstTokenWait(now); late > 0 && s.edge.settings.Policy.Uses(RefuseEarly) {
 		return nil, s.refuseTooLate(late, choice)
 	}
-	a := &attempt{s: s, choice: choice, sent: now, trialSample: s.sampleFor(choice.Runner)}
+	a := &attempt{s: s, choice: choice, sent: now, trial: s.sampleFor(choice.Runner)}
 	a.ticket = s.pool.dispatch(now, choice, &s.routingRequest, s.exchange.Sent() == 0)
 	s.countTrialDispatch()
 	s.note("dispatched", decisions.F("runner", choice.Runner), decisions.F("estimate", choice.Estimate),
@@ -352,18 +352,18 @@
 		return a.streamBody(ctx, answer, body)
 	}
 	a.finish()
-	kept := &bufferedAnswer{answer.Status, answer.Header, body, a.choice.Runner}
+	buffered := &bufferedAnswer{answer.Status, answer.Header, body, a.choice.Runner}
 	if answer.Status >= http.StatusInternalServerError {
 		s.pool.observe(a.choice.Runner, health.Failure)
 		a.recordFailure()
-		s.bufferedFailure = kept
+		s.buffered = buffered
 		return &forward.Attempt{Reason: retry.ServerError, MayHaveRun: true, Sent: true}
 	}
 	s.pool.observe(a.choice.Runner, health.Success)
 	s.edge.log.Time("answer_us", took)
 	s.pool.observeServiceTime(a.choice, took)
-	a.recordLatency(took, false)
-	s.sendBuffered(kept)
+	a.took(took, false)
+	s.sendBuffered(buffered)
 	return nil
 }
 
@@ -398,7 +398,7 @@
 				s.reply.Abort()
 				return nil
 			}
-			a.recordLatency(time.Since(a.sent), false)
+			a.took(time.Since(a.sent), false)
 			s.note("answered", decisions.F("runner", a.choice.Runner), decisions.F("status", answer.Status))
 			s.reply.Finish()
 			return nil
--- a/daemon/edge/cloud_test.go
+++ b/daemon/edge/cloud_test.go
@@ -13,7 +13,7 @@
 type cloud struct {
 	mu      sync.Mutex
 	reports []report
-	orders  []edge.RunnerOrder
+	orders  []edge.Order
 	// lose lets a report be taken and its answer be lost.
 	lose int
 	// dry lets orders of reclaimable runners be refused, which refusals counts.
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (c *cloud) OrderRunners(_ context.Context, _ edge.DutyLease, o edge.RunnerOrder) error {
+func (c *cloud) Order(_ context.Context, _ edge.DutyLease, o edge.Order) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.dry && o.Reclaimable {
--- a/daemon/edge/confirm.go
+++ b/daemon/edge/confirm.go
@@ -49,7 +49,7 @@
 func (e *Edge) configAge() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.configFreshness.Age(e.deps.Steady())
+	return e.fresh.Age(e.deps.Steady())
 }
 
 // activeConfig is the configuration in force and how long ago it was proved to be the newest;
@@ -58,7 +58,7 @@
 func (e *Edge) activeConfig() (*route.Table, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.table.Load(), e.configFreshness.Age(e.deps.Steady())
+	return e.table.Load(), e.fresh.Age(e.deps.Steady())
 }
 
 // configChecker lets one read of the service at a time serve all that wait for it.
@@ -116,6 +116,6 @@
 func (e *Edge) markConfirmed(revision uint64, at time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.configFreshness.Read(revision, at)
+	e.fresh.Read(revision, at)
 	e.refreshPhase(e.deps.Steady())
 }
--- a/daemon/edge/counts.go
+++ b/daemon/edge/counts.go
@@ -156,7 +156,7 @@
 // held.
 func (e *Edge) endedCounts(now time.Duration) []*peersv1.Ended {
 	alive := map[ident.Incarnation]bool{}
-	for _, m := range e.alivePeers {
+	for _, m := range e.alive {
 		alive[m.Incarnation] = true
 	}
 	id, ok := e.usageBook.NextEnded(e.wallClock.At(now), e.lastEndedSent, alive)
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -148,7 +148,7 @@
 			e.duties.fleets[s.Name] = f
 		}
 		f.service = *s
-		f.reconcile(ctx)
+		f.round(ctx)
 	}
 }
 
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -57,18 +57,18 @@
 
 	// mu guards what the daemons tell each other and the proof of the
 	// configuration.
-	mu              sync.Mutex
-	configFreshness *freshness.Tracker
-	peers           *peers.Table
-	stamps          map[ident.Incarnation]freshness.Stamp
-	wallClock       *walltime.Estimate
-	usageBook       *accounting.Book
-	limiter         *quota.Limiter
-	seq             uint64
-	// alivePeers are the other daemons as they were looked at last, plan is whom this daemon
+	mu        sync.Mutex
+	fresh     *freshness.Tracker
+	peers     *peers.Table
+	stamps    map[ident.Incarnation]freshness.Stamp
+	wallClock *walltime.Estimate
+	usageBook *accounting.Book
+	limiter   *quota.Limiter
+	seq       uint64
+	// alive are the other daemons as they were looked at last, plan is whom this daemon
 	// tells by that, standing what other relays say of it as one, followers those that
 	// follow it.
-	alivePeers    []peers.Member
+	alive         []peers.Member
 	relayPlan     relays.Plan
 	relayStanding relays.Standing
 	// relaysChanged says that the relays that this daemon follows now were not told yet.
@@ -107,7 +107,7 @@
 	directMode, relayMode, allWatch atomic.Bool
 
 	trials            trials
-	peerLoads         peerLoads
+	reported          peerLoadTable
 	placements        placements
 	grantRequests     asker
 	recommended       recommendations
@@ -121,22 +121,22 @@
 const incarnationBytes = 6
 
 // New returns a daemon that does nothing until Run.
-func New(set Settings, deps Deps) *Edge {
+func New(settings Settings, deps Deps) *Edge {
 	var random [incarnationBytes]byte
 	// crypto/rand.Read ends the process instead of failing.
 	_, _ = rand.Read(random[:])
 	now := deps.Steady()
-	self := ident.NewIncarnation(set.ID, random[:])
+	self := ident.NewIncarnation(settings.ID, random[:])
 	e := &Edge{
-		settings:        set,
-		deps:            deps,
-		log:             deps.Log,
-		self:            self,
-		startedAt:       now,
-		configFreshness: freshness.New(),
+		settings:  settings,
+		deps:      deps,
+		log:       deps.Log,
+		self:      self,
+		startedAt: now,
+		fresh:     freshness.New(),
 		peers: peers.New(peers.Member{
-			ID: set.ID, Incarnation: self, FailureDomain: set.FailureDomain,
-			CallerAddress: set.CallerAddress, PeerAddress: set.PeerAddress, Phase: peers.Starting,
+			ID: settings.ID, Incarnation: self, FailureDomain: settings.FailureDomain,
+			CallerAddress: settings.CallerAddress, PeerAddress: settings.PeerAddress, Phase: peers.Starting,
 			Started: time.Now().UnixMilli(),
 		}),
 		followers:        map[ident.Incarnation]follower{},
@@ -146,9 +146,9 @@
 		stamps:           map[ident.Incarnation]freshness.Stamp{},
 		wallClock:        walltime.New(time.Now(), now),
 		usageBook: accounting.NewBook(self, accounting.Timing{
-			Length: set.Bounds.UsageWindow, Due: set.Bounds.UsageDue, Settle: accounting.SettleAfter,
+			Length: settings.Bounds.UsageWindow, Due: settings.Bounds.UsageDue, Settle: accounting.SettleAfter,
 		}),
-		limiter: quota.New(now, set.Bounds.QuotaWindow, set.Bounds.QuotaTolerance, set.FirstStart),
+		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FirstStart),
 		// Each daemon begins at its own name, so that together they tell of all
 		// that have ended within a few messages.
 		lastEndedSent: self,
@@ -156,16 +156,16 @@
 	}
 	e.dir.init()
 	e.trials.init()
-	e.peerLoads.init()
+	e.reported.init()
 	e.grantRequests.init()
 	e.duties.init(e)
 	// Until it hears of others a daemon is alone.
-	e.relayPlan = relays.Make(relays.View{Self: e.peers.Self(), DirectFleet: set.Policy.DirectFleet()})
+	e.relayPlan = relays.Make(relays.View{Self: e.peers.Self(), DirectFleet: settings.Policy.DirectFleet()})
 	e.relayStanding.Begin(now)
 	e.directMode.Store(e.relayPlan.Direct)
 	e.allWatch.Store(e.relayPlan.AllWatch)
 	e.relayMode.Store(e.relayPlan.Relay)
-	for _, seed := range set.Seeds {
+	for _, seed := range settings.Seeds {
 		e.peers.Learn(now, seed)
 	}
 	return e
@@ -241,7 +241,7 @@
 // only refuses. Called with mu held.
 func (e *Edge) refreshPhase(now time.Duration) {
 	phase := peers.Starting
-	if e.table.Load() != nil && e.configFreshness.Age(now) <= e.maxConfigAgeForKeys() {
+	if e.table.Load() != nil && e.fresh.Age(now) <= e.maxConfigAgeForKeys() {
 		phase = peers.Ready
 	}
 	before := e.peers.Self().Phase
@@ -249,7 +249,7 @@
 		return
 	}
 	e.peers.SetPhase(phase)
-	e.log.Note("phase", decisions.F("ready", phase == peers.Ready), decisions.F("config_age", e.configFreshness.Age(now)))
+	e.log.Note("phase", decisions.F("ready", phase == peers.Ready), decisions.F("config_age", e.fresh.Age(now)))
 }
 
 // Directory lists the daemons that a caller in a failure domain should use.
--- a/daemon/edge/export_test.go
+++ b/daemon/edge/export_test.go
@@ -12,7 +12,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	during()
-	e.configFreshness.Read(uint64(revision), e.deps.Steady())
+	e.fresh.Read(uint64(revision), e.deps.Steady())
 	e.activateConfig(route.NewTable(c), revision)
 }
 
@@ -61,5 +61,5 @@
 func (e *Edge) Alive() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.alivePeers)
+	return len(e.alive)
 }
--- a/daemon/edge/feed.go
+++ b/daemon/edge/feed.go
@@ -39,7 +39,7 @@
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
 	oldest := e.deps.Steady() - time.Duration(fedShare*float64(e.settings.Bounds.DrainWithin))
-	return !watches && !e.dir.incomplete && e.dir.revision != 0 && e.dir.currentAt >= oldest
+	return !watches && !e.dir.incomplete && e.dir.at != 0 && e.dir.currentAt >= oldest
 }
 
 // feedAfter is what a daemon lacks that knows everything up to a revision.
@@ -66,7 +66,7 @@
 func (e *Edge) takeFeed(f *peersv1.Feed) {
 	now := e.deps.Steady()
 	e.dir.mu.Lock()
-	at, age := uint64(e.dir.revision), time.Duration(f.AgeNs)
+	at, age := uint64(e.dir.at), time.Duration(f.AgeNs)
 	usable := !f.Gap && f.Through != 0 && f.After <= at && at != 0
 	switch {
 	case f.Gap && f.After == at && at != 0:
--- a/daemon/edge/fleet.go
+++ b/daemon/edge/fleet.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// reconcile looks at the fleet and orders what it lacks or has too much of.
-func (f *fleetScaler) reconcile(ctx context.Context) {
+// round looks at the fleet and orders what it lacks or has too much of.
+func (f *fleetScaler) round(ctx context.Context) {
 	now := f.edge.deps.Steady()
 	pool := f.edge.pool(f.service.Name)
 	if pool == nil {
@@ -105,7 +105,7 @@
 		f.edge.log.Note("demand", decisions.F("service", f.service.Name), decisions.F("needed", wanted.Runners),
 			decisions.F("runners", work.Runners), decisions.F("full_price", countOnDemand(present)), decisions.F("scarce", now < f.scarceUntil),
 			decisions.F("prompt_tokens", int(work.PromptTokens)), decisions.F("prefill_rate", int(work.PrefillRate)),
-			decisions.F("busy", roundHundredths(demand.Busy)), decisions.F("deviation", roundHundredths(demand.Deviation)),
+			decisions.F("busy", round(demand.Busy)), decisions.F("deviation", round(demand.Deviation)),
 			decisions.F("requests", work.Requests), decisions.F("settled", demand.Settled))
 	}
 	f.applyDecision(ctx, now, d, wanted)
@@ -196,14 +196,14 @@
 		return demand.Runners
 	}
 	domains := len(f.service.Scaling.Prices)
-	ample := demand.Comfortable
+	spareTarget := demand.Comfortable
 	if domains > 2 && f.uses(TwoReclaims) {
-		ample = max(ample, (demand.Runners*(domains-1)+domains-3)/(domains-2))
+		spareTarget = max(spareTarget, (demand.Runners*(domains-1)+domains-3)/(domains-2))
 	}
 	if most := f.service.Scaling.Max * (domains - 1); f.service.Scaling.Max > 0 {
-		ample = min(ample, max(most, demand.Runners))
+		spareTarget = min(spareTarget, max(most, demand.Runners))
 	}
-	return max(ample, demand.Runners)
+	return max(spareTarget, demand.Runners)
 }
 
 func (f *fleetScaler) uses(m Mechanism) bool { return f.edge.settings.Policy.Uses(m) }
@@ -232,8 +232,8 @@
 	return present
 }
 
-// roundHundredths keeps two digits, for a line of the log.
-func roundHundredths(x float64) float64 { return math.Round(100*x) / 100 }
+// round keeps two digits, for a line of the log.
+func round(x float64) float64 { return math.Round(100*x) / 100 }
 
 // countOnDemand is how many of the runners are not reclaimable.
 func countOnDemand(present map[fleet.Pool]int) int {
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -143,15 +143,15 @@
 		d := w.restart(0)
 		time.Sleep(time.Second)
 		for i := range 80 {
-			w.sendPrompt(d, prompt, i)
+			w.prompt(d, prompt, i)
 		}
 		w.True(time.Since(w.start) < 10*time.Second)
 		w.True(d.EngineRate("app") > 0.8*rate)
 	})
 }
 
-// sendPrompt sends a sendPrompt that shares nothing to the stream's route.
-func (w *world) sendPrompt(d *daemon, tokens, i int) {
+// prompt sends a prompt that shares nothing to the stream's route.
+func (w *world) prompt(d *daemon, tokens, i int) {
 	d.Serve(context.Background(), &edge.Request{
 		ID: fmt.Sprintf("prompt-%d", i), Host: host, Path: "/match/", Method: http.MethodPost, Target: "/match/",
 		Header: http.Header{}, Key: key, Received: time.Now(),
@@ -198,10 +198,10 @@
 	return c.refusals
 }
 
-func (c *cloud) ordered() []edge.RunnerOrder {
+func (c *cloud) ordered() []edge.Order {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]edge.RunnerOrder{}, c.orders...)
+	return append([]edge.Order{}, c.orders...)
 }
 
 func (c *cloud) clearOrders() {
--- a/daemon/edge/hear.go
+++ b/daemon/edge/hear.go
@@ -98,7 +98,7 @@
 	e.wallClock.Heard(id, time.Unix(0, h.TimeUnixNs), now)
 	e.heardUses(now, id, h)
 	e.heardCounts(now, id, h)
-	behind := e.configFreshness.Heard(freshness.Word{
+	behind := e.fresh.Heard(freshness.Word{
 		Revision: h.ConfigRevision, Echo: time.Duration(h.EchoNs), Lag: time.Duration(h.LagNs), Proved: h.Proved,
 	})
 	e.refreshPhase(now)
--- a/daemon/edge/hello.go
+++ b/daemon/edge/hello.go
@@ -38,7 +38,7 @@
 		AgeNs:         int64(e.limiter.Age(now)),
 		TimeUnixNs:    e.wallClock.Own(now).UnixNano(),
 		Relay:         e.relayPlan.Relay,
-		Joining:       !e.hearsAny(now, e.alivePeers),
+		Joining:       !e.hearsAny(now, e.alive),
 	}
 	if e.settings.Policy.Uses(TellLeaving) {
 		h.Leaving = inTurn(e.dir.leavingHashesSince(now-noticeTold), e.seq, mostLeaving)
@@ -77,7 +77,7 @@
 	if s, ok := e.stamps[to]; ok {
 		stamp = &s
 	}
-	w := e.configFreshness.Answer(stamp)
+	w := e.fresh.Answer(stamp)
 	return &peersv1.Hello{EchoNs: int64(w.Echo), LagNs: int64(w.Lag), Proved: w.Proved, ConfigRevision: w.Revision}
 }
 
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -30,28 +30,28 @@
 // workSummaries is what the daemons that are told in a turn hear, each one of these: this
 // daemon's own work, that of it and its followers, or that of all.
 type workSummaries struct {
-	own, cell, all workSummary
-	roster         bool
+	own, ownAndFollowers, all workSummary
+	roster                    bool
 }
 
-// peerLoads is the work of the other daemons at the runners.
-type peerLoads struct {
+// peerLoadTable is the work of the other daemons at the runners.
+type peerLoadTable struct {
 	mu sync.Mutex
 	// byDaemon are followers and other relays, total all as the primary knows them.
 	byDaemon map[ident.Incarnation]peerLoad
 	total    peerLoad
 	// sent are this daemon's own loads in its last messages, by their number.
 	sent map[uint64][]routing.OwnLoad
-	// offeredTallies is the prompt tokens that were brought to others, by service.
-	offeredTallies map[string]*offeredTally
-	changed        bool
+	// offered is the prompt tokens that were brought to others, by service.
+	offered map[string]*offeredTally
+	changed bool
 	// mostKnownSince is since when most relays have told of their work; zero is not.
 	mostKnownSince time.Duration
 }
 
 type peerLoad struct {
 	receivedAt time.Duration
-	loads      []routing.OwnLoad
+	ownLoads   []routing.OwnLoad
 	// follower says that nobody else counts it.
 	follower bool
 	// includedSeq is the own message that is part of a total.
@@ -61,10 +61,10 @@
 // offeredTally are counts of the work that was brought to one service.
 type offeredTally struct{ followers, all fleet.Tally }
 
-func (t *peerLoads) init() {
+func (t *peerLoadTable) init() {
 	t.byDaemon = map[ident.Incarnation]peerLoad{}
 	t.sent = map[uint64][]routing.OwnLoad{}
-	t.offeredTallies = map[string]*offeredTally{}
+	t.offered = map[string]*offeredTally{}
 }
 
 // totalOf names the count of all work that a daemon tells; its own is another one.
@@ -84,28 +84,28 @@
 		})
 	}
 	now := e.deps.Steady()
-	e.peerLoads.mu.Lock()
-	defer e.peerLoads.mu.Unlock()
-	e.peerLoads.changed = true
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	e.reported.changed = true
 	if from == fromFollower {
-		e.recommended.dropReported(h.PeerAddress, now-minMessageAge)
+		e.recommended.reported(h.PeerAddress, now-minMessageAge)
 	}
-	heard := peerLoad{receivedAt: now, loads: loads, follower: from == fromFollower, includedSeq: h.IncludedSeq}
+	heard := peerLoad{receivedAt: now, ownLoads: loads, follower: from == fromFollower, includedSeq: h.IncludedSeq}
 	for _, o := range h.Offered {
-		e.peerLoads.receiveOffered(now, id, o, from, !e.directMode.Load())
+		e.reported.receiveOffered(now, id, o, from, !e.directMode.Load())
 	}
 	if from == fromPrimary {
-		e.peerLoads.total = heard
+		e.reported.total = heard
 		return
 	}
-	e.peerLoads.byDaemon[id] = heard
+	e.reported.byDaemon[id] = heard
 }
 
-func (t *peerLoads) receiveOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from source, relayed bool) {
-	counts, ok := t.offeredTallies[o.Service]
+func (t *peerLoadTable) receiveOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from source, relayed bool) {
+	counts, ok := t.offered[o.Service]
 	if !ok {
 		counts = &offeredTally{}
-		t.offeredTallies[o.Service] = counts
+		t.offered[o.Service] = counts
 	}
 	counts.followers.Relayed(relayed)
 	counts.all.Relayed(relayed)
@@ -121,7 +121,7 @@
 }
 
 // rememberSent keeps what was told of this daemon's own loads.
-func (t *peerLoads) rememberSent(seq uint64, loads []routing.OwnLoad) {
+func (t *peerLoadTable) rememberSent(seq uint64, loads []routing.OwnLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent[seq] = loads
@@ -135,15 +135,15 @@
 // applyPeerLoads hands the sums of the other daemons' work to the pools.
 func (e *Edge) applyPeerLoads() {
 	now := e.deps.Steady()
-	e.peerLoads.mu.Lock()
-	if e.peerLoads.expire(now) || e.peerLoads.changed {
-		e.peerLoads.changed = false
+	e.reported.mu.Lock()
+	if e.reported.expire(now) || e.reported.changed {
+		e.reported.changed = false
 	} else {
-		e.peerLoads.mu.Unlock()
+		e.reported.mu.Unlock()
 		return
 	}
-	sums := e.peerLoads.sumOthers(now)
-	e.peerLoads.mu.Unlock()
+	sums := e.reported.sumOthers(now)
+	e.reported.mu.Unlock()
 	sums.add(e.recommended.loads(now), 1)
 	e.poolsMu.RLock()
 	defer e.poolsMu.RUnlock()
@@ -155,9 +155,9 @@
 // peerOfferedTokens is the prompt tokens that were brought to other daemons; where the
 // primary tells of all, those that were brought to this one are among them.
 func (e *Edge) peerOfferedTokens(service string) float64 {
-	e.peerLoads.mu.Lock()
-	defer e.peerLoads.mu.Unlock()
-	if counts, ok := e.peerLoads.offeredTallies[service]; ok {
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	if counts, ok := e.reported.offered[service]; ok {
 		return counts.all.Total()
 	}
 	return 0
@@ -165,7 +165,7 @@
 
 // expire drops daemons that are not heard any more: they have most likely ended, and
 // their work with them. It tells whether there were any.
-func (t *peerLoads) expire(now time.Duration) bool {
+func (t *peerLoadTable) expire(now time.Duration) bool {
 	expired := false
 	for id, told := range t.byDaemon {
 		if now-told.receivedAt <= peers.RelayedAliveFor {
@@ -173,7 +173,7 @@
 		}
 		expired = true
 		delete(t.byDaemon, id)
-		for _, counts := range t.offeredTallies {
+		for _, counts := range t.offered {
 			counts.followers.Gone(id)
 			counts.all.Gone(id)
 		}
@@ -187,14 +187,14 @@
 	if e.allWatch.Load() {
 		return true
 	}
-	e.peerLoads.mu.Lock()
-	defer e.peerLoads.mu.Unlock()
-	since := e.peerLoads.mostKnownSince
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	since := e.reported.mostKnownSince
 	return since != 0 && now-since >= forSoLong
 }
 
 // updateMostKnown looks whether most of so many other relays have told of their work.
-func (t *peerLoads) updateMostKnown(now time.Duration, others int) {
+func (t *peerLoadTable) updateMostKnown(now time.Duration, others int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	told := 0
@@ -234,25 +234,25 @@
 
 // sumOthers adds up the work of all other daemons: what the primary tells without the own
 // part of it, or what followers and other relays tell.
-func (t *peerLoads) sumOthers(now time.Duration) loadSums {
+func (t *peerLoadTable) sumOthers(now time.Duration) loadSums {
 	sums := loadSums{}
-	if t.total.loads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
-		sums.add(t.total.loads, 1)
+	if t.total.ownLoads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
+		sums.add(t.total.ownLoads, 1)
 		sums.add(t.sent[t.total.includedSeq], -1)
 		return sums
 	}
 	for _, told := range t.byDaemon {
-		sums.add(told.loads, 1)
+		sums.add(told.ownLoads, 1)
 	}
 	return sums
 }
 
-// sumFollowers adds up the work of the sumFollowers.
-func (t *peerLoads) sumFollowers() loadSums {
+// followers adds up the work of the followers.
+func (t *peerLoadTable) followers() loadSums {
 	sums := loadSums{}
 	for _, told := range t.byDaemon {
 		if told.follower {
-			sums.add(told.loads, 1)
+			sums.add(told.ownLoads, 1)
 		}
 	}
 	return sums
@@ -270,20 +270,20 @@
 	now := e.deps.Steady()
 	own.placed = e.placements.recent(now, e.placementSendTime(), originSelf)
 	n := workSummaries{own: own}
-	e.peerLoads.mu.Lock()
-	defer e.peerLoads.mu.Unlock()
-	ownAndFollowers, all := e.peerLoads.sumFollowers(), e.peerLoads.sumOthers(now)
-	advised := e.recommended.loads(now)
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	ownAndFollowers, all := e.reported.followers(), e.reported.sumOthers(now)
+	recommended := e.recommended.loads(now)
 	for _, sums := range []loadSums{ownAndFollowers, all} {
 		sums.add(own.loads, 1)
-		sums.add(advised, 1)
+		sums.add(recommended, 1)
 	}
-	n.cell = workSummary{loads: ownAndFollowers.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originFollower)}
+	n.ownAndFollowers = workSummary{loads: ownAndFollowers.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originFollower)}
 	n.all = workSummary{loads: all.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originAny)}
 	for name, tokens := range own.offered {
-		n.cell.offered[name], n.all.offered[name] = tokens, tokens
-		if counts, ok := e.peerLoads.offeredTallies[name]; ok {
-			n.cell.offered[name] += counts.followers.Total()
+		n.ownAndFollowers.offered[name], n.all.offered[name] = tokens, tokens
+		if counts, ok := e.reported.offered[name]; ok {
+			n.ownAndFollowers.offered[name] += counts.followers.Total()
 			n.all.offered[name] += counts.all.Total()
 		}
 	}
--- a/daemon/edge/order.go
+++ b/daemon/edge/order.go
@@ -67,14 +67,14 @@
 		return
 	}
 	f.orders.Change(now, pool, n)
-	order := RunnerOrder{
+	order := Order{
 		Service:       f.service.Name,
 		FailureDomain: pool.FailureDomain,
 		Reclaimable:   pool.Class == reclaimable,
 		Runners:       f.orders.Wanted(pool),
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-	err := f.edge.deps.Cloud.OrderRunners(callCtx, duty, order)
+	err := f.edge.deps.Cloud.Order(callCtx, duty, order)
 	cancel()
 	outcome := "ordered"
 	var none *NoRunnersAvailableError
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -49,53 +49,53 @@
 
 // placement is where a prompt's shared parts were sent.
 type placement struct {
-	at      time.Duration
-	origin  placementOrigin
-	message *peersv1.Placed
+	at     time.Duration
+	origin placementOrigin
+	sent   *peersv1.Placed
 }
 
 // placements are those of the last seconds.
 type placements struct {
 	mu    sync.Mutex
-	byKey map[placementKey]placement
+	known map[placementKey]placement
 }
 
 // note takes in a placement, which is told unless it is known from a moment ago. It
 // returns false if it is.
-func (p *placements) note(now, quiet time.Duration, by placementOrigin, told *peersv1.Placed) bool {
-	if len(told.Prefix) == 0 {
+func (p *placements) note(now, quiet time.Duration, origin placementOrigin, message *peersv1.Placed) bool {
+	if len(message.Prefix) == 0 {
 		return false
 	}
-	key := placementKey{ident.RunnerID(told.Runner), told.Prefix[len(told.Prefix)-1]}
+	key := placementKey{ident.RunnerID(message.Runner), message.Prefix[len(message.Prefix)-1]}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if before, known := p.byKey[key]; known && now-before.at < quiet {
+	if before, known := p.known[key]; known && now-before.at < quiet {
 		return false
 	}
-	if p.byKey == nil {
-		p.byKey = map[placementKey]placement{}
+	if p.known == nil {
+		p.known = map[placementKey]placement{}
 	}
-	p.byKey[key] = placement{now, by, told}
+	p.known[key] = placement{now, origin, message}
 	return true
 }
 
 // recent lists what was placed a moment ago, and forgets what is older than matters.
-func (p *placements) recent(now, told time.Duration, by placementOrigin) []*peersv1.Placed {
+func (p *placements) recent(now, sent time.Duration, origin placementOrigin) []*peersv1.Placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var recent []placement
-	for key, one := range p.byKey {
+	for key, one := range p.known {
 		switch age := now - one.at; {
 		case age > placementRepeatInterval:
-			delete(p.byKey, key)
-		case age <= told && one.origin <= by:
+			delete(p.known, key)
+		case age <= sent && one.origin <= origin:
 			recent = append(recent, one)
 		}
 	}
 	slices.SortFunc(recent, func(a, b placement) int { return cmp.Compare(b.at, a.at) })
 	list := make([]*peersv1.Placed, 0, maxPlacements)
 	for _, one := range recent[:min(maxPlacements, len(recent))] {
-		list = append(list, one.message)
+		list = append(list, one.sent)
 	}
 	return list
 }
@@ -125,8 +125,8 @@
 }
 
 // receivePlacements takes in what other daemons placed. What is news is passed on.
-func (e *Edge) receivePlacements(told []*peersv1.Placed, follower bool) {
-	if len(told) == 0 {
+func (e *Edge) receivePlacements(messages []*peersv1.Placed, follower bool) {
+	if len(messages) == 0 {
 		return
 	}
 	by := originAny
@@ -134,7 +134,7 @@
 		by = originFollower
 	}
 	now, quiet := e.deps.Steady(), e.placementRepeatTime()
-	for _, one := range told {
+	for _, one := range messages {
 		e.placements.note(now, quiet, by, one)
 		if p := e.pool(one.Service); p != nil {
 			p.assumeCached(ident.RunnerID(one.Runner), one.Prefix)
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -181,10 +181,10 @@
 }
 
 // setPeerLoads takes in the other daemons' work at this pool's runners.
-func (p *pool) setPeerLoads(now time.Time, others map[ident.RunnerID]routing.OwnLoad) {
+func (p *pool) setPeerLoads(now time.Time, peerLoads map[ident.RunnerID]routing.OwnLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.peerLoads, p.peerLoadsAt = others, p.edge.deps.Steady()
+	p.peerLoads, p.peerLoadsAt = peerLoads, p.edge.deps.Steady()
 	p.updateLoadsLocked(now)
 }
 
--- a/daemon/edge/recommendations.go
+++ b/daemon/edge/recommendations.go
@@ -18,9 +18,9 @@
 // maxCandidates is how many runners a relay chooses from.
 const maxCandidates = 4
 
-// recommendation is a prompt that was sent to a runner by this relay's advice. It counts until
+// recommended is a prompt that was sent to a runner by this relay's advice. It counts until
 // the runner should have read it, or its daemon tells of it.
-type recommendation struct {
+type recommended struct {
 	at, until     time.Duration
 	daemonAddress string
 	runner        ident.RunnerID
@@ -30,26 +30,26 @@
 // recommendations is what was advised a moment ago.
 type recommendations struct {
 	mu     sync.Mutex
-	recent []recommendation
+	recent []recommended
 }
 
-func (a *recommendations) add(one recommendation) {
+func (a *recommendations) add(one recommended) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.recent = append(a.recent, one)
 }
 
-// dropReported drops what a daemon has dropReported of itself by now.
-func (a *recommendations) dropReported(by string, before time.Duration) {
-	a.retain(func(one recommendation) bool { return one.daemonAddress != by || one.at > before })
+// reported drops what a daemon has reported of itself by now.
+func (a *recommendations) reported(daemonAddress string, before time.Duration) {
+	a.retain(func(one recommended) bool { return one.daemonAddress != daemonAddress || one.at > before })
 }
 
-func (a *recommendations) retain(keep func(recommendation) bool) {
+func (a *recommendations) retain(retain func(recommended) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	kept := a.recent[:0]
 	for _, one := range a.recent {
-		if keep(one) {
+		if retain(one) {
 			kept = append(kept, one)
 		}
 	}
@@ -58,7 +58,7 @@
 
 // loads is the prompts that the runners are still to read.
 func (a *recommendations) loads(now time.Duration) []routing.OwnLoad {
-	a.retain(func(one recommendation) bool { return one.until > now })
+	a.retain(func(one recommended) bool { return one.until > now })
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var loads []routing.OwnLoad
@@ -90,8 +90,8 @@
 	best, soonest := -1, time.Duration(0)
 	for i, c := range a.Candidates {
 		runner := ident.RunnerID(c.Runner)
-		wait, ok := p.expectedWait(runner, e.recommended.tokensAt(runner, now, p.peerLoadsTime()))
-		if first := wait + time.Duration(c.AloneNs); ok && (best < 0 || first < soonest) {
+		expectedWait, ok := p.expectedWait(runner, e.recommended.tokensAt(runner, now, p.peerLoadsTime()))
+		if first := expectedWait + time.Duration(c.AloneNs); ok && (best < 0 || first < soonest) {
 			best, soonest = i, first
 		}
 	}
@@ -99,7 +99,7 @@
 		return ""
 	}
 	c := a.Candidates[best]
-	e.recommended.add(recommendation{at: now, until: now + soonest, daemonAddress: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
+	e.recommended.add(recommended{at: now, until: now + soonest, daemonAddress: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
 	return c.Runner
 }
 
--- a/daemon/edge/request_test.go
+++ b/daemon/edge/request_test.go
@@ -332,14 +332,14 @@
 // more than a second; what may not waits, since it may have run.
 func TestRunnerGoesDark(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
-		dark := w.addRunner("r1", "app")
+		unresponsive := w.addRunner("r1", "app")
 		hang := func(ctx context.Context, _ *edge.Attempt) (*edge.Answer, error) {
 			<-ctx.Done()
 			return nil, &edge.SendError{Reason: retry.Broken, Sent: true, Err: ctx.Err()}
 		}
-		dark.script = hang
+		unresponsive.script = hang
 		time.Sleep(100 * time.Millisecond)
-		w.runners.setUnresponsive("r1", true)
+		w.runners.unresponsive("r1", true)
 		stream, pledge := make(chan *answer, 1), make(chan *answer, 1)
 		begun := time.Now()
 		go func() { stream <- w.ask(w.daemons[0], "/draft/1", key) }()
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -60,7 +60,7 @@
 		e.forget(id, "silent")
 	}
 	e.elect(now)
-	e.peerLoads.updateMostKnown(now, len(e.relayPlan.Others))
+	e.reported.updateMostKnown(now, len(e.relayPlan.Others))
 	e.limiter.Expect(now, e.expected(now))
 	e.limiter.Isolate(e.isolated(now))
 	e.limiter.Tick(now)
@@ -75,8 +75,8 @@
 		alive = peers.RelayedAliveFor
 	}
 	e.peers.SetAliveFor(alive)
-	e.alivePeers = e.peers.Alive(now)
-	v := relays.View{Self: e.peers.Self(), Alive: e.alivePeers, Fleet: e.peers.Size(), Domains: e.peers.Domains(now), DirectFleet: e.settings.Policy.DirectFleet()}
+	e.alive = e.peers.Alive(now)
+	v := relays.View{Self: e.peers.Self(), Alive: e.alive, Fleet: e.peers.Size(), Domains: e.peers.Domains(now), DirectFleet: e.settings.Policy.DirectFleet()}
 	before := e.relayPlan
 	e.relayPlan = relays.Make(v)
 	e.directMode.Store(e.relayPlan.Direct)
@@ -166,7 +166,7 @@
 	}
 	if e.relayStanding.Heard(now, h.Elects) && !e.relayPlan.Direct {
 		e.log.Note("role_doubted", decisions.F("by", id), decisions.F("relays", 1+len(e.relayPlan.Others)),
-			decisions.F("knows", len(e.alivePeers)), decisions.F("daemons", e.peers.Size()))
+			decisions.F("knows", len(e.alive)), decisions.F("daemons", e.peers.Size()))
 	}
 }
 
@@ -211,7 +211,7 @@
 
 // rosterDue tells whether rosters are told in a turn; called with mu held.
 func (e *Edge) rosterDue(turn uint64) bool {
-	if v := rosterVersion(e.alivePeers); v != e.rosterVersion {
+	if v := rosterVersion(e.alive); v != e.rosterVersion {
 		e.rosterVersion, e.rosterSendsLeft = v, rosterAgain
 	}
 	if e.rosterSendsLeft > 0 {
--- a/daemon/edge/runners_test.go
+++ b/daemon/edge/runners_test.go
@@ -84,7 +84,7 @@
 
 func (f *failingReader) Read([]byte) (int, error) { return 0, f.err }
 
-func (s *runners) setUnresponsive(id string, unresponsive bool) {
+func (s *runners) unresponsive(id string, unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unresponsiveIDs[id] = unresponsive
--- a/daemon/edge/saved.go
+++ b/daemon/edge/saved.go
@@ -117,7 +117,7 @@
 	holding := e.dir.holder()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.shares(now) || contain(e.alivePeers, holding) {
+	if !e.shares(now) || contain(e.alive, holding) {
 		return false
 	}
 	place, _ := placeAmong(e.settings.ID, e.relayPlan.Others)
--- a/daemon/edge/serve.go
+++ b/daemon/edge/serve.go
@@ -54,8 +54,8 @@
 	events   *forward.EventStream
 	// usageCounted says that the request was usageCounted as begun.
 	usageCounted bool
-	// bufferedFailure is a runner's own failure that is passed on if nothing better comes.
-	bufferedFailure *bufferedAnswer
+	// buffered is a runner's own failure that is passed on if nothing better comes.
+	buffered *bufferedAnswer
 }
 
 // Serve answers one request. The context ends when the caller has left.
--- a/daemon/edge/storesync.go
+++ b/daemon/edge/storesync.go
@@ -61,7 +61,7 @@
 	// changeLog is all that followers need, at the revision up to which nothing is missing,
 	// and incomplete says that something is.
 	changeLog  *feed.Log
-	revision   kv.Revision
+	at         kv.Revision
 	incomplete bool
 	// currentAt is when the copy was last known to be.
 	currentAt time.Duration
@@ -95,7 +95,7 @@
 func (f *directory) revisionReached() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return uint64(f.revision)
+	return uint64(f.at)
 }
 
 // holder is who holds the duties; empty is nobody.
@@ -154,7 +154,7 @@
 // catchUp lists all keys if this daemon has none of them, or has lost some.
 func (e *Edge) catchUp(ctx context.Context) error {
 	e.dir.mu.Lock()
-	complete := e.dir.revision != 0 && !e.dir.incomplete
+	complete := e.dir.at != 0 && !e.dir.incomplete
 	e.dir.mu.Unlock()
 	if complete {
 		return nil
@@ -201,7 +201,7 @@
 	for key := range e.dir.runners {
 		missing[key] = true
 	}
-	dutyHolder := ident.Incarnation("")
+	newHolder := ident.Incarnation("")
 	for _, entry := range entries {
 		switch {
 		case strings.HasPrefix(entry.Key, e.deps.Codec.RunnerPrefix()):
@@ -210,7 +210,7 @@
 			}
 			delete(missing, entry.Key)
 		case strings.HasPrefix(entry.Key, holder.KeyPrefix):
-			dutyHolder = ident.Incarnation(entry.Value)
+			newHolder = ident.Incarnation(entry.Value)
 		}
 	}
 	for key := range missing {
@@ -219,9 +219,9 @@
 			e.removeRunner(key)
 		}
 	}
-	e.noteDutyHolder(dutyHolder)
+	e.noteDutyHolder(newHolder)
 	e.dir.changeLog.Reset(e.changesOf(events), uint64(from))
-	e.dir.revision = max(e.dir.revision, from)
+	e.dir.at = max(e.dir.at, from)
 	e.dir.incomplete = false
 	e.dir.mu.Unlock()
 	for _, entry := range entries {
@@ -322,7 +322,7 @@
 	e.dir.currentAt = max(e.dir.currentAt, at)
 	e.dir.mu.Unlock()
 	e.mu.Lock()
-	revision := e.configFreshness.Revision()
+	revision := e.fresh.Revision()
 	newest := !e.configUnreadable
 	e.mu.Unlock()
 	if revision > 0 && newest {
@@ -369,7 +369,7 @@
 		}
 	}
 	e.dir.changeLog.Apply(e.changesOf(events), uint64(through))
-	e.dir.revision = max(e.dir.revision, through)
+	e.dir.at = max(e.dir.at, through)
 	e.dir.mu.Unlock()
 	for _, event := range events {
 		switch {
@@ -385,11 +385,11 @@
 }
 
 // noteDutyHolder notes who holds the duties; called with dir.mu held.
-func (e *Edge) noteDutyHolder(dutyHolder ident.Incarnation) {
-	if e.dir.dutyHolder != "" && dutyHolder == "" || e.dir.dutyFreeSince == 0 {
+func (e *Edge) noteDutyHolder(newHolder ident.Incarnation) {
+	if e.dir.dutyHolder != "" && newHolder == "" || e.dir.dutyFreeSince == 0 {
 		e.dir.dutyFreeSince = max(1, e.deps.Steady())
 	}
-	e.dir.dutyHolder = dutyHolder
+	e.dir.dutyHolder = newHolder
 }
 
 // applyConfig puts an operator's configuration into force unless it is older than
@@ -411,7 +411,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	before := e.table.Load()
-	changed := e.configFreshness.Read(uint64(event.Revision), sent)
+	changed := e.fresh.Read(uint64(event.Revision), sent)
 	e.configUnreadable = e.configUnreadable && !changed
 	if changed && (before == nil || config.Version > before.Version()) {
 		e.activateConfig(route.NewTable(config), event.Revision)
--- a/daemon/edge/tell.go
+++ b/daemon/edge/tell.go
@@ -130,7 +130,7 @@
 	c := multicast{hello: e.presence(now)}
 	e.addUses(now, c.hello)
 	if e.relayPlan.Direct || period >= followTurns || !rosterBeat(beat) {
-		addWork(c.hello, w.cell)
+		addWork(c.hello, w.ownAndFollowers)
 	}
 	if e.relayPlan.Direct && w.roster || !e.relayPlan.Direct && rosterBeat(beat) && (w.roster || period >= followTurns) {
 		c.hello.Roster = e.followersRoster()
@@ -161,7 +161,7 @@
 	c.hello.Follows = true
 	addWork(c.hello, w.own)
 	e.addOwnCounts(now, c.hello)
-	e.peerLoads.rememberSent(c.hello.Seq, w.own.loads)
+	e.reported.rememberSent(c.hello.Seq, w.own.loads)
 	for i, r := range e.relayPlan.Own {
 		if i > 0 && turn%standbyTurns != 0 {
 			break
@@ -232,12 +232,12 @@
 func (e *Edge) toOthers(now time.Duration, turn uint64) multicast {
 	c := multicast{}
 	if e.relayPlan.Relay {
-		unheard := e.peers.Unheard(e.alivePeers)
+		unheard := e.peers.Unheard(e.alive)
 		if !e.relayPlan.Direct {
 			unheard = inTurn(unheard, turn, unheardATurn)
 		}
 		for _, address := range unheard {
-			c.to = append(c.to, recipient{address, &peersv1.Hello{ConfigRevision: e.configFreshness.Revision()}})
+			c.to = append(c.to, recipient{address, &peersv1.Hello{ConfigRevision: e.fresh.Revision()}})
 		}
 	}
 	if !e.relayPlan.Direct {
--- a/daemon/edge/trialcontroller.go
+++ b/daemon/edge/trialcontroller.go
@@ -33,7 +33,7 @@
 	}
 	e.trials.mu.Unlock()
 	for _, o := range orders {
-		d := e.controllerFor(ctx, o)
+		d := e.trialController(ctx, o)
 		if d == nil || !e.advanceTrial(ctx, d) {
 			continue
 		}
@@ -48,8 +48,8 @@
 	clear(t.controllers)
 }
 
-// controllerFor is that of an order. A new one goes on from the record in the service.
-func (e *Edge) controllerFor(ctx context.Context, o canary.Order) *trialController {
+// trialController is that of an order. A new one goes on from the record in the service.
+func (e *Edge) trialController(ctx context.Context, o canary.Order) *trialController {
 	e.trials.mu.Lock()
 	d := e.trials.controllers[o.Service]
 	e.trials.mu.Unlock()
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -383,8 +383,8 @@
 	return trialSample{g, s.pool.runners[id].Version == g.Order().Target}
 }
 
-// recordLatency counts a whole answer, or with pace the time between its events.
-func (a *attempt) recordLatency(d time.Duration, pace bool) {
+// took counts a whole answer, or with pace the time between its events.
+func (a *attempt) took(d time.Duration, pace bool) {
 	a.recordSample(pace, func(c *canary.Counts) { c.Took(d) })
 }
 
@@ -392,13 +392,13 @@
 // the time to the first event counts against what was expected of the runner: one second
 // stands for as long as that. The pace is counted apart.
 func (a *attempt) recordStreamLatency() {
-	if a.trialSample.gate == nil {
+	if a.trial.gate == nil {
 		return
 	}
 	against := max(a.choice.Estimate, minEstimate)
-	a.recordLatency(time.Duration(float64(time.Second)*float64(a.firstEventAfter)/float64(against)), false)
+	a.took(time.Duration(float64(time.Second)*float64(a.firstEventAfter)/float64(against)), false)
 	if n := a.s.events.Events(); n > 1 {
-		a.recordLatency((time.Since(a.sent)-a.firstEventAfter)/time.Duration(n-1), true)
+		a.took((time.Since(a.sent)-a.firstEventAfter)/time.Duration(n-1), true)
 	}
 }
 
@@ -406,11 +406,11 @@
 func (a *attempt) recordFailure() { a.recordSample(false, func(c *canary.Counts) { c.Fail() }) }
 
 func (a *attempt) recordSample(pace bool, count func(*canary.Counts)) {
-	if a.trialSample.gate == nil {
+	if a.trial.gate == nil {
 		return
 	}
 	t := &a.s.edge.trials
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	count(a.trialSample.gate.Tally().Of(canary.Series{Route: a.s.route.Name, Pace: pace}, a.trialSample.isNew))
+	count(a.trial.gate.Tally().Of(canary.Series{Route: a.s.route.Name, Pace: pace}, a.trial.isNew))
 }
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -35,9 +35,9 @@
 	*world
 	// loadRandom draws the load, answerRandom the new version's answerRandom.
 	loadRandom, answerRandom *rand.Rand
-	// failureRate and slower say how the new version answers a path now.
-	failureRate func(path string) float64
-	slowdown    func(path string) float64
+	// fails and slower say how the new version answers a path now.
+	fails    func(path string) float64
+	slowdown func(path string) float64
 
 	mu sync.Mutex
 	// asked are all requests from the order until its time is over, exposed those of them
@@ -57,7 +57,7 @@
 func newTrial(w *world) *trialTest {
 	tw := &trialTest{
 		world: w, loadRandom: rand.New(rand.NewPCG(1, 0)), answerRandom: rand.New(rand.NewPCG(1, 1)),
-		failureRate: func(string) float64 { return 0 }, slowdown: func(string) float64 { return 1 },
+		fails: func(string) float64 { return 0 }, slowdown: func(string) float64 { return 1 },
 		reasons: map[refusal.Reason]int{}, downDaemons: map[int]bool{},
 	}
 	tw.startRunners(oldVersion)
@@ -111,14 +111,14 @@
 func (tw *trialTest) countExposed(path string, work *time.Duration) bool {
 	tw.mu.Lock()
 	defer tw.mu.Unlock()
-	fails, slower := tw.answerRandom.Float64() < tw.failureRate(path), tw.slowdown(path)
-	*work = time.Duration(float64(*work) * slower)
+	fails, slowdown := tw.answerRandom.Float64() < tw.fails(path), tw.slowdown(path)
+	*work = time.Duration(float64(*work) * slowdown)
 	now := tw.steady()
 	tw.lastExposedAt = now
 	if now <= tw.orderedAt+trialDuration {
 		tw.exposed++
 	}
-	if fails || slower > 1 {
+	if fails || slowdown > 1 {
 		tw.badAnswers++
 		if tw.badAnswers == toleratedBadAnswers {
 			tw.toleranceReachedAt = now
@@ -254,11 +254,11 @@
 // Guards against a bad version that gets more than its share, or that is not taken back.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	for name, bad := range map[string]func(tw *trialTest){
-		"fails":           func(tw *trialTest) { tw.failureRate = func(string) float64 { return 0.4 } },
-		"fails on a path": func(tw *trialTest) { tw.failureRate = failsOn("/read/1") },
+		"fails":           func(tw *trialTest) { tw.fails = func(string) float64 { return 0.4 } },
+		"fails on a path": func(tw *trialTest) { tw.fails = failsOn("/read/1") },
 		"slow":            func(tw *trialTest) { tw.slowdown = func(string) float64 { return 4 } },
 		"fails late": func(tw *trialTest) {
-			tw.failureRate = func(string) float64 {
+			tw.fails = func(string) float64 {
 				if tw.steady()-tw.orderedAt > 5*time.Second {
 					return 0.5
 				}
@@ -281,7 +281,7 @@
 func TestTrialsOfADirectFleet(t *testing.T) {
 	for name, bad := range map[string]func(tw *trialTest){
 		"good": nil,
-		"bad":  func(tw *trialTest) { tw.failureRate = failsOn("/read/1") },
+		"bad":  func(tw *trialTest) { tw.fails = failsOn("/read/1") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inTrialWith(t, inDirectFleet, 33, bad, func(tw *trialTest) {
@@ -310,7 +310,7 @@
 func TestTrialOutlivesItsHolder(t *testing.T) {
 	for name, bad := range map[string]func(tw *trialTest){
 		"good": nil,
-		"bad":  func(tw *trialTest) { tw.failureRate = func(string) float64 { return 0.08 } },
+		"bad":  func(tw *trialTest) { tw.fails = func(string) float64 { return 0.08 } },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inTrial(t, 5, bad, func(tw *trialTest) {
@@ -336,7 +336,7 @@
 
 // Guards against a bad version that goes on being tried while the key-value service is away.
 func TestTrialWhileTheServiceIsAway(t *testing.T) {
-	inTrial(t, 5, func(tw *trialTest) { tw.failureRate = func(string) float64 { return 0.5 } }, func(tw *trialTest) {
+	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.5 } }, func(tw *trialTest) {
 		tw.cutStore(true)
 		tw.runLoad(4 * time.Second)
 		tw.cutStore(false)
@@ -353,7 +353,7 @@
 
 // Guards against shares that are given out twice because messages are lost.
 func TestTrialWithLostMessages(t *testing.T) {
-	inTrial(t, 5, func(tw *trialTest) { tw.failureRate = failsOn("/read/1") }, func(tw *trialTest) {
+	inTrial(t, 5, func(tw *trialTest) { tw.fails = failsOn("/read/1") }, func(tw *trialTest) {
 		tw.network.lose(0.3, rand.New(rand.NewPCG(2, 0)))
 		tw.runLoad(trialDuration - time.Second)
 		tw.Equal(tw.status().State, canary.RolledBack)
@@ -411,7 +411,7 @@
 // Guards against a version that was taken back and gets requests again when another one is
 // ordered, or while that one is on trial.
 func TestSecondOrderWhileOneRuns(t *testing.T) {
-	inTrial(t, 5, func(tw *trialTest) { tw.failureRate = func(string) float64 { return 1 } }, func(tw *trialTest) {
+	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 1 } }, func(tw *trialTest) {
 		tw.runLoad(5 * time.Second)
 		tw.mu.Lock()
 		before := tw.exposed
@@ -426,7 +426,7 @@
 
 // Guards against a trial that goes wrong when the operator moves routes meanwhile.
 func TestConfigurationChangesDuringATrial(t *testing.T) {
-	inTrial(t, 5, func(tw *trialTest) { tw.failureRate = func(string) float64 { return 0.4 } }, func(tw *trialTest) {
+	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.4 } }, func(tw *trialTest) {
 		for i := range 10 {
 			c := config(uint64(i + 2))
 			c.Routes[i%2].Name = fmt.Sprint("moved-", i)
@@ -441,7 +441,7 @@
 // Guards against a version that is tried after all daemons were killed as if nothing had been
 // known of it.
 func TestTrialAfterAllDaemonsWereKilled(t *testing.T) {
-	inTrial(t, 5, func(tw *trialTest) { tw.failureRate = func(string) float64 { return 0.08 } }, func(tw *trialTest) {
+	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.08 } }, func(tw *trialTest) {
 		tw.runLoad(2 * time.Second)
 		for _, d := range tw.daemons {
 			d.kill()
--- a/daemon/edge/types.go
+++ b/daemon/edge/types.go
@@ -226,8 +226,8 @@
 	Token uint64
 }
 
-// RunnerOrder asks for a number of runners of one kind.
-type RunnerOrder struct {
+// Order asks for a number of runners of one kind.
+type Order struct {
 	Service       string
 	FailureDomain ident.FailureDomain
 	Reclaimable   bool
@@ -235,7 +235,7 @@
 }
 
 // NoRunnersAvailableError says that the cloud has no such runner now.
-type NoRunnersAvailableError struct{ Order RunnerOrder }
+type NoRunnersAvailableError struct{ Order Order }
 
 func (e *NoRunnersAvailableError) Error() string {
 	return fmt.Sprintf("no runner of %s to be had in %s", e.Order.Service, e.Order.FailureDomain)
@@ -244,6 +244,6 @@
 // Cloud takes reports and orders of the duties' holder.
 type Cloud interface {
 	ReportUsage(ctx context.Context, d DutyLease, w accounting.Window, counts accounting.Counts) error
-	// OrderRunners fails with *NoneAvailableError where there are none.
-	OrderRunners(ctx context.Context, d DutyLease, o RunnerOrder) error
+	// Order fails with *NoneAvailableError where there are none.
+	Order(ctx context.Context, d DutyLease, o Order) error
 }
