--- a/daemon/decisions/decisions.go
+++ b/daemon/decisions/decisions.go
@@ -1,10 +1,10 @@
-// Package decisions writes one structured line for each decision that touches a
-// request or changes what the daemon believes, and counts them.
+// Package decisions logs and counts the daemon's decisions: one structured line for each
+// decision that concerns a request or changes the daemon's state.
 //
-// Lines go to standard output through a bounded queue that a single writer
-// empties. A writer that is slow, or a pipe that nobody reads, never holds a
-// request up: lines that find the queue full are dropped and counted, and the
-// number dropped is the next line that is written.
+// A single writer goroutine takes the lines from a bounded queue and writes them to standard
+// output. A slow writer, or a pipe that nobody reads, never delays a request: lines that don't
+// fit into the queue are dropped, and a line with the number of dropped lines precedes the next
+// one.
 package decisions
 
 import (
@@ -19,26 +19,26 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that wait; at 300 bytes each they hold 1.2 MB.
+	// maxQueuedLines bounds the queue; at 300 bytes a line, a full queue holds 1.2 MB.
 	maxQueuedLines = 4096
-	// writeBufferBytes is written at once.
+	// writeBufferBytes is the size of the output buffer.
 	writeBufferBytes = 32 << 10
-	// flushInterval is how long a line may wait for others, so that a busy daemon writes
-	// several times a second and not for each request. A daemon that is killed takes the
-	// lines of this time with it.
+	// flushInterval is how long a written line may stay in the output buffer, so that a busy
+	// daemon makes a few system calls a second and not one for each request. The lines of this
+	// interval are lost if the daemon is killed.
 	flushInterval = 100 * time.Millisecond
 )
 
-// Event names what was decided; it is the line's message and its counter's name.
+// Event names a kind of decision. It is the message of the line and the name of the counter.
 type Event string
 
-// Field is one input or outcome of a decision.
+// Field is an input or a result of a decision.
 type Field struct {
 	Name  string
 	Value any
 }
 
-// F makes a field.
+// F returns a Field.
 func F(name string, value any) Field { return Field{Name: name, Value: value} }
 
 type line struct {
@@ -46,7 +46,8 @@
 	fields []Field
 }
 
-// Log takes decisions. It is safe for concurrent use; its methods never block.
+// Log queues and counts decisions. It is safe for concurrent use, and its methods other than
+// Run never block.
 type Log struct {
 	lines        chan line
 	dropped      atomic.Int64
@@ -54,8 +55,8 @@
 	droppedTotal metrics.Counter
 }
 
-// New returns a log that counts into the registry; Run must be called for its
-// lines to be written.
+// New returns a log whose counters are in the registry. Lines are written only while Run is
+// running.
 func New(registry metrics.Registry) *Log {
 	return &Log{
 		lines:        make(chan line, maxQueuedLines),
@@ -64,7 +65,7 @@
 	}
 }
 
-// Note counts the event and queues its line.
+// Note counts an event and queues its line.
 func (l *Log) Note(event Event, fields ...Field) {
 	l.Count(string(event))
 	select {
@@ -75,26 +76,27 @@
 	}
 }
 
-// Count adds one to a counter without a line.
+// Count increments a counter without writing a line.
 func (l *Log) Count(name string) {
 	metrics.GetOrRegisterCounter(name, l.registry).Inc(1)
 }
 
-// Time adds a duration to a latency histogram.
+// Time adds a duration, in microseconds, to a histogram.
 func (l *Log) Time(name string, d time.Duration) {
 	h := l.registry.GetOrRegister(name, newHistogram).(metrics.Histogram)
 	h.Update(d.Microseconds())
 }
 
-// reservoirSize of a histogram weigh the last minutes most.
+// reservoirSize and decayAlpha are the parameters of the histograms' samples, which give the
+// last minutes the most weight.
 const reservoirSize, decayAlpha = 1028, 0.015
 
 func newHistogram() metrics.Histogram {
 	return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, decayAlpha))
 }
 
-// Run writes the queued lines to w until the context ends, and then those that
-// are left. It takes klog over.
+// Run writes the queued lines to w until the context ends, and then those that are left. It
+// redirects klog's output to w.
 func (l *Log) Run(ctx context.Context, w io.Writer) {
 	buffer := bufio.NewWriterSize(w, writeBufferBytes)
 	klog.SetOutput(buffer)
@@ -139,8 +141,7 @@
 	klog.InfoS(string(next.event), pairs...)
 }
 
-// flush empties klog and the buffer. There is nobody to tell of a failure to
-// write the log.
+// flush flushes klog and the buffer. A failure to write the log can't be reported anywhere.
 func (l *Log) flush(buffer *bufio.Writer) {
 	klog.Flush()
 	_ = buffer.Flush()
