--- a/daemon/holder/holder.go
+++ b/daemon/holder/holder.go
@@ -1,5 +1,6 @@
-// Package holder runs a candidacy for a responsibility that one daemon holds at a
-// time: the machine of coordination/lease against the key-value service.
+// Package holder runs a daemon's candidacy for a responsibility that one daemon at a time may
+// hold. It drives the state machine of package lease and makes the calls to the key-value
+// service that the machine asks for.
 package holder
 
 import (
@@ -12,24 +13,24 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// KeyPrefix begins the keys of responsibilities.
+// KeyPrefix is the prefix of the keys of responsibilities.
 const KeyPrefix = "lease/"
 
-// Options are what a candidacy needs.
+// Options are the parameters of a candidacy.
 type Options struct {
-	// Name of the responsibility, Self what its holder writes into the key.
+	// Name is the responsibility. Self is the value that its holder writes into the key.
 	Name   string
 	Self   string
 	Store  kv.Store
 	Timing lease.Timing
-	// Clock gives offsets that only grow.
+	// Clock returns the time since a fixed moment; it never goes back.
 	Clock func() time.Duration
-	// Changed is told of each begin and end of a tenure.
+	// Changed is called when a tenure begins or ends.
 	Changed func(held bool, token uint64)
 }
 
-// Holder is one candidacy. It is safe for concurrent use; calls to the service
-// are made without its lock.
+// Holder is a candidacy. It is safe for concurrent use, and doesn't hold its lock during calls
+// to the service.
 type Holder struct {
 	opts Options
 
@@ -37,17 +38,18 @@
 	machine *lease.Machine
 }
 
-// New returns a candidacy that holds nothing.
+// New returns a candidacy that doesn't hold the responsibility.
 func New(opts Options) *Holder { return &Holder{opts: opts, machine: lease.New(opts.Timing)} }
 
-// Name of the responsibility.
+// Name returns the name of the responsibility.
 func (h *Holder) Name() string { return h.opts.Name }
 
-// Now is the candidacy's clock.
+// Now returns the time by the candidacy's clock.
 func (h *Holder) Now() time.Duration { return h.opts.Clock() }
 
-// Permit returns the fencing token if an order may go out now. Ask right
-// before sending: an answer is good for one order within Timing.MaxOrder.
+// Permit returns the fencing token if an order may be sent now. It must be called right before
+// sending: the result is valid for a single order that takes no longer than Timing.MaxOrder.
+// checked says that the receiver of the order refuses outdated fencing tokens.
 func (h *Holder) Permit(checked bool) (uint64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -57,26 +59,26 @@
 	return h.machine.Token(), true
 }
 
-// Token returns the fencing token; zero while nothing is held.
+// Token returns the fencing token; zero while the responsibility isn't held.
 func (h *Holder) Token() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.machine.Token()
 }
 
-// Idle tells that nothing is held and no call is under way.
+// Idle reports whether the responsibility isn't held and no call is in progress.
 func (h *Holder) Idle() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.machine.State() == lease.Idle || h.machine.State() == lease.Stopped
 }
 
-// Tick moves time on and makes the calls that are due; see lease.Machine.Tick.
+// Tick advances the time and makes the calls that are due; see lease.Machine.Tick.
 func (h *Holder) Tick(ctx context.Context, candidate bool) {
 	h.runEffects(ctx, h.step(func(now time.Duration) []lease.Effect { return h.machine.Tick(now, candidate) }))
 }
 
-// Stop gives the responsibility back.
+// Stop gives the responsibility up.
 func (h *Holder) Stop(ctx context.Context) {
 	h.runEffects(ctx, h.step(h.machine.Stop))
 }
@@ -89,7 +91,7 @@
 	}
 }
 
-// step runs one step of the machine and tells of a tenure's begin or end.
+// step runs one step of the state machine and calls Changed if a tenure has begun or ended.
 func (h *Holder) step(f func(now time.Duration) []lease.Effect) []lease.Effect {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,8 +105,8 @@
 	return effects
 }
 
-// call bounds each call to the service: a call that hangs would keep the
-// machine from renewing, and its lease would lapse for nothing.
+// call makes one call to the service, with a timeout: a call that hangs would keep the machine
+// from renewing, and the lease would expire without need.
 func (h *Holder) call(ctx context.Context, e lease.Effect) lease.Result {
 	ctx, cancel := context.WithTimeout(ctx, h.opts.Timing.Renew/2)
 	defer cancel()
