--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -21,17 +21,19 @@
 )
 
 const (
-	// maxBufferedBytes is the largest body that is read whole before it is passed on,
-	// so that an answer that breaks off can still be replaced.
+	// maxBufferedBytes is the largest body that is read completely before it is passed on, so
+	// that an answer that breaks off can still be replaced by another attempt's.
 	maxBufferedBytes = 256 << 10
-	// copyBufferBytes is read of a stream at a time; an event has a few hundred bytes.
+	// copyBufferBytes is the size of the buffer that streams are copied through; an event has a
+	// few hundred bytes.
 	copyBufferBytes = 8 << 10
-	// noRunnerRetryAfter is what a refusal for want of any runner asks for: one that
-	// starts takes a few seconds, one whose entry has lapsed is back within two.
+	// noRunnerRetryAfter is the retry time given to callers if no runner is available. A new
+	// runner takes a few seconds to start; one whose entry has expired registers again within
+	// two seconds.
 	noRunnerRetryAfter = time.Second
 )
 
-// bufferedAnswer is a whole answer of a runner that is held.
+// bufferedAnswer is a runner's answer that has been read completely.
 type bufferedAnswer struct {
 	status int
 	header http.Header
@@ -39,23 +41,24 @@
 	runner ident.RunnerID
 }
 
-// attempt is one send and what belongs to it.
+// attempt is a single send of the request to a runner.
 type attempt struct {
 	s      *requestHandler
 	choice routing.Choice
 	ticket routing.Ticket
 	sent   time.Time
-	// firstEventAfter is the time to the firstEventAfter event, zero before it.
+	// firstEventAfter is the time from the send to the stream's first event, zero before it.
 	firstEventAfter time.Duration
-	// activity is the runner's; cancel gives the attempt up from our side, and
-	// abandoned says that this was done because the runner is silent.
+	// activity records when the runner was last heard. cancel ends the attempt from this side,
+	// and abandoned says that it was ended because the runner is silent.
 	activity  *activity
 	cancel    context.CancelFunc
 	abandoned atomic.Bool
 	trial     trialSample
 }
 
-// run makes attempts until one answers, the exchange ends or the caller leaves.
+// run makes attempts until one succeeds, no further attempt is allowed or the caller
+// disconnects.
 func (s *requestHandler) run(ctx context.Context) {
 	ctx, cancel := context.WithDeadline(ctx, s.deadline)
 	defer cancel()
@@ -91,7 +94,8 @@
 	}
 }
 
-// endIfCallerGone ends a request whose caller has left or whose time is over.
+// endIfCallerGone ends a request whose caller has disconnected or whose deadline has passed,
+// and reports whether it did.
 func (s *requestHandler) endIfCallerGone(ctx context.Context) bool {
 	switch {
 	case ctx.Err() == nil:
@@ -105,7 +109,7 @@
 	return true
 }
 
-// withRetryAfter adds when to come back to a refusal.
+// withRetryAfter adds a retry time to a refusal that has none.
 func (s *requestHandler) withRetryAfter(r *refusal.Refusal) *refusal.Refusal {
 	if r.RetryAfter == 0 {
 		return r.After(notReadyRetryAfter / 2)
@@ -113,8 +117,8 @@
 	return r
 }
 
-// end gives the final answer: a runner's own failure that was held, or a refusal.
-// A request whose answer has begun can only be broken off.
+// end gives the final answer: the buffered server error of a runner if there is one, otherwise
+// the refusal. If a part of the answer has already been sent, the answer can only be aborted.
 func (s *requestHandler) end(r *refusal.Refusal) {
 	if s.exchange.Begun {
 		s.note("broken_off", decisions.F("reason", r.Reason), decisions.F("detail", r.Detail), decisions.F("events", s.eventsSent()))
@@ -136,8 +140,8 @@
 	return s.events.Events()
 }
 
-// chooseRunner chooses a runner for the next attempt, or refuses at once what can't be
-// served in time.
+// chooseRunner chooses a runner for the next attempt, or refuses a request that can't be served
+// in time.
 func (s *requestHandler) chooseRunner(ctx context.Context) (*attempt, *refusal.Refusal) {
 	now := time.Now()
 	if ctx.Err() != nil || !now.Before(s.deadline) {
@@ -167,8 +171,8 @@
 	return r
 }
 
-// maxFirstTokenWait is how long the first token may take from now for the request to be
-// worth sending: callers leave a stream that is silent for patience, and nobody
+// maxFirstTokenWait is how long the first token may take from now for the request to be worth
+// sending. Callers abandon a stream that stays silent for longer than abandonAfter, and nobody
 // waits past the deadline.
 func (s *requestHandler) maxFirstTokenWait(now time.Time) time.Duration {
 	left := s.deadline.Sub(now)
@@ -178,7 +182,8 @@
 	return min(left, abandonAfter(s.route)-now.Sub(s.req.Received))
 }
 
-// Callers give a silent stream up after the longest of these.
+// Callers abandon a silent stream after the longest of minFirstTokenWait, targetLatencyFactor
+// times the route's target latency, and maxPauseFactor times its longest allowed pause.
 const (
 	minFirstTokenWait   = 2 * time.Second
 	targetLatencyFactor = 4
@@ -189,8 +194,8 @@
 	return max(minFirstTokenWait, targetLatencyFactor*r.TargetLatency, maxPauseFactor*r.MaxPause)
 }
 
-// refuseTooLate refuses a request that would wait too long, with the time after which
-// the queue will have fallen enough.
+// refuseTooLate refuses a request that would wait too long. The retry time is how long the
+// queue will take to become short enough.
 func (s *requestHandler) refuseTooLate(late time.Duration, c routing.Choice) *refusal.Refusal {
 	r := refusal.New(refusal.DeadlineUnreachable, "first token expected in %v", c.Estimate).After(late + notReadyRetryAfter)
 	if s.exchange.MayHaveRun() {
@@ -199,15 +204,16 @@
 	return r
 }
 
-// exclusionOf is the set of a runner that failed; see routing.Request.
+// exclusionOf returns the set that excludes one runner from a choice; see
+// routing.Request.Exclude.
 func (p *pool) exclusionOf(id ident.RunnerID) prefix.Set {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Exclude(id)
 }
 
-// execute sends the request and passes the answer on. Nil means that the caller has
-// its final answer; otherwise the failure says what is known of the attempt.
+// execute sends the request and passes the answer on. It returns nil if the caller has received
+// the final answer, otherwise what is known about the failure.
 func (a *attempt) execute(ctx context.Context) *forward.Attempt {
 	s := a.s
 	sendCtx, cancel := context.WithCancel(ctx)
@@ -243,8 +249,9 @@
 	return a.bufferAnswer(ctx, answer)
 }
 
-// rejectNonStream gives up an answer that is no stream where a stream that has begun should go on.
-// Passed on, it would look like the end of a whole answer.
+// rejectNonStream fails an attempt that should resume a stream but was answered with something
+// other than an event stream. Passed on, that body would look like the end of a complete
+// answer.
 func (a *attempt) rejectNonStream() *forward.Attempt {
 	a.finish()
 	a.s.pool.observe(a.choice.Runner, health.Failure)
@@ -259,7 +266,8 @@
 	return s.req.LastEventID
 }
 
-// enginePriority is told to engines only.
+// enginePriority returns the request's priority for model engines; other runners are not told
+// any.
 func (s *requestHandler) enginePriority() int {
 	if !s.pool.hasEngine() {
 		return -1
@@ -294,7 +302,7 @@
 	return failure
 }
 
-// interrupted ends an attempt from our side: the caller has left or the time is over.
+// interrupted ends an attempt because the caller has disconnected or the deadline has passed.
 func (a *attempt) interrupted(sent bool) {
 	if sent {
 		a.s.exchange.Interrupted()
@@ -304,7 +312,7 @@
 
 func (a *attempt) finish() { a.s.pool.finished(&a.ticket, 0) }
 
-// handleNotRun takes in the runner's word that it did not run the request.
+// handleNotRun handles a runner's statement that it did not run the request.
 func (a *attempt) handleNotRun(answer *Answer) *forward.Attempt {
 	a.s.pool.notStarted(&a.ticket, &a.s.routingRequest)
 	failure := &forward.Attempt{Reason: retry.Busy, Sent: true, RetryAfter: 0}
@@ -320,7 +328,7 @@
 	return failure
 }
 
-// countStarted notes that the runner countStarted to run the request, for usage.
+// countStarted counts the request for the usage report once a runner has begun to run it.
 func (a *attempt) countStarted() {
 	s := a.s
 	if s.usageCounted || s.workspace == "" {
@@ -332,8 +340,8 @@
 	s.edge.mu.Unlock()
 }
 
-// bufferAnswer reads a body whole before it is passed on. What breaks off can then be
-// asked for again, or be told as the failure that it is.
+// bufferAnswer reads a body completely before it is passed on. If the body breaks off, the
+// request can be repeated, or the caller can be told of the failure.
 func (a *attempt) bufferAnswer(ctx context.Context, answer *Answer) *forward.Attempt {
 	s := a.s
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBytes+1))
@@ -367,7 +375,7 @@
 	return nil
 }
 
-// sendBuffered sends a held answer on.
+// sendBuffered sends a buffered answer to the caller.
 func (s *requestHandler) sendBuffered(k *bufferedAnswer) {
 	s.note("answered", decisions.F("runner", k.runner), decisions.F("status", k.status), decisions.F("bytes", len(k.body)))
 	s.reply.Start(k.status, k.header, int64(len(k.body)), s.connectionClosing())
@@ -378,7 +386,7 @@
 	s.reply.Finish()
 }
 
-// streamBody sends a body on that is too long to be held.
+// streamBody passes a body on that is too long to be buffered.
 func (a *attempt) streamBody(ctx context.Context, answer *Answer, first []byte) *forward.Attempt {
 	s := a.s
 	defer a.finish()
--- a/daemon/edge/config_test.go
+++ b/daemon/edge/config_test.go
@@ -11,9 +11,9 @@
 	"geraniumstack.org/geraniumstack/state/route"
 )
 
-// The service's watches go blind for a second: they end without a change though
-// the revision has moved on. A daemon that watches on from there never hears of
-// the route that was added meanwhile, until the next change.
+// Guards against losing a change while the service's watches miss changes for a second: they
+// end without a change although the revision has advanced. A daemon that continues from that
+// revision never sees the route that was added meanwhile, until the next change.
 func TestChangeDuringBlindWatch(t *testing.T) {
 	inWorld(t, 3, config(1), func(w *world) {
 		w.addRunner("r1", "app")
@@ -37,8 +37,8 @@
 	})
 }
 
-// A key is taken away while one daemon can't reach the service. The daemon goes
-// on for as long as its peers vouch for its configuration, and no longer.
+// A key is revoked while one daemon can't reach the service. The daemon must continue to serve
+// as long as the other daemons confirm its configuration, and no longer.
 func TestRevokedKeyAtCutOffDaemon(t *testing.T) {
 	inWorld(t, 3, config(1), func(w *world) {
 		w.addRunner("r1", "app")
@@ -46,7 +46,7 @@
 		cutOff := w.daemons[2]
 		cutOff.store.set(true, false)
 		time.Sleep(8 * time.Second)
-		w.Equal(w.ask(cutOff, "/read/1", key).status, 200) // vouched for
+		w.Equal(w.ask(cutOff, "/read/1", key).status, 200) // the other daemons confirm the configuration
 		revoked := config(2)
 		revoked.Workspaces[0].Keys = []string{"key-2"}
 		w.configure(revoked)
@@ -68,7 +68,8 @@
 	})
 }
 
-// A daemon loses the service and its peers at once. Nobody vouches for it.
+// A daemon loses the service and all other daemons at the same time, so that nobody confirms
+// its configuration. It must refuse requests with keys.
 func TestKeyAtIsolatedDaemon(t *testing.T) {
 	inWorld(t, 2, config(1), func(w *world) {
 		w.addRunner("r1", "app")
@@ -84,8 +85,8 @@
 	})
 }
 
-// A caller uses a route or a key that was added a moment before the daemon heard
-// of it. It must be served, not be told that there is none.
+// A caller uses a route or key that was added a moment before the daemon learned of it. The
+// request must be served, not refused as unknown.
 func TestUnknownIsReadAnewBeforeItIsDenied(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		w.addRunner("r1", "app")
@@ -102,7 +103,8 @@
 	})
 }
 
-// An older version is written by an operator who lost a race, or read late.
+// Guards against activating an older version, written by an operator who lost a race or worked
+// from outdated data.
 func TestOlderVersionIsNotTaken(t *testing.T) {
 	inWorld(t, 1, config(5), func(w *world) {
 		w.addRunner("r1", "app")
@@ -115,9 +117,8 @@
 	})
 }
 
-// Configurations come while requests are placed. A request read the service's settings
-// while the watch replaced them, which may show it half of each; only the race detector
-// tells.
+// Guards against a data race: a request read the service's settings while the watch replaced
+// them, and could see a mix of both. Only the race detector notices.
 func TestConfigurationsComeWhileRequestsArePlaced(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		w.addRunner("r1", "app")
@@ -138,10 +139,11 @@
 	})
 }
 
-// A daemon wakes up with a configuration that is too old to admit keys by, and requests
-// with a key that has been taken away wait for it. A request looked the key up in the old
-// configuration, waited while the new one was put into force, and then found that the
-// configuration had just been proved to be the newest: the key worked once more.
+// Guards against accepting a revoked key while the configuration is replaced. A daemon resumes
+// with a configuration that is too old to admit keys, and a request with a revoked key waits
+// for a newer one. The request looked the key up in the old configuration, waited while the new
+// one was activated, then found that the configuration had just been proved to be the newest,
+// and was served.
 func TestRevokedKeyWhileTheConfigurationIsReplaced(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		w.addRunner("r1", "app")
@@ -154,7 +156,7 @@
 		answered := make(chan *answer)
 		d.PutInForceWhile(next, 1000, func() {
 			go func() { answered <- w.ask(d, "/read/", key) }()
-			// A request that waits for a lock doesn't let virtual time go on.
+			// A goroutine that waits for a lock keeps the test's virtual time from advancing.
 			for range 100_000 {
 				runtime.Gosched()
 			}
@@ -164,9 +166,9 @@
 	})
 }
 
-// The operator's newest version takes a key away, but a daemon can't read it. Its watch
-// goes on answering, with and without changes, and that was taken for a proof that the
-// version in force is the newest: the key worked for as long as nobody looked.
+// Guards against accepting a revoked key because of an undecodable configuration. The newest
+// version revokes a key, but a daemon can't decode it. Each answer of its watch was taken as
+// proof that the active version was the newest, so the key kept working.
 func TestUnreadableConfigurationIsNoProof(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		w.addRunner("r1", "app")
--- a/daemon/edge/confirm.go
+++ b/daemon/edge/confirm.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	// keyAgeShare is the part of the bound on revoked keys after which a daemon
-	// without proof of its configuration refuses them. The rest covers what runs
-	// between the check and the runner, and a clock that is a little slow.
+	// keyAgeShare is the part of Bounds.RevokeWithin after which a daemon that can't prove its
+	// configuration to be the newest refuses requests with keys. The rest covers the time
+	// between the check and the arrival at the runner, and a clock that runs slightly slow.
 	keyAgeShare = 0.8
-	// confirmAfter is the age of the last proof at which the daemon reads the
-	// service itself, since no peer's proof has come.
+	// confirmAfter is the age of the latest proof at which the daemon reads the service itself,
+	// since no other daemon's proof has arrived.
 	confirmAfter = 2 * time.Second
-	// denialAgeShare is the part of the time in which an operator's change must be in force
-	// up to which an unknown key or route is refused without another read of the service.
-	// What came a moment before must not be denied.
+	// denialAgeShare is the part of Bounds.ConfigWithin up to which an unknown key or route is
+	// refused without another read of the service. A key or route that was added a moment
+	// before must not be refused.
 	denialAgeShare = 0.35
-	// confirmTimeout bounds one such read. It holds a request up, and a store
-	// that answers in milliseconds has gone silent by then.
+	// confirmTimeout bounds such a read, since a request waits for it. A store that normally
+	// answers in milliseconds is unreachable if it takes that long.
 	confirmTimeout = 500 * time.Millisecond
-	// confirmSpacing keeps requests for what does not exist from becoming a
-	// flood of reads.
+	// confirmSpacing is the minimum time between reads. It keeps requests with unknown keys or
+	// routes from causing a flood of reads.
 	confirmSpacing = 100 * time.Millisecond
 )
 
-// maxConfigAgeForKeys is the age of the configuration up to which keys are admitted.
+// maxConfigAgeForKeys is the age of the configuration up to which requests with keys are
+// admitted.
 func (e *Edge) maxConfigAgeForKeys() time.Duration {
 	if !e.settings.Bounds.StrictRevocation {
 		return -freshness.Never
@@ -45,31 +46,34 @@
 	return time.Duration(denialAgeShare * float64(e.settings.Bounds.ConfigWithin))
 }
 
-// configAge is how long ago the configuration was proved to be the newest.
+// configAge returns the time since the configuration was last proved to be the newest one.
 func (e *Edge) configAge() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.fresh.Age(e.deps.Steady())
 }
 
-// activeConfig is the configuration in force and how long ago it was proved to be the newest;
-// nil is none. Both are of one moment: the age of a newer one must not stand for a former
-// one, which may hold a key that has been taken away.
+// activeConfig returns the active configuration, nil if there is none, and the time since it
+// was proved to be the newest one. Both are read under the same lock: the age of a newer
+// configuration must not be combined with an older one, which may contain a key that has been
+// removed.
 func (e *Edge) activeConfig() (*route.Table, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.table.Load(), e.fresh.Age(e.deps.Steady())
 }
 
-// configChecker lets one read of the service at a time serve all that wait for it.
+// configChecker limits the reads of the configuration to one at a time, whose result all
+// waiting callers share.
 type configChecker struct {
 	mu          sync.Mutex
 	running     chan struct{}
 	lastEndedAt time.Duration
 }
 
-// confirmConfig reads the configuration's key and waits for the result. Callers share
-// one read, and one that ended a moment ago is not repeated.
+// confirmConfig reads the configuration from the service and waits for the result. Concurrent
+// callers share one read, and a read isn't repeated within confirmSpacing of the end of the
+// previous one.
 func (e *Edge) confirmConfig(ctx context.Context) {
 	c := &e.configCheck
 	c.mu.Lock()
@@ -90,8 +94,8 @@
 	}
 }
 
-// readConfig reads the configuration's key. A watch that hardly waits would send
-// less, but may be blind for a moment or find its history gone.
+// readConfig reads the configuration's key. A watch with a very short timeout would transfer
+// less data, but it may temporarily miss changes or find that the history has been discarded.
 func (e *Edge) readConfig(done chan struct{}) {
 	defer func() {
 		e.configCheck.mu.Lock()
@@ -112,7 +116,7 @@
 	}
 }
 
-// markConfirmed notes that the configuration at the revision was the newest at a time.
+// markConfirmed records that the configuration at a revision was the newest one at a time.
 func (e *Edge) markConfirmed(revision uint64, at time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/daemon/edge/demand.go
+++ b/daemon/edge/demand.go
@@ -9,14 +9,15 @@
 	"geraniumstack.org/geraniumstack/coordination/view"
 )
 
-// Every daemon measures the demand for runners, not only the one that orders them: a
-// successor that began to measure when it took over would know nothing for seconds,
-// and what is there would stand for what is needed.
+// Every daemon estimates the demand for runners, not only the duty holder that orders them. A
+// new duty holder that only then began to measure would know no demand for seconds, and would
+// have to take the number of existing runners for the number needed.
 
-// defaultAcceptableWait is what callers are taken to bear where no route tells it.
+// defaultAcceptableWait is how long callers are assumed to accept waiting if no route says so.
 const defaultAcceptableWait = 500 * time.Millisecond
 
-// demandConfig is the measure's without what the policy leaves out.
+// demandConfig returns the parameters of the demand estimate, without the mechanisms that the
+// policy switches off.
 func demandConfig(p Policy) fleet.DemandConfig {
 	c := fleet.DefaultDemand()
 	if !p.Uses(RoomForStreams) {
@@ -28,7 +29,7 @@
 	return c
 }
 
-// measureDemand takes in the work that has come to a service.
+// measureDemand samples the work that has arrived for a service.
 func (p *pool) measureDemand(now time.Duration) {
 	wait := defaultAcceptableWait
 	if t := p.edge.table.Load(); t != nil {
@@ -38,7 +39,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.edge.relayMode.Load() {
-		// The primary of a follower tells of this daemon's part among all others'.
+		// A follower's primary already includes this daemon's part in its total.
 		p.countedOffered += p.offered - p.lastOffered
 	}
 	p.lastOffered = p.offered
@@ -61,7 +62,7 @@
 	p.work = w
 }
 
-// currentDemand is the work as it was measured last, and what it needs.
+// currentDemand returns the latest sample of the work and the demand estimated from it.
 func (p *pool) currentDemand() (fleet.Work, fleet.Estimate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -25,38 +25,38 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Deps are what an edge calls and is called by.
+// Deps are the dependencies of an Edge.
 type Deps struct {
 	Store   kv.Store
 	Codec   Codec
 	Runners RunnerClient
-	// Cloud may be nil: then no duty is stood for.
+	// Cloud may be nil; the daemon then never becomes the duty holder.
 	Cloud Cloud
-	// Datagrams is the socket at Settings.PeerAddress.
+	// Datagrams is the socket bound to Settings.PeerAddress.
 	Datagrams net.PacketConn
-	// Steady gives offsets of a clock that never jumps and runs on while the VM
-	// is suspended.
+	// Steady returns the time since a fixed moment, by a clock that never jumps and keeps
+	// running while the VM is suspended.
 	Steady func() time.Duration
 	Log    *decisions.Log
 }
 
-// Edge is the daemon of one entry VM.
+// Edge is the daemon of an entry VM.
 type Edge struct {
 	settings Settings
 	deps     Deps
 	log      *decisions.Log
 	self     ident.Incarnation
-	// startedAt is the steady time of the start.
+	// startedAt is the steady time of the daemon's start.
 	startedAt time.Duration
 
-	// table is nil until the configuration has been read.
+	// table holds the routes; it is nil until the configuration has been read.
 	table atomic.Pointer[route.Table]
-	// drainingSince is the steady time of the order to stop, zero before.
+	// drainingSince is the steady time of the call of Drain, zero before it.
 	drainingSince atomic.Int64
 	inFlight      atomic.Int64
 
-	// mu guards what the daemons tell each other and the proof of the
-	// configuration.
+	// mu guards the fields from here to lastFollowerSent: the state that the daemons exchange,
+	// and the record of when the configuration was confirmed to be the newest one.
 	mu        sync.Mutex
 	fresh     *freshness.Tracker
 	peers     *peers.Table
@@ -65,45 +65,50 @@
 	usageBook *accounting.Book
 	limiter   *quota.Limiter
 	seq       uint64
-	// alive are the other daemons as they were looked at last, plan is whom this daemon
-	// tells by that, standing what other relays say of it as one, followers those that
-	// follow it.
+	// alive are the other daemons that are alive, as of the last check. relayPlan is derived
+	// from them and says to which daemons this daemon sends; relayStanding tracks whether the
+	// other relays count this daemon as a relay; followers are the daemons that follow this
+	// one.
 	alive         []peers.Member
 	relayPlan     relays.Plan
 	relayStanding relays.Standing
-	// relaysChanged says that the relays that this daemon follows now were not told yet.
+	// relaysChanged says that this daemon follows new relays and has not sent them a message
+	// yet.
 	relaysChanged bool
 	followers     map[ident.Incarnation]follower
-	// fedRelays are the other relays that this daemon watches for, with the revision up to
-	// which they know the key-value service.
+	// fedRelays are the other relays for which this daemon watches the key-value service, with
+	// the store revision that each of them has reached.
 	fedRelays map[ident.Incarnation]uint64
-	// coverage is when whose counts of usage were told, lacked those that other
-	// relays ask for.
+	// coverage records when each daemon's usage counts were last sent. requestedCounts are the
+	// daemons whose counts other relays have asked for.
 	coverage        accounting.Coverage
 	requestedCounts map[ident.Incarnation]ident.Incarnation
-	// demotionRecipients are the relays to tell, so many times more, that this daemon is none any more.
+	// demotionRecipients are the relays that must be told that this daemon no longer is a
+	// relay, in demotionSendsLeft more messages.
 	demotionRecipients []peers.Member
 	demotionSendsLeft  int
-	// rosterRequesters are the addresses of daemons that ask who the relays are, or are mistaken.
+	// rosterRequesters are the addresses of daemons that have asked for the relays' addresses,
+	// or that wrongly believe to be relays.
 	rosterRequesters map[ident.Incarnation]string
-	// rosterVersion is of the daemons that were told last, rosterLeft in how many more
-	// messages.
+	// rosterVersion is the version of the list of daemons that was last sent; it is sent in
+	// rosterSendsLeft more messages.
 	rosterVersion   uint64
 	rosterSendsLeft int
-	// configUnreadable says that the newest configuration could not be read.
+	// configUnreadable says that the newest configuration could not be decoded.
 	configUnreadable bool
-	// lastEndedSent is the daemon whose counts were told last after its end, lastFollowerSent the
-	// follower whose counts were.
+	// lastEndedSent is the ended daemon whose usage counts were sent last, lastFollowerSent the
+	// follower whose counts were sent last. The next message continues after them.
 	lastEndedSent, lastFollowerSent ident.Incarnation
 
-	// poolsMu guards the set of pools; each has a lock of its own.
+	// poolsMu guards the map; each pool has a lock of its own.
 	poolsMu sync.RWMutex
 	pools   map[string]*pool
 
-	// dir is what was read of the service; it has a lock of its own.
+	// dir is this daemon's copy of the key-value service; it has a lock of its own.
 	dir directory
 
-	// directMode and relayMode are the plan's, for those who can't wait for mu.
+	// directMode, relayMode and allWatch copy fields of relayPlan for code that can't wait for
+	// mu.
 	directMode, relayMode, allWatch atomic.Bool
 
 	trials            trials
@@ -114,16 +119,16 @@
 	resolvedAddresses udpAddresses
 	configCheck       configChecker
 	duties            duties
-	// healthCheckedAt is when the runners were looked at last; only tickLoop uses it.
+	// healthCheckedAt is when the runners' health was last checked; only tickLoop uses it.
 	healthCheckedAt time.Duration
 }
 
 const incarnationBytes = 6
 
-// New returns a daemon that does nothing until Run.
+// New returns a daemon that is idle until Run is called.
 func New(settings Settings, deps Deps) *Edge {
 	var random [incarnationBytes]byte
-	// crypto/rand.Read ends the process instead of failing.
+	// crypto/rand.Read ends the process instead of returning an error.
 	_, _ = rand.Read(random[:])
 	now := deps.Steady()
 	self := ident.NewIncarnation(settings.ID, random[:])
@@ -149,8 +154,8 @@
 			Length: settings.Bounds.UsageWindow, Due: settings.Bounds.UsageDue, Settle: accounting.SettleAfter,
 		}),
 		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FirstStart),
-		// Each daemon begins at its own name, so that together they tell of all
-		// that have ended within a few messages.
+		// Each daemon begins at its own name, so that all daemons together have sent the counts
+		// of all ended daemons within a few messages.
 		lastEndedSent: self,
 		pools:         map[string]*pool{},
 	}
@@ -159,7 +164,7 @@
 	e.reported.init()
 	e.grantRequests.init()
 	e.duties.init(e)
-	// Until it hears of others a daemon is alone.
+	// Until it hears from other daemons, a daemon plans as if it were alone.
 	e.relayPlan = relays.Make(relays.View{Self: e.peers.Self(), DirectFleet: settings.Policy.DirectFleet()})
 	e.relayStanding.Begin(now)
 	e.directMode.Store(e.relayPlan.Direct)
@@ -171,7 +176,7 @@
 	return e
 }
 
-// Learn takes in other daemons' peer addresses.
+// Learn adds peer addresses of other daemons.
 func (e *Edge) Learn(addresses []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -180,10 +185,10 @@
 	}
 }
 
-// Incarnation names this run of the daemon.
+// Incarnation identifies this run of the daemon.
 func (e *Edge) Incarnation() ident.Incarnation { return e.self }
 
-// Run works until the context ends. Draining is begun by Drain before that.
+// Run runs the daemon until the context ends. For a graceful shutdown, call Drain first.
 func (e *Edge) Run(ctx context.Context) error {
 	e.log.Note("start", decisions.F("daemon", e.settings.ID), decisions.F("incarnation", e.self),
 		decisions.F("failure_domain", e.settings.FailureDomain), decisions.F("first_start", e.settings.FirstStart), decisions.F("without", e.settings.Policy), decisions.F("direct_fleet", e.settings.Policy.DirectFleet()))
@@ -203,8 +208,8 @@
 	return nil
 }
 
-// Drain begins a graceful shutdown: no caller is sent here from now on, and the
-// connections that are kept end with their next answer.
+// Drain begins a graceful shutdown: callers are no longer directed to this daemon, and kept
+// connections end with their next answer.
 func (e *Edge) Drain() {
 	now := e.deps.Steady()
 	if !e.drainingSince.CompareAndSwap(0, max(1, int64(now))) {
@@ -217,7 +222,7 @@
 	e.tellTurn(0)
 }
 
-// timeSinceDrain is how long ago Drain was called; false if it was not.
+// timeSinceDrain returns the time since Drain was called, and false if it wasn't.
 func (e *Edge) timeSinceDrain() (time.Duration, bool) {
 	since := e.drainingSince.Load()
 	if since == 0 {
@@ -226,19 +231,19 @@
 	return e.deps.Steady() - time.Duration(since), true
 }
 
-// InFlight is the number of requests that are being served.
+// InFlight returns the number of requests in progress.
 func (e *Edge) InFlight() int64 { return e.inFlight.Load() }
 
-// Ready tells whether callers should be sent here.
+// Ready reports whether callers should be directed to this daemon.
 func (e *Edge) Ready() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.Self().Phase == peers.Ready
 }
 
-// refreshPhase moves between starting and ready: a daemon without a
-// configuration, or with one that may be too old to admit keyed requests by,
-// only refuses. Called with mu held.
+// refreshPhase switches between the phases starting and ready. A daemon is not ready without a
+// configuration, or with one that is too old to admit requests with keys, since it would only
+// refuse requests. The caller must hold mu.
 func (e *Edge) refreshPhase(now time.Duration) {
 	phase := peers.Starting
 	if e.table.Load() != nil && e.fresh.Age(now) <= e.maxConfigAgeForKeys() {
@@ -261,7 +266,7 @@
 	return membership.Gateways(daemons, domain, mathrand.Uint64())
 }
 
-// Limits bounds what callers may send; the zero value until the configuration is
+// Limits returns the limits on callers' requests, or the zero value until the configuration is
 // known.
 func (e *Edge) Limits() route.Limits {
 	t := e.table.Load()
--- a/daemon/edge/fleet.go
+++ b/daemon/edge/fleet.go
@@ -14,40 +14,43 @@
 )
 
 const (
-	// orderSlackTime is how much longer than its boot time an order may take to show.
+	// orderSlackTime is how much longer than a runner's boot time an order may take until the
+	// runner is registered.
 	orderSlackTime = 3 * time.Second
-	// Refused pools are asked again soon: runners that can be had for a fraction
-	// of the price are worth a call every few seconds.
+	// A class of runners that the cloud has refused is asked for again soon: runners that cost
+	// a fraction of the full price are worth a call every few seconds.
 	minRefusalBackoff = 2 * time.Second
 	maxRefusalBackoff = 4 * time.Second
-	// surplusHold is how long a runner must be superfluous. The demand falls
-	// slowly by itself; this only passes over what is in flux.
+	// surplusHold is how long a runner must be superfluous before it is given back. The
+	// estimated demand already falls slowly; this time only bridges short fluctuations.
 	surplusHold = 300 * time.Millisecond
-	// minMoveSaving is the share of the cost that moving to cheaper runners must save.
-	// All of them move at once: those that serve go only when the others serve, and
-	// a fleet that moved by parts would pay the full price for several boot times.
+	// minMoveSaving is the share of the cost that replacing runners by cheaper ones must save.
+	// All of them are replaced at the same time: the old runners are given back only when the
+	// new ones serve, and replacing them in parts would incur the full price for several boot
+	// times.
 	minMoveSaving = 0.1
-	// scarcityPeriod is how long after a reclaim or a refused order runners are kept
-	// that would be given back otherwise. Refusals last for ten to fifteen seconds
-	// and reclaims come some seconds apart.
+	// scarcityPeriod is how long after a reclaim or a refused order runners are kept that would
+	// otherwise be given back. Refusals last for ten to fifteen seconds, and reclaims come a
+	// few seconds apart.
 	scarcityPeriod = 8 * time.Second
-	// scarcityHeadroom times the needed runners are kept at the full price meanwhile. The
-	// need has headroom of its own (fleet.DemandConfig); this is for what the demand
-	// may rise by while one more starts.
+	// scarcityHeadroom times the needed number of runners are kept at the full price during
+	// that period. The needed number already has headroom (see fleet.DemandConfig); this covers
+	// the growth of the demand until another runner has started.
 	scarcityHeadroom = 1.25
-	// registrationPeriod is how long after the first runners have shown up at the first start
-	// others may: they register once in a heartbeat.
+	// registrationPeriod is how long after the first runner has been seen at the fleet's first
+	// start other runners may still register: each registers with its next heartbeat.
 	registrationPeriod = 2500 * time.Millisecond
-	// workSettlePeriod is how long the work of most of a large fleet must have been known before
-	// runners are given back: as long as the measure takes to settle.
+	// workSettlePeriod is how long the work of most of a large fleet must have been known
+	// before runners are given back: the time until the estimate of the demand has settled.
 	workSettlePeriod = 5 * time.Second
-	// maxSpareRate is the part of the full price up to which runners are kept to spare.
+	// maxSpareRate is the price of reclaimable runners, as a part of the full price, up to
+	// which spare runners are kept.
 	maxSpareRate = 0.5
-	// scarcityRetryInterval is the time between two tries to get reclaimable ones meanwhile. What
-	// stands in for them costs several times as much, and a call costs next to
-	// nothing beside it.
+	// scarcityRetryInterval is the time between attempts to order reclaimable runners during a
+	// scarcity. The runners that replace them cost several times as much, so the cost of a call
+	// is negligible.
 	scarcityRetryInterval = 400 * time.Millisecond
-	// demandLogInterval is the time between two lines on the demand.
+	// demandLogInterval is the time between log lines about the demand.
 	demandLogInterval = 2 * time.Second
 )
 
@@ -58,15 +61,16 @@
 	planner  *fleet.Planner
 	orders   *fleet.Orders
 	loggedAt time.Duration
-	// scarceUntil is how long reclaimable runners are taken to be hard to get,
-	// askAgain when to try meanwhile.
+	// scarceUntil is the time until which reclaimable runners are assumed to be hard to get,
+	// and nextRetryAt the time of the next attempt to order some during that period.
 	scarceUntil time.Duration
 	nextRetryAt time.Duration
-	// retries counts those tries.
+	// retries counts these attempts.
 	retries int
-	// firstRunnerAt is when the first runners were.
+	// firstRunnerAt is when the first runner was seen.
 	firstRunnerAt time.Duration
-	// awaitingTrial is how many runners of a new software version wait for the decision on it.
+	// awaitingTrial is the number of runners of a new software version whose trial has not been
+	// decided yet.
 	awaitingTrial int
 }
 
@@ -85,7 +89,7 @@
 	}
 }
 
-// round looks at the fleet and orders what it lacks or has too much of.
+// round compares the runners with the demand once, and orders or gives back runners.
 func (f *fleetScaler) round(ctx context.Context) {
 	now := f.edge.deps.Steady()
 	pool := f.edge.pool(f.service.Name)
@@ -111,22 +115,17 @@
 	f.applyDecision(ctx, now, d, wanted)
 }
 
-// decide plans for plenty or for scarcity. Reclaimable runners cost a fraction, so
-// while they are to be had there are more of them than needed, and enough to lose
-// a failure domain's. A reclaim often comes with others, and none are to be had
-// again for seconds: then what is needed and lacking is ordered at the full price,
-// and only what goes far beyond that is given back.
-//
-// A daemon that has just started with all others knows nothing of the demand, or in a
-// large fleet that of its own callers only. It lets nobody go before it does, or at the
-// first start of all until it has seen which runners there are.
+// decide plans the orders and suppresses giving back runners while the demand isn't known. A
+// daemon that has started together with all others doesn't know the demand yet, or in a large
+// fleet only that of its own callers. At the fleet's first start it waits until it has seen
+// which runners exist.
 func (f *fleetScaler) decide(now time.Duration, demand fleet.Estimate) (fleet.Decision, fleet.Wanted) {
 	d, w := f.plan(now, demand)
 	if !f.edge.workKnownFor(now, workSettlePeriod) {
 		d.Stops = nil
 	}
 	if f.awaitingTrial > 0 {
-		// Which version's runners would go is not known.
+		// It isn't known yet which version's runners would be given back.
 		d.Stops = nil
 	}
 	if !demand.Settled && (!f.edge.settings.FirstStart || now < f.firstRunnerAt+registrationPeriod) {
@@ -135,8 +134,13 @@
 	return d, w
 }
 
+// plan plans orders for times of plenty or of scarcity. Reclaimable runners cost a fraction of
+// the full price. While they are available, more of them are kept than needed, enough to
+// survive the loss of a failure domain. A reclaim often comes together with others, and no
+// reclaimable runners are available for seconds after it. During that scarcity, missing runners
+// are ordered at the full price, and only what far exceeds the need is given back.
 func (f *fleetScaler) plan(now time.Duration, demand fleet.Estimate) (fleet.Decision, fleet.Wanted) {
-	// Runners that wait for the decision on a trial serve next to nothing.
+	// Runners whose trial hasn't been decided serve very few requests.
 	demand.Runners += f.awaitingTrial
 	demand.Comfortable += f.awaitingTrial
 	needed := fleet.Wanted{
@@ -151,8 +155,8 @@
 	if now >= f.scarceUntil || !f.uses(Scarcity) {
 		d := f.planner.Decide(now, plenty, offers, vms)
 		if len(d.Stops) == 0 {
-			// What is to come at a fraction of the price needs no more than is
-			// needed to stand in for it.
+			// Until the reclaimable runners on order serve, only as many full-price runners are
+			// kept as are needed to replace them.
 			d.Stops = fleet.Spare(vms, offers, needed.Runners, needed.MinPerDomain)
 		}
 		return d, plenty
@@ -171,8 +175,8 @@
 	return d, needed
 }
 
-// retryReclaimable tries one failure domain after the other for its part of the reclaimable
-// runners that there should be.
+// retryReclaimable tries to order the missing reclaimable runners of one failure domain, the
+// next one with each call.
 func (f *fleetScaler) retryReclaimable(runners int) []fleet.Start {
 	offers := f.offers(true)
 	if len(offers) == 0 {
@@ -185,11 +189,11 @@
 	return slices.Repeat([]fleet.Start{{Pool: pool}}, max(0, part-f.orders.Wanted(pool)))
 }
 
-// spareTarget is how many runners should be left after the reclaim of a failure domain
-// while reclaimable ones are to be had: enough for a second reclaim in another one,
-// since they follow each other sooner than a runner that is ordered at the first one
-// serves. More than reclaimable ones can give are not worth the full price, and where
-// those cost nearly as much as others, or there are none, nothing is spare.
+// spareTarget returns how many runners should be left after the reclaim of a failure domain
+// while reclaimable ones are available: enough for a second reclaim in another failure domain,
+// since reclaims follow each other sooner than a runner ordered at the first one serves.
+// Runners beyond what reclaimable ones can provide aren't worth the full price. If reclaimable
+// runners cost nearly as much as others, or there are none, no spare runners are kept.
 func (f *fleetScaler) spareTarget(demand fleet.Estimate) int {
 	rate := f.service.Scaling.ReclaimableRate
 	if rate <= 0 || rate > maxSpareRate || !f.uses(SpareRunners) {
@@ -208,7 +212,8 @@
 
 func (f *fleetScaler) uses(m Mechanism) bool { return f.edge.settings.Policy.Uses(m) }
 
-// countPresent counts the runners of each pool that take new work.
+// countPresent counts the runners of each class and failure domain that accept new work. A
+// runner that is being reclaimed starts or extends the scarcity.
 func (f *fleetScaler) countPresent(p *pool) map[fleet.Pool]int {
 	present := map[fleet.Pool]int{}
 	for domain := range f.service.Scaling.Prices {
@@ -232,10 +237,10 @@
 	return present
 }
 
-// round keeps two digits, for a line of the log.
+// round rounds to two decimal places for the log.
 func round(x float64) float64 { return math.Round(100*x) / 100 }
 
-// countOnDemand is how many of the runners are not reclaimable.
+// countOnDemand returns the number of runners that aren't reclaimable.
 func countOnDemand(present map[fleet.Pool]int) int {
 	sum := 0
 	for pool, n := range present {
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -17,7 +17,7 @@
 
 var domains = []ident.FailureDomain{"north", "south", "east", "west"}
 
-// scaledConfig is a configuration whose service's runners are ordered.
+// scaledConfig returns a configuration with a service whose runners the daemon orders.
 func scaledConfig() route.Config {
 	c := config(1)
 	c.Services = []route.Service{{
@@ -31,7 +31,7 @@
 	return c
 }
 
-// addFleet adds runners of each failure domain.
+// addFleet adds runners in each failure domain.
 func (w *world) addFleet(perDomain int, reclaimable bool) {
 	for _, domain := range domains {
 		for i := range perDomain {
@@ -47,20 +47,21 @@
 	w.runners.add(id)
 }
 
-// Reclaimable runners run out for a while, and what stands in for them costs five
-// times as much. They were asked for every two to four seconds, failure domain by
-// failure domain, so the dear ones ran on for seconds after the cheap ones were to be
-// had again. Each failure domain must be asked again soon, and nobody flooded with calls.
+// Guards against asking too rarely for reclaimable runners after they were unavailable. The
+// runners that replace them cost five times as much. Each failure domain was asked only every
+// two to four seconds, one after the other, so the expensive runners were kept for seconds
+// after cheap ones were available again. Each failure domain must be asked again soon, without
+// flooding the cloud with calls.
 func TestReclaimableRunnersAreAskedForAgainSoon(t *testing.T) {
 	inWorld(t, 1, scaledConfig(), func(w *world) {
 		w.addFleet(3, false)
 		w.cloud.setDry(true)
 		time.Sleep(20 * time.Second)
 		asked := w.cloud.refused()
-		w.True(asked >= 40) // two tries a second
+		w.True(asked >= 40) // two attempts a second
 		w.True(asked <= 120)
 		w.cloud.setDry(false)
-		time.Sleep(time.Second + 50*time.Millisecond) // the daemon's own looks fall on whole seconds
+		time.Sleep(time.Second + 50*time.Millisecond) // the daemon's rounds fall on whole seconds
 		got := map[ident.FailureDomain]bool{}
 		for _, o := range w.cloud.ordered() {
 			if o.Reclaimable && o.Runners > 0 {
@@ -71,8 +72,8 @@
 	})
 }
 
-// Where there are no reclaimable runners, or they cost nearly as much as others, spare
-// ones would be paid in full: nothing beyond what is needed may be ordered.
+// Where there are no reclaimable runners, or they cost nearly as much as others, spare runners
+// would cost the full price. Nothing beyond the need may be ordered.
 func TestNothingIsSpareAtTheFullPrice(t *testing.T) {
 	for _, rate := range []float64{0, 0.9} {
 		c := scaledConfig()
@@ -82,15 +83,15 @@
 			time.Sleep(5 * time.Second)
 			w.True(len(w.cloud.ordered()) > 0)
 			for _, o := range w.cloud.ordered() {
-				w.True(!o.Reclaimable && o.Runners < 3) // some go, none come
+				w.True(!o.Reclaimable && o.Runners < 3) // some runners are given back, none are added
 			}
 		})
 	}
 }
 
-// All daemons are killed at once, and what they knew of the load is gone. The first to
-// order runners again took what it saw in its first moments for all there is and gave
-// runners back that the load, still to be measured, needed.
+// Guards against giving back runners before the load is known. All daemons are killed at once
+// and lose their knowledge of the load. The first one to order runners again took the load of
+// its first moments for all of it, and gave back runners that were needed.
 func TestRestartedDaemonsGiveNothingBackUnmeasured(t *testing.T) {
 	inWorld(t, 1, scaledConfig(), func(w *world) {
 		w.addFleet(3, true)
@@ -105,29 +106,29 @@
 	})
 }
 
-// A service starts with all its runners at the full price and no traffic. They were all
-// kept until cheaper ones served, at several times the cost of what was needed to stand
-// in for these; then, as runners register one after the other, the first that were seen
-// were taken for all there are, and too many were given back.
+// Guards against two faults at the first start of a service that has no traffic yet and all its
+// runners at the full price. All runners were kept until cheaper ones served, at several times
+// the cost of the ones needed until then. And since runners register one after the other, the
+// first ones seen were taken for all, and too many were given back.
 func TestFirstRunnersAtTheFullPriceAreGivenBackOnceAllAreSeen(t *testing.T) {
 	inWorld(t, 1, scaledConfig(), func(w *world) {
 		w.addOnDemandRunners("north", 5)
 		time.Sleep(1200 * time.Millisecond)
 		for _, o := range w.cloud.ordered() {
-			w.True(o.Reclaimable) // nobody is given back yet
+			w.True(o.Reclaimable) // no runner is given back yet
 		}
 		for _, domain := range domains[1:] {
 			w.addOnDemandRunners(domain, 5)
 		}
 		time.Sleep(2500 * time.Millisecond)
-		w.Equal(w.cloud.wantedOnDemand(), 10) // half of what was there at first
+		w.Equal(w.cloud.wantedOnDemand(), 10) // half of the initial runners
 	})
 }
 
-// All daemons are killed at once, and what they knew of the engines' speed is gone. For
-// ten seconds they took nothing for known and learned nothing, so engines were taken to
-// be half as fast as they are, and twice the runners were ordered while callers came
-// back. The speed must be known again after some tens of prompts.
+// Guards against underestimating the engines' speed after a restart. All daemons are killed at
+// once and lose their knowledge of it. For ten seconds they assumed that no prompt was cached
+// and learned nothing, took engines to be half as fast as they are, and ordered twice the
+// runners while callers came back. The speed must be known again after some tens of prompts.
 func TestSpeedOfEnginesIsLearnedRightAfterARestart(t *testing.T) {
 	const rate, prompt = 100_000, 4000
 	inWorld(t, 1, scaledConfig(), func(w *world) {
@@ -150,7 +151,7 @@
 	})
 }
 
-// prompt sends a prompt that shares nothing to the stream's route.
+// prompt sends a prompt that shares no parts with others to the route of streams.
 func (w *world) prompt(d *daemon, tokens, i int) {
 	d.Serve(context.Background(), &edge.Request{
 		ID: fmt.Sprintf("prompt-%d", i), Host: host, Path: "/match/", Method: http.MethodPost, Target: "/match/",
@@ -159,15 +160,15 @@
 	}, &answer{})
 }
 
-// addOnDemandRunners adds runners of one failure domain at the full price.
+// addOnDemandRunners adds runners at the full price in one failure domain.
 func (w *world) addOnDemandRunners(domain ident.FailureDomain, n int) {
 	for i := range n {
 		w.addRunnerOf(domain, string(domain)+string(rune('a'+i)), false)
 	}
 }
 
-// wantedOnDemand is what the last orders ask for in all failure domains that were
-// ordered from, where five were at first.
+// wantedOnDemand returns the number of full-price runners that the latest orders ask for in all
+// failure domains; a domain without an order keeps its initial five.
 func (c *cloud) wantedOnDemand() int {
 	wanted := map[ident.FailureDomain]int{}
 	for _, domain := range domains {
@@ -185,7 +186,7 @@
 	return sum
 }
 
-// setDry lets reclaimable runners be hard to get.
+// setDry sets whether the cloud refuses orders of reclaimable runners.
 func (c *cloud) setDry(dry bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -11,54 +11,61 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// rememberedMessages is how many of its own messages a daemon keeps the loads of: those that
-// its primary may have heard last.
+// rememberedMessages is how many of its own latest messages a daemon keeps the loads of. Its
+// primary's total may include any of these messages.
 const rememberedMessages = 16
 
-// minMessageAge is how long before it is heard a message may have been made.
+// minMessageAge is subtracted from the time at which a message is received, since the message
+// may have been composed that much earlier.
 const minMessageAge = 10 * time.Millisecond
 
-// workSummary is what some daemons have in progress at the runners, and what callers brought
-// them.
+// workSummary is the load of one or more daemons at the runners, with the work that callers
+// brought to these daemons.
 type workSummary struct {
 	loads []routing.OwnLoad
-	// offered is prompt tokens by service since some time.
+	// offered counts prompt tokens by service since the daemons started.
 	offered map[string]float64
 	placed  []*peersv1.Placed
 }
 
-// workSummaries is what the daemons that are told in a turn hear, each one of these: this
-// daemon's own work, that of it and its followers, or that of all.
+// workSummaries holds the three summaries that messages can carry: this daemon's own work, the
+// work of this daemon and its followers, and the work of all daemons. roster says that the list
+// of daemons is due in this turn, too.
 type workSummaries struct {
 	own, ownAndFollowers, all workSummary
 	roster                    bool
 }
 
-// peerLoadTable is the work of the other daemons at the runners.
+// peerLoadTable holds the other daemons' load at the runners.
 type peerLoadTable struct {
 	mu sync.Mutex
-	// byDaemon are followers and other relays, total all as the primary knows them.
+	// byDaemon holds the loads reported by followers and other relays; total is the load of all
+	// daemons as reported by the primary.
 	byDaemon map[ident.Incarnation]peerLoad
 	total    peerLoad
-	// sent are this daemon's own loads in its last messages, by their number.
+	// sent holds this daemon's own loads in its latest messages, by sequence number.
 	sent map[uint64][]routing.OwnLoad
-	// offered is the prompt tokens that were brought to others, by service.
+	// offered counts the prompt tokens that were brought to other daemons, by service.
 	offered map[string]*offeredTally
 	changed bool
-	// mostKnownSince is since when most relays have told of their work; zero is not.
+	// mostKnownSince is the time since when most relays have reported their work; zero if they
+	// haven't.
 	mostKnownSince time.Duration
 }
 
 type peerLoad struct {
 	receivedAt time.Duration
 	ownLoads   []routing.OwnLoad
-	// follower says that nobody else counts it.
+	// follower says that the load is reported by a follower, so that no other relay includes
+	// it.
 	follower bool
-	// includedSeq is the own message that is part of a total.
+	// includedSeq is the sequence number of this daemon's latest message that the primary's
+	// total includes.
 	includedSeq uint64
 }
 
-// offeredTally are counts of the work that was brought to one service.
+// offeredTally counts the work that was brought to one service at the followers and at all
+// other daemons.
 type offeredTally struct{ followers, all fleet.Tally }
 
 func (t *peerLoadTable) init() {
@@ -67,12 +74,13 @@
 	t.offered = map[string]*offeredTally{}
 }
 
-// totalOf names the count of all work that a daemon tells; its own is another one.
+// totalOf returns the name under which the total reported by a daemon is counted, as distinct
+// from that daemon's own work.
 func totalOf(id ident.Incarnation) ident.Incarnation { return id + "/all" }
 
-// receiveWork takes in a daemon's account of work. The pools hear of it with the next
-// applyLoads: to work the sums out for each message would cost a large fleet's
-// daemon more than its requests.
+// receiveWork stores the work that a daemon reports. The pools get it with the next call of
+// applyPeerLoads: summing it up for each message would take a large fleet's daemon more time
+// than its requests.
 func (e *Edge) receiveWork(id ident.Incarnation, h *peersv1.Hello, from source) {
 	if from == fromNobody || len(h.Offered) == 0 {
 		return
@@ -120,7 +128,7 @@
 	}
 }
 
-// rememberSent keeps what was told of this daemon's own loads.
+// rememberSent stores this daemon's own loads as sent in one message.
 func (t *peerLoadTable) rememberSent(seq uint64, loads []routing.OwnLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,7 +140,7 @@
 	}
 }
 
-// applyPeerLoads hands the sums of the other daemons' work to the pools.
+// applyPeerLoads passes the sums of the other daemons' loads to the pools.
 func (e *Edge) applyPeerLoads() {
 	now := e.deps.Steady()
 	e.reported.mu.Lock()
@@ -152,8 +160,8 @@
 	}
 }
 
-// peerOfferedTokens is the prompt tokens that were brought to other daemons; where the
-// primary tells of all, those that were brought to this one are among them.
+// peerOfferedTokens returns the number of prompt tokens that were brought to other daemons. If
+// the primary reports the total of all daemons, this daemon's own tokens are included.
 func (e *Edge) peerOfferedTokens(service string) float64 {
 	e.reported.mu.Lock()
 	defer e.reported.mu.Unlock()
@@ -163,8 +171,8 @@
 	return 0
 }
 
-// expire drops daemons that are not heard any more: they have most likely ended, and
-// their work with them. It tells whether there were any.
+// expire drops daemons that are no longer heard, since these have most likely ended together
+// with their requests. It reports whether there were any.
 func (t *peerLoadTable) expire(now time.Duration) bool {
 	expired := false
 	for id, told := range t.byDaemon {
@@ -181,8 +189,8 @@
 	return expired
 }
 
-// workKnownFor tells whether the work of most of the fleet has been known for a while. Right
-// after a start of all daemons each knows of its own callers only.
+// workKnownFor reports whether the work of most of the fleet has been known for a given time.
+// Right after all daemons have started, each knows only the work of its own callers.
 func (e *Edge) workKnownFor(now, forSoLong time.Duration) bool {
 	if e.allWatch.Load() {
 		return true
@@ -193,7 +201,7 @@
 	return since != 0 && now-since >= forSoLong
 }
 
-// updateMostKnown looks whether most of so many other relays have told of their work.
+// updateMostKnown updates mostKnownSince; others is the number of other relays.
 func (t *peerLoadTable) updateMostKnown(now time.Duration, others int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -232,8 +240,8 @@
 	return list
 }
 
-// sumOthers adds up the work of all other daemons: what the primary tells without the own
-// part of it, or what followers and other relays tell.
+// sumOthers returns the load of all other daemons: the primary's total minus this daemon's own
+// part in it, or the sum of the followers' and other relays' loads.
 func (t *peerLoadTable) sumOthers(now time.Duration) loadSums {
 	sums := loadSums{}
 	if t.total.ownLoads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
@@ -247,7 +255,7 @@
 	return sums
 }
 
-// followers adds up the work of the followers.
+// followers returns the load of the followers.
 func (t *peerLoadTable) followers() loadSums {
 	sums := loadSums{}
 	for _, told := range t.byDaemon {
@@ -258,7 +266,7 @@
 	return sums
 }
 
-// summarizeWork gathers the work that is told.
+// summarizeWork collects the work for this daemon's messages.
 func (e *Edge) summarizeWork() workSummaries {
 	own := workSummary{offered: map[string]float64{}}
 	e.poolsMu.RLock()
--- a/daemon/edge/order.go
+++ b/daemon/edge/order.go
@@ -39,8 +39,8 @@
 	return offers
 }
 
-// applyDecision turns a decision into numbers to order of each pool. A pool that has
-// none to give is asked again later, and the next round plans without it.
+// applyDecision converts a decision into one order for each class and failure domain. If the
+// cloud has none to give, it is asked again later, and the next round plans without them.
 func (f *fleetScaler) applyDecision(ctx context.Context, now time.Duration, d fleet.Decision, w fleet.Wanted) {
 	changes := map[fleet.Pool]int{}
 	for _, s := range d.Starts {
@@ -82,7 +82,8 @@
 	case err == nil:
 		f.planner.Started(pool)
 		if order.Reclaimable && n > 0 {
-			// They are to be had again. What costs more goes once these serve.
+			// Reclaimable runners are available again. More expensive ones are given back once
+			// these serve.
 			f.scarceUntil = now
 			f.planner.Reopen()
 		}
@@ -92,8 +93,8 @@
 		f.planner.Refused(now, pool)
 		f.scarceUntil = now + scarcityPeriod
 	default:
-		// It may have been taken. The same number is ordered again if it does
-		// not show.
+		// The order may have been accepted. The same number is ordered again if the runners
+		// don't appear.
 		outcome = err.Error()
 		f.orders.Undo(pool, n)
 	}
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -12,56 +12,59 @@
 )
 
 const (
-	// minFetchSpeedup is how many times faster than reading a copy must be: a copy is paid
-	// for, too.
+	// minFetchSpeedup is how many times faster than reading the prompt a copy must be, since
+	// copying costs money, too.
 	minFetchSpeedup = 4
-	// cacheLearningPeriod is how long after a restart a daemon knows too little of what the
-	// runners have cached. Most of what is asked for again is so within seconds.
+	// cacheLearningPeriod is how long after a restart a daemon knows too little about what the
+	// runners have cached. Most prompts that recur do so within seconds.
 	cacheLearningPeriod = 20 * time.Second
-	// placementSendPeriod is how long the others are told of a placement: about three messages
-	// of a small fleet. relayedTold is the same in a large one, two messages of those
-	// that are told most seldom.
+	// placementSendPeriod is how long a placement is included in messages: about three messages
+	// of a small fleet. relayedPlacementSendPeriod is the same in a large fleet: two messages
+	// to the daemons that are sent to least often.
 	placementSendPeriod        = 350 * time.Millisecond
 	relayedPlacementSendPeriod = 850 * time.Millisecond
-	// maxPlacements bounds the placements in a message, the newest ones: after a crash of many
-	// runners all prompts go to new ones, and messages grew until links lost them.
+	// maxPlacements bounds the placements in a message to the newest ones. After a crash of
+	// many runners all prompts go to new ones, and without a bound the messages grew until the
+	// network lost them.
 	maxPlacements = 80
-	// placementRepeatInterval is how long a placement that has been told is not told again in a
-	// large fleet. Most prompts go where their shared parts were before.
+	// placementRepeatInterval is how long a placement that has been sent is not sent again in a
+	// large fleet. Most prompts go where their shared parts were sent before.
 	placementRepeatInterval = 8 * time.Second
 )
 
-// placementOrigin says whose placements are told.
+// placementOrigin says which daemons' prompts a placement is about. Each value includes the
+// ones before it.
 type placementOrigin int
 
 const (
 	originSelf placementOrigin = iota
-	// originFollower are those of this daemon and its followers.
+	// originFollower stands for this daemon's followers.
 	originFollower
 	originAny
 )
 
-// placementKey is a prompt's shared parts at a runner.
+// placementKey identifies the shared parts of a prompt, by the hash up to the last of them, at
+// a runner.
 type placementKey struct {
 	runner ident.RunnerID
 	last   prefix.Hash
 }
 
-// placement is where a prompt's shared parts were sent.
+// placement records that the shared parts of a prompt were sent to a runner.
 type placement struct {
 	at     time.Duration
 	origin placementOrigin
 	sent   *peersv1.Placed
 }
 
-// placements are those of the last seconds.
+// placements holds the placements of the last seconds.
 type placements struct {
 	mu    sync.Mutex
 	known map[placementKey]placement
 }
 
-// note takes in a placement, which is told unless it is known from a moment ago. It
-// returns false if it is.
+// note records a placement so that it is sent to other daemons. It does nothing and returns
+// false if the same placement was recorded less than quiet ago.
 func (p *placements) note(now, quiet time.Duration, origin placementOrigin, message *peersv1.Placed) bool {
 	if len(message.Prefix) == 0 {
 		return false
@@ -79,7 +82,8 @@
 	return true
 }
 
-// recent lists what was placed a moment ago, and forgets what is older than matters.
+// recent lists the newest placements of the given origin that are at most as old as sent, and
+// drops those that are too old to matter.
 func (p *placements) recent(now, sent time.Duration, origin placementOrigin) []*peersv1.Placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +104,7 @@
 	return list
 }
 
-// placementSendTime is how long a placement is told.
+// placementSendTime returns how long a placement is included in messages.
 func (e *Edge) placementSendTime() time.Duration {
 	if e.directMode.Load() {
 		return placementSendPeriod
@@ -108,7 +112,7 @@
 	return relayedPlacementSendPeriod
 }
 
-// placementRepeatTime is how long a placement that has been told need not be told again.
+// placementRepeatTime returns how long a placement that has been sent isn't sent again.
 func (e *Edge) placementRepeatTime() time.Duration {
 	if e.directMode.Load() {
 		return 0
@@ -116,7 +120,7 @@
 	return placementRepeatInterval
 }
 
-// notePlacement tells the others where a prompt's shared parts were sent.
+// notePlacement records where a prompt's shared parts were sent, for this daemon's messages.
 func (e *Edge) notePlacement(service string, runner ident.RunnerID, chain []prefix.Hash) {
 	if !e.settings.Policy.Uses(TellPlacements) {
 		return
@@ -124,7 +128,8 @@
 	e.placements.note(e.deps.Steady(), e.placementRepeatTime(), originSelf, &peersv1.Placed{Service: service, Runner: string(runner), Prefix: chain})
 }
 
-// receivePlacements takes in what other daemons placed. What is news is passed on.
+// receivePlacements applies the placements that another daemon has sent, and passes on those
+// that are new.
 func (e *Edge) receivePlacements(messages []*peersv1.Placed, follower bool) {
 	if len(messages) == 0 {
 		return
@@ -142,23 +147,24 @@
 	}
 }
 
-// canFetchPrefix tells whether a runner gets a cached prefix sooner from another runner
-// than by reading it again. A copy is paid for, too, so it must be much sooner.
+// canFetchPrefix reports whether a runner gets a cached prefix from another runner much faster
+// than by reading it again. Copying costs money, so it must be faster by a factor of
+// minFetchSpeedup.
 func (p *pool) canFetchPrefix() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.edge.settings.Policy.Uses(CopyParts) && p.service.Engine != nil && p.service.Engine.FetchRate > minFetchSpeedup*p.prefillModel.Rate()
 }
 
-// assumeCached takes in what another daemon placed.
+// assumeCached records that another daemon has sent a prompt's shared parts to a runner.
 func (p *pool) assumeCached(id ident.RunnerID, chain []prefix.Hash) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.Assume(id, chain)
 }
 
-// recentlyRestarted says that this daemon has restarted and knows too little yet of what the
-// runners have cached.
+// recentlyRestarted reports whether this daemon has restarted so recently that it knows too
+// little about what the runners have cached.
 func (p *pool) recentlyRestarted() bool {
 	return p.edge.settings.Policy.Uses(TrustHomes) && !p.edge.settings.FirstStart && p.edge.deps.Steady()-p.edge.startedAt < cacheLearningPeriod
 }
--- a/daemon/edge/plainservice_test.go
+++ b/daemon/edge/plainservice_test.go
@@ -21,8 +21,8 @@
 	plainServiceTime = 60 * time.Millisecond
 )
 
-// addPlainRunner adds a runner that works on a few requests at once, queues some more and turns
-// away the others.
+// addPlainRunner adds a runner that works on a few requests at a time, queues some more and
+// rejects all others.
 func (w *world) addPlainRunner(id string) {
 	slots, queue := make(chan struct{}, plainSlots), make(chan struct{}, plainSlots+plainQueue)
 	w.runners.add(id).setScript(func(_ context.Context, _ *edge.Attempt) (*edge.Answer, error) {
@@ -44,8 +44,8 @@
 	}, Slots: plainSlots})
 }
 
-// Guards against callers who are refused as if they could not be answered in time, while the
-// runners of a plain service would work their queue off in a fraction of that time.
+// Guards against refusing requests of a plain service as too late, although the runners would
+// finish their queue in a fraction of the time left.
 func TestBurstIsQueuedAtPlainRunners(t *testing.T) {
 	const (
 		daemons, runners = 5, 4
@@ -79,7 +79,8 @@
 			}
 		}
 		play(calm, 3*time.Second)
-		// Over what the runners do for a moment: about forty more than it has places for wait at its end.
+		// A short overload of the runners: at its end, about forty requests more than there are
+		// slots are waiting.
 		play(burst, 400*time.Millisecond)
 		play(calm, 2*time.Second)
 		asking.Wait()
--- a/daemon/edge/policy.go
+++ b/daemon/edge/policy.go
@@ -9,47 +9,49 @@
 	"geraniumstack.org/geraniumstack/coordination/relays"
 )
 
-// Mechanism names a way in which a daemon serves better or for less. Each can be
-// switched off alone, so that what it is worth can be measured on any deployment. What
-// keeps a promise to callers is none.
+// Mechanism names an optional improvement of quality or cost. Each can be switched off
+// separately so that its effect can be measured on any deployment. Nothing that is required to
+// keep a promise to callers is a Mechanism.
 type Mechanism string
 
-// Mechanisms.
+// Mechanisms that a policy can switch off.
 const (
-	// PlaceByPrefix sends prompts where their shared parts are cached, CopyParts has
-	// them copied from there, and TellPlacements tells the other daemons.
+	// PlaceByPrefix sends prompts to runners that have their shared parts cached. CopyParts
+	// copies shared parts between runners' caches. TellPlacements tells the other daemons where
+	// prompts were sent.
 	PlaceByPrefix  Mechanism = "place-by-prefix"
 	CopyParts      Mechanism = "copy-parts"
 	TellPlacements Mechanism = "tell-placements"
-	// TrustHomes takes prompts for cached that nobody remembers after a restart.
+	// TrustHomes assumes after a restart, when no placements are known, that prompts are cached
+	// at their home runners.
 	TrustHomes Mechanism = "trust-homes"
-	// LearnSpeed learns how fast engines read.
+	// LearnSpeed measures how fast engines read prompts.
 	LearnSpeed Mechanism = "learn-speed"
-	// RoomForStreams keeps prompts from starving streams, RoomForChance follows the
-	// variance of the work.
+	// RoomForStreams orders enough runners that reading prompts doesn't slow down running
+	// streams. RoomForChance adds headroom for the variance of the load.
 	RoomForStreams Mechanism = "room-for-streams"
 	RoomForChance  Mechanism = "room-for-chance"
-	// SpareRunners keeps more than are needed where they cost little, TwoReclaims
-	// enough of them to last two.
+	// SpareRunners keeps more runners than needed where they are cheap. TwoReclaims keeps
+	// enough of them to survive two reclaims.
 	SpareRunners Mechanism = "spare-runners"
 	TwoReclaims  Mechanism = "two-reclaims"
-	// Scarcity stands in for reclaimable runners that are hard to get, AskOften asks
-	// for them all the while.
+	// Scarcity replaces reclaimable runners that are hard to get by runners at the full price.
+	// AskOften keeps asking for reclaimable ones meanwhile.
 	Scarcity Mechanism = "scarcity"
 	AskOften Mechanism = "ask-often"
-	// TellLeaving tells the other daemons of runners that are leaving.
+	// TellLeaving tells the other daemons which runners are leaving.
 	TellLeaving Mechanism = "tell-leaving"
-	// Ejection takes runners that fail out, ProbeSilent asks silent ones whether they
-	// are there.
+	// Ejection excludes failing runners. ProbeSilent checks the health of runners that have
+	// gone silent.
 	Ejection    Mechanism = "ejection"
 	ProbeSilent Mechanism = "probe-silent"
-	// Retries sends what may be repeated again.
+	// Retries repeats failed attempts that are safe to repeat.
 	Retries Mechanism = "retries"
-	// RefuseEarly refuses at once what is expected to come too late.
+	// RefuseEarly refuses requests immediately whose answer is expected to come too late.
 	RefuseEarly Mechanism = "refuse-early"
 )
 
-// Mechanisms lists all of them.
+// Mechanisms lists all mechanisms.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		PlaceByPrefix, CopyParts, TellPlacements, TrustHomes, LearnSpeed, RoomForStreams, RoomForChance, SpareRunners,
@@ -57,28 +59,27 @@
 	}
 }
 
-// Policy says which mechanisms are in use, and in how large a fleet the daemons tell each
-// other directly; the zero value is all, and relays.DirectFleet.
+// Policy says which mechanisms are in use, and up to which fleet size all daemons exchange
+// messages directly, without relays. The zero value uses all mechanisms and relays.DirectFleet.
 type Policy struct {
 	without     map[Mechanism]bool
 	directFleet int
 }
 
-// MaxDirectFleet is the largest fleet whose daemons may tell each other directly: messages
-// grow with the square of it.
+// MaxDirectFleet is the largest fleet whose daemons may exchange messages directly: the number
+// of messages grows with the square of the fleet's size.
 const MaxDirectFleet = 100
 
-// DirectFleetError says that a fleet is too small or too large for its daemons to tell each
-// other directly up to that size.
+// DirectFleetError says that a fleet size isn't allowed as the limit for direct messages.
 type DirectFleetError struct{ Daemons int }
 
 func (e *DirectFleetError) Error() string {
-	return fmt.Sprintf("direct fleet %d: must be %d to %d daemons", e.Daemons, relays.SmallFleet, MaxDirectFleet)
+	return fmt.Sprintf("direct fleet of %d daemons: must be %d to %d", e.Daemons, relays.SmallFleet, MaxDirectFleet)
 }
 
-// WithDirectFleet returns the policy by which the daemons of a fleet of so many at the most
-// tell each other directly. It must be the same for all of a fleet. It fails with
-// *DirectFleetError.
+// WithDirectFleet returns a copy of the policy in which fleets of up to the given number of
+// daemons exchange messages directly. All daemons of a fleet must use the same number. It fails
+// with *DirectFleetError.
 func (p Policy) WithDirectFleet(daemons int) (Policy, error) {
 	if daemons < relays.SmallFleet || daemons > MaxDirectFleet {
 		return Policy{}, &DirectFleetError{daemons}
@@ -87,13 +88,13 @@
 	return p, nil
 }
 
-// UnknownMechanismError says that there is no mechanism of a name.
+// UnknownMechanismError says that there is no mechanism of that name.
 type UnknownMechanismError struct{ Name string }
 
-func (e *UnknownMechanismError) Error() string { return fmt.Sprintf("no mechanism %q", e.Name) }
+func (e *UnknownMechanismError) Error() string { return fmt.Sprintf("unknown mechanism %q", e.Name) }
 
-// Without returns the policy that leaves out the mechanisms of a list, separated by
-// commas; an empty list is none. It fails with *UnknownMechanismError.
+// Without returns a policy that switches off the mechanisms in a comma-separated list, which
+// may be empty. It fails with *UnknownMechanismError.
 func Without(list string) (Policy, error) {
 	p := Policy{without: map[Mechanism]bool{}}
 	for name := range strings.SplitSeq(list, ",") {
@@ -108,13 +109,13 @@
 	return p, nil
 }
 
-// DirectFleet is the number of daemons up to which all of a fleet tell each other directly.
+// DirectFleet returns the largest number of daemons that exchange messages directly.
 func (p Policy) DirectFleet() int { return cmp.Or(p.directFleet, relays.DirectFleet) }
 
-// Uses tells whether a mechanism is in use.
+// Uses reports whether a mechanism is in use.
 func (p Policy) Uses(m Mechanism) bool { return !p.without[m] }
 
-// String lists what is left out.
+// String lists the mechanisms that are switched off.
 func (p Policy) String() string {
 	var names []string
 	for _, m := range Mechanisms() {
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -21,33 +21,35 @@
 )
 
 const (
-	// firstPrefillRate, in tokens per second, stands in until first tokens have
-	// been timed. It is what a 70B model's engine reads on eight accelerators.
+	// firstPrefillRate, in tokens per second, is the assumed prefill rate until first tokens
+	// have been timed. It is the rate of a 70B model's engine on eight accelerators.
 	firstPrefillRate = 40_000
-	// engineDecodeRate is tokens per second of one request in a half-full batch.
+	// engineDecodeRate is the number of tokens per second of one request in a half-full batch.
 	engineDecodeRate = 150
-	// initialServiceTime stands in for the mean time that a plain service's request
-	// takes.
+	// initialServiceTime is the assumed mean duration of a plain service's request until
+	// answers have been timed. A plain service is one whose runners are not model engines.
 	initialServiceTime = 20 * time.Millisecond
-	// plainPrefillFactor times faster than they work plain runners are taken to be for the sake of
-	// those with free places: the less busy one is chosen then, though none would wait.
+	// plainPrefillFactor makes the reported prefill rate of a plain runner higher than the rate
+	// at which it works. The choice then prefers runners with more free slots even if a request
+	// would not wait at any of them.
 	plainPrefillFactor = 2
-	// defaultSlots is used for a service whose runners don't tell theirs.
+	// defaultSlots is used for runners that don't report their number of slots.
 	defaultSlots = 16
-	// remotePenalty is what another failure domain costs at the least: its way
-	// there and back. Bytes between failure domains are paid for, too.
+	// remotePenalty is the least cost of choosing a runner in another failure domain: the
+	// network round trip. Traffic between failure domains also costs money.
 	remotePenalty = 5 * time.Millisecond
-	// largeFleetSamples is how many random runners the daemons of a large fleet choose from.
+	// largeFleetSamples is the number of random runners that a daemon of a large fleet chooses
+	// from.
 	largeFleetSamples = 2
-	// retryBudgetShare is the part of the shared retry budget that is used; the rest
-	// covers daemons that started anew.
+	// retryBudgetShare is the part of the shared retry budget that is used. The rest covers
+	// daemons that have restarted with a new budget.
 	retryBudgetShare = 0.85
 )
 
-// pool is one service's runners as one daemon uses them.
+// pool holds the runners of one service as this daemon uses them.
 type pool struct {
 	edge *Edge
-	// name is the service's.
+	// name is the service's name.
 	name string
 
 	mu      sync.Mutex
@@ -56,20 +58,22 @@
 	tracker *health.Tracker
 	retry   *retry.Policy
 	runners map[ident.RunnerID]Runner
-	// peerLoads is the work of the other daemons at each runner, as it was known at othersAt.
+	// peerLoads is the other daemons' load at each runner, as known at peerLoadsAt.
 	peerLoads   map[ident.RunnerID]routing.OwnLoad
 	peerLoadsAt time.Duration
-	// activities is what is in progress at each runner.
+	// activities records for each runner the attempts in progress there.
 	activities map[ident.RunnerID]*activity
-	// prefillModel is what is known of the speed of model prefillModel, plain that of other runners.
+	// prefillModel estimates the speed of model engines, serviceTime the duration of requests
+	// at plain runners.
 	prefillModel *prefill.Model
 	serviceTime  *servicetime.Mean
-	// offered is the prompt tokens that callers brought here and that had to be
-	// read.
+	// offered counts the prompt tokens that callers brought to this daemon and that were not
+	// cached.
 	offered float64
 	daemons int
-	// demand is measured from work, which was looked at last. counted is the part of
-	// offered that nobody else counted, up to where offered was seen last.
+	// demand estimates the number of runners needed from samples of work; work is the latest
+	// sample. countedOffered is the part of offered that no other daemon includes in its total,
+	// and lastOffered is the value of offered at the latest sample.
 	demand         *fleet.Demand
 	work           fleet.Work
 	countedOffered float64
@@ -97,18 +101,18 @@
 	c := routing.Default(e.settings.ID, e.settings.FailureDomain)
 	c.RemotePenalty = remotePenalty
 	c.IgnorePrefix = !e.settings.Policy.Uses(PlaceByPrefix)
-	// The daemons tell each other their load several times a second, so the best
-	// of all runners is not the same one for all of them for long.
+	// The daemons report their load to each other several times a second, so the best of all
+	// runners isn't the same for all daemons for long.
 	c.Samples = 0
-	// What is known of a runner's load is the daemons' own counts, which neither
-	// lag for long nor lie. A bound on the number of requests at one runner would
-	// send prompts away from where they are cached: where runners are mostly idle
-	// the second request of one is already far above the mean.
+	// The load of a runner is computed from the daemons' own counts, which are correct and only
+	// briefly out of date. A bound on the number of requests per runner would send prompts away
+	// from runners that have them cached: where runners are mostly idle, a runner's second
+	// request is already far above the mean.
 	c.LoadBound = 0
 	if s.Engine == nil {
 		c.PrefillRate = defaultSlots / initialServiceTime.Seconds()
 		c.DecodeRate = 1 / initialServiceTime.Seconds()
-		// A plain service's request is one token of output.
+		// A request to a plain service counts as one token of output.
 		c.Output = 1
 		c.Batch = defaultSlots
 		return c
@@ -119,8 +123,8 @@
 	return c
 }
 
-// retryConfig has short waits: the next attempt goes to another runner, which
-// has not asked for any.
+// retryConfig uses short waits, since the next attempt goes to a different runner, which hasn't
+// asked for any wait.
 func retryConfig(perFirst, perSecond, burst float64) retry.Config {
 	c := retry.Default()
 	c.Backoff = retry.Backoff{Base: 2 * time.Millisecond, Max: 100 * time.Millisecond}
@@ -145,17 +149,18 @@
 	p.table.SetSamples(samplesFor(daemons))
 	perFirst, perSecond, burst := retry.Share(b.RetryRatio, b.RetrySlack, retryBudgetShare, b.RetryWindow, daemons)
 	if p.daemons == 0 {
-		// A new pool starts with its savings; without them the first failures
-		// after a start could not be answered by another runner.
+		// A new pool starts with a full budget. With an empty one, the first failures after a
+		// start could not be retried at another runner.
 		p.retry = retry.New(retryConfig(perFirst, perSecond, burst))
 	}
 	p.daemons = daemons
 	p.retry.Limit(perFirst, perSecond, burst)
 }
 
-// samplesFor is how many random runners a choice looks at beside those that hold the
-// longest part of the prompt; zero is all. A large fleet's daemons know each other's work
-// up to a second late, and would all send to the runner that had the least then.
+// samplesFor returns how many random runners a choice considers in addition to those that hold
+// the longest part of the prompt; zero means all. In a large fleet the daemons' knowledge of
+// each other's load is up to a second old. If they considered all runners, all daemons would
+// send to the one that had the least load at that time.
 func samplesFor(daemons int) int {
 	if daemons <= relays.SmallFleet {
 		return 0
@@ -180,7 +185,7 @@
 	p.updateLoadsLocked(now)
 }
 
-// setPeerLoads takes in the other daemons' work at this pool's runners.
+// setPeerLoads sets the other daemons' load at this pool's runners.
 func (p *pool) setPeerLoads(now time.Time, peerLoads map[ident.RunnerID]routing.OwnLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,9 +193,9 @@
 	p.updateLoadsLocked(now)
 }
 
-// updateLoadsLocked tells the table each runner's whole load, own work included. The
-// runners' own reports are not asked for: all of their work comes from these daemons,
-// whose word is younger.
+// updateLoadsLocked updates each runner's total load, this daemon's own included, in the
+// routing table. The runners' own load reports are not used: all of their work comes from these
+// daemons, whose counts are more recent. The caller must hold mu.
 func (p *pool) updateLoadsLocked(now time.Time) {
 	for _, own := range p.table.OwnLoads(nil) {
 		r, ok := p.runners[own.Runner]
@@ -212,7 +217,7 @@
 		Models:        r.Models,
 	}
 	if len(rep.Models) == 0 {
-		// A plain service's requests name no model.
+		// Requests to a plain service name no model.
 		rep.Models = []load.Model{{}}
 	}
 	if p.service.Engine == nil {
@@ -225,8 +230,8 @@
 	return rep
 }
 
-// pick chooses a runner, the advised one if there is one and it still takes new work;
-// first says that the request is new here.
+// pick chooses a runner: the recommended one if there is one and it still accepts new work.
+// first says that this is the request's first attempt.
 func (p *pool) pick(now time.Time, r *routing.Request, advised ident.RunnerID, first bool) (routing.Choice, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -254,14 +259,14 @@
 	return p.table.Dispatch(now, c, r)
 }
 
-// isScaled tells whether the runners are the system's to order.
+// isScaled reports whether this system orders the service's runners.
 func (p *pool) isScaled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.service.Scaling != nil
 }
 
-// hasEngine tells whether the runners are model engines.
+// hasEngine reports whether the runners are model engines.
 func (p *pool) hasEngine() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -274,7 +279,7 @@
 	p.table.NotStarted(time.Now(), k, r.Prefix)
 }
 
-// firstToken counts the prefill as done and learns the rate from its time.
+// firstToken marks the prefill as done and updates the estimated prefill rate.
 func (p *pool) firstToken(k *routing.Ticket, c routing.Choice, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -296,7 +301,8 @@
 	}
 }
 
-// slotsOf is how many requests a runner works on at once; called with mu held.
+// slotsOf returns how many requests a runner works on at the same time. The caller must hold
+// mu.
 func (p *pool) slotsOf(id ident.RunnerID) int {
 	if n := p.runners[id].Slots; n > 0 {
 		return n
@@ -304,7 +310,7 @@
 	return defaultSlots
 }
 
-// observeServiceTime learns from how long a plain service's answer took.
+// observeServiceTime updates the estimated service time of a plain service from one answer.
 func (p *pool) observeServiceTime(c routing.Choice, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -313,21 +319,21 @@
 	}
 }
 
-// withRetryPolicy answers a failed attempt under the pool's lock; see forward.Exchange.
+// withRetryPolicy calls decide with the pool's retry policy while holding mu.
 func (p *pool) withRetryPolicy(decide func(*retry.Policy)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	decide(p.retry)
 }
 
-// ownOffered is the prompt tokens that callers brought here.
+// ownOffered returns the number of uncached prompt tokens that callers brought to this daemon.
 func (p *pool) ownOffered() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.offered
 }
 
-// loads appends this daemon's own work at the pool's runners.
+// loads appends this daemon's own load at the pool's runners to dst.
 func (p *pool) loads(dst []routing.OwnLoad) []routing.OwnLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/edge/recommendations.go
+++ b/daemon/edge/recommendations.go
@@ -9,17 +9,17 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// A follower hears of the others' work up to a second late, and in that time a runner
-// that seems idle to all is sent a prompt by several of them. So the relay that grants a
-// request's quota also chooses among the runners that the follower finds best: it hears of
-// its followers' choices at once, since it makes them, and of the other relays' several
-// times a second.
+// A follower learns of other daemons' load up to a second late. During that second several
+// followers may send prompts to a runner that looks idle to all of them. Therefore the relay that
+// grants a request's quota also chooses among the runners that the follower considers best. The
+// relay knows its followers' choices immediately, since it makes them, and receives those of
+// the other relays several times a second.
 
-// maxCandidates is how many runners a relay chooses from.
+// maxCandidates is the number of runners that a relay chooses from.
 const maxCandidates = 4
 
-// recommended is a prompt that was sent to a runner by this relay's advice. It counts until
-// the runner should have read it, or its daemon tells of it.
+// recommended is a prompt that a follower sends to a runner by this relay's recommendation. It
+// counts as load until the runner should have read it or the follower reports it.
 type recommended struct {
 	at, until     time.Duration
 	daemonAddress string
@@ -27,7 +27,7 @@
 	tokens        int
 }
 
-// recommendations is what was advised a moment ago.
+// recommendations holds the recent recommendations.
 type recommendations struct {
 	mu     sync.Mutex
 	recent []recommended
@@ -39,7 +39,8 @@
 	a.recent = append(a.recent, one)
 }
 
-// reported drops what a daemon has reported of itself by now.
+// reported drops the prompts of a daemon that the daemon has now reported itself: those
+// recommended up to the time before.
 func (a *recommendations) reported(daemonAddress string, before time.Duration) {
 	a.retain(func(one recommended) bool { return one.daemonAddress != daemonAddress || one.at > before })
 }
@@ -56,7 +57,7 @@
 	a.recent = kept
 }
 
-// loads is the prompts that the runners are still to read.
+// loads returns the load by recommended prompts that the runners have not read yet.
 func (a *recommendations) loads(now time.Duration) []routing.OwnLoad {
 	a.retain(func(one recommended) bool { return one.until > now })
 	a.mu.Lock()
@@ -68,7 +69,8 @@
 	return loads
 }
 
-// tokensAt is what one runner is still to read of the prompts advised after a time.
+// tokensAt returns the number of tokens that a runner has yet to read of the prompts
+// recommended after a time.
 func (a *recommendations) tokensAt(runner ident.RunnerID, now, after time.Duration) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,7 +83,8 @@
 	return tokens
 }
 
-// recommendRunner chooses the candidate with the soonest first token; empty if there is none.
+// recommendRunner returns the candidate with the earliest expected first token; empty if there
+// is none.
 func (e *Edge) recommendRunner(now time.Duration, a *peersv1.Ask) string {
 	p := e.pool(a.Service)
 	if p == nil {
@@ -103,21 +106,23 @@
 	return c.Runner
 }
 
-// expectedWait is the expected time until a runner begins to read a prompt.
+// expectedWait returns the expected time until a runner begins to read a prompt that comes
+// behind the given number of further tokens.
 func (p *pool) expectedWait(id ident.RunnerID, tokens int) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Wait(id, tokens)
 }
 
-// peerLoadsTime is when the table heard of the others' work last.
+// peerLoadsTime returns when the routing table last received the other daemons' loads.
 func (p *pool) peerLoadsTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.peerLoadsAt
 }
 
-// candidates implements whereTo.
+// candidates returns the service of the request, and the best runners for it. It implements
+// whereTo. The service is empty for runners without an engine, for which relays recommend none.
 func (s *requestHandler) candidates() (string, []*peersv1.Candidate) {
 	if s.pool == nil || !s.pool.hasEngine() {
 		return "", nil
@@ -130,7 +135,7 @@
 	defer p.mu.Unlock()
 	best, err := p.table.Candidates(r, maxCandidates)
 	if err != nil {
-		// The request is refused when a runner is chosen.
+		// Without a suitable runner the request is refused later, by chooseRunner.
 		return nil
 	}
 	told := make([]*peersv1.Candidate, 0, len(best))
--- a/daemon/edge/recommendations_test.go
+++ b/daemon/edge/recommendations_test.go
@@ -23,7 +23,7 @@
 	freeAt time.Time
 }
 
-// readPrompt returns when a prompt has been readPrompt.
+// readPrompt returns when the engine has read a prompt that takes the given time.
 func (r *serialEngine) readPrompt(took time.Duration) {
 	r.mu.Lock()
 	begins := time.Now()
@@ -47,8 +47,8 @@
 	}, Slots: 32})
 }
 
-// lateShare plays prompts on a large fleet before half busy engines and returns the share
-// whose first token came late.
+// lateShare sends prompts to a large fleet whose engines are half busy. It returns the share of
+// prompts whose first token came late.
 func lateShare(t *testing.T, quota float64) float64 {
 	const (
 		daemons, engines = 60, 24
@@ -94,8 +94,8 @@
 	return float64(late) / (played.Seconds() * perSecond)
 }
 
-// Guards against messages that grow with the prompts that go to new runners, as after a
-// crash of many, until links lose them and followers take their relays for dead.
+// Guards against messages that grow with the number of prompts sent to new runners, as after a
+// crash of many runners, until the network loses them and followers take their relays for dead.
 func TestMessagesStaySmallWhenPromptsMove(t *testing.T) {
 	const daemons, prompts, mostBytes = 40, 40, 24 << 10
 	c := config(1)
@@ -125,20 +125,20 @@
 		time.Sleep(time.Second)
 		t.Logf("largest message: %d bytes", w.network.largest())
 		if w.network.largest() > mostBytes {
-			t.Errorf("largest message: %d bytes, at most %d", w.network.largest(), mostBytes)
+			t.Errorf("largest message: %d bytes, want at most %d", w.network.largest(), mostBytes)
 		}
 	})
 }
 
-// Guards against daemons that all send to the runner that was idle a second ago: the relay
-// that grants a request's quota also chooses its runner.
+// Guards against daemons that all send to the runner that was idle a second ago. The relay that
+// grants a request's quota must also choose its runner.
 func TestRelaysChooseBetterThanTheirFollowers(t *testing.T) {
 	var alone, advised float64
 	t.Run("alone", func(t *testing.T) { alone = lateShare(t, 0) })
 	t.Run("advised", func(t *testing.T) { advised = lateShare(t, 10_000_000) })
 	t.Logf("late: %.3f alone, %.3f advised", alone, advised)
-	// Nineteen in twenty first tokens are to come in time.
+	// The target is that 95% of first tokens come in time.
 	if advised >= alone || advised > 0.05 {
-		t.Errorf("late: %.3f advised, %.3f alone", advised, alone)
+		t.Errorf("share of late first tokens: %.3f with recommendations, %.3f without; want less than without and at most 0.05", advised, alone)
 	}
 }
--- a/daemon/edge/request_test.go
+++ b/daemon/edge/request_test.go
@@ -25,8 +25,9 @@
 	return a, nil
 }
 
-// A runner takes a pledge and its connection breaks. The caller must not be told
-// that it was not run, and no other runner may get it. A lookup goes to another.
+// A runner receives a non-repeatable request and its connection breaks. The caller must not be
+// told that the request was not run, and no other runner may get it. A repeatable request is
+// sent to another runner.
 func TestBrokenAttempt(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
@@ -42,8 +43,8 @@
 	})
 }
 
-// All runners say that they did not run the request. It may be sent on, and its
-// caller may be told so with a time to come back.
+// All runners state that they did not run the request. It may be sent to other runners, and the
+// caller may be told that it was not run, with a retry time.
 func TestRunnersThatDidNotRun(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
@@ -59,8 +60,9 @@
 	})
 }
 
-// A runner never answers. The caller gets the final answer when the route's time
-// is over, without a promise; one that could not be sent at all gets it at once.
+// A runner never answers. The caller must get the final answer when the route's timeout has
+// passed, without a statement that the request was not run. A request that could not be sent at
+// all must be refused immediately.
 func TestRouteTimeout(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		a := w.ask(w.daemons[0], "/read/1", key)
@@ -80,8 +82,8 @@
 	})
 }
 
-// The runner is told what is left of the shorter of both bounds, also on the
-// second attempt.
+// The runner must be told the time left until the earlier of the caller's and the route's
+// timeouts, also on the second attempt.
 func TestTimeLeftForRunner(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
@@ -109,8 +111,8 @@
 	return s
 }
 
-// A runner dies in the middle of an event. A stream that may be resumed goes on at
-// another runner, each event once; one that may not ends without looking whole.
+// A runner dies in the middle of an event. A resumable stream must continue at another runner,
+// with each event sent once; any other stream must end without looking complete.
 func TestStreamThatBreaksOff(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		dying := func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
@@ -135,8 +137,9 @@
 	})
 }
 
-// A stream breaks off and goes on at another runner, which answers with a body that is no
-// stream. That body was appended to the events and passed off as the end of a whole answer.
+// Guards against completing a stream with a body that isn't a stream. A stream breaks off and
+// is resumed at another runner, which answers with such a body. The body was appended to the
+// events, and the answer looked complete.
 func TestStreamIsNotEndedByAnotherKindOfAnswer(t *testing.T) {
 	for _, status := range []int{http.StatusOK, http.StatusBadRequest, http.StatusInternalServerError} {
 		inWorld(t, 1, config(1), func(w *world) {
@@ -156,8 +159,8 @@
 	}
 }
 
-// A runner announces that it leaves, another's entry just goes. Neither gets a new
-// request, at any daemon.
+// One runner announces that it is leaving, and another one's entry is removed. Neither may get
+// a new request from any daemon.
 func TestLeavingRunnersGetNothingNew(t *testing.T) {
 	inWorld(t, 3, config(1), func(w *world) {
 		w.addRunner("r1", "app")
@@ -178,8 +181,9 @@
 	})
 }
 
-// The service is away and the runners' entries lapse with it. Once it is back they
-// are missing for a moment: to take them for gone would refuse everybody.
+// The service is unreachable and the runners' entries expire meanwhile. When the service is
+// back, the entries are missing for a moment. If the runners were taken to be gone, all
+// requests would be refused.
 func TestEntriesThatLapsedWithTheService(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		w.addRunner("r1", "app")
@@ -194,12 +198,12 @@
 		time.Sleep(1200 * time.Millisecond)
 		w.Equal(w.ask(d, "/read/1", key).status, 200)
 		time.Sleep(3 * time.Second)
-		w.Equal(w.ask(d, "/read/1", key).reason(), refusal.NoRunner) // it did not come back
+		w.Equal(w.ask(d, "/read/1", key).reason(), refusal.NoRunner) // its entry did not come back
 	})
 }
 
-// All daemons lose power while the service is down and start again before it is
-// back. They can't know anything, say so truthfully, and serve once it is there.
+// All daemons lose power while the service is down and start again before it is back. They must
+// refuse requests as not ready, and serve once the service is back.
 func TestColdStartWithoutService(t *testing.T) {
 	inWorld(t, 0, config(1), func(w *world) {
 		w.addRunner("r1", "app")
@@ -218,8 +222,8 @@
 	})
 }
 
-// A daemon is told to stop. Callers are sent elsewhere at once; for a while it
-// still serves what comes on connections that are kept, then it refuses.
+// A daemon is told to stop. Callers must be directed to other daemons immediately. For a while
+// it must still serve requests on kept connections, and then refuse them.
 func TestDrainOfDaemon(t *testing.T) {
 	inWorld(t, 2, config(1), func(w *world) {
 		w.addRunner("r1", "app")
@@ -237,8 +241,8 @@
 	})
 }
 
-// One workspace floods all daemons at once. Together they let through what its
-// quota allows, not each of them.
+// One workspace sends many requests to all daemons at once. All daemons together must admit
+// what the quota allows, not each of them.
 func TestQuotaOverDaemons(t *testing.T) {
 	c := config(1)
 	c.Workspaces[0].Quota = route.Quota{PerSecond: 10, Burst: 20}
@@ -258,13 +262,13 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		w.True(served >= 50) // the burst and four seconds of the rate are 60
+		w.True(served >= 50) // the quota allows 60: the burst of 20 and four seconds at 10 a second
 		w.True(served <= 75)
 	})
 }
 
-// Every runner fails every request. Second sends stay within the budget that the
-// daemons share.
+// Every runner fails every request. The retries must stay within the budget that the daemons
+// share.
 func TestRetryBudgetOverDaemons(t *testing.T) {
 	inWorld(t, 2, config(1), func(w *world) {
 		var all []*runner
@@ -289,7 +293,7 @@
 	})
 }
 
-// A caller leaves while its request runs.
+// A caller disconnects while its request runs. The attempt must end, and no other may follow.
 func TestCallerLeavesWhileItRuns(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		r := w.addRunner("r1", "app")
@@ -305,12 +309,12 @@
 		a := w.askWithin(ctx, w.daemons[0], "/read/1", key, time.Minute)
 		w.True(ended)
 		w.True(a.aborted)
-		w.Equal(r.count(), 1) // nobody waits for a second attempt
+		w.Equal(r.count(), 1) // there is no second attempt, since the caller has left
 	})
 }
 
-// A split sends each service its share, and a service that no configuration allows
-// gets nothing.
+// A route split by weights must send each service its share, and nothing to a service that
+// isn't a target of the route.
 func TestSplitOfRoute(t *testing.T) {
 	c := config(1)
 	c.Services = append(c.Services, route.Service{Name: "next"}, route.Service{Name: "other"})
@@ -327,9 +331,9 @@
 	})
 }
 
-// A runner loses its power: its connections stay open and say nothing, and its
-// entry is there for seconds. What may be repeated goes on elsewhere within little
-// more than a second; what may not waits, since it may have run.
+// A runner loses power: its connections stay open without any data, and its entry remains for
+// seconds. Repeatable requests must continue at another runner within little more than a
+// second. Others must wait, since the runner may have run them.
 func TestRunnerGoesDark(t *testing.T) {
 	inWorld(t, 1, config(1), func(w *world) {
 		unresponsive := w.addRunner("r1", "app")
--- a/daemon/edge/runners.go
+++ b/daemon/edge/runners.go
@@ -12,19 +12,20 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// maxRevisions bounds the keys whose latest revision is remembered after their end.
+// maxRevisions bounds the number of keys whose latest revision is remembered; above it, the
+// revisions of all keys but the current runners' are dropped.
 const maxRevisions = 20_000
 
-// lapsedGrace is how long after a disturbance of the service a runner whose
-// entry has lapsed goes on being used, last of all: its entry lapsed with the
-// service away and comes back with it, if it lives.
+// lapsedGrace is how long a runner whose entry has expired is still used if the service was
+// unreachable shortly before, with the lowest preference. Its entry expired because the service
+// was unreachable, and a runner that is alive registers again once the service is back.
 const lapsedGrace = 1500 * time.Millisecond
 
-// runnerHash stands for a runner's name in messages.
+// runnerHash returns the hash that identifies a runner in messages.
 func runnerHash(id ident.RunnerID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// leavingHashesSince lists the runners, by hash, that were read to be leaving since a time, and
-// forgets the others.
+// leavingHashesSince lists the hashes of the runners that were found to be leaving since a
+// time, and forgets earlier ones.
 func (f *directory) leavingHashesSince(from time.Duration) []uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,8 +41,9 @@
 	return hashes
 }
 
-// recordRevision tells whether a change of a key is news, and notes it. A relay may pass on what
-// the own watch has told already, or the other way round. Called with dir.mu held.
+// recordRevision records a key's revision and reports whether it is newer than the known one.
+// The same change may arrive both from a relay and from this daemon's own watch. The caller
+// must hold dir.mu.
 func (f *directory) recordRevision(key string, revision kv.Revision) bool {
 	if revision <= f.revisions[key] {
 		return false
@@ -57,7 +59,7 @@
 	return true
 }
 
-// setRunner takes in a runner's entry; called with dir.mu held.
+// setRunner applies a runner's entry. The caller must hold dir.mu.
 func (e *Edge) setRunner(entry kv.Entry, now time.Time) {
 	r, err := e.deps.Codec.Runner(entry.Key, entry.Value, now)
 	if err != nil {
@@ -67,7 +69,8 @@
 	delete(e.dir.lapsed, entry.Key)
 	before, known := e.dir.runners[entry.Key]
 	if known && before.ID == r.ID && before.State == view.Leaving {
-		// A peer may have told before this entry was read. Leaving is final.
+		// Another daemon may have reported that the runner is leaving before this older entry
+		// was read. A runner that is leaving never returns to another state.
 		r.State = view.Leaving
 	}
 	if r.State == view.Leaving && (!known || before.State != view.Leaving) {
@@ -80,8 +83,9 @@
 	}
 }
 
-// receiveLeaving takes in that a peer has read of runners that are leaving. This daemon
-// may read it later: it lets changes come together, or can't reach the service.
+// receiveLeaving marks runners that another daemon has found to be leaving. This daemon may
+// read their entries later, because it waits to read several changes together or can't reach
+// the service.
 func (e *Edge) receiveLeaving(hashes []uint64) {
 	if len(hashes) == 0 {
 		return
@@ -98,7 +102,7 @@
 		}
 		r.State = view.Leaving
 		e.dir.runners[key] = r
-		// Those who hear it from this daemon only are told, too.
+		// Daemons that receive messages only from this one must be told as well.
 		e.dir.leavingSince[r.ID] = e.deps.Steady()
 		changed = true
 		e.log.Note("runner", decisions.F("runner", r.ID), decisions.F("service", r.Service), decisions.F("failure_domain", r.FailureDomain),
@@ -110,7 +114,7 @@
 	}
 }
 
-// removeRunner takes in that a runner's entry is gone; called with dir.mu held.
+// removeRunner applies the removal of a runner's entry. The caller must hold dir.mu.
 func (e *Edge) removeRunner(key string) {
 	r, known := e.dir.runners[key]
 	if !known {
@@ -128,7 +132,7 @@
 	e.log.Note("runner_gone", decisions.F("runner", r.ID), decisions.F("service", r.Service))
 }
 
-// expireLapsed removes lapsed runners that have not come back.
+// expireLapsed removes the runners whose expired entries have not come back in time.
 func (e *Edge) expireLapsed() {
 	now := e.deps.Steady()
 	e.dir.mu.Lock()
@@ -148,7 +152,7 @@
 	}
 }
 
-// publishRunners hands the runners to their services' pools.
+// publishRunners passes the runners to the pools of their services.
 func (e *Edge) publishRunners() {
 	byService := map[string][]Runner{}
 	addresses := map[string]bool{}
--- a/daemon/edge/runners_test.go
+++ b/daemon/edge/runners_test.go
@@ -14,14 +14,15 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// runner is one backend server. script answers an attempt; nil is a short 200.
+// runner is one fake runner. script answers an attempt; nil answers 200 after 10 ms.
 type runner struct {
 	mu       sync.Mutex
 	attempts []*edge.Attempt
 	script   func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error)
 }
 
-// setScript sets the script while requests may be under way.
+// setScript replaces the script; unlike an assignment it may be used while requests are in
+// progress.
 func (r *runner) setScript(script func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,7 +38,7 @@
 type runners struct {
 	mu   sync.Mutex
 	byID map[string]*runner
-	// unresponsiveIDs don't answer health checks.
+	// unresponsiveIDs are the runners that don't answer health checks.
 	unresponsiveIDs map[string]bool
 }
 
@@ -75,7 +76,7 @@
 	return &edge.Answer{Status: status, Header: http.Header{}, Length: int64(len(body)), Body: io.NopCloser(bytes.NewBufferString(body))}
 }
 
-// eventAnswer answers with a stream that fails with err after the given bytes.
+// eventAnswer returns an event stream whose body ends with err after the given bytes.
 func eventAnswer(body string, err error) *edge.Answer {
 	return &edge.Answer{Status: http.StatusOK, Header: http.Header{}, Length: -1, Events: true, Body: io.NopCloser(io.MultiReader(bytes.NewBufferString(body), &failingReader{err}))}
 }
--- a/daemon/edge/serve.go
+++ b/daemon/edge/serve.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// notReadyRetryAfter is when to come back to a daemon that has no configuration
-	// or none that is recent enough: another one may answer meanwhile.
+	// notReadyRetryAfter is the retry time given to callers by a daemon whose configuration is
+	// missing or too old. Another daemon may answer in the meantime.
 	notReadyRetryAfter = 500 * time.Millisecond
-	// drainAcceptPeriod is how long after the order to stop new requests are
-	// still taken on connections that callers keep. They ask for the directory
-	// again within a few seconds; what comes later could not end within the grace.
+	// drainAcceptPeriod is how long after Drain new requests are still accepted on connections
+	// that callers keep open. Callers fetch the directory again within a few seconds; a later
+	// request could not end within the grace period.
 	drainAcceptPeriod = 2500 * time.Millisecond
-	// defaultTimeout is used where neither caller nor route gives a bound.
+	// defaultTimeout is used if neither the caller nor the route sets a timeout.
 	defaultTimeout = 30 * time.Second
 )
 
-// requestHandler is one request on its way through this daemon.
+// requestHandler processes one request.
 type requestHandler struct {
 	edge      *Edge
 	req       *Request
@@ -37,28 +37,29 @@
 	route     *route.Route
 	workspace ident.Workspace
 	priority  int
-	// cost is what the quota was charged; zero is nothing. granter is the address of the
-	// relay that charged it, empty for this daemon.
+	// cost is the amount charged to the quota; zero if nothing was charged. granter is the
+	// address of the relay that charged it, empty for this daemon.
 	cost    float64
 	granter string
-	// recommended is the runner that the relay chose; empty is none.
+	// recommended is the runner that the relay recommended; empty if there is none.
 	recommended    ident.RunnerID
 	deadline       time.Time
 	pool           *pool
 	routingRequest routing.Request
-	// failedRunners are the runners that have failedRunners the request.
+	// failedRunners are the runners that have failed this request.
 	failedRunners prefix.Set
-	// gate is that of the operator's order to change the service's software; nil is none.
+	// gate decides which software version the request may use while an order to change the
+	// service's version is known; nil without such an order.
 	gate     *canary.Gate
 	exchange forward.Exchange
 	events   *forward.EventStream
-	// usageCounted says that the request was usageCounted as begun.
+	// usageCounted says that the request has been counted for the usage report.
 	usageCounted bool
-	// buffered is a runner's own failure that is passed on if nothing better comes.
+	// buffered is a runner's server error, which is passed on if no later attempt succeeds.
 	buffered *bufferedAnswer
 }
 
-// Serve answers one request. The context ends when the caller has left.
+// Serve answers one request. The context must end when the caller has disconnected.
 func (e *Edge) Serve(ctx context.Context, req *Request, reply Reply) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
@@ -70,7 +71,8 @@
 	s.run(ctx)
 }
 
-// refuse sends the final answer of a request that is not served.
+// refuse sends the final answer of a request that isn't served. The quota charged for a request
+// that certainly wasn't executed is returned.
 func (s *requestHandler) refuse(r *refusal.Refusal) {
 	if s.cost > 0 && r.Executed == refusal.ExecutedNo {
 		s.edge.returnQuota(s.granter, s.workspace, s.cost)
@@ -81,7 +83,7 @@
 	s.reply.Refuse(r, s.connectionClosing())
 }
 
-// note writes a line about the request with what every such line holds.
+// note logs an event of the request, together with the fields common to all such events.
 func (s *requestHandler) note(event decisions.Event, fields ...decisions.Field) {
 	name, version := "", ident.Generation(0)
 	if s.route != nil {
@@ -97,13 +99,14 @@
 	s.edge.log.Note(event, all...)
 }
 
-// connectionClosing asks the caller to use another daemon from now on.
+// connectionClosing reports whether the caller should be asked to use another daemon from now
+// on.
 func (s *requestHandler) connectionClosing() bool {
 	_, draining := s.edge.timeSinceDrain()
 	return draining
 }
 
-// admit finds the request's route and workspace and charges its quota.
+// admit determines the request's route, workspace and service, and charges its quota.
 func (s *requestHandler) admit(ctx context.Context) *refusal.Refusal {
 	if since, draining := s.edge.timeSinceDrain(); draining && since > drainAcceptPeriod {
 		return refusal.New(refusal.Draining, "this daemon is shutting down").After(notReadyRetryAfter)
@@ -146,16 +149,18 @@
 		PromptTokens: max(1, r.Prompt.PromptTokens),
 		OutputTokens: max(1, r.Prompt.ExpectedOutput),
 	}
-	// The last part is the request's own; what stands before it others share.
+	// The last part of a prompt belongs to this request alone; the parts before it may be
+	// shared with other requests.
 	if n := len(p.Prefix); n > 1 {
 		p.Shared, p.SharedTokens = p.Prefix[n-2], p.PrefixTokens[n-2]
 	}
 	return p
 }
 
-// identify finds the request's route and workspace. What the configuration says counts
-// only if it is known to be recent: an unknown key or route may have been added a moment
-// ago, a known key taken away. If it is not recent enough the service is read once.
+// identify determines the request's route and workspace. The result of a lookup only counts if
+// the configuration is known to be recent: an unknown key or route may have been added a moment
+// ago, and a known key may have been removed. If the configuration isn't recent enough, the
+// key-value service is read once.
 func (s *requestHandler) identify(ctx context.Context) *refusal.Refusal {
 	for retry := true; ; retry = false {
 		table, age := s.edge.activeConfig()
@@ -175,11 +180,11 @@
 	}
 }
 
-// maxAge is the bound on the configuration's age where it doesn't matter.
+// maxAge is the limit on the configuration's age where the age doesn't matter.
 const maxAge = -freshness.Never
 
-// lookUp says what the configuration has for the request, a refusal or nil, and up to
-// which age of the configuration that counts.
+// lookUp looks the request up in the configuration. It returns a refusal or nil, and the age of
+// the configuration up to which this result counts.
 func (s *requestHandler) lookUp() (*refusal.Refusal, time.Duration) {
 	found, ok := s.table.Lookup(s.req.Host, s.req.Path)
 	if !ok {
@@ -215,7 +220,7 @@
 	s.deadline = s.req.Received.Add(timeout)
 }
 
-// charge takes the request out of its workspace's quota.
+// charge takes the request's cost out of its workspace's quota.
 func (s *requestHandler) charge(ctx context.Context) *refusal.Refusal {
 	w, ok := s.table.Workspace(s.workspace)
 	if !ok || w.Quota.PerSecond <= 0 {
--- a/daemon/edge/stop_test.go
+++ b/daemon/edge/stop_test.go
@@ -16,8 +16,8 @@
 	"geraniumstack.org/geraniumstack/standin/kvserver"
 )
 
-// slowClosingSocket is a socket whose reader is woken by the daemon's end before it is closed,
-// as by a message of a peer, and whose close takes its time.
+// slowClosingSocket is a socket whose read returns as soon as the daemon's context ends, as if
+// a message had arrived at that moment, and whose Close takes a while.
 type slowClosingSocket struct {
 	net.PacketConn
 	ended context.Context
@@ -41,10 +41,10 @@
 	return nil
 }
 
-// A daemon is stopped and another one started at its address on a busy VM. A message comes
-// at the moment of the stop, so the reader ends before the socket has been closed by
-// another goroutine; the second daemon finds the address in use and ends, and nobody
-// answers callers.
+// Guards against ending before the socket is closed. On a busy VM a daemon is stopped and
+// another one is started at its address. A message arrives at the moment of the stop, so the
+// reader returned before another goroutine had closed the socket. The second daemon found the
+// address in use and ended, and no daemon answered callers.
 func TestSocketIsClosedWhenTheDaemonHasEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/daemon/edge/storesync.go
+++ b/daemon/edge/storesync.go
@@ -21,64 +21,70 @@
 )
 
 const (
-	// allKeys is the prefix of all keys: one watch serves the configuration,
-	// the runners, the peers and the duties in one order.
+	// allKeys is the prefix of all keys: a single watch delivers changes of the configuration,
+	// the runners, the daemons and the duties in one order.
 	allKeys = ""
-	// maxEntries bounds a list of the service.
+	// maxEntries bounds a listing of the key-value service.
 	maxEntries = 100_000
-	// watchTimeoutPerDaemon times the number of daemons is how long a watch waits. An
-	// empty answer proves the configuration to this daemon and, by word, to all
-	// others, so the fleet makes about one such call in this time.
+	// watchTimeoutPerDaemon times the number of daemons is the timeout of a watch, at most
+	// maxWatchTimeout. A watch that ends without a change proves to this daemon that its
+	// configuration is the newest one, and by its messages to all others, so the whole fleet
+	// makes about one such call per watchTimeoutPerDaemon.
 	watchTimeoutPerDaemon = time.Second
 	maxWatchTimeout       = 10 * time.Second
-	// relayWatchTimeout is how long those of a large fleet wait who watch for the others: as
-	// long the others know nothing of a service that has fallen silent.
+	// relayWatchTimeout is the timeout of a watch in a large fleet, where some daemons watch on
+	// behalf of the others. The others don't notice for that long that the service has stopped
+	// answering.
 	relayWatchTimeout = 500 * time.Millisecond
-	// smallFleetBatchDelay is how long a daemon waits after a change before it watches on,
-	// so that one call brings what changes together. It is a small part of the
-	// two seconds in which a change must be in force.
+	// smallFleetBatchDelay is how long a daemon waits after a change before its next watch, so
+	// that one call returns several changes. It is a small part of the two seconds within which
+	// a change must be in force.
 	smallFleetBatchDelay = 60 * time.Millisecond
-	// largeFleetBatchDelay is the same in a larger fleet, where each change answers the watches
-	// of several daemons. What can't wait is told by peers: a newer configuration and runners
-	// that are leaving. The daemon that orders runners waits for gatherOrders only, since a
-	// reclaim is followed by an order, so there is always one that has read them.
+	// largeFleetBatchDelay is the same delay in a larger fleet, where each change ends the
+	// watches of several daemons. Urgent changes, which are a newer configuration and runners
+	// that are leaving, also arrive in messages of other daemons. The duty holder waits only
+	// for dutyHolderBatchDelay: a reclaim is followed by an order of runners, so one daemon
+	// must always have read the reclaim by then.
 	largeFleetBatchDelay = 600 * time.Millisecond
 	dutyHolderBatchDelay = 250 * time.Millisecond
-	// startupBatchDelay is the same for a daemon that has run for less than youngFor: all of a
-	// fleet that was killed register anew then, and find each other by that.
+	// startupBatchDelay is the same delay for a daemon that has run for less than
+	// startupPeriod. When a whole fleet has been killed, all daemons register again at that
+	// time and find each other by these registrations.
 	startupBatchDelay = 150 * time.Millisecond
 	startupPeriod     = 1500 * time.Millisecond
-	// firstBackoff and maxBackoff space calls to a service that is away.
+	// firstBackoff and maxBackoff bound the time between calls to a service that is
+	// unreachable.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = time.Second
-	// daemonPrefix begins the keys of daemons' registrations.
+	// daemonPrefix is the prefix of the keys of the daemons' registrations.
 	daemonPrefix = "daemons/"
 )
 
-// directory is what this daemon has read of the service, or was told by relays.
+// directory is this daemon's copy of the key-value service, read from the service itself or
+// received from relays.
 type directory struct {
 	mu sync.Mutex
-	// changeLog is all that followers need, at the revision up to which nothing is missing,
-	// and incomplete says that something is.
+	// changeLog holds all entries and changes that followers need. at is the revision up to
+	// which this copy has every change, unless incomplete is set.
 	changeLog  *feed.Log
 	at         kv.Revision
 	incomplete bool
-	// currentAt is when the copy was last known to be.
+	// currentAt is the last time at which the copy was known to be up to date.
 	currentAt time.Duration
-	// revisions are the latest ones of keys.
+	// revisions holds the latest known revision of each key.
 	revisions map[string]kv.Revision
-	// runners by key of their entries.
+	// runners is indexed by the key of the runner's entry.
 	runners map[string]Runner
-	// lapsed are runners that are still used although their entry is gone, with
-	// the time at which that ends.
+	// lapsed holds the runners that are still used although their entry has expired, with the
+	// time until which they are used.
 	lapsed map[string]time.Duration
-	// leavingSince is when runners were read to be leaving.
+	// leavingSince holds the time at which this daemon learned that a runner is leaving.
 	leavingSince map[ident.RunnerID]time.Duration
 	// storeFailedAt is when the service last failed to answer.
 	storeFailedAt time.Duration
-	// dutyHolder is whose key of the duties stands there; empty is nobody's.
+	// dutyHolder is the daemon that holds the duties; empty if nobody does.
 	dutyHolder ident.Incarnation
-	// dutyFreeSince is since when there is none.
+	// dutyFreeSince is the time since when nobody has held the duties.
 	dutyFreeSince time.Duration
 }
 
@@ -91,22 +97,23 @@
 	f.leavingSince = map[ident.RunnerID]time.Duration{}
 }
 
-// revisionReached is the revision up to which nothing is missing.
+// revisionReached returns the revision up to which this copy has every change.
 func (f *directory) revisionReached() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return uint64(f.at)
 }
 
-// holder is who holds the duties; empty is nobody.
+// holder returns the daemon that holds the duties; empty if nobody does.
 func (f *directory) holder() ident.Incarnation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.dutyHolder
 }
 
-// syncStore keeps this daemon's copy of the service current: by the relays that it follows,
-// by a watch where there are none. What a watch has lost is read anew as a whole.
+// syncStore keeps this daemon's copy of the key-value service up to date: from the relays that
+// it follows, or by a watch of its own if there are none. If a watch has missed changes, all
+// keys are listed again.
 func (e *Edge) syncStore(ctx context.Context) {
 	backoff := firstBackoff
 	reachable := true
@@ -129,8 +136,8 @@
 			e.dir.markIncomplete()
 		}
 		if err == nil || ctx.Err() != nil || compacted != nil {
-			// A service that forgets its history all the time must not be listed as
-			// fast as it answers.
+			// This also limits the rate of listings of a service that discards its history
+			// again and again.
 			pause.For(ctx, smallFleetBatchDelay)
 			continue
 		}
@@ -144,14 +151,15 @@
 	}
 }
 
-// markIncomplete notes that a part of the service's history is gone.
+// markIncomplete records that changes have been missed because the service has discarded a part
+// of its history.
 func (f *directory) markIncomplete() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.incomplete = true
 }
 
-// catchUp lists all keys if this daemon has none of them, or has lost some.
+// catchUp lists all keys if this daemon has not read them yet or has missed changes.
 func (e *Edge) catchUp(ctx context.Context) error {
 	e.dir.mu.Lock()
 	complete := e.dir.at != 0 && !e.dir.incomplete
@@ -168,7 +176,8 @@
 	e.dir.mu.Unlock()
 }
 
-// readAll lists all keys, after the revision from which to watch on.
+// readAll lists all keys. It first determines the service's revision, from which the following
+// watch continues.
 func (e *Edge) readAll(ctx context.Context) error {
 	var compacted *kv.CompactedError
 	_, _, err := e.deps.Store.Watch(ctx, allKeys, 0, time.Millisecond)
@@ -188,7 +197,7 @@
 	return nil
 }
 
-// replaceAll takes in all keys as they were listed after the revision from.
+// replaceAll replaces the copy by a listing of all keys that was made after the revision from.
 func (e *Edge) replaceAll(entries []kv.Entry, from kv.Revision, sent time.Duration) {
 	now := time.Now()
 	events := make([]kv.Event, 0, len(entries))
@@ -214,7 +223,7 @@
 		}
 	}
 	for key := range missing {
-		// A relay may have told of one that was written after the list was made.
+		// A relay may have sent an entry that was written after the listing.
 		if from == 0 || e.dir.revisions[key] <= from {
 			e.removeRunner(key)
 		}
@@ -235,14 +244,14 @@
 	e.publishRunners()
 }
 
-// watchStore follows the changes until the service fails to answer, has lost them, or relays
-// pass them on.
+// watchStore watches for changes until the service fails to answer, the service has discarded
+// changes that this daemon needs, or relays take over sending them.
 //
-// It goes on from the last change that it was told, not from the revision that
-// the service says it is at: a watchStore that goes blind for a moment ends without a
-// change while the revision moves on, and from there the change would never be
-// told. All keys are watched, so a revision that moves on without a change is no
-// proof of anything either.
+// The watch continues from the last change that it returned, not from the revision that the
+// service reports. A watch that temporarily misses changes ends without any while the revision
+// advances; continuing from that revision would lose the missed changes for good. Since all
+// keys are watched, a revision that advances without a change doesn't prove that the
+// configuration is the newest one either.
 func (e *Edge) watchStore(ctx context.Context) error {
 	sawChanges := true
 	for ctx.Err() == nil && !e.fed() {
@@ -261,19 +270,19 @@
 		e.applyChanges(events, at, sent)
 		sawChanges = len(events) > 0
 		if sawChanges {
-			// Changes are told without gaps, so when the service answered there was no
-			// newer configuration than those among them; it answered after it was asked.
+			// Watches return changes without gaps. So when the service answered, which was
+			// after the call, there was no configuration newer than those among the changes.
 			e.confirmedByWatch(sent)
-			// Changes come in groups: runners start and leave together.
+			// Changes come in groups, since runners start and leave together.
 			pause.For(ctx, e.batchDelay())
 		}
 	}
 	return nil
 }
 
-// watchTimeout is how long the next watch waits. A change answers the watches of
-// all daemons together; so that their next empty answers come in turn, each then
-// waits its place in the order of names first.
+// watchTimeout returns the timeout of the next watch. A change ends the watches of all daemons
+// at the same time. So that their next empty answers arrive one after the other, each daemon
+// then first uses a timeout by its position in the order of names.
 func (e *Edge) watchTimeout(together bool) time.Duration {
 	if !e.allWatch.Load() {
 		return relayWatchTimeout
@@ -285,16 +294,16 @@
 	return min(maxWatchTimeout, watchTimeoutPerDaemon*time.Duration(size))
 }
 
-// rank is this daemon's place in the order of names among those that watch, and their
-// number.
+// rank returns this daemon's position in the order of names among the daemons that watch, and
+// their number.
 func (e *Edge) rank() (place, size int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return placeAmong(e.settings.ID, e.relayPlan.Watchers)
 }
 
-// placeAmong is a daemon's place in the order of names among others, and their number
-// with it.
+// placeAmong returns a daemon's position in the order of names among others, and the number of
+// all of them including the daemon.
 func placeAmong(self ident.DaemonID, others []peers.Member) (place, size int) {
 	for _, m := range others {
 		if m.ID < self {
@@ -304,9 +313,9 @@
 	return place, len(others) + 1
 }
 
-// confirmedByIdleWatch dates the proof of an empty answer. The service answered after it
-// had waited, so it found no change up to then; one that came sooner is dated
-// by its question.
+// confirmedByIdleWatch dates the proof that an empty answer of a watch gives. A service that
+// answered after the full timeout had found no change up to its end. An earlier answer proves
+// only the state at the time of the call.
 func (e *Edge) confirmedByIdleWatch(sent, wait time.Duration) {
 	at := sent
 	if e.deps.Steady()-sent >= wait {
@@ -315,8 +324,8 @@
 	e.confirmedByWatch(at)
 }
 
-// confirmedByWatch takes the configuration in force for the newest at a time. It isn't if
-// the watch has told a newer one that can't be read.
+// confirmedByWatch records that the active configuration was the newest one at a time, unless
+// the watch has returned a newer one that could not be decoded.
 func (e *Edge) confirmedByWatch(at time.Duration) {
 	e.dir.mu.Lock()
 	e.dir.currentAt = max(e.dir.currentAt, at)
@@ -330,7 +339,7 @@
 	}
 }
 
-// batchDelay is how long to let changes come together.
+// batchDelay returns how long to wait before the next watch so that it returns several changes.
 func (e *Edge) batchDelay() time.Duration {
 	switch {
 	case e.fleetSize() <= relays.SmallFleet:
@@ -343,7 +352,8 @@
 	return largeFleetBatchDelay
 }
 
-// applyChanges takes in changes up to a revision, or up to the last of them if that is later.
+// applyChanges applies changes and advances the copy to the revision through, or to that of the
+// last change if that is later.
 func (e *Edge) applyChanges(events []kv.Event, through kv.Revision, sent time.Duration) {
 	now := time.Now()
 	changed := false
@@ -384,7 +394,7 @@
 	}
 }
 
-// noteDutyHolder notes who holds the duties; called with dir.mu held.
+// noteDutyHolder records who holds the duties. The caller must hold dir.mu.
 func (e *Edge) noteDutyHolder(newHolder ident.Incarnation) {
 	if e.dir.dutyHolder != "" && newHolder == "" || e.dir.dutyFreeSince == 0 {
 		e.dir.dutyFreeSince = max(1, e.deps.Steady())
@@ -392,9 +402,9 @@
 	e.dir.dutyHolder = newHolder
 }
 
-// applyConfig puts an operator's configuration into force unless it is older than
-// the one in force. Operators' versions grow, and so do the service's revisions;
-// a stale answer must not bring back what was taken away.
+// applyConfig activates an operator's configuration unless it is older than the active one. The
+// operator's version numbers and the service's revisions only grow; an outdated answer must not
+// restore what has been removed.
 func (e *Edge) applyConfig(event kv.Event, sent time.Duration) {
 	if event.Deleted {
 		e.log.Note("config_ignored", decisions.F("reason", "deleted"), decisions.F("revision", uint64(event.Revision)))
@@ -419,7 +429,7 @@
 	e.refreshPhase(e.deps.Steady())
 }
 
-// limitsOf are the workspaces' quotas.
+// limitsOf returns the workspaces' quotas.
 func limitsOf(t *route.Table) map[ident.Workspace]quota.Limit {
 	limits := map[ident.Workspace]quota.Limit{}
 	for i := range t.Config().Workspaces {
@@ -429,7 +439,7 @@
 	return limits
 }
 
-// activateConfig is called with mu held.
+// activateConfig puts a configuration into force. The caller must hold mu.
 func (e *Edge) activateConfig(t *route.Table, revision kv.Revision) {
 	e.limiter.SetLimits(e.deps.Steady(), limitsOf(t))
 	e.table.Store(t)
@@ -438,8 +448,8 @@
 		decisions.F("routes", len(t.Config().Routes)), decisions.F("workspaces", len(t.Config().Workspaces)))
 }
 
-// setServices makes the pools that a configuration names. A pool that is no
-// longer named goes on, since requests may still be in it.
+// setServices creates or updates the pools of a configuration's services. Pools of services
+// that are no longer configured are kept, since requests may still be in progress there.
 func (e *Edge) setServices(t *route.Table) {
 	e.poolsMu.Lock()
 	for i := range t.Config().Services {
--- a/daemon/edge/storesync_test.go
+++ b/daemon/edge/storesync_test.go
@@ -10,20 +10,20 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// A reclaim goes through a larger fleet: for ten seconds a runner comes or goes each
-// 100 ms. Every change answers the watch of every daemon, and each watches on at once,
-// so the store is called hundreds of times a second for news that can wait a moment,
-// and is slow for those that can't. Calls must stay few, and a runner that has given
-// notice must still be left alone well within two seconds.
+// Guards against too many calls of the store during a reclaim in a larger fleet, in which a
+// runner comes or goes every 100 ms for ten seconds. Every change ends the watch of every
+// daemon. If each daemon watches again immediately, the store gets hundreds of calls a second
+// for changes that can wait, and becomes slow for those that can't. Calls must stay few, and a
+// leaving runner must get no requests well before two seconds have passed.
 //
-// Watches of this test: 1,203 when changes gather for 60 ms, 370 with 400 ms, 235 to
+// Watches of this test by the delay after a change: 1,203 with 60 ms, 370 with 400 ms, 235 to
 // 245 with 800 ms.
 func TestChangesAreGatheredInALargeFleet(t *testing.T) {
 	gatherChanges(t, nil)
 }
 
-// Guards against changes that are not gathered by daemons each of which watches for its own
-// failure domain.
+// The same for daemons that each watch on behalf of their own failure domain: they did not wait
+// for further changes.
 func TestChangesAreGatheredInManyDomains(t *testing.T) {
 	var domains []ident.FailureDomain
 	for i := range gatheringDaemons {
@@ -34,7 +34,8 @@
 
 const gatheringDaemons = 12
 
-// gatherChanges has a runner come or go each 100 ms before daemons in some failure domains.
+// gatherChanges lets a runner come or go every 100 ms in a fleet spread over some failure
+// domains, and checks the number of watches.
 func gatherChanges(t *testing.T, domains []ident.FailureDomain) {
 	const daemons = gatheringDaemons
 	inWorld(t, 0, config(1), func(w *world) {
@@ -54,8 +55,8 @@
 		}
 		watches := w.store.Calls()[kvserver.CallWatch]
 		t.Logf("watches: %d", watches)
-		// Each second ten by the daemon that orders runners, one and a quarter by the others, and
-		// the calls in progress at both ends.
+		// Each second the duty holder makes ten watches and each other daemon one and a
+		// quarter; in addition there are the calls in progress at the start and the end.
 		w.True(watches <= 10*10+(daemons-1)*(10*5/4+2))
 		time.Sleep(600 * time.Millisecond)
 		before := kept.count()
@@ -66,12 +67,12 @@
 	})
 }
 
-// Somebody asks for what doesn't exist, again and again, while runners come and go.
-// Such a request is denied by a configuration that is known to be recent only. The
-// watch's answers prove that, so the service need not be read for each of them.
+// Guards against reading the service for each request with an unknown route while runners come
+// and go. Such a request is refused only if the configuration is known to be recent. The
+// answers of the watch prove that, so the service need not be read for each request.
 //
-// Reads of this test beside its own: 21 before answers with changes were a proof,
-// 3 since.
+// Reads of this test in addition to its own: 21 before answers with changes counted as proof, 3
+// since.
 func TestChangesProveTheConfiguration(t *testing.T) {
 	inWorld(t, 3, config(1), func(w *world) {
 		w.store.ResetCalls()
@@ -84,13 +85,13 @@
 		}
 		reads := w.store.Calls()[kvserver.CallGet]
 		t.Logf("reads: %d", reads)
-		w.True(reads-50 <= 5) // the test itself reads once for each runner
+		w.True(reads-50 <= 5) // the test itself makes one read for each runner
 	})
 }
 
-// A daemon is cut off from the store, or waits for changes to come together, when a
-// runner gives notice. It went on sending requests there, whose streams broke off when
-// the runner left. The others have read the notice and tell it.
+// Guards against sending requests to a leaving runner by a daemon that can't reach the store or
+// waits before its next watch: their streams broke off when the runner left. The other daemons
+// have read that the runner is leaving and report it.
 func TestNoticeIsHeardFromPeers(t *testing.T) {
 	inWorld(t, 2, config(1), func(w *world) {
 		going := w.addRunner("going", "app")
--- a/daemon/edge/stream.go
+++ b/daemon/edge/stream.go
@@ -12,9 +12,8 @@
 	"geraniumstack.org/geraniumstack/protocol/retry"
 )
 
-// stream passes an event stream on as it comes. Of a stream that may go on at
-// another runner only whole events are passed, since nothing can follow a part
-// of one.
+// stream passes an event stream on as it arrives. If the stream may be resumed at another
+// runner, only whole events are passed on, since a partial event could not be continued.
 func (a *attempt) stream(ctx context.Context, answer *Answer) *forward.Attempt {
 	s := a.s
 	if s.events == nil {
@@ -53,21 +52,22 @@
 	return &forward.Attempt{Reason: reason, MayHaveRun: true, Sent: true}
 }
 
-// callerLeftError says that the caller takes no more.
+// callerLeftError says that the answer could not be written because the caller has
+// disconnected.
 type callerLeftError struct{ Err error }
 
 func (e *callerLeftError) Error() string { return "caller left: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *callerLeftError) Unwrap() error { return e.Err }
 
-// truncatedEventError says that a stream ended within an event.
+// truncatedEventError says that a stream ended in the middle of an event.
 type truncatedEventError struct{}
 
 func (*truncatedEventError) Error() string { return "stream ended within an event" }
 
-// copyEvents passes events on until the runner's stream ends. Nil means that it
-// ended whole.
+// copyEvents passes events on until the runner's stream ends. It returns nil if the stream
+// ended after a whole event.
 func (a *attempt) copyEvents(answer *Answer) error {
 	s := a.s
 	buffer := make([]byte, copyBufferBytes)
--- a/daemon/edge/trialcontroller.go
+++ b/daemon/edge/trialcontroller.go
@@ -11,17 +11,17 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// trialController is the holder's part in one order.
+// trialController is the duty holder's state of one trial.
 type trialController struct {
 	holder *canary.Holder
 	order  canary.Order
-	// revision is that of the record, zero if there is none.
+	// revision is the revision of the trial's record; zero if there is none.
 	revision kv.Revision
-	// reportedState is the state that the operator was reportedState last.
+	// reportedState is the last state that was published to the operator.
 	reportedState canary.State
 }
 
-// advanceTrials moves the orders on that this daemon holds the duty for.
+// advanceTrials advances all trials. Only the duty holder calls it.
 func (e *Edge) advanceTrials(ctx context.Context) {
 	if !e.trials.hasOrders.Load() {
 		return
@@ -41,14 +41,15 @@
 	}
 }
 
-// forgetControllers has the next tenure read all orders' records anew.
+// forgetControllers makes the next tenure of the duties read all trials' records again.
 func (t *trials) forgetControllers() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	clear(t.controllers)
 }
 
-// trialController is that of an order. A new one goes on from the record in the service.
+// trialController returns the controller of an order's trial. A new controller continues from
+// the record in the key-value service.
 func (e *Edge) trialController(ctx context.Context, o canary.Order) *trialController {
 	e.trials.mu.Lock()
 	d := e.trials.controllers[o.Service]
@@ -81,8 +82,8 @@
 	return e.wallClock.At(e.deps.Steady()).UnixMilli()
 }
 
-// advanceTrial writes the next step of an order down, if there is one. False means that it
-// could not be written: then what stands in the service is read again.
+// advanceTrial writes the next state of a trial if there is one. It returns false if that could
+// not be written; the record is then read again from the service.
 func (e *Edge) advanceTrial(ctx context.Context, d *trialController) bool {
 	old, fresh := 0, 0
 	if p := e.pool(d.order.Service); p != nil {
@@ -120,7 +121,8 @@
 	return true
 }
 
-// writeTrialRecord fails with a *kv.ConflictError if another holder has written meanwhile.
+// writeTrialRecord fails with a *kv.ConflictError if another duty holder has written the record
+// meanwhile.
 func (e *Edge) writeTrialRecord(ctx context.Context, d *trialController, r canary.Record) (kv.Revision, error) {
 	if _, ok := e.permit(); !ok {
 		return 0, &notHolderError{}
@@ -133,18 +135,19 @@
 	defer cancel()
 	revision, err := e.deps.Store.CompareAndSwap(callCtx, trialPrefix+r.Service, d.revision, value, 0)
 	if err == nil {
-		// The own watch may bring it later.
+		// The watch will return this record only later.
 		e.applyTrialRecord(kv.Entry{Key: trialPrefix + r.Service, Value: value, Revision: revision})
 	}
 	return revision, err
 }
 
-// notHolderError says that this daemon's lease is too near its end for another order.
+// notHolderError says that this daemon's lease ends too soon for another order.
 type notHolderError struct{}
 
-func (*notHolderError) Error() string { return "not sure to hold the duties" }
+func (*notHolderError) Error() string { return "lease of the duties ends too soon" }
 
-// publishTrialStatus writes what the operator reads, until it stands there.
+// publishTrialStatus writes the trial's status for the operator, and tries again with the next
+// call until it is written.
 func (e *Edge) publishTrialStatus(ctx context.Context, d *trialController) {
 	state := d.holder.Record().State
 	if state == canary.Promoting {
@@ -187,8 +190,8 @@
 	return err
 }
 
-// receiveTrialReport takes in a daemon's report and answers with its allowance, as long as this
-// daemon is sure to hold the duties.
+// receiveTrialReport processes a daemon's report and answers with its allowance, as long as
+// this daemon is sure to hold the duties.
 func (e *Edge) receiveTrialReport(r *peersv1.TrialReport) {
 	if _, ok := e.permit(); !ok {
 		return
@@ -206,7 +209,7 @@
 	}
 }
 
-// encodeTrialReport, reportOf, tellAllowance and allowanceOf translate messages.
+// The following functions convert between messages and the types of package canary.
 func (e *Edge) encodeTrialReport(service string, r canary.Report) *peersv1.TrialReport {
 	told := &peersv1.TrialReport{
 		Service: service, Order: r.Order, Incarnation: string(e.self), PeerAddress: e.settings.PeerAddress, Ask: r.Ask,
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -22,37 +22,41 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Orders to move a service to another software version: what this daemon lets through to the
-// new version, and what it tells the holder of the duties. The decisions are those of
-// coordination/canary; trialduty.go does the holder's part.
+// An operator's order to move a service to another software version starts a trial (a canary
+// rollout). The code in this file limits the requests that this daemon sends to the new version,
+// and reports their results to the duty holder. Package canary makes the decisions;
+// trialcontroller.go holds the code of the duty holder.
 
 const (
-	// trialPrefix begins the keys of orders' records.
+	// trialPrefix is the prefix of the keys of trials' records.
 	trialPrefix = "trials/"
-	// trialReportInterval is between two reports, several in an allowance's life.
+	// trialReportInterval is the time between two reports; several reports fit into the
+	// lifetime of an allowance.
 	trialReportInterval = 250 * time.Millisecond
-	// minEstimate stands in for a shorter expected time to a stream's first event.
+	// minEstimate is the least expected time to a stream's first event that latencies are
+	// compared with.
 	minEstimate = 10 * time.Millisecond
-	// maxReporters is how many daemons report of an order. Those of a large fleet send
-	// enough requests for it.
+	// maxReporters is the number of daemons that report on a trial in a large fleet; they serve
+	// enough requests for a decision.
 	maxReporters = 64
 )
 
-// trials are the orders that this daemon knows of.
+// trials holds the orders to change a service's software version that this daemon knows of.
 type trials struct {
-	// hasOrders spares requests the lock while no service has an order.
+	// hasOrders lets requests skip the lock while no service has an order.
 	hasOrders atomic.Bool
 
-	// mu is taken after a pool's lock where both are.
+	// If both locks are needed, mu is taken after the pool's lock.
 	mu      sync.Mutex
 	gates   map[string]*canary.Gate
 	records map[string]storedRecord
-	// reportedAt is when the last reports were made, duties the holder's part.
+	// reportedAt is when the last reports were made. controllers are used by the duty holder
+	// only.
 	reportedAt  time.Duration
 	controllers map[string]*trialController
 }
 
-// storedRecord is a record with its revision.
+// storedRecord is a trial's record with its revision in the key-value service.
 type storedRecord struct {
 	canary.Record
 	revision kv.Revision
@@ -64,7 +68,7 @@
 	t.controllers = map[string]*trialController{}
 }
 
-// gate is that of a service; nil is no order.
+// gate returns a service's gate; nil if the service has no order.
 func (t *trials) gate(service string) *canary.Gate {
 	if !t.hasOrders.Load() {
 		return nil
@@ -74,8 +78,9 @@
 	return t.gates[service]
 }
 
-// applyTrialChanges takes in orders and their records. It must be done before new runners are used:
-// those of a new version are ordered first, and without the order would be like any others.
+// applyTrialChanges applies new orders and trial records. It must be called before new runners
+// are used: the order is written before the new version's runners start, and without it these
+// would be used like any others.
 func (e *Edge) applyTrialChanges(events []kv.Event) {
 	for _, event := range events {
 		switch {
@@ -131,22 +136,23 @@
 	}
 }
 
-// sideOfNewRequest decides where a new request goes.
+// sideOfNewRequest decides which versions' runners a new request may use.
 func (e *Edge) sideOfNewRequest(g *canary.Gate, route string) canary.Side {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	return g.Enter(e.deps.Steady(), route, rand.Float64())
 }
 
-// sideOfRepeat decides where a request goes that is not new.
+// sideOfRepeat decides which versions' runners a request may use that isn't new to the trial,
+// such as a repeated attempt.
 func (e *Edge) sideOfRepeat(g *canary.Gate) canary.Side {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	return g.Again(e.deps.Steady())
 }
 
-// outOfContact tells whether this daemon has no way to the key-value service, by itself or by
-// others, so that it can't know what became of an order.
+// outOfContact reports whether this daemon can't reach the key-value service, neither itself
+// nor through other daemons, so that it can't know the state of a trial.
 func (e *Edge) outOfContact(ctx context.Context) bool {
 	if e.configAge() <= confirmTimeout {
 		return false
@@ -155,8 +161,8 @@
 	return e.configAge() > confirmTimeout
 }
 
-// excludedBySide is the set of a service's runners that a side keeps requests from; called with the
-// pool's lock held.
+// excludedBySide returns the set of the service's runners that a request on a side of the trial
+// must not use. The caller must hold the pool's lock.
 func (p *pool) excludedBySide(g *canary.Gate, side canary.Side) prefix.Set {
 	var ids []ident.RunnerID
 	p.edge.trials.mu.Lock()
@@ -181,7 +187,8 @@
 	return p.table.Exclude(ids...)
 }
 
-// trialRunners are the first of the new runners, which take all trials.
+// trialRunners returns the first few of the new version's runners by name, which serve all
+// requests of the trial.
 func (p *pool) trialRunners(target canary.Version, most int) []ident.RunnerID {
 	var ids []ident.RunnerID
 	for id, r := range p.runners {
@@ -203,8 +210,8 @@
 	return p.table.Exclude(ids...)
 }
 
-// excludeBySide keeps a request from the runners that a side doesn't use, and from those that have
-// failed it.
+// excludeBySide excludes the runners that have failed the request, and those that a request on
+// a side of the trial must not use.
 func (p *pool) excludeBySide(r *routing.Request, failed prefix.Set, g *canary.Gate, side canary.Side) {
 	r.Exclude = failed
 	if g == nil || side == canary.Either {
@@ -215,10 +222,13 @@
 	r.Exclude = failed.Or(p.excludedBySide(g, side))
 }
 
-// pick chooses a runner among those that the request's side of a trial uses. One that finds
-// none there, or would wait too long there, may go to the others, but to a version on trial
-// only if this daemon has lost touch, since the old runners may have been stopped then, or if
-// there is no other version yet before the order is taken up: then it is in use already.
+// pick chooses a runner among those that the request's side of the trial may use. If there is
+// none, or the wait would be too long, a request of the trial goes to the version in use, and a
+// request that only prefers the new version may go to any runner. A request that must use the
+// version in use goes to the version on trial only if it finds no runner otherwise and either
+// this daemon is out of contact, since the old runners may have been stopped by then, or the
+// trial hasn't begun and the service has no other version, which means that the target is
+// already in use.
 func (s *requestHandler) pick(ctx context.Context, now time.Time) (routing.Choice, error) {
 	first := s.exchange.Sent() == 0
 	if s.gate == nil {
@@ -245,8 +255,8 @@
 	return s.pool.pick(now, &s.routingRequest, s.recommended, first)
 }
 
-// targetInUse tells whether the service has only runners of an order's target, and nobody has begun
-// to decide on the order.
+// targetInUse reports whether all of the service's runners already run the order's target and
+// no duty holder has begun the trial.
 func (p *pool) targetInUse(g *canary.Gate) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -263,8 +273,9 @@
 	return true
 }
 
-// countVersions counts the runners that take new requests, of the version that serves and of an
-// order's target, and what this daemon has in progress at runners of other countVersions.
+// countVersions counts the runners that accept new requests, by the version in use (old) and
+// the order's target (fresh), and this daemon's attempts in progress at runners of versions
+// other than the target.
 func (p *pool) countVersions(g *canary.Gate) (old, fresh, oldInFlight int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -285,7 +296,7 @@
 	return old, fresh, oldInFlight
 }
 
-// awaitingDecision is how many runners of a version wait for the decision on an order.
+// awaitingDecision returns the number of a service's runners whose version is on trial.
 func (e *Edge) awaitingDecision(p *pool) int {
 	g := e.trials.gate(p.name)
 	if g == nil {
@@ -301,7 +312,7 @@
 	return fresh
 }
 
-// isTrialReporter tells whether this daemon is one of those that report of an order.
+// isTrialReporter reports whether this daemon is one of those that report on a trial.
 func (e *Edge) isTrialReporter(o canary.Order, fleet int) bool {
 	if fleet <= maxReporters {
 		return true
@@ -309,10 +320,11 @@
 	return xxhash.Sum64String(string(e.self)+"/"+o.Service)%uint64(fleet) < maxReporters
 }
 
-// reporterShare is the part of the daemons that do.
+// reporterShare returns the share of the daemons that report on a trial.
 func reporterShare(fleet int) float64 { return min(1, maxReporters/float64(max(1, fleet))) }
 
-// reportTrials asks the holder for allowances and tells it what was counted.
+// reportTrials requests allowances from the duty holder and reports the requests and answers
+// counted so far.
 func (e *Edge) reportTrials(now time.Duration) {
 	if !e.trials.hasOrders.Load() || now-e.trials.reportedAt < trialReportInterval {
 		return
@@ -333,7 +345,8 @@
 	}
 }
 
-// openGates are those of orders that are not decided and have a holder to report to.
+// openGates returns the gates of trials that aren't decided and have a duty holder to report
+// to.
 func (e *Edge) openGates(fleet int) []*canary.Gate {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
@@ -347,7 +360,7 @@
 	return open
 }
 
-// receiveAllowance takes in the holder's answer.
+// receiveAllowance applies the allowance that the duty holder has sent.
 func (e *Edge) receiveAllowance(a *peersv1.TrialAllowance) {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
@@ -356,7 +369,7 @@
 	}
 }
 
-// countTrialDispatch counts a request that is being sent for the first time.
+// countTrialDispatch counts a request at its first attempt.
 func (s *requestHandler) countTrialDispatch() {
 	if s.gate == nil || s.exchange.Sent() > 0 {
 		return
@@ -366,13 +379,14 @@
 	s.gate.Dispatched()
 }
 
-// trialSample is an attempt's answer for the comparison of versions.
+// trialSample says which version an attempt's answer counts for in the comparison of versions.
 type trialSample struct {
 	gate  *canary.Gate
 	isNew bool
 }
 
-// sampleFor notes which version an attempt goes to; the zero value is not compared.
+// sampleFor returns which version an attempt at a runner counts for; the zero value isn't
+// counted.
 func (s *requestHandler) sampleFor(id ident.RunnerID) trialSample {
 	g := s.edge.trials.gate(s.pool.name)
 	if g == nil {
@@ -383,14 +397,15 @@
 	return trialSample{g, s.pool.runners[id].Version == g.Order().Target}
 }
 
-// took counts a whole answer, or with pace the time between its events.
+// took counts the latency of a whole answer or, with pace, the time between a stream's events.
 func (a *attempt) took(d time.Duration, pace bool) {
 	a.recordSample(pace, func(c *canary.Counts) { c.Took(d) })
 }
 
-// recordStreamLatency counts a whole stream. Prompts differ in length and in what is cached of them, so
-// the time to the first event counts against what was expected of the runner: one second
-// stands for as long as that. The pace is counted apart.
+// recordStreamLatency counts the latencies of a whole stream. Prompts differ in length and in
+// how much of them is cached, so the time to the first event is counted in relation to the
+// runner's expected time: one second stands for a ratio of one. The time between events is
+// counted separately.
 func (a *attempt) recordStreamLatency() {
 	if a.trial.gate == nil {
 		return
@@ -402,7 +417,7 @@
 	}
 }
 
-// recordFailure counts an answer that was none.
+// recordFailure counts a failed answer.
 func (a *attempt) recordFailure() { a.recordSample(false, func(c *canary.Counts) { c.Fail() }) }
 
 func (a *attempt) recordSample(pace bool, count func(*canary.Counts)) {
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -30,24 +30,27 @@
 	newVersion          = canary.Version("v2")
 )
 
-// trialTest plays an operator's order while callers ask all daemons.
+// trialTest plays an operator's order while callers send requests to all daemons.
 type trialTest struct {
 	*world
-	// loadRandom draws the load, answerRandom the new version's answerRandom.
+	// loadRandom draws the load, answerRandom the new version's answers.
 	loadRandom, answerRandom *rand.Rand
-	// fails and slower say how the new version answers a path now.
+	// fails returns the new version's current failure rate for a path, slowdown the factor by
+	// which its answers take longer.
 	fails    func(path string) float64
 	slowdown func(path string) float64
 
 	mu sync.Mutex
-	// asked are all requests from the order until its time is over, exposed those of them
-	// that the new version got, badAnswers its bad answers, fiftieth when it gave the fiftieth.
+	// asked counts the requests from the order until its time is over, exposed those of them
+	// that the new version received, and badAnswers the new version's bad answers.
+	// toleranceReachedAt is the time of its fiftieth bad answer, lastExposedAt that of its last
+	// request.
 	asked, exposed, badAnswers        int
 	toleranceReachedAt, lastExposedAt time.Duration
 	orderedAt                         time.Duration
-	// stopped are the old runners' ends.
+	// stopped says that the old runners have been stopped.
 	stopped bool
-	// results are what callers got in all.
+	// served, refused and failed count the callers' results.
 	served, refused, failed int
 	reasons                 map[refusal.Reason]int
 	states                  []canary.State
@@ -76,14 +79,14 @@
 	}
 }
 
-// stopRunners stops a version's runners at once, with what they are doing.
+// stopRunners stops a version's runners immediately, together with their requests.
 func (tw *trialTest) stopRunners(v canary.Version) {
 	for i := range trialRunners {
 		tw.remove(fmt.Sprintf("%s-%d", v, i))
 	}
 }
 
-// remove ends a runner.
+// remove stops a runner.
 func (tw *trialTest) remove(id string) {
 	tw.runners.mu.Lock()
 	delete(tw.runners.byID, id)
@@ -107,7 +110,8 @@
 	}
 }
 
-// countExposed counts a request at the new version and tells whether it fails.
+// countExposed counts a request at the new version, lengthens its work and reports whether it
+// fails.
 func (tw *trialTest) countExposed(path string, work *time.Duration) bool {
 	tw.mu.Lock()
 	defer tw.mu.Unlock()
@@ -127,13 +131,13 @@
 	return fails
 }
 
-// order asks for the new version; its runners come a second later.
+// order orders a version; the tests start its runners a second later.
 func (tw *trialTest) order(target canary.Version) {
 	tw.orderedAt = tw.steady()
 	tw.put(orderPrefix+"app", canary.Order{Service: "app", Target: target, Duration: trialDuration})
 }
 
-// status is what the operator reads.
+// status returns the status that the operator reads.
 func (tw *trialTest) status() (s orderStatus) {
 	entry, err := tw.store.Get(context.Background(), statusPrefix+"app")
 	tw.NoErr(err)
@@ -143,7 +147,8 @@
 	return s
 }
 
-// runLoad has callers ask for a time. The operator stops what the status says at once.
+// runLoad sends callers' requests for a time. As soon as the status says that the new version
+// is in use, the operator stops the old runners.
 func (tw *trialTest) runLoad(length time.Duration) {
 	var asking sync.WaitGroup
 	for end := tw.steady() + length; tw.steady() < end; {
@@ -197,19 +202,19 @@
 	}
 }
 
-// checkResult checks what must hold of every order, and of a bad version.
+// checkResult checks the requirements on every order, and those on a bad version.
 func (tw *trialTest) checkResult(bad bool) {
 	tw.t.Logf("%v: %d of %d requests exposed, %d bad, served %d refused %d failed %d %v",
 		tw.states, tw.exposed, tw.asked, tw.badAnswers, tw.served, tw.refused, tw.failed, tw.reasons)
 	tw.True(!bad || float64(tw.exposed) <= trialShare*float64(tw.asked)+trialSlack)
 	tw.True(tw.toleranceReachedAt == 0 || tw.lastExposedAt <= tw.toleranceReachedAt+maxRollbackTime)
 	for i, s := range tw.states {
-		tw.True(!s.Final() || i == len(tw.states)-1) // a verdict never turns
+		tw.True(!s.Final() || i == len(tw.states)-1) // a decision is never reversed
 	}
 }
 
-// inTrial plays the order of a version until its time is over. faults is called once the new
-// runners are there.
+// inTrial plays the order of a version until its time is over. bad sets up a bad version, nil
+// is a good one. faults is called after the new runners have started.
 func inTrial(t *testing.T, daemons int, bad, faults func(tw *trialTest)) {
 	in := inWorld
 	if daemons > relays.SmallFleet {
@@ -218,7 +223,7 @@
 	inTrialWith(t, in, daemons, bad, faults)
 }
 
-// inTrialWith is inTrial in a fleet of a kind.
+// inTrialWith is inTrial with a given kind of fleet.
 func inTrialWith(t *testing.T, in fleetRunner, daemons int, bad, faults func(tw *trialTest)) {
 	in(t, daemons, config(1), func(w *world) {
 		tw := newTrial(w)
@@ -237,8 +242,8 @@
 	})
 }
 
-// Guards against a good version that is not put into use in its time, and against requests
-// that are lost when the old runners are stopped.
+// Guards against a good version that isn't put into use in time, and against requests that fail
+// when the old runners are stopped.
 func TestGoodVersionIsCompleted(t *testing.T) {
 	for _, daemons := range []int{1, 5, 33, 40} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
@@ -251,7 +256,8 @@
 	}
 }
 
-// Guards against a bad version that gets more than its share, or that is not taken back.
+// Guards against a bad version that gets more than its share of requests, or that isn't rolled
+// back.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	for name, bad := range map[string]func(tw *trialTest){
 		"fails":           func(tw *trialTest) { tw.fails = func(string) float64 { return 0.4 } },
@@ -277,7 +283,7 @@
 	}
 }
 
-// Guards against verdicts that are wrong where all daemons tell each other everything.
+// Guards against wrong decisions in a fleet whose daemons all exchange messages directly.
 func TestTrialsOfADirectFleet(t *testing.T) {
 	for name, bad := range map[string]func(tw *trialTest){
 		"good": nil,
@@ -305,8 +311,8 @@
 	}
 }
 
-// Guards against an order that starts anew, or gives out its share twice, when the holder of
-// the duties is killed in the middle of it.
+// Guards against a trial that starts again, or hands out its share of requests twice, when the
+// duty holder is killed in the middle of it.
 func TestTrialOutlivesItsHolder(t *testing.T) {
 	for name, bad := range map[string]func(tw *trialTest){
 		"good": nil,
@@ -334,7 +340,8 @@
 	tw.daemons[i].kill()
 }
 
-// Guards against a bad version that goes on being tried while the key-value service is away.
+// Guards against a bad version that keeps getting requests while the key-value service is
+// unreachable.
 func TestTrialWhileTheServiceIsAway(t *testing.T) {
 	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.5 } }, func(tw *trialTest) {
 		tw.cutStore(true)
@@ -351,7 +358,7 @@
 	}
 }
 
-// Guards against shares that are given out twice because messages are lost.
+// Guards against shares that are handed out twice because messages are lost.
 func TestTrialWithLostMessages(t *testing.T) {
 	inTrial(t, 5, func(tw *trialTest) { tw.fails = failsOn("/read/1") }, func(tw *trialTest) {
 		tw.network.lose(0.3, rand.New(rand.NewPCG(2, 0)))
@@ -360,8 +367,8 @@
 	})
 }
 
-// Guards against callers who are refused after the old runners have been stopped, at a daemon
-// that can't learn of it: it goes to the new ones as it has lost touch.
+// Guards against refusing requests after the old runners have been stopped, at a daemon that
+// can't learn of it. The daemon must use the new runners because it is out of contact.
 func TestDaemonCutOffFindsTheNewRunners(t *testing.T) {
 	inTrial(t, 5, nil, func(tw *trialTest) {
 		tw.runLoad(5 * time.Second)
@@ -373,12 +380,13 @@
 		cut.store.set(true, false)
 		tw.runLoad(trialDuration - 6*time.Second)
 		tw.Equal(tw.status().State, canary.Completed)
-		// Its callers were refused as their keys may have been taken away, not for want of runners.
+		// Requests were refused only because their keys might have been revoked, not for lack
+		// of runners.
 		tw.Equal(tw.reasons[refusal.NoRunner], 0)
 	})
 }
 
-// Guards against a version that is put into use without runners to serve all callers.
+// Guards against putting a version into use that has too few runners to serve all callers.
 func TestTooFewNewRunners(t *testing.T) {
 	inTrial(t, 5, nil, func(tw *trialTest) {
 		for i := 1; i < trialRunners; i++ {
@@ -390,8 +398,8 @@
 	})
 }
 
-// Guards against orders that are never answered: for a service that nothing runs, and for the
-// version that is in use.
+// Guards against orders whose status is never set: one for a service without runners, and one
+// for the version that is already in use.
 func TestOrdersThatNeedNoTrial(t *testing.T) {
 	inWorld(t, 5, config(1), func(w *world) {
 		tw := newTrial(w)
@@ -408,7 +416,7 @@
 	})
 }
 
-// Guards against a version that was taken back and gets requests again when another one is
+// Guards against sending requests to a version that was rolled back once another version is
 // ordered, or while that one is on trial.
 func TestSecondOrderWhileOneRuns(t *testing.T) {
 	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 1 } }, func(tw *trialTest) {
@@ -424,7 +432,8 @@
 	})
 }
 
-// Guards against a trial that goes wrong when the operator moves routes meanwhile.
+// Guards against a trial that reaches a wrong decision because the operator changes routes
+// meanwhile.
 func TestConfigurationChangesDuringATrial(t *testing.T) {
 	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.4 } }, func(tw *trialTest) {
 		for i := range 10 {
@@ -438,8 +447,7 @@
 	})
 }
 
-// Guards against a version that is tried after all daemons were killed as if nothing had been
-// known of it.
+// Guards against a trial that starts from scratch after all daemons were killed.
 func TestTrialAfterAllDaemonsWereKilled(t *testing.T) {
 	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.08 } }, func(tw *trialTest) {
 		tw.runLoad(2 * time.Second)
--- a/daemon/edge/types.go
+++ b/daemon/edge/types.go
@@ -1,19 +1,28 @@
-// Package edge runs the daemon of one entry VM in front of runners that it does
-// not speak for: requests are forwarded as they are, by the operator's routes.
+// Package edge implements the daemon of an entry VM. It accepts callers' requests and forwards
+// them unchanged to runners by the operator's routes. Runners are separate servers that
+// register themselves in the key-value service.
 //
-// The failure story. Everything that must last lies in the key-value service: the
-// operator's configuration, the runners' entries, who holds the duties, what was
-// reported last and what is counted for the next reports. A daemon that starts reads
-// it and watches; one that loses the service goes on with what it has, refuses keyed
-// requests once its configuration can't be shown to be recent, and gives no orders.
-// What changes quickly (use of quotas, load of runners, counts of usage, who is
-// draining) the daemons tell each other in datagrams that each hold the sender's
-// whole state, so a lost one costs nothing and a dead daemon's counts outlive it. A
-// request lives at one daemon: if that dies, its caller asks another.
+// Persistent state lies in the key-value service: the operator's configuration, the runners'
+// entries, the lease of the duties, the last usage report and the usage counted for the next
+// reports. The duties are the calls to the cloud provider (usage reports and orders of runners)
+// and the decisions about trials of new software versions; one daemon at a time, the duty
+// holder, performs them under a lease. A daemon reads this state when it starts and then
+// watches for changes. A daemon that loses the connection to the service continues with the
+// state that it has, refuses requests with keys once it can no longer show that its
+// configuration is recent, and performs no duties.
 //
-// Decisions are made in protocol and coordination; this package holds the
-// goroutines, locks and calls around them. What it calls is behind the
-// interfaces of this file.
+// State that changes quickly (quota use, load of the runners, usage counts, runners that are
+// leaving) is exchanged between daemons in UDP datagrams. Each datagram carries the sender's
+// whole state, so losing one does no harm, and the counts of a daemon that has died remain
+// known to the others. In a large fleet a few daemons act as relays: every other daemon, a
+// follower, reports to some of them, the first of which is its primary, and the relays exchange
+// what they have received.
+//
+// A request is handled by one daemon only. If that daemon dies, the caller must retry at
+// another one.
+//
+// The packages under protocol and coordination make the decisions; this package holds the
+// goroutines, locks and calls around them. The interfaces in this file are its dependencies.
 package edge
 
 import (
@@ -35,198 +44,201 @@
 	"geraniumstack.org/geraniumstack/state/route"
 )
 
-// Settings are what a daemon knows at its start.
+// Settings are the parameters that a daemon is started with.
 type Settings struct {
 	ID            ident.DaemonID
 	FailureDomain ident.FailureDomain
 	CallerAddress string
-	// PeerAddress takes the other daemons' datagrams.
+	// PeerAddress is the address at which this daemon receives the other daemons' datagrams.
 	PeerAddress string
-	// Seeds are other daemons' peer addresses; they may be out of date.
+	// Seeds are peer addresses of other daemons; they may be out of date.
 	Seeds []string
-	// FirstStart says that the fleet has not served before.
+	// FirstStart says that this fleet has never served before.
 	FirstStart bool
 	Bounds     Bounds
 	Policy     Policy
 }
 
-// Bounds are the users' figures for what the daemon owes.
+// Bounds are the operator's limits on the daemon's behavior.
 type Bounds struct {
-	// Grace is the time from a request to stop until the process is killed.
+	// Grace is the time between the signal to stop and the kill of the process.
 	Grace time.Duration
-	// ConfigWithin is the time in which an operator's change must be in force.
+	// ConfigWithin is the time within which a change of the operator's configuration must be in
+	// force.
 	ConfigWithin time.Duration
-	// DrainWithin is how long after its notice a runner may be sent requests.
+	// DrainWithin is how long a runner may still be sent requests after it has announced that
+	// it is leaving.
 	DrainWithin time.Duration
-	// RevokeWithin is how long after its removal a key may work; StrictRevocation
-	// says that this binds a daemon that can't reach the key-value service, too.
+	// RevokeWithin is how long a key may still work after its removal. With StrictRevocation
+	// this also binds a daemon that can't reach the key-value service.
 	RevokeWithin     time.Duration
 	StrictRevocation bool
-	// In any RetryWindow, second sends may be RetryRatio of the requests and
-	// RetrySlack, over all daemons.
+	// RetryRatio and RetrySlack bound the retries of all daemons together: in any RetryWindow
+	// there may be RetryRatio times the number of requests, plus RetrySlack.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// QuotaWindow is the span over which workspaces' quotas bind.
+	// QuotaWindow is the time span over which the workspaces' quotas are enforced.
 	QuotaWindow    time.Duration
 	QuotaTolerance quota.Tolerance
-	// LeaseTTL is the lease of duties, FreezeSlack how late a paused holder's
-	// last order may come.
+	// LeaseTTL is the lifetime of the lease of the duties. FreezeSlack is how late the last
+	// order of a duty holder whose process was paused may arrive.
 	LeaseTTL    time.Duration
 	FreezeSlack time.Duration
-	// UsageWindow is the span of a usage report, UsageDue its due time after it.
+	// UsageWindow is the time span of a usage report. UsageDue is the time after its end at
+	// which the report is due.
 	UsageWindow time.Duration
 	UsageDue    time.Duration
-	// Trials bound what a new software version gets before it is known to be good.
+	// Trials limits what a new software version is sent before it is known to be good.
 	Trials canary.Bounds
 }
 
-// Prompt is what a request tells of its prompt; the zero value is none.
+// Prompt is what a request says about its prompt; the zero value stands for no prompt.
 type Prompt struct {
 	Model        string
 	PromptTokens int
-	// OutputTokens is the most that may be generated, ExpectedOutput the caller's
-	// estimate or, without one, the same.
+	// OutputTokens is the maximum that may be generated. ExpectedOutput is the caller's
+	// estimate or, without one, OutputTokens.
 	OutputTokens   int
 	ExpectedOutput int
-	// Prefix names the whole prompt up to the end of each of its parts, and
-	// PrefixTokens is its length there.
+	// Prefix[i] is a hash of the prompt from its start to the end of its part i;
+	// PrefixTokens[i] is the number of tokens up to there.
 	Prefix       []prefix.Hash
 	PrefixTokens []int
 }
 
-// Request is one caller's request, read whole.
+// Request is a caller's request after it has been read completely.
 type Request struct {
 	ID     string
 	Host   string
 	Path   string
 	Method string
-	// Target is the request line's, path and query as they came.
+	// Target is the path and query of the request line, unchanged.
 	Target string
-	// Header is what goes on to the runner; nothing that is the system's to set
-	// is in it.
+	// Header is forwarded to the runner. It contains no headers that this system sets itself.
 	Header http.Header
 	Body   []byte
-	// Key is the caller's; empty is none.
+	// Key is the caller's API key; empty if there is none.
 	Key string
-	// Received is when the request had been read, Patience how long its caller
-	// waits from then on; zero is not told.
+	// Received is when the request had been read completely. CallerTimeout is how long the
+	// caller waits from then on; zero if it is unknown.
 	Received      time.Time
 	CallerTimeout time.Duration
-	// LastEventID is where the caller's stream goes on; empty is the beginning.
+	// LastEventID is the event after which the caller resumes a stream; empty for a new stream.
 	LastEventID string
 	Prompt      Prompt
 }
 
-// Reply is the way back to one caller. An answer that is not finished by Finish
-// must not look complete; Abort sees to that.
+// Reply sends the answer to one caller. An answer that isn't ended by Finish must not look
+// complete to the caller; Abort ensures that.
 type Reply interface {
-	// Refuse sends a final answer of the system's own. closing asks the caller
-	// to use another connection from now on.
+	// Refuse sends the system's own final answer. closing asks the caller to use another
+	// connection from now on.
 	Refuse(r *refusal.Refusal, closing bool)
-	// Start sends a runner's status and header; length is of the whole body,
-	// negative if not known.
+	// Start sends a runner's status and header. length is the length of the whole body,
+	// negative if it is unknown.
 	Start(status int, header http.Header, length int64, closing bool)
-	// Write sends a part of the body at once.
+	// Write sends a part of the body immediately.
 	Write(p []byte) error
 	Finish()
 	Abort()
 }
 
-// Attempt is one send of a request to one runner.
+// Attempt is a single send of a request to a runner.
 type Attempt struct {
 	Request   *Request
 	Runner    ident.RunnerID
 	Address   string
 	Workspace ident.Workspace
-	// TimeLeft until the caller or the route gives up.
+	// TimeLeft is the time until the caller's or the route's timeout.
 	TimeLeft time.Duration
-	// Priority of the request at an engine, 0 is the most urgent; negative is
-	// not set.
+	// Priority is the request's priority at a model engine; 0 is the most urgent, a negative
+	// value means that none is set.
 	Priority int
-	// FetchFrom is the address of a runner that has the prompt's shared part cached;
-	// empty is none.
+	// FetchFrom is the address of a runner that has the shared part of the prompt cached; empty
+	// if there is none.
 	FetchFrom string
-	// LastEventID is where a stream goes on; empty is the beginning.
+	// LastEventID is the event after which a stream is resumed; empty for its beginning.
 	LastEventID string
 }
 
-// Answer is what a runner sent back.
+// Answer is a runner's response.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length of the body; negative if not known.
+	// Length is the length of the body; negative if it is unknown.
 	Length int64
-	// Body fails unless the whole body came. It must be closed.
+	// Body returns an error unless the whole body has arrived. It must be closed.
 	Body io.ReadCloser
-	// NotRun is the runner's word that it did not run the request; Misdirected
-	// says that another runner listens at the address.
+	// NotRun is set if the runner states that it didn't run the request. Misdirected is set if
+	// a different runner listens at the address.
 	NotRun      bool
 	Misdirected bool
-	// Leaving says that the runner is closing this connection.
+	// Leaving is set if the runner announces that it is leaving; it closes this connection.
 	Leaving bool
-	// Events says that the body is an event stream.
+	// Events is set if the body is an event stream.
 	Events     bool
 	RetryAfter time.Duration
 }
 
-// SendError says how an attempt failed before there was an answer.
+// SendError describes an attempt that failed before the runner answered.
 type SendError struct {
 	Reason retry.Reason
-	// Sent is false if no byte of the request went out.
+	// Sent is false if no byte of the request was sent.
 	Sent bool
 	Err  error
 }
 
 func (e *SendError) Error() string { return fmt.Sprintf("%s: %v", e.Reason, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// RunnerClient reaches the runners. Send makes one attempt and repeats nothing;
-// errors are *SendError. The context ends the attempt, its body included.
+// RunnerClient sends requests to runners. Send makes one attempt and never retries; its errors
+// are *SendError. Canceling the context ends the attempt, including the reading of the body.
 type RunnerClient interface {
 	Send(ctx context.Context, a *Attempt) (*Answer, error)
-	// Healthy asks on a new connection whether the runner takes work.
+	// Healthy asks the runner over a new connection whether it accepts work.
 	Healthy(ctx context.Context, address, path string, id ident.RunnerID) bool
-	// Retain closes the connections to all other addresses.
+	// Retain closes the connections to all addresses that aren't in the map.
 	Retain(addresses map[string]bool)
 }
 
-// Runner is one runner's entry in the directory.
+// Runner is a runner's entry in the key-value service.
 type Runner struct {
 	view.Runner
 	Models []load.Model
 	Slots  int
-	// Version of the software.
+	// Version is the runner's software version.
 	Version canary.Version
 }
 
-// Codec reads what others write into the key-value service.
+// Codec decodes the entries that others write into the key-value service and encodes those that
+// they read.
 type Codec interface {
-	// ConfigKey holds the operator's configuration, RunnerPrefix begins the keys
-	// of runners' entries.
+	// ConfigKey is the key of the operator's configuration. RunnerPrefix is the prefix of the
+	// keys of the runners' entries.
 	ConfigKey() string
 	RunnerPrefix() string
 	Config(value []byte) (route.Config, error)
-	// Runner reads an entry; now is for times that are told as what is left.
+	// Runner decodes an entry. now converts remaining times in the entry to points in time.
 	Runner(key string, value []byte, now time.Time) (Runner, error)
-	// OrderPrefix begins the keys of the operator's orders to move a service to another
-	// software version; Order reads one.
+	// OrderPrefix is the prefix of the keys of the operator's orders to move a service to
+	// another software version. Order decodes such an order.
 	OrderPrefix() string
 	Order(key string, value []byte) (canary.Order, error)
-	// Status is what the operator reads of an order, and its key.
+	// Status encodes the status of an order that the operator reads, and returns its key.
 	Status(service string, target canary.Version, state canary.State) (key string, value []byte, err error)
 }
 
-// DutyLease is on whose behalf a call to the cloud is made.
+// DutyLease identifies the duty holder on whose behalf the cloud is called.
 type DutyLease struct {
 	Holder ident.DaemonID
-	// Token grows with each change of the holder.
+	// Token is a fencing token; it grows with each change of the holder.
 	Token uint64
 }
 
-// Order asks for a number of runners of one kind.
+// Order asks the cloud for a number of runners of one service, failure domain and class.
 type Order struct {
 	Service       string
 	FailureDomain ident.FailureDomain
@@ -234,16 +246,17 @@
 	Runners       int
 }
 
-// NoRunnersAvailableError says that the cloud has no such runner now.
+// NoRunnersAvailableError says that the cloud has no runners of the requested kind at the
+// moment.
 type NoRunnersAvailableError struct{ Order Order }
 
 func (e *NoRunnersAvailableError) Error() string {
-	return fmt.Sprintf("no runner of %s to be had in %s", e.Order.Service, e.Order.FailureDomain)
+	return fmt.Sprintf("no runner of %s is available in %s", e.Order.Service, e.Order.FailureDomain)
 }
 
-// Cloud takes reports and orders of the duties' holder.
+// Cloud takes the duty holder's usage reports and orders of runners.
 type Cloud interface {
 	ReportUsage(ctx context.Context, d DutyLease, w accounting.Window, counts accounting.Counts) error
-	// Order fails with *NoneAvailableError where there are none.
+	// Order fails with *NoRunnersAvailableError if there are no such runners at the moment.
 	Order(ctx context.Context, d DutyLease, o Order) error
 }
