--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -34,7 +34,7 @@
 	holder *holder.Holder
 	usage  usageReportState
 	saved  savedCounts
-	fleets map[string]*fleetDuty
+	fleets map[string]*fleetScaler
 	// token is the lease token under which the present state was created.
 	token uint64
 	// wakeup is signalled when it may be time to run the duties.
@@ -50,9 +50,9 @@
 }
 
 func (d *duties) init(e *Edge) {
-	d.fleets = map[string]*fleetDuty{}
+	d.fleets = map[string]*fleetScaler{}
 	d.wakeup = make(chan struct{}, 1)
-	ttl := e.set.Bounds.LeaseTTL
+	ttl := e.settings.Bounds.LeaseTTL
 	d.holder = holder.New(holder.Options{
 		Name:  dutyName,
 		Self:  string(e.self),
@@ -61,7 +61,7 @@
 			TTL:      ttl,
 			Renew:    ttl / renewalsPerLease,
 			MaxOrder: callTimeout,
-			MaxPause: e.set.Bounds.FreezeSlack,
+			MaxPause: e.settings.Bounds.FreezeSlack,
 			Drift:    clockDrift,
 			Retry:    ttl / 10,
 			ReadKey:  ttl / 2,
@@ -91,7 +91,7 @@
 			cancel()
 			return
 		}
-		_, draining := e.drainedFor()
+		_, draining := e.timeSinceDrain()
 		e.duties.holder.Tick(ctx, !draining && e.shouldHoldDuties())
 		e.saveCounts(ctx)
 		if e.duties.holder.Token() != 0 {
@@ -110,7 +110,7 @@
 // become a follower again no longer receives the counts of others.
 func (e *Edge) shouldHoldDuties() bool {
 	if e.duties.holder.Token() != 0 {
-		return e.relaying.Load()
+		return e.relayMode.Load()
 	}
 	if !e.Ready() {
 		return false
@@ -118,11 +118,11 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	sharesQuotas := e.sharesQuotas(now)
-	rank, _ := placeAmong(e.set.ID, e.plan.Others)
+	rank, _ := placeAmong(e.settings.ID, e.relayPlan.Others)
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	return sharesQuotas && e.dir.dutyHolder == "" && e.dir.dutyFree != 0 && now-e.dir.dutyFree >= time.Duration(rank)*rankDelay
+	return sharesQuotas && e.dir.dutyHolder == "" && e.dir.dutyFreeSince != 0 && now-e.dir.dutyFreeSince >= time.Duration(rank)*rankDelay
 }
 
 // performDuties does the work of the lease holder, with new state if the lease was acquired
@@ -132,10 +132,10 @@
 		e.duties.token = token
 		e.duties.usage = usageReportState{}
 		clear(e.duties.fleets)
-		e.trials.forgetDuties()
+		e.trials.forgetControllers()
 	}
 	e.reportUsage(ctx)
-	e.decideTrials(ctx)
+	e.advanceTrials(ctx)
 	t := e.table.Load()
 	if t == nil {
 		return
@@ -147,7 +147,7 @@
 		}
 		f, ok := e.duties.fleets[s.Name]
 		if !ok {
-			f = newFleetDuty(e, s)
+			f = newFleetScaler(e, s)
 			e.duties.fleets[s.Name] = f
 		}
 		f.service = *s
@@ -157,7 +157,7 @@
 
 // permit returns the identity to use for a call to the cloud, or false if no call may start
 // now.
-func (e *Edge) permit() (Duty, bool) {
+func (e *Edge) permit() (DutyLease, bool) {
 	token, ok := e.duties.holder.Permit(false)
-	return Duty{Holder: e.set.ID, Token: token}, ok
+	return DutyLease{Holder: e.settings.ID, Token: token}, ok
 }
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -25,153 +25,158 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Deps are what an edge calls and is called by.
+// Deps are the dependencies of an Edge.
 type Deps struct {
 	Store   kv.Store
 	Codec   Codec
 	Runners RunnerClient
-	// Cloud may be nil: then no duty is stood for.
+	// Cloud may be nil; the daemon then never becomes the duty holder.
 	Cloud Cloud
-	// Datagrams is the socket at Settings.PeerAddress.
+	// Datagrams is the socket bound to Settings.PeerAddress.
 	Datagrams net.PacketConn
-	// Steady gives offsets of a clock that never jumps and runs on while the VM
-	// is suspended.
+	// Steady returns the time since a fixed moment, by a clock that never jumps and keeps
+	// running while the VM is suspended.
 	Steady func() time.Duration
 	Log    *decisions.Log
 }
 
-// Edge is the daemon of one entry VM.
+// Edge is the daemon of an entry VM.
 type Edge struct {
-	set  Settings
-	deps Deps
-	log  *decisions.Log
-	self ident.Incarnation
-	// began is the steady time of the start.
-	began time.Duration
+	settings Settings
+	deps     Deps
+	log      *decisions.Log
+	self     ident.Incarnation
+	// startedAt is the steady time of the daemon's start.
+	startedAt time.Duration
 
-	// table is nil until the configuration has been read.
+	// table holds the routes; it is nil until the configuration has been read.
 	table atomic.Pointer[route.Table]
-	// drainingSince is the steady time of the order to stop, zero before.
+	// drainingSince is the steady time of the call of Drain, zero before it.
 	drainingSince atomic.Int64
 	inFlight      atomic.Int64
 
-	// mu guards what the daemons tell each other and the proof of the
-	// configuration.
-	mu      sync.Mutex
-	fresh   *freshness.Tracker
-	peers   *peers.Table
-	stamps  map[ident.Incarnation]freshness.Stamp
-	wall    *walltime.Estimate
-	book    *accounting.Ledger
-	limiter *quota.Limiter
-	seq     uint64
-	// alive are the other daemons as they were looked at last, plan is whom this daemon
-	// tells by that, standing what other relays say of it as one, followers those that
-	// follow it.
-	alive    []peers.Member
-	plan     relays.Plan
-	standing relays.Standing
-	// followsAnew says that the relays that this daemon follows now were not told yet.
-	followsAnew bool
-	followers   map[ident.Incarnation]follower
-	// feeding are the other relays that this daemon watches for, with the revision up to
-	// which they know the key-value service.
-	feeding map[ident.Incarnation]uint64
-	// coverage is when whose counts of usage were told, lacked those that other
-	// relays ask for.
-	coverage accounting.Coverage
-	lacked   map[ident.Incarnation]ident.Incarnation
-	// formerRelays are the relays to tell, so many times more, that this daemon is none any more.
-	formerRelays  []peers.Member
-	demotionsLeft int
-	// joining are the addresses of daemons that ask who the relays are, or are mistaken.
-	joining map[ident.Incarnation]string
-	// rosterVersion is of the daemons that were told last, rosterLeft in how many more
-	// messages.
-	rosterVersion uint64
-	rosterLeft    int
-	// unreadable says that the newest configuration could not be read.
-	unreadable bool
-	// lastEnded is the daemon whose counts were told last after its end, lastFollower the
-	// follower whose counts were.
-	lastEnded, lastFollower ident.Incarnation
+	// mu guards the fields from here to lastFollowerSent: the state that the daemons exchange,
+	// and the record of when the configuration was confirmed to be the newest one.
+	mu        sync.Mutex
+	fresh     *freshness.Tracker
+	peers     *peers.Table
+	stamps    map[ident.Incarnation]freshness.Stamp
+	wallClock *walltime.Estimate
+	usageBook *accounting.Ledger
+	limiter   *quota.Limiter
+	seq       uint64
+	// alive are the other daemons that are alive, as of the last check. relayPlan is derived
+	// from them and says to which daemons this daemon sends; relayStanding tracks whether the
+	// other relays count this daemon as a relay; followers are the daemons that follow this
+	// one.
+	alive         []peers.Member
+	relayPlan     relays.Plan
+	relayStanding relays.Standing
+	// relaysChanged says that this daemon follows new relays and has not sent them a message
+	// yet.
+	relaysChanged bool
+	followers     map[ident.Incarnation]follower
+	// fedRelays are the other relays for which this daemon watches the key-value service, with
+	// the store revision that each of them has reached.
+	fedRelays map[ident.Incarnation]uint64
+	// coverage records when each daemon's usage counts were last sent. requestedCounts are the
+	// daemons whose counts other relays have asked for.
+	coverage        accounting.Coverage
+	requestedCounts map[ident.Incarnation]ident.Incarnation
+	// demotionRecipients are the relays that must be told that this daemon no longer is a
+	// relay, in demotionSendsLeft more messages.
+	demotionRecipients []peers.Member
+	demotionSendsLeft  int
+	// rosterRequesters are the addresses of daemons that have asked for the relays' addresses,
+	// or that wrongly believe to be relays.
+	rosterRequesters map[ident.Incarnation]string
+	// rosterVersion is the version of the list of daemons that was last sent; it is sent in
+	// rosterSendsLeft more messages.
+	rosterVersion   uint64
+	rosterSendsLeft int
+	// configUnreadable says that the newest configuration could not be decoded.
+	configUnreadable bool
+	// lastEndedSent is the ended daemon whose usage counts were sent last, lastFollowerSent the
+	// follower whose counts were sent last. The next message continues after them.
+	lastEndedSent, lastFollowerSent ident.Incarnation
 
-	// poolsMu guards the set of pools; each has a lock of its own.
+	// poolsMu guards the map; each pool has a lock of its own.
 	poolsMu sync.RWMutex
 	pools   map[string]*pool
 
-	// dir is what was read of the service; it has a lock of its own.
+	// dir is this daemon's copy of the key-value service; it has a lock of its own.
 	dir directory
 
-	// direct and relaying are the plan's, for those who can't wait for mu.
-	direct, relaying, allWatch atomic.Bool
+	// directMode, relayMode and allWatch copy fields of relayPlan for code that can't wait for
+	// mu.
+	directMode, relayMode, allWatch atomic.Bool
 
-	trials     trials
-	told       toldLoads
-	placements placements
-	asks       pendingGrants
-	advised    advice
-	resolved   udpAddresses
-	confirms   confirmer
-	duties     duties
-	// healthAt is when the runners were looked at last; only tickLoop uses it.
-	healthAt time.Duration
+	trials            trials
+	reported          peerLoadTable
+	placements        placements
+	grantRequests     pendingGrants
+	recommended       recommendations
+	resolvedAddresses udpAddresses
+	configCheck       configChecker
+	duties            duties
+	// healthCheckedAt is when the runners' health was last checked; only tickLoop uses it.
+	healthCheckedAt time.Duration
 }
 
 const incarnationBytes = 6
 
-// New returns a daemon that does nothing until Run.
-func New(set Settings, deps Deps) *Edge {
+// New returns a daemon that is idle until Run is called.
+func New(settings Settings, deps Deps) *Edge {
 	var random [incarnationBytes]byte
-	// crypto/rand.Read ends the process instead of failing.
+	// crypto/rand.Read ends the process instead of returning an error.
 	_, _ = rand.Read(random[:])
 	now := deps.Steady()
-	self := ident.NewIncarnation(set.ID, random[:])
+	self := ident.NewIncarnation(settings.ID, random[:])
 	e := &Edge{
-		set:   set,
-		deps:  deps,
-		log:   deps.Log,
-		self:  self,
-		began: now,
-		fresh: freshness.New(),
+		settings:  settings,
+		deps:      deps,
+		log:       deps.Log,
+		self:      self,
+		startedAt: now,
+		fresh:     freshness.New(),
 		peers: peers.New(peers.Member{
-			ID: set.ID, Incarnation: self, FailureDomain: set.FailureDomain,
-			CallerAddress: set.CallerAddress, PeerAddress: set.PeerAddress, Phase: peers.Starting,
+			ID: settings.ID, Incarnation: self, FailureDomain: settings.FailureDomain,
+			CallerAddress: settings.CallerAddress, PeerAddress: settings.PeerAddress, Phase: peers.Starting,
 			Started: time.Now().UnixMilli(),
 		}),
-		followers: map[ident.Incarnation]follower{},
-		feeding:   map[ident.Incarnation]uint64{},
-		joining:   map[ident.Incarnation]string{},
-		lacked:    map[ident.Incarnation]ident.Incarnation{},
-		stamps:    map[ident.Incarnation]freshness.Stamp{},
-		wall:      walltime.New(time.Now(), now),
-		book: accounting.NewLedger(self, accounting.Timing{
-			Length: set.Bounds.UsageWindow, Due: set.Bounds.UsageDue, Settle: accounting.SettleAfter,
+		followers:        map[ident.Incarnation]follower{},
+		fedRelays:        map[ident.Incarnation]uint64{},
+		rosterRequesters: map[ident.Incarnation]string{},
+		requestedCounts:  map[ident.Incarnation]ident.Incarnation{},
+		stamps:           map[ident.Incarnation]freshness.Stamp{},
+		wallClock:        walltime.New(time.Now(), now),
+		usageBook: accounting.NewLedger(self, accounting.Timing{
+			Length: settings.Bounds.UsageWindow, Due: settings.Bounds.UsageDue, Settle: accounting.SettleAfter,
 		}),
-		limiter: quota.New(now, set.Bounds.QuotaWindow, set.Bounds.QuotaTolerance, set.FirstStart),
-		// Each daemon begins at its own name, so that together they tell of all
-		// that have ended within a few messages.
-		lastEnded: self,
-		pools:     map[string]*pool{},
+		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FirstStart),
+		// Each daemon begins at its own name, so that all daemons together have sent the counts
+		// of all ended daemons within a few messages.
+		lastEndedSent: self,
+		pools:         map[string]*pool{},
 	}
 	e.dir.init()
 	e.trials.init()
-	e.told.init()
-	e.asks.init()
+	e.reported.init()
+	e.grantRequests.init()
 	e.duties.init(e)
-	// Until it hears of others a daemon is alone.
-	e.plan = relays.Make(relays.View{Self: e.peers.Self(), DirectFleet: set.Policy.DirectFleet()})
-	e.standing.Begin(now)
-	e.direct.Store(e.plan.Direct)
-	e.allWatch.Store(e.plan.AllWatch)
-	e.relaying.Store(e.plan.Relay)
-	for _, seed := range set.Seeds {
+	// Until it hears from other daemons, a daemon plans as if it were alone.
+	e.relayPlan = relays.Make(relays.View{Self: e.peers.Self(), DirectFleet: settings.Policy.DirectFleet()})
+	e.relayStanding.Begin(now)
+	e.directMode.Store(e.relayPlan.Direct)
+	e.allWatch.Store(e.relayPlan.AllWatch)
+	e.relayMode.Store(e.relayPlan.Relay)
+	for _, seed := range settings.Seeds {
 		e.peers.Learn(now, seed)
 	}
 	return e
 }
 
-// Learn takes in other daemons' peer addresses.
+// Learn adds peer addresses of other daemons.
 func (e *Edge) Learn(addresses []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -180,31 +185,31 @@
 	}
 }
 
-// Incarnation names this run of the daemon.
+// Incarnation identifies this run of the daemon.
 func (e *Edge) Incarnation() ident.Incarnation { return e.self }
 
-// Run works until the context ends. Draining is begun by Drain before that.
+// Run runs the daemon until the context ends. For a graceful shutdown, call Drain first.
 func (e *Edge) Run(ctx context.Context) error {
-	e.log.Note("start", decisions.F("daemon", e.set.ID), decisions.F("incarnation", e.self),
-		decisions.F("failure_domain", e.set.FailureDomain), decisions.F("first_start", e.set.FirstStart), decisions.F("without", e.set.Policy), decisions.F("direct_fleet", e.set.Policy.DirectFleet()))
+	e.log.Note("start", decisions.F("daemon", e.settings.ID), decisions.F("incarnation", e.self),
+		decisions.F("failure_domain", e.settings.FailureDomain), decisions.F("first_start", e.settings.FirstStart), decisions.F("without", e.settings.Policy), decisions.F("direct_fleet", e.settings.Policy.DirectFleet()))
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return e.receiveDatagrams(ctx) })
 	group.Go(func() error { e.tickLoop(ctx); return nil })
-	group.Go(func() error { e.follow(ctx); return nil })
+	group.Go(func() error { e.syncStore(ctx); return nil })
 	group.Go(func() error { e.keepRegistered(ctx); return nil })
 	if e.deps.Cloud != nil {
 		group.Go(func() error { e.runDuties(ctx); return nil })
 	}
 	err := group.Wait()
-	e.log.Note("stop", decisions.F("daemon", e.set.ID), decisions.F("in_flight", e.inFlight.Load()))
+	e.log.Note("stop", decisions.F("daemon", e.settings.ID), decisions.F("in_flight", e.inFlight.Load()))
 	if err != nil {
 		return fmt.Errorf("run daemon: %w", err)
 	}
 	return nil
 }
 
-// Drain begins a graceful shutdown: no caller is sent here from now on, and the
-// connections that are kept end with their next answer.
+// Drain begins a graceful shutdown: callers are no longer directed to this daemon, and kept
+// connections end with their next answer.
 func (e *Edge) Drain() {
 	now := e.deps.Steady()
 	if !e.drainingSince.CompareAndSwap(0, max(1, int64(now))) {
@@ -217,8 +222,8 @@
 	e.sendRound(0)
 }
 
-// drainedFor is how long ago Drain was called; false if it was not.
-func (e *Edge) drainedFor() (time.Duration, bool) {
+// timeSinceDrain returns the time since Drain was called, and false if it wasn't.
+func (e *Edge) timeSinceDrain() (time.Duration, bool) {
 	since := e.drainingSince.Load()
 	if since == 0 {
 		return 0, false
@@ -226,22 +231,22 @@
 	return e.deps.Steady() - time.Duration(since), true
 }
 
-// InFlight is the number of requests that are being served.
+// InFlight returns the number of requests in progress.
 func (e *Edge) InFlight() int64 { return e.inFlight.Load() }
 
-// Ready tells whether callers should be sent here.
+// Ready reports whether callers should be directed to this daemon.
 func (e *Edge) Ready() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.Self().Phase == peers.Ready
 }
 
-// refreshPhase moves between starting and ready: a daemon without a
-// configuration, or with one that may be too old to admit keyed requests by,
-// only refuses. Called with mu held.
+// refreshPhase switches between the phases starting and ready. A daemon is not ready without a
+// configuration, or with one that is too old to admit requests with keys, since it would only
+// refuse requests. The caller must hold mu.
 func (e *Edge) refreshPhase(now time.Duration) {
 	phase := peers.Starting
-	if e.table.Load() != nil && e.fresh.Age(now) <= e.keyLimit() {
+	if e.table.Load() != nil && e.fresh.Age(now) <= e.maxConfigAgeForKeys() {
 		phase = peers.Ready
 	}
 	before := e.peers.Self().Phase
@@ -261,7 +266,7 @@
 	return membership.Gateways(daemons, domain, mathrand.Uint64())
 }
 
-// Limits bounds what callers may send; the zero value until the configuration is
+// Limits returns the limits on callers' requests, or the zero value until the configuration is
 // known.
 func (e *Edge) Limits() route.Limits {
 	t := e.table.Load()
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -130,10 +130,10 @@
 	defer func() { e.abandonGrants(ids, answers) }()
 	lastRefused := own
 	for i := 0; i < len(addresses) && i < maxAskedRelays && ctx.Err() == nil; i++ {
-		id := e.asks.add(pendingGrant{askedAt: e.deps.Steady(), workspace: ws, cost: cost, relay: addresses[i], answer: answers})
+		id := e.grantRequests.add(pendingGrant{askedAt: e.deps.Steady(), workspace: ws, cost: cost, relay: addresses[i], answer: answers})
 		ids = append(ids, id)
 		e.sendTo(addresses[i], &peersv1.Datagram{Ask: &peersv1.Ask{
-			Id: id, Workspace: string(ws), Cost: cost, PeerAddress: e.set.PeerAddress, Service: service, Candidates: candidates,
+			Id: id, Workspace: string(ws), Cost: cost, PeerAddress: e.settings.PeerAddress, Service: service, Candidates: candidates,
 		}})
 		wait := grantTimeout
 		if i == len(addresses)-1 {
@@ -160,7 +160,7 @@
 // daemon's own and those already listed.
 func (e *Edge) addReferredRelays(addresses, referred []string) []string {
 	for _, address := range referred {
-		if address != e.set.PeerAddress && !slices.Contains(addresses, address) {
+		if address != e.settings.PeerAddress && !slices.Contains(addresses, address) {
 			addresses = append(addresses, address)
 		}
 	}
@@ -195,13 +195,13 @@
 // order. The caller must hold e.mu.
 func (e *Edge) relaysToAsk() []string {
 	var addresses, remote []string
-	for _, r := range e.plan.Own {
+	for _, r := range e.relayPlan.Own {
 		addresses = append(addresses, r.PeerAddress)
 	}
-	for _, r := range e.plan.Others {
+	for _, r := range e.relayPlan.Others {
 		switch {
 		case slices.Contains(addresses, r.PeerAddress):
-		case r.FailureDomain == e.set.FailureDomain:
+		case r.FailureDomain == e.settings.FailureDomain:
 			addresses = append(addresses, r.PeerAddress)
 		default:
 			remote = append(remote, r.PeerAddress)
@@ -216,13 +216,13 @@
 // relay elects it, or if it hears no other relay for long enough to be the last one. In a
 // direct fleet every daemon does. The caller must hold e.mu.
 func (e *Edge) sharesQuotas(now time.Duration) bool {
-	return e.plan.Relay && (e.plan.Direct || e.standing.Shares(now, e.hearsRelay(now)))
+	return e.relayPlan.Relay && (e.relayPlan.Direct || e.relayStanding.Shares(now, e.hearsRelay(now)))
 }
 
 // abandonGrants stops waiting for relays' Grants and returns the quota of those that have
 // arrived and are not used.
 func (e *Edge) abandonGrants(ids []uint64, answers <-chan grantAnswer) {
-	e.asks.abandonGrants(ids)
+	e.grantRequests.abandonGrants(ids)
 	for {
 		select {
 		case g := <-answers:
@@ -271,7 +271,7 @@
 	e.mu.Unlock()
 	g.Id = a.Id
 	if g.Taken {
-		g.Runner = e.advise(now, a)
+		g.Runner = e.recommendRunner(now, a)
 	}
 	e.sendTo(a.PeerAddress, &peersv1.Datagram{Grant: g})
 }
@@ -279,7 +279,7 @@
 // handleGrant passes a relay's Grant to the request that waits for it. Quota granted too late
 // is returned.
 func (e *Edge) handleGrant(g *peersv1.Grant) {
-	pending, ok := e.asks.remove(g.Id)
+	pending, ok := e.grantRequests.remove(g.Id)
 	if !ok {
 		e.log.Count("quota.unknown_grant")
 		return
@@ -313,7 +313,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.plan.Relay {
+	if e.relayPlan.Relay {
 		e.limiter.Release(ident.Workspace(r.Workspace), r.Cost)
 	}
 }
--- a/daemon/edge/harness_test.go
+++ b/daemon/edge/harness_test.go
@@ -209,7 +209,7 @@
 	a := &recordedReply{}
 	d.Serve(ctx, &edge.Request{
 		ID: fmt.Sprintf("r%d", lastRequestID.Add(1)), Host: host, Path: path, Method: http.MethodPost, Target: path,
-		Header: http.Header{}, Key: callerKey, Received: time.Now(), Patience: patience,
+		Header: http.Header{}, Key: callerKey, Received: time.Now(), CallerTimeout: patience,
 	}, a)
 	return a
 }
--- a/daemon/edge/runner_health.go
+++ b/daemon/edge/runner_health.go
@@ -15,10 +15,10 @@
 // healthDue reports whether the health checks are due, and counts them as done.
 func (e *Edge) healthDue() bool {
 	now := e.deps.Steady()
-	if now-e.healthAt < healthInterval {
+	if now-e.healthCheckedAt < healthInterval {
 		return false
 	}
-	e.healthAt = now
+	e.healthCheckedAt = now
 	return true
 }
 
@@ -30,12 +30,12 @@
 	e.poolsMu.RLock()
 	defer e.poolsMu.RUnlock()
 	for _, p := range e.pools {
-		p.share(e.set.Bounds, size)
+		p.setRetryShare(e.settings.Bounds, size)
 		p.tick(time.Now())
-		if e.set.Policy.Uses(ProbeSilent) {
+		if e.settings.Policy.Uses(ProbeSilent) {
 			p.probeSilentRunners(time.Now())
 		}
-		if p.scales() {
+		if p.isScaled() {
 			p.measureDemand(e.deps.Steady())
 		}
 	}
@@ -55,7 +55,7 @@
 
 // observe records the outcome of a call to a runner.
 func (p *pool) observe(id ident.RunnerID, o health.Outcome) {
-	if !p.edge.set.Policy.Uses(Ejection) {
+	if !p.edge.settings.Policy.Uses(Ejection) {
 		return
 	}
 	p.mu.Lock()
--- a/daemon/edge/send.go
+++ b/daemon/edge/send.go
@@ -59,15 +59,15 @@
 		round -= round % roundsPerMessage
 		e.tickPeers()
 		e.sendRound(round)
-		e.applyLoads()
+		e.applyPeerLoads()
 		e.reportTrials(e.deps.Steady())
 		if e.healthDue() {
 			e.tickHealth()
 		}
 		e.duties.wake()
-		e.asks.expire(e.deps.Steady())
+		e.grantRequests.expire(e.deps.Steady())
 		if e.configAge() > confirmAfter && e.table.Load() != nil {
-			go e.confirm(ctx)
+			go e.confirmConfig(ctx)
 		}
 	}
 }
@@ -75,9 +75,9 @@
 // roundsPerMessage returns the number of rounds between two messages of this daemon.
 func (e *Edge) roundsPerMessage() uint64 {
 	switch {
-	case e.direct.Load():
+	case e.directMode.Load():
 		return 1
-	case e.relaying.Load():
+	case e.relayMode.Load():
 		return relayRounds
 	}
 	return followerRounds
@@ -98,15 +98,15 @@
 // sendRound sends all messages that are due in a round. In round zero every kind of message is
 // due.
 func (e *Edge) sendRound(round uint64) {
-	w := e.whatToTell()
+	w := e.summarizeWork()
 	now := e.deps.Steady()
 	var out []multicast
 	e.mu.Lock()
 	w.roster = e.rosterDue(round)
-	if e.plan.Relay {
+	if e.relayPlan.Relay {
 		out = append(out, e.relayMessages(now, round, w))
-	} else if round%followerRounds == 0 || e.followsAnew {
-		e.followsAnew = false
+	} else if round%followerRounds == 0 || e.relaysChanged {
+		e.relaysChanged = false
 		out = append(out, e.followedRelayMessages(now, round, w))
 	}
 	if round%followerRounds == 0 {
@@ -122,7 +122,7 @@
 // relayMessageRounds returns the number of rounds between two messages to the other relays. It
 // grows with each maxRelaysAtFullRate of them.
 func (e *Edge) relayMessageRounds() uint64 {
-	return uint64(relayRounds * (1 + len(e.plan.Others)/maxRelaysAtFullRate))
+	return uint64(relayRounds * (1 + len(e.relayPlan.Others)/maxRelaysAtFullRate))
 }
 
 // sendsRoster reports whether a message to the other relays carries this relay's own counts
@@ -132,34 +132,34 @@
 
 // relayMessages builds the message to the other relays, which are all daemons in a direct
 // fleet.
-func (e *Edge) relayMessages(now time.Duration, round uint64, w news) multicast {
+func (e *Edge) relayMessages(now time.Duration, round uint64, w workSummaries) multicast {
 	period := e.relayMessageRounds()
-	if !e.plan.Direct && round%period != 0 {
+	if !e.relayPlan.Direct && round%period != 0 {
 		return multicast{}
 	}
 	messageNumber := round / period
 	c := multicast{hello: e.baseHello(now)}
 	e.addQuotaUses(now, c.hello)
-	if e.plan.Direct || period >= followerRounds || !sendsRoster(messageNumber) {
-		addWork(c.hello, w.cell)
+	if e.relayPlan.Direct || period >= followerRounds || !sendsRoster(messageNumber) {
+		addWork(c.hello, w.ownAndFollowers)
 	}
-	if e.plan.Direct && w.roster || !e.plan.Direct && sendsRoster(messageNumber) && (w.roster || period >= followerRounds) {
+	if e.relayPlan.Direct && w.roster || !e.relayPlan.Direct && sendsRoster(messageNumber) && (w.roster || period >= followerRounds) {
 		c.hello.Roster = e.followersRoster()
 	}
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		e.addAllCounts(now, c.hello)
 	} else if sendsRoster(messageNumber) {
 		c.hello.Introduced = rotatingSubset(e.introductions(now), messageNumber/2, maxIntroducedRelays)
 	}
 	counts := e.countsForRelays(now, messageNumber)
-	for i, r := range e.plan.Others {
+	for i, r := range e.relayPlan.Others {
 		own := e.stampReply(r.Incarnation)
 		own.Elects = true
 		own.Lacks = counts.requestFor(messageNumber, i)
 		e.addRelayCounts(now, r.Incarnation, counts, own)
-		own.Feed = e.feedAfter(now, e.feeding[r.Incarnation])
-		if r.Incarnation == e.plan.Source.Incarnation && !e.plan.Watches {
-			own.FeedAt = e.dir.reached()
+		own.Feed = e.feedAfter(now, e.fedRelays[r.Incarnation])
+		if r.Incarnation == e.relayPlan.Source.Incarnation && !e.relayPlan.Watches {
+			own.FeedAt = e.dir.revisionReached()
 		}
 		c.to = append(c.to, recipient{r.PeerAddress, own})
 	}
@@ -167,26 +167,26 @@
 }
 
 // followedRelayMessages builds the message to the relays that this daemon follows.
-func (e *Edge) followedRelayMessages(now time.Duration, round uint64, w news) multicast {
+func (e *Edge) followedRelayMessages(now time.Duration, round uint64, w workSummaries) multicast {
 	c := multicast{hello: e.baseHello(now)}
 	c.hello.Follows = true
 	addWork(c.hello, w.own)
 	e.addOwnCounts(now, c.hello)
-	e.told.remember(c.hello.Seq, w.own.loads)
-	for i, r := range e.plan.Own {
+	e.reported.rememberSent(c.hello.Seq, w.own.loads)
+	for i, r := range e.relayPlan.Own {
 		if i > 0 && round%standbyRounds != 0 {
 			break
 		}
 		own := e.stampReply(r.Incarnation)
 		own.Primary = i == 0
-		own.FeedAt = e.dir.reached()
+		own.FeedAt = e.dir.revisionReached()
 		c.to = append(c.to, recipient{r.PeerAddress, own})
 	}
 	return c
 }
 
 // followerMessages builds the message to the daemons that follow this one.
-func (e *Edge) followerMessages(now time.Duration, round uint64, w news) multicast {
+func (e *Edge) followerMessages(now time.Duration, round uint64, w workSummaries) multicast {
 	c := multicast{}
 	for id, f := range e.followers {
 		if now-f.lastHeard > e.peers.AliveFor() {
@@ -205,7 +205,7 @@
 		return c
 	}
 	c.hello = e.baseHello(now)
-	c.hello.TimeUnixNs = e.wall.At(now).UnixNano()
+	c.hello.TimeUnixNs = e.wallClock.At(now).UnixNano()
 	addWork(c.hello, w.all)
 	if w.roster {
 		c.hello.Roster = e.domainRoster(now)
@@ -218,18 +218,18 @@
 // they wait for its quota use until they know that other daemons are the relays now.
 func (e *Edge) formerRelayMessages(now time.Duration) multicast {
 	c := multicast{}
-	if e.demotionsLeft == 0 {
+	if e.demotionSendsLeft == 0 {
 		return c
 	}
-	e.demotionsLeft--
+	e.demotionSendsLeft--
 	c.hello = e.baseHello(now)
-	upToDate := e.plan.Own
-	if e.plan.Relay {
-		upToDate = e.plan.Others
+	upToDate := e.relayPlan.Own
+	if e.relayPlan.Relay {
+		upToDate = e.relayPlan.Others
 		e.addQuotaUses(now, c.hello)
 		c.hello.Roster = e.domainRoster(now)
 	}
-	for _, r := range e.formerRelays {
+	for _, r := range e.demotionRecipients {
 		if !containsMember(upToDate, r.Incarnation) {
 			c.to = append(c.to, recipient{r.PeerAddress, e.stampReply(r.Incarnation)})
 		}
@@ -242,27 +242,27 @@
 // leaves the unheard addresses to them.
 func (e *Edge) newcomerMessages(now time.Duration, round uint64) multicast {
 	c := multicast{}
-	if e.plan.Relay {
+	if e.relayPlan.Relay {
 		unheard := e.peers.Unheard(e.alive)
-		if !e.plan.Direct {
+		if !e.relayPlan.Direct {
 			unheard = rotatingSubset(unheard, round, maxUnheardPerRound)
 		}
 		for _, address := range unheard {
 			c.to = append(c.to, recipient{address, &peersv1.Hello{ConfigRevision: e.fresh.Revision()}})
 		}
 	}
-	if !e.plan.Direct {
-		for id, address := range e.joining {
+	if !e.relayPlan.Direct {
+		for id, address := range e.rosterRequesters {
 			c.to = append(c.to, recipient{address, e.stampReply(id)})
 		}
 	}
-	clear(e.joining)
+	clear(e.rosterRequesters)
 	if len(c.to) == 0 {
 		return c
 	}
 	c.hello = e.baseHello(now)
 	c.hello.Introduced = e.introductions(now)
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		e.addQuotaUses(now, c.hello)
 	}
 	return c
@@ -312,7 +312,7 @@
 }
 
 func (e *Edge) sendBytes(address string, message []byte) {
-	to, err := e.resolved.resolve(address)
+	to, err := e.resolvedAddresses.resolve(address)
 	if err != nil {
 		e.log.Note("message_failed", decisions.F("address", address), decisions.F("error", err.Error()))
 		return
