--- a/daemon/edge/order.go
+++ b/daemon/edge/order.go
@@ -23,7 +23,7 @@
 	return fleet.Pool{FailureDomain: r.FailureDomain, Class: class}
 }
 
-func (f *fleetDuty) offers(reclaimableOnly bool) []fleet.Offer {
+func (f *fleetScaler) offers(reclaimableOnly bool) []fleet.Offer {
 	var offers []fleet.Offer
 	s := f.service.Scaling
 	for domain, price := range s.Prices {
@@ -39,9 +39,9 @@
 	return offers
 }
 
-// carryOut turns a decision into numbers to order of each pool. A pool that has
-// none to give is asked again later, and the next round plans without it.
-func (f *fleetDuty) carryOut(ctx context.Context, now time.Duration, d fleet.Decision, w fleet.Target) {
+// applyDecision converts a decision into one order for each class and failure domain. If the
+// cloud has none to give, it is asked again later, and the next round plans without them.
+func (f *fleetScaler) applyDecision(ctx context.Context, now time.Duration, d fleet.Decision, w fleet.Target) {
 	changes := map[fleet.Pool]int{}
 	for _, s := range d.Starts {
 		changes[s.Pool]++
@@ -57,11 +57,11 @@
 		if n == 0 {
 			continue
 		}
-		f.change(ctx, now, pool, n, w)
+		f.orderChange(ctx, now, pool, n, w)
 	}
 }
 
-func (f *fleetDuty) change(ctx context.Context, now time.Duration, pool fleet.Pool, n int, w fleet.Target) {
+func (f *fleetScaler) orderChange(ctx context.Context, now time.Duration, pool fleet.Pool, n int, w fleet.Target) {
 	duty, ok := f.edge.permit()
 	if !ok {
 		return
@@ -77,12 +77,13 @@
 	err := f.edge.deps.Cloud.Order(callCtx, duty, order)
 	cancel()
 	outcome := "ordered"
-	var none *NoneAvailableError
+	var none *NoRunnersAvailableError
 	switch {
 	case err == nil:
 		f.planner.RecordStart(pool)
 		if order.Reclaimable && n > 0 {
-			// They are to be had again. What costs more goes once these serve.
+			// Reclaimable runners are available again. More expensive ones are given back once
+			// these serve.
 			f.scarceUntil = now
 			f.planner.ResetBackoff()
 		}
@@ -90,10 +91,10 @@
 		outcome = "none_available"
 		f.orders.Undo(pool, n)
 		f.planner.RecordRefusal(now, pool)
-		f.scarceUntil = now + scarceFor
+		f.scarceUntil = now + scarcityPeriod
 	default:
-		// It may have been taken. The same number is ordered again if it does
-		// not show.
+		// The order may have been accepted. The same number is ordered again if the runners
+		// don't appear.
 		outcome = err.Error()
 		f.orders.Undo(pool, n)
 	}
--- a/daemon/edge/runner_health.go
+++ b/daemon/edge/runner_health.go
@@ -9,32 +9,33 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// healthInterval is the least time between two looks at the runners.
+// healthInterval is the least time between two health checks of the pools.
 const healthInterval = 200 * time.Millisecond
 
-// healthDue tells whether it is time to look at the runners.
+// healthDue reports whether the health checks are due, and counts them as done.
 func (e *Edge) healthDue() bool {
 	now := e.deps.Steady()
-	if now-e.healthAt < healthInterval {
+	if now-e.healthCheckedAt < healthInterval {
 		return false
 	}
-	e.healthAt = now
+	e.healthCheckedAt = now
 	return true
 }
 
-// tickHealth moves the pools' time on.
+// tickHealth removes runner entries that have lapsed and advances the time-based state of the
+// pools: retry budgets, ejections and measured demand.
 func (e *Edge) tickHealth() {
 	e.expireLapsed()
 	size := e.fleetSize()
 	e.poolsMu.RLock()
 	defer e.poolsMu.RUnlock()
 	for _, p := range e.pools {
-		p.share(e.set.Bounds, size)
+		p.setRetryShare(e.settings.Bounds, size)
 		p.tick(time.Now())
-		if e.set.Policy.Uses(ProbeSilent) {
+		if e.settings.Policy.Uses(ProbeSilent) {
 			p.probeSilentRunners(time.Now())
 		}
-		if p.scales() {
+		if p.isScaled() {
 			p.measureDemand(e.deps.Steady())
 		}
 	}
@@ -42,19 +43,19 @@
 
 func healthConfig() health.Config {
 	c := health.Default()
-	// A request is bounded by seconds, so a runner that fails them must be tried
-	// again within seconds, too.
+	// Requests are limited to seconds, so an ejected runner must be retried within seconds,
+	// too.
 	c.Ejection = time.Second
 	c.MaxEjection = 8 * time.Second
 	c.Window = 3 * time.Second
-	// A runner that is there answers its health check in milliseconds.
+	// A working runner answers its health check within milliseconds.
 	c.ProbeTimeout = 400 * time.Millisecond
 	return c
 }
 
-// observe takes in how a call to a runner went.
+// observe records the outcome of a call to a runner.
 func (p *pool) observe(id ident.RunnerID, o health.Outcome) {
-	if !p.edge.set.Policy.Uses(Ejection) {
+	if !p.edge.settings.Policy.Uses(Ejection) {
 		return
 	}
 	p.mu.Lock()
--- a/daemon/edge/stop_test.go
+++ b/daemon/edge/stop_test.go
@@ -16,9 +16,9 @@
 	"geraniumstack.org/geraniumstack/standin/kvserver"
 )
 
-// tardySocket is a socket whose reader is woken by the daemon's end before it is closed,
-// as by a message of a peer, and whose close takes its time.
-type tardySocket struct {
+// slowClosingSocket is a socket whose read returns as soon as the daemon's context ends, as if
+// a message had arrived at that moment, and whose Close takes a while.
+type slowClosingSocket struct {
 	net.PacketConn
 	ended context.Context
 
@@ -26,14 +26,14 @@
 	closed bool
 }
 
-func (s *tardySocket) ReadFrom([]byte) (int, net.Addr, error) {
+func (s *slowClosingSocket) ReadFrom([]byte) (int, net.Addr, error) {
 	<-s.ended.Done()
 	return 0, nil, net.ErrClosed
 }
 
-func (s *tardySocket) WriteTo(p []byte, _ net.Addr) (int, error) { return len(p), nil }
+func (s *slowClosingSocket) WriteTo(p []byte, _ net.Addr) (int, error) { return len(p), nil }
 
-func (s *tardySocket) Close() error {
+func (s *slowClosingSocket) Close() error {
 	time.Sleep(100 * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,15 +41,15 @@
 	return nil
 }
 
-// A daemon is stopped and another one started at its address on a busy VM. A message comes
-// at the moment of the stop, so the reader ends before the socket has been closed by
-// another goroutine; the second daemon finds the address in use and ends, and nobody
-// answers callers.
+// Guards against ending before the socket is closed. On a busy VM a daemon is stopped and
+// another one is started at its address. A message arrives at the moment of the stop, so the
+// reader returned before another goroutine had closed the socket. The second daemon found the
+// address in use and ended, and no daemon answered callers.
 func TestSocketIsClosedWhenTheDaemonHasEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
-		socket := &tardySocket{ended: ctx}
+		socket := &slowClosingSocket{ended: ctx}
 		start := time.Now()
 		e := edge.New(edge.Settings{ID: "d1", PeerAddress: "10.0.0.1:7600", FirstStart: true, Bounds: edge.Bounds{
 			RevokeWithin: 5 * time.Second, QuotaWindow: 8 * time.Second, LeaseTTL: 3 * time.Second, UsageWindow: 5 * time.Second, UsageDue: 10 * time.Second,
