--- a/state/actionkey/actionkey.go
+++ b/state/actionkey/actionkey.go
@@ -1,6 +1,7 @@
-// Package actionkey holds the idempotency keys of actions: calls that may not
-// be repeated. A key made from a token names the one owner that may dispatch
-// it, so no agreement is needed at the time of the call.
+// Package actionkey defines the idempotency keys of actions, which are calls
+// that run at most once. A key made from a token names the only owner that may
+// dispatch the action, so that the gateways need no consensus at the time of
+// the call.
 package actionkey
 
 import (
@@ -13,7 +14,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// MaxLength bounds a key in bytes, its token included.
+// MaxLength is the maximum length of a key in bytes, including its token.
 const MaxLength = 256
 
 const (
@@ -26,33 +27,37 @@
 	modeUnjournaled = "u"
 )
 
-// Token is what a caller puts before its own suffix to make a key.
+// Token is the prefix issued by an owner to which a caller appends its own
+// suffix to make a key.
 type Token struct {
-	// Owner is the only one to dispatch the token's keys.
+	// Owner is the only daemon incarnation that may dispatch actions with keys
+	// made from the token.
 	Owner ident.Incarnation
-	// Issued is read from the owner's clock, in whole milliseconds.
+	// Issued is the time of issue by the owner's clock, in whole milliseconds.
 	Issued time.Time
-	// Lifetime is how long after Issued the keys may be used and repeated.
+	// Lifetime is how long after Issued the keys may be submitted, for the
+	// first time or as a repetition.
 	Lifetime time.Duration
-	// Journaled is the owner's promise that it dispatches the token's keys
-	// only after they are in its journal. Tokens issued while the journal
-	// can't be written don't carry it.
+	// Journaled is the owner's promise to dispatch actions with the token's
+	// keys only after they are in its journal. Tokens issued while the journal
+	// can't be written don't carry the promise.
 	Journaled bool
 }
 
-// Key is a parsed key.
+// Key is a parsed key: a token and the suffix chosen by the caller.
 type Key struct {
 	Token
 	Suffix string
 }
 
-// ID names an action: keys of different workspaces never meet.
+// ID identifies an action. It includes the workspace, so that equal keys of
+// different workspaces don't conflict.
 type ID struct {
 	Workspace ident.Workspace `json:"w"`
 	Key       string          `json:"k"`
 }
 
-// MalformedError says that a text that starts like a key is none.
+// MalformedError reports that a text is not a valid key.
 type MalformedError struct{ Key, Problem string }
 
 func (e *MalformedError) Error() string {
@@ -76,13 +81,14 @@
 	return strings.Join(parts, separator)
 }
 
-// Expires is when, by the owner's clock, the token's keys end.
+// Expires returns the time, by the owner's clock, at which the token's keys
+// expire.
 func (t Token) Expires() time.Time { return t.Issued.Add(t.Lifetime) }
 
-// HasToken tells whether the key was made from a token.
+// HasToken reports whether the text starts like a key made from a token.
 func HasToken(key string) bool { return strings.HasPrefix(key, keyVersion+separator) }
 
-// Parse reads a key made from a token.
+// Parse parses a key made from a token.
 func Parse(key string) (Key, error) {
 	if len(key) > MaxLength {
 		return Key{}, &MalformedError{Key: key[:MaxLength], Problem: "too long"}
@@ -104,7 +110,7 @@
 	return Key{Token: token, Suffix: parts[5]}, nil
 }
 
-// ParseToken reads a token without a suffix.
+// ParseToken parses a token without a suffix.
 func ParseToken(text string) (Token, error) {
 	const suffix = "s"
 	key, err := Parse(text + suffix)
@@ -151,5 +157,6 @@
 	}, nil
 }
 
-// maxLifetime bounds what a forged token could make an owner remember.
+// maxLifetime is the longest lifetime accepted in a token. It limits how long
+// a forged token could make an owner remember a key.
 const maxLifetime = 24 * time.Hour
--- a/state/actionkey/fuzz_test.go
+++ b/state/actionkey/fuzz_test.go
@@ -7,9 +7,9 @@
 	"geraniumstack.org/geraniumstack/state/actionkey"
 )
 
-// A caller sends any text as its key. Reading it must not panic, and a key that
-// is read must name the same owner and suffix when it is written and read again:
-// two readings of one key would be two owners for one action.
+// Callers may send any text as a key. Parsing it must not panic, and a parsed
+// key must have the same owner and suffix after it is formatted and parsed
+// again. Otherwise one key could name two owners for the same action.
 func FuzzParse(f *testing.F) {
 	token := actionkey.Token{Owner: "gateway-1~ab", Issued: time.UnixMilli(1), Lifetime: time.Minute, Journaled: true}
 	f.Add(token.String() + "pledge-1")
