--- a/state/document/document.go
+++ b/state/document/document.go
@@ -1,6 +1,6 @@
-// Package document reads JSON settings and manifests strictly: unknown fields,
-// wrong types, missing and contradictory values are all reported at once, each
-// with its JSON path.
+// Package document decodes JSON settings and manifests strictly. It reports
+// all unknown fields, wrong types, missing values and contradictory values at
+// once, each with its JSON path.
 package document
 
 import (
@@ -19,14 +19,15 @@
 	"golang.org/x/text/message"
 )
 
-// Problem is one fault of a document.
+// Problem is one error in a document.
 type Problem struct {
-	// Path is a JSON pointer to the value at fault; empty for the whole.
+	// Path is a JSON pointer to the invalid value. It is empty for the whole
+	// document.
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
 }
 
-// InvalidError lists every fault that was found in a document.
+// InvalidError lists all errors found in a document.
 type InvalidError struct{ Problems []Problem }
 
 func (e *InvalidError) Error() string {
@@ -44,14 +45,14 @@
 	return path
 }
 
-// Checker is a document with rules that span several fields.
+// Checker is implemented by documents that have rules across several fields.
 type Checker interface {
-	// Check returns every contradiction in the value.
+	// Check returns all violations of these rules.
 	Check() []Problem
 }
 
-// Decode reads data into v, a pointer to a struct with json tags. The error is
-// an *InvalidError where the document is at fault.
+// Decode decodes data into v, a pointer to a struct with json tags. The error
+// is an *InvalidError if the document is invalid.
 func Decode(data []byte, v any) error {
 	problems, err := validateSchema(data, v)
 	if err != nil {
@@ -71,7 +72,8 @@
 	return nil
 }
 
-// Schema returns the JSON Schema that Decode checks v's type against.
+// Schema returns the JSON Schema for the type of v, against which Decode
+// validates documents.
 func Schema(v any) ([]byte, error) {
 	r := &jsonschema.Reflector{Anonymous: true, Namer: qualifiedName}
 	data, err := json.MarshalIndent(r.Reflect(v), "", "  ")
@@ -81,9 +83,10 @@
 	return data, nil
 }
 
-// qualifiedName names a type's definition with its package. Guards against two
-// types of one name (ident.Workspace and manifest.Workspace): by the bare name
-// they share one definition, and values of one are checked against the other.
+// qualifiedName returns a schema definition name that includes the package.
+// With the bare type name, two types of the same name, such as ident.Workspace
+// and manifest.Workspace, would share one definition, and values of one would
+// be validated against the other.
 func qualifiedName(t reflect.Type) string {
 	if t.Name() == "" {
 		return ""
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -41,7 +41,7 @@
 	Inner Problem          `json:"inner"`
 }
 
-// Problem has the name of another package's type.
+// Problem has the same name as a type of package document.
 type Problem string
 
 func TestTypesWithSameNameAreDistinguished(t *testing.T) {
