--- a/state/ident/ident.go
+++ b/state/ident/ident.go
@@ -1,5 +1,6 @@
-// Package ident names the things that the layers speak of, so that a failure
-// domain cannot be passed where a workspace is expected.
+// Package ident defines a separate type for each kind of identifier, so that
+// the compiler rejects, for example, a failure domain that is passed as a
+// workspace.
 package ident
 
 import (
@@ -8,40 +9,43 @@
 	"strings"
 )
 
-// DaemonID names one entry VM's place; a replacement VM at the same address
-// keeps it.
+// DaemonID identifies the daemon of one entry VM. A replacement VM at the same
+// address keeps the ID.
 type DaemonID string
 
-// Incarnation names one run of one daemon: its DaemonID and a random number
-// chosen at start. It never comes back after the process has ended.
+// Incarnation identifies one run of a daemon process: its DaemonID and a
+// random number drawn at start. An incarnation is never reused after its
+// process has ended.
 type Incarnation string
 
-// FailureDomain names a set of VMs that can be reclaimed or fail at once.
+// FailureDomain identifies a set of VMs that can fail or be reclaimed
+// together.
 type FailureDomain string
 
-// Workspace names one customer of the platform.
+// Workspace identifies one customer of the platform.
 type Workspace string
 
-// RunnerID names one incarnation of a runner (a backend server).
+// RunnerID identifies one incarnation of a runner, which is a backend server.
 type RunnerID string
 
-// RequestID names one accepted model request for its whole life.
+// RequestID identifies an accepted model request until it ends.
 type RequestID string
 
-// AttemptID names one dispatch of a request to one runner.
+// AttemptID identifies one dispatch of a request to a runner.
 type AttemptID string
 
-// Generation numbers accepted configurations; it only grows. Zero means none.
+// Generation numbers the accepted configurations in increasing order. Zero
+// means that there is none.
 type Generation uint64
 
 const incarnationSeparator = "~"
 
-// NewIncarnation joins a daemon's place with random bytes drawn at start.
+// NewIncarnation joins a daemon ID with random bytes drawn at start.
 func NewIncarnation(id DaemonID, random []byte) Incarnation {
 	return Incarnation(string(id) + incarnationSeparator + hex.EncodeToString(random))
 }
 
-// Daemon returns the place that the incarnation runs at.
+// Daemon returns the ID of the daemon that this is an incarnation of.
 func (i Incarnation) Daemon() (DaemonID, error) {
 	id, _, ok := strings.Cut(string(i), incarnationSeparator)
 	if !ok || id == "" {
@@ -50,7 +54,7 @@
 	return DaemonID(id), nil
 }
 
-// MalformedIncarnationError says that a text is not an incarnation.
+// MalformedIncarnationError reports that a text is not a valid incarnation.
 type MalformedIncarnationError struct{ Value string }
 
 func (e *MalformedIncarnationError) Error() string {
--- a/state/ident/request.go
+++ b/state/ident/request.go
@@ -9,7 +9,8 @@
 const requestIDSeparator = "."
 
 // NewRequestID joins the daemon incarnation that accepts the request with
-// random bytes, so that any gateway knows whom to ask for it first.
+// random bytes, so that any gateway knows which daemon to ask first about the
+// request.
 func NewRequestID(owner Incarnation, random []byte) RequestID {
 	return RequestID(string(owner) + requestIDSeparator + hex.EncodeToString(random))
 }
@@ -23,7 +24,7 @@
 	return Incarnation(r[:i]), nil
 }
 
-// MalformedRequestIDError says that a text is not a request's ID.
+// MalformedRequestIDError reports that a text is not a valid request ID.
 type MalformedRequestIDError struct{ Value string }
 
 func (e *MalformedRequestIDError) Error() string {
