--- a/state/load/load.go
+++ b/state/load/load.go
@@ -1,41 +1,48 @@
-// Package load holds what a model runner last published of itself. Reports
-// lag; As of tells how far.
+// Package load defines the load reports of model runners. A report may be out
+// of date; Report.AsOf tells its age.
 package load
 
 import "time"
 
-// Model is one model in a runner's memory.
+// Model is a model that a runner has in memory or is loading.
 type Model struct {
 	Name     string
 	Version  string
 	Adapters []string
-	// Loading ones can't serve yet.
+	// Loading is set while the model is being loaded and can't serve requests
+	// yet.
 	Loading bool
 }
 
-// Report is one runner's load at one moment.
+// Report is the load of one runner at one time.
 type Report struct {
-	// AsOf is when the runner drew the report up, on the reader's clock.
+	// AsOf is the time at which the runner made the report, converted to the
+	// clock of the reader.
 	AsOf time.Time
 	// Running is the number of requests in the batch.
 	Running int
-	// Waiting is the number of requests that wait for a place in the batch,
-	// MaxRunning the number of places; zero is not known.
-	Waiting    int
+	// Waiting is the number of requests that wait for a place in the batch.
+	Waiting int
+	// MaxRunning is the number of places in the batch. Zero means unknown.
 	MaxRunning int
-	// QueuedTokens is the prompt tokens that wait for their prefill.
+	// QueuedTokens is the number of prompt tokens that wait for their prefill.
 	QueuedTokens int
-	// RunningTokens is the tokens in the KV cache of the batch.
+	// RunningTokens is the number of tokens that the requests in the batch have
+	// in the KV cache.
 	RunningTokens int
-	// KVBlocksTotal and KVBlocksFree count blocks of the KV cache.
+	// KVBlocksTotal and KVBlocksFree are the numbers of all and of free blocks
+	// in the KV cache.
 	KVBlocksTotal int
 	KVBlocksFree  int
-	// PrefillRate is prompt tokens per second; zero is not known.
+	// PrefillRate is the number of prompt tokens processed per second. Zero
+	// means unknown.
 	PrefillRate float64
-	// DecodeRate is output tokens per second of one request.
+	// DecodeRate is the number of output tokens per second of one request.
 	DecodeRate float64
 	Models     []Model
-	// Leaving says that the VM has been told to go, Left in how long.
-	Leaving  bool
+	// Leaving is set once the cloud has announced that the VM will be stopped.
+	Leaving bool
+	// TimeLeft is the time until the VM is stopped. It is valid only if Leaving
+	// is set.
 	TimeLeft time.Duration
 }
