--- a/state/usage/usage.go
+++ b/state/usage/usage.go
@@ -1,5 +1,5 @@
-// Package usage counts, per workspace, what was accepted, answered, generated
-// and refused by this daemon since it started.
+// Package usage counts the accepted requests, complete answers, generated
+// tokens and refusals of each workspace at this daemon since its start.
 package usage
 
 import (
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Counts is one workspace's use.
+// Counts holds the usage of one workspace.
 type Counts struct {
 	Accepted        int64
 	Answered        int64
@@ -19,7 +19,8 @@
 }
 
 // Table holds the counts of all workspaces. It is safe for concurrent use. Its
-// keys come from the manifest only, so a caller can't make it grow.
+// keys are workspaces of the manifest only, so that callers can't make it
+// grow.
 type Table struct {
 	mu     sync.Mutex
 	counts map[ident.Workspace]*Counts
@@ -28,7 +29,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{counts: map[ident.Workspace]*Counts{}} }
 
-// countsFor needs t.mu held.
+// countsFor returns the counts of a workspace and creates them if necessary.
+// The caller must hold t.mu.
 func (t *Table) countsFor(ws ident.Workspace) *Counts {
 	c, ok := t.counts[ws]
 	if !ok {
@@ -38,14 +40,14 @@
 	return c
 }
 
-// Accepted counts a request that was taken on.
+// Accepted counts an accepted request.
 func (t *Table) Accepted(ws ident.Workspace) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.countsFor(ws).Accepted++
 }
 
-// Answered counts a whole answer and its generated tokens.
+// Answered counts a complete answer and its generated tokens.
 func (t *Table) Answered(ws ident.Workspace, tokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,7 +63,7 @@
 	t.countsFor(ws).Refused[reason]++
 }
 
-// Snapshot copies the counts.
+// Snapshot returns a copy of all counts.
 func (t *Table) Snapshot() map[ident.Workspace]Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
