--- a/state/refusal/refusal.go
+++ b/state/refusal/refusal.go
@@ -1,5 +1,6 @@
-// Package refusal holds the typed answers that a caller gets when a request is
-// not answered in full. A refusal always says whether anything ran.
+// Package refusal defines the typed results that callers receive if a request
+// is not answered in full. Every refusal states whether the request was
+// executed.
 package refusal
 
 import (
@@ -8,23 +9,27 @@
 	"time"
 )
 
-// Executed tells whether the refused request ran at a runner.
+// Executed states whether a refused request was executed by a runner.
 type Executed string
 
+// Execution states of refused requests.
 const (
-	// ExecutedNo is a promise: no byte of the request can have reached a
-	// runner, or the runner itself said that it did not run it.
+	// ExecutedNo guarantees that the request was not executed: no byte of it
+	// can have reached a runner, or the runner reported that it did not execute
+	// it.
 	ExecutedNo Executed = "no"
-	// ExecutedYes says that it ran and that its answer is known.
+	// ExecutedYes means that the request was executed and its result is known.
 	ExecutedYes Executed = "yes"
-	// ExecutedUnknown is said wherever the promise of ExecutedNo can't be kept.
+	// ExecutedUnknown means that the request may have been executed. It is used
+	// wherever ExecutedNo can't be guaranteed.
 	ExecutedUnknown Executed = "unknown"
 )
 
-// Reason is the machine-readable cause of a refusal; each has its own counter.
+// Reason is the machine-readable cause of a refusal. Each reason has its own
+// counter in the metrics.
 type Reason string
 
-// Reasons shared by all kinds of requests.
+// Reasons for refusing requests of any kind.
 const (
 	BadRequest           Reason = "bad_request"
 	BodyTooLarge         Reason = "body_too_large"
@@ -45,15 +50,16 @@
 	RunnerRefused        Reason = "runner_refused"
 	RetryBudgetExhausted Reason = "retry_budget_exhausted"
 	Cancelled            Reason = "cancelled"
-	// StaleConfiguration means that the daemon can't show that its configuration
-	// is recent enough to decide by.
+	// StaleConfiguration means that the daemon can't prove that its
+	// configuration is recent enough to base a decision on it.
 	StaleConfiguration Reason = "stale_configuration"
-	// QuotaUnknown means that nobody who shares out the workspace's quota answered.
+	// QuotaUnknown means that none of the daemons that distribute the
+	// workspace's quota answered.
 	QuotaUnknown Reason = "quota_unknown"
 	Internal     Reason = "internal"
 )
 
-// Reasons of actions (calls that may not be repeated).
+// Reasons for refusing actions, which are calls that run at most once.
 const (
 	KeyRequired        Reason = "idempotency_key_required"
 	KeyMalformed       Reason = "idempotency_key_malformed"
@@ -68,29 +74,30 @@
 	AnswerNotKept      Reason = "answer_not_kept"
 )
 
-// Refusal is the typed final answer to a request that is not answered in full.
+// Refusal is the typed final result of a request that is not answered in full.
 type Refusal struct {
 	Reason   Reason
 	Executed Executed
-	// Detail is for a person; it never carries another caller's data.
+	// Detail is a description for humans. It never contains data of another
+	// caller.
 	Detail string
-	// RetryAfter is when to come back; zero means that the same request would
-	// be refused again.
+	// RetryAfter is the delay after which the caller may try again. Zero means
+	// that the same request would be refused again.
 	RetryAfter time.Duration
 }
 
-// New makes a refusal for a request that has not run.
+// New returns a refusal of a request that was not executed.
 func New(reason Reason, format string, args ...any) *Refusal {
 	return &Refusal{Reason: reason, Executed: ExecutedNo, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After returns the refusal with the time at which to come back.
+// After sets the retry delay and returns the refusal.
 func (r *Refusal) After(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
 }
 
-// Unknown returns the refusal without the promise that nothing ran.
+// Unknown sets Executed to ExecutedUnknown and returns the refusal.
 func (r *Refusal) Unknown() *Refusal {
 	r.Executed = ExecutedUnknown
 	return r
@@ -100,8 +107,9 @@
 	return fmt.Sprintf("%s (executed: %s): %s", r.Reason, r.Executed, r.Detail)
 }
 
-// From finds the refusal in an error chain. Any other error becomes Internal
-// with executed "unknown", since its cause proves nothing about the runner.
+// From returns the refusal in an error chain. Any other error becomes an
+// Internal refusal with ExecutedUnknown, since such an error proves nothing
+// about the runner.
 func From(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
