--- a/state/prefixhash/prefixhash.go
+++ b/state/prefixhash/prefixhash.go
@@ -1,11 +1,12 @@
-// Package prefixhash names prompt prefixes the way the engines' cache events
-// do: a prompt's tokens (its words) are cut into blocks of BlockTokens, and
-// each whole block's hash covers all blocks before it. Two prompts share a
-// block hash only where they share the whole prefix up to it.
+// Package prefixhash computes the hashes of prompt prefixes in the same way as
+// the cache events of the engines. The tokens of a prompt, which are its
+// words, are divided into blocks of BlockTokens. The hash of each complete
+// block covers all blocks before it, so that two prompts have a block hash in
+// common only if they share the whole prefix up to the end of that block.
 //
-// The hash of a block is xxhash64 over the previous block's hash, as eight
-// little-endian bytes, and then each of the block's words followed by one zero
-// byte. The hash before the first block is Root(model, adapter).
+// The hash of a block is the xxHash64 of the hash of the previous block, as
+// eight little-endian bytes, followed by each word of the block with a zero
+// byte after it. The hash before the first block is RootHash(model, adapter).
 package prefixhash
 
 import (
@@ -15,13 +16,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BlockTokens is the number of tokens that one block covers.
+// BlockTokens is the number of tokens in a block.
 const BlockTokens = 16
 
 var separator = []byte{0}
 
-// RootHash is the hash before the first block of a prompt to a model with an
-// adapter; adapter is empty for the model alone.
+// RootHash returns the hash before the first block of a prompt. The adapter is
+// empty if the model is used without one.
 func RootHash(model, adapter string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -30,7 +31,8 @@
 	return d.Sum64()
 }
 
-// NextBlockHash is the hash of the block that follows the one with hash previous.
+// NextBlockHash returns the hash of a block from the hash of the previous
+// block.
 func NextBlockHash(previous uint64, words []string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -41,7 +43,7 @@
 	return d.Sum64()
 }
 
-// BlockHashes hashes every whole block of words.
+// BlockHashes returns the hash of every complete block of words.
 func BlockHashes(root uint64, words []string) []uint64 {
 	blocks := make([]uint64, 0, len(words)/BlockTokens)
 	for len(words) >= BlockTokens {
@@ -52,7 +54,8 @@
 	return blocks
 }
 
-// PromptHashes hashes every whole block of a prompt and returns its length in tokens.
+// PromptHashes returns the hash of every complete block of a prompt, and the
+// length of the prompt in tokens.
 func PromptHashes(model, adapter, prompt string) (blocks []uint64, tokens int) {
 	var d xxhash.Digest
 	hash := RootHash(model, adapter)
