--- a/state/manifest/check.go
+++ b/state/manifest/check.go
@@ -13,7 +13,7 @@
 // keyHashBytes is the length of a SHA-256 hash.
 const keyHashBytes = 32
 
-// checker collects the contradictions of one manifest.
+// checker collects the contradictions in one manifest.
 type checker struct {
 	m        *Manifest
 	services map[string]Kind
@@ -21,8 +21,8 @@
 	problems []document.Problem
 }
 
-// Check implements document.Checker: it returns every contradiction between the
-// manifest's parts, with its JSON path, in the order of the parts.
+// Check implements document.Checker. It returns every contradiction between
+// the parts of the manifest with its JSON path, in the order of the parts.
 func (m *Manifest) Check() []document.Problem {
 	c := &checker{m: m, services: map[string]Kind{}, classes: map[string]bool{}}
 	for _, s := range m.Services {
@@ -44,7 +44,7 @@
 	c.problems = append(c.problems, document.Problem{Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
-// requireUnique reports every name that stands twice among list's elements.
+// requireUnique reports every name that occurs more than once in a list.
 func (c *checker) requireUnique(list, field string, names []string) {
 	first := map[string]int{}
 	for i, name := range names {
@@ -182,8 +182,8 @@
 	c.checkCapacity()
 }
 
-// checkCapacity checks that every service may run somewhere and that the cheapest
-// way to run them all is within the cost limit.
+// checkCapacity checks that some VM class may run each service, and that the
+// cheapest VM classes that can run all services are within the cost limit.
 func (c *checker) checkCapacity() {
 	minimumCost := 0.0
 	for i, service := range c.m.Services {
--- a/state/manifest/decode.go
+++ b/state/manifest/decode.go
@@ -7,15 +7,15 @@
 	"geraniumstack.org/geraniumstack/state/document"
 )
 
-// Decode reads a whole manifest strictly. The error is an
-// *UnsupportedFormatError for another format version, else a
-// *document.InvalidError that lists every fault.
+// Decode decodes a complete manifest strictly. The error is an
+// *UnsupportedFormatError if the manifest has another format version, and
+// otherwise a *document.InvalidError that lists all errors in the document.
 func Decode(data []byte) (*Manifest, error) {
 	var versioned struct {
 		Format string `json:"format"`
 	}
-	// A document that is no JSON object falls through to the strict decoder,
-	// which names the fault.
+	// If the document is not a JSON object, the strict decoder below reports
+	// the error.
 	if err := json.Unmarshal(data, &versioned); err == nil && versioned.Format != "" && versioned.Format != Format {
 		return nil, &UnsupportedFormatError{Format: versioned.Format}
 	}
@@ -26,8 +26,8 @@
 	return m, nil
 }
 
-// UnsupportedFormatError says that a manifest is of a format that this code
-// does not read.
+// UnsupportedFormatError reports that a manifest has a format version that
+// this program does not support.
 type UnsupportedFormatError struct{ Format string }
 
 func (e *UnsupportedFormatError) Error() string {
--- a/state/manifest/diff.go
+++ b/state/manifest/diff.go
@@ -9,15 +9,17 @@
 
 // Change is one difference between two manifests.
 type Change struct {
-	// Path is a JSON pointer in which the elements of lists go by their names.
+	// Path is a JSON pointer in which list elements are identified by their
+	// names instead of their indexes.
 	Path string
-	// Before and After are JSON; empty where there is no such value.
+	// Before and After are the JSON values. A value that does not exist is
+	// empty.
 	Before string
 	After  string
 }
 
-// Diff lists what differs, sorted by path. Either manifest may be nil, which is
-// an empty one. The order of named elements makes no difference.
+// Diff returns the differences between two manifests, sorted by path. A nil
+// manifest counts as empty. The order of named list elements is ignored.
 func Diff(before, after *Manifest) ([]Change, error) {
 	old, err := flatten(before)
 	if err != nil {
@@ -42,8 +44,8 @@
 	return changes, nil
 }
 
-// flatten maps the path of every scalar, and of every list of scalars, to its
-// JSON.
+// flatten returns the JSON of every scalar, and of every list of unnamed
+// elements, by path.
 func flatten(m *Manifest) (map[string]string, error) {
 	flat := map[string]string{}
 	if m == nil {
@@ -102,7 +104,8 @@
 	return len(list) > 0
 }
 
-// elementName returns an element's name; a route goes by its method and path.
+// elementName returns the name of a list element. The name of a route is its
+// method and path.
 func elementName(object map[string]any) string {
 	if name, ok := object["name"].(string); ok {
 		return name
@@ -112,7 +115,7 @@
 	return strings.TrimSpace(method + " " + path)
 }
 
-// escapePointer writes a name as one part of a JSON pointer.
+// escapePointer escapes a name for use as one part of a JSON pointer.
 func escapePointer(part string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(part)
 }
--- a/state/manifest/fuzz_test.go
+++ b/state/manifest/fuzz_test.go
@@ -8,9 +8,9 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// An operator's pipeline submits any document. Reading it must not panic, and
-// what is accepted must survive being split into sections and joined again: the
-// other daemons see nothing but the sections.
+// Operators may submit any document. Decoding it must not panic, and an
+// accepted manifest must still be accepted after it is encoded again, since it
+// is stored in encoded sections from which the other daemons decode it.
 func FuzzDecode(f *testing.F) {
 	f.Add(examples.Huaman)
 	f.Add(examples.AspenCoulee)
--- a/state/manifest/lookup.go
+++ b/state/manifest/lookup.go
@@ -6,7 +6,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// ServiceNamed returns the service or nil.
+// ServiceNamed returns the service with the name, or nil.
 func (m *Manifest) ServiceNamed(name string) *Service {
 	for i := range m.Services {
 		if m.Services[i].Name == name {
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// ModelNamed returns the model or nil.
+// ModelNamed returns the model with the name, or nil.
 func (m *Manifest) ModelNamed(name string) *Model {
 	for i := range m.Models {
 		if m.Models[i].Name == name {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// ClassNamed returns the class or nil.
+// ClassNamed returns the class with the name, or nil.
 func (m *Manifest) ClassNamed(name string) *Class {
 	for i := range m.Classes {
 		if m.Classes[i].Name == name {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// WorkspaceNamed returns the workspace or nil.
+// WorkspaceNamed returns the workspace with the name, or nil.
 func (m *Manifest) WorkspaceNamed(name ident.Workspace) *Workspace {
 	for i := range m.Workspaces {
 		if m.Workspaces[i].Name == name {
@@ -46,8 +46,9 @@
 	return nil
 }
 
-// RouteFor returns the route with the longest path that covers a call, or nil.
-// A path covers itself and everything below it, at segment borders only.
+// RouteFor returns the route whose path is the longest that matches a call, or
+// nil. A path matches itself and all paths below it, at segment boundaries
+// only.
 func (s *Service) RouteFor(method, path string) *Route {
 	var best *Route
 	for i := range s.Routes {
--- a/state/manifest/manifest.go
+++ b/state/manifest/manifest.go
@@ -1,16 +1,16 @@
-// Package manifest holds the operators' desired state: models, services,
-// workspaces, latency classes and the fleet to run them on. Its JSON form is
-// versioned by Format.
+// Package manifest defines the desired state that operators submit: models,
+// services, workspaces, latency classes, and the fleet that runs them. Format
+// is the version of its JSON representation.
 package manifest
 
 import (
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Format is the version of the JSON form that this code reads.
+// Format is the version of the JSON representation that this program supports.
 const Format = "geraniumstack/v1"
 
-// Manifest is one whole desired state.
+// Manifest is one complete desired state.
 type Manifest struct {
 	Format     string      `json:"format" jsonschema:"enum=geraniumstack/v1"`
 	Models     []Model     `json:"models"`
@@ -20,32 +20,33 @@
 	Fleet      Fleet       `json:"fleet"`
 }
 
-// Model is one model with the version that should serve it.
+// Model is a model and the version of it to serve.
 type Model struct {
 	Name    string `json:"name" jsonschema:"minLength=1"`
 	Version string `json:"version" jsonschema:"minLength=1"`
-	// Service names the model service whose runners serve the model.
+	// Service is the name of the model service whose runners serve the model.
 	Service  string    `json:"service" jsonschema:"minLength=1"`
 	Adapters []Adapter `json:"adapters,omitempty"`
-	// Priority orders models when not all can be loaded; higher first.
+	// Priority orders the models if not all can be loaded. Higher values come
+	// first.
 	Priority int     `json:"priority,omitempty"`
 	Canary   *Canary `json:"canary,omitempty"`
 }
 
-// Adapter is a small set of weights on top of a model.
+// Adapter is a set of adapter weights that is applied to a model.
 type Adapter struct {
 	Name    string `json:"name" jsonschema:"minLength=1"`
 	Version string `json:"version" jsonschema:"minLength=1"`
 }
 
-// Canary asks for a new version on a share of the runners first.
+// Canary requests a new model version on a share of the runners first.
 type Canary struct {
 	Version string `json:"version" jsonschema:"minLength=1"`
-	// Share of the runners, 0 to 1.
+	// Share is the fraction of the runners, from 0 to 1.
 	Share float64 `json:"share" jsonschema:"minimum=0,maximum=1"`
 }
 
-// Kind tells a model service from a plain one.
+// Kind distinguishes model services from plain services.
 type Kind string
 
 // Kinds of services.
@@ -54,87 +55,99 @@
 	KindPlain Kind = "plain"
 )
 
-// Service is a set of equal runners.
+// Service is a set of identical runners.
 type Service struct {
 	Name    string `json:"name" jsonschema:"minLength=1"`
 	Kind    Kind   `json:"kind" jsonschema:"enum=model,enum=plain"`
 	Runners int    `json:"runners" jsonschema:"minimum=1"`
-	// ChecksFencing says that the runners refuse an order whose fencing
-	// number is older than one they have seen.
+	// ChecksFencing states that the runners reject an order whose fencing token
+	// is older than one that they have seen.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
-	// Role is what the runners' engines are told to be, in the engines' own
-	// words; empty leaves them as they are. Model services only.
+	// Role is the role that the runners' engines are started in, as the engines
+	// call it. If it is empty, the engines keep their default role. Only model
+	// services may have a role.
 	Role   string  `json:"role,omitempty"`
 	Routes []Route `json:"routes,omitempty"`
 }
 
-// OutagePolicy says what to do with an action while the key-value service
-// can't journal it.
+// OutagePolicy defines what happens to an action while the key-value service
+// is unavailable, so that the action can't be journaled.
 type OutagePolicy string
 
 // Outage policies.
 const (
-	// OutageRun runs it unjournaled: still at most once, but after a crash of
-	// its owner the outcome is unknown.
+	// OutageRun runs the action without a journal entry. It still runs at most
+	// once, but its outcome is unknown if its owner crashes.
 	OutageRun OutagePolicy = "run"
-	// OutageRefuse refuses it with executed "no".
+	// OutageRefuse refuses the action as not executed.
 	OutageRefuse OutagePolicy = "refuse"
 )
 
-// Route is a set of calls of a plain service: a method and a path prefix.
+// Route matches calls of a plain service by method and path prefix.
 type Route struct {
 	Method string `json:"method" jsonschema:"minLength=1"`
 	Path   string `json:"path" jsonschema:"pattern=^/"`
-	// Repeatable calls may run twice without harm.
+	// Repeatable means that a call may run twice without harm.
 	Repeatable   bool         `json:"repeatable"`
 	OutagePolicy OutagePolicy `json:"outage_policy,omitempty" jsonschema:"enum=run,enum=refuse"`
 	Class        string       `json:"class,omitempty"`
 }
 
-// Workspace is one customer with its credentials and limits.
+// Workspace is a customer with its credentials and limits.
 type Workspace struct {
 	Name ident.Workspace `json:"name" jsonschema:"minLength=1"`
-	// KeyHashes are SHA-256 hashes, in hex, of the bearer keys.
+	// KeyHashes holds the SHA-256 hashes of the bearer keys in hex.
 	KeyHashes []string `json:"key_hashes" jsonschema:"minItems=1"`
-	// Weight is the share of capacity relative to the other workspaces.
+	// Weight determines the workspace's share of the capacity relative to the
+	// other workspaces.
 	Weight float64 `json:"weight" jsonschema:"exclusiveMinimum=0"`
-	// MaxConcurrent bounds requests in progress per gateway; zero is no bound.
+	// MaxConcurrent is the maximum number of requests in progress per gateway.
+	// Zero means no limit.
 	MaxConcurrent int `json:"max_concurrent,omitempty" jsonschema:"minimum=0"`
-	// TokensPerSecond bounds generated tokens per gateway; zero is no bound.
+	// TokensPerSecond is the maximum rate of generated tokens per gateway. Zero
+	// means no limit.
 	TokensPerSecond float64 `json:"tokens_per_second,omitempty" jsonschema:"minimum=0"`
 }
 
-// Class is a kind of work with its latency targets.
+// Class is a class of work with its latency targets.
 type Class struct {
 	Name string `json:"name" jsonschema:"minLength=1"`
-	// Priority orders classes; higher first, also at the engines.
+	// Priority orders the classes, at the gateways and at the engines. Higher
+	// values come first.
 	Priority int `json:"priority"`
-	// TTFTMillis is the target for the first token of 95 in 100 requests.
+	// TTFTMillis is the target for the time to the first token at the 95th
+	// percentile.
 	TTFTMillis int `json:"ttft_ms" jsonschema:"minimum=1"`
-	// TBTMillis is the target between tokens of 95 in 100.
+	// TBTMillis is the target for the time between tokens at the 95th
+	// percentile.
 	TBTMillis int `json:"tbt_ms" jsonschema:"minimum=1"`
-	// Deferrable work waits for capacity instead of being refused.
+	// Deferrable means that requests wait for capacity instead of being
+	// refused.
 	Deferrable bool `json:"deferrable,omitempty"`
-	// DeadlineMillis applies where the caller gives none; zero is none.
+	// DeadlineMillis is the deadline of requests whose caller gives none. Zero
+	// means no deadline.
 	DeadlineMillis int `json:"deadline_ms,omitempty" jsonschema:"minimum=0"`
 }
 
-// Fleet says where runners may run and what they may cost.
+// Fleet defines where runners may run and what they may cost.
 type Fleet struct {
 	FailureDomains []ident.FailureDomain `json:"failure_domains" jsonschema:"minItems=1"`
 	VMClasses      []VMClass             `json:"vm_classes" jsonschema:"minItems=1"`
-	// MaxCostPerHour bounds the fleet's price; zero is no bound.
+	// MaxCostPerHour is the maximum price of the fleet. Zero means no limit.
 	MaxCostPerHour float64 `json:"max_cost_per_hour,omitempty" jsonschema:"minimum=0"`
-	// SurviveDomainLoss keeps the target with any one failure domain gone.
+	// SurviveDomainLoss requires enough runners to keep the desired number if
+	// any one failure domain is lost.
 	SurviveDomainLoss bool `json:"survive_domain_loss,omitempty"`
 }
 
-// VMClass is a kind of VM that the cloud sells.
+// VMClass is a type of VM that the cloud offers.
 type VMClass struct {
 	Name        string `json:"name" jsonschema:"minLength=1"`
 	Reclaimable bool   `json:"reclaimable"`
-	// PricePerHour is the list price; the cloud's quotes go before it.
+	// PricePerHour is the list price. A quote of the cloud takes precedence
+	// over it.
 	PricePerHour float64 `json:"price_per_hour" jsonschema:"exclusiveMinimum=0"`
-	// Services that may run on it; empty is any.
+	// Services lists the services that may run on the class. If it is empty,
+	// any service may.
 	Services []string `json:"services,omitempty"`
 }
--- a/state/manifest/sections.go
+++ b/state/manifest/sections.go
@@ -8,7 +8,7 @@
 	"sort"
 )
 
-// Hash is the SHA-256 of a section's bytes, in lower-case hex.
+// Hash is the SHA-256 hash of a section in lower-case hex.
 type Hash string
 
 // HashOf returns the content hash of a section's bytes.
@@ -17,7 +17,7 @@
 	return Hash(hex.EncodeToString(sum[:]))
 }
 
-// Section is one separately stored part of a manifest.
+// Section is a part of a manifest that is stored separately.
 type Section struct {
 	Name string
 	Hash Hash
@@ -26,8 +26,8 @@
 
 const formatField = "format"
 
-// Split encodes the manifest as sections in a fixed order. Equal content has
-// equal bytes and so the same hash.
+// Split encodes the manifest as sections in a fixed order. Sections with equal
+// content have equal bytes and therefore equal hashes.
 func Split(m *Manifest) ([]Section, error) {
 	parts := []struct {
 		name  string
@@ -50,7 +50,7 @@
 	return sections, nil
 }
 
-// Hashes lists the sections' hashes in order.
+// Hashes returns the hashes of the sections in order.
 func Hashes(sections []Section) []Hash {
 	hashes := make([]Hash, 0, len(sections))
 	for _, s := range sections {
@@ -59,9 +59,9 @@
 	return hashes
 }
 
-// Join decodes sections into one manifest. It verifies every hash; the errors
-// are *MissingSectionError, *CorruptSectionError, *UnsupportedFormatError and
-// *document.InvalidError.
+// Join decodes sections into a manifest and verifies the hash of each section.
+// The error can be a *MissingSectionError, *CorruptSectionError,
+// *UnsupportedFormatError or *document.InvalidError.
 func Join(hashes []Hash, data map[Hash][]byte) (*Manifest, error) {
 	merged := map[string]json.RawMessage{}
 	for _, hash := range hashes {
@@ -83,7 +83,7 @@
 	return Decode(encoded)
 }
 
-// Missing lists the hashes that data lacks, sorted.
+// Missing returns the hashes for which data has no section, sorted.
 func Missing(hashes []Hash, data map[Hash][]byte) []Hash {
 	var missing []Hash
 	for _, hash := range hashes {
@@ -95,13 +95,13 @@
 	return missing
 }
 
-// MissingSectionError says that a section's bytes are not there.
+// MissingSectionError reports that the data of a section is missing.
 type MissingSectionError struct{ Hash Hash }
 
 func (e *MissingSectionError) Error() string { return fmt.Sprintf("section %s is missing", e.Hash) }
 
-// CorruptSectionError says that a section's bytes do not fit its hash, or are
-// no JSON.
+// CorruptSectionError reports that the data of a section does not match its
+// hash or is not valid JSON.
 type CorruptSectionError struct {
 	Hash Hash
 	Err  error
@@ -111,5 +111,5 @@
 	return fmt.Sprintf("section %s is corrupt: %v", e.Hash, e.Err)
 }
 
-// Unwrap returns the cause; nil if only the hash differs.
+// Unwrap returns the JSON error, or nil if the hash does not match.
 func (e *CorruptSectionError) Unwrap() error { return e.Err }
