--- a/state/prefix/index.go
+++ b/state/prefix/index.go
@@ -1,6 +1,7 @@
-// Package prefix keeps an approximate index of the prompt prefixes that runners
-// hold in their caches. Prefixes are named as package prefixhash does: one hash
-// stands for the whole prefix up to the end of its block.
+// Package prefix maintains an approximate index of the prompt prefixes that
+// the runners hold in their KV caches. A prefix is identified by the hash of
+// its last block, which package prefixhash computes over the whole prefix.
+// Each runner occupies a numbered slot of the index.
 package prefix
 
 import (
@@ -12,7 +13,7 @@
 // BlockTokens is the number of tokens in a block.
 const BlockTokens = prefixhash.BlockTokens
 
-// Hash stands for a prefix that ends with a whole block.
+// Hash identifies a prefix that ends with a complete block.
 type Hash = uint64
 
 // Event is one change of a runner's cache.
@@ -22,37 +23,40 @@
 	Stored   bool
 }
 
-// Page is one answer to a read of a runner's cache events.
+// Page is the result of one read of a runner's cache events.
 type Page struct {
-	// First is the oldest sequence number that the runner still keeps.
+	// First is the oldest sequence number that the runner still has.
 	First uint64
-	// Next is the sequence number to read from next.
+	// Next is the sequence number at which the next read must start.
 	Next   uint64
 	Events []Event
 }
 
-// GapError says that so many cache events were lost that the slot was cleared.
+// GapError reports that a slot was cleared because too many cache events were
+// lost.
 type GapError struct{ Lost uint64 }
 
 func (e *GapError) Error() string { return fmt.Sprintf("%d cache events lost", e.Lost) }
 
-// maxLostEvents is how many of a slot's events may be lost before it is cleared. Few
-// of them are evictions that matter, and clearing costs many hits.
+// maxLostEvents is the number of events of a slot that may be lost before the
+// slot is cleared. Only few lost events are evictions that matter, while
+// clearing the slot costs many cache hits.
 const maxLostEvents = 64
 
 type entry struct {
 	hash Hash
 	set  Set
-	// newer and older link the entries by the time of their last change.
+	// newer and older link the entries in the order of their last change.
 	newer, older int32
 }
 
 const noEntry = int32(-1)
 
-// Index maps prefixes to the slots that are thought to hold them. It keeps at
-// most its capacity of prefixes and drops the longest unchanged one first. It
-// is approximate: events come late, and what own routing will lead to is
-// written down before it happened. It is not safe for concurrent use.
+// Index maps prefixes to the slots that probably hold them. If its capacity is
+// reached, it drops the prefix that has not changed for the longest time. The
+// index is approximate: events arrive late, and prefixes that routing
+// decisions will produce are added in advance. It is not safe for concurrent
+// use.
 type Index struct {
 	byHash     map[Hash]int32
 	entries    []entry
@@ -63,7 +67,7 @@
 	lostEvents [Slots]uint64
 }
 
-// NewIndex returns an empty index for at most capacity prefixes.
+// NewIndex returns an empty index of at most capacity prefixes.
 func NewIndex(capacity int) *Index {
 	return &Index{
 		byHash:   make(map[Hash]int32, capacity),
@@ -74,10 +78,10 @@
 	}
 }
 
-// Len is the number of prefixes in the index.
+// Len returns the number of prefixes in the index.
 func (x *Index) Len() int { return len(x.byHash) }
 
-// Holders returns the slots that are thought to hold the prefix.
+// Holders returns the slots that probably hold the prefix.
 func (x *Index) Holders(h Hash) Set {
 	i, ok := x.byHash[h]
 	if !ok {
@@ -86,14 +90,16 @@
 	return x.entries[i].set
 }
 
-// Cursor is the sequence number from which to read the slot's events.
+// Cursor returns the sequence number at which the next read of the slot's
+// events must start.
 func (x *Index) Cursor(slot int) uint64 { return x.cursor[slot] }
 
-// ApplyPage takes a page of the slot's events in. Events that were seen before are
-// ignored. When too many were lost, or the runner's numbers began anew, the slot
-// is cleared before the rest of the page and GapError returned: lost evictions
-// would otherwise leave prefixes that send work to the wrong runner for as long
-// as nothing corrects them, while lost stores only cost a hit.
+// ApplyPage applies a page of the slot's events and ignores events that were
+// applied before. If too many events were lost, or if the runner's sequence
+// numbers started anew, it clears the slot before it applies the rest of the
+// page, and returns a *GapError. Lost evictions would otherwise leave prefixes
+// in the index that send requests to the wrong runner until something corrects
+// them, while lost additions only cost a cache hit.
 func (x *Index) ApplyPage(slot int, p Page) error {
 	var gap error
 	if p.Next < x.cursor[slot] {
@@ -119,9 +125,9 @@
 	return gap
 }
 
-// advanceCursor moves the slot's cursor up to the sequence number and returns how many
-// events were lost since the slot was last cleared. Of a slot that was never
-// read nothing is lost.
+// advanceCursor moves the cursor of the slot forward to the sequence number
+// and returns the number of events lost since the slot was last cleared. The
+// first read of a slot counts no events as lost.
 func (x *Index) advanceCursor(slot int, to uint64) uint64 {
 	from := x.cursor[slot]
 	x.cursor[slot] = max(from, to)
@@ -137,24 +143,27 @@
 	return &GapError{Lost: lost}
 }
 
-// AddExpected notes that the slot is about to compute the chain.
+// AddExpected adds the prefixes of a request that is about to be computed at
+// the slot. chain holds the hashes of the prompt's blocks in order.
 func (x *Index) AddExpected(slot int, chain []Hash) {
-	// From the far end, so that the shared beginnings are changed last and
-	// dropped last.
+	// The last block is added first. The beginnings, which many prompts share,
+	// are thus the most recently changed entries and are dropped last.
 	for i := len(chain) - 1; i >= 0; i-- {
 		x.store(slot, chain[i])
 	}
 }
 
-// RemoveExpected takes back what was assumed of the slot beyond the first kept blocks
-// of the chain, where the work did not start.
+// RemoveExpected removes the prefixes that AddExpected added for a request
+// that did not start at the slot. It keeps the first blocks of the chain, as
+// many as started says.
 func (x *Index) RemoveExpected(slot int, chain []Hash, started int) {
 	for _, h := range chain[min(started, len(chain)):] {
 		x.evict(slot, h)
 	}
 }
 
-// Clear forgets all of a slot, as when its runner is replaced.
+// Clear removes everything known about a slot, for example because its runner
+// was replaced.
 func (x *Index) Clear(slot int) {
 	for i := x.oldest; i != noEntry; {
 		next := x.entries[i].newer
--- a/state/prefix/index_test.go
+++ b/state/prefix/index_test.go
@@ -36,16 +36,17 @@
 	is.Equal(d.Blocks[5], uint16(1))
 }
 
-// A caller's follow-up goes to a runner that dropped the conversation long
-// ago, and waits for a prefill that another runner would have spared. First the
-// reader of cache events falls behind, then the runner evicts, and its event
-// log wraps before the eviction is read: the loss is a gap in the sequence.
+// Guards against requests that are sent to a runner that evicted their prefix
+// long ago, and wait for a prefill that another runner would have avoided.
+// This happens if the reader of cache events falls behind and the event log of
+// the runner wraps around before an eviction is read. The sequence numbers
+// then have a gap.
 func TestEventGapClearsSlotAndReadingContinues(t *testing.T) {
 	is := is.New(t)
 	x := NewIndex(100)
 	is.NoErr(x.ApplyPage(2, Page{Next: 2, Events: []Event{{0, 11, true}, {1, 12, true}}}))
 	x.AddExpected(4, []Hash{11})
-	// A few lost events are borne.
+	// A few lost events do not clear the slot.
 	is.NoErr(x.ApplyPage(2, Page{First: 9, Next: 10, Events: []Event{{9, 13, true}}}))
 	is.Equal(x.Holders(12), Set{}.With(2))
 	err := x.ApplyPage(2, Page{First: 99, Next: 101, Events: []Event{{99, 15, true}, {100, 15, false}}})
@@ -60,8 +61,9 @@
 	is.Equal(x.Holders(12), Set{}.With(2))
 }
 
-// TestIndexIsBounded drives the index with any calls and compares it, while it
-// is below its capacity, with a plain map.
+// TestIndexIsBounded makes random calls and compares the index with a plain
+// map. The index must never exceed its capacity or hold a prefix that the map
+// lacks.
 func TestIndexIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 12).Draw(t, "capacity")
--- a/state/prefix/match.go
+++ b/state/prefix/match.go
@@ -1,22 +1,24 @@
 package prefix
 
-// maxMatchDepths bounds the different depths that Match tells apart. A prompt is
-// rarely cached to more than a few depths, and the deepest are found first.
+// maxMatchDepths is the number of different depths that Match distinguishes. A
+// prompt is rarely cached at more than a few depths, and the greatest ones are
+// found first.
 const maxMatchDepths = 4
 
-// MatchResult holds how many blocks of one chain each slot has.
+// MatchResult holds the number of blocks of one prompt that each slot holds.
 type MatchResult struct {
-	// Held are the slots with at least one block.
+	// Held is the set of slots that hold at least one block.
 	Held Set
-	// Deepest are the slots that share the greatest depth.
+	// Deepest is the set of slots that hold the greatest number of blocks.
 	Deepest Set
 	Blocks  [Slots]uint16
 }
 
-// Match finds how many of the chain's blocks each slot holds. As every hash
-// stands for the whole prefix before it, presence falls along the chain and a
-// binary search finds the end; where a runner has dropped a block but not a
-// later one, the answer is too high until that runner's next event.
+// Match finds how many blocks of the chain each slot holds. Since each hash
+// covers the whole prefix before it, a slot that holds a block normally holds
+// all earlier ones, and a binary search finds the last one. If a runner has
+// evicted a block but not a later one, the result is too high until the next
+// event of that runner.
 func (x *Index) Match(chain []Hash, d *MatchResult) {
 	d.Held, d.Deepest = Set{}, Set{}
 	limit := min(len(chain), int(^uint16(0)))
@@ -36,8 +38,8 @@
 	}
 }
 
-// deepest returns the greatest number of blocks that a slot outside known
-// holds, and the slots that hold them.
+// deepest returns the greatest number of blocks that any slot outside known
+// holds, and the slots that hold that many.
 func (x *Index) deepest(chain []Hash, known Set) (int, Set) {
 	low, high := 0, len(chain)
 	var found Set
--- a/state/prefix/set.go
+++ b/state/prefix/set.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	// Slots is the most runners that one index can tell apart. A service that is
-	// spread over more is dealt with in parts, and what lies cached at a runner
-	// outside a daemon's part is read again: with 64 that began at 65 runners, and
-	// daemons in front of 90 read 37 million tokens of shared parts again in a minute.
+	// Slots is the maximum number of runners that one index can distinguish. A
+	// daemon handles only a part of the runners of a larger service, and
+	// prefixes cached at other runners are computed again. With 64 slots this
+	// began at 65 runners, and daemons in front of 90 runners computed 37
+	// million tokens of shared prefixes again per minute.
 	Slots = 256
-	// wordBits is the slots in a word of a Set.
+	// wordBits is the number of slots in one word of a Set.
 	wordBits = 64
 )
 
-// Set is a set of slots, one bit each.
+// Set is a set of slots with one bit per slot.
 type Set [Slots / wordBits]uint64
 
-// Has tells whether the slot is in the set.
+// Has reports whether the set contains the slot.
 func (s Set) Has(slot int) bool { return s[slot/wordBits]&(1<<(slot%wordBits)) != 0 }
 
-// With returns the set and the slot.
+// With returns the set with the slot added.
 func (s Set) With(slot int) Set {
 	s[slot/wordBits] |= 1 << (slot % wordBits)
 	return s
 }
 
-// Without returns the set less the slot.
+// Without returns the set with the slot removed.
 func (s Set) Without(slot int) Set {
 	s[slot/wordBits] &^= 1 << (slot % wordBits)
 	return s
 }
 
-// Empty tells whether no slot is in the set.
+// Empty reports whether the set contains no slot.
 func (s Set) Empty() bool { return s == Set{} }
 
-// And returns the slots that are in both sets.
+// And returns the intersection of the sets.
 func (s Set) And(o Set) Set {
 	for i := range s {
 		s[i] &= o[i]
@@ -44,7 +45,7 @@
 	return s
 }
 
-// Or returns the slots that are in either set.
+// Or returns the union of the sets.
 func (s Set) Or(o Set) Set {
 	for i := range s {
 		s[i] |= o[i]
@@ -52,7 +53,7 @@
 	return s
 }
 
-// Minus returns the slots that are not in the other set.
+// Minus returns the slots of s that are not in o.
 func (s Set) Minus(o Set) Set {
 	for i := range s {
 		s[i] &^= o[i]
@@ -60,7 +61,7 @@
 	return s
 }
 
-// Len counts the slots in the set.
+// Len returns the number of slots in the set.
 func (s Set) Len() int {
 	n := 0
 	for _, word := range s {
@@ -69,7 +70,7 @@
 	return n
 }
 
-// First returns the lowest slot; the set must not be empty.
+// First returns the lowest slot in the set, or Slots if the set is empty.
 func (s Set) First() int {
 	for i, word := range s {
 		if word != 0 {
@@ -79,7 +80,7 @@
 	return Slots
 }
 
-// Not returns the slots that are not in the set.
+// Not returns the complement of the set.
 func (s Set) Not() Set {
 	for i := range s {
 		s[i] = ^s[i]
@@ -87,7 +88,7 @@
 	return s
 }
 
-// All yields the slots of the set, the lowest first.
+// All iterates over the slots of the set in ascending order.
 func (s Set) All() iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for i, word := range s {
