--- a/state/route/route.go
+++ b/state/route/route.go
@@ -1,7 +1,7 @@
-// Package route holds the configuration of forwarded traffic: routes by host
-// and path, the services behind them with their backend servers' engines, and
-// the workspaces whose keys callers show. A Table answers which route and which
-// workspace a request belongs to. All values are immutable once built.
+// Package route defines the configuration of forwarded traffic: routes by host
+// and path, the services behind them, and the workspaces whose keys callers
+// present. A Table finds the route and the workspace of a request. All values
+// are immutable once they are built.
 package route
 
 import (
@@ -10,53 +10,58 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Kind says what may be done with a request that may have run already.
+// Kind determines how requests may be retried if they may already have run.
 type Kind string
 
 // Kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// AtMostOnce requests may not be sent again once they may have run.
+	// AtMostOnce requests must not be sent again once they may have run.
 	AtMostOnce Kind = "at_most_once"
-	// Stream answers are events with increasing ids.
+	// Stream answers consist of events with increasing IDs.
 	Stream Kind = "stream"
 )
 
-// Target is one of the services that a route's requests are split over.
+// Target is one of the services over which the requests of a route are
+// distributed.
 type Target struct {
 	Service string
-	// Weight is the share of requests relative to the other targets.
+	// Weight determines the share of the requests relative to the other
+	// targets.
 	Weight int
 }
 
-// Route is one rule of forwarding.
+// Route is a forwarding rule.
 type Route struct {
 	Name string
 	Host string
-	// PathPrefix begins and ends with a slash.
+	// PathPrefix starts and ends with a slash.
 	PathPrefix string
 	Kind       Kind
 	Targets    []Target
-	// Timeout is how long a request may be kept waiting for its whole answer;
-	// zero is no bound.
+	// Timeout is the maximum time until the answer is complete. Zero means no
+	// limit.
 	Timeout time.Duration
-	// TargetLatency is when the answer, or a stream's first event, is due.
+	// TargetLatency is the time within which the answer, or the first event of
+	// a stream, should arrive.
 	TargetLatency time.Duration
-	// MaxPause is the longest pause between two events of a stream that is
-	// still on time.
+	// MaxPause is the longest pause between two events of a stream that meets
+	// the target.
 	MaxPause time.Duration
-	// MaxAttempts is the most runners that one request is sent to.
+	// MaxAttempts is the maximum number of runners to which one request is
+	// sent.
 	MaxAttempts int
-	// Priority ranks requests; zero is the most urgent.
+	// Priority ranks requests. Zero is the most urgent.
 	Priority int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may go on at another runner after any whole event.
+	// Resumable streams may continue at another runner after any complete
+	// event.
 	Resumable bool
 }
 
-// Repeatable tells whether a request may run again from its beginning.
+// Repeatable reports whether a request may run again from the beginning.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
@@ -64,72 +69,77 @@
 // Service is a pool of runners.
 type Service struct {
 	Name string
-	// HealthPath answers 200 while a runner takes work.
+	// HealthPath is a path that returns status 200 while a runner accepts work.
 	HealthPath string
-	// Engine is nil for a plain service.
+	// Engine is nil for services that don't run models.
 	Engine *Engine
-	// Scaling is nil where the number of runners is not the system's to order.
+	// Scaling is nil if the system does not control the number of runners.
 	Scaling *Scaling
 }
 
-// Engine describes a service's model engines.
+// Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the size of a batch.
+	// Slots is the maximum number of requests in a batch.
 	Slots int
-	// KVTokens is the room of the KV cache.
+	// KVTokens is the capacity of the KV cache in tokens.
 	KVTokens int
-	// CacheFetchRate is the tokens a second that a runner copies from another one's
-	// cache; zero means that it can't.
+	// CacheFetchRate is the number of tokens per second that a runner can copy
+	// from the KV cache of another runner. Zero means that it can't copy.
 	CacheFetchRate float64
 }
 
-// Scaling bounds and prices the runners that can be ordered.
+// Scaling holds the limits and prices of the runners that can be ordered.
 type Scaling struct {
-	// Min and Max bound the runners of a failure domain.
+	// Min and Max limit the number of runners in a failure domain.
 	Min, Max int
-	// BootTime is from the order until the runner serves.
+	// BootTime is the time from the order until the runner serves requests.
 	BootTime time.Duration
-	// ReclaimablePriceRatio is the price of a reclaimable runner as a part of the
-	// failure domain's price; zero means that there are none.
+	// ReclaimablePriceRatio is the price of a reclaimable runner as a fraction
+	// of the price in Prices. Zero means that reclaimable runners are not
+	// available.
 	ReclaimablePriceRatio float64
-	// Prices are per runner and unit of time.
+	// Prices holds the price per runner and unit of time in each failure
+	// domain.
 	Prices map[ident.FailureDomain]float64
 }
 
-// Quota bounds a workspace's use over all daemons together.
+// Quota limits the usage of a workspace over all daemons together.
 type Quota struct {
-	// PerSecond and Burst are in tokens where InTokens, else in requests; zero
-	// PerSecond is no limit.
+	// PerSecond and Burst are in tokens if InTokens is set, and in requests
+	// otherwise. A PerSecond of zero means no limit.
 	PerSecond float64
 	Burst     float64
 	InTokens  bool
-	// PlainTokens is what a request without a prompt counts as.
+	// PlainTokens is the number of tokens charged for a request without a
+	// prompt.
 	PlainTokens float64
 }
 
-// Workspace is one customer.
+// Workspace is a customer.
 type Workspace struct {
 	Name ident.Workspace
 	Keys []string
-	// Priority goes before the route's if HasPriority.
+	// Priority overrides the priority of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 	Quota       Quota
 }
 
-// Limits bound what a caller may send.
+// Limits holds the limits on the requests of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// HeaderTimeout bounds the arrival of a request's headers, IdleTimeout the
-	// time between two requests on a connection.
+	// HeaderTimeout is the maximum time until the headers of a request have
+	// arrived.
 	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	// IdleTimeout is the maximum time between two requests on a connection.
+	IdleTimeout time.Duration
 }
 
 // Config is one version of the whole configuration.
 type Config struct {
-	// Version grows with each change and says which one is newer.
+	// Version is incremented with each change and tells which of two
+	// configurations is newer.
 	Version    ident.Generation
 	Routes     []Route
 	Services   []Service
--- a/state/route/table.go
+++ b/state/route/table.go
@@ -9,7 +9,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Table is a Config prepared for look-ups. It is safe for concurrent use.
+// Table is a Config indexed for lookups. It is safe for concurrent use.
 type Table struct {
 	config          Config
 	byHost          map[string][]*Route
@@ -19,7 +19,7 @@
 	tightestLatency map[string]time.Duration
 }
 
-// NewTable prepares a configuration.
+// NewTable builds the indexes for a configuration.
 func NewTable(c Config) *Table {
 	t := &Table{
 		config:          c,
@@ -53,7 +53,8 @@
 	return t
 }
 
-// recordTargetLatency takes in what a route's callers recordTargetLatency of its services.
+// recordTargetLatency lowers the tightest target latency of the route's
+// services to that of the route.
 func (t *Table) recordTargetLatency(r *Route) {
 	if r.TargetLatency <= 0 {
 		return
@@ -66,20 +67,20 @@
 	}
 }
 
-// TightestTargetLatency is the longest wait at a service that is still on time on all of its
-// routes; zero if none of them bounds it.
+// TightestTargetLatency returns the lowest target latency of the routes to a
+// service, or zero if none of them has one.
 func (t *Table) TightestTargetLatency(service string) time.Duration {
 	return t.tightestLatency[service]
 }
 
-// Config returns the configuration itself, which must not be changed.
+// Config returns the configuration, which must not be modified.
 func (t *Table) Config() *Config { return &t.config }
 
-// Version is the configuration's.
+// Version returns the version of the configuration.
 func (t *Table) Version() ident.Generation { return t.config.Version }
 
-// Lookup finds the route of a request: of the host's routes the one with the
-// longest prefix of the path.
+// Lookup returns the route of a request: among the routes of the host, the one
+// with the longest matching path prefix.
 func (t *Table) Lookup(host, path string) (*Route, bool) {
 	host = strings.ToLower(host)
 	routes, ok := t.byHost[host]
@@ -96,30 +97,31 @@
 	return nil, false
 }
 
-// KeyRequired tells whether requests of the route must show a key.
+// KeyRequired reports whether requests on the route must present a key.
 func (t *Table) KeyRequired(r *Route) bool {
 	return len(t.config.Workspaces) > 0 && !r.Public
 }
 
-// WorkspaceOf finds the workspace that holds a key.
+// WorkspaceOf returns the workspace that a key belongs to.
 func (t *Table) WorkspaceOf(key string) (*Workspace, bool) {
 	w, ok := t.byKey[key]
 	return w, ok
 }
 
-// Workspace finds a workspace by name.
+// Workspace returns the workspace with the name.
 func (t *Table) Workspace(name ident.Workspace) (*Workspace, bool) {
 	w, ok := t.workspaces[name]
 	return w, ok
 }
 
-// Service finds a service by name.
+// Service returns the service with the name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Pick chooses one of a route's targets by weight; point is uniform in [0, 1).
+// Pick selects one of the route's targets by weight. point must be uniformly
+// distributed in [0, 1).
 func (r *Route) Pick(point float64) string {
 	total := 0
 	for _, t := range r.Targets {
--- a/state/route/table_test.go
+++ b/state/route/table_test.go
@@ -54,7 +54,8 @@
 	is.True(tab.KeyRequired(keyed))
 }
 
-// Targets get requests by their weights, and one of weight zero gets none.
+// Each target must get requests in proportion to its weight, and a target of
+// weight zero none.
 func TestPickFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 5), 1, 4).Draw(t, "weights")
