--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -103,14 +103,14 @@
 		return
 	}
 	h.Counts, h.Windows, h.Workspaces = c.hello.Counts, c.hello.Windows, c.hello.Workspaces
-	h.Ended = append(slices.Clone(c.hello.Ended), e.requestedCounts(now, to, c.ended)...)
+	h.Ended = append(slices.Clone(c.hello.Ended), e.endedCountsFor(now, to, c.ended)...)
 }
 
-// requestedCounts returns the counts that a relay has asked for, or else the fallback. A relay
+// endedCountsFor returns the counts that a relay has asked for, or else the fallback. A relay
 // may need to ask because the relay that a daemon followed may end before that daemon notices,
 // and because a new relay knows only what it was sent since its election. The caller must hold
 // e.mu.
-func (e *Edge) requestedCounts(now time.Duration, to ident.Incarnation, fallback []*peersv1.Ended) []*peersv1.Ended {
+func (e *Edge) endedCountsFor(now time.Duration, to ident.Incarnation, fallback []*peersv1.Ended) []*peersv1.Ended {
 	id, asked := e.lacked[to]
 	if !asked {
 		return fallback
