--- a/daemon/edge/cloud_test.go
+++ b/daemon/edge/cloud_test.go
@@ -23,12 +23,12 @@
 }
 
 type usageReport struct {
-	duty   edge.Duty
+	duty   edge.DutyLease
 	window accounting.Window
 	counts string
 }
 
-func (c *cloud) ReportUsage(_ context.Context, d edge.Duty, w accounting.Window, counts accounting.Counts) error {
+func (c *cloud) ReportUsage(_ context.Context, d edge.DutyLease, w accounting.Window, counts accounting.Counts) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	data, err := json.Marshal(counts)
@@ -43,12 +43,12 @@
 	return nil
 }
 
-func (c *cloud) Order(_ context.Context, _ edge.Duty, o edge.Order) error {
+func (c *cloud) Order(_ context.Context, _ edge.DutyLease, o edge.Order) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.noReclaimable && o.Reclaimable {
 		c.refusals++
-		return &edge.NoneAvailableError{Order: o}
+		return &edge.NoRunnersAvailableError{Order: o}
 	}
 	c.orders = append(c.orders, o)
 	return nil
--- a/daemon/edge/export_test.go
+++ b/daemon/edge/export_test.go
@@ -13,7 +13,7 @@
 	defer e.mu.Unlock()
 	during()
 	e.fresh.Read(uint64(revision), e.deps.Steady())
-	e.putInForce(route.NewTable(c), revision)
+	e.activateConfig(route.NewTable(c), revision)
 }
 
 // EngineRate returns the estimated prompt tokens per second that a service's engines process.
@@ -21,12 +21,12 @@
 	p := e.pool(service)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.engines.Rate()
+	return p.prefillModel.Rate()
 }
 
 // KnowsFleetWork reports whether the work of most of the fleet has been known for long enough
 // for runners to be given back.
-func (e *Edge) KnowsFleetWork() bool { return e.complete(e.deps.Steady(), knownFor) }
+func (e *Edge) KnowsFleetWork() bool { return e.workKnownFor(e.deps.Steady(), workSettlePeriod) }
 
 // Leaving returns the number of runners that the daemon knows to be leaving.
 func (e *Edge) Leaving() int {
@@ -42,7 +42,7 @@
 }
 
 // IsRelay reports whether the daemon claims to be a relay.
-func (e *Edge) IsRelay() bool { return e.relaying.Load() }
+func (e *Edge) IsRelay() bool { return e.relayMode.Load() }
 
 // Elects reports whether the other daemon is a relay according to this daemon's election.
 func (e *Edge) Elects(other *Edge) bool {
--- a/daemon/edge/feed.go
+++ b/daemon/edge/feed.go
@@ -36,12 +36,12 @@
 // messages, and so does a relay that gets its feed from such a relay.
 func (e *Edge) feedIsCurrent() bool {
 	e.mu.Lock()
-	watches := e.plan.Watches
+	watches := e.relayPlan.Watches
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	oldest := e.deps.Steady() - time.Duration(feedAgeShare*float64(e.set.Bounds.DrainWithin))
-	return !watches && !e.dir.incomplete && e.dir.at != 0 && e.dir.current >= oldest
+	oldest := e.deps.Steady() - time.Duration(feedAgeShare*float64(e.settings.Bounds.DrainWithin))
+	return !watches && !e.dir.incomplete && e.dir.at != 0 && e.dir.currentAt >= oldest
 }
 
 // feedAfter returns the changes after a revision for a daemon that is up to date until then.
@@ -51,11 +51,11 @@
 	}
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	part, ok := e.dir.log.Since(at, maxFeedBytes)
+	part, ok := e.dir.changeLog.Since(at, maxFeedBytes)
 	if !ok {
-		return &peersv1.Feed{After: at, Gap: e.dir.log.At() != 0}
+		return &peersv1.Feed{After: at, Gap: e.dir.changeLog.At() != 0}
 	}
-	encoded := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.log.At(), AgeNs: int64(now - e.dir.current)}
+	encoded := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.changeLog.At(), AgeNs: int64(now - e.dir.currentAt)}
 	for _, c := range part.Changes {
 		if len(c.Value) <= maxFeedValueBytes {
 			encoded.Changes = append(encoded.Changes, &peersv1.Change{Key: c.Key, Value: c.Value, Revision: c.Revision, Deleted: c.Deleted})
@@ -78,7 +78,7 @@
 		e.dir.incomplete = true
 	case usable && (len(f.Changes) == 0 || f.Through >= f.Head):
 		// With these changes this copy is as recent as the sender's.
-		e.dir.current = max(e.dir.current, now-age)
+		e.dir.currentAt = max(e.dir.currentAt, now-age)
 	}
 	e.dir.mu.Unlock()
 	if !usable {
@@ -90,7 +90,7 @@
 	}
 	// The time at which the relay read the changes is unknown. How recent the configuration is
 	// follows from the time stamps in the relay's message.
-	e.apply(events, kv.Revision(f.Through), freshness.Never)
+	e.applyChanges(events, kv.Revision(f.Through), freshness.Never)
 }
 
 // fedToFollowers reports whether changes of a key are passed on.
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -11,69 +11,77 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// remembered is how many of its own messages a daemon keeps the loads of: those that
-// its primary may have heard last.
-const remembered = 16
+// rememberedMessages is how many of its own latest messages a daemon keeps the loads of. Its
+// primary's total may include any of these messages.
+const rememberedMessages = 16
 
-// adviceLag is how long before it is heard a message may have been made.
-const adviceLag = 10 * time.Millisecond
+// minMessageAge is subtracted from the time at which a message is received, since the message
+// may have been composed that much earlier.
+const minMessageAge = 10 * time.Millisecond
 
-// work is what some daemons have in progress at the runners, and what callers brought
-// them.
-type work struct {
+// workSummary is the load of one or more daemons at the runners, with the work that callers
+// brought to these daemons.
+type workSummary struct {
 	loads []routing.OwnLoad
-	// offered is prompt tokens by service since some time.
+	// offered counts prompt tokens by service since the daemons started.
 	offered map[string]float64
 	placed  []*peersv1.Placed
 }
 
-// news is what the daemons that are told in a turn hear, each one of these: this
-// daemon's own work, that of it and its followers, or that of all.
-type news struct {
-	own, cell, all work
-	roster         bool
+// workSummaries holds the three summaries that messages can carry: this daemon's own work, the
+// work of this daemon and its followers, and the work of all daemons. roster says that the list
+// of daemons is due in this turn, too.
+type workSummaries struct {
+	own, ownAndFollowers, all workSummary
+	roster                    bool
 }
 
-// toldLoads is the work of the other daemons at the runners.
-type toldLoads struct {
+// peerLoadTable holds the other daemons' load at the runners.
+type peerLoadTable struct {
 	mu sync.Mutex
-	// daemons are followers and other relays, total all as the primary knows them.
-	daemons map[ident.Incarnation]toldLoad
-	total   toldLoad
-	// sent are this daemon's own loads in its last messages, by their number.
+	// byDaemon holds the loads reported by followers and other relays; total is the load of all
+	// daemons as reported by the primary.
+	byDaemon map[ident.Incarnation]peerLoad
+	total    peerLoad
+	// sent holds this daemon's own loads in its latest messages, by sequence number.
 	sent map[uint64][]routing.OwnLoad
-	// offered is the prompt tokens that were brought to others, by service.
-	offered map[string]*offers
+	// offered counts the prompt tokens that were brought to other daemons, by service.
+	offered map[string]*offeredTally
 	changed bool
-	// completeSince is since when most relays have told of their work; zero is not.
-	completeSince time.Duration
+	// mostKnownSince is the time since when most relays have reported their work; zero if they
+	// haven't.
+	mostKnownSince time.Duration
 }
 
-type toldLoad struct {
-	at   time.Duration
-	work []routing.OwnLoad
-	// follower says that nobody else counts it.
+type peerLoad struct {
+	receivedAt time.Duration
+	ownLoads   []routing.OwnLoad
+	// follower says that the load is reported by a follower, so that no other relay includes
+	// it.
 	follower bool
-	// included is the own message that is part of a total.
-	included uint64
+	// includedSeq is the sequence number of this daemon's latest message that the primary's
+	// total includes.
+	includedSeq uint64
 }
 
-// offers are counts of the work that was brought to one service.
-type offers struct{ followers, all fleet.Tally }
+// offeredTally counts the work that was brought to one service at the followers and at all
+// other daemons.
+type offeredTally struct{ followers, all fleet.Tally }
 
-func (t *toldLoads) init() {
-	t.daemons = map[ident.Incarnation]toldLoad{}
+func (t *peerLoadTable) init() {
+	t.byDaemon = map[ident.Incarnation]peerLoad{}
 	t.sent = map[uint64][]routing.OwnLoad{}
-	t.offered = map[string]*offers{}
+	t.offered = map[string]*offeredTally{}
 }
 
-// totalOf names the count of all work that a daemon tells; its own is another one.
+// totalOf returns the name under which the total reported by a daemon is counted, as distinct
+// from that daemon's own work.
 func totalOf(id ident.Incarnation) ident.Incarnation { return id + "/all" }
 
-// heardWork takes in a daemon's account of work. The pools hear of it with the next
-// applyLoads: to work the sums out for each message would cost a large fleet's
-// daemon more than its requests.
-func (e *Edge) heardWork(id ident.Incarnation, h *peersv1.Hello, from workSource) {
+// receiveWork stores the work that a daemon reports. The pools get it with the next call of
+// applyPeerLoads: summing it up for each message would take a large fleet's daemon more time
+// than its requests.
+func (e *Edge) receiveWork(id ident.Incarnation, h *peersv1.Hello, from workSource) {
 	if from == sourceIgnored || len(h.Offered) == 0 {
 		return
 	}
@@ -84,27 +92,27 @@
 		})
 	}
 	now := e.deps.Steady()
-	e.told.mu.Lock()
-	defer e.told.mu.Unlock()
-	e.told.changed = true
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	e.reported.changed = true
 	if from == sourceFollower {
-		e.advised.told(h.PeerAddress, now-adviceLag)
+		e.recommended.reported(h.PeerAddress, now-minMessageAge)
 	}
-	heard := toldLoad{at: now, work: loads, follower: from == sourceFollower, included: h.IncludedSeq}
+	heard := peerLoad{receivedAt: now, ownLoads: loads, follower: from == sourceFollower, includedSeq: h.IncludedSeq}
 	for _, o := range h.Offered {
-		e.told.heardOffered(now, id, o, from, !e.direct.Load())
+		e.reported.receiveOffered(now, id, o, from, !e.directMode.Load())
 	}
 	if from == sourcePrimary {
-		e.told.total = heard
+		e.reported.total = heard
 		return
 	}
-	e.told.daemons[id] = heard
+	e.reported.byDaemon[id] = heard
 }
 
-func (t *toldLoads) heardOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from workSource, relayed bool) {
+func (t *peerLoadTable) receiveOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from workSource, relayed bool) {
 	counts, ok := t.offered[o.Service]
 	if !ok {
-		counts = &offers{}
+		counts = &offeredTally{}
 		t.offered[o.Service] = counts
 	}
 	counts.followers.SetRelayed(relayed)
@@ -120,59 +128,59 @@
 	}
 }
 
-// remember keeps what was told of this daemon's own loads.
-func (t *toldLoads) remember(seq uint64, loads []routing.OwnLoad) {
+// rememberSent stores this daemon's own loads as sent in one message.
+func (t *peerLoadTable) rememberSent(seq uint64, loads []routing.OwnLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent[seq] = loads
 	for s := range t.sent {
-		if s+remembered*followerRounds < seq {
+		if s+rememberedMessages*followerRounds < seq {
 			delete(t.sent, s)
 		}
 	}
 }
 
-// applyLoads hands the sums of the other daemons' work to the pools.
-func (e *Edge) applyLoads() {
+// applyPeerLoads passes the sums of the other daemons' loads to the pools.
+func (e *Edge) applyPeerLoads() {
 	now := e.deps.Steady()
-	e.told.mu.Lock()
-	if e.told.expire(now) || e.told.changed {
-		e.told.changed = false
+	e.reported.mu.Lock()
+	if e.reported.expire(now) || e.reported.changed {
+		e.reported.changed = false
 	} else {
-		e.told.mu.Unlock()
+		e.reported.mu.Unlock()
 		return
 	}
-	sums := e.told.others(now)
-	e.told.mu.Unlock()
-	sums.add(e.advised.loads(now), 1)
+	sums := e.reported.sumOthers(now)
+	e.reported.mu.Unlock()
+	sums.add(e.recommended.loads(now), 1)
 	e.poolsMu.RLock()
 	defer e.poolsMu.RUnlock()
 	for _, p := range e.pools {
-		p.setOthers(time.Now(), sums)
+		p.setPeerLoads(time.Now(), sums)
 	}
 }
 
-// toldOffered is the prompt tokens that were brought to other daemons; where the
-// primary tells of all, those that were brought to this one are among them.
-func (e *Edge) toldOffered(service string) float64 {
-	e.told.mu.Lock()
-	defer e.told.mu.Unlock()
-	if counts, ok := e.told.offered[service]; ok {
+// peerOfferedTokens returns the number of prompt tokens that were brought to other daemons. If
+// the primary reports the total of all daemons, this daemon's own tokens are included.
+func (e *Edge) peerOfferedTokens(service string) float64 {
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	if counts, ok := e.reported.offered[service]; ok {
 		return counts.all.Total()
 	}
 	return 0
 }
 
-// expire drops daemons that are not heard any more: they have most likely ended, and
-// their work with them. It tells whether there were any.
-func (t *toldLoads) expire(now time.Duration) bool {
+// expire drops daemons that are no longer heard, since these have most likely ended together
+// with their requests. It reports whether there were any.
+func (t *peerLoadTable) expire(now time.Duration) bool {
 	expired := false
-	for id, told := range t.daemons {
-		if now-told.at <= peers.RelayedAliveFor {
+	for id, told := range t.byDaemon {
+		if now-told.receivedAt <= peers.RelayedAliveFor {
 			continue
 		}
 		expired = true
-		delete(t.daemons, id)
+		delete(t.byDaemon, id)
 		for _, counts := range t.offered {
 			counts.followers.PeerEnded(id)
 			counts.all.PeerEnded(id)
@@ -181,33 +189,33 @@
 	return expired
 }
 
-// complete tells whether the work of most of the fleet has been known for a while. Right
-// after a start of all daemons each knows of its own callers only.
-func (e *Edge) complete(now, forSoLong time.Duration) bool {
+// workKnownFor reports whether the work of most of the fleet has been known for a given time.
+// Right after all daemons have started, each knows only the work of its own callers.
+func (e *Edge) workKnownFor(now, forSoLong time.Duration) bool {
 	if e.allWatch.Load() {
 		return true
 	}
-	e.told.mu.Lock()
-	defer e.told.mu.Unlock()
-	since := e.told.completeSince
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	since := e.reported.mostKnownSince
 	return since != 0 && now-since >= forSoLong
 }
 
-// noteComplete looks whether most of so many other relays have told of their work.
-func (t *toldLoads) noteComplete(now time.Duration, others int) {
+// updateMostKnown updates mostKnownSince; others is the number of other relays.
+func (t *peerLoadTable) updateMostKnown(now time.Duration, others int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	told := 0
-	for _, d := range t.daemons {
+	for _, d := range t.byDaemon {
 		if !d.follower {
 			told++
 		}
 	}
 	switch {
 	case 2*told < others:
-		t.completeSince = 0
-	case t.completeSince == 0:
-		t.completeSince = max(1, now)
+		t.mostKnownSince = 0
+	case t.mostKnownSince == 0:
+		t.mostKnownSince = max(1, now)
 	}
 }
 
@@ -232,35 +240,35 @@
 	return list
 }
 
-// others adds up the work of all other daemons: what the primary tells without the own
-// part of it, or what followers and other relays tell.
-func (t *toldLoads) others(now time.Duration) loadSums {
+// sumOthers returns the load of all other daemons: the primary's total minus this daemon's own
+// part in it, or the sum of the followers' and other relays' loads.
+func (t *peerLoadTable) sumOthers(now time.Duration) loadSums {
 	sums := loadSums{}
-	if t.total.work != nil && now-t.total.at <= peers.RelayedAliveFor {
-		sums.add(t.total.work, 1)
-		sums.add(t.sent[t.total.included], -1)
+	if t.total.ownLoads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
+		sums.add(t.total.ownLoads, 1)
+		sums.add(t.sent[t.total.includedSeq], -1)
 		return sums
 	}
-	for _, told := range t.daemons {
-		sums.add(told.work, 1)
+	for _, told := range t.byDaemon {
+		sums.add(told.ownLoads, 1)
 	}
 	return sums
 }
 
-// followers adds up the work of the followers.
-func (t *toldLoads) followers() loadSums {
+// followers returns the load of the followers.
+func (t *peerLoadTable) followers() loadSums {
 	sums := loadSums{}
-	for _, told := range t.daemons {
+	for _, told := range t.byDaemon {
 		if told.follower {
-			sums.add(told.work, 1)
+			sums.add(told.ownLoads, 1)
 		}
 	}
 	return sums
 }
 
-// whatToTell gathers the work that is told.
-func (e *Edge) whatToTell() news {
-	own := work{offered: map[string]float64{}}
+// summarizeWork collects the work for this daemon's messages.
+func (e *Edge) summarizeWork() workSummaries {
+	own := workSummary{offered: map[string]float64{}}
 	e.poolsMu.RLock()
 	for name, p := range e.pools {
 		own.loads = p.loads(own.loads)
@@ -268,22 +276,22 @@
 	}
 	e.poolsMu.RUnlock()
 	now := e.deps.Steady()
-	own.placed = e.placements.recent(now, e.tellFor(), ownPlaced)
-	n := news{own: own}
-	e.told.mu.Lock()
-	defer e.told.mu.Unlock()
-	cell, all := e.told.followers(), e.told.others(now)
-	advised := e.advised.loads(now)
-	for _, sums := range []loadSums{cell, all} {
+	own.placed = e.placements.recent(now, e.placementSendTime(), originSelf)
+	n := workSummaries{own: own}
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	ownAndFollowers, all := e.reported.followers(), e.reported.sumOthers(now)
+	recommended := e.recommended.loads(now)
+	for _, sums := range []loadSums{ownAndFollowers, all} {
 		sums.add(own.loads, 1)
-		sums.add(advised, 1)
+		sums.add(recommended, 1)
 	}
-	n.cell = work{loads: cell.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.tellFor(), cellPlaced)}
-	n.all = work{loads: all.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.tellFor(), anyPlaced)}
+	n.ownAndFollowers = workSummary{loads: ownAndFollowers.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originFollower)}
+	n.all = workSummary{loads: all.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originAny)}
 	for name, tokens := range own.offered {
-		n.cell.offered[name], n.all.offered[name] = tokens, tokens
-		if counts, ok := e.told.offered[name]; ok {
-			n.cell.offered[name] += counts.followers.Total()
+		n.ownAndFollowers.offered[name], n.all.offered[name] = tokens, tokens
+		if counts, ok := e.reported.offered[name]; ok {
+			n.ownAndFollowers.offered[name] += counts.followers.Total()
 			n.all.offered[name] += counts.all.Total()
 		}
 	}
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -65,9 +65,9 @@
 	case d.Refund != nil:
 		e.handleRefund(d.Refund)
 	case d.TrialReport != nil:
-		e.heardReport(d.TrialReport)
+		e.receiveTrialReport(d.TrialReport)
 	case d.TrialAllowance != nil:
-		e.heardAllowance(d.TrialAllowance)
+		e.receiveAllowance(d.TrialAllowance)
 	case d.Hello != nil:
 		e.handleHello(ctx, d.Hello)
 	}
@@ -96,7 +96,7 @@
 	}
 	e.updateMembers(now, id, h, ended)
 	e.stamps[id] = freshness.Stamp{Sent: time.Duration(h.StampNs), Received: now}
-	e.wall.Receive(id, time.Unix(0, h.TimeUnixNs), now)
+	e.wallClock.Receive(id, time.Unix(0, h.TimeUnixNs), now)
 	e.updateQuotaUses(now, id, h)
 	e.handleCounts(now, id, h)
 	behind := e.fresh.Heard(freshness.Word{
@@ -106,11 +106,11 @@
 	source := e.workSourceOf(id, h)
 	e.mu.Unlock()
 	if behind && e.table.Load() != nil {
-		go e.confirm(ctx)
+		go e.confirmConfig(ctx)
 	}
-	e.heardLeaving(h.Leaving)
-	e.heardWork(id, h, source)
-	e.heardPlaced(h.Placed, source == sourceFollower)
+	e.receiveLeaving(h.Leaving)
+	e.receiveWork(id, h, source)
+	e.receivePlacements(h.Placed, source == sourceFollower)
 }
 
 // updateMembers updates the peer table by the daemons that a message lists. The caller must
@@ -151,14 +151,14 @@
 // updateQuotaUses records what another relay took out of the quotas. Daemons that are no relays
 // take nothing themselves. The caller must hold e.mu.
 func (e *Edge) updateQuotaUses(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
-	if !e.plan.Relay {
+	if !e.relayPlan.Relay {
 		return
 	}
 	if !h.Relay {
 		e.limiter.PeerLeft(id)
 		return
 	}
-	if !e.plan.Direct && !e.elects(id) {
+	if !e.relayPlan.Direct && !e.elects(id) {
 		// This daemon doesn't elect the sender. Either the sender has just started and claims
 		// to be a relay, as every daemon does at first, and grants nothing until another
 		// relay elects it. Or it doesn't know yet that the fleet has outgrown the direct
@@ -166,7 +166,7 @@
 		e.limiter.PeerLeft(id)
 		return
 	}
-	if h.Elects || e.plan.Direct {
+	if h.Elects || e.relayPlan.Direct {
 		e.limiter.ApplyPeerState(now, id, time.Duration(h.AgeNs), decodeUses(h))
 	}
 }
@@ -192,9 +192,9 @@
 		return sourceFollower
 	case h.Follows:
 		return sourceIgnored
-	case e.plan.Relay && h.Relay:
+	case e.relayPlan.Relay && h.Relay:
 		return sourceRelay
-	case len(e.plan.Own) > 0 && e.plan.Own[0].Incarnation == id:
+	case len(e.relayPlan.Own) > 0 && e.relayPlan.Own[0].Incarnation == id:
 		return sourcePrimary
 	}
 	return sourceIgnored
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -67,11 +67,11 @@
 		e.removePeer(id, "silent")
 	}
 	e.electRelays(now)
-	e.told.noteComplete(now, len(e.plan.Others))
+	e.reported.updateMostKnown(now, len(e.relayPlan.Others))
 	e.limiter.SetExpectedDaemons(now, e.quotaSharers(now))
 	e.limiter.SetIsolatedParts(e.isolatedQuotaParts(now))
 	e.limiter.Tick(now)
-	e.book.Tick(e.wall.At(now))
+	e.usageBook.Tick(e.wallClock.At(now))
 	e.refreshPhase(now)
 }
 
@@ -79,40 +79,40 @@
 // caller must hold e.mu.
 func (e *Edge) electRelays(now time.Duration) {
 	alive := peers.AliveFor
-	if !e.plan.Direct {
+	if !e.relayPlan.Direct {
 		alive = peers.RelayedAliveFor
 	}
 	e.peers.SetAliveFor(alive)
 	e.alive = e.peers.Alive(now)
-	v := relays.View{Self: e.peers.Self(), Alive: e.alive, Fleet: e.peers.Size(), Domains: e.peers.Domains(now), DirectFleet: e.set.Policy.DirectFleet()}
-	previous := e.plan
-	e.plan = relays.Make(v)
-	e.direct.Store(e.plan.Direct)
-	e.allWatch.Store(e.plan.AllWatch)
-	e.relaying.Store(e.plan.Relay)
+	v := relays.View{Self: e.peers.Self(), Alive: e.alive, Fleet: e.peers.Size(), Domains: e.peers.Domains(now), DirectFleet: e.settings.Policy.DirectFleet()}
+	previous := e.relayPlan
+	e.relayPlan = relays.Make(v)
+	e.directMode.Store(e.relayPlan.Direct)
+	e.allWatch.Store(e.relayPlan.AllWatch)
+	e.relayMode.Store(e.relayPlan.Relay)
 	switch {
-	case e.plan.Relay && !previous.Relay:
+	case e.relayPlan.Relay && !previous.Relay:
 		e.resetLimiter(now)
-	case previous.Relay && !e.plan.Relay, previous.Direct && !e.plan.Direct:
-		e.formerRelays, e.demotionsLeft = previous.Others, demotionRepeats
+	case previous.Relay && !e.relayPlan.Relay, previous.Direct && !e.relayPlan.Direct:
+		e.demotionRecipients, e.demotionSendsLeft = previous.Others, demotionRepeats
 	}
-	relaysChanged := !slices.Equal(e.plan.Own, previous.Own)
-	e.followsAnew = e.followsAnew || relaysChanged
-	if e.plan.Relay != previous.Relay || relaysChanged {
+	relaysChanged := !slices.Equal(e.relayPlan.Own, previous.Own)
+	e.relaysChanged = e.relaysChanged || relaysChanged
+	if e.relayPlan.Relay != previous.Relay || relaysChanged {
 		var followed []ident.Incarnation
-		for _, r := range e.plan.Own {
+		for _, r := range e.relayPlan.Own {
 			followed = append(followed, r.Incarnation)
 		}
-		e.log.Note("role", decisions.F("relay", e.plan.Relay), decisions.F("follows", followed), decisions.F("daemons", v.Fleet))
+		e.log.Note("role", decisions.F("relay", e.relayPlan.Relay), decisions.F("follows", followed), decisions.F("daemons", v.Fleet))
 	}
 }
 
 // resetLimiter creates a new quota limiter when this daemon becomes a relay, since the state of
 // an earlier period as a relay is out of date.
 func (e *Edge) resetLimiter(now time.Duration) {
-	first := e.set.FirstStart && now-e.began < firstStartPeriod
-	e.standing.Begin(now)
-	e.limiter = quota.New(now, e.set.Bounds.QuotaWindow, e.set.Bounds.QuotaTolerance, first)
+	first := e.settings.FirstStart && now-e.startedAt < firstStartPeriod
+	e.relayStanding.Begin(now)
+	e.limiter = quota.New(now, e.settings.Bounds.QuotaWindow, e.settings.Bounds.QuotaTolerance, first)
 	if t := e.table.Load(); t != nil {
 		e.limiter.SetLimits(now, limitsOf(t))
 	}
@@ -120,10 +120,10 @@
 
 // quotaSharers returns the number of daemons that may grant quota, including this one.
 func (e *Edge) quotaSharers(now time.Duration) int {
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		return 1 + len(e.peers.Addresses())
 	}
-	return 1 + len(e.plan.Others)
+	return 1 + len(e.relayPlan.Others)
 }
 
 // isolatedQuotaParts returns the number of parts into which quotas are divided while this relay
@@ -131,7 +131,7 @@
 // Zero means not isolated; it is also returned in a direct fleet, where the limiter knows every
 // daemon.
 func (e *Edge) isolatedQuotaParts(now time.Duration) int {
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		return 0
 	}
 	if e.hearsRelay(now) {
@@ -154,11 +154,11 @@
 
 // hearsRelay reports whether this daemon recently received a message from another relay. The
 // caller must hold e.mu.
-func (e *Edge) hearsRelay(now time.Duration) bool { return e.hearsAny(now, e.plan.Others) }
+func (e *Edge) hearsRelay(now time.Duration) bool { return e.hearsAny(now, e.relayPlan.Others) }
 
 // elects reports whether another daemon is a relay according to this daemon's election. The
 // caller must hold e.mu.
-func (e *Edge) elects(id ident.Incarnation) bool { return containsMember(e.plan.Others, id) }
+func (e *Edge) elects(id ident.Incarnation) bool { return containsMember(e.relayPlan.Others, id) }
 
 func containsMember(members []peers.Member, id ident.Incarnation) bool {
 	return slices.ContainsFunc(members, func(m peers.Member) bool { return m.Incarnation == id })
@@ -170,15 +170,15 @@
 // direct fleet, where every daemon is a relay, this happens too, so that the daemons may share
 // quotas without a gap when the fleet outgrows that mode. The caller must hold e.mu.
 func (e *Edge) handleRelayClaim(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
-	if !h.Relay || !e.plan.Relay {
+	if !h.Relay || !e.relayPlan.Relay {
 		return
 	}
-	if !e.plan.Direct && !e.elects(id) {
-		e.joining[id] = h.PeerAddress
+	if !e.relayPlan.Direct && !e.elects(id) {
+		e.rosterRequesters[id] = h.PeerAddress
 		return
 	}
-	if e.standing.Heard(now, h.Elects) && !e.plan.Direct {
-		e.log.Note("role_doubted", decisions.F("by", id), decisions.F("relays", 1+len(e.plan.Others)),
+	if e.relayStanding.Heard(now, h.Elects) && !e.relayPlan.Direct {
+		e.log.Note("role_doubted", decisions.F("by", id), decisions.F("relays", 1+len(e.relayPlan.Others)),
 			decisions.F("knows", len(e.alive)), decisions.F("daemons", e.peers.Size()))
 	}
 }
@@ -187,11 +187,11 @@
 // still to be reported. The caller must hold e.mu.
 func (e *Edge) removePeer(id ident.Incarnation, reason string) {
 	e.limiter.PeerEnded(id)
-	e.wall.PeerEnded(id)
+	e.wallClock.PeerEnded(id)
 	delete(e.stamps, id)
 	delete(e.followers, id)
-	delete(e.feeding, id)
-	delete(e.lacked, id)
+	delete(e.fedRelays, id)
+	delete(e.requestedCounts, id)
 	e.coverage.PeerEnded(e.deps.Steady(), id)
 	e.log.Note("daemon_gone", decisions.F("incarnation", id), decisions.F("reason", reason))
 }
@@ -200,13 +200,13 @@
 // hold e.mu.
 func (e *Edge) updateFollower(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if h.Joining {
-		e.joining[id] = h.PeerAddress
+		e.rosterRequesters[id] = h.PeerAddress
 	}
-	delete(e.feeding, id)
+	delete(e.fedRelays, id)
 	if !h.Follows {
 		delete(e.followers, id)
 		if h.FeedAt != 0 {
-			e.feeding[id] = h.FeedAt
+			e.fedRelays[id] = h.FeedAt
 		}
 		return
 	}
@@ -226,10 +226,10 @@
 // rosterDue reports whether rosters are sent in a round. The caller must hold e.mu.
 func (e *Edge) rosterDue(round uint64) bool {
 	if v := rosterVersion(e.alive); v != e.rosterVersion {
-		e.rosterVersion, e.rosterLeft = v, rosterRepeats
+		e.rosterVersion, e.rosterSendsLeft = v, rosterRepeats
 	}
-	if e.rosterLeft > 0 {
-		e.rosterLeft--
+	if e.rosterSendsLeft > 0 {
+		e.rosterSendsLeft--
 		return true
 	}
 	return round%rosterIntervalRounds < rosterBurstRounds
@@ -264,7 +264,7 @@
 func (e *Edge) domainRoster(now time.Duration) *peersv1.Roster {
 	var local, remote []ident.Incarnation
 	for _, m := range e.peers.Vouched(now) {
-		if m.FailureDomain == e.set.FailureDomain {
+		if m.FailureDomain == e.settings.FailureDomain {
 			local = append(local, m.Incarnation)
 		} else if m.Phase == peers.Ready {
 			remote = append(remote, m.Incarnation)
@@ -277,7 +277,7 @@
 }
 
 func (e *Edge) buildRoster(ids []ident.Incarnation) *peersv1.Roster {
-	return &peersv1.Roster{Rows: e.rosterRows(ids), Fleet: uint32(e.peers.Known()), Domains: uint32(e.plan.Domains)}
+	return &peersv1.Roster{Rows: e.rosterRows(ids), Fleet: uint32(e.peers.Known()), Domains: uint32(e.relayPlan.Domains)}
 }
 
 // rosterRows returns the latest known state of the given daemons. The caller must hold e.mu.
@@ -293,7 +293,7 @@
 // a receiver can find the relays to follow. The receiver must not pass introductions on, or two
 // daemons could keep a third one alive for each other after its end. The caller must hold e.mu.
 func (e *Edge) introductions(now time.Duration) []*peersv1.Row {
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		return nil
 	}
 	var ids []ident.Incarnation
--- /dev/null
+++ b/daemon/edge/storesync.go
@@ -0,0 +1,466 @@
+package edge
+
+import (
+	"context"
+	"errors"
+	"strings"
+	"sync"
+	"time"
+
+	"geraniumstack.org/geraniumstack/coordination/feed"
+	"geraniumstack.org/geraniumstack/coordination/freshness"
+	"geraniumstack.org/geraniumstack/coordination/peers"
+	"geraniumstack.org/geraniumstack/coordination/quota"
+	"geraniumstack.org/geraniumstack/coordination/relays"
+	"geraniumstack.org/geraniumstack/daemon/decisions"
+	"geraniumstack.org/geraniumstack/daemon/holder"
+	"geraniumstack.org/geraniumstack/internal/pause"
+	"geraniumstack.org/geraniumstack/state/ident"
+	"geraniumstack.org/geraniumstack/state/route"
+	"geraniumstack.org/geraniumstack/transport/kv"
+)
+
+const (
+	// allKeys is the prefix of all keys: a single watch delivers changes of the configuration,
+	// the runners, the daemons and the duties in one order.
+	allKeys = ""
+	// maxEntries bounds a listing of the key-value service.
+	maxEntries = 100_000
+	// watchTimeoutPerDaemon times the number of daemons is the timeout of a watch, at most
+	// maxWatchTimeout. A watch that ends without a change proves to this daemon that its
+	// configuration is the newest one, and by its messages to all others, so the whole fleet
+	// makes about one such call per watchTimeoutPerDaemon.
+	watchTimeoutPerDaemon = time.Second
+	maxWatchTimeout       = 10 * time.Second
+	// relayWatchTimeout is the timeout of a watch in a large fleet, where some daemons watch on
+	// behalf of the others. The others don't notice for that long that the service has stopped
+	// answering.
+	relayWatchTimeout = 500 * time.Millisecond
+	// smallFleetBatchDelay is how long a daemon waits after a change before its next watch, so
+	// that one call returns several changes. It is a small part of the two seconds within which
+	// a change must be in force.
+	smallFleetBatchDelay = 60 * time.Millisecond
+	// largeFleetBatchDelay is the same delay in a larger fleet, where each change ends the
+	// watches of several daemons. Urgent changes, which are a newer configuration and runners
+	// that are leaving, also arrive in messages of other daemons. The duty holder waits only
+	// for dutyHolderBatchDelay: a reclaim is followed by an order of runners, so one daemon
+	// must always have read the reclaim by then.
+	largeFleetBatchDelay = 600 * time.Millisecond
+	dutyHolderBatchDelay = 250 * time.Millisecond
+	// startupBatchDelay is the same delay for a daemon that has run for less than
+	// startupPeriod. When a whole fleet has been killed, all daemons register again at that
+	// time and find each other by these registrations.
+	startupBatchDelay = 150 * time.Millisecond
+	startupPeriod     = 1500 * time.Millisecond
+	// firstBackoff and maxBackoff bound the time between calls to a service that is
+	// unreachable.
+	firstBackoff = 100 * time.Millisecond
+	maxBackoff   = time.Second
+	// daemonPrefix is the prefix of the keys of the daemons' registrations.
+	daemonPrefix = "daemons/"
+)
+
+// directory is this daemon's copy of the key-value service, read from the service itself or
+// received from relays.
+type directory struct {
+	mu sync.Mutex
+	// changeLog holds all entries and changes that followers need. at is the revision up to
+	// which this copy has every change, unless incomplete is set.
+	changeLog  *feed.Log
+	at         kv.Revision
+	incomplete bool
+	// currentAt is the last time at which the copy was known to be up to date.
+	currentAt time.Duration
+	// revisions holds the latest known revision of each key.
+	revisions map[string]kv.Revision
+	// runners is indexed by the key of the runner's entry.
+	runners map[string]Runner
+	// lapsed holds the runners that are still used although their entry has expired, with the
+	// time until which they are used.
+	lapsed map[string]time.Duration
+	// leavingSince holds the time at which this daemon learned that a runner is leaving.
+	leavingSince map[ident.RunnerID]time.Duration
+	// storeFailedAt is when the service last failed to answer.
+	storeFailedAt time.Duration
+	// dutyHolder is the daemon that holds the duties; empty if nobody does.
+	dutyHolder ident.Incarnation
+	// dutyFreeSince is the time since when nobody has held the duties.
+	dutyFreeSince time.Duration
+}
+
+func (f *directory) init() {
+	f.changeLog = feed.NewLog()
+	f.currentAt = freshness.Never
+	f.revisions = map[string]kv.Revision{}
+	f.runners = map[string]Runner{}
+	f.lapsed = map[string]time.Duration{}
+	f.leavingSince = map[ident.RunnerID]time.Duration{}
+}
+
+// revisionReached returns the revision up to which this copy has every change.
+func (f *directory) revisionReached() uint64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return uint64(f.at)
+}
+
+// holder returns the daemon that holds the duties; empty if nobody does.
+func (f *directory) holder() ident.Incarnation {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.dutyHolder
+}
+
+// syncStore keeps this daemon's copy of the key-value service up to date: from the relays that
+// it follows, or by a watch of its own if there are none. If a watch has missed changes, all
+// keys are listed again.
+func (e *Edge) syncStore(ctx context.Context) {
+	backoff := firstBackoff
+	reachable := true
+	for ctx.Err() == nil {
+		if e.feedIsCurrent() {
+			pause.For(ctx, feedCheckInterval)
+			continue
+		}
+		err := e.catchUp(ctx)
+		if err == nil {
+			if !reachable {
+				e.log.Note("store_regained", decisions.F("revision", e.dir.revisionReached()))
+			}
+			reachable = true
+			backoff = firstBackoff
+			err = e.watchStore(ctx)
+		}
+		var compacted *kv.CompactedError
+		if errors.As(err, &compacted) {
+			e.dir.markIncomplete()
+		}
+		if err == nil || ctx.Err() != nil || compacted != nil {
+			// This also limits the rate of listings of a service that discards its history
+			// again and again.
+			pause.For(ctx, smallFleetBatchDelay)
+			continue
+		}
+		if reachable {
+			e.log.Note("store_lost", decisions.F("error", err.Error()))
+		}
+		reachable = false
+		e.noteStoreFailure()
+		pause.For(ctx, backoff)
+		backoff = min(2*backoff, maxBackoff)
+	}
+}
+
+// markIncomplete records that changes have been missed because the service has discarded a part
+// of its history.
+func (f *directory) markIncomplete() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.incomplete = true
+}
+
+// catchUp lists all keys if this daemon has not read them yet or has missed changes.
+func (e *Edge) catchUp(ctx context.Context) error {
+	e.dir.mu.Lock()
+	complete := e.dir.at != 0 && !e.dir.incomplete
+	e.dir.mu.Unlock()
+	if complete {
+		return nil
+	}
+	return e.readAll(ctx)
+}
+
+func (e *Edge) noteStoreFailure() {
+	e.dir.mu.Lock()
+	e.dir.storeFailedAt = e.deps.Steady()
+	e.dir.mu.Unlock()
+}
+
+// readAll lists all keys. It first determines the service's revision, from which the following
+// watch continues.
+func (e *Edge) readAll(ctx context.Context) error {
+	var compacted *kv.CompactedError
+	_, _, err := e.deps.Store.Watch(ctx, allKeys, 0, time.Millisecond)
+	if err != nil && !errors.As(err, &compacted) {
+		return err
+	}
+	from := kv.Revision(0)
+	if compacted != nil {
+		from = compacted.Current
+	}
+	sent := e.deps.Steady()
+	entries, err := e.deps.Store.List(ctx, allKeys, "", maxEntries)
+	if err != nil {
+		return err
+	}
+	e.replaceAll(entries, from, sent)
+	return nil
+}
+
+// replaceAll replaces the copy by a listing of all keys that was made after the revision from.
+func (e *Edge) replaceAll(entries []kv.Entry, from kv.Revision, sent time.Duration) {
+	now := time.Now()
+	events := make([]kv.Event, 0, len(entries))
+	for _, entry := range entries {
+		events = append(events, kv.Event{Entry: entry})
+	}
+	e.applyTrialChanges(events)
+	e.dir.mu.Lock()
+	missing := make(map[string]bool, len(e.dir.runners))
+	for key := range e.dir.runners {
+		missing[key] = true
+	}
+	newHolder := ident.Incarnation("")
+	for _, entry := range entries {
+		switch {
+		case strings.HasPrefix(entry.Key, e.deps.Codec.RunnerPrefix()):
+			if e.dir.recordRevision(entry.Key, entry.Revision) {
+				e.setRunner(entry, now)
+			}
+			delete(missing, entry.Key)
+		case strings.HasPrefix(entry.Key, holder.KeyPrefix):
+			newHolder = ident.Incarnation(entry.Value)
+		}
+	}
+	for key := range missing {
+		// A relay may have sent an entry that was written after the listing.
+		if from == 0 || e.dir.revisions[key] <= from {
+			e.removeRunner(key)
+		}
+	}
+	e.noteDutyHolder(newHolder)
+	e.dir.changeLog.Reset(e.feedChanges(events), uint64(from))
+	e.dir.at = max(e.dir.at, from)
+	e.dir.incomplete = false
+	e.dir.mu.Unlock()
+	for _, entry := range entries {
+		switch {
+		case entry.Key == e.deps.Codec.ConfigKey():
+			e.applyConfig(kv.Event{Entry: entry}, sent)
+		case strings.HasPrefix(entry.Key, daemonPrefix):
+			e.handleRegistration(entry.Key, entry.Value)
+		}
+	}
+	e.publishRunners()
+}
+
+// watchStore watches for changes until the service fails to answer, the service has discarded
+// changes that this daemon needs, or relays take over sending them.
+//
+// The watch continues from the last change that it returned, not from the revision that the
+// service reports. A watch that temporarily misses changes ends without any while the revision
+// advances; continuing from that revision would lose the missed changes for good. Since all
+// keys are watched, a revision that advances without a change doesn't prove that the
+// configuration is the newest one either.
+func (e *Edge) watchStore(ctx context.Context) error {
+	sawChanges := true
+	for ctx.Err() == nil && !e.feedIsCurrent() {
+		at := kv.Revision(e.dir.revisionReached())
+		wait := e.watchTimeout(sawChanges)
+		sent := e.deps.Steady()
+		events, next, err := e.deps.Store.Watch(ctx, allKeys, at, wait)
+		if err != nil {
+			return err
+		}
+		if len(events) == 0 && next > at {
+			e.log.Note("watch_blind", decisions.F("at", uint64(at)), decisions.F("service_at", uint64(next)))
+		} else if len(events) == 0 {
+			e.confirmedByIdleWatch(sent, wait)
+		}
+		e.applyChanges(events, at, sent)
+		sawChanges = len(events) > 0
+		if sawChanges {
+			// Watches return changes without gaps. So when the service answered, which was
+			// after the call, there was no configuration newer than those among the changes.
+			e.confirmedByWatch(sent)
+			// Changes come in groups, since runners start and leave together.
+			pause.For(ctx, e.batchDelay())
+		}
+	}
+	return nil
+}
+
+// watchTimeout returns the timeout of the next watch. A change ends the watches of all daemons
+// at the same time. So that their next empty answers arrive one after the other, each daemon
+// then first uses a timeout by its position in the order of names.
+func (e *Edge) watchTimeout(together bool) time.Duration {
+	if !e.allWatch.Load() {
+		return relayWatchTimeout
+	}
+	place, size := e.rank()
+	if together {
+		size = place + 1
+	}
+	return min(maxWatchTimeout, watchTimeoutPerDaemon*time.Duration(size))
+}
+
+// rank returns this daemon's position in the order of names among the daemons that watch, and
+// their number.
+func (e *Edge) rank() (place, size int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return placeAmong(e.settings.ID, e.relayPlan.Watchers)
+}
+
+// placeAmong returns a daemon's position in the order of names among others, and the number of
+// all of them including the daemon.
+func placeAmong(self ident.DaemonID, others []peers.Member) (place, size int) {
+	for _, m := range others {
+		if m.ID < self {
+			place++
+		}
+	}
+	return place, len(others) + 1
+}
+
+// confirmedByIdleWatch dates the proof that an empty answer of a watch gives. A service that
+// answered after the full timeout had found no change up to its end. An earlier answer proves
+// only the state at the time of the call.
+func (e *Edge) confirmedByIdleWatch(sent, wait time.Duration) {
+	at := sent
+	if e.deps.Steady()-sent >= wait {
+		at = sent + wait
+	}
+	e.confirmedByWatch(at)
+}
+
+// confirmedByWatch records that the active configuration was the newest one at a time, unless
+// the watch has returned a newer one that could not be decoded.
+func (e *Edge) confirmedByWatch(at time.Duration) {
+	e.dir.mu.Lock()
+	e.dir.currentAt = max(e.dir.currentAt, at)
+	e.dir.mu.Unlock()
+	e.mu.Lock()
+	revision := e.fresh.Revision()
+	newest := !e.configUnreadable
+	e.mu.Unlock()
+	if revision > 0 && newest {
+		e.markConfirmed(revision, at)
+	}
+}
+
+// batchDelay returns how long to wait before the next watch so that it returns several changes.
+func (e *Edge) batchDelay() time.Duration {
+	switch {
+	case e.fleetSize() <= relays.SmallFleet:
+		return smallFleetBatchDelay
+	case e.duties.holder.Token() != 0:
+		return dutyHolderBatchDelay
+	case e.deps.Steady()-e.startedAt < startupPeriod:
+		return startupBatchDelay
+	}
+	return largeFleetBatchDelay
+}
+
+// applyChanges applies changes and advances the copy to the revision through, or to that of the
+// last change if that is later.
+func (e *Edge) applyChanges(events []kv.Event, through kv.Revision, sent time.Duration) {
+	now := time.Now()
+	changed := false
+	e.applyTrialChanges(events)
+	e.dir.mu.Lock()
+	for _, event := range events {
+		through = max(through, event.Revision)
+		if !e.fedToFollowers(event.Key) || !e.dir.recordRevision(event.Key, event.Revision) {
+			continue
+		}
+		switch {
+		case strings.HasPrefix(event.Key, e.deps.Codec.RunnerPrefix()):
+			changed = true
+			if event.Deleted {
+				e.removeRunner(event.Key)
+			} else {
+				e.setRunner(event.Entry, now)
+			}
+		case strings.HasPrefix(event.Key, holder.KeyPrefix) && event.Deleted:
+			e.noteDutyHolder("")
+		case strings.HasPrefix(event.Key, holder.KeyPrefix):
+			e.noteDutyHolder(ident.Incarnation(event.Value))
+		}
+	}
+	e.dir.changeLog.Apply(e.feedChanges(events), uint64(through))
+	e.dir.at = max(e.dir.at, through)
+	e.dir.mu.Unlock()
+	for _, event := range events {
+		switch {
+		case event.Key == e.deps.Codec.ConfigKey():
+			e.applyConfig(event, sent)
+		case strings.HasPrefix(event.Key, daemonPrefix) && !event.Deleted:
+			e.handleRegistration(event.Key, event.Value)
+		}
+	}
+	if changed {
+		e.publishRunners()
+	}
+}
+
+// noteDutyHolder records who holds the duties. The caller must hold dir.mu.
+func (e *Edge) noteDutyHolder(newHolder ident.Incarnation) {
+	if e.dir.dutyHolder != "" && newHolder == "" || e.dir.dutyFreeSince == 0 {
+		e.dir.dutyFreeSince = max(1, e.deps.Steady())
+	}
+	e.dir.dutyHolder = newHolder
+}
+
+// applyConfig activates an operator's configuration unless it is older than the active one. The
+// operator's version numbers and the service's revisions only grow; an outdated answer must not
+// restore what has been removed.
+func (e *Edge) applyConfig(event kv.Event, sent time.Duration) {
+	if event.Deleted {
+		e.log.Note("config_ignored", decisions.F("reason", "deleted"), decisions.F("revision", uint64(event.Revision)))
+		return
+	}
+	config, err := e.deps.Codec.Config(event.Value)
+	if err != nil {
+		e.log.Note("config_ignored", decisions.F("reason", err.Error()), decisions.F("revision", uint64(event.Revision)))
+		e.mu.Lock()
+		e.configUnreadable = true
+		e.mu.Unlock()
+		return
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	before := e.table.Load()
+	changed := e.fresh.Read(uint64(event.Revision), sent)
+	e.configUnreadable = e.configUnreadable && !changed
+	if changed && (before == nil || config.Version > before.Version()) {
+		e.activateConfig(route.NewTable(config), event.Revision)
+	}
+	e.refreshPhase(e.deps.Steady())
+}
+
+// limitsOf returns the workspaces' quotas.
+func limitsOf(t *route.Table) map[ident.Workspace]quota.Limit {
+	limits := map[ident.Workspace]quota.Limit{}
+	for i := range t.Config().Workspaces {
+		w := &t.Config().Workspaces[i]
+		limits[w.Name] = quota.Limit{PerSecond: w.Quota.PerSecond, Burst: w.Quota.Burst}
+	}
+	return limits
+}
+
+// activateConfig puts a configuration into force. The caller must hold mu.
+func (e *Edge) activateConfig(t *route.Table, revision kv.Revision) {
+	e.limiter.SetLimits(e.deps.Steady(), limitsOf(t))
+	e.table.Store(t)
+	e.setServices(t)
+	e.log.Note("config_in_force", decisions.F("version", t.Version()), decisions.F("revision", uint64(revision)),
+		decisions.F("routes", len(t.Config().Routes)), decisions.F("workspaces", len(t.Config().Workspaces)))
+}
+
+// setServices creates or updates the pools of a configuration's services. Pools of services
+// that are no longer configured are kept, since requests may still be in progress there.
+func (e *Edge) setServices(t *route.Table) {
+	e.poolsMu.Lock()
+	for i := range t.Config().Services {
+		s := &t.Config().Services[i]
+		p, ok := e.pools[s.Name]
+		if !ok {
+			p = newPool(e, *s)
+			e.pools[s.Name] = p
+		}
+		p.setService(*s)
+	}
+	e.poolsMu.Unlock()
+	e.publishRunners()
+}
--- a/daemon/edge/usage_saved.go
+++ b/daemon/edge/usage_saved.go
@@ -43,7 +43,7 @@
 		return
 	}
 	e.mu.Lock()
-	open := e.book.TakeSnapshot(e.wall.At(now))
+	open := e.usageBook.TakeSnapshot(e.wallClock.At(now))
 	e.mu.Unlock()
 	data, err := json.Marshal(open)
 	if err != nil {
@@ -103,7 +103,7 @@
 		return
 	}
 	e.mu.Lock()
-	e.book.Load(open)
+	e.usageBook.Load(open)
 	e.mu.Unlock()
 	e.log.Note("usage_loaded", decisions.F("revision", uint64(entry.Revision)), decisions.F("daemons", len(open.Daemons)))
 }
@@ -123,6 +123,6 @@
 	if !e.sharesQuotas(now) || containsMember(e.alive, dutyHolder) {
 		return false
 	}
-	place, _ := placeAmong(e.set.ID, e.plan.Others)
+	place, _ := placeAmong(e.settings.ID, e.relayPlan.Others)
 	return place == 0
 }
