--- a/bench/actions/run.go
+++ b/bench/actions/run.go
@@ -327,7 +327,7 @@
 
 // wake ticks the owner when it is due.
 func (j *journaled) wake() {
-	due := j.owner.Due(j.r.wall())
+	due := j.owner.NextDue(j.r.wall())
 	if due.IsZero() {
 		return
 	}
--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -227,7 +227,7 @@
 			delete(s.owners, name)
 			continue
 		}
-		if due := o.Due(now); !due.IsZero() {
+		if due := o.NextDue(now); !due.IsZero() {
 			wait = min(wait, max(minTick, due.Sub(now)))
 		}
 	}
--- a/daemon/actions/collect.go
+++ b/daemon/actions/collect.go
@@ -90,7 +90,7 @@
 // keysOver is how long after an owner's end all of its keys are over.
 func (s *Service) keysOver(owner ident.Incarnation) time.Duration {
 	cfg := s.cfg.Owner(owner)
-	return cfg.TokenLifetime + cfg.Grace + collectMargin
+	return cfg.TokenLifetime + cfg.KeyRetention + collectMargin
 }
 
 func (s *Service) tend(ctx context.Context, c *collector, name ident.Incarnation, d *departure) {
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -202,7 +202,7 @@
 	}
 	o.bytes += rec.bytes
 	o.records[r.ID] = rec
-	heap.Push(&o.expiry, expiryEntry{rec: rec, at: rec.expires.Add(o.cfg.Grace).UnixMilli()})
+	heap.Push(&o.expiry, expiryEntry{rec: rec, at: rec.expires.Add(o.cfg.KeyRetention).UnixMilli()})
 	if refused := o.admissionRefusal(r); refused != nil {
 		o.settle(rec, NotExecuted, Result{Refusal: refused})
 		return
@@ -316,8 +316,8 @@
 	return o.flush(now)
 }
 
-// Due returns when Tick must be called next. The zero time means never.
-func (o *Owner) Due(now time.Time) time.Time {
+// NextDue returns when Tick must be called next. The zero time means never.
+func (o *Owner) NextDue(now time.Time) time.Time {
 	due := o.writer.NextDue(now)
 	if len(o.received) > 0 && !o.writer.Unavailable(now) {
 		due = earliest(due, o.writer.UnavailableAt())
@@ -487,7 +487,7 @@
 	for len(o.expiry) > 0 && o.expiry[0].at <= ms {
 		rec := heap.Pop(&o.expiry).(expiryEntry).rec
 		if !rec.state.final() {
-			heap.Push(&o.expiry, expiryEntry{rec: rec, at: now.Add(o.cfg.Grace).UnixMilli()})
+			heap.Push(&o.expiry, expiryEntry{rec: rec, at: now.Add(o.cfg.KeyRetention).UnixMilli()})
 			continue
 		}
 		o.bytes -= rec.bytes
--- a/protocol/action/owner_test.go
+++ b/protocol/action/owner_test.go
@@ -195,7 +195,7 @@
 			},
 			"": func(t *rapid.T) {
 				drv.recordEffects(drv.owner.Tick(drv.now))
-				if due := drv.owner.Due(drv.now); !due.IsZero() && !due.After(drv.now) && drv.write == nil {
+				if due := drv.owner.NextDue(drv.now); !due.IsZero() && !due.After(drv.now) && drv.write == nil {
 					t.Fatalf("due %v ago after a tick", drv.now.Sub(due))
 				}
 				if drv.owner.Len() > 4 {
--- a/protocol/action/simulation_test.go
+++ b/protocol/action/simulation_test.go
@@ -185,7 +185,7 @@
 	n.epoch++
 	cfg := action.DefaultConfig(name)
 	cfg.TokenLifetime = lifetime
-	cfg.Grace = second
+	cfg.KeyRetention = second
 	cfg.Journal.KeyRetention = second
 	cfg.Fault = n.sim.fault
 	if n.sim.smallTables {
@@ -248,7 +248,7 @@
 
 // scheduleTick schedules a Tick of the owner for the time at which it is due.
 func (n *node) scheduleTick(o *action.Owner) {
-	due := o.Due(n.clock())
+	due := o.NextDue(n.clock())
 	if due.IsZero() {
 		return
 	}
--- a/protocol/action/types.go
+++ b/protocol/action/types.go
@@ -107,8 +107,8 @@
 	// TokenLifetime is how long a key may be submitted, for the first time or
 	// as a repetition.
 	TokenLifetime time.Duration
-	// Grace is how long the record of a key is kept after the key expired.
-	Grace time.Duration
+	// KeyRetention is how long the record of a key is kept after the key expired.
+	KeyRetention time.Duration
 	// MaxRecords is the maximum number of actions in the table.
 	MaxRecords int
 	// MaxBytes is the maximum total size of the bodies and answers in the table.
@@ -152,7 +152,7 @@
 		Owner:         owner,
 		Journal:       journal.DefaultConfig(owner),
 		TokenLifetime: 3 * time.Minute,
-		Grace:         30 * time.Second,
+		KeyRetention:  30 * time.Second,
 		MaxRecords:    100_000,
 		MaxBytes:      16 << 20,
 		AnswerReserve: 1 << 10,
--- a/protocol/request/messages.go
+++ b/protocol/request/messages.go
@@ -161,7 +161,7 @@
 
 // Dropped reports that an event of the stream was ignored, which is counted in
 // the metrics.
-type Dropped struct{ Reason stream.DropReason }
+type Dropped struct{ Reason stream.Reason }
 
 // Answered ends the request with its complete answer.
 type Answered struct{}
--- a/protocol/stream/stream.go
+++ b/protocol/stream/stream.go
@@ -23,32 +23,32 @@
 	FinishReason string
 }
 
-// DropReason is the reason why an event was not added to the answer. Each
+// Reason is the reason why an event was not added to the answer. Each
 // reason has a counter in the metrics.
-type DropReason string
+type Reason string
 
 // Reasons for dropping an event.
 const (
 	// OtherRequest means that the event belongs to another request.
-	OtherRequest DropReason = "other_request"
+	OtherRequest Reason = "other_request"
 	// OtherAttempt means that the event comes from an attempt that is not
 	// current.
-	OtherAttempt DropReason = "other_attempt"
+	OtherAttempt Reason = "other_attempt"
 	// Duplicate means that the event repeats an offset that the answer already
 	// has.
-	Duplicate DropReason = "duplicate"
+	Duplicate Reason = "duplicate"
 	// Conflict means that the event repeats an offset with a different token.
-	Conflict DropReason = "conflict"
+	Conflict Reason = "conflict"
 	// Gap means that the event skips an offset.
-	Gap DropReason = "gap"
+	Gap Reason = "gap"
 	// AfterEnd means that the event follows the end of the answer.
-	AfterEnd DropReason = "after_end"
+	AfterEnd Reason = "after_end"
 	// CountMismatch means that the event ends the answer at another offset than
 	// the number of tokens received.
-	CountMismatch DropReason = "count_mismatch"
+	CountMismatch Reason = "count_mismatch"
 	// Overrun means that the event exceeds the maximum number of tokens of the
 	// request.
-	Overrun DropReason = "overrun"
+	Overrun Reason = "overrun"
 )
 
 // ApplyResult describes the effect of an event on the answer.
@@ -62,7 +62,7 @@
 	Alive bool
 	// Dropped is the reason why the event was ignored. It is empty if the event
 	// was used.
-	Dropped DropReason
+	Dropped Reason
 	// Broken is set if the current attempt can't contribute any more. The
 	// answer must be continued by a new attempt from its current offset.
 	Broken bool
@@ -82,12 +82,12 @@
 	tokens       []string
 	done         bool
 	finishReason string
-	dropped      map[DropReason]int
+	dropped      map[Reason]int
 }
 
 // New returns an empty answer of at most limit tokens.
 func New(request ident.RequestID, limit int) *SplicedAnswer {
-	return &SplicedAnswer{request: request, limit: limit, dropped: map[DropReason]int{}}
+	return &SplicedAnswer{request: request, limit: limit, dropped: map[Reason]int{}}
 }
 
 // Restore returns an answer that already contains the tokens emitted by an
@@ -135,7 +135,7 @@
 }
 
 // Dropped returns the number of events dropped for a reason.
-func (s *SplicedAnswer) Dropped(r DropReason) int { return s.dropped[r] }
+func (s *SplicedAnswer) Dropped(r Reason) int { return s.dropped[r] }
 
 // Extend adds tokens that a reader is known to have received from an earlier
 // owner. It returns false and changes nothing if they contradict the answer.
@@ -207,12 +207,12 @@
 	return ApplyResult{Ended: true, Alive: true}
 }
 
-func (s *SplicedAnswer) drop(r DropReason) ApplyResult {
+func (s *SplicedAnswer) drop(r Reason) ApplyResult {
 	s.dropped[r]++
 	return ApplyResult{Dropped: r}
 }
 
-func (s *SplicedAnswer) breakAttempt(r DropReason) ApplyResult {
+func (s *SplicedAnswer) breakAttempt(r Reason) ApplyResult {
 	v := s.drop(r)
 	v.Broken = true
 	s.attempt = ""
