--- a/bench/actions/peraction.go
+++ b/bench/actions/peraction.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if !ok {
-		refused := refusal.New(refusal.JournalUnavailable, "no record").WithRetryAfter(storeTimeout)
+		refused := refusal.New(refusal.JournalUnavailable, "no record").After(storeTimeout)
 		p.settle(rec, action.Result{Refusal: refused})
 		return
 	}
--- a/bench/reclaim/machine.go
+++ b/bench/reclaim/machine.go
@@ -194,7 +194,7 @@
 	r.Exclude = m.table.Exclude(p.Exclude...)
 	c, err := m.table.Pick(at(m.w.now), r)
 	if err != nil {
-		m.step(j, request.PickRefused{Refusal: refusal.New(refusal.NoRunner, "%v", err).WithRetryAfter(noRunner)})
+		m.step(j, request.PickRefused{Refusal: refusal.New(refusal.NoRunner, "%v", err).After(noRunner)})
 		return
 	}
 	m.tickets[j.id] = &ticket{Ticket: m.table.Dispatch(at(m.w.now), c, r)}
--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -389,7 +389,7 @@
 	poll time.Duration) (r action.Result, pending bool) {
 	o, w, ch := s.submit(owner, id, c)
 	if o == nil {
-		return refused(refusal.New(refusal.OwnerGone, "owner has ended").WithExecutionUnknown()), false
+		return refused(refusal.New(refusal.OwnerGone, "owner has ended").Unknown()), false
 	}
 	var polled <-chan time.Time
 	if poll > 0 {
@@ -448,7 +448,7 @@
 	case r := <-ch:
 		return r
 	default:
-		return refused(refusal.New(refusal.DeadlineExceeded, "no result in time").WithExecutionUnknown())
+		return refused(refusal.New(refusal.DeadlineExceeded, "no result in time").Unknown())
 	}
 }
 
--- a/daemon/actions/claim.go
+++ b/daemon/actions/claim.go
@@ -62,7 +62,7 @@
 		// Not "no": a copy of this call may have claimed the key elsewhere.
 		return "", refusal.New(refusal.ClaimUnavailable,
 			"key without a token can't be claimed now; start it with a token from /v1/gateways: %v", err).
-			WithExecutionUnknown().WithRetryAfter(time.Second)
+			Unknown().After(time.Second)
 	}
 	return claimed, nil
 }
@@ -176,10 +176,10 @@
 	defer cancel()
 	entry, err := s.cfg.Store.Get(ctx, claimPrefix+claimName(ws, key))
 	if err != nil {
-		return "", refusal.New(refusal.ClaimUnavailable, "look up claim: %v", err).WithExecutionUnknown().WithRetryAfter(time.Second)
+		return "", refusal.New(refusal.ClaimUnavailable, "look up claim: %v", err).Unknown().After(time.Second)
 	}
 	if entry.Revision == 0 {
-		return "", refusal.New(refusal.UnknownRequest, "nothing is known of this key").WithExecutionUnknown()
+		return "", refusal.New(refusal.UnknownRequest, "nothing is known of this key").Unknown()
 	}
 	claimed, err := decodeClaim(entry.Value)
 	if err != nil {
--- a/daemon/actions/drain.go
+++ b/daemon/actions/drain.go
@@ -288,7 +288,7 @@
 	for _, r := range m.GetRecords() {
 		result := resultOf(r.GetOutcome())
 		if r.GetOutcome() == nil {
-			result = refused(refusal.New(refusal.OutcomeUnknown, "no outcome").WithExecutionUnknown())
+			result = refused(refusal.New(refusal.OutcomeUnknown, "no outcome").Unknown())
 		}
 		part.Records = append(part.Records, action.Record{
 			ID:       actionkey.ID{Workspace: ident.Workspace(r.GetWorkspace()), Key: r.GetKey()},
--- a/daemon/actions/forward.go
+++ b/daemon/actions/forward.go
@@ -58,7 +58,7 @@
 func (s *Service) unreachable(owner ident.Incarnation) action.Result {
 	s.tokens.drop(owner)
 	return refused(refusal.New(refusal.OwnerUnreachable, "no answer from %s; ask for the outcome", owner).
-		WithExecutionUnknown().WithRetryAfter(time.Second))
+		Unknown().After(time.Second))
 }
 
 func (s *Service) forwardOnce(ctx context.Context, d view.Daemon, owner ident.Incarnation, id actionkey.ID,
--- a/daemon/actions/handler.go
+++ b/daemon/actions/handler.go
@@ -92,7 +92,7 @@
 }
 
 func notOwner() *actionv1.ExecuteResponse {
-	resp := responseOf(refused(refusal.New(refusal.OwnerGone, "not the owner").WithExecutionUnknown()))
+	resp := responseOf(refused(refusal.New(refusal.OwnerGone, "not the owner").Unknown()))
 	resp.NotOwner = true
 	return resp
 }
--- a/daemon/actions/runners.go
+++ b/daemon/actions/runners.go
@@ -40,7 +40,7 @@
 func (s *Service) admit(c call.ServiceCall) (manifest.OutagePolicy, *refusal.Refusal) {
 	m, _ := s.cfg.Config.Current()
 	if m == nil {
-		return "", refusal.New(refusal.NotReady, "no configuration yet").WithRetryAfter(s.cfg.Times.Settle)
+		return "", refusal.New(refusal.NotReady, "no configuration yet").After(s.cfg.Times.Settle)
 	}
 	svc := m.ServiceNamed(c.Service)
 	if svc == nil {
@@ -57,7 +57,7 @@
 // send tries a few runners one after the other, and goes on to the next only
 // where it is certain that nothing ran.
 func (s *Service) send(ctx context.Context, d *action.Dispatch) action.Result {
-	result := refused(refusal.New(refusal.NoRunner, "no runner of %q takes work", d.Call.Service).WithRetryAfter(s.cfg.Times.Retry))
+	result := refused(refusal.New(refusal.NoRunner, "no runner of %q takes work", d.Call.Service).After(s.cfg.Times.Retry))
 	for i, r := range s.runners(d.Call.Service) {
 		if i == maxRunners || ctx.Err() != nil {
 			return result
--- a/daemon/actions/seal.go
+++ b/daemon/actions/seal.go
@@ -42,12 +42,12 @@
 		return r
 	}
 	if key, err := actionkey.Parse(id.Key); err != nil || s.now().Sub(key.Expires()) > ancient {
-		return refused(refusal.New(refusal.KeyExpired, "key was over long ago").WithExecutionUnknown())
+		return refused(refusal.New(refusal.KeyExpired, "key was over long ago").Unknown())
 	}
 	log, err := s.sealedLog(ctx, owner, "")
 	if err != nil {
 		return refused(refusal.New(refusal.JournalUnavailable, "owner has ended; its journal: %v", err).
-			WithExecutionUnknown().WithRetryAfter(time.Second))
+			Unknown().After(time.Second))
 	}
 	if r, ok := s.askSuccessor(ctx, log, owner, id, hash); ok {
 		return r
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -252,7 +252,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.manifest == nil {
-		return nil, nil, refusal.New(refusal.NotReady, "no configuration in force yet").WithRetryAfter(retryAfterNotReady)
+		return nil, nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(retryAfterNotReady)
 	}
 	m := d.manifest.ModelNamed(model)
 	if m == nil || d.services[m.Service] == nil {
--- a/daemon/dispatch/grant.go
+++ b/daemon/dispatch/grant.go
@@ -146,7 +146,7 @@
 	if errors.As(err, &none) {
 		s.cfg.count(s.name, "no_runner."+string(none.Cause))
 	}
-	return refusal.New(refusal.NoRunner, "service %s: %v", s.name, err).WithRetryAfter(retryAfterNotReady)
+	return refusal.New(refusal.NoRunner, "service %s: %v", s.name, err).After(retryAfterNotReady)
 }
 
 // granted returns the release of an admitted request.
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -70,7 +70,7 @@
 			return stopped(j, decision)
 		}
 		if !pause.For(ctx, decision.Wait) {
-			return refusal.New(refusal.Cancelled, "given up").WithExecutionUnknown()
+			return refusal.New(refusal.Cancelled, "given up").Unknown()
 		}
 		if decision.Verdict == retry.Again {
 			return nil
@@ -92,10 +92,10 @@
 	}
 	r := refusal.New(reason, "attempt failed (%s), %s", j.After, decision.Verdict)
 	if reason != refusal.DeadlineExceeded {
-		r = r.WithRetryAfter(retryAfterNotReady)
+		r = r.After(retryAfterNotReady)
 	}
 	if mayHaveRun(j) {
-		return r.WithExecutionUnknown()
+		return r.Unknown()
 	}
 	return r
 }
--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -101,7 +101,7 @@
 	case ctx.Err() == nil:
 		return false
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		s.end(s.exchange.DeadlineRefusal().WithRetryAfter(notReadyRetryAfter))
+		s.end(s.exchange.DeadlineRefusal().After(notReadyRetryAfter))
 	default:
 		s.note("caller_left", decisions.F("begun", s.exchange.AnswerBegun))
 		s.reply.Abort()
@@ -112,7 +112,7 @@
 // withRetryAfter adds a retry time to a refusal that has none.
 func (s *requestHandler) withRetryAfter(r *refusal.Refusal) *refusal.Refusal {
 	if r.RetryAfter == 0 {
-		return r.WithRetryAfter(notReadyRetryAfter / 2)
+		return r.After(notReadyRetryAfter / 2)
 	}
 	return r
 }
@@ -145,7 +145,7 @@
 func (s *requestHandler) chooseRunner(ctx context.Context) (*attempt, *refusal.Refusal) {
 	now := time.Now()
 	if ctx.Err() != nil || !now.Before(s.deadline) {
-		return nil, s.exchange.DeadlineRefusal().WithRetryAfter(notReadyRetryAfter)
+		return nil, s.exchange.DeadlineRefusal().After(notReadyRetryAfter)
 	}
 	choice, err := s.pick(ctx, now)
 	s.recommended = ""
@@ -164,9 +164,9 @@
 }
 
 func (s *requestHandler) refuseWithoutRunner(err error) *refusal.Refusal {
-	r := refusal.New(refusal.NoRunner, "%v", err).WithRetryAfter(noRunnerRetryAfter)
+	r := refusal.New(refusal.NoRunner, "%v", err).After(noRunnerRetryAfter)
 	if s.exchange.MayHaveRun() {
-		return r.WithExecutionUnknown()
+		return r.Unknown()
 	}
 	return r
 }
@@ -197,9 +197,9 @@
 // refuseTooLate refuses a request that would wait too long. The retry time is how long the
 // queue will take to become short enough.
 func (s *requestHandler) refuseTooLate(late time.Duration, c routing.Choice) *refusal.Refusal {
-	r := refusal.New(refusal.DeadlineUnreachable, "first token expected in %v", c.Estimate).WithRetryAfter(late + notReadyRetryAfter)
+	r := refusal.New(refusal.DeadlineUnreachable, "first token expected in %v", c.Estimate).After(late + notReadyRetryAfter)
 	if s.exchange.MayHaveRun() {
-		return r.WithExecutionUnknown()
+		return r.Unknown()
 	}
 	return r
 }
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -153,7 +153,7 @@
 	if lastRefused != nil {
 		return grantAnswer{}, quotaRefusal(lastRefused, cost)
 	}
-	return grantAnswer{}, refusal.New(refusal.QuotaUnknown, "none of %d relays can tell", len(ids)).WithRetryAfter(quotaUnknownRetryAfter)
+	return grantAnswer{}, refusal.New(refusal.QuotaUnknown, "none of %d relays can tell", len(ids)).After(quotaUnknownRetryAfter)
 }
 
 // addReferredRelays appends the addresses of relays that another daemon named, except this
@@ -255,7 +255,7 @@
 	if g.Taken {
 		return nil
 	}
-	return refusal.New(refusal.WorkspaceLimit, "quota of the workspace is used up, the request costs %.0f", cost).WithRetryAfter(time.Duration(g.WaitNs))
+	return refusal.New(refusal.WorkspaceLimit, "quota of the workspace is used up, the request costs %.0f", cost).After(time.Duration(g.WaitNs))
 }
 
 // handleAsk answers a daemon that asks for quota.
--- a/daemon/edge/serve.go
+++ b/daemon/edge/serve.go
@@ -109,7 +109,7 @@
 // admit determines the request's route, workspace and service, and charges its quota.
 func (s *requestHandler) admit(ctx context.Context) *refusal.Refusal {
 	if since, draining := s.edge.timeSinceDrain(); draining && since > drainAcceptPeriod {
-		return refusal.New(refusal.Draining, "this daemon is shutting down").WithRetryAfter(notReadyRetryAfter)
+		return refusal.New(refusal.Draining, "this daemon is shutting down").After(notReadyRetryAfter)
 	}
 	if r := s.identify(ctx); r != nil {
 		return r
@@ -165,7 +165,7 @@
 	for retry := true; ; retry = false {
 		table, age := s.edge.activeConfig()
 		if table == nil {
-			return refusal.New(refusal.NotReady, "no configuration yet").WithRetryAfter(notReadyRetryAfter)
+			return refusal.New(refusal.NotReady, "no configuration yet").After(notReadyRetryAfter)
 		}
 		s.table = table
 		r, within := s.lookUp()
@@ -174,7 +174,7 @@
 		}
 		if !retry {
 			s.workspace = ""
-			return refusal.New(refusal.StaleConfiguration, "configuration was proved %v ago", age).WithRetryAfter(notReadyRetryAfter)
+			return refusal.New(refusal.StaleConfiguration, "configuration was proved %v ago", age).After(notReadyRetryAfter)
 		}
 		s.edge.confirmConfig(ctx)
 	}
--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -151,11 +151,11 @@
 // prepare checks the request against the configuration in force.
 func (m *Models) prepare(r call.ModelRequest) (*live, error) {
 	if !m.accepting() {
-		return nil, refusal.New(refusal.Draining, "this gateway is leaving").WithRetryAfter(drainingRetry)
+		return nil, refusal.New(refusal.Draining, "this gateway is leaving").After(drainingRetry)
 	}
 	conf, _ := m.c.Config.Current()
 	if conf == nil {
-		return nil, refusal.New(refusal.NotReady, "no configuration in force yet").WithRetryAfter(notReadyRetry)
+		return nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(notReadyRetry)
 	}
 	if r.ID == "" {
 		return nil, refusal.New(refusal.BadRequest, "request without ID")
@@ -207,7 +207,7 @@
 	m.mu.Lock()
 	if len(m.live)-len(m.ended) >= m.c.Limits.Live {
 		m.mu.Unlock()
-		return refusal.New(refusal.Overloaded, "too many requests in progress").WithRetryAfter(overloadedRetry)
+		return refusal.New(refusal.Overloaded, "too many requests in progress").After(overloadedRetry)
 	}
 	m.live[l.req.ID] = l
 	if l.recorded {
--- a/daemon/models/read.go
+++ b/daemon/models/read.go
@@ -82,7 +82,7 @@
 			return err
 		}
 		if ctx.Err() != nil {
-			return refusal.New(refusal.Cancelled, "reader went away").WithExecutionUnknown()
+			return refusal.New(refusal.Cancelled, "reader went away").Unknown()
 		}
 		if err := r.pause(ctx, err); err != nil {
 			return err
@@ -106,11 +106,11 @@
 	}
 	var absent *NotHereError
 	if errors.As(err, &absent) && r.ownerListed() {
-		return refusal.New(refusal.UnknownRequest, "no such request").WithExecutionUnknown()
+		return refusal.New(refusal.UnknownRequest, "no such request").Unknown()
 	}
 	if time.Since(r.progress) > r.m.c.Limits.Lookup {
 		return refusal.New(refusal.OwnerUnreachable, "the request's gateway cannot be reached").
-			WithExecutionUnknown().WithRetryAfter(r.m.c.Limits.Request.RetryAfter)
+			Unknown().After(r.m.c.Limits.Request.RetryAfter)
 	}
 	if err := r.pass(call.Event{Offset: r.offset, Heartbeat: true}); err != nil {
 		return err
@@ -137,7 +137,7 @@
 	l := r.m.find(r.id)
 	if l != nil {
 		if l.req.Workspace != r.ws {
-			return refusal.New(refusal.UnknownRequest, "no such request").WithExecutionUnknown()
+			return refusal.New(refusal.UnknownRequest, "no such request").Unknown()
 		}
 		err := r.local(ctx, l)
 		var moved *MovedError
@@ -316,7 +316,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return refusal.New(refusal.Cancelled, "reader went away").WithExecutionUnknown()
+			return refusal.New(refusal.Cancelled, "reader went away").Unknown()
 		case <-r.m.ctx.Done():
 			return &StreamBrokenError{Cause: "daemon ends"}
 		case <-s.changed:
@@ -342,7 +342,7 @@
 			return nil
 		}
 	}
-	return refusal.New(refusal.UnknownRequest, "no gateway knows the request").WithExecutionUnknown()
+	return refusal.New(refusal.UnknownRequest, "no gateway knows the request").Unknown()
 }
 
 func (m *Models) cancelLocal(ws ident.Workspace, id ident.RequestID) error {
@@ -351,7 +351,7 @@
 		return &NotHereError{ID: id}
 	}
 	if l.req.Workspace != ws {
-		return refusal.New(refusal.UnknownRequest, "no such request").WithExecutionUnknown()
+		return refusal.New(refusal.UnknownRequest, "no such request").Unknown()
 	}
 	if to := m.movedTo(id); to != "" {
 		return &MovedError{Owner: to}
--- a/daemon/models/records.go
+++ b/daemon/models/records.go
@@ -131,7 +131,7 @@
 			m.count("records.put_failed")
 		}
 	}
-	return refusal.New(refusal.NotReady, "no other gateway could be reached to keep the request's record").WithRetryAfter(notReadyRetry)
+	return refusal.New(refusal.NotReady, "no other gateway could be reached to keep the request's record").After(notReadyRetry)
 }
 
 // put sends renewals to one keeper and notes its answer.
--- a/daemon/models/roundrobin.go
+++ b/daemon/models/roundrobin.go
@@ -41,7 +41,7 @@
 		live = rest
 	}
 	if len(live) == 0 {
-		return Choice{}, refusal.New(refusal.NoRunner, "no live runner of %s", j.Service).WithRetryAfter(roundRobinRetryAfter)
+		return Choice{}, refusal.New(refusal.NoRunner, "no live runner of %s", j.Service).After(roundRobinRetryAfter)
 	}
 	chosen := live[(r.next.Add(1)-1)%uint64(len(live))]
 	return Choice{Runner: chosen.ID, Address: chosen.Address}, nil
--- a/daemon/models/service.go
+++ b/daemon/models/service.go
@@ -98,7 +98,7 @@
 	}
 	if !l.extend(int(req.Msg.KnownFrom), req.Msg.Known) {
 		s.m.count("requests.refused." + string(AnswerDiverged))
-		return out.Send(responseOf(refusal.New(AnswerDiverged, "the answer was begun by a gateway that is gone; ask anew").WithExecutionUnknown()))
+		return out.Send(responseOf(refusal.New(AnswerDiverged, "the answer was begun by a gateway that is gone; ask anew").Unknown()))
 	}
 	r := &reading{m: s.m, id: id, offset: int(req.Msg.Offset), sink: func(e call.Event) error {
 		return out.Send(&requestv1.ReadResponse{
--- a/daemon/services/services.go
+++ b/daemon/services/services.go
@@ -212,7 +212,7 @@
 func (s *Services) check(c call.ServiceCall) error {
 	m, _ := s.cfg.Config.Current()
 	if m == nil {
-		return refusal.New(refusal.NotReady, "no configuration in force yet").WithRetryAfter(retryAfter)
+		return refusal.New(refusal.NotReady, "no configuration in force yet").After(retryAfter)
 	}
 	known := m.ServiceNamed(c.Service)
 	if known == nil || known.Kind != manifest.KindPlain {
@@ -266,7 +266,7 @@
 
 func withRan(r *refusal.Refusal, ran bool) *refusal.Refusal {
 	if ran {
-		return r.WithExecutionUnknown()
+		return r.Unknown()
 	}
 	return r
 }
@@ -411,14 +411,14 @@
 	case retry.Again:
 		return d.Wait, nil
 	case retry.StopBudget:
-		return 0, refusal.New(refusal.RetryBudgetExhausted, "%s", f.detail()).WithRetryAfter(retryAfter)
+		return 0, refusal.New(refusal.RetryBudgetExhausted, "%s", f.detail()).After(retryAfter)
 	case retry.StopDeadline:
 		return 0, refusal.New(refusal.DeadlineExceeded, "%s", f.detail())
 	}
 	if f.refusal != nil {
-		return 0, f.refusal.WithRetryAfter(retryAfter)
+		return 0, f.refusal.After(retryAfter)
 	}
-	return 0, refusal.New(refusal.RunnerFailed, "%s", f.detail()).WithRetryAfter(retryAfter)
+	return 0, refusal.New(refusal.RunnerFailed, "%s", f.detail()).After(retryAfter)
 }
 
 func (f *failure) detail() string {
--- a/daemon/services/services_test.go
+++ b/daemon/services/services_test.go
@@ -91,7 +91,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(2)
-		w.fails["a0"] = refusal.New(refusal.RunnerFailed, "broken").WithExecutionUnknown()
+		w.fails["a0"] = refusal.New(refusal.RunnerFailed, "broken").Unknown()
 		w.busy["a1"] = true
 		s := services(w)
 		time.AfterFunc(100*time.Millisecond, func() {
--- a/protocol/action/adopted.go
+++ b/protocol/action/adopted.go
@@ -38,7 +38,7 @@
 		// If the runner still answers, the answer reaches only the ended owner.
 		out.State = Unknown
 		out.Result = Result{Refusal: refusal.New(refusal.OutcomeUnknown,
-			"in progress when its owner ended").WithExecutionUnknown()}
+			"in progress when its owner ended").Unknown()}
 	}
 	return out
 }
@@ -112,7 +112,7 @@
 	}
 	if r, ok := a.records[id]; ok {
 		if bodyHash != "" && bodyHash != r.BodyHash {
-			return Result{Refusal: refusal.New(refusal.KeyReused, "another call holds this key").WithExecutionUnknown()}, true
+			return Result{Refusal: refusal.New(refusal.KeyReused, "another call holds this key").Unknown()}, true
 		}
 		return r.Result, true
 	}
@@ -121,7 +121,7 @@
 		return Result{}, false
 	}
 	if !a.complete.Before(key.Expires()) {
-		return Result{Refusal: refusal.New(refusal.KeyExpired, "key is over").WithExecutionUnknown()}, true
+		return Result{Refusal: refusal.New(refusal.KeyExpired, "key is over").Unknown()}, true
 	}
-	return Result{Refusal: refusal.New(refusal.OwnerGone, "owner has ended; take a new token").WithRetryAfter(newKeyRetryAfter)}, true
+	return Result{Refusal: refusal.New(refusal.OwnerGone, "owner has ended; take a new token").After(newKeyRetryAfter)}, true
 }
--- a/protocol/action/gateway_test.go
+++ b/protocol/action/gateway_test.go
@@ -18,7 +18,7 @@
 	sealAttempts   = 4
 )
 
-var unreachableRefusal = refusal.New(refusal.OwnerUnreachable, "no answer").WithExecutionUnknown()
+var unreachableRefusal = refusal.New(refusal.OwnerUnreachable, "no answer").Unknown()
 
 // gatewayCall is one copy of a caller's request at one gateway.
 type gatewayCall struct {
@@ -131,7 +131,7 @@
 	}
 	n.seal(gc.owner, "", sealAttempts, func(log *journal.Log) {
 		if log == nil {
-			gc.finish(refusedWith(refusal.New(refusal.JournalUnavailable, "seal").WithExecutionUnknown()))
+			gc.finish(refusedWith(refusal.New(refusal.JournalUnavailable, "seal").Unknown()))
 			return
 		}
 		n.logs[gc.owner] = log
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -106,7 +106,7 @@
 		// request as a repetition of the call that holds the key, and that
 		// call may have run.
 		o.reply(r.Waiter, Result{Refusal: refusal.New(refusal.KeyReused,
-			"another call holds this key; use a new suffix").WithExecutionUnknown()})
+			"another call holds this key; use a new suffix").Unknown()})
 		return
 	}
 	if rec.state.final() {
@@ -138,18 +138,18 @@
 		return refusal.New(refusal.KeyMalformed, "%v", err)
 	}
 	if key.Owner != o.cfg.Owner {
-		return refusal.New(refusal.OwnerGone, "not the key's owner").WithExecutionUnknown()
+		return refusal.New(refusal.OwnerGone, "not the key's owner").Unknown()
 	}
 	if key.Issued.After(now) || key.Lifetime > o.cfg.TokenLifetime {
 		// The refusal must not say "not executed": the same key may become
 		// valid later, for example when a clock that runs behind catches up.
-		return refusal.New(refusal.KeyMalformed, "token was not issued here").WithExecutionUnknown()
+		return refusal.New(refusal.KeyMalformed, "token was not issued here").Unknown()
 	}
 	if !now.Before(key.Expires()) {
 		return o.expiredRefusal()
 	}
 	if o.tombstones.has(r.ID) {
-		return refusal.New(refusal.ActionTableFull, "refused before").WithRetryAfter(newKeyRetryAfter)
+		return refusal.New(refusal.ActionTableFull, "refused before").After(newKeyRetryAfter)
 	}
 	if o.atCapacity(r) {
 		return o.tableFullRefusal(r.ID, key)
@@ -164,7 +164,7 @@
 	if o.cfg.Fault == FaultExpiredNotExecuted {
 		return expired
 	}
-	return expired.WithExecutionUnknown()
+	return expired.Unknown()
 }
 
 func (o *Owner) atCapacity(r Request) bool {
@@ -177,11 +177,11 @@
 const newKeyRetryAfter = time.Second
 
 func (o *Owner) tableFullRefusal(id actionkey.ID, key actionkey.Key) *refusal.Refusal {
-	refused := refusal.New(refusal.ActionTableFull, "too many actions").WithRetryAfter(newKeyRetryAfter)
+	refused := refusal.New(refusal.ActionTableFull, "too many actions").After(newKeyRetryAfter)
 	if o.cfg.Fault == FaultNoTombstones || o.tombstones.add(id, key.Expires()) {
 		return refused
 	}
-	return refused.WithExecutionUnknown()
+	return refused.Unknown()
 }
 
 func (o *Owner) accept(r Request) {
@@ -219,9 +219,9 @@
 	case r.Inadmissible != nil:
 		return r.Inadmissible
 	case o.ended:
-		return refusal.New(refusal.OwnerGone, "owner has ended; take a new token").WithRetryAfter(newKeyRetryAfter)
+		return refusal.New(refusal.OwnerGone, "owner has ended; take a new token").After(newKeyRetryAfter)
 	case o.draining:
-		return refusal.New(refusal.Draining, "VM is leaving; take a new token").WithRetryAfter(newKeyRetryAfter)
+		return refusal.New(refusal.Draining, "VM is leaving; take a new token").After(newKeyRetryAfter)
 	}
 	return nil
 }
@@ -250,7 +250,7 @@
 	rec.removeWaiter(w)
 	if rec.state != Received || len(rec.waiters) > 0 {
 		o.reply(w, Result{Refusal: refusal.New(refusal.DeadlineExceeded,
-			"still in progress; ask for its outcome").WithExecutionUnknown()})
+			"still in progress; ask for its outcome").Unknown()})
 		return o.flush(now)
 	}
 	rec.waiters = append(rec.waiters, w)
@@ -279,7 +279,7 @@
 	}
 	// The result must not say "not executed": a request with this key may still
 	// arrive.
-	return Result{Refusal: refusal.New(refusal.UnknownRequest, "nothing is known of this key").WithExecutionUnknown()}, false
+	return Result{Refusal: refusal.New(refusal.UnknownRequest, "nothing is known of this key").Unknown()}, false
 }
 
 // Written processes the result of a Write effect.
@@ -386,7 +386,7 @@
 			continue
 		}
 		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.JournalUnavailable,
-			"journal is unavailable; take a new token").WithRetryAfter(newKeyRetryAfter)})
+			"journal is unavailable; take a new token").After(newKeyRetryAfter)})
 	}
 	clear(o.received)
 	o.received = o.received[:0]
@@ -434,7 +434,7 @@
 	for _, rec := range o.received {
 		if rec.state == Received {
 			o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.OwnerGone,
-				"owner was sealed; take a new token").WithRetryAfter(newKeyRetryAfter)})
+				"owner was sealed; take a new token").After(newKeyRetryAfter)})
 		}
 	}
 	o.received = nil
--- a/protocol/action/simulation_test.go
+++ b/protocol/action/simulation_test.go
@@ -291,7 +291,7 @@
 		if sim.brokenGuard == guardNoTransportRetry {
 			sim.after(sim.processingDelay(), nil, func() { sim.execute(d) })
 		}
-		finish(sim.randomDuration(second), refusedWith(refusal.New(refusal.RunnerFailed, "broken").WithExecutionUnknown()))
+		finish(sim.randomDuration(second), refusedWith(refusal.New(refusal.RunnerFailed, "broken").Unknown()))
 	default:
 		delay := sim.randomDuration(50 * time.Millisecond)
 		sim.after(delay, nil, func() {
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -347,15 +347,15 @@
 		}
 	}
 	if c.queued >= c.queueLimit(w) || c.bytes+e.Bytes > c.cfg.MaxQueuedBytes {
-		return refusal.New(refusal.Overloaded, "too much work waits").WithRetryAfter(c.retryAfter(now, k, 0))
+		return refusal.New(refusal.Overloaded, "too much work waits").After(c.retryAfter(now, k, 0))
 	}
 	expectedWait := c.expectedWait(now, e)
 	at := now.Add(expectedWait)
 	if !e.Deadline.IsZero() && at.Add(e.Service).After(e.Deadline) {
-		return refusal.New(refusal.DeadlineUnreachable, "the answer would take %s", (expectedWait + e.Service).Round(time.Millisecond)).WithRetryAfter(c.retryAfter(now, k, expectedWait))
+		return refusal.New(refusal.DeadlineUnreachable, "the answer would take %s", (expectedWait + e.Service).Round(time.Millisecond)).After(c.retryAfter(now, k, expectedWait))
 	}
 	if !e.expires.IsZero() && expectedWait > time.Duration(maxWaitFraction*float64(e.expires.Sub(now))) {
-		return refusal.New(refusal.Overloaded, "the first token would take %s", (expectedWait + e.FirstToken).Round(time.Millisecond)).WithRetryAfter(c.retryAfter(now, k, at.Sub(e.expires)))
+		return refusal.New(refusal.Overloaded, "the first token would take %s", (expectedWait + e.FirstToken).Round(time.Millisecond)).After(c.retryAfter(now, k, at.Sub(e.expires)))
 	}
 	return nil
 }
--- a/protocol/admission/queue.go
+++ b/protocol/admission/queue.go
@@ -274,17 +274,17 @@
 	if !e.Deadline.IsZero() && now.Add(e.Service).After(e.Deadline) {
 		reason = refusal.DeadlineUnreachable
 	}
-	return refusal.New(reason, "waited %s in vain", now.Sub(e.offered).Round(time.Millisecond)).WithRetryAfter(c.retryAfter(now, k, 0))
+	return refusal.New(reason, "waited %s in vain", now.Sub(e.offered).Round(time.Millisecond)).After(c.retryAfter(now, k, 0))
 }
 
 // limitRefusal returns a refusal if the workspace has reached one of its own
 // limits, or nil.
 func (w *workspace) limitRefusal(now time.Time, burst time.Duration) *refusal.Refusal {
 	if w.MaxConcurrent > 0 && w.running >= w.MaxConcurrent {
-		return refusal.New(refusal.WorkspaceLimit, "%d requests in progress", w.running).WithRetryAfter(time.Second)
+		return refusal.New(refusal.WorkspaceLimit, "%d requests in progress", w.running).After(time.Second)
 	}
 	if left := w.tokens.timeUntilTokens(now, w.TokensPerSecond, burst); left > 0 {
-		return refusal.New(refusal.WorkspaceLimit, "over %g tokens per second", w.TokensPerSecond).WithRetryAfter(left)
+		return refusal.New(refusal.WorkspaceLimit, "over %g tokens per second", w.TokensPerSecond).After(left)
 	}
 	return nil
 }
--- a/protocol/forward/exchange.go
+++ b/protocol/forward/exchange.go
@@ -113,7 +113,7 @@
 func (x *Exchange) finalRefusal(reason refusal.Reason, format string, args ...any) *refusal.Refusal {
 	r := refusal.New(reason, format, args...)
 	if x.mayHaveRun {
-		return r.WithExecutionUnknown()
+		return r.Unknown()
 	}
 	return r
 }
--- a/state/refusal/refusal.go
+++ b/state/refusal/refusal.go
@@ -91,14 +91,14 @@
 	return &Refusal{Reason: reason, Executed: ExecutedNo, Detail: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter sets the retry delay and returns the refusal.
-func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
+// After sets the retry delay and returns the refusal.
+func (r *Refusal) After(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
 }
 
-// WithExecutionUnknown sets Executed to ExecutedUnknown and returns the refusal.
-func (r *Refusal) WithExecutionUnknown() *Refusal {
+// Unknown sets Executed to ExecutedUnknown and returns the refusal.
+func (r *Refusal) Unknown() *Refusal {
 	r.Executed = ExecutedUnknown
 	return r
 }
@@ -115,5 +115,5 @@
 	if errors.As(err, &r) {
 		return r
 	}
-	return New(Internal, "%v", err).WithExecutionUnknown()
+	return New(Internal, "%v", err).Unknown()
 }
--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -136,7 +136,7 @@
 			// that succeeds after RoundTrip gave up is closed unused.
 			return refused(refusal.New(refusal.NoRunner, "connect: %v", err))
 		}
-		return refused(refusal.New(refusal.RunnerFailed, "no answer: %v", err).WithExecutionUnknown())
+		return refused(refusal.New(refusal.RunnerFailed, "no answer: %v", err).Unknown())
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get(HeaderNotExecuted) == notExecuted {
@@ -144,7 +144,7 @@
 	}
 	body, err := s.readBody(resp.Body)
 	if err != nil {
-		return refused(refusal.New(refusal.RunnerFailed, "answer broke off: %v", err).WithExecutionUnknown())
+		return refused(refusal.New(refusal.RunnerFailed, "answer broke off: %v", err).Unknown())
 	}
 	return action.Result{Answer: call.Answer{
 		Status:  resp.StatusCode,
--- a/transport/gateway/auth.go
+++ b/transport/gateway/auth.go
@@ -75,7 +75,7 @@
 func inForce(c view.Config) (*manifest.Manifest, error) {
 	m, _ := c.Current()
 	if m == nil {
-		return nil, refusal.New(refusal.NotReady, "no configuration is in force here yet").WithRetryAfter(notReadyRetry)
+		return nil, refusal.New(refusal.NotReady, "no configuration is in force here yet").After(notReadyRetry)
 	}
 	return m, nil
 }
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -83,11 +83,11 @@
 func (g *Gateway) bounded(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		if g.draining.Load() {
-			return refusal.New(refusal.Draining, "this gateway takes no new work; ask /v1/gateways of another").WithRetryAfter(time.Second)
+			return refusal.New(refusal.Draining, "this gateway takes no new work; ask /v1/gateways of another").After(time.Second)
 		}
 		if g.inProgress.Add(1) > int64(g.Limits.MaxConcurrent) {
 			g.inProgress.Add(-1)
-			return refusal.New(refusal.Overloaded, "too many requests in progress at this gateway").WithRetryAfter(time.Second)
+			return refusal.New(refusal.Overloaded, "too many requests in progress at this gateway").After(time.Second)
 		}
 		defer g.inProgress.Add(-1)
 		r := c.Request()
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -69,7 +69,7 @@
 		select {
 		case <-f.block:
 		case <-ctx.Done():
-			return refusal.New(refusal.Cancelled, "reader went away").WithExecutionUnknown()
+			return refusal.New(refusal.Cancelled, "reader went away").Unknown()
 		}
 	}
 	if f.readError != nil {
@@ -216,7 +216,7 @@
 func TestUnknownRequestIsNoStream(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	f.tokens, f.readError = nil, refusal.New(refusal.UnknownRequest, "no such request").WithExecutionUnknown()
+	f.tokens, f.readError = nil, refusal.New(refusal.UnknownRequest, "no such request").Unknown()
 	g, _ := newGateway(f)
 	is.Equal(send(g, "GET", "/v1/requests/r9", "", "Last-Event-ID", "2").StatusCode, 404)
 }
@@ -245,7 +245,7 @@
 func TestRefusalInStreamIsNoWholeAnswer(t *testing.T) {
 	is := is.New(t)
 	f := newFake()
-	f.readError = refusal.New(refusal.DeadlineExceeded, "too late").WithExecutionUnknown()
+	f.readError = refusal.New(refusal.DeadlineExceeded, "too late").Unknown()
 	g, registry := newGateway(f)
 	resp := send(g, "POST", "/v1/chat/completions", `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`)
 	text, _ := io.ReadAll(resp.Body)
--- a/transport/gateway/services.go
+++ b/transport/gateway/services.go
@@ -71,7 +71,7 @@
 			return err
 		}
 		doubtful := *r
-		return doubtful.WithExecutionUnknown()
+		return doubtful.Unknown()
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 	key, err := url.PathUnescape(c.Param("key"))
 	if err != nil {
-		return refusal.New(refusal.KeyMalformed, "the key is not a path segment: %v", err).WithExecutionUnknown()
+		return refusal.New(refusal.KeyMalformed, "the key is not a path segment: %v", err).Unknown()
 	}
 	answer, pending, err := g.Actions.Outcome(c.Request().Context(), ws, key)
 	if err != nil {
