--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -290,7 +290,7 @@
 		chain[i] = prefix.Hash(i + 1)
 	}
 	for i := range MaxRunners {
-		tb.index.AddExpected(i, chain[:i*3])
+		tb.index.Assume(i, chain[:i*3])
 	}
 	return tb, &Request{Model: "m", Adapter: "a", Prefix: chain, PromptTokens: 4000, OutputTokens: 100}
 }
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -361,7 +361,7 @@
 // Assume records that another daemon has sent a prompt with this prefix to a runner.
 func (t *Table) Assume(id ident.RunnerID, chain []prefix.Hash) {
 	if i, ok := t.byID[id]; ok {
-		t.index.AddExpected(i, chain)
+		t.index.Assume(i, chain)
 	}
 }
 
--- a/coordination/routing/ticket.go
+++ b/coordination/routing/ticket.go
@@ -34,7 +34,7 @@
 	}
 	k := Ticket{slot: c.slot, epoch: c.epoch, phase: phasePrefill, uncached: c.Uncached, kv: r.PromptTokens + r.OutputTokens, heldBlocks: c.CachedBlocks}
 	t.recordChange(k.slot, change{now, float64(k.uncached), float64(k.kv), 1})
-	t.index.AddExpected(c.slot, r.Prefix)
+	t.index.Assume(c.slot, r.Prefix)
 	return k
 }
 
@@ -70,7 +70,7 @@
 	if t.ticketSlot(k) == nil || k.phase == phaseNone {
 		return
 	}
-	t.index.RemoveExpected(k.slot, chain, k.heldBlocks)
+	t.index.WithdrawAssumed(k.slot, chain, k.heldBlocks)
 	t.Finished(now, k)
 }
 
--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -491,7 +491,7 @@
 		return r, pending, true
 	}
 	if a, found := s.adopted[owner]; found {
-		r, ok = a.Lookup(id, hash)
+		r, ok = a.ResultFor(id, hash)
 		return r, false, ok
 	}
 	return action.Result{}, false, false
--- a/protocol/action/adopted.go
+++ b/protocol/action/adopted.go
@@ -99,14 +99,14 @@
 	return a.Complete() && now.After(a.complete.Add(lifetime))
 }
 
-// Lookup returns what is known about an action. An empty bodyHash looks the
-// action up by its key alone. Lookup returns false if the table can't tell: a
+// ResultFor returns what is known about an action. An empty bodyHash looks the
+// action up by its key alone. ResultFor returns false if the table can't tell: a
 // part of it is missing, or the key does not belong to its owner.
 //
 // A key that is absent from a complete table was never dispatched, since its
 // owner exported the table only after it had ended. The exception are keys that
 // expired before the export: their records may have been dropped.
-func (a *AdoptedTable) Lookup(id actionkey.ID, bodyHash string) (Result, bool) {
+func (a *AdoptedTable) ResultFor(id actionkey.ID, bodyHash string) (Result, bool) {
 	if !a.Complete() {
 		return Result{}, false
 	}
--- a/protocol/action/gateway_test.go
+++ b/protocol/action/gateway_test.go
@@ -78,7 +78,7 @@
 	if !found {
 		return action.Result{}, false
 	}
-	r, ok := t.Lookup(gc.request.ID, gc.request.BodyHash)
+	r, ok := t.ResultFor(gc.request.ID, gc.request.BodyHash)
 	if ok {
 		n.sim.eventCounts.adopted++
 	}
--- a/state/prefix/index.go
+++ b/state/prefix/index.go
@@ -143,9 +143,9 @@
 	return &GapError{Lost: lost}
 }
 
-// AddExpected adds the prefixes of a request that is about to be computed at
+// Assume adds the prefixes of a request that is about to be computed at
 // the slot. chain holds the hashes of the prompt's blocks in order.
-func (x *Index) AddExpected(slot int, chain []Hash) {
+func (x *Index) Assume(slot int, chain []Hash) {
 	// The last block is added first. The beginnings, which many prompts share,
 	// are thus the most recently changed entries and are dropped last.
 	for i := len(chain) - 1; i >= 0; i-- {
@@ -153,10 +153,10 @@
 	}
 }
 
-// RemoveExpected removes the prefixes that AddExpected added for a request
+// WithdrawAssumed removes the prefixes that AddExpected added for a request
 // that did not start at the slot. It keeps the first blocks of the chain, as
 // many as started says.
-func (x *Index) RemoveExpected(slot int, chain []Hash, started int) {
+func (x *Index) WithdrawAssumed(slot int, chain []Hash, started int) {
 	for _, h := range chain[min(started, len(chain)):] {
 		x.evict(slot, h)
 	}
--- a/state/prefix/index_test.go
+++ b/state/prefix/index_test.go
@@ -22,16 +22,16 @@
 	is := is.New(t)
 	x := NewIndex(100)
 	chain := newChain(10)
-	x.AddExpected(3, chain[:2])
-	x.AddExpected(5, chain[:7])
-	x.AddExpected(9, chain[:7])
+	x.Assume(3, chain[:2])
+	x.Assume(5, chain[:7])
+	x.Assume(9, chain[:7])
 	var d MatchResult
 	x.Match(chain, &d)
 	is.Equal(d.Deepest, Set{}.With(5).With(9))
 	is.Equal(d.Held, Set{}.With(3).With(5).With(9))
 	is.Equal(d.Blocks[3], uint16(2))
 	is.Equal(d.Blocks[5], uint16(7))
-	x.RemoveExpected(5, chain, 1)
+	x.WithdrawAssumed(5, chain, 1)
 	x.Match(chain, &d)
 	is.Equal(d.Blocks[5], uint16(1))
 }
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	x := NewIndex(100)
 	is.NoErr(x.ApplyPage(2, Page{Next: 2, Events: []Event{{0, 11, true}, {1, 12, true}}}))
-	x.AddExpected(4, []Hash{11})
+	x.Assume(4, []Hash{11})
 	// A few lost events do not clear the slot.
 	is.NoErr(x.ApplyPage(2, Page{First: 9, Next: 10, Events: []Event{{9, 13, true}}}))
 	is.Equal(x.Holders(12), Set{}.With(2))
@@ -75,12 +75,12 @@
 			chain := rapid.SliceOfN(hash, 1, 4).Draw(t, "chain")
 			switch rapid.IntRange(0, 2).Draw(t, "call") {
 			case 0:
-				x.AddExpected(slot, chain)
+				x.Assume(slot, chain)
 				for _, h := range chain {
 					want[h] = want[h].With(slot)
 				}
 			case 1:
-				x.RemoveExpected(slot, chain, 0)
+				x.WithdrawAssumed(slot, chain, 0)
 				for _, h := range chain {
 					want[h] = want[h].Without(slot)
 				}
