--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -125,10 +125,10 @@
 // candidate is a stream that can't stay, with its target.
 type candidate struct {
 	Stream
-	target       *targetState
-	deadline     time.Duration
-	savedTokens  int
-	transferTime time.Duration
+	target      *targetState
+	deadline    time.Duration
+	savedTokens int
+	duration    time.Duration
 }
 
 // Plan decides on every stream of the batch, in the order of their IDs.
@@ -224,7 +224,7 @@
 		target.freeTokens -= s.Context + s.Remaining
 		c := &candidate{Stream: s, target: target, deadline: p.deadline(s)}
 		c.savedTokens = max(s.Context-s.CachedAt[target.Runner], 0)
-		c.transferTime = p.b.Link.transferTime(s.CacheBytes)
+		c.duration = p.b.Link.transferTime(s.CacheBytes)
 		placed = append(placed, c)
 	}
 	return placed
@@ -299,18 +299,18 @@
 	slices.SortStableFunc(moved, func(a, b *candidate) int { return cmp.Compare(a.deadline, b.deadline) })
 	at := p.b.Link.BusyFor
 	for _, c := range moved {
-		p.decide(c.Stream, Decision{Kind: Move, Target: c.target.Runner, Start: at, End: at + c.transferTime})
-		at += c.transferTime
+		p.decide(c.Stream, Decision{Kind: Move, Target: c.target.Runner, Start: at, End: at + c.duration})
+		at += c.duration
 	}
 	return rest
 }
 
 // tokensPerSecond is the recomputed tokens saved for each second of transfer.
 func (c *candidate) tokensPerSecond() float64 {
-	if c.transferTime <= 0 {
+	if c.duration <= 0 {
 		return 0
 	}
-	return float64(c.savedTokens) / c.transferTime.Seconds()
+	return float64(c.savedTokens) / c.duration.Seconds()
 }
 
 // schedule keeps the transfers that the link carries before their limits, the
@@ -335,12 +335,12 @@
 // tryAdd takes the transfer if every one taken so far still ends in time.
 func (s *schedule) tryAdd(c *candidate) bool {
 	index, _ := slices.BinarySearch(s.deadlines, c.deadline)
-	s.load[index] += c.transferTime
+	s.load[index] += c.duration
 	end := s.busy
 	for i, load := range s.load {
 		end += load
 		if load > 0 && end > s.deadlines[i] {
-			s.load[index] -= c.transferTime
+			s.load[index] -= c.duration
 			return false
 		}
 	}
