--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -17,25 +17,27 @@
 
 import "time"
 
-// Timing holds the bounds that the guard rests on.
+// Timing holds the time bounds that the mutual exclusion depends on.
 type Timing struct {
-	// TTL is the lease's length at the key-value service.
+	// TTL is the duration of the lease at the key-value service.
 	TTL time.Duration
-	// Renew is the time between renewals; several fit into TTL.
+	// Renew is the time between renewals. It must be a small part of TTL, so that a lost
+	// renewal can be repeated in time.
 	Renew time.Duration
-	// MaxOrder bounds one order from the decision to its last byte's arrival.
+	// MaxOrder bounds the time from the decision on an order to its arrival.
 	MaxOrder time.Duration
-	// MaxPause bounds a process's pause that non-checking runners survive.
+	// MaxPause is the longest pause of a process that is safe with runners that don't check
+	// fencing tokens.
 	MaxPause time.Duration
-	// Drift is the share by which clocks may run apart, 0 to 1.
+	// Drift is the fraction, from 0 to 1, by which clock rates may differ.
 	Drift float64
-	// Retry is the wait after a failed call.
+	// Retry is the delay after a failed call.
 	Retry time.Duration
-	// ReadKey is the time between a standby's reads of the key.
+	// ReadKey is the time between reads of the key by a daemon that waits to become the holder.
 	ReadKey time.Duration
 }
 
-// DefaultTiming suits a key-value service that answers in milliseconds.
+// DefaultTiming suits a key-value service that answers within milliseconds.
 func DefaultTiming() Timing {
 	return Timing{
 		TTL:      9 * time.Second,
@@ -48,14 +50,14 @@
 	}
 }
 
-// Quarantine is how long a new holder waits before its first order to runners
-// that don't check fencing tokens.
+// Quarantine returns how long a new holder must wait before its first order to runners that
+// don't check fencing tokens.
 func (t Timing) Quarantine() time.Duration {
 	return withDrift(t.MaxPause+t.MaxOrder, t.Drift)
 }
 
-// MaxTakeover bounds the time from a holder's death to its successor's first order
-// to runners that don't check fencing tokens, without the time of the calls.
+// MaxTakeover returns the longest time from the end of a holder to its successor's first order
+// to runners that don't check fencing tokens, not counting the calls to the key-value service.
 func (t Timing) MaxTakeover() time.Duration {
 	return withDrift(t.TTL, t.Drift) + max(t.ReadKey, t.Retry) + t.Quarantine()
 }
@@ -64,41 +66,42 @@
 	return d + time.Duration(float64(d)*drift)
 }
 
-// usableFor is how long after sending a renewal the holder may rely on it.
+// usableFor returns how long after sending a renewal the holder may rely on it.
 func (t Timing) usableFor() time.Duration {
 	return t.TTL - time.Duration(float64(t.TTL)*t.Drift) - t.MaxOrder
 }
 
-// Kind tells what an Effect asks for or a Result reports.
+// Kind is the call that an Effect asks for.
 type Kind int
 
-// Calls to the key-value service, in the order of a holder's life.
+// Calls to the key-value service, in the order in which a holder makes them.
 const (
-	// ReadKey reads the key. A standby writes nothing while another holds it: the
-	// service takes far fewer writes than reads, and there are two standbys to
-	// each holder.
+	// ReadKey reads the key. A standby writes nothing while another daemon holds the key,
+	// because the service handles far fewer writes than reads and there are two standbys per
+	// holder.
 	ReadKey Kind = iota + 1
-	// Grant a lease of Timing.TTL.
+	// Grant requests a lease of Timing.TTL.
 	Grant
-	// Create the responsibility's key under the lease, if absent.
+	// Create creates the responsibility's key under the lease if the key is absent.
 	Create
 	// VerifyCreate reads the key after a Create whose answer was lost.
 	VerifyCreate
-	// Renew the lease.
+	// Renew renews the lease.
 	Renew
-	// Revoke the lease, at a graceful shutdown or after losing the race.
+	// Revoke revokes the lease at a graceful shutdown or after another daemon has created the
+	// key first.
 	Revoke
 )
 
-// Effect is a call to make. At most one is outstanding at a time.
+// Effect is a call to make. At most one call that has a Result is outstanding at a time.
 type Effect struct {
 	Kind  Kind
 	Lease uint64
-	// Attempt must come back in the Result.
+	// Attempt must be copied into the Result.
 	Attempt uint64
 }
 
-// Outcome is how a call ended.
+// Outcome is the outcome of a call.
 type Outcome int
 
 // Outcomes of a call.
@@ -111,39 +114,39 @@
 	Lost
 )
 
-// Result reports the end of a call.
+// Result is the result of a call.
 type Result struct {
 	Attempt uint64
 	Outcome Outcome
-	// Lease is the granted one.
+	// Lease is the lease that Grant returned.
 	Lease uint64
-	// Revision of the key that was created, or that ReadBack found.
+	// Revision is the revision of the key that Create created or VerifyCreate found.
 	Revision uint64
-	// FoundLease is the lease that Look or ReadBack found on the key; zero if
-	// there is no key.
+	// FoundLease is the lease of the key that ReadKey or VerifyCreate found; zero if there is
+	// no key.
 	FoundLease uint64
 }
 
-// State is where the machine stands.
+// State is the state of a Machine.
 type State int
 
-// States of a candidate.
+// States of a Machine.
 const (
-	// Idle holds nothing and asks again later.
+	// Idle holds nothing and reads the key again later.
 	Idle State = iota
-	// Acquiring has a call of Look, Grant, Create or ReadBack outstanding.
+	// Acquiring has a ReadKey, Grant, Create or VerifyCreate call outstanding.
 	Acquiring
-	// Holding has the key.
+	// Holding holds the key.
 	Holding
-	// Stopped has given up for good.
+	// Stopped will never try again.
 	Stopped
 )
 
-// Machine is one daemon's candidacy for one responsibility.
+// Machine competes for one responsibility on behalf of one daemon.
 type Machine struct {
 	timing Timing
 	state  State
-	// pending is the outstanding call; zero Kind is none.
+	// pending is the outstanding call; its Kind is zero if there is none.
 	pending   Effect
 	sentAt    time.Duration
 	attempts  uint64
@@ -155,13 +158,13 @@
 	stopping  bool
 }
 
-// New returns a candidate that holds nothing.
+// New returns a Machine that holds nothing.
 func New(t Timing) *Machine { return &Machine{timing: t} }
 
-// State tells where the candidate stands.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Token returns the fencing token for orders; zero if nothing is held.
+// Token returns the fencing token for orders; zero if the responsibility is not held.
 func (m *Machine) Token() uint64 {
 	if m.state != Holding {
 		return 0
@@ -169,8 +172,8 @@
 	return m.token
 }
 
-// MayOrder tells whether an order may be sent at now. checked says that the
-// runner refuses old fencing tokens.
+// MayOrder reports whether an order may be sent at time now. checked says that the runner
+// refuses orders with old fencing tokens.
 func (m *Machine) MayOrder(now time.Duration, checked bool) bool {
 	if m.state != Holding || m.stopping {
 		return false
@@ -181,8 +184,8 @@
 	return checked || now >= m.heldSince+m.timing.Quarantine()
 }
 
-// Tick moves time on. candidate says whether this daemon should try to hold
-// the responsibility at all.
+// Tick advances the time and returns the call that is due. candidate says whether this daemon
+// should try to hold the responsibility.
 func (m *Machine) Tick(now time.Duration, candidate bool) []Effect {
 	m.expire(now)
 	if m.pending.Kind != 0 || now < m.nextCall {
@@ -200,8 +203,8 @@
 	return nil
 }
 
-// expire gives the responsibility up by the holder's own clock. The service may
-// have been unreachable for all of the lease; another may hold it by now.
+// expire ends the holding by the holder's own clock. The key-value service may have been
+// unreachable for the whole lease, and another daemon may hold the key by now.
 func (m *Machine) expire(now time.Duration) {
 	if m.state == Holding && now >= m.renewedAt+m.timing.TTL {
 		m.reset(now)
@@ -230,12 +233,12 @@
 	lease := m.lease
 	m.reset(now)
 	m.attempts++
-	// The answer is not waited for: the lease lapses by itself if it is lost.
+	// The answer is not awaited: if the call is lost, the lease expires by itself.
 	return []Effect{{Kind: Revoke, Lease: lease, Attempt: m.attempts}}
 }
 
-// Stop begins a graceful shutdown: no order from now on, and the key is given
-// back at once so that the next holder need not wait for the lease to lapse.
+// Stop begins a graceful shutdown. It allows no more orders and revokes the lease at once, so
+// that the next holder need not wait for the lease to expire.
 func (m *Machine) Stop(now time.Duration) []Effect {
 	m.stopping = true
 	if m.state == Holding {
@@ -247,8 +250,8 @@
 	return nil
 }
 
-// Step takes the result of a call. A result of a call that is no longer
-// outstanding, as after a pause, is passed over.
+// Step processes the result of a call and returns the next call. It ignores the result of a
+// call that is no longer outstanding, as can happen after a pause.
 func (m *Machine) Step(now time.Duration, r Result) []Effect {
 	m.expire(now)
 	if m.pending.Kind == 0 || r.Attempt != m.pending.Attempt {
@@ -290,7 +293,7 @@
 		return nil
 	}
 	m.lease = r.Lease
-	// The lease runs from when it was asked for at the latest.
+	// The service may have started the lease as early as when the request was sent.
 	m.renewedAt = m.sentAt
 	return m.call(now, Create)
 }
@@ -306,8 +309,8 @@
 	return m.release(now)
 }
 
-// handleVerifyCreate settles a Create whose answer was lost: the key stands under this
-// candidate's own lease, which no other ever had, only if it took effect.
+// handleVerifyCreate resolves a Create whose answer was lost. The key has this daemon's lease
+// only if the Create took effect, because no other daemon has ever used that lease.
 func (m *Machine) handleVerifyCreate(now time.Duration, r Result) []Effect {
 	if r.Outcome == Done && r.FoundLease == m.lease {
 		m.acquire(now, r.Revision)
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/coordination/lease"
 )
 
-// store is the key-value store's part: one key under a lease that lapses.
+// store simulates the key-value service: one key under a lease that expires.
 type store struct {
 	leases   uint64
 	holder   uint64
@@ -55,8 +55,8 @@
 	arrival time.Duration
 }
 
-// candidate is one daemon: its machine, its pauses, and an order that it had
-// decided on when a pause began.
+// candidate is one daemon with its Machine. pendingToken is the token of an order that the
+// daemon had decided on when its pause began.
 type candidate struct {
 	m            *lease.Machine
 	pausedUntil  time.Duration
@@ -86,8 +86,8 @@
 	}
 }
 
-// stepCandidate lets a daemon order, or pause between its check and its order, which is
-// the interleaving that a fencing token exists for.
+// stepCandidate lets a daemon send an order, or pause between the check of MayOrder and the
+// sending. Fencing tokens exist for the latter case.
 func (r *simulation) stepCandidate(now time.Duration, c *candidate) {
 	if now < c.pausedUntil {
 		return
@@ -112,7 +112,7 @@
 	r.orders = append(r.orders, order{token: token, arrival: now + time.Duration(r.rng.Int64N(int64(r.timing.MaxOrder)))})
 }
 
-// countStaleOrders counts orders that reach a runner after one of a later holder.
+// countStaleOrders counts the orders that reach a runner after an order of a later holder.
 func (r *simulation) countStaleOrders() int {
 	stale := 0
 	for _, a := range r.orders {
@@ -139,23 +139,23 @@
 	return r
 }
 
-// A holder decides on an order, is paused past its lease while another takes
-// over and orders, then wakes and sends. A runner that doesn't check fencing
-// tokens would obey both, newest first. With the new holder's quarantine the
-// late order comes before the new holder's first one.
+// Guards against conflicting orders: a holder decides on an order, is paused past the end of its
+// lease while another daemon takes over and sends orders, and then sends its own. A runner that
+// doesn't check fencing tokens would obey both. The new holder's quarantine ensures that the
+// late order arrives before its own first one.
 func TestStaleOrderNeverFollowsNewHoldersOrder(t *testing.T) {
 	is := is.New(t)
 	takeovers := uint64(0)
 	for seed := range uint64(60) {
 		r := simulate(seed, true)
-		is.Equal(r.countStaleOrders(), 0) // seed
+		is.Equal(r.countStaleOrders(), 0) // if this fails, the seed is the number of the iteration
 		takeovers += r.store.revision
 	}
-	is.True(takeovers > 120) // the run must bring take-overs about
+	is.True(takeovers > 120) // the simulation must include takeovers
 }
 
-// The same run without the quarantine must be caught, or the check above
-// proves nothing.
+// Shows that the simulation produces stale orders without the quarantine, so that the test
+// above can fail.
 func TestMissingQuarantineIsDetected(t *testing.T) {
 	is := is.New(t)
 	stale := 0
@@ -165,8 +165,8 @@
 	is.True(stale > 0)
 }
 
-// The key-value service is away for longer than the lease. The holder must
-// stop by its own clock, since it can't learn that the lease has lapsed.
+// The key-value service is unreachable for longer than the lease. The holder must stop by its
+// own clock, because it can't learn that the lease has expired.
 func TestHolderStopsWhenServiceIsAway(t *testing.T) {
 	is := is.New(t)
 	timing := lease.DefaultTiming()
@@ -187,8 +187,8 @@
 	is.True(m.State() != lease.Holding)
 }
 
-// The answer to the create is lost after it took effect. Without the read-back
-// nobody would hold the responsibility until the lease lapses.
+// The answer to a Create is lost after the Create took effect. If the daemon did not read the
+// key, nobody would hold the responsibility until the lease expires.
 func TestLostCreateIsResolvedByReadingKey(t *testing.T) {
 	is := is.New(t)
 	timing := lease.DefaultTiming()
@@ -204,8 +204,8 @@
 	is.Equal(m.State(), lease.Holding)
 }
 
-// Two standbys wait behind each holder. If they tried to write each time, a
-// hundred responsibilities would use up the service's writes for nothing.
+// Two standbys wait per holder. If they tried to write each time, a hundred responsibilities
+// would use up the write capacity of the key-value service.
 func TestStandbyOnlyReads(t *testing.T) {
 	is := is.New(t)
 	timing := lease.DefaultTiming()
