--- a/coordination/journal/entry.go
+++ b/coordination/journal/entry.go
@@ -1,7 +1,7 @@
-// Package journal keeps an owner's log of actions in the key-value service, so
-// that after the owner's end others can tell what ran. Entry n stands at
-// journal/<owner>/<n> and is created only if absent; whoever creates the next
-// entry as a seal ends the log. The package is pure: writes are effects.
+// Package journal keeps a log of actions per owner (the daemon that executes them) in the
+// key-value service, so that other daemons can tell after the owner's end which actions ran.
+// Entry n is stored at journal/<owner>/<n> and is created only if absent. Whoever creates the
+// next entry as a seal ends the log. The package does no I/O: it returns the writes to make.
 package journal
 
 import (
@@ -21,55 +21,56 @@
 	indexDigits = 12
 )
 
-// Intent says that the owner may dispatch the action once this is written.
+// Intent permits the owner to dispatch the action once the intent has been written.
 type Intent struct {
 	ID actionkey.ID `json:"id"`
-	// BodyHash tells another body under the same key.
+	// BodyHash is the hash of the request body. It detects a different body under the same key.
 	BodyHash string `json:"h"`
 }
 
-// Header is one field of an answer.
+// Header is one header field of an answer.
 type Header struct {
 	Name  string `json:"n"`
 	Value string `json:"v"`
 }
 
-// Outcome is how an action ended.
+// Outcome is the result of an action.
 type Outcome struct {
 	ID       actionkey.ID     `json:"id"`
 	BodyHash string           `json:"h"`
 	Executed refusal.Executed `json:"x"`
-	// Reason and Detail belong to a refusal.
+	// Reason and Detail are set if the action was refused.
 	Reason refusal.Reason `json:"r,omitempty"`
 	Detail string         `json:"d,omitempty"`
-	// NotKept says that the answer was too large for the journal.
+	// NotKept says that the answer was too large to be journaled.
 	NotKept bool     `json:"nk,omitempty"`
 	Status  int      `json:"s,omitempty"`
 	Headers []Header `json:"hd,omitempty"`
 	Body    []byte   `json:"b,omitempty"`
 }
 
-// Seal ends a log.
+// Seal marks the end of a log.
 type Seal struct {
 	By ident.Incarnation `json:"by"`
-	// Successor holds the owner's whole table, once it has been passed on.
+	// Successor is the incarnation to which the owner's complete table was handed over; empty
+	// if it was not.
 	Successor ident.Incarnation `json:"to,omitempty"`
 }
 
-// Entry is one write of a log.
+// Entry is one entry of a log.
 type Entry struct {
 	// Nonce tells the writer's own entry from another's when an answer of the
 	// service was lost.
 	Nonce string `json:"nonce"`
-	// Floor is by the owner's clock, in Unix milliseconds: keys that expired
-	// before it may have been collected from the log.
+	// Floor is a time by the owner's clock, in Unix milliseconds. Entries of keys that expired
+	// before it may have been deleted from the log.
 	Floor    int64     `json:"floor,omitempty"`
 	Intents  []Intent  `json:"i,omitempty"`
 	Outcomes []Outcome `json:"o,omitempty"`
 	Seal     *Seal     `json:"seal,omitempty"`
 }
 
-// DecodeError says that a log holds something that is not an entry.
+// DecodeError reports a stored value or key that is not a valid journal entry.
 type DecodeError struct {
 	Key string
 	Err error
@@ -77,18 +78,18 @@
 
 func (e *DecodeError) Error() string { return fmt.Sprintf("journal entry %q: %v", e.Key, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Prefix is under what an owner's entries stand.
+// Prefix returns the key prefix of an owner's entries.
 func Prefix(owner ident.Incarnation) string { return root + string(owner) + "/" }
 
-// EntryKey is where entry n stands.
+// EntryKey returns the key of entry n.
 func EntryKey(owner ident.Incarnation, index uint64) string {
 	return fmt.Sprintf("%s%0*d", Prefix(owner), indexDigits, index)
 }
 
-// Index returns the index of an entry of the owner's log.
+// Index parses the index of an entry from its key.
 func Index(owner ident.Incarnation, key string) (uint64, error) {
 	digits, ok := strings.CutPrefix(key, Prefix(owner))
 	if !ok {
@@ -101,7 +102,7 @@
 	return n, nil
 }
 
-// Encode returns an entry's stored form.
+// Encode returns the stored form of an entry.
 func Encode(e Entry) ([]byte, error) {
 	value, err := json.Marshal(e)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return value, nil
 }
 
-// Decode reads an entry's stored form.
+// Decode parses the stored form of an entry.
 func Decode(key string, value []byte) (Entry, error) {
 	var e Entry
 	if err := json.Unmarshal(value, &e); err != nil {
--- a/coordination/journal/fuzz_test.go
+++ b/coordination/journal/fuzz_test.go
@@ -7,9 +7,9 @@
 	"geraniumstack.org/geraniumstack/coordination/journal"
 )
 
-// Whoever seals an ended owner's log reads entries of other versions or damaged
-// ones. It must get an error, not a panic, and an entry that is read must be the
-// same when it is written again.
+// A daemon that seals another owner's log reads entries that are damaged or were written by
+// other program versions. Decode must return an error and never panic, and an entry that it
+// accepts must survive encoding and decoding unchanged.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"nonce":"a/0","i":[{"id":{"w":"x","k":"y"}}]}`))
 	f.Add([]byte(`{"nonce":"a/1","seal":{}}`))
@@ -24,14 +24,14 @@
 		}
 		again, err := journal.Decode("journal/a/0", first)
 		if err != nil {
-			t.Fatalf("written again it can't be read: %v", err)
+			t.Fatalf("decoding the encoded entry: %v", err)
 		}
 		second, err := journal.Encode(again)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Equal(first, second) {
-			t.Fatalf("%s became %s", first, second)
+			t.Fatalf("entry %s changed to %s after decoding and encoding", first, second)
 		}
 	})
 }
--- a/coordination/journal/journal_test.go
+++ b/coordination/journal/journal_test.go
@@ -29,7 +29,7 @@
 	return e
 }
 
-// One write is in flight at a time; what comes meanwhile goes together.
+// Only one write is in flight at a time; items added meanwhile share the next entry.
 func TestGroupCommit(t *testing.T) {
 	is := is.New(t)
 	w := journal.NewWriter(start, journal.DefaultConfig(owner))
@@ -65,8 +65,8 @@
 	is.True(float64(writes) >= 10*cfg.WritesPerSecond-1)
 }
 
-// Story: after a busy minute nothing is journaled any more, since the entry is
-// over the service's bound of a megabyte and is refused for ever.
+// Guards against entries larger than the key-value service's limit of one megabyte. After a
+// busy minute such an entry would be refused on every retry, and nothing more would be journaled.
 func TestEntriesStayBelowValueLimit(t *testing.T) {
 	is := is.New(t)
 	w := journal.NewWriter(start, journal.DefaultConfig(owner))
@@ -85,8 +85,8 @@
 	is.Equal(outcomes, 301)
 }
 
-// Story: a daemon runs out of memory in a long outage of the service, since
-// the outcomes to be journaled pile up.
+// Guards against a daemon that runs out of memory during a long outage of the key-value service
+// because its queued outcomes grow without bound.
 func TestQueuedOutcomesAreBounded(t *testing.T) {
 	is := is.New(t)
 	cfg := journal.DefaultConfig(owner)
@@ -98,11 +98,11 @@
 	write, _ := w.Flush(start.Add(time.Second))
 	kept := decode(is, write).Outcomes
 	is.True(len(write.Value) < 10<<10)
-	is.Equal(kept[len(kept)-1].ID, id(start, "999")) // the oldest go first
+	is.Equal(kept[len(kept)-1].ID, id(start, "999")) // the oldest are dropped first
 }
 
-// Story: a pledge is journaled twice under two indexes, or an owner takes its
-// own entry for another's seal. The answer to the first write was lost.
+// The answer to the first write is lost. Guards against an action that is journaled twice under
+// two indexes, and against an owner that takes its own entry for the seal of another daemon.
 func TestLostAnswerIsResolvedByExistingEntry(t *testing.T) {
 	is := is.New(t)
 	w := journal.NewWriter(start, journal.DefaultConfig(owner))
@@ -145,21 +145,21 @@
 		refusal.ExecutedUnknown)
 }
 
-// Story: a booking of some minutes ago is reported as not run. The owner had
-// collected its entry, and the clock of the gateway that asks is slow.
+// Guards against an executed action that is reported as not executed after its entry was
+// deleted, because the clock of the gateway that asks is slow.
 func TestCollectedKeyIsUnknown(t *testing.T) {
 	is := is.New(t)
 	log := journal.NewLog(owner)
 	log.Add(7, journal.Entry{Floor: start.Add(2 * time.Minute).UnixMilli()})
 	log.Add(8, journal.Entry{Seal: &journal.Seal{By: "entry-2~bb"}})
-	v := log.Verdict(start, id(start, "old"), "h") // by the slow clock not yet over
+	v := log.Verdict(start, id(start, "old"), "h") // not expired yet by the slow clock
 	is.Equal(v.Executed, refusal.ExecutedUnknown)
 	is.Equal(v.Reason, refusal.KeyExpired)
 }
 
-// Story: a gateway seals a log, says "not run", and the owner goes on. The
-// gateway was paused between reading and sealing, so long that the owner had
-// written the index it won and collected it again.
+// Guards against an action that is reported as not executed while the owner continues. A gateway
+// was paused between reading and sealing the log for so long that the owner had written and
+// deleted an entry at the index of the seal.
 func TestSealBeforeLastEntryIsIgnored(t *testing.T) {
 	is := is.New(t)
 	log := journal.NewLog(owner)
@@ -169,7 +169,7 @@
 	is.Equal(log.Next(), uint64(5))
 }
 
-// Entries whose keys are over are collected, never the last one.
+// Entries whose keys have expired are deleted, but never the last entry.
 func TestCollection(t *testing.T) {
 	is := is.New(t)
 	w := journal.NewWriter(start, journal.DefaultConfig(owner))
--- a/coordination/journal/log.go
+++ b/coordination/journal/log.go
@@ -8,7 +8,7 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Log is an owner's log as a reader knows it.
+// Log is the content of an owner's log as read so far.
 type Log struct {
 	owner    ident.Incarnation
 	next     uint64
@@ -18,7 +18,7 @@
 	outcomes map[actionkey.ID]Outcome
 }
 
-// NewLog returns a log of which nothing has been read.
+// NewLog returns a log without entries.
 func NewLog(owner ident.Incarnation) *Log {
 	return &Log{
 		owner:    owner,
@@ -27,12 +27,11 @@
 	}
 }
 
-// Add takes one entry in; entries must come in the order of their indexes.
+// Add adds one entry. Entries must be added in the order of their indexes.
 //
-// Only a seal in the last entry counts: a reader that was paused between
-// listing the log and sealing it can win an index that the owner had written
-// and collected meanwhile. The owner never collects its last entry, so a seal
-// with entries after it ended nothing.
+// Only a seal in the last entry ends the log. A reader that was paused between listing the log
+// and sealing it can create its seal at an index that the owner had used and deleted meanwhile.
+// The owner never deletes its last entry, so a seal that is followed by entries is invalid.
 func (l *Log) Add(index uint64, e Entry) {
 	l.next = index + 1
 	l.seal = e.Seal
@@ -45,26 +44,26 @@
 	}
 }
 
-// Next is the index of the entry that would end the log.
+// Next returns the index of the next entry, at which a seal would end the log.
 func (l *Log) Next() uint64 { return l.next }
 
-// Seal returns how the log ended, or nil while it is open.
+// Seal returns the seal that ended the log, or nil while the log is open.
 func (l *Log) Seal() *Seal { return l.seal }
 
-// Verdict is what a log tells of an action.
+// Verdict is the result of an action as far as a log shows it.
 type Verdict struct {
 	Executed refusal.Executed
 	Reason   refusal.Reason
-	// Outcome is the journaled one, or nil.
+	// Outcome is the outcome recorded in the journal, or nil if there is none.
 	Outcome *Outcome
 }
 
-// Verdict judges an action by a sealed log at wall-clock time now.
+// Verdict returns the result of an action according to a sealed log; now is the wall-clock time.
 //
-// "Not executed" is said only of a key that the owner can't dispatch any more:
-// its token promises that the key is journaled before, it is not in the log,
-// and the seal keeps it out for ever. A paused owner that wakes up loses its
-// next append to the seal. An expired key may have been collected.
+// It returns ExecutedNo only for an action that the owner can no longer dispatch. The key's token
+// promises that an intent is journaled before the dispatch, the log contains no intent, and the
+// seal prevents further entries: an owner that resumes after a pause fails to write its next
+// entry. For an expired key the result is unknown, because its entries may have been deleted.
 func (l *Log) Verdict(now time.Time, id actionkey.ID, bodyHash string) Verdict {
 	unknown := Verdict{Executed: refusal.ExecutedUnknown, Reason: refusal.OutcomeUnknown}
 	if l.seal == nil {
@@ -87,8 +86,8 @@
 	return Verdict{Executed: refusal.ExecutedNo, Reason: refusal.OwnerGone}
 }
 
-// outcomeVerdict hides the outcome of another body under the same key; an
-// empty hash asks by key alone.
+// outcomeVerdict returns the outcome of an action unless it belongs to another body under the
+// same key. An empty hash matches any body.
 func outcomeVerdict(o Outcome, bodyHash string) Verdict {
 	if bodyHash != "" && o.BodyHash != bodyHash {
 		return Verdict{Executed: refusal.ExecutedUnknown, Reason: refusal.KeyReused}
--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -11,32 +11,32 @@
 // Config sets how an owner writes its log.
 type Config struct {
 	Owner ident.Incarnation
-	// WritesPerSecond is the owner's share of the service's rate, for entries
-	// and deletions together.
+	// WritesPerSecond is the owner's share of the key-value service's write rate, for
+	// entries and deletions together.
 	WritesPerSecond float64
-	// Burst is how many writes may follow each other at once after a pause.
+	// Burst is how many writes may be made in a row after an idle period.
 	Burst float64
-	// MaxBytes bounds an entry; the service holds values up to a megabyte.
+	// MaxBytes bounds the size of an entry; the service stores values of up to a megabyte.
 	MaxBytes int
-	// MaxAnswerBytes bounds an answer's body in the journal. Larger ones are
-	// journaled as executed without their body.
+	// MaxAnswerBytes bounds the size of an answer's body in the journal. A larger answer is
+	// journaled as executed, without its body.
 	MaxAnswerBytes int
-	// OutcomeDelay is how long outcomes may wait for intents to be written with.
+	// OutcomeDelay is how long outcomes may wait to be written in the same entry as intents.
 	OutcomeDelay time.Duration
-	// Timeout is how long an entry may wait for its answer, or be retried,
-	// before the journal counts as unavailable.
+	// Timeout is how long a write of an entry may remain without an answer, retries
+	// included, before the journal counts as unavailable.
 	Timeout time.Duration
-	// RetryDelay is the pause before an entry without an answer is sent again.
+	// RetryDelay is the delay before a write without an answer is repeated.
 	RetryDelay time.Duration
-	// KeyRetention is how long after their expiry keys stay in the log.
+	// KeyRetention is how long keys stay in the log after they have expired.
 	KeyRetention time.Duration
-	// MaxQueuedBytes bounds the outcomes that wait for the end of an outage;
-	// the oldest are dropped, so that a crash leaves them unknown.
+	// MaxQueuedBytes bounds the outcomes queued during an outage of the service. The oldest
+	// are dropped; after a crash of the owner their actions count as unknown.
 	MaxQueuedBytes int
 }
 
-// DefaultConfig suits five owners on a service of several hundred writes a
-// second: together they use at most 150 of them.
+// DefaultConfig suits five owners on a service that handles several hundred writes per second:
+// together they make at most 150 of them.
 func DefaultConfig(owner ident.Incarnation) Config {
 	return Config{
 		Owner:           owner,
@@ -52,66 +52,66 @@
 	}
 }
 
-// Write asks for the creation of an entry if there is none at its index.
+// Write is a request to create an entry if none exists at its index.
 type Write struct {
 	Index uint64
 	Value []byte
 }
 
-// Collect asks for the deletion of an entry whose keys are all over.
+// Collect is a request to delete an entry whose keys have all expired.
 type Collect struct {
 	Index uint64
-	// Revision is the one that the service gave to the entry.
+	// Revision is the revision of the entry in the key-value service.
 	Revision uint64
 }
 
-// Status is what came of a write.
+// Status is the result of a write.
 type Status int
 
-// What can come of a write.
+// Results of a write.
 const (
-	// Created says that the entry stands.
+	// Created means that the entry was written.
 	Created Status = iota
-	// Unknown says that no answer came: the entry may stand or come to stand.
+	// Unknown means that no answer arrived: the entry may exist or may still be created.
 	Unknown
-	// Conflict says that an entry stood there already.
+	// Conflict means that an entry already exists at the index.
 	Conflict
 )
 
-// Written tells the writer what came of a write.
+// Written reports the result of a write to the Writer.
 type Written struct {
 	Index  uint64
 	Status Status
-	// Existing is the entry that stands there on a Conflict.
+	// Existing is the entry found at the index, for a Conflict.
 	Existing Entry
-	// Revision of the entry that stands there.
+	// Revision is the revision of the entry at the index.
 	Revision uint64
 }
 
-// Progress is what a result means for the actions.
+// Progress describes the effect of a write on the actions.
 type Progress struct {
 	// Durable lists the actions whose intents are now in the log.
 	Durable []actionkey.ID
-	// Sealed says that the log has ended, by this owner or another.
+	// Sealed says that the log has been ended, by this owner or another daemon.
 	Sealed bool
 }
 
-// retained is an entry that stands in the log until its last key is over.
+// retained is an entry that stays in the log until its last key has expired.
 type retained struct {
 	Collect
 	lastExpiry time.Time
 }
 
-// Writer groups intents and outcomes into entries: one write in flight, paced
-// to the owner's budget. It is not safe for concurrent use.
+// Writer groups intents and outcomes into entries. It keeps at most one write in flight and
+// limits its rate of writes with a token bucket. It is not safe for concurrent use.
 type Writer struct {
 	cfg      Config
 	next     uint64
 	intents  []Intent
 	outcomes []Outcome
-	// outcomeBytes is the size of the queued outcomes.
+	// outcomeBytes is the total size of the queued outcomes.
 	outcomeBytes int
-	// outcomesSince is when the oldest waiting outcome came.
+	// outcomesSince is when the oldest queued outcome was added.
 	outcomesSince time.Time
 	seal          *Seal
 
@@ -129,12 +129,12 @@
 	sealed   bool
 }
 
-// NewWriter starts an empty log.
+// NewWriter returns a Writer for an empty log.
 func NewWriter(now time.Time, cfg Config) *Writer {
 	return &Writer{cfg: cfg, tokens: cfg.Burst, tokensAt: now}
 }
 
-// AddIntent queues an action that may be dispatched once it is durable.
+// AddIntent queues an intent. The action may be dispatched once the intent is durable.
 func (w *Writer) AddIntent(i Intent) { w.intents = append(w.intents, i) }
 
 // AddOutcome queues an outcome.
@@ -153,28 +153,28 @@
 	}
 }
 
-// DropIntents drops the intents that are not in flight: their actions don't wait
-// for the journal any more.
+// DropIntents drops the intents that are not in flight. Their actions no longer wait for the
+// journal.
 func (w *Writer) DropIntents() { w.intents = nil }
 
-// End queues the seal by which the owner ends its own log.
+// End queues the seal with which the owner ends its own log.
 func (w *Writer) End(successor ident.Incarnation) {
 	if w.seal == nil {
 		w.seal = &Seal{By: w.cfg.Owner, Successor: successor}
 	}
 }
 
-// Sealed tells whether the log has ended.
+// Sealed reports whether the log has ended.
 func (w *Writer) Sealed() bool { return w.sealed }
 
-// Unavailable tells whether an entry has been without an answer for longer
-// than the patience.
+// Unavailable reports whether the write in flight has been without an answer for longer than
+// Config.Timeout.
 func (w *Writer) Unavailable(now time.Time) bool {
 	return w.inFlight != nil && now.Sub(w.inFlightSince) >= w.cfg.Timeout
 }
 
-// UnavailableAt is when the entry in flight will have waited too long; zero if
-// there is none.
+// UnavailableAt returns when the write in flight will reach Config.Timeout; zero if there is
+// none.
 func (w *Writer) UnavailableAt() time.Time {
 	if w.inFlight == nil {
 		return time.Time{}
@@ -182,9 +182,8 @@
 	return w.inFlightSince.Add(w.cfg.Timeout)
 }
 
-// Flush returns the write that is due, if any. An entry without an answer is
-// sent again unchanged, under the same index, so that it can take effect only
-// once.
+// Flush returns the write that is due, if any. A write without an answer is repeated unchanged
+// under the same index, so that it can take effect only once.
 func (w *Writer) Flush(now time.Time) (Write, bool) {
 	if w.sealed || w.awaitingAnswer {
 		return Write{}, false
@@ -206,11 +205,12 @@
 	return Write{Index: w.next, Value: w.value}, true
 }
 
-// CollectNext returns an entry to delete, if one is over and the budget allows.
+// CollectNext returns an entry to delete if one has expired and the rate limit allows it.
 func (w *Writer) CollectNext(now time.Time) (Collect, bool) {
 	w.refill(now)
-	// Deletions take every second write at most, so that entries don't wait
-	// for them; while an entry has no answer the service may be down.
+	// A deletion needs a later entry in the log and no entry in flight. So deletions use
+	// at most every second write and don't delay entries, and none is sent to a service
+	// that may be down.
 	if w.sealed || w.inFlight != nil || w.tokens < 1 || len(w.retained) < 2 {
 		return Collect{}, false
 	}
@@ -223,7 +223,7 @@
 	return oldest.Collect, true
 }
 
-// HandleWritten takes the result of a write in.
+// HandleWritten processes the result of a write.
 func (w *Writer) HandleWritten(now time.Time, r Written) Progress {
 	if w.inFlight == nil || r.Index != w.next || w.sealed {
 		return Progress{}
@@ -254,8 +254,8 @@
 	return p
 }
 
-// NextDue returns when Flush or CollectNext may next have something without a new
-// input; zero is never.
+// NextDue returns when Flush or CollectNext may next return something without new input; zero
+// means never.
 func (w *Writer) NextDue(now time.Time) time.Time {
 	if w.sealed || w.awaitingAnswer {
 		return time.Time{}
@@ -286,8 +286,8 @@
 	return len(w.outcomes) > 0 && !now.Before(w.outcomesSince.Add(w.cfg.OutcomeDelay))
 }
 
-// prepareEntry makes the next entry of what waits. The seal goes last, alone in
-// the entry after all that waited.
+// prepareEntry builds the next entry from the queued items. The seal gets an entry of its own
+// after all of them.
 func (w *Writer) prepareEntry(now time.Time) {
 	e := &Entry{
 		Nonce: fmt.Sprintf("%s/%d", w.cfg.Owner, w.next),
@@ -330,13 +330,13 @@
 		return now
 	}
 	missing := (1 - w.tokens) / w.cfg.WritesPerSecond
-	// A nanosecond more, so that rounding never leaves the credit short.
+	// One nanosecond is added so that rounding down can't leave less than one token.
 	return now.Add(time.Duration(missing*float64(time.Second)) + 1)
 }
 
 const (
 	itemOverhead = 160
-	// base64GrowthThirds is what a body grows to, in thirds, in an entry.
+	// base64GrowthThirds is the size of a body in an encoded entry, in thirds of its length.
 	base64GrowthThirds = 4
 )
 
@@ -370,7 +370,8 @@
 	return last
 }
 
-// mustEncode can't fail: an entry holds only texts, numbers and bytes.
+// mustEncode panics if the encoding fails, which can't happen: an entry contains only strings,
+// numbers and bytes.
 func mustEncode(e *Entry) []byte {
 	value, err := Encode(*e)
 	if err != nil {
