--- a/coordination/journal/entry.go
+++ b/coordination/journal/entry.go
@@ -59,8 +59,8 @@
 
 // Entry is one entry of a log.
 type Entry struct {
-	// Nonce tells the writer's own entry from another's when an answer of the
-	// service was lost.
+	// Nonce identifies the writer. It distinguishes the writer's own entry from another
+	// daemon's when the answer to a write was lost.
 	Nonce string `json:"nonce"`
 	// Floor is a time by the owner's clock, in Unix milliseconds. Entries of keys that expired
 	// before it may have been deleted from the log.
--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -208,9 +208,8 @@
 // CollectNext returns an entry to delete if one has expired and the rate limit allows it.
 func (w *Writer) CollectNext(now time.Time) (Collect, bool) {
 	w.refill(now)
-	// A deletion needs a later entry in the log and no entry in flight. So deletions use
-	// at most every second write and don't delay entries, and none is sent to a service
-	// that may be down.
+	// Deletions use at most every second write, so that entries don't wait for them. While
+	// an entry has no answer, nothing is deleted, because the service may be down.
 	if w.sealed || w.inFlight != nil || w.tokens < 1 || len(w.retained) < 2 {
 		return Collect{}, false
 	}
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,18 +1,18 @@
-// Package lease decides who may give orders. One daemon at a time holds a
-// responsibility: it has created a key of the key-value service under a lease,
-// and the key's revision is the fencing token on each of its orders.
+// Package lease elects one daemon at a time as the holder of a responsibility. The holder has
+// created a key in the key-value service under a lease, and the key's revision is the fencing
+// token on each of its orders.
 //
-// A holder that is paused past its lease does not know that another has taken
-// over. Runners that check fencing tokens refuse its late orders. For those
-// that don't, two waits keep its last order before the next holder's first:
-// MayOrder counts from when the last successful renewal was sent, so it turns
-// false before the service can let the lease lapse; and a new holder orders
-// nothing for Timing.Quarantine after it has acquired, which covers an order
-// that the old one had already decided on and sends after a pause of up to
-// Timing.MaxPause. Longer pauses than that need runners that check.
+// A holder that is paused past the end of its lease does not know that another daemon has taken
+// over. Runners that check fencing tokens refuse its late orders. For runners that don't check,
+// two waits ensure that the last order of the old holder arrives before the first order of the
+// new one. First, MayOrder counts from when the last successful renewal was sent, so it returns
+// false before the lease can expire at the service. Second, a new holder sends no order for
+// Timing.Quarantine after it has acquired the key. This covers an order that the old holder had
+// already decided on and sends after a pause of up to Timing.MaxPause. Longer pauses are safe
+// only with runners that check.
 //
-// The machine does no I/O and reads no clock: times are monotonic offsets, and
-// each Step returns what to do. It is not safe for concurrent use.
+// Machine does no I/O and reads no clock: times are offsets on a monotonic clock, and Tick and
+// Step return the calls to make. It is not safe for concurrent use.
 package lease
 
 import "time"
@@ -104,6 +104,7 @@
 // Outcome is the outcome of a call.
 type Outcome int
 
+// Done means that the call took effect.
 // Outcomes of a call.
 const (
 	// Done took effect.
