--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -104,14 +104,13 @@
 // Outcome is the outcome of a call.
 type Outcome int
 
-// Done means that the call took effect.
 // Outcomes of a call.
 const (
-	// Done took effect.
+	// Done means that the call took effect.
 	Done Outcome = iota + 1
-	// Refused did not: the key stands already, or the lease is over.
+	// Refused means that the call did not take effect: the key exists or the lease is over.
 	Refused
-	// Lost may or may not have taken effect.
+	// Lost means that it is unknown whether the call took effect.
 	Lost
 )
 
--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -1,7 +1,7 @@
-// Package reclaim decides what becomes of the streams at runners whose VMs
-// have been given notice: one decision for each stream, taken for the whole
-// batch at once, over the link that KV caches are moved by and the capacity
-// that is left. It is pure.
+// Package reclaim plans what happens to the streams at runners whose VMs are about to be
+// reclaimed. It makes one decision per stream, for a whole batch of streams at once, given the
+// link over which KV caches are moved and the capacity of the remaining runners. The package
+// does no I/O and reads no clock.
 package reclaim
 
 import (
@@ -12,82 +12,82 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Stream is one attempt that runs at a leaving runner.
+// Stream is one attempt of a request that runs at a leaving runner.
 type Stream struct {
 	Request ident.RequestID
 	Runner  ident.RunnerID
-	// Urgent streams have a caller who reads; the others may wait.
+	// Urgent streams have a caller who reads the output as it arrives; others may wait.
 	Urgent bool
-	// Context is the prompt and the emitted tokens: what a resume elsewhere
-	// computes anew.
+	// Context is the number of prompt tokens and emitted tokens, which a resume at another
+	// runner has to compute again.
 	Context int
-	// Remaining is the most tokens that it may still emit.
+	// Remaining is the maximum number of tokens that the stream may still emit.
 	Remaining int
-	// CacheBytes is the size of its KV cache.
+	// CacheBytes is the size of the stream's KV cache.
 	CacheBytes int64
-	// Pinned streams can't be exported (again).
+	// Pinned streams can't be exported, for example because they were exported before.
 	Pinned bool
-	// CachedAt has the tokens of the context that a runner holds already.
+	// CachedAt maps runners to the number of context tokens that they have cached.
 	CachedAt map[ident.RunnerID]int
 }
 
 // Source is a leaving runner.
 type Source struct {
 	Runner ident.RunnerID
-	// TimeLeft is the time until its VM goes.
+	// TimeLeft is the time until its VM is reclaimed.
 	TimeLeft time.Duration
-	// DecodeRate is the tokens that each of its streams emits a second.
+	// DecodeRate is the number of tokens per second that each of its streams emits.
 	DecodeRate float64
 }
 
-// Target is a runner that may take streams over.
+// Target is a runner that can take over streams.
 type Target struct {
 	Runner ident.RunnerID
-	// Slots is the number of streams that it can decode at once besides those
-	// it has.
+	// Slots is the number of streams that the runner can decode at once in addition to its
+	// current ones.
 	Slots int
-	// FreeTokens is the room in its KV cache.
+	// FreeTokens is the free space in its KV cache, in tokens.
 	FreeTokens int
-	// PrefillRate is the prompt tokens that it computes a second.
+	// PrefillRate is the number of prompt tokens that it computes per second.
 	PrefillRate float64
-	// QueuedTokens wait to be computed there.
+	// QueuedTokens is the number of prompt tokens queued at the runner.
 	QueuedTokens int
-	// Risk orders targets that are otherwise equal: lower first.
+	// Risk is the reclaim risk of the runner's VM; lower is better.
 	Risk float64
 }
 
-// Link carries one KV cache after the other.
+// Link describes the network link that transfers KV caches, one at a time.
 type Link struct {
 	BytesPerSecond float64
-	// Setup is spent on each transfer besides its bytes.
+	// Setup is the fixed time of each transfer, in addition to the time for its bytes.
 	Setup time.Duration
-	// BusyFor is the time that transfers under way still take.
+	// BusyFor is the time until the transfers in progress are done.
 	BusyFor time.Duration
 }
 
-// Batch is all that one plan is made for.
+// Batch is the input of Plan.
 type Batch struct {
 	Sources []Source
 	Streams []Stream
 	Targets []Target
 	Link    Link
-	// SafetyMargin is kept free before each source's end.
+	// SafetyMargin is kept free before the end of each source.
 	SafetyMargin time.Duration
 }
 
-// Kind is what becomes of a stream.
+// Kind is the kind of a decision.
 type Kind string
 
 // Kinds of decisions.
 const (
-	// Finish leaves the stream where it is: it ends in time.
+	// Finish leaves the stream at its runner, where it ends in time.
 	Finish Kind = "finish"
-	// Move exports the KV cache to the target and goes on there.
+	// Move transfers the KV cache to the target, where the stream continues.
 	Move Kind = "move"
-	// Resume computes prompt and emitted tokens anew at the target.
+	// Resume computes the prompt and the emitted tokens again at the target.
 	Resume Kind = "resume"
-	// Wait lets the stream run until its runner goes; then it waits for
-	// capacity.
+	// Wait lets the stream run until its runner is reclaimed. After that the stream waits
+	// for capacity.
 	Wait Kind = "wait"
 )
 
@@ -98,14 +98,14 @@
 	Kind    Kind
 	// Target is empty for Finish and Wait.
 	Target ident.RunnerID
-	// Start and End are from the time of the plan on: a move's transfer, or a
-	// resume's computing.
+	// Start and End are offsets from the time of the plan: those of the transfer for Move,
+	// those of the computation for Resume.
 	Start, End time.Duration
-	// Recomputed is the tokens that are computed a second time.
+	// Recomputed is the number of tokens that are computed a second time.
 	Recomputed int
 }
 
-// plan is the work in progress on a batch.
+// plan is the state of one call of Plan.
 type plan struct {
 	b         Batch
 	sources   map[ident.RunnerID]Source
@@ -113,16 +113,16 @@
 	decisions []Decision
 }
 
-// targetState is what is left of a target.
+// targetState is a target and its remaining capacity.
 type targetState struct {
 	Target
 	freeSlots  int
 	freeTokens int
-	// prefillBusyUntil is until when its prefill is taken.
+	// prefillBusyUntil is when the target has computed all tokens assigned so far.
 	prefillBusyUntil time.Duration
 }
 
-// candidate is a stream that can't stay, with its target.
+// candidate is a stream that can't finish at its source, with the target assigned to it.
 type candidate struct {
 	Stream
 	target      *targetState
@@ -131,12 +131,12 @@
 	duration    time.Duration
 }
 
-// Plan decides on every stream of the batch, in the order of their IDs.
+// Plan decides on every stream of the batch and returns the decisions sorted by request ID.
 //
-// Capacity is given to urgent streams first. The link is given to the moves
-// that save the most recomputed tokens for each second of transfer. What does
-// not fit on the link is resumed elsewhere, urgent streams first, one after
-// the other at each target, so that none waits behind the whole wave.
+// Urgent streams get capacity first. The link is used for the moves that save the most
+// recomputed tokens per second of transfer. Streams that don't fit on the link are resumed at
+// other runners, urgent ones first. Each target resumes one stream after another, so that the
+// first ones need not wait for the prefill of all others.
 func Plan(b Batch) []Decision {
 	p := newPlan(b)
 	unfinished := p.decideFinish()
@@ -172,7 +172,7 @@
 
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// deadline is when the last thing for a stream must be over at its source.
+// deadline returns when everything for a stream must be done at its source.
 func (p *plan) deadline(s Stream) time.Duration {
 	return p.sources[s.Runner].TimeLeft - p.b.SafetyMargin
 }
@@ -183,8 +183,8 @@
 	p.decisions = append(p.decisions, d)
 }
 
-// decideFinish leaves the streams that surely end in time and returns the others,
-// urgent ones first, those with more to lose before the others.
+// decideFinish decides on the streams that are certain to end in time. It returns the others:
+// urgent streams first, then those with the longer context.
 func (p *plan) decideFinish() []Stream {
 	var rest []Stream
 	for _, s := range p.b.Streams {
@@ -211,7 +211,7 @@
 	return 1
 }
 
-// assignTargets gives each stream a target; those without room wait.
+// assignTargets assigns a target to each stream. Streams for which no target has capacity wait.
 func (p *plan) assignTargets(streams []Stream) []*candidate {
 	var placed []*candidate
 	for _, s := range streams {
@@ -237,9 +237,9 @@
 	return l.Setup + secondsToDuration(float64(bytes)/l.BytesPerSecond)
 }
 
-// bestTarget prefers the target that holds most of the context, then the one with
-// most room. Streams that may wait are also put where no slot is free, as long
-// as their KV cache has room there: they wait at the engine without losing it.
+// bestTarget returns the target that has cached most of the context, then the one with the most
+// capacity. Streams that aren't urgent may also get a target without a free slot if its KV cache
+// has space for them: they wait at the engine without losing their cache.
 func (p *plan) bestTarget(s Stream) *targetState {
 	var bestTarget *targetState
 	for _, t := range p.targets {
@@ -266,14 +266,15 @@
 	return order < 0
 }
 
-// slotsPerCrowdRank is the slots that make one step of crowd.
+// slotsPerCrowdRank is the number of free slots per step of crowdRank.
 const slotsPerCrowdRank = 8
 
-// crowdRank ranks targets coarsely by their free slots, so that a whole wave is
-// not put on the one safest runner, whose streams would all slow down.
+// crowdRank ranks targets coarsely by their free slots, so that the streams of a whole batch
+// are not all assigned to the runner with the lowest risk, where they would slow each other
+// down.
 func (r *targetState) crowdRank() int { return -r.freeSlots / slotsPerCrowdRank }
 
-// compareRisk keeps long work off VMs that are likely to go next.
+// compareRisk keeps streams that aren't urgent off VMs that are likely to be reclaimed next.
 func compareRisk(s Stream, a, b *targetState) int {
 	if s.Urgent {
 		return 0
@@ -281,7 +282,7 @@
 	return cmp.Compare(a.Risk, b.Risk)
 }
 
-// scheduleMoves schedules the transfers and returns the streams that don't fit.
+// scheduleMoves schedules the transfers and returns the streams that don't fit on the link.
 func (p *plan) scheduleMoves(placed []*candidate) []*candidate {
 	byBenefit := slices.Clone(placed)
 	slices.SortStableFunc(byBenefit, func(a, b *candidate) int {
@@ -305,7 +306,7 @@
 	return rest
 }
 
-// tokensPerSecond is the recomputed tokens saved for each second of transfer.
+// tokensPerSecond returns the recomputed tokens that a move saves per second of transfer.
 func (c *candidate) tokensPerSecond() float64 {
 	if c.duration <= 0 {
 		return 0
@@ -313,8 +314,8 @@
 	return float64(c.savedTokens) / c.duration.Seconds()
 }
 
-// schedule keeps the transfers that the link carries before their limits, the
-// earliest limit first.
+// schedule holds the accepted transfers on the link by deadline. Transfers run in the order of
+// their deadlines.
 type schedule struct {
 	busy      time.Duration
 	deadlines []time.Duration
@@ -332,7 +333,7 @@
 	return s
 }
 
-// tryAdd takes the transfer if every one taken so far still ends in time.
+// tryAdd adds the transfer if all transfers accepted so far still meet their deadlines.
 func (s *schedule) tryAdd(c *candidate) bool {
 	index, _ := slices.BinarySearch(s.deadlines, c.deadline)
 	s.load[index] += c.duration
@@ -347,9 +348,9 @@
 	return true
 }
 
-// scheduleResumes starts the rest at their targets, one after the other at each. A
-// stream whose turn comes too late starts at its limit all the same, since
-// its runner goes then; one that may wait does so.
+// scheduleResumes starts the remaining streams at their targets, one after the other per target.
+// If a target is busy past a stream's deadline, an urgent stream starts at the deadline all the
+// same, because its source is reclaimed then; any other stream waits.
 func (p *plan) scheduleResumes(rest []*candidate) {
 	slices.SortStableFunc(rest, func(a, b *candidate) int {
 		if a.Urgent != b.Urgent {
--- a/coordination/reclaim/plan_test.go
+++ b/coordination/reclaim/plan_test.go
@@ -29,7 +29,7 @@
 			Runner: id, TimeLeft: time.Duration(rapid.IntRange(0, 60).Draw(t, "left")) * time.Second,
 			DecodeRate: float64(rapid.IntRange(0, 50).Draw(t, "decode")),
 		})
-		// A second notice: a runner that was a target is leaving by now.
+		// After a second notice, a runner that was a target is itself leaving.
 		if rapid.Bool().Draw(t, "also target") {
 			b.Targets = append(b.Targets, reclaim.Target{Runner: id, Slots: 9, FreeTokens: 1 << 20, PrefillRate: 100})
 		}
@@ -56,9 +56,9 @@
 	return b
 }
 
-// Every stream gets exactly one decision; nothing goes to a leaving runner,
-// nothing is left to start after its limit, the link carries one transfer at a
-// time, targets are not overfilled, and what can't be exported is not.
+// Checks the constraints of a plan: every stream gets exactly one decision, no stream goes to a
+// leaving runner, no work starts after its deadline, the link carries one transfer at a time, no
+// target is overfilled, and no pinned stream is exported.
 func TestPlanRespectsConstraints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := drawBatch(t)
@@ -79,33 +79,33 @@
 		for _, d := range reclaim.Plan(b) {
 			s := streams[d.Request]
 			if decided[d.Request] {
-				t.Fatalf("%s decided twice", d.Request)
+				t.Fatalf("two decisions for %s", d.Request)
 			}
 			decided[d.Request] = true
 			if _, leaving := sources[d.Target]; leaving {
-				t.Fatalf("%s goes to the leaving %s", d.Request, d.Target)
+				t.Fatalf("%s is sent to leaving runner %s", d.Request, d.Target)
 			}
 			limit := sources[s.Runner].TimeLeft - b.SafetyMargin
 			if (d.Kind == reclaim.Move && d.End > limit) || d.Start > max(limit, 0) {
-				t.Fatalf("%+v is later than %v", d, limit)
+				t.Fatalf("%+v misses the deadline %v", d, limit)
 			}
 			if d.Kind == reclaim.Move {
 				moves = append(moves, d)
 			}
 			if d.Kind == reclaim.Move && s.Pinned {
-				t.Fatalf("%s was exported again", d.Request)
+				t.Fatalf("pinned stream %s is moved", d.Request)
 			}
 			if d.Target != "" {
 				free[d.Target] -= s.Context + s.Remaining
 			}
 		}
 		if len(decided) != len(b.Streams) {
-			t.Fatalf("%d of %d streams decided", len(decided), len(b.Streams))
+			t.Fatalf("decisions for %d of %d streams", len(decided), len(b.Streams))
 		}
 		checkLink(t, b.Link, moves)
 		for r, left := range free {
 			if left < 0 {
-				t.Fatalf("%s is overfilled by %d", r, -left)
+				t.Fatalf("target %s is overfilled by %d tokens", r, -left)
 			}
 		}
 	})
@@ -114,19 +114,19 @@
 func checkLink(t *rapid.T, link reclaim.Link, moves []reclaim.Decision) {
 	for i, a := range moves {
 		if a.Start < link.BusyFor {
-			t.Fatalf("%+v starts on a busy link", a)
+			t.Fatalf("%+v starts while the link is busy", a)
 		}
 		for _, b := range moves[i+1:] {
 			if a.Start < b.End && b.Start < a.End {
-				t.Fatalf("%+v and %+v share the link", a, b)
+				t.Fatalf("transfers %+v and %+v overlap", a, b)
 			}
 		}
 	}
 }
 
-// A wave takes a runner with a long review and a chat. The link carries only
-// one cache in time: it goes to the review, whose context costs most to
-// compute anew, and the chat is resumed at once.
+// A reclaim affects a runner with a long review and a chat, and only one KV cache can be
+// transferred in time. The transfer must go to the review, whose context costs most to compute
+// again; the chat is resumed at once.
 func TestLinkIsUsedForMostTokensSaved(t *testing.T) {
 	is := is.New(t)
 	plan := reclaim.Plan(reclaim.Batch{
@@ -147,8 +147,8 @@
 	is.Equal(plan[2].Kind, reclaim.Finish)
 }
 
-// Half the fleet goes and there are fewer slots than streams: callers who read
-// get them, the bulletin waits.
+// Half of the fleet is reclaimed, and fewer slots than streams remain. Streams with a caller who
+// reads along get the slots, and the bulletin waits.
 func TestUrgentStreamsGetRemainingCapacity(t *testing.T) {
 	is := is.New(t)
 	plan := reclaim.Plan(reclaim.Batch{
