--- a/daemon/edge/cloud_test.go
+++ b/daemon/edge/cloud_test.go
@@ -9,25 +9,26 @@
 	"geraniumstack.org/geraniumstack/daemon/edge"
 )
 
-// fakeCloud records reports and orders.
-type fakeCloud struct {
+// cloud is a fake edge.Cloud that records reports and orders.
+type cloud struct {
 	mu      sync.Mutex
 	reports []usageReport
 	orders  []edge.Order
-	// lostAnswers lets a report be taken and its answer be lost.
+	// lostAnswers is the number of next reports that are accepted although their answers are
+	// lost.
 	lostAnswers int
-	// noReclaimable lets orders of reclaimable runners be refused, which refusals counts.
+	// noReclaimable refuses orders of reclaimable runners; refusals counts these.
 	noReclaimable bool
 	refusals      int
 }
 
 type usageReport struct {
-	duty   edge.Duty
+	duty   edge.DutyLease
 	window accounting.Window
 	counts string
 }
 
-func (c *fakeCloud) ReportUsage(_ context.Context, d edge.Duty, w accounting.Window, counts accounting.Counts) error {
+func (c *cloud) ReportUsage(_ context.Context, d edge.DutyLease, w accounting.Window, counts accounting.Counts) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	data, err := json.Marshal(counts)
@@ -42,28 +43,29 @@
 	return nil
 }
 
-func (c *fakeCloud) Order(_ context.Context, _ edge.Duty, o edge.Order) error {
+func (c *cloud) Order(_ context.Context, _ edge.DutyLease, o edge.Order) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.noReclaimable && o.Reclaimable {
 		c.refusals++
-		return &edge.NoneAvailableError{Order: o}
+		return &edge.NoRunnersAvailableError{Order: o}
 	}
 	c.orders = append(c.orders, o)
 	return nil
 }
 
-func (c *fakeCloud) receivedReports() []usageReport {
+func (c *cloud) received() []usageReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]usageReport{}, c.reports...)
 }
 
-// totalReported adds up all requests of the reports, each window once.
+// totalReported returns the number of requests in all reports. Of several reports for one
+// window only the first counts.
 func (w *testFleet) totalReported() int64 {
 	sum := int64(0)
 	seen := map[accounting.Window]bool{}
-	for _, r := range w.cloud.receivedReports() {
+	for _, r := range w.cloud.received() {
 		if seen[r.window] {
 			continue
 		}
@@ -73,7 +75,7 @@
 	return sum
 }
 
-// requests adds up a report's counts.
+// requests returns the number of requests in a report.
 func (r usageReport) requests(w *testFleet) int64 {
 	var counts accounting.Counts
 	w.NoErr(json.Unmarshal([]byte(r.counts), &counts))
--- a/daemon/edge/runners_test.go
+++ b/daemon/edge/runners_test.go
@@ -14,15 +14,16 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// runner is one backend server. script answers an attempt; nil is a short 200.
+// runner is one fake runner. script answers an attempt; nil answers 200 after 10 ms.
 type runner struct {
 	mu       sync.Mutex
 	attempts []*edge.Attempt
 	script   func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error)
 }
 
-// play sets the script while requests may be under way.
-func (r *runner) play(script func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error)) {
+// setScript replaces the script; unlike an assignment it may be used while requests are in
+// progress.
+func (r *runner) setScript(script func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.script = script
@@ -37,11 +38,13 @@
 type runners struct {
 	mu   sync.Mutex
 	byID map[string]*runner
-	// darkIDs don't answer health checks.
-	darkIDs map[string]bool
+	// unresponsiveIDs are the runners that don't answer health checks.
+	unresponsiveIDs map[string]bool
 }
 
-func newRunners() *runners { return &runners{byID: map[string]*runner{}, darkIDs: map[string]bool{}} }
+func newRunners() *runners {
+	return &runners{byID: map[string]*runner{}, unresponsiveIDs: map[string]bool{}}
+}
 
 func (s *runners) add(id string) *runner {
 	s.mu.Lock()
@@ -66,36 +69,36 @@
 		return script(ctx, a)
 	}
 	time.Sleep(10 * time.Millisecond)
-	return plain(http.StatusOK, "from "+a.Address), nil
+	return plainAnswer(http.StatusOK, "from "+a.Address), nil
 }
 
-func plain(status int, body string) *edge.Answer {
+func plainAnswer(status int, body string) *edge.Answer {
 	return &edge.Answer{Status: status, Header: http.Header{}, Length: int64(len(body)), Body: io.NopCloser(bytes.NewBufferString(body))}
 }
 
-// events answers with a stream that fails with err after the given bytes.
-func events(body string, err error) *edge.Answer {
-	return &edge.Answer{Status: http.StatusOK, Header: http.Header{}, Length: -1, Events: true, Body: io.NopCloser(io.MultiReader(bytes.NewBufferString(body), &failing{err}))}
+// eventAnswer returns an event stream whose body ends with err after the given bytes.
+func eventAnswer(body string, err error) *edge.Answer {
+	return &edge.Answer{Status: http.StatusOK, Header: http.Header{}, Length: -1, Events: true, Body: io.NopCloser(io.MultiReader(bytes.NewBufferString(body), &failingReader{err}))}
 }
 
-type failing struct{ err error }
+type failingReader struct{ err error }
 
-func (f *failing) Read([]byte) (int, error) { return 0, f.err }
+func (f *failingReader) Read([]byte) (int, error) { return 0, f.err }
 
-func (s *runners) dark(id string, dark bool) {
+func (s *runners) unresponsive(id string, unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.darkIDs[id] = dark
+	s.unresponsiveIDs[id] = unresponsive
 }
 
 func (s *runners) Healthy(ctx context.Context, address, _ string, _ ident.RunnerID) bool {
 	s.mu.Lock()
-	dark := s.darkIDs[address]
+	unresponsive := s.unresponsiveIDs[address]
 	s.mu.Unlock()
-	if dark {
+	if unresponsive {
 		<-ctx.Done()
 	}
-	return !dark
+	return !unresponsive
 }
 
 func (s *runners) Retain(map[string]bool) {}
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -22,51 +22,55 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Orders to move a service to another software version: what this daemon lets through to the
-// new version, and what it tells the holder of the duties. The decisions are those of
-// coordination/canary; trialduty.go does the holder's part.
+// An operator's order to move a service to another software version starts a trial (a canary
+// rollout). The code in this file limits the requests that this daemon sends to the new version,
+// and reports their results to the duty holder. Package canary makes the decisions;
+// trialcontroller.go holds the code of the duty holder.
 
 const (
-	// trialPrefix begins the keys of orders' records.
+	// trialPrefix is the prefix of the keys of trials' records.
 	trialPrefix = "trials/"
-	// trialReportEvery is between two reports, several in an allowance's life.
-	trialReportEvery = 250 * time.Millisecond
-	// leastEstimate stands in for a shorter expected time to a stream's first event.
-	leastEstimate = 10 * time.Millisecond
-	// mostReporting is how many daemons report of an order. Those of a large fleet send
-	// enough requests for it.
-	mostReporting = 64
+	// trialReportInterval is the time between two reports; several reports fit into the
+	// lifetime of an allowance.
+	trialReportInterval = 250 * time.Millisecond
+	// minEstimate is the least expected time to a stream's first event that latencies are
+	// compared with.
+	minEstimate = 10 * time.Millisecond
+	// maxReporters is the number of daemons that report on a trial in a large fleet; they serve
+	// enough requests for a decision.
+	maxReporters = 64
 )
 
-// trials are the orders that this daemon knows of.
+// trials holds the orders to change a service's software version that this daemon knows of.
 type trials struct {
-	// any spares requests the lock while no service has an order.
-	any atomic.Bool
+	// hasOrders lets requests skip the lock while no service has an order.
+	hasOrders atomic.Bool
 
-	// mu is taken after a pool's lock where both are.
+	// If both locks are needed, mu is taken after the pool's lock.
 	mu      sync.Mutex
 	gates   map[string]*canary.Gate
-	records map[string]writtenRecord
-	// reported is when the last reports were made, duties the holder's part.
-	reported time.Duration
-	duties   map[string]*trialDuty
+	records map[string]storedRecord
+	// reportedAt is when the last reports were made. controllers are used by the duty holder
+	// only.
+	reportedAt  time.Duration
+	controllers map[string]*trialController
 }
 
-// writtenRecord is a record with its revision.
-type writtenRecord struct {
+// storedRecord is a trial's record with its revision in the key-value service.
+type storedRecord struct {
 	canary.Record
 	revision kv.Revision
 }
 
 func (t *trials) init() {
 	t.gates = map[string]*canary.Gate{}
-	t.records = map[string]writtenRecord{}
-	t.duties = map[string]*trialDuty{}
+	t.records = map[string]storedRecord{}
+	t.controllers = map[string]*trialController{}
 }
 
-// gate is that of a service; nil is no order.
+// gate returns a service's gate; nil if the service has no order.
 func (t *trials) gate(service string) *canary.Gate {
-	if !t.any.Load() {
+	if !t.hasOrders.Load() {
 		return nil
 	}
 	t.mu.Lock()
@@ -74,21 +78,22 @@
 	return t.gates[service]
 }
 
-// takeOrders takes in orders and their records. It must be done before new runners are used:
-// those of a new version are ordered first, and without the order would be like any others.
-func (e *Edge) takeOrders(events []kv.Event) {
+// applyTrialChanges applies new orders and trial records. It must be called before new runners
+// are used: the order is written before the new version's runners start, and without it these
+// would be used like any others.
+func (e *Edge) applyTrialChanges(events []kv.Event) {
 	for _, event := range events {
 		switch {
 		case event.Deleted:
 		case strings.HasPrefix(event.Key, e.deps.Codec.OrderPrefix()):
-			e.takeOrder(event.Entry)
+			e.applyTrialOrder(event.Entry)
 		case strings.HasPrefix(event.Key, trialPrefix):
-			e.takeRecord(event.Entry)
+			e.applyTrialRecord(event.Entry)
 		}
 	}
 }
 
-func (e *Edge) takeOrder(entry kv.Entry) {
+func (e *Edge) applyTrialOrder(entry kv.Entry) {
 	o, err := e.deps.Codec.Order(entry.Key, entry.Value)
 	if err != nil {
 		e.log.Note("trial_ignored", decisions.F("key", entry.Key), decisions.F("reason", err.Error()))
@@ -104,12 +109,12 @@
 	g := canary.NewGate(o)
 	g.SetRecord(now, e.trials.records[o.Service].Record)
 	e.trials.gates[o.Service] = g
-	e.trials.any.Store(true)
+	e.trials.hasOrders.Store(true)
 	e.log.Note("trial_ordered", decisions.F("service", o.Service), decisions.F("target", o.Target),
 		decisions.F("within", o.Duration), decisions.F("order", o.Revision))
 }
 
-func (e *Edge) takeRecord(entry kv.Entry) {
+func (e *Edge) applyTrialRecord(entry kv.Entry) {
 	var r canary.Record
 	if err := json.Unmarshal(entry.Value, &r); err != nil {
 		e.log.Note("trial_ignored", decisions.F("key", entry.Key), decisions.F("reason", err.Error()))
@@ -121,7 +126,7 @@
 		return
 	}
 	before := e.trials.records[r.Service]
-	e.trials.records[r.Service] = writtenRecord{r, entry.Revision}
+	e.trials.records[r.Service] = storedRecord{r, entry.Revision}
 	if g := e.trials.gates[r.Service]; g != nil {
 		g.SetRecord(e.deps.Steady(), r)
 	}
@@ -131,33 +136,34 @@
 	}
 }
 
-// enter decides where a new request goes.
-func (e *Edge) enter(g *canary.Gate, route string) canary.Placement {
+// sideOfNewRequest decides which versions' runners a new request may use.
+func (e *Edge) sideOfNewRequest(g *canary.Gate, route string) canary.Placement {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	return g.PlaceRequest(e.deps.Steady(), route, rand.Float64())
 }
 
-// again decides where a request goes that is not new.
-func (e *Edge) again(g *canary.Gate) canary.Placement {
+// sideOfRepeat decides which versions' runners a request may use that isn't new to the trial,
+// such as a repeated attempt.
+func (e *Edge) sideOfRepeat(g *canary.Gate) canary.Placement {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	return g.PlaceRetry(e.deps.Steady())
 }
 
-// outOfContact tells whether this daemon has no way to the key-value service, by itself or by
-// others, so that it can't know what became of an order.
+// outOfContact reports whether this daemon can't reach the key-value service, neither itself
+// nor through other daemons, so that it can't know the state of a trial.
 func (e *Edge) outOfContact(ctx context.Context) bool {
 	if e.configAge() <= confirmTimeout {
 		return false
 	}
-	e.confirm(ctx)
+	e.confirmConfig(ctx)
 	return e.configAge() > confirmTimeout
 }
 
-// barred is the set of a service's runners that a side keeps requests from; called with the
-// pool's lock held.
-func (p *pool) barred(g *canary.Gate, side canary.Placement) prefix.Set {
+// excludedBySide returns the set of the service's runners that a request on a side of the trial
+// must not use. The caller must hold the pool's lock.
+func (p *pool) excludedBySide(g *canary.Gate, side canary.Placement) prefix.Set {
 	var ids []ident.RunnerID
 	p.edge.trials.mu.Lock()
 	defer p.edge.trials.mu.Unlock()
@@ -181,7 +187,8 @@
 	return p.table.Exclude(ids...)
 }
 
-// trialRunners are the first of the new runners, which take all trials.
+// trialRunners returns the first few of the new version's runners by name, which serve all
+// requests of the trial.
 func (p *pool) trialRunners(target canary.Version, most int) []ident.RunnerID {
 	var ids []ident.RunnerID
 	for id, r := range p.runners {
@@ -203,51 +210,54 @@
 	return p.table.Exclude(ids...)
 }
 
-// bar keeps a request from the runners that a side doesn't use, and from those that have
-// failed it.
-func (p *pool) bar(r *routing.Request, failed prefix.Set, g *canary.Gate, side canary.Placement) {
+// excludeBySide excludes the runners that have failed the request, and those that a request on
+// a side of the trial must not use.
+func (p *pool) excludeBySide(r *routing.Request, failed prefix.Set, g *canary.Gate, side canary.Placement) {
 	r.Exclude = failed
 	if g == nil || side == canary.AnyVersion {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.Exclude = failed.Or(p.barred(g, side))
+	r.Exclude = failed.Or(p.excludedBySide(g, side))
 }
 
-// pick chooses a runner among those that the request's side of a trial uses. One that finds
-// none there, or would wait too long there, may go to the others, but to a version on trial
-// only if this daemon has lost touch, since the old runners may have been stopped then, or if
-// there is no other version yet before the order is taken up: then it is in use already.
-func (s *serving) pick(ctx context.Context, now time.Time) (routing.Choice, error) {
+// pick chooses a runner among those that the request's side of the trial may use. If there is
+// none, or the wait would be too long, a request of the trial goes to the version in use, and a
+// request that only prefers the new version may go to any runner. A request that must use the
+// version in use goes to the version on trial only if it finds no runner otherwise and either
+// this daemon is out of contact, since the old runners may have been stopped by then, or the
+// trial hasn't begun and the service has no other version, which means that the target is
+// already in use.
+func (s *requestHandler) pick(ctx context.Context, now time.Time) (routing.Choice, error) {
 	first := s.exchange.Sent() == 0
 	if s.gate == nil {
-		return s.pool.pick(now, &s.place, s.advised, first)
+		return s.pool.pick(now, &s.routingRequest, s.recommended, first)
 	}
-	side := s.edge.again(s.gate)
+	side := s.edge.sideOfRepeat(s.gate)
 	if first {
-		side = s.edge.enter(s.gate, s.route.Name)
+		side = s.edge.sideOfNewRequest(s.gate, s.route.Name)
 	}
-	s.pool.bar(&s.place, s.failed, s.gate, side)
-	choice, err := s.pool.pick(now, &s.place, s.advised, first)
-	late := err == nil && choice.Estimate > s.useful(now)
+	s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, side)
+	choice, err := s.pool.pick(now, &s.routingRequest, s.recommended, first)
+	late := err == nil && choice.Estimate > s.maxFirstTokenWait(now)
 	if err == nil && !late || side == canary.AnyVersion {
 		return choice, err
 	}
 	switch {
 	case side == canary.Trial:
-		s.pool.bar(&s.place, s.failed, s.gate, canary.OldOnly)
-	case side == canary.NewPreferred || !late && (s.edge.outOfContact(ctx) || s.pool.inUse(s.gate)):
-		s.pool.bar(&s.place, s.failed, s.gate, canary.AnyVersion)
+		s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, canary.OldOnly)
+	case side == canary.NewPreferred || !late && (s.edge.outOfContact(ctx) || s.pool.targetInUse(s.gate)):
+		s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, canary.AnyVersion)
 	default:
 		return choice, err
 	}
-	return s.pool.pick(now, &s.place, s.advised, first)
+	return s.pool.pick(now, &s.routingRequest, s.recommended, first)
 }
 
-// inUse tells whether the service has only runners of an order's target, and nobody has begun
-// to decide on the order.
-func (p *pool) inUse(g *canary.Gate) bool {
+// targetInUse reports whether all of the service's runners already run the order's target and
+// no duty holder has begun the trial.
+func (p *pool) targetInUse(g *canary.Gate) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.edge.trials.mu.Lock()
@@ -263,9 +273,10 @@
 	return true
 }
 
-// versions counts the runners that take new requests, of the version that serves and of an
-// order's target, and what this daemon has in progress at runners of other versions.
-func (p *pool) versions(g *canary.Gate) (old, fresh, oldInFlight int) {
+// countVersions counts the runners that accept new requests, by the version in use (old) and
+// the order's target (fresh), and this daemon's attempts in progress at runners of versions
+// other than the target.
+func (p *pool) countVersions(g *canary.Gate) (old, fresh, oldInFlight int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.edge.trials.mu.Lock()
@@ -278,15 +289,15 @@
 		case r.Version != target && r.State == view.Live && !g.Avoids(r.Version):
 			old++
 		}
-		if act := p.active[id]; act != nil && r.Version != target {
+		if act := p.activities[id]; act != nil && r.Version != target {
 			oldInFlight += len(act.attempts)
 		}
 	}
 	return old, fresh, oldInFlight
 }
 
-// undecided is how many runners of a version wait for the decision on an order.
-func (e *Edge) undecided(p *pool) int {
+// awaitingDecision returns the number of a service's runners whose version is on trial.
+func (e *Edge) awaitingDecision(p *pool) int {
 	g := e.trials.gate(p.name)
 	if g == nil {
 		return 0
@@ -297,67 +308,69 @@
 	if final {
 		return 0
 	}
-	_, fresh, _ := p.versions(g)
+	_, fresh, _ := p.countVersions(g)
 	return fresh
 }
 
-// reports tells whether this daemon is one of those that report of an order.
-func (e *Edge) reports(o canary.Order, fleet int) bool {
-	if fleet <= mostReporting {
+// isTrialReporter reports whether this daemon is one of those that report on a trial.
+func (e *Edge) isTrialReporter(o canary.Order, fleet int) bool {
+	if fleet <= maxReporters {
 		return true
 	}
-	return xxhash.Sum64String(string(e.self)+"/"+o.Service)%uint64(fleet) < mostReporting
+	return xxhash.Sum64String(string(e.self)+"/"+o.Service)%uint64(fleet) < maxReporters
 }
 
-// reporting is the part of the daemons that do.
-func reporting(fleet int) float64 { return min(1, mostReporting/float64(max(1, fleet))) }
+// reporterShare returns the share of the daemons that report on a trial.
+func reporterShare(fleet int) float64 { return min(1, maxReporters/float64(max(1, fleet))) }
 
-// reportTrials asks the holder for allowances and tells it what was counted.
+// reportTrials requests allowances from the duty holder and reports the requests and answers
+// counted so far.
 func (e *Edge) reportTrials(now time.Duration) {
-	if !e.trials.any.Load() || now-e.trials.reported < trialReportEvery {
+	if !e.trials.hasOrders.Load() || now-e.trials.reportedAt < trialReportInterval {
 		return
 	}
-	e.trials.reported = now
+	e.trials.reportedAt = now
 	fleet := e.fleetSize()
 	for _, g := range e.openGates(fleet) {
 		p := e.pool(g.Order().Service)
 		if p == nil {
 			continue
 		}
-		_, _, oldInFlight := p.versions(g)
+		_, _, oldInFlight := p.countVersions(g)
 		e.trials.mu.Lock()
 		holder := g.Record().Holder
 		r := g.Report(now, oldInFlight)
 		e.trials.mu.Unlock()
-		e.sendTo(holder, &peersv1.Datagram{TrialReport: e.tellReport(g.Order().Service, r)})
+		e.sendTo(holder, &peersv1.Datagram{TrialReport: e.encodeTrialReport(g.Order().Service, r)})
 	}
 }
 
-// openGates are those of orders that are not decided and have a holder to report to.
+// openGates returns the gates of trials that aren't decided and have a duty holder to report
+// to.
 func (e *Edge) openGates(fleet int) []*canary.Gate {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	var open []*canary.Gate
 	for _, g := range e.trials.gates {
 		r := g.Record()
-		if r.Order == g.Order().Revision && r.Holder != "" && !r.State.Final() && e.reports(g.Order(), fleet) {
+		if r.Order == g.Order().Revision && r.Holder != "" && !r.State.Final() && e.isTrialReporter(g.Order(), fleet) {
 			open = append(open, g)
 		}
 	}
 	return open
 }
 
-// heardAllowance takes in the holder's answer.
-func (e *Edge) heardAllowance(a *peersv1.TrialAllowance) {
+// receiveAllowance applies the allowance that the duty holder has sent.
+func (e *Edge) receiveAllowance(a *peersv1.TrialAllowance) {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	if g := e.trials.gates[a.Service]; g != nil {
-		g.Allow(allowanceOf(a))
+		g.Allow(decodeAllowance(a))
 	}
 }
 
-// dispatched counts a request that is being sent for the first time.
-func (s *serving) dispatched() {
+// countTrialDispatch counts a request at its first attempt.
+func (s *requestHandler) countTrialDispatch() {
 	if s.gate == nil || s.exchange.Sent() > 0 {
 		return
 	}
@@ -366,46 +379,48 @@
 	s.gate.Dispatched()
 }
 
-// judged is an attempt's answer for the comparison of versions.
-type judged struct {
+// trialSample says which version an attempt's answer counts for in the comparison of versions.
+type trialSample struct {
 	gate  *canary.Gate
 	isNew bool
 }
 
-// trialOf notes which version an attempt goes to; the zero value is not compared.
-func (s *serving) trialOf(id ident.RunnerID) judged {
+// sampleFor returns which version an attempt at a runner counts for; the zero value isn't
+// counted.
+func (s *requestHandler) sampleFor(id ident.RunnerID) trialSample {
 	g := s.edge.trials.gate(s.pool.name)
 	if g == nil {
-		return judged{}
+		return trialSample{}
 	}
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return judged{g, s.pool.runners[id].Version == g.Order().Target}
+	return trialSample{g, s.pool.runners[id].Version == g.Order().Target}
 }
 
-// took counts a whole answer, or with pace the time between its events.
+// took counts the latency of a whole answer or, with pace, the time between a stream's events.
 func (a *attempt) took(d time.Duration, pace bool) {
-	a.judge(pace, func(c *canary.Counts) { c.CountAnswer(d) })
+	a.recordSample(pace, func(c *canary.Counts) { c.CountAnswer(d) })
 }
 
-// tookStream counts a whole stream. Prompts differ in length and in what is cached of them, so
-// the time to the first event counts against what was expected of the runner: one second
-// stands for as long as that. The pace is counted apart.
-func (a *attempt) tookStream() {
+// recordStreamLatency counts the latencies of a whole stream. Prompts differ in length and in
+// how much of them is cached, so the time to the first event is counted in relation to the
+// runner's expected time: one second stands for a ratio of one. The time between events is
+// counted separately.
+func (a *attempt) recordStreamLatency() {
 	if a.trial.gate == nil {
 		return
 	}
-	against := max(a.choice.Estimate, leastEstimate)
-	a.took(time.Duration(float64(time.Second)*float64(a.first)/float64(against)), false)
+	against := max(a.choice.Estimate, minEstimate)
+	a.took(time.Duration(float64(time.Second)*float64(a.firstEventAfter)/float64(against)), false)
 	if n := a.s.events.Events(); n > 1 {
-		a.took((time.Since(a.sent)-a.first)/time.Duration(n-1), true)
+		a.took((time.Since(a.sent)-a.firstEventAfter)/time.Duration(n-1), true)
 	}
 }
 
-// failed counts an answer that was none.
-func (a *attempt) failed() { a.judge(false, func(c *canary.Counts) { c.CountFailure() }) }
+// recordFailure counts a failed answer.
+func (a *attempt) recordFailure() { a.recordSample(false, func(c *canary.Counts) { c.CountFailure() }) }
 
-func (a *attempt) judge(pace bool, count func(*canary.Counts)) {
+func (a *attempt) recordSample(pace bool, count func(*canary.Counts)) {
 	if a.trial.gate == nil {
 		return
 	}
--- a/protocol/request/request.go
+++ b/protocol/request/request.go
@@ -1,7 +1,9 @@
-// Package request is the life of one accepted model request as a pure state
-// machine: attempts at runners, silence, resumption at the offset, moves off
-// leaving runners, retries, and the one final answer. Inputs come with the
-// time; effects are for the driver.
+// Package request implements the lifecycle of an accepted model request as a
+// deterministic state machine. It covers attempts at runners, silent
+// connections, resumption at the current token offset, moves off leaving
+// runners, retries, and the single final answer or refusal. The machine
+// performs no I/O and reads no clock: each input carries the current time, and
+// the returned effects are carried out by the caller.
 package request
 
 import (
@@ -13,93 +15,99 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Limits bound how long and how often a request tries.
+// Limits holds the timeouts and the retry limits of a request.
 type Limits struct {
-	// Silence is how long an engine's connection may carry nothing. Engines
-	// send a heartbeat each second.
-	Silence time.Duration
-	// Reopens is how often a connection is opened anew to the same runner before the
-	// runner is given up on. One that brings tokens for as long as Silence forgives
-	// those before.
-	Reopens int
-	// Failures is how many runners may fail a request without progress; a
-	// deferrable one is not bound by it.
-	Failures int
-	// BackoffMin and BackoffMax bound the wait for capacity.
+	// SilenceTimeout is how long the connection to an engine may carry no data.
+	// Engines send a heartbeat every second.
+	SilenceTimeout time.Duration
+	// MaxReopens is how often the connection to the same runner is reopened
+	// before another runner is used. The count starts anew once a connection
+	// has delivered tokens for as long as SilenceTimeout.
+	MaxReopens int
+	// MaxFailures is how many runner failures without progress end a request.
+	// Deferrable requests wait and try again instead.
+	MaxFailures int
+	// BackoffMin and BackoffMax limit the wait for capacity.
 	BackoffMin, BackoffMax time.Duration
-	// RetryAfter is told to callers whose request was given up on.
+	// RetryAfter is the retry delay that callers of failed requests are given.
 	RetryAfter time.Duration
 }
 
-// DefaultLimits fit engines that send a heartbeat each second.
+// DefaultLimits returns limits for engines that send a heartbeat every second.
 func DefaultLimits() Limits {
 	return Limits{
-		Silence:    3 * time.Second,
-		Reopens:    2,
-		Failures:   4,
-		BackoffMin: 100 * time.Millisecond,
-		BackoffMax: 5 * time.Second,
-		RetryAfter: 2 * time.Second,
+		SilenceTimeout: 3 * time.Second,
+		MaxReopens:     2,
+		MaxFailures:    4,
+		BackoffMin:     100 * time.Millisecond,
+		BackoffMax:     5 * time.Second,
+		RetryAfter:     2 * time.Second,
 	}
 }
 
-// Spec is what the machine must know of a request.
+// Spec describes a request to the state machine.
 type Spec struct {
 	ID        ident.RequestID
 	Epoch     uint64
 	MaxTokens int
-	// Deadline is when the answer is of no more use; zero is never.
+	// Deadline is the time after which the answer is useless to the caller. The
+	// zero time means that there is none.
 	Deadline time.Time
 	// Deferrable requests wait for capacity until their deadline.
 	Deferrable bool
-	// Emitted are the tokens that an earlier owner is known to have emitted.
+	// Emitted holds the tokens that an earlier owner is known to have emitted.
 	Emitted []string
-	// MayHaveRun says that an earlier owner may have started it.
+	// MayHaveRun is set if an earlier owner may have started the request at a
+	// runner.
 	MayHaveRun bool
-	// Runner is where an earlier owner ran it: its KV cache may be there.
+	// Runner is the runner at which an earlier owner ran the request and where
+	// its KV cache may still be.
 	Runner ident.RunnerID
 }
 
+// phase is the stage of a request's lifecycle.
 type phase int
 
 const (
-	idle phase = iota
+	notStarted phase = iota
 	picking
 	running
 	waiting
 	suspended
-	over
+	ended
 )
 
-// Machine is one request. It is not safe for concurrent use.
+// Machine is the state machine of one request. It is not safe for concurrent
+// use.
 type Machine struct {
 	spec   Spec
 	limits Limits
-	answer *stream.Splice
+	answer *stream.SplicedAnswer
 	phase  phase
 
-	attempts int
-	attempt  ident.AttemptID
-	runner   ident.RunnerID
-	heard    time.Time
-	// began is when the current attempt did.
-	began time.Time
-	// started counts the attempts that may have run.
-	started  int
-	reopens  int
-	failures int
-	excluded []ident.RunnerID
-	leaving  map[ident.RunnerID]bool
-	// target is where the current attempt's KV cache is being moved.
-	target  ident.RunnerID
-	wake    time.Time
-	backoff time.Duration
-	final   *refusal.Refusal
-
-	out []Effect
-}
-
-// New returns a machine that waits for Start.
+	attempts     int
+	attempt      ident.AttemptID
+	runner       ident.RunnerID
+	lastActivity time.Time
+	// attemptStarted is the start time of the current attempt.
+	attemptStarted time.Time
+	// startedAttempts counts the attempts that may have run.
+	startedAttempts int
+	reopens         int
+	failures        int
+	excluded        []ident.RunnerID
+	leaving         map[ident.RunnerID]bool
+	// moveTarget is the runner to which the KV cache of the current attempt is
+	// being moved.
+	moveTarget ident.RunnerID
+	retryAt    time.Time
+	backoff    time.Duration
+	failure    *refusal.Refusal
+
+	effects []Effect
+}
+
+// New returns a machine that waits for the Start input.
 func New(spec Spec, limits Limits) *Machine {
 	m := &Machine{
 		spec:    spec,
@@ -108,29 +116,32 @@
 		leaving: map[ident.RunnerID]bool{},
 	}
 	if spec.MayHaveRun {
-		m.started = 1
+		m.startedAttempts = 1
 	}
 	return m
 }
 
-// NewFinished returns the machine of a request whose whole answer is known.
+// NewFinished returns the machine of a request whose complete answer is known.
+// The answer consists of spec.Emitted.
 func NewFinished(spec Spec, finishReason string) *Machine {
 	m := New(spec, Limits{})
 	m.answer.Finish(finishReason)
-	m.phase = over
+	m.phase = ended
 	return m
 }
 
-// Answer is the output so far.
-func (m *Machine) Answer() *stream.Splice { return m.answer }
+// Answer returns the output so far.
+func (m *Machine) Answer() *stream.SplicedAnswer { return m.answer }
 
-// Over tells whether the request has its final answer or is run elsewhere.
-func (m *Machine) Over() bool { return m.phase == over }
+// Ended reports whether the request has its final answer or refusal, or has
+// been taken over by another daemon.
+func (m *Machine) Ended() bool { return m.phase == ended }
 
-// Refusal is why the request was given up on; nil if it was not.
-func (m *Machine) Refusal() *refusal.Refusal { return m.final }
+// Refusal returns the refusal with which the request ended, or nil.
+func (m *Machine) Refusal() *refusal.Refusal { return m.failure }
 
-// Runner is where the current attempt runs; empty if none does.
+// Runner returns the runner of the current attempt, or an empty ID if there is
+// none.
 func (m *Machine) Runner() ident.RunnerID {
 	if m.phase != running {
 		return ""
@@ -138,7 +149,7 @@
 	return m.runner
 }
 
-// Attempt is the current attempt; empty if there is none.
+// Attempt returns the current attempt, or an empty ID if there is none.
 func (m *Machine) Attempt() ident.AttemptID {
 	if m.phase != running {
 		return ""
@@ -146,7 +157,8 @@
 	return m.attempt
 }
 
-// LastRunner is where the latest attempt ran; empty if there was none.
+// LastRunner returns the runner of the latest attempt, or an empty ID if there
+// was none.
 func (m *Machine) LastRunner() ident.RunnerID {
 	if m.runner == "" {
 		return m.spec.Runner
@@ -154,42 +166,44 @@
 	return m.runner
 }
 
-// MayHaveRun tells whether an attempt can have reached a runner.
-func (m *Machine) MayHaveRun() bool { return m.started > 0 }
+// MayHaveRun reports whether any attempt may have reached a runner.
+func (m *Machine) MayHaveRun() bool { return m.startedAttempts > 0 }
 
-// Moving is where the KV cache is being moved; empty if it is not.
-func (m *Machine) Moving() ident.RunnerID { return m.target }
+// MoveTarget returns the runner to which the KV cache is being moved, or an
+// empty ID if no move is in progress.
+func (m *Machine) MoveTarget() ident.RunnerID { return m.moveTarget }
 
-// Step takes one input and returns what is to be done; the slice is good until
-// the next call. Inputs after the final answer have no effect.
+// Step processes one input and returns the resulting effects. The slice is
+// valid until the next call. Inputs after the end of the request have no
+// effect.
 func (m *Machine) Step(now time.Time, in Input) []Effect {
-	m.out = m.out[:0]
-	if m.phase == over {
+	m.effects = m.effects[:0]
+	if m.phase == ended {
 		return nil
 	}
 	switch in := in.(type) {
 	case Start:
 		m.start(now)
 	case Picked:
-		m.picked(now, in.Runner)
+		m.handlePicked(now, in.Runner)
 	case PickRefused:
-		m.pickRefused(now, in.Refusal)
-	case Arrived:
-		m.arrived(now, in.Event)
-	case Closed:
-		m.closed(now, in)
+		m.handlePickRefused(now, in.Refusal)
+	case EventArrived:
+		m.handleEvent(now, in.Event)
+	case StreamClosed:
+		m.handleClosed(now, in)
 	case Relocate:
 		m.relocate(now, in)
 	case Evict:
 		m.evict(in)
-	case Exported:
-		m.exported(now, in)
+	case CacheExported:
+		m.handleExported(now, in)
 	case RunnerLeaving:
 		m.leaving[in.Runner] = true
 	case Tick:
 		m.tick(now)
 	case Cancel:
-		m.giveUp(refusal.New(refusal.Cancelled, "cancelled by the caller"))
+		m.fail(refusal.New(refusal.Cancelled, "cancelled by the caller"))
 	case Suspend:
 		m.suspend()
 	case Resume:
@@ -198,21 +212,21 @@
 		m.end()
 		m.emit(Yielded{})
 	}
-	if m.phase != over {
+	if m.phase != ended {
 		m.emit(WakeAt{m.nextWake(now)})
 	}
-	return m.out
+	return m.effects
 }
 
-func (m *Machine) emit(e Effect) { m.out = append(m.out, e) }
+func (m *Machine) emit(e Effect) { m.effects = append(m.effects, e) }
 
 func (m *Machine) nextWake(now time.Time) time.Time {
 	next := now.Add(time.Minute)
 	switch m.phase {
 	case running:
-		next = m.heard.Add(m.limits.Silence)
+		next = m.lastActivity.Add(m.limits.SilenceTimeout)
 	case waiting:
-		next = m.wake
+		next = m.retryAt
 	}
 	if d := m.spec.Deadline; !d.IsZero() && d.Before(next) {
 		return d
@@ -220,31 +234,31 @@
 	return next
 }
 
-func (m *Machine) pick(after Cause) {
+func (m *Machine) requestRunner(after Cause) {
 	m.phase = picking
-	m.target = ""
-	m.emit(Pick{Exclude: m.avoid(), After: after})
+	m.moveTarget = ""
+	m.emit(Pick{Exclude: m.excludedRunners(), After: after})
 }
 
-// start goes first to the runner of an earlier owner, which may still hold the
-// request's KV cache.
+// start uses the runner of an earlier owner first, since that runner may still
+// hold the KV cache of the request.
 func (m *Machine) start(now time.Time) {
-	if m.phase != idle {
+	if m.phase != notStarted {
 		return
 	}
 	if m.spec.Runner != "" {
 		m.generate(now, m.spec.Runner, "")
 		return
 	}
-	m.pick("")
+	m.requestRunner("")
 }
 
 func (m *Machine) suspend() {
 	if m.phase == running {
-		m.emit(Abandon{Attempt: m.attempt, Runner: m.runner})
+		m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner})
 	}
-	m.answer.Stop()
-	m.target = ""
+	m.answer.EndAttempt()
+	m.moveTarget = ""
 	m.phase = suspended
 }
 
@@ -256,18 +270,18 @@
 		m.generate(now, m.runner, "")
 		return
 	}
-	m.pick("")
+	m.requestRunner("")
 }
 
-func (m *Machine) avoid() []ident.RunnerID {
-	avoid := append([]ident.RunnerID(nil), m.excluded...)
+func (m *Machine) excludedRunners() []ident.RunnerID {
+	excludedRunners := append([]ident.RunnerID(nil), m.excluded...)
 	for r := range m.leaving {
-		avoid = append(avoid, r)
+		excludedRunners = append(excludedRunners, r)
 	}
-	return avoid
+	return excludedRunners
 }
 
-func (m *Machine) picked(now time.Time, runner ident.RunnerID) {
+func (m *Machine) handlePicked(now time.Time, runner ident.RunnerID) {
 	if m.phase != picking {
 		return
 	}
@@ -278,16 +292,16 @@
 	m.attempts++
 	m.attempt = ident.AttemptID(fmt.Sprintf("%s.%d.%d", m.spec.ID, m.spec.Epoch, m.attempts))
 	m.runner = runner
-	m.target = ""
-	m.heard, m.began = now, now
+	m.moveTarget = ""
+	m.lastActivity, m.attemptStarted = now, now
 	m.phase = running
-	m.started++
-	m.answer.Begin(m.attempt)
+	m.startedAttempts++
+	m.answer.BeginAttempt(m.attempt)
 	m.emit(Generate{Attempt: m.attempt, Runner: runner, Handle: handle})
 }
 
-// hopeless refusals stay the same however long the request waits.
-func hopeless(r refusal.Reason) bool {
+// permanentRefusal reports whether waiting can't change the refusal.
+func permanentRefusal(r refusal.Reason) bool {
 	switch r {
 	case refusal.BadRequest, refusal.UnknownModel, refusal.Unauthenticated, refusal.Cancelled:
 		return true
@@ -295,113 +309,114 @@
 	return false
 }
 
-// pickRefused waits or ends the request. An accepted deferrable request was
-// promised its answer: dropping it because a wave of reclaims left no capacity
-// would break the promise, so it waits until its deadline. Any other is told
-// at once, so that its caller can go elsewhere.
-func (m *Machine) pickRefused(now time.Time, r *refusal.Refusal) {
+// handlePickRefused waits for capacity or ends the request. An accepted
+// deferrable request waits until its deadline even if reclaims have left no
+// runners, since its caller was promised an answer. Any other request is
+// refused at once if it has no output yet, so that its caller can go
+// elsewhere.
+func (m *Machine) handlePickRefused(now time.Time, r *refusal.Refusal) {
 	if m.phase != picking {
 		return
 	}
 	m.failures++
-	if hopeless(r.Reason) || (!m.spec.Deferrable && m.mustGiveUp()) {
-		m.giveUp(r)
+	if permanentRefusal(r.Reason) || (!m.spec.Deferrable && m.retriesExhausted()) {
+		m.fail(r)
 		return
 	}
-	m.wait(now, r.RetryAfter)
+	m.waitForCapacity(now, r.RetryAfter)
 }
 
-// mustGiveUp bounds the tries of requests that don't wait. One without any
-// output is told of a lack of capacity at once.
-func (m *Machine) mustGiveUp() bool {
-	return m.answer.Offset() == 0 || m.failures >= m.limits.Failures
+// retriesExhausted reports whether a request that can't wait must end. Without
+// any output, it ends at the first lack of capacity.
+func (m *Machine) retriesExhausted() bool {
+	return m.answer.Offset() == 0 || m.failures >= m.limits.MaxFailures
 }
 
-func (m *Machine) wait(now time.Time, atLeast time.Duration) {
+func (m *Machine) waitForCapacity(now time.Time, atLeast time.Duration) {
 	m.backoff = min(max(m.backoff*2, m.limits.BackoffMin), m.limits.BackoffMax)
 	m.phase = waiting
-	m.wake = now.Add(min(max(m.backoff, atLeast), m.limits.BackoffMax))
-	// A runner that failed before the wait may be well after it.
+	m.retryAt = now.Add(min(max(m.backoff, atLeast), m.limits.BackoffMax))
+	// A runner that failed before the wait may work again afterwards.
 	m.excluded = nil
 }
 
-func (m *Machine) arrived(now time.Time, e stream.Event) {
+func (m *Machine) handleEvent(now time.Time, e stream.Event) {
 	v := m.answer.Apply(e)
 	if v.Dropped != "" {
 		m.emit(Dropped{v.Dropped})
 	}
 	if v.Alive {
-		m.heard = now
+		m.lastActivity = now
 	}
 	if v.Emitted {
 		m.failures, m.backoff = 0, 0
-		// A few tokens on each connection before it falls silent are no progress that
-		// a caller could wait for.
-		if now.Sub(m.began) >= m.limits.Silence {
+		// A connection that delivers a few tokens and then falls silent is not
+		// enough progress to allow further reopens.
+		if now.Sub(m.attemptStarted) >= m.limits.SilenceTimeout {
 			m.reopens = 0
 		}
 		m.emit(Emitted{})
 	}
 	if v.Ended {
-		m.phase = over
+		m.phase = ended
 		m.emit(Answered{})
 	}
 	if v.Broken {
-		m.attemptFailed(now, Malformed)
+		m.handleAttemptFailure(now, Malformed)
 	}
 }
 
-func (m *Machine) closed(now time.Time, in Closed) {
+func (m *Machine) handleClosed(now time.Time, in StreamClosed) {
 	if m.phase != running || in.Attempt != m.attempt {
 		return
 	}
 	if !in.NotStarted {
-		m.attemptFailed(now, in.Cause)
+		m.handleAttemptFailure(now, in.Cause)
 		return
 	}
-	m.started--
-	m.answer.Stop()
-	m.runnerFailed(now, in.Cause)
+	m.startedAttempts--
+	m.answer.EndAttempt()
+	m.handleRunnerFailure(now, in.Cause)
 }
 
-// attemptFailed opens a new connection to the same runner, a bounded number of
-// times: something between the two ends can lose track of a connection while
-// the runner is well and holds the request's KV cache, and going elsewhere
-// would compute it all again.
-func (m *Machine) attemptFailed(now time.Time, cause Cause) {
-	m.emit(Abandon{Attempt: m.attempt, Runner: m.runner, Cause: cause})
-	m.answer.Stop()
-	if m.target != "" {
-		m.generate(now, m.target, "")
+// handleAttemptFailure reopens the connection to the same runner up to
+// MaxReopens times. A connection can be lost between the two ends while the
+// runner works and still holds the KV cache of the request. Another runner
+// would have to recompute that cache.
+func (m *Machine) handleAttemptFailure(now time.Time, cause Cause) {
+	m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner, Cause: cause})
+	m.answer.EndAttempt()
+	if m.moveTarget != "" {
+		m.generate(now, m.moveTarget, "")
 		return
 	}
-	if m.reopens < m.limits.Reopens && !m.leaving[m.runner] && cause != EngineError {
+	if m.reopens < m.limits.MaxReopens && !m.leaving[m.runner] && cause != EngineError {
 		m.reopens++
 		m.generate(now, m.runner, "")
 		return
 	}
-	m.runnerFailed(now, cause)
+	m.handleRunnerFailure(now, cause)
 }
 
-func (m *Machine) runnerFailed(now time.Time, cause Cause) {
+func (m *Machine) handleRunnerFailure(now time.Time, cause Cause) {
 	m.reopens = 0
 	m.excluded = append(m.excluded, m.runner)
-	if m.target != "" {
-		m.generate(now, m.target, "")
+	if m.moveTarget != "" {
+		m.generate(now, m.moveTarget, "")
 		return
 	}
 	if cause != Preempted && !m.leaving[m.runner] {
 		m.failures++
 	}
-	if m.failures < m.limits.Failures {
-		m.pick(cause)
+	if m.failures < m.limits.MaxFailures {
+		m.requestRunner(cause)
 		return
 	}
 	if m.spec.Deferrable {
-		m.wait(now, 0)
+		m.waitForCapacity(now, 0)
 		return
 	}
-	m.giveUp(refusal.New(refusal.RunnerFailed, "%d runners failed, the last one: %s", m.failures, cause))
+	m.fail(refusal.New(refusal.RunnerFailed, "%d runners failed, the last one: %s", m.failures, cause))
 }
 
 func (m *Machine) relocate(now time.Time, in Relocate) {
@@ -411,7 +426,7 @@
 	m.leaving[m.runner] = true
 	delete(m.leaving, in.Target)
 	if in.Export {
-		m.target = in.Target
+		m.moveTarget = in.Target
 		m.emit(ExportCache{Attempt: m.attempt, From: m.runner, To: in.Target})
 		return
 	}
@@ -422,16 +437,17 @@
 	if m.phase != running || in.Attempt != m.attempt {
 		return
 	}
-	m.emit(Abandon{Attempt: m.attempt, Runner: m.runner, Cause: Preempted})
-	m.answer.Stop()
+	m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner, Cause: Preempted})
+	m.answer.EndAttempt()
 	m.leaving[m.runner] = true
-	m.pick(Preempted)
+	m.requestRunner(Preempted)
 }
 
-// exported switches to the target, with or without the KV cache. An answer to
-// an export that a later plan replaced, or whose attempt is over, is ignored.
-func (m *Machine) exported(now time.Time, in Exported) {
-	if m.phase != running || in.Attempt != m.attempt || in.Target != m.target {
+// handleExported switches to the target with the exported KV cache, or without
+// it if the export failed. It ignores results of exports that a later
+// relocation replaced or whose attempt has ended.
+func (m *Machine) handleExported(now time.Time, in CacheExported) {
+	if m.phase != running || in.Attempt != m.attempt || in.Target != m.moveTarget {
 		return
 	}
 	cause := Preempted
@@ -442,44 +458,44 @@
 }
 
 func (m *Machine) switchTo(now time.Time, target ident.RunnerID, handle string, cause Cause) {
-	m.emit(Abandon{Attempt: m.attempt, Runner: m.runner, Cause: cause})
+	m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner, Cause: cause})
 	m.reopens = 0
 	m.generate(now, target, handle)
 }
 
 func (m *Machine) tick(now time.Time) {
 	if d := m.spec.Deadline; !d.IsZero() && !now.Before(d) {
-		m.giveUp(refusal.New(refusal.DeadlineExceeded, "not answered by its deadline"))
+		m.fail(refusal.New(refusal.DeadlineExceeded, "not answered by its deadline"))
 		return
 	}
 	switch {
-	case m.phase == waiting && !now.Before(m.wake):
-		m.pick(NoCapacity)
-	case m.phase == running && !now.Before(m.heard.Add(m.limits.Silence)):
-		m.attemptFailed(now, Silent)
+	case m.phase == waiting && !now.Before(m.retryAt):
+		m.requestRunner(NoCapacity)
+	case m.phase == running && !now.Before(m.lastActivity.Add(m.limits.SilenceTimeout)):
+		m.handleAttemptFailure(now, Silent)
 	}
 }
 
-// giveUp ends the request now: a refusal that is held back until some later
-// step would leave the caller waiting for nothing. It says executed "no" only
-// if no attempt can have reached a runner.
-func (m *Machine) giveUp(r *refusal.Refusal) {
-	final := *r
-	if m.started > 0 {
-		final.Executed = refusal.ExecutedUnknown
+// fail ends the request with a refusal in the same step, since a delayed
+// refusal would leave the caller waiting for nothing. The refusal says "not
+// executed" only if no attempt can have reached a runner.
+func (m *Machine) fail(r *refusal.Refusal) {
+	failure := *r
+	if m.startedAttempts > 0 {
+		failure.Executed = refusal.ExecutedUnknown
 	}
-	if final.RetryAfter == 0 && !hopeless(final.Reason) {
-		final.RetryAfter = m.limits.RetryAfter
+	if failure.RetryAfter == 0 && !permanentRefusal(failure.Reason) {
+		failure.RetryAfter = m.limits.RetryAfter
 	}
 	m.end()
-	m.final = &final
-	m.emit(GivenUp{&final})
+	m.failure = &failure
+	m.emit(Failed{&failure})
 }
 
 func (m *Machine) end() {
 	if m.phase == running {
-		m.emit(Abandon{Attempt: m.attempt, Runner: m.runner})
+		m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner})
 	}
-	m.answer.Stop()
-	m.phase = over
+	m.answer.EndAttempt()
+	m.phase = ended
 }
