--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -47,19 +47,19 @@
 
 // Config sets when runners are ejected.
 type Config struct {
-	// Consecutive failures in a row eject.
-	Consecutive int
-	// Ratio of failures among at least MinCalls calls within Window ejects.
-	Ratio    float64
-	MinCalls int
-	Window   time.Duration
-	// Ejection is the first time out; it doubles up to MaxEjection while
+	// MaxConsecutive failures in a row eject.
+	MaxConsecutive int
+	// FailureRatio of failures among at least MinCalls calls within Window ejects.
+	FailureRatio float64
+	MinCalls     int
+	Window       time.Duration
+	// FirstEjection is the first time out; it doubles up to MaxEjection while
 	// probes fail.
-	Ejection    time.Duration
-	MaxEjection time.Duration
-	// MaxShare of the runners, and one of two or more, may be out at once. When more fail, the cause is
+	FirstEjection time.Duration
+	MaxEjection   time.Duration
+	// MaxEjectedShare of the runners, and one of two or more, may be out at once. When more fail, the cause is
 	// wider than these runners and an empty table would answer nobody.
-	MaxShare float64
+	MaxEjectedShare float64
 	// ProbeTimeout is when an unanswered probe has failed.
 	ProbeTimeout time.Duration
 }
@@ -67,25 +67,25 @@
 // Default returns the policy in use; docs/design/retries.md gives the reasons.
 func Default() Config {
 	return Config{
-		Consecutive:  3,
-		Ratio:        0.5,
-		MinCalls:     10,
-		Window:       10 * time.Second,
-		Ejection:     2 * time.Second,
-		MaxEjection:  time.Minute,
-		MaxShare:     0.34,
-		ProbeTimeout: time.Second,
+		MaxConsecutive:  3,
+		FailureRatio:    0.5,
+		MinCalls:        10,
+		Window:          10 * time.Second,
+		FirstEjection:   2 * time.Second,
+		MaxEjection:     time.Minute,
+		MaxEjectedShare: 0.34,
+		ProbeTimeout:    time.Second,
 	}
 }
 
 type phase uint8
 
 const (
-	phaseIn phase = iota
-	phaseOut
+	phaseHealthy phase = iota
+	phaseEjected
 	phaseProbing
-	// phaseChecking ones are in routing while a probe checks them.
-	phaseChecking
+	// phaseVerifying ones are in routing while a probe checks them.
+	phaseVerifying
 )
 
 type runner struct {
@@ -93,8 +93,8 @@
 	consecutive int
 	calls       int
 	failures    int
-	windowEnds  time.Time
-	until       time.Time
+	windowEnd   time.Time
+	phaseEnd    time.Time
 	ejection    time.Duration
 }
 
@@ -102,7 +102,7 @@
 type Tracker struct {
 	cfg     Config
 	runners map[ident.RunnerID]*runner
-	out     int
+	ejected int
 }
 
 // New returns a tracker without runners.
@@ -113,55 +113,55 @@
 // SetRunners replaces the set of runners; new ones start out well.
 func (t *Tracker) SetRunners(ids []ident.RunnerID) {
 	next := make(map[ident.RunnerID]*runner, len(ids))
-	t.out = 0
+	t.ejected = 0
 	for _, id := range ids {
 		r, ok := t.runners[id]
 		if !ok {
 			r = &runner{}
 		}
 		next[id] = r
-		if r.isOut() {
-			t.out++
+		if r.isEjected() {
+			t.ejected++
 		}
 	}
 	t.runners = next
 }
 
-func (r *runner) isOut() bool { return r.phase == phaseOut || r.phase == phaseProbing }
+func (r *runner) isEjected() bool { return r.phase == phaseEjected || r.phase == phaseProbing }
 
-// Out is the number of ejected runners.
-func (t *Tracker) Out() int { return t.out }
+// Ejected is the number of ejected runners.
+func (t *Tracker) Ejected() int { return t.ejected }
 
-// Observe takes in how a call ended and appends what follows to dst.
-func (t *Tracker) Observe(now time.Time, id ident.RunnerID, o Outcome, dst []Effect) []Effect {
+// HandleOutcome takes in how a call ended and appends what follows to dst.
+func (t *Tracker) HandleOutcome(now time.Time, id ident.RunnerID, o Outcome, dst []Effect) []Effect {
 	r, ok := t.runners[id]
-	if !ok || r.isOut() {
+	if !ok || r.isEjected() {
 		return dst
 	}
 	if o == SilentConnection {
-		return t.check(now, id, r, dst)
+		return t.startVerification(now, id, r, dst)
 	}
 	r.count(now, t.cfg.Window, o == Failure)
-	if !t.fails(r) || !t.mayEject() {
+	if !t.exceedsThreshold(r) || !t.mayEject() {
 		return dst
 	}
 	t.eject(now, r)
 	return append(dst, Effect{Eject, id})
 }
 
-func (t *Tracker) check(now time.Time, id ident.RunnerID, r *runner, dst []Effect) []Effect {
-	if r.phase == phaseChecking {
+func (t *Tracker) startVerification(now time.Time, id ident.RunnerID, r *runner, dst []Effect) []Effect {
+	if r.phase == phaseVerifying {
 		return dst
 	}
-	r.phase = phaseChecking
-	r.until = now.Add(t.cfg.ProbeTimeout)
+	r.phase = phaseVerifying
+	r.phaseEnd = now.Add(t.cfg.ProbeTimeout)
 	return append(dst, Effect{Probe, id})
 }
 
 func (r *runner) count(now time.Time, window time.Duration, failed bool) {
-	if !now.Before(r.windowEnds) {
+	if !now.Before(r.windowEnd) {
 		r.calls, r.failures = 0, 0
-		r.windowEnds = now.Add(window)
+		r.windowEnd = now.Add(window)
 	}
 	r.calls++
 	if !failed {
@@ -172,51 +172,51 @@
 	r.consecutive++
 }
 
-func (t *Tracker) fails(r *runner) bool {
-	if r.consecutive >= t.cfg.Consecutive {
+func (t *Tracker) exceedsThreshold(r *runner) bool {
+	if r.consecutive >= t.cfg.MaxConsecutive {
 		return true
 	}
-	return r.calls >= t.cfg.MinCalls && float64(r.failures) >= t.cfg.Ratio*float64(r.calls)
+	return r.calls >= t.cfg.MinCalls && float64(r.failures) >= t.cfg.FailureRatio*float64(r.calls)
 }
 
 func (t *Tracker) mayEject() bool {
-	allowed := int(t.cfg.MaxShare * float64(len(t.runners)))
+	limit := int(t.cfg.MaxEjectedShare * float64(len(t.runners)))
 	if len(t.runners) > 1 {
-		allowed = max(1, allowed)
+		limit = max(1, limit)
 	}
-	return t.out < allowed
+	return t.ejected < limit
 }
 
 func (t *Tracker) eject(now time.Time, r *runner) {
-	if !r.isOut() {
-		t.out++
+	if !r.isEjected() {
+		t.ejected++
 	}
-	r.ejection = min(max(2*r.ejection, t.cfg.Ejection), t.cfg.MaxEjection)
-	r.phase = phaseOut
-	r.until = now.Add(r.ejection)
+	r.ejection = min(max(2*r.ejection, t.cfg.FirstEjection), t.cfg.MaxEjection)
+	r.phase = phaseEjected
+	r.phaseEnd = now.Add(r.ejection)
 	r.consecutive, r.calls, r.failures = 0, 0, 0
 }
 
-// Probed takes in how a probe ended.
-func (t *Tracker) Probed(now time.Time, id ident.RunnerID, ok bool, dst []Effect) []Effect {
+// HandleProbe takes in how a probe ended.
+func (t *Tracker) HandleProbe(now time.Time, id ident.RunnerID, ok bool, dst []Effect) []Effect {
 	r, known := t.runners[id]
 	if !known {
 		return dst
 	}
 	switch {
 	case r.phase == phaseProbing && ok:
-		t.out--
-		r.phase = phaseIn
+		t.ejected--
+		r.phase = phaseHealthy
 		// One more failure ejects again: the probe is a small call and proves
 		// less than a real one.
-		r.consecutive = t.cfg.Consecutive - 1
+		r.consecutive = t.cfg.MaxConsecutive - 1
 		return append(dst, Effect{Readmit, id})
 	case r.phase == phaseProbing:
 		t.eject(now, r)
-	case r.phase == phaseChecking && ok:
-		r.phase = phaseIn
-	case r.phase == phaseChecking:
-		r.phase = phaseIn
+	case r.phase == phaseVerifying && ok:
+		r.phase = phaseHealthy
+	case r.phase == phaseVerifying:
+		r.phase = phaseHealthy
 		if t.mayEject() {
 			t.eject(now, r)
 			return append(dst, Effect{Eject, id})
@@ -229,15 +229,15 @@
 func (t *Tracker) Tick(now time.Time, dst []Effect) []Effect {
 	before := len(dst)
 	for id, r := range t.runners {
-		if r.phase == phaseIn || now.Before(r.until) {
+		if r.phase == phaseHealthy || now.Before(r.phaseEnd) {
 			continue
 		}
-		if r.phase != phaseOut {
-			dst = t.Probed(now, id, false, dst)
+		if r.phase != phaseEjected {
+			dst = t.HandleProbe(now, id, false, dst)
 			continue
 		}
 		r.phase = phaseProbing
-		r.until = now.Add(t.cfg.ProbeTimeout)
+		r.phaseEnd = now.Add(t.cfg.ProbeTimeout)
 		dst = append(dst, Effect{Probe, id})
 	}
 	slices.SortFunc(dst[before:], func(a, b Effect) int { return cmp.Compare(a.Runner, b.Runner) })
--- a/coordination/health/health_test.go
+++ b/coordination/health/health_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func tracker(n int) (*Tracker, []ident.RunnerID) {
+func newTracker(n int) (*Tracker, []ident.RunnerID) {
 	ids := make([]ident.RunnerID, n)
 	for i := range ids {
 		ids[i] = ident.RunnerID(fmt.Sprintf("r%02d", i))
@@ -26,40 +26,40 @@
 
 func TestEjectProbeReadmit(t *testing.T) {
 	is := is.New(t)
-	tr, ids := tracker(4)
-	is.Equal(len(tr.Observe(start, ids[0], Failure, nil)), 0)
-	is.Equal(len(tr.Observe(start, ids[0], Failure, nil)), 0)
-	is.Equal(tr.Observe(start, ids[0], Failure, nil), []Effect{{Eject, ids[0]}})
+	tr, ids := newTracker(4)
+	is.Equal(len(tr.HandleOutcome(start, ids[0], Failure, nil)), 0)
+	is.Equal(len(tr.HandleOutcome(start, ids[0], Failure, nil)), 0)
+	is.Equal(tr.HandleOutcome(start, ids[0], Failure, nil), []Effect{{Eject, ids[0]}})
 	is.Equal(len(tr.Tick(start.Add(time.Second), nil)), 0)
 	is.Equal(tr.Tick(start.Add(2*time.Second), nil), []Effect{{Probe, ids[0]}})
-	is.Equal(len(tr.Probed(start.Add(2*time.Second), ids[0], false, nil)), 0)
+	is.Equal(len(tr.HandleProbe(start.Add(2*time.Second), ids[0], false, nil)), 0)
 	is.Equal(len(tr.Tick(start.Add(5*time.Second), nil)), 0) // now out for twice as long
 	is.Equal(tr.Tick(start.Add(6*time.Second), nil), []Effect{{Probe, ids[0]}})
-	is.Equal(tr.Probed(start.Add(6*time.Second), ids[0], true, nil), []Effect{{Readmit, ids[0]}})
-	is.Equal(tr.Observe(start.Add(7*time.Second), ids[0], Failure, nil), []Effect{{Eject, ids[0]}})
+	is.Equal(tr.HandleProbe(start.Add(6*time.Second), ids[0], true, nil), []Effect{{Readmit, ids[0]}})
+	is.Equal(tr.HandleOutcome(start.Add(7*time.Second), ids[0], Failure, nil), []Effect{{Eject, ids[0]}})
 }
 
 // Streams to a runner hang although it answers others. A middlebox forgot its
 // connections; the runner is well, and ejecting it would take capacity away.
-func TestSilentConnectionIsNotTheRunnersDeath(t *testing.T) {
+func TestSilentConnectionAloneDoesNotEject(t *testing.T) {
 	is := is.New(t)
-	tr, ids := tracker(4)
-	is.Equal(tr.Observe(start, ids[1], SilentConnection, nil), []Effect{{Probe, ids[1]}})
+	tr, ids := newTracker(4)
+	is.Equal(tr.HandleOutcome(start, ids[1], SilentConnection, nil), []Effect{{Probe, ids[1]}})
 	for range 20 {
-		is.Equal(len(tr.Observe(start, ids[1], SilentConnection, nil)), 0)
+		is.Equal(len(tr.HandleOutcome(start, ids[1], SilentConnection, nil)), 0)
 	}
-	is.Equal(len(tr.Probed(start, ids[1], true, nil)), 0)
-	is.Equal(tr.Out(), 0)
-	is.Equal(tr.Observe(start, ids[1], SilentConnection, nil), []Effect{{Probe, ids[1]}})
+	is.Equal(len(tr.HandleProbe(start, ids[1], true, nil)), 0)
+	is.Equal(tr.Ejected(), 0)
+	is.Equal(tr.HandleOutcome(start, ids[1], SilentConnection, nil), []Effect{{Probe, ids[1]}})
 	is.Equal(tr.Tick(start.Add(time.Second), nil), []Effect{{Eject, ids[1]}}) // the new connection hangs, too
 }
 
 // All callers are refused although three quarters of the runners work: the
 // gateway's own link failed for a moment and it ejected every runner.
-func TestEjectionLeavesTheTableUsable(t *testing.T) {
+func TestEjectionsStayBelowMaxShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "runners")
-		tr, ids := tracker(n)
+		tr, ids := newTracker(n)
 		out := map[ident.RunnerID]bool{}
 		now := start
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -68,11 +68,11 @@
 			var effects []Effect
 			switch rapid.IntRange(0, 4).Draw(t, "call") {
 			case 0, 1:
-				effects = tr.Observe(now, id, Failure, nil)
+				effects = tr.HandleOutcome(now, id, Failure, nil)
 			case 2:
-				effects = tr.Observe(now, id, SilentConnection, nil)
+				effects = tr.HandleOutcome(now, id, SilentConnection, nil)
 			case 3:
-				effects = tr.Probed(now, id, rapid.Bool().Draw(t, "ok"), nil)
+				effects = tr.HandleProbe(now, id, rapid.Bool().Draw(t, "ok"), nil)
 			case 4:
 				effects = tr.Tick(now, nil)
 			}
@@ -84,8 +84,8 @@
 					delete(out, e.Runner)
 				}
 			}
-			if len(out) != tr.Out() || len(out) >= n || len(out) > max(1, n*34/100) {
-				t.Fatalf("%d of %d out, tracker says %d", len(out), n, tr.Out())
+			if len(out) != tr.Ejected() || len(out) >= n || len(out) > max(1, n*34/100) {
+				t.Fatalf("%d of %d out, tracker says %d", len(out), n, tr.Ejected())
 			}
 		}
 	})
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -303,7 +303,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.health.Out()
+	return s.health.Ejected()
 }
 
 // runnerIDs lists the runners' names.
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -202,7 +202,7 @@
 	s.endAttempt(now, attemptKey{j.Request.ID, a.Address}, j, a)
 	var effects []health.Effect
 	if outcome, tells := outcomeOf(a); tells {
-		effects = s.health.Observe(now, a.Runner, outcome, nil)
+		effects = s.health.HandleOutcome(now, a.Runner, outcome, nil)
 		s.apply(effects)
 	}
 	s.mu.Unlock()
--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -160,7 +160,7 @@
 func (s *service) busy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.waiting) > 0 || s.health.Out() > 0
+	return len(s.waiting) > 0 || s.health.Ejected() > 0
 }
 
 func (s *service) setGauges(now time.Time) {
@@ -171,7 +171,7 @@
 	s.cfg.gauge(s.name, "limit", float64(s.admission.Limit()))
 	s.cfg.gauge(s.name, "running", float64(s.admission.Running()))
 	s.cfg.gauge(s.name, "queued", float64(s.admission.Queued()))
-	s.cfg.gauge(s.name, "ejected", float64(s.health.Out()))
+	s.cfg.gauge(s.name, "ejected", float64(s.health.Ejected()))
 	s.cfg.gauge(s.name, "retry_budget", s.retry.Balance())
 	s.cfg.gauge(s.name, "prefix.blocks", float64(s.table.PrefixBlocks()))
 	s.cfg.gauge(s.name, "runners", float64(s.table.Capacity().Runners))
@@ -194,7 +194,7 @@
 func (s *service) probed(now time.Time, id ident.RunnerID, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(s.health.Probed(now, id, ok, nil))
+	s.apply(s.health.HandleProbe(now, id, ok, nil))
 }
 
 // deliver tells waiting grants what became of them.
--- a/daemon/edge/runner_health.go
+++ b/daemon/edge/runner_health.go
@@ -45,7 +45,7 @@
 	c := health.Default()
 	// Requests are limited to seconds, so an ejected runner must be retried within seconds,
 	// too.
-	c.Ejection = time.Second
+	c.FirstEjection = time.Second
 	c.MaxEjection = 8 * time.Second
 	c.Window = 3 * time.Second
 	// A working runner answers its health check within milliseconds.
@@ -59,7 +59,7 @@
 		return
 	}
 	p.mu.Lock()
-	effects := p.tracker.Observe(time.Now(), id, o, nil)
+	effects := p.tracker.HandleOutcome(time.Now(), id, o, nil)
 	p.mu.Unlock()
 	p.applyHealthEffects(effects)
 }
@@ -94,7 +94,7 @@
 	defer cancel()
 	healthy := ok && p.edge.deps.Runners.Healthy(ctx, r.Address, path, id)
 	p.mu.Lock()
-	effects := p.tracker.Probed(time.Now(), id, healthy, nil)
+	effects := p.tracker.HandleProbe(time.Now(), id, healthy, nil)
 	p.mu.Unlock()
 	if !healthy {
 		p.abandonAttempts(id)
--- a/daemon/services/services.go
+++ b/daemon/services/services.go
@@ -158,7 +158,7 @@
 		err := s.cfg.Probe(ctx, address)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.carryOut(name, v, v.health.Probed(time.Now(), id, err == nil, nil))
+		s.carryOut(name, v, v.health.HandleProbe(time.Now(), id, err == nil, nil))
 	})
 }
 
@@ -381,7 +381,7 @@
 	if !tells {
 		return
 	}
-	s.carryOut(name, v, v.health.Observe(time.Now(), id, outcomeOf(f), nil))
+	s.carryOut(name, v, v.health.HandleOutcome(time.Now(), id, outcomeOf(f), nil))
 }
 
 func outcomeOf(f *failure) health.Outcome {
