--- a/bench/overload/gateway.go
+++ b/bench/overload/gateway.go
@@ -127,7 +127,7 @@
 
 // used tells the planner of an attempt that begins or ends.
 func (g *gateway) used(engine int) {
-	g.planner.Used(polling.Target{Service: service, Runner: runnerID(engine)})
+	g.planner.RecordUse(polling.Target{Service: service, Runner: runnerID(engine)})
 }
 
 // report takes in what an engine published.
--- a/bench/overload/run.go
+++ b/bench/overload/run.go
@@ -147,7 +147,7 @@
 		result.EventBytes = eventPageBytes + eventBytes*len(events.Events)
 	}
 	g.bytes += result.LoadBytes + result.EventBytes
-	g.planner.Done(r.now, read, result)
+	g.planner.HandleResult(r.now, read, result)
 }
 
 func (r *run) tick() {
--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -26,31 +26,31 @@
 	// IdleInterval is the same while this daemon has used no target for IdleAfter.
 	IdleInterval time.Duration
 	IdleAfter    time.Duration
-	// ReadBytes is taken for the size of a load report until one was read.
-	ReadBytes float64
-	// Savings is how long an unused budget is kept.
-	Savings time.Duration
-	// EventsPause is how long a target's cache events are left alone after a
+	// InitialReadBytes is taken for the size of a load report until one was read.
+	InitialReadBytes float64
+	// MaxSaved is how long an unused budget is kept.
+	MaxSaved time.Duration
+	// EventsBackoff is how long a target's cache events are left alone after a
 	// page that did not follow the last one; it doubles up to EventsPauseMost.
-	EventsPause     time.Duration
-	EventsPauseMost time.Duration
+	EventsBackoff    time.Duration
+	MaxEventsBackoff time.Duration
 }
 
 // Default returns the settings in use.
 func Default() Config {
 	return Config{
-		Interval:        500 * time.Millisecond,
-		IdleInterval:    2 * time.Second,
-		IdleAfter:       5 * time.Second,
-		ReadBytes:       600,
-		Savings:         time.Second,
-		EventsPause:     10 * time.Minute,
-		EventsPauseMost: time.Hour,
+		Interval:         500 * time.Millisecond,
+		IdleInterval:     2 * time.Second,
+		IdleAfter:        5 * time.Second,
+		InitialReadBytes: 600,
+		MaxSaved:         time.Second,
+		EventsBackoff:    10 * time.Minute,
+		MaxEventsBackoff: time.Hour,
 	}
 }
 
-// meanWeight is the weight of the newest report in the mean size.
-const meanWeight = 0.1
+// meanGain is the weight of the newest report in the mean size.
+const meanGain = 0.1
 
 // Read is one read to make: a load report, and a page of cache events if asked.
 type Read struct {
@@ -68,12 +68,12 @@
 }
 
 type target struct {
-	reading bool
-	last    time.Time
+	reading  bool
+	lastRead time.Time
 	// used counts the own attempts that began or ended since the last read.
-	used        int
-	eventsAfter time.Time
-	pause       time.Duration
+	used          int
+	eventsAfter   time.Time
+	eventsBackoff time.Duration
 }
 
 // Planner holds one daemon's budget and targets. It is not safe for concurrent
@@ -82,13 +82,13 @@
 	cfg     Config
 	budget  float64
 	targets map[Target]*target
-	// credit is what load reports may use now, events what cache events may, in
+	// loadCredit is what load reports may use now, events what cache events may, in
 	// bytes; a read that took more than was there leaves a debt.
-	credit  float64
-	events  float64
-	filled  time.Time
-	mean    float64
-	started bool
+	loadCredit    float64
+	eventCredit   float64
+	filledAt      time.Time
+	meanReadBytes float64
+	started       bool
 	// used is set by Used until the next look, which gives it its time.
 	used     bool
 	lastUsed time.Time
@@ -96,12 +96,12 @@
 
 // New returns a planner without targets and without a budget.
 func New(cfg Config) *Planner {
-	return &Planner{cfg: cfg, targets: map[Target]*target{}, mean: cfg.ReadBytes}
+	return &Planner{cfg: cfg, targets: map[Target]*target{}, meanReadBytes: cfg.InitialReadBytes}
 }
 
 // SetBudget sets the bytes a second that all reads together may take.
 func (p *Planner) SetBudget(now time.Time, bytesPerSecond float64) {
-	p.fill(now)
+	p.addCredit(now)
 	p.budget = bytesPerSecond
 }
 
@@ -112,7 +112,7 @@
 		t := Target{service, id}
 		listed[t] = true
 		if p.targets[t] == nil {
-			p.targets[t] = &target{pause: p.cfg.EventsPause}
+			p.targets[t] = &target{eventsBackoff: p.cfg.EventsBackoff}
 		}
 	}
 	for t := range p.targets {
@@ -122,53 +122,53 @@
 	}
 }
 
-// Used counts an own attempt that began or ended at a target: what is known of
+// RecordUse counts an own attempt that began or ended at a target: what is known of
 // its load is older than it seems.
-func (p *Planner) Used(t Target) {
+func (p *Planner) RecordUse(t Target) {
 	p.used = true
 	if s := p.targets[t]; s != nil {
 		s.used++
 	}
 }
 
-// fill adds what the budget gave since the last call. What load reports do not
+// addCredit adds what the budget gave since the last call. What load reports do not
 // use up goes to cache events, whose debt is their own: a large page must not
 // hold up the load reports.
-func (p *Planner) fill(now time.Time) {
+func (p *Planner) addCredit(now time.Time) {
 	if !p.started {
-		p.started, p.filled, p.lastUsed = true, now, now
+		p.started, p.filledAt, p.lastUsed = true, now, now
 	}
-	p.credit += p.budget * max(0, now.Sub(p.filled).Seconds())
-	p.filled = now
-	most := max(p.budget*p.cfg.Savings.Seconds(), p.mean)
-	if p.credit > most {
-		p.events = min(p.events+p.credit-most, most)
-		p.credit = most
+	p.loadCredit += p.budget * max(0, now.Sub(p.filledAt).Seconds())
+	p.filledAt = now
+	limit := max(p.budget*p.cfg.MaxSaved.Seconds(), p.meanReadBytes)
+	if p.loadCredit > limit {
+		p.eventCredit = min(p.eventCredit+p.loadCredit-limit, limit)
+		p.loadCredit = limit
 	}
 }
 
 // Next returns a read to make now, or else how long to wait before asking again.
 func (p *Planner) Next(now time.Time) (read Read, wait time.Duration, ok bool) {
-	p.fill(now)
-	if p.credit < p.mean {
-		return Read{}, p.untilCredit(), false
+	p.addCredit(now)
+	if p.loadCredit < p.meanReadBytes {
+		return Read{}, p.waitForCredit(), false
 	}
 	next, wait := p.mostUrgent(now)
 	if next == (Target{}) {
 		return Read{}, wait, false
 	}
 	s := p.targets[next]
-	s.reading, s.last, s.used = true, now, 0
-	p.credit -= p.mean
-	events := p.events > 0 && !now.Before(s.eventsAfter)
-	return Read{Target: next, Events: events, charge: p.mean}, 0, true
+	s.reading, s.lastRead, s.used = true, now, 0
+	p.loadCredit -= p.meanReadBytes
+	events := p.eventCredit > 0 && !now.Before(s.eventsAfter)
+	return Read{Target: next, Events: events, charge: p.meanReadBytes}, 0, true
 }
 
-func (p *Planner) untilCredit() time.Duration {
+func (p *Planner) waitForCredit() time.Duration {
 	if p.budget <= 0 {
 		return p.cfg.Interval
 	}
-	seconds := (p.mean - p.credit) / p.budget
+	seconds := (p.meanReadBytes - p.loadCredit) / p.budget
 	return min(p.cfg.Interval, time.Duration(math.Ceil(seconds*float64(time.Second))))
 }
 
@@ -180,7 +180,7 @@
 	interval := p.interval(now)
 	most := -1.0
 	for t, s := range p.targets {
-		age := now.Sub(s.last)
+		age := now.Sub(s.lastRead)
 		switch {
 		case s.reading:
 			continue
@@ -189,7 +189,7 @@
 			continue
 		}
 		urgency := age.Seconds() * float64(1+s.used)
-		if urgency > most || urgency == most && before(t, best) {
+		if urgency > most || urgency == most && less(t, best) {
 			best, most = t, urgency
 		}
 	}
@@ -208,41 +208,41 @@
 	return p.cfg.Interval
 }
 
-// before orders equally urgent targets, so that runs repeat.
-func before(a, b Target) bool {
+// less orders equally urgent targets, so that runs repeat.
+func less(a, b Target) bool {
 	if a.Service != b.Service {
 		return a.Service < b.Service
 	}
 	return a.Runner < b.Runner
 }
 
-// Done charges a read for what it took.
-func (p *Planner) Done(now time.Time, read Read, result Result) {
-	p.fill(now)
+// HandleResult charges a read for what it took.
+func (p *Planner) HandleResult(now time.Time, read Read, result Result) {
+	p.addCredit(now)
 	if result.LoadBytes > 0 {
-		p.credit += read.charge - float64(result.LoadBytes)
-		p.mean += meanWeight * (float64(result.LoadBytes) - p.mean)
+		p.loadCredit += read.charge - float64(result.LoadBytes)
+		p.meanReadBytes += meanGain * (float64(result.LoadBytes) - p.meanReadBytes)
 	}
-	p.events -= float64(result.EventBytes)
+	p.eventCredit -= float64(result.EventBytes)
 	s := p.targets[read.Target]
 	if s == nil {
 		return
 	}
 	s.reading = false
 	if read.Events {
-		p.paceEvents(now, s, result.Gap)
+		p.delayEvents(now, s, result.Gap)
 	}
 }
 
-// paceEvents leaves a target's cache events alone for a while after a gap.
+// delayEvents leaves a target's cache events alone for a while after a gap.
 // Guards against events that come faster than the budget reads them: each page
 // would be followed by a gap, at which the index drops all that it knows of the
 // runner, what this gateway itself sent there included.
-func (p *Planner) paceEvents(now time.Time, s *target, gap bool) {
+func (p *Planner) delayEvents(now time.Time, s *target, gap bool) {
 	if !gap {
-		s.pause = p.cfg.EventsPause
+		s.eventsBackoff = p.cfg.EventsBackoff
 		return
 	}
-	s.eventsAfter = now.Add(s.pause)
-	s.pause = min(2*s.pause, p.cfg.EventsPauseMost)
+	s.eventsAfter = now.Add(s.eventsBackoff)
+	s.eventsBackoff = min(2*s.eventsBackoff, p.cfg.MaxEventsBackoff)
 }
--- a/coordination/polling/polling_test.go
+++ b/coordination/polling/polling_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func names(n int) []ident.RunnerID {
+func runnerIDs(n int) []ident.RunnerID {
 	ids := make([]ident.RunnerID, n)
 	for i := range ids {
 		ids[i] = ident.RunnerID('a' + rune(i))
@@ -20,9 +20,9 @@
 	return ids
 }
 
-// play makes the planner's reads for a while in steps of 10 ms; the bytes of
+// runReads makes the planner's reads for a while in steps of 10 ms; the bytes of
 // each are drawn by size. It returns the bytes and the reads of each target.
-func play(p *Planner, span time.Duration, size func(Read) Result) (bytes int, reads map[Target]int) {
+func runReads(p *Planner, span time.Duration, size func(Read) Result) (bytes int, reads map[Target]int) {
 	reads = map[Target]int{}
 	for at := time.Duration(0); at < span; at += 10 * time.Millisecond {
 		now := epoch.Add(at)
@@ -30,7 +30,7 @@
 			result := size(read)
 			bytes += result.LoadBytes + result.EventBytes
 			reads[read.Target]++
-			p.Done(now, read, result)
+			p.HandleResult(now, read, result)
 		}
 	}
 	return bytes, reads
@@ -38,16 +38,16 @@
 
 // A daemon gets more services and runners, and its reads crowd out the
 // heartbeats and the callers' own traffic: only the budget may decide.
-func TestReadsKeepTheBudget(t *testing.T) {
+func TestReadsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.Float64Range(1000, 100_000).Draw(t, "budget")
 		p := New(Default())
 		p.SetBudget(epoch, budget)
 		for i := range rapid.IntRange(1, 4).Draw(t, "services") {
-			p.SetTargets(string(rune('a'+i)), names(rapid.IntRange(1, 64).Draw(t, "runners")))
+			p.SetTargets(string(rune('a'+i)), runnerIDs(rapid.IntRange(1, 64).Draw(t, "runners")))
 		}
 		largest := 0
-		bytes, _ := play(p, time.Minute, func(r Read) Result {
+		bytes, _ := runReads(p, time.Minute, func(r Read) Result {
 			result := Result{LoadBytes: rapid.IntRange(300, 1500).Draw(t, "load")}
 			if r.Events {
 				result.EventBytes = rapid.IntRange(400, 30_000).Draw(t, "events")
@@ -63,15 +63,15 @@
 	})
 }
 
-func TestUsedRunnersFirstButAllInTheEnd(t *testing.T) {
+func TestUsedRunnersAreReadMoreOften(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
 	p.SetBudget(epoch, 3000)
-	p.SetTargets("llm", names(64))
+	p.SetTargets("llm", runnerIDs(64))
 	busy := Target{"llm", "a"}
-	_, reads := play(p, time.Minute, func(r Read) Result {
+	_, reads := runReads(p, time.Minute, func(r Read) Result {
 		for range 8 {
-			p.Used(busy)
+			p.RecordUse(busy)
 		}
 		return Result{LoadBytes: 600}
 	})
@@ -83,13 +83,13 @@
 
 // Cache events come faster than the budget reads them: each page would follow a
 // gap, and the index would drop what it knows of the runner time and again.
-func TestEventsAreLeftAloneAfterGaps(t *testing.T) {
+func TestEventsAreDelayedAfterGaps(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
 	p.SetBudget(epoch, 256_000)
-	p.SetTargets("llm", names(1))
+	p.SetTargets("llm", runnerIDs(1))
 	pages := 0
-	play(p, time.Hour, func(r Read) Result {
+	runReads(p, time.Hour, func(r Read) Result {
 		if r.Events {
 			pages++
 		}
@@ -100,17 +100,17 @@
 
 // A daemon without callers reads all its runners twice a second, which costs it
 // more than its heartbeats. Its first request must end the rest.
-func TestReadsRestWhileNothingIsRouted(t *testing.T) {
+func TestReadsSlowDownWhileIdle(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
 	p.SetBudget(epoch, 1e6)
-	p.SetTargets("llm", names(16))
+	p.SetTargets("llm", runnerIDs(16))
 	count := func(from, to time.Duration) int {
 		n := 0
 		for at := from; at < to; at += 10 * time.Millisecond {
 			for read, _, ok := p.Next(epoch.Add(at)); ok; read, _, ok = p.Next(epoch.Add(at)) {
 				n++
-				p.Done(epoch.Add(at), read, Result{LoadBytes: 500})
+				p.HandleResult(epoch.Add(at), read, Result{LoadBytes: 500})
 			}
 		}
 		return n
@@ -118,7 +118,7 @@
 	busy := count(0, 4*time.Second)
 	count(4*time.Second, 10*time.Second)
 	idle := count(10*time.Second, 14*time.Second)
-	p.Used(Target{"llm", "a"})
+	p.RecordUse(Target{"llm", "a"})
 	again := count(14*time.Second, 18*time.Second)
 	is.True(idle*3 < busy)
 	is.True(again > idle*2)
--- a/daemon/dispatch/poll.go
+++ b/daemon/dispatch/poll.go
@@ -36,7 +36,7 @@
 func (d *Dispatcher) used(s *service, id ident.RunnerID) {
 	d.pollMu.Lock()
 	defer d.pollMu.Unlock()
-	d.planner.Used(polling.Target{Service: s.name, Runner: id})
+	d.planner.RecordUse(polling.Target{Service: s.name, Runner: id})
 }
 
 // poll makes the planner's reads until ctx ends. A slow read holds up no other.
@@ -73,7 +73,7 @@
 	d.cfg.countBy(read.Target.Service, "polls.event_bytes", result.EventBytes)
 	d.pollMu.Lock()
 	defer d.pollMu.Unlock()
-	d.planner.Done(time.Now(), read, result)
+	d.planner.HandleResult(time.Now(), read, result)
 }
 
 // read reads a runner's load, and its cache events if the budget has room for
