--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -69,8 +69,8 @@
 	// MaxLoads bounds the loads at once of the planner's runners. The weight
 	// store paces all planners together by its rate limit; see Defer.
 	MaxLoads int
-	// Repeat is how long an order may stay without effect in the reports.
-	Repeat time.Duration
+	// RepeatAfter is how long an order may stay without effect in the reports.
+	RepeatAfter time.Duration
 	// FirstBackoff after a failed load; it doubles up to MaxBackoff.
 	FirstBackoff time.Duration
 	MaxBackoff   time.Duration
@@ -81,32 +81,32 @@
 	return Limits{
 		MaxLoadingShare: 0.25,
 		MaxLoads:        8,
-		Repeat:          30 * time.Second,
+		RepeatAfter:     30 * time.Second,
 		FirstBackoff:    5 * time.Second,
 		MaxBackoff:      5 * time.Minute,
 	}
 }
 
-// sent is what the reports can't show yet of an order.
-type sent struct {
-	// at is when the runner took it; zero if it did not.
-	at       time.Duration
-	failures int
-	// until is when it may be given again.
-	until time.Duration
+// orderState is what the reports can't show yet of an order.
+type orderState struct {
+	// acceptedAt is when the runner took it; zero if it did not.
+	acceptedAt time.Duration
+	failures   int
+	// retryAt is when it may be given again.
+	retryAt time.Duration
 }
 
 // Planner plans for the runners of one service. It is not safe for concurrent
 // use.
 type Planner struct {
 	limits Limits
-	orders map[Order]*sent
+	orders map[Order]*orderState
 	// role is what the runners should be; empty leaves them as they are.
 	role string
 }
 
 // New returns a planner that remembers no orders.
-func New(l Limits) *Planner { return &Planner{limits: l, orders: map[Order]*sent{}} }
+func New(l Limits) *Planner { return &Planner{limits: l, orders: map[Order]*orderState{}} }
 
 const adapterSeparator = "@"
 
@@ -154,80 +154,80 @@
 	return out
 }
 
-// Failed tells that a runner refused an order or failed at it.
-func (p *Planner) Failed(now time.Duration, o Order) {
-	s := p.record(o)
+// HandleFailure tells that a runner refused an order or failed at it.
+func (p *Planner) HandleFailure(now time.Duration, o Order) {
+	s := p.stateOf(o)
 	wait := p.limits.FirstBackoff << min(s.failures, 16)
 	s.failures++
-	s.until = now + min(wait, p.limits.MaxBackoff)
-	s.at = 0
+	s.retryAt = now + min(wait, p.limits.MaxBackoff)
+	s.acceptedAt = 0
 }
 
 // Defer tells that an order was not sent and is to wait, as for the weight
 // store's rate limit. It counts as no failure.
 func (p *Planner) Defer(now time.Duration, o Order, wait time.Duration) {
-	s := p.record(o)
-	s.until = now + wait
-	s.at = 0
+	s := p.stateOf(o)
+	s.retryAt = now + wait
+	s.acceptedAt = 0
 }
 
-// Waiting tells whether the reports don't show all orders as done yet.
-func (p *Planner) Waiting() bool { return len(p.orders) > 0 }
+// Pending tells whether the reports don't show all orders as done yet.
+func (p *Planner) Pending() bool { return len(p.orders) > 0 }
 
 // Plan returns the orders to give now. models are those of the service and
 // runners its live ones that have reported.
 func (p *Planner) Plan(now time.Duration, models []manifest.Model, runners []Runner) []Order {
-	t := newTurn(p, now, models, runners)
-	t.forget()
-	t.roles()
+	t := newPlanning(p, now, models, runners)
+	t.dropObsoleteOrders()
+	t.changeRoles()
 	t.load()
 	t.unload()
-	for _, o := range t.out {
-		p.note(now, o)
+	for _, o := range t.orders {
+		p.recordSent(now, o)
 	}
-	return t.out
+	return t.orders
 }
 
 // SetRole says what the runners' engines should be; empty, as at the start,
 // leaves them as they are.
 func (p *Planner) SetRole(role string) { p.role = role }
 
-func (p *Planner) record(o Order) *sent {
+func (p *Planner) stateOf(o Order) *orderState {
 	s, ok := p.orders[o]
 	if !ok {
-		s = &sent{}
+		s = &orderState{}
 		p.orders[o] = s
 	}
 	return s
 }
 
-func (p *Planner) note(now time.Duration, o Order) {
-	s := p.record(o)
-	s.at = now
-	s.until = now + p.limits.Repeat
+func (p *Planner) recordSent(now time.Duration, o Order) {
+	s := p.stateOf(o)
+	s.acceptedAt = now
+	s.retryAt = now + p.limits.RepeatAfter
 }
 
-// turn is the work of one Plan.
-type turn struct {
+// planning is the work of one Plan.
+type planning struct {
 	p       *Planner
 	now     time.Duration
 	models  []manifest.Model
 	runners []Runner
 	// targets holds a map for each of models.
-	targets []map[ident.RunnerID]string
-	busy    map[ident.RunnerID]bool
-	out     []Order
+	targets  []map[ident.RunnerID]string
+	changing map[ident.RunnerID]bool
+	orders   []Order
 }
 
-func newTurn(p *Planner, now time.Duration, models []manifest.Model, runners []Runner) *turn {
-	t := &turn{p: p, now: now, runners: runners, busy: map[ident.RunnerID]bool{}}
+func newPlanning(p *Planner, now time.Duration, models []manifest.Model, runners []Runner) *planning {
+	t := &planning{p: p, now: now, runners: runners, changing: map[ident.RunnerID]bool{}}
 	t.models = slices.Clone(models)
 	slices.SortStableFunc(t.models, func(a, b manifest.Model) int { return cmp.Compare(b.Priority, a.Priority) })
 	ids := make([]ident.RunnerID, 0, len(runners))
 	for _, r := range runners {
 		ids = append(ids, r.ID)
 		if anyLoading(r) {
-			t.busy[r.ID] = true
+			t.changing[r.ID] = true
 		}
 	}
 	for i := range t.models {
@@ -240,20 +240,20 @@
 	return slices.ContainsFunc(r.Loaded, func(l Loaded) bool { return l.Loading })
 }
 
-// forget drops orders that the reports show as done, or whose runner has gone;
+// dropObsoleteOrders drops orders that the reports show as done, or whose runner has gone;
 // the others keep their runner busy until they are due again.
-func (t *turn) forget() {
+func (t *planning) dropObsoleteOrders() {
 	reported := map[ident.RunnerID]Runner{}
 	for _, r := range t.runners {
 		reported[r.ID] = r
 	}
 	for o, s := range t.p.orders {
 		r, ok := reported[o.Runner]
-		if !ok || o.Kind == Load && holds(r, o.Model, o.Version, o.Adapter) {
+		if !ok || o.Kind == Load && hasLoaded(r, o.Model, o.Version, o.Adapter) {
 			delete(t.p.orders, o)
 			continue
 		}
-		if o.Kind == Unload && !holds(r, o.Model, o.Version, o.Adapter) {
+		if o.Kind == Unload && !hasLoaded(r, o.Model, o.Version, o.Adapter) {
 			delete(t.p.orders, o)
 			continue
 		}
@@ -261,13 +261,13 @@
 			delete(t.p.orders, o)
 			continue
 		}
-		if o.Kind != Unload && s.at != 0 && t.now < s.until {
-			t.busy[o.Runner] = true
+		if o.Kind != Unload && s.acceptedAt != 0 && t.now < s.retryAt {
+			t.changing[o.Runner] = true
 		}
 	}
 }
 
-func holds(r Runner, model, version, adapter string) bool {
+func hasLoaded(r Runner, model, version, adapter string) bool {
 	for _, l := range r.Loaded {
 		if l.Model != model || l.Version != version || l.Loading {
 			continue
@@ -283,7 +283,7 @@
 	return slices.ContainsFunc(r.Loaded, func(l Loaded) bool { return l.Model == model && !l.Loading })
 }
 
-func (t *turn) load() {
+func (t *planning) load() {
 	for i := range t.models {
 		t.loadModel(&t.models[i], t.targets[i])
 	}
@@ -291,115 +291,115 @@
 
 // loadModel starts with runners that serve no version yet, which adds capacity,
 // then replaces versions on a few at a time, which costs some.
-func (t *turn) loadModel(m *manifest.Model, targets map[ident.RunnerID]string) {
-	var fresh, stale []Order
+func (t *planning) loadModel(m *manifest.Model, targets map[ident.RunnerID]string) {
+	var adding, replacing []Order
 	for _, r := range t.runners {
-		o, needed := next(m, targets[r.ID], r)
+		o, needed := firstMissing(m, targets[r.ID], r)
 		if !needed {
 			continue
 		}
 		if serves(r, m.Name) {
-			stale = append(stale, o)
+			replacing = append(replacing, o)
 			continue
 		}
-		fresh = append(fresh, o)
+		adding = append(adding, o)
 	}
-	for _, o := range fresh {
-		t.try(o, t.p.limits.MaxLoads)
+	for _, o := range adding {
+		t.addIfAllowed(o, t.p.limits.MaxLoads)
 	}
-	for _, o := range stale {
-		t.try(o, t.replacing())
+	for _, o := range replacing {
+		t.addIfAllowed(o, t.maxConcurrentChanges())
 	}
 }
 
-// replacing is how many runners may change at once what they serve by.
-func (t *turn) replacing() int {
+// maxConcurrentChanges is how many runners may change at once what they serve by.
+func (t *planning) maxConcurrentChanges() int {
 	share := int(t.p.limits.MaxLoadingShare * float64(len(t.runners)))
 	return min(t.p.limits.MaxLoads, max(share, 1))
 }
 
-// roles changes a few runners at a time: an engine may take no work while it
+// changeRoles changes a few runners at a time: an engine may take no work while it
 // changes.
-func (t *turn) roles() {
+func (t *planning) changeRoles() {
 	if t.p.role == "" {
 		return
 	}
 	for _, r := range t.runners {
 		if r.Role != t.p.role {
-			t.try(Order{Runner: r.ID, Kind: Role, Role: t.p.role}, t.replacing())
+			t.addIfAllowed(Order{Runner: r.ID, Kind: Role, Role: t.p.role}, t.maxConcurrentChanges())
 		}
 	}
 }
 
-// next is the first thing that the runner lacks of the model.
-func next(m *manifest.Model, version string, r Runner) (Order, bool) {
+// firstMissing is the first thing that the runner lacks of the model.
+func firstMissing(m *manifest.Model, version string, r Runner) (Order, bool) {
 	o := Order{Runner: r.ID, Kind: Load, Model: m.Name, Version: version}
-	if !holds(r, m.Name, version, "") {
+	if !hasLoaded(r, m.Name, version, "") {
 		return o, true
 	}
 	for _, a := range m.Adapters {
 		o.Adapter = AdapterID(a)
-		if !holds(r, m.Name, version, o.Adapter) {
+		if !hasLoaded(r, m.Name, version, o.Adapter) {
 			return o, true
 		}
 	}
 	return Order{}, false
 }
 
-func (t *turn) try(o Order, limit int) {
-	if t.busy[o.Runner] || len(t.busy) >= limit || t.waiting(o) {
+func (t *planning) addIfAllowed(o Order, limit int) {
+	if t.changing[o.Runner] || len(t.changing) >= limit || t.delayed(o) {
 		return
 	}
-	t.busy[o.Runner] = true
-	t.out = append(t.out, o)
+	t.changing[o.Runner] = true
+	t.orders = append(t.orders, o)
 }
 
-func (t *turn) waiting(o Order) bool {
+func (t *planning) delayed(o Order) bool {
 	s, ok := t.p.orders[o]
-	return ok && t.now < s.until
+	return ok && t.now < s.retryAt
 }
 
 // unload frees what no manifest wants, but an old version of a wanted model or
 // adapter only after the runner serves the new one: a failed load must not
 // leave a runner with nothing to serve.
-func (t *turn) unload() {
+func (t *planning) unload() {
 	for _, r := range t.runners {
 		for _, l := range r.Loaded {
 			if l.Loading {
 				continue
 			}
-			t.unloadLeftovers(r, l)
+			t.unloadUnwanted(r, l)
 		}
 	}
 }
 
-func (t *turn) unloadLeftovers(r Runner, l Loaded) {
+func (t *planning) unloadUnwanted(r Runner, l Loaded) {
 	o := Order{Runner: r.ID, Kind: Unload, Model: l.Model, Version: l.Version}
 	i := slices.IndexFunc(t.models, func(m manifest.Model) bool { return m.Name == l.Model })
 	if i < 0 {
-		t.give(o)
+		t.addOrder(o)
 		return
 	}
 	m := &t.models[i]
 	target := t.targets[i][r.ID]
 	if l.Version != target {
 		// With adapters missing, the new version can't take over all requests.
-		if _, lacks := next(m, target, r); !lacks {
-			t.give(o)
+		if _, lacks := firstMissing(m, target, r); !lacks {
+			t.addOrder(o)
 		}
 		return
 	}
 	for _, adapter := range l.Adapters {
-		if !keepsAdapter(m, l, adapter) {
+		if !adapterNeeded(m, l, adapter) {
 			o.Adapter = adapter
-			t.give(o)
+			t.addOrder(o)
 		}
 	}
 }
 
-// keepsAdapter tells whether an adapter is wanted, or serves its name until the
+// adapterNeeded tells whether an adapter is wanted, or serves its name until the
 // wanted version of it does.
-func keepsAdapter(m *manifest.Model, l Loaded, adapter string) bool {
+func adapterNeeded(m *manifest.Model, l Loaded, adapter string) bool {
 	name, _ := SplitAdapterID(adapter)
 	for _, a := range m.Adapters {
 		if a.Name == name {
@@ -409,8 +409,8 @@
 	return false
 }
 
-func (t *turn) give(o Order) {
-	if !t.waiting(o) {
-		t.out = append(t.out, o)
+func (t *planning) addOrder(o Order) {
+	if !t.delayed(o) {
+		t.orders = append(t.orders, o)
 	}
 }
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -47,7 +47,7 @@
 	return out
 }
 
-func (f *fleet) obey(now time.Duration, o rollout.Order) {
+func (f *fleet) execute(now time.Duration, o rollout.Order) {
 	if o.Kind == rollout.Load {
 		f.loading[o] = now + 10*time.Second
 		return
@@ -95,10 +95,10 @@
 			f.advance(now)
 			for _, o := range p.Plan(now, models, f.report()) {
 				if rapid.IntRange(0, 9).Draw(rt, "fails") == 0 {
-					p.Failed(now, o)
+					p.HandleFailure(now, o)
 					continue
 				}
-				f.obey(now, o)
+				f.execute(now, o)
 			}
 			if len(f.loading) > max(1, n/4) {
 				rt.Fatalf("%d of %d runners load at once", len(f.loading), n)
@@ -115,7 +115,7 @@
 	})
 }
 
-func TestCanaryShareStaysPut(t *testing.T) {
+func TestCanaryShareIsStable(t *testing.T) {
 	is := is.New(t)
 	m := &manifest.Model{Name: "m", Version: "1", Canary: &manifest.Canary{Version: "2", Share: 0.25}}
 	f := newFleet(12, "")
@@ -146,7 +146,7 @@
 	for now := time.Second; now < time.Hour; now += time.Second {
 		for _, o := range p.Plan(now, models, f.report()) {
 			tries++
-			p.Failed(now, o)
+			p.HandleFailure(now, o)
 		}
 	}
 	is.True(tries >= 10 && tries <= 20)
@@ -156,7 +156,7 @@
 // An operator changes an adapter's version. Callers name the adapter alone, so
 // the old version must go, or answers come from either; but not before the new
 // one serves, or they are refused.
-func TestOldAdapterGoesAfterNewOneServes(t *testing.T) {
+func TestOldAdapterIsUnloadedAfterNewOneServes(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
 	models := []manifest.Model{{Name: "m", Version: "1", Adapters: []manifest.Adapter{{Name: "a", Version: "2"}}}}
@@ -176,22 +176,22 @@
 
 // A runner has the new version of a model but not its adapters yet. Requests
 // for an adapter go to the old version, which must stay until they are there.
-func TestOldVersionStaysUntilAdaptersAreThere(t *testing.T) {
+func TestOldVersionStaysUntilAdaptersAreLoaded(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
 	models := []manifest.Model{{Name: "m", Version: "2", Adapters: []manifest.Adapter{{Name: "a", Version: "1"}}}}
 	old := rollout.Loaded{Model: "m", Version: "1", Adapters: []string{"a@1"}}
-	bare := []rollout.Runner{{ID: "r", Loaded: []rollout.Loaded{old, {Model: "m", Version: "2"}}}}
-	whole := []rollout.Runner{{ID: "r", Loaded: []rollout.Loaded{old, {Model: "m", Version: "2", Adapters: []string{"a@1"}}}}}
-	orders := p.Plan(time.Second, models, bare)
+	withoutAdapters := []rollout.Runner{{ID: "r", Loaded: []rollout.Loaded{old, {Model: "m", Version: "2"}}}}
+	complete := []rollout.Runner{{ID: "r", Loaded: []rollout.Loaded{old, {Model: "m", Version: "2", Adapters: []string{"a@1"}}}}}
+	orders := p.Plan(time.Second, models, withoutAdapters)
 	is.Equal(len(orders), 1)
 	is.Equal(orders[0].Kind, rollout.Load)
-	is.Equal(p.Plan(2*time.Second, models, whole), []rollout.Order{{Runner: "r", Kind: rollout.Unload, Model: "m", Version: "1"}})
+	is.Equal(p.Plan(2*time.Second, models, complete), []rollout.Order{{Runner: "r", Kind: rollout.Unload, Model: "m", Version: "1"}})
 }
 
 // The weight store asks for a pause. The load must go out when the pause is
 // over, not after a failure's growing wait, and must not hold its runner busy.
-func TestDeferredLoadIsNoFailure(t *testing.T) {
+func TestDeferredLoadDoesNotCountAsFailure(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
 	f := newFleet(1, "")
@@ -219,7 +219,7 @@
 
 // A role changes on all runners of a service. An engine may take no work while it
 // changes, so most must stay as they are until the first have changed.
-func TestRolesChangeAFewAtATime(t *testing.T) {
+func TestRolesChangeFewRunnersAtATime(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
 	p.SetRole("decode")
--- a/daemon/orders/rollout.go
+++ b/daemon/orders/rollout.go
@@ -95,7 +95,7 @@
 	for i, o := range orders {
 		r.learn(o, results[i])
 	}
-	return len(orders) == 0 && len(reports) == len(l.runners) && !r.planner.Waiting()
+	return len(orders) == 0 && len(reports) == len(l.runners) && !r.planner.Pending()
 }
 
 // runners lists the shard's live ones.
@@ -236,7 +236,7 @@
 	case errors.As(err, &notHeld):
 		r.planner.Defer(now, o, 0)
 	default:
-		r.planner.Failed(now, o)
+		r.planner.HandleFailure(now, o)
 	}
 }
 
