--- a/coordination/owners/owners.go
+++ b/coordination/owners/owners.go
@@ -27,12 +27,12 @@
 	domainScore uint64
 }
 
-// Issuing returns the daemons that issue tokens: limit of the live ones, or
+// Select returns the daemons that issue tokens: limit of the live ones, or
 // all if they are no more. Failure domains take turns, so that each holds an
 // equal share or all it has. One daemon that comes or goes changes at most one
 // other's place.
-func Issuing(daemons []view.Daemon, limit int) []view.Daemon {
-	list := live(daemons)
+func Select(daemons []view.Daemon, limit int) []view.Daemon {
+	list := liveCandidates(daemons)
 	rankWithinDomains(list)
 	slices.SortFunc(list, func(a, b candidate) int {
 		return cmp.Or(
@@ -48,7 +48,7 @@
 	return chosen
 }
 
-func live(daemons []view.Daemon) []candidate {
+func liveCandidates(daemons []view.Daemon) []candidate {
 	var list []candidate
 	for i := range daemons {
 		d := &daemons[i]
--- a/coordination/owners/owners_test.go
+++ b/coordination/owners/owners_test.go
@@ -36,7 +36,7 @@
 	return daemons, rapid.IntRange(1, 12).Draw(t, "limit")
 }
 
-func byDomain(daemons []view.Daemon) map[ident.FailureDomain]int {
+func countByDomain(daemons []view.Daemon) map[ident.FailureDomain]int {
 	counts := map[ident.FailureDomain]int{}
 	for _, d := range daemons {
 		counts[d.FailureDomain]++
@@ -44,27 +44,27 @@
 	return counts
 }
 
-func onlyLive(daemons []view.Daemon) []view.Daemon {
+func filterLive(daemons []view.Daemon) []view.Daemon {
 	return slices.DeleteFunc(slices.Clone(daemons), func(d view.Daemon) bool { return d.State != view.Live })
 }
 
 // The set is full, of live ones only, the same in any order of the directory,
 // and no domain holds two more than another that has daemons left.
-func TestIssuing(t *testing.T) {
+func TestSelect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		daemons, limit := drawFleet(t)
-		chosen := owners.Issuing(daemons, limit)
-		live := onlyLive(daemons)
+		chosen := owners.Select(daemons, limit)
+		live := filterLive(daemons)
 		is.Equal(len(chosen), min(limit, len(live)))
-		is.Equal(len(onlyLive(chosen)), len(chosen))
+		is.Equal(len(filterLive(chosen)), len(chosen))
 
 		shuffled := slices.Clone(daemons)
 		random := rand.New(rand.NewPCG(1, uint64(len(daemons))))
 		random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-		is.Equal(owners.Issuing(shuffled, limit), chosen)
+		is.Equal(owners.Select(shuffled, limit), chosen)
 
-		counts, available := byDomain(chosen), byDomain(live)
+		counts, available := countByDomain(chosen), countByDomain(live)
 		for a := range counts {
 			for b := range available {
 				if counts[b] < available[b] {
@@ -76,28 +76,28 @@
 }
 
 // One daemon that goes takes only its own place, which one other takes over.
-func TestIssuingIsStable(t *testing.T) {
+func TestSelectIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		daemons, limit := drawFleet(t)
-		before := owners.Issuing(daemons, limit)
+		before := owners.Select(daemons, limit)
 		i := rapid.IntRange(0, len(daemons)-1).Draw(t, "leaver")
-		leaver := daemons[i].Incarnation
+		leaving := daemons[i].Incarnation
 		daemons[i].State = view.Leaving
-		after := owners.Issuing(daemons, limit)
-		came := 0
+		after := owners.Select(daemons, limit)
+		added := 0
 		for _, d := range after {
 			if !owners.Contains(before, d.Incarnation) {
-				came++
+				added++
 			}
 		}
 		for _, d := range before {
-			is.True(d.Incarnation == leaver || owners.Contains(after, d.Incarnation))
+			is.True(d.Incarnation == leaving || owners.Contains(after, d.Incarnation))
 		}
-		if owners.Contains(before, leaver) {
-			is.True(came <= 1)
+		if owners.Contains(before, leaving) {
+			is.True(added <= 1)
 		} else {
-			is.Equal(came, 0)
+			is.Equal(added, 0)
 		}
 	})
 }
@@ -106,7 +106,7 @@
 func TestNearest(t *testing.T) {
 	is := is.New(t)
 	daemons := fleet(1800)
-	issuing := owners.Issuing(daemons, owners.DefaultMax)
+	issuing := owners.Select(daemons, owners.DefaultMax)
 	load := map[ident.DaemonID]int{}
 	for _, d := range daemons {
 		nearest := owners.Nearest(d, issuing)
@@ -131,6 +131,6 @@
 func BenchmarkIssuing(b *testing.B) {
 	daemons := fleet(1800)
 	for b.Loop() {
-		owners.Issuing(daemons, owners.DefaultMax)
+		owners.Select(daemons, owners.DefaultMax)
 	}
 }
--- a/daemon/actions/tokens.go
+++ b/daemon/actions/tokens.go
@@ -198,7 +198,7 @@
 
 func (s *Service) lookForToken(ctx context.Context) {
 	daemons := s.cfg.Directory.Daemons()
-	issuing := owners.Issuing(daemons, s.cfg.MaxTokenOwners)
+	issuing := owners.Select(daemons, s.cfg.MaxTokenOwners)
 	issuing = slices.DeleteFunc(issuing, s.drains)
 	if len(issuing) == 0 || owners.Contains(issuing, s.cfg.Self) {
 		s.tokens.issueOwn()
