--- a/coordination/prefill/prefill.go
+++ b/coordination/prefill/prefill.go
@@ -15,65 +15,65 @@
 import "time"
 
 const (
-	// shortPrompt is the tokens up to which the time is mostly the fixed part,
+	// maxShortPrompt is the tokens up to which the time is mostly the fixed part,
 	// longPrompt those from which it is mostly the reading.
-	shortPrompt = 500
-	longPrompt  = 2000
-	// mostAhead is the tokens that others may have to read before a prompt that
+	maxShortPrompt = 500
+	minLongPrompt  = 2000
+	// maxAheadShare is the tokens that others may have to read before a prompt that
 	// counts, as a part of its own.
-	mostAhead = 0.05
-	// quick is the part of the times that lie below an estimate.
-	quick = 0.3
-	// gain is the part of itself that an estimate may move by for each time seen.
-	gain = 0.06
-	// firstFixed stands in until short prompts have been timed.
-	firstFixed = 20 * time.Millisecond
+	maxAheadShare = 0.05
+	// targetQuantile is the part of the times that lie below an estimate.
+	targetQuantile = 0.3
+	// stepSize is the part of itself that an estimate may move by for each time seen.
+	stepSize = 0.06
+	// initialFixed stands in until short prompts have been timed.
+	initialFixed = 20 * time.Millisecond
 )
 
 // Sample is one time to first token.
 type Sample struct {
 	// Tokens were to be read, Ahead those of other requests before.
 	Tokens, Ahead int
-	Took          time.Duration
+	TTFT          time.Duration
 }
 
 // Model is what is known of a service's engines.
 type Model struct {
-	fixed    float64
-	perToken float64
+	fixedTime float64
+	perToken  float64
 }
 
 // New returns a model that takes engines to read rate tokens a second until some
 // have been timed.
 func New(rate float64) *Model {
-	return &Model{fixed: firstFixed.Seconds(), perToken: 1 / rate}
+	return &Model{fixedTime: initialFixed.Seconds(), perToken: 1 / rate}
 }
 
 // Rate is the prompt tokens that an engine reads in a second.
 func (m *Model) Rate() float64 { return 1 / m.perToken }
 
-// Fixed is the part of a time to first token that doesn't depend on the prompt.
-func (m *Model) Fixed() time.Duration { return time.Duration(m.fixed * float64(time.Second)) }
+// FixedTime is the part of a time to first token that doesn't depend on the prompt.
+func (m *Model) FixedTime() time.Duration { return time.Duration(m.fixedTime * float64(time.Second)) }
 
 // Observe takes a time in.
 func (m *Model) Observe(s Sample) {
-	if float64(s.Ahead) > mostAhead*float64(s.Tokens) {
+	if float64(s.Ahead) > maxAheadShare*float64(s.Tokens) {
 		return
 	}
-	took := s.Took.Seconds()
+	took := s.TTFT.Seconds()
 	switch {
-	case s.Tokens <= shortPrompt:
-		m.fixed = toQuick(m.fixed, took-float64(s.Tokens)*m.perToken)
-	case s.Tokens >= longPrompt:
-		m.perToken = toQuick(m.perToken, (took-m.fixed)/float64(s.Tokens))
+	case s.Tokens <= maxShortPrompt:
+		m.fixedTime = updateQuantile(m.fixedTime, took-float64(s.Tokens)*m.perToken)
+	case s.Tokens >= minLongPrompt:
+		m.perToken = updateQuantile(m.perToken, (took-m.fixedTime)/float64(s.Tokens))
 	}
 }
 
-// toQuick moves an estimate by steps whose sizes don't depend on the distance, so that
+// updateQuantile moves an estimate by steps whose sizes don't depend on the distance, so that
 // it rests where the quick part of the samples lies below it.
-func toQuick(estimate, sample float64) float64 {
+func updateQuantile(estimate, sample float64) float64 {
 	if sample > estimate {
-		return estimate * (1 + gain*quick)
+		return estimate * (1 + stepSize*targetQuantile)
 	}
-	return estimate / (1 + gain*(1-quick))
+	return estimate / (1 + stepSize*(1-targetQuantile))
 }
--- a/coordination/prefill/prefill_test.go
+++ b/coordination/prefill/prefill_test.go
@@ -22,28 +22,28 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (e *engine) teach(m *prefill.Model, prompts int) {
+func (e *engine) observe(m *prefill.Model, prompts int) {
 	for range prompts {
 		tokens := 1 + e.rng.IntN(8000)
-		m.Observe(prefill.Sample{Tokens: tokens, Took: e.time(tokens)})
+		m.Observe(prefill.Sample{Tokens: tokens, TTFT: e.time(tokens)})
 	}
 }
 
-func within(is *is.I, got, want, part float64) {
+func isWithin(is *is.I, got, want, part float64) {
 	is.Helper()
 	if got < want*(1-part) || got > want*(1+part) {
 		is.Equal(got, want)
 	}
 }
 
-func TestLearnsEnginesOfAnySpeed(t *testing.T) {
+func TestRateConvergesForAnyEngineSpeed(t *testing.T) {
 	is := is.New(t)
 	for _, rate := range []float64{8_000, 50_000, 200_000} {
 		e := &engine{rand.New(rand.NewPCG(1, 1)), 0.04, rate}
 		m := prefill.New(40_000)
-		e.teach(m, 600)
-		within(is, m.Rate(), rate, 0.15)
-		within(is, m.Fixed().Seconds(), 0.04, 0.25)
+		e.observe(m, 600)
+		isWithin(is, m.Rate(), rate, 0.15)
+		isWithin(is, m.FixedTime().Seconds(), 0.04, 0.25)
 	}
 }
 
@@ -52,20 +52,20 @@
 // knows, engines seem to be half or twice as fast as they are, and the fleet is made of
 // the wrong size for the next burst. What has work before it must not count, and a third
 // of strange times must not move the rest by much.
-func TestCountsThatAreOffTeachNothing(t *testing.T) {
+func TestWrongQueueCountsDoNotChangeRate(t *testing.T) {
 	is := is.New(t)
 	e := &engine{rand.New(rand.NewPCG(2, 1)), 0.03, 60_000}
 	m := prefill.New(40_000)
-	e.teach(m, 600)
+	e.observe(m, 600)
 	for i := range 600 {
 		tokens := 2000 + e.rng.IntN(6000)
-		m.Observe(prefill.Sample{Tokens: tokens, Ahead: 50_000, Took: e.time(tokens + 25_000)})
-		m.Observe(prefill.Sample{Tokens: tokens, Ahead: tokens, Took: e.time(2 * tokens)})
-		sample := prefill.Sample{Tokens: tokens, Took: e.time(tokens)}
+		m.Observe(prefill.Sample{Tokens: tokens, Ahead: 50_000, TTFT: e.time(tokens + 25_000)})
+		m.Observe(prefill.Sample{Tokens: tokens, Ahead: tokens, TTFT: e.time(2 * tokens)})
+		sample := prefill.Sample{Tokens: tokens, TTFT: e.time(tokens)}
 		if i%3 == 0 {
-			sample.Took *= time.Duration(10)
+			sample.TTFT *= time.Duration(10)
 		}
 		m.Observe(sample)
 	}
-	within(is, m.Rate(), 60_000, 0.25)
+	isWithin(is, m.Rate(), 60_000, 0.25)
 }
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -288,7 +288,7 @@
 		return
 	}
 	if c.FetchFrom == "" && p.edge.settings.Policy.Uses(LearnSpeed) {
-		p.prefillModel.Observe(prefill.Sample{Tokens: c.Uncached, Ahead: c.QueuedAhead, Took: took})
+		p.prefillModel.Observe(prefill.Sample{Tokens: c.Uncached, Ahead: c.QueuedAhead, TTFT: took})
 	}
 }
 
