--- a/coordination/servicetime/servicetime.go
+++ b/coordination/servicetime/servicetime.go
@@ -10,11 +10,11 @@
 import "time"
 
 const (
-	// gain is the weight of each answer.
-	gain = 0.03
-	// shortest and longest bound the mean.
-	shortest = time.Millisecond
-	longest  = 10 * time.Second
+	// weight is the weight of each answer.
+	weight = 0.03
+	// minMean and longest bound the mean.
+	minMean = time.Millisecond
+	maxMean = 10 * time.Second
 )
 
 // Mean is the mean service time of one service.
@@ -26,12 +26,12 @@
 // Observe takes in how long an answer took. running is what its runner had in progress when it
 // was sent there, places what it can work on at once: an answer that may have waited for a
 // place does not count.
-func (m *Mean) Observe(took time.Duration, running, places int) {
-	if running >= places {
+func (m *Mean) Observe(took time.Duration, running, slots int) {
+	if running >= slots {
 		return
 	}
-	m.mean += gain * (took.Seconds() - m.mean)
-	m.mean = min(max(m.mean, shortest.Seconds()), longest.Seconds())
+	m.mean += weight * (took.Seconds() - m.mean)
+	m.mean = min(max(m.mean, minMean.Seconds()), maxMean.Seconds())
 }
 
 // Seconds is the mean.
