--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -85,7 +85,7 @@
 	// loadCredit is what load reports may use now, events what cache events may, in
 	// bytes; a read that took more than was there leaves a debt.
 	loadCredit    float64
-	eventCredit   float64
+	events        float64
 	filledAt      time.Time
 	meanReadBytes float64
 	started       bool
@@ -142,7 +142,7 @@
 	p.filledAt = now
 	limit := max(p.budget*p.cfg.MaxSaved.Seconds(), p.meanReadBytes)
 	if p.loadCredit > limit {
-		p.eventCredit = min(p.eventCredit+p.loadCredit-limit, limit)
+		p.events = min(p.events+p.loadCredit-limit, limit)
 		p.loadCredit = limit
 	}
 }
@@ -160,7 +160,7 @@
 	s := p.targets[next]
 	s.reading, s.lastRead, s.used = true, now, 0
 	p.loadCredit -= p.meanReadBytes
-	events := p.eventCredit > 0 && !now.Before(s.eventsAfter)
+	events := p.events > 0 && !now.Before(s.eventsAfter)
 	return Read{Target: next, Events: events, charge: p.meanReadBytes}, 0, true
 }
 
@@ -223,7 +223,7 @@
 		p.loadCredit += read.charge - float64(result.LoadBytes)
 		p.meanReadBytes += meanGain * (float64(result.LoadBytes) - p.meanReadBytes)
 	}
-	p.eventCredit -= float64(result.EventBytes)
+	p.events -= float64(result.EventBytes)
 	s := p.targets[read.Target]
 	if s == nil {
 		return
