--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -1,11 +1,11 @@
-// Package rollout brings models, adapters and versions on the runners to what
-// the manifest says: a few runners at a time, so that capacity is kept, paced
-// to the weight store, with a canary share where the manifest asks for one, and
-// backing off where a load fails.
+// Package rollout brings the models, adapters and versions on the runners to the state in the
+// manifest. It changes a few runners at a time to keep capacity, respects the rate limit of the
+// weight store, places a canary version on a share of the runners if the manifest has one, and
+// backs off after failed loads.
 //
-// Orders state what should be, so they can be repeated: the planner compares
-// wanted with reported state on every call and keeps only what reports can't
-// show yet. A new holder of the responsibility starts with an empty planner.
+// Orders describe the wanted state, so repeating them is safe. On every call the planner
+// compares the wanted with the reported state, and it stores only what the reports don't show
+// yet. A new holder of the responsibility starts with an empty planner.
 package rollout
 
 import (
@@ -21,7 +21,7 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// Loaded is one version of a model in a runner's memory, as the runner reports.
+// Loaded is one version of a model in a runner's memory, as reported by the runner.
 type Loaded struct {
 	Model    string
 	Version  string
@@ -29,24 +29,24 @@
 	Loading  bool
 }
 
-// Runner is one runner's last report.
+// Runner is the last report of one runner.
 type Runner struct {
 	ID     ident.RunnerID
 	Loaded []Loaded
-	// Role is what the runner's engine says it is.
+	// Role is the role that the runner's engine reports.
 	Role string
 }
 
-// Kind tells what an order does.
+// Kind is the kind of an order.
 type Kind int
 
-// Orders.
+// Kinds of orders.
 const (
-	// Load a version of a model, or an adapter onto it.
+	// Load loads a version of a model, or an adapter for it.
 	Load Kind = iota + 1
-	// Unload it.
+	// Unload unloads a version of a model, or an adapter.
 	Unload
-	// Role changes what the runner's engine is.
+	// Role changes the role of the runner's engine.
 	Role
 )
 
@@ -56,27 +56,28 @@
 	Kind    Kind
 	Model   string
 	Version string
-	// Adapter is "name@version"; empty is the model itself.
+	// Adapter is "name@version"; empty means the model itself.
 	Adapter string
-	// Role is set in orders of kind Role only.
+	// Role is set only in orders of kind Role.
 	Role string
 }
 
-// Limits paces the orders.
+// Limits limits the rate of the orders.
 type Limits struct {
-	// MaxLoadingShare of the serving runners may load at once; at least one.
+	// MaxLoadingShare is the fraction of the runners that may load at once while they serve
+	// requests. At least one runner may always load.
 	MaxLoadingShare float64
-	// MaxLoads bounds the loads at once of the planner's runners. The weight
-	// store paces all planners together by its rate limit; see Defer.
+	// MaxLoads bounds the number of concurrent loads on the planner's runners. The weight
+	// store limits the rate of all planners together; see Defer.
 	MaxLoads int
-	// RepeatAfter is how long an order may stay without effect in the reports.
+	// RepeatAfter is how long an order may have no effect in the reports before it is repeated.
 	RepeatAfter time.Duration
-	// FirstBackoff after a failed load; it doubles up to MaxBackoff.
+	// FirstBackoff is the delay after a failed load; it doubles up to MaxBackoff.
 	FirstBackoff time.Duration
 	MaxBackoff   time.Duration
 }
 
-// DefaultLimits suits loads of tens of seconds.
+// DefaultLimits suits loads that take tens of seconds.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxLoadingShare: 0.25,
@@ -87,30 +88,29 @@
 	}
 }
 
-// orderState is what the reports can't show yet of an order.
+// orderState holds what the reports don't show yet about an order.
 type orderState struct {
-	// acceptedAt is when the runner took it; zero if it did not.
+	// acceptedAt is when the runner accepted the order; zero if it did not.
 	acceptedAt time.Duration
 	failures   int
-	// retryAt is when it may be given again.
+	// retryAt is when the order may be given again.
 	retryAt time.Duration
 }
 
-// Planner plans for the runners of one service. It is not safe for concurrent
-// use.
+// Planner plans the orders for the runners of one service. It is not safe for concurrent use.
 type Planner struct {
 	limits Limits
 	orders map[Order]*orderState
-	// role is what the runners should be; empty leaves them as they are.
+	// role is the wanted role of the runners; empty leaves their roles unchanged.
 	role string
 }
 
-// New returns a planner that remembers no orders.
+// New returns a planner without orders.
 func New(l Limits) *Planner { return &Planner{limits: l, orders: map[Order]*orderState{}} }
 
 const adapterSeparator = "@"
 
-// AdapterID joins an adapter's name and version as runners report them.
+// AdapterID joins an adapter's name and version in the form in which runners report them.
 func AdapterID(a manifest.Adapter) string { return a.Name + adapterSeparator + a.Version }
 
 // SplitAdapterID is the inverse of AdapterID.
@@ -119,9 +119,8 @@
 	return name, version
 }
 
-// Targets gives the version that each runner should serve: the canary's on its
-// share of the runners, chosen by hash so that the choice stays put when other
-// runners come and go.
+// Targets returns the version that each runner should serve. The canary's share of the runners
+// is chosen by hash, so the choice remains stable when other runners are added or removed.
 func Targets(m *manifest.Model, runners []ident.RunnerID) map[ident.RunnerID]string {
 	targets := make(map[ident.RunnerID]string, len(runners))
 	for _, r := range runners {
@@ -154,7 +153,7 @@
 	return out
 }
 
-// HandleFailure tells that a runner refused an order or failed at it.
+// HandleFailure records that a runner refused an order or failed to execute it.
 func (p *Planner) HandleFailure(now time.Duration, o Order) {
 	s := p.stateOf(o)
 	wait := p.limits.FirstBackoff << min(s.failures, 16)
@@ -163,19 +162,19 @@
 	s.acceptedAt = 0
 }
 
-// Defer tells that an order was not sent and is to wait, as for the weight
-// store's rate limit. It counts as no failure.
+// Defer records that an order was not sent and must wait, for example for the weight store's
+// rate limit. It does not count as a failure.
 func (p *Planner) Defer(now time.Duration, o Order, wait time.Duration) {
 	s := p.stateOf(o)
 	s.retryAt = now + wait
 	s.acceptedAt = 0
 }
 
-// Pending tells whether the reports don't show all orders as done yet.
+// Pending reports whether some orders are not yet shown as done by the reports.
 func (p *Planner) Pending() bool { return len(p.orders) > 0 }
 
-// Plan returns the orders to give now. models are those of the service and
-// runners its live ones that have reported.
+// Plan returns the orders to give now. models are the models of the service; runners are its
+// live runners that have reported.
 func (p *Planner) Plan(now time.Duration, models []manifest.Model, runners []Runner) []Order {
 	t := newPlanning(p, now, models, runners)
 	t.dropObsoleteOrders()
@@ -188,8 +187,8 @@
 	return t.orders
 }
 
-// SetRole says what the runners' engines should be; empty, as at the start,
-// leaves them as they are.
+// SetRole sets the wanted role of the runners' engines. The initial empty role leaves them
+// unchanged.
 func (p *Planner) SetRole(role string) { p.role = role }
 
 func (p *Planner) stateOf(o Order) *orderState {
@@ -207,13 +206,13 @@
 	s.retryAt = now + p.limits.RepeatAfter
 }
 
-// planning is the work of one Plan.
+// planning is the state of one call of Plan.
 type planning struct {
 	p       *Planner
 	now     time.Duration
 	models  []manifest.Model
 	runners []Runner
-	// targets holds a map for each of models.
+	// targets holds the result of Targets for each of models.
 	targets  []map[ident.RunnerID]string
 	changing map[ident.RunnerID]bool
 	orders   []Order
@@ -240,8 +239,8 @@
 	return slices.ContainsFunc(r.Loaded, func(l Loaded) bool { return l.Loading })
 }
 
-// dropObsoleteOrders drops orders that the reports show as done, or whose runner has gone;
-// the others keep their runner busy until they are due again.
+// dropObsoleteOrders drops the orders that the reports show as done and those whose runner is
+// gone. A runner with another accepted order counts as changing until the order may be repeated.
 func (t *planning) dropObsoleteOrders() {
 	reported := map[ident.RunnerID]Runner{}
 	for _, r := range t.runners {
@@ -289,8 +288,8 @@
 	}
 }
 
-// loadModel starts with runners that serve no version yet, which adds capacity,
-// then replaces versions on a few at a time, which costs some.
+// loadModel first orders loads on runners that serve no version yet, which adds capacity. Then
+// it replaces versions on a few runners at a time, which temporarily costs capacity.
 func (t *planning) loadModel(m *manifest.Model, targets map[ident.RunnerID]string) {
 	var adding, replacing []Order
 	for _, r := range t.runners {
@@ -312,14 +311,14 @@
 	}
 }
 
-// maxConcurrentChanges is how many runners may change at once what they serve by.
+// maxConcurrentChanges returns how many serving runners may change at once.
 func (t *planning) maxConcurrentChanges() int {
 	share := int(t.p.limits.MaxLoadingShare * float64(len(t.runners)))
 	return min(t.p.limits.MaxLoads, max(share, 1))
 }
 
-// changeRoles changes a few runners at a time: an engine may take no work while it
-// changes.
+// changeRoles changes a few runners at a time, because an engine may accept no requests during
+// the change.
 func (t *planning) changeRoles() {
 	if t.p.role == "" {
 		return
@@ -331,7 +330,7 @@
 	}
 }
 
-// firstMissing is the first thing that the runner lacks of the model.
+// firstMissing returns a load order for the first part of the model that the runner lacks.
 func firstMissing(m *manifest.Model, version string, r Runner) (Order, bool) {
 	o := Order{Runner: r.ID, Kind: Load, Model: m.Name, Version: version}
 	if !hasLoaded(r, m.Name, version, "") {
@@ -359,9 +358,9 @@
 	return ok && t.now < s.retryAt
 }
 
-// unload frees what no manifest wants, but an old version of a wanted model or
-// adapter only after the runner serves the new one: a failed load must not
-// leave a runner with nothing to serve.
+// unload unloads what the manifest does not want. An old version of a wanted model or adapter is
+// unloaded only after the runner serves the new one, so that a failed load never leaves a runner
+// with nothing to serve.
 func (t *planning) unload() {
 	for _, r := range t.runners {
 		for _, l := range r.Loaded {
@@ -383,7 +382,7 @@
 	m := &t.models[i]
 	target := t.targets[i][r.ID]
 	if l.Version != target {
-		// With adapters missing, the new version can't take over all requests.
+		// While adapters are missing, the new version can't serve all requests.
 		if _, lacks := firstMissing(m, target, r); !lacks {
 			t.addOrder(o)
 		}
@@ -397,8 +396,8 @@
 	}
 }
 
-// adapterNeeded tells whether an adapter is wanted, or serves its name until the
-// wanted version of it does.
+// adapterNeeded reports whether an adapter is wanted, or is the old version of a wanted adapter
+// whose new version is not loaded yet.
 func adapterNeeded(m *manifest.Model, l Loaded, adapter string) bool {
 	name, _ := SplitAdapterID(adapter)
 	for _, a := range m.Adapters {
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -14,7 +14,7 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// fleet obeys orders: a load takes some seconds and may fail.
+// fleet simulates runners that execute orders. A load takes ten seconds.
 type fleet struct {
 	loaded  map[ident.RunnerID][]rollout.Loaded
 	loading map[rollout.Order]time.Duration
@@ -82,9 +82,8 @@
 	return n
 }
 
-// An operator changes a model's version. Callers must not see capacity fall:
-// at most a quarter of the runners load at once, and each keeps the old version
-// until it serves the new one.
+// Guards against a loss of capacity when an operator changes a model's version: at most a quarter
+// of the runners may load at once, and each must keep the old version until it serves the new one.
 func TestRollingUpdateKeepsCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 30).Draw(rt, "runners")
@@ -132,11 +131,11 @@
 			moved++
 		}
 	}
-	is.True(moved <= 1) // one runner less moves at most one canary
+	is.True(moved <= 1) // removing one runner changes at most one canary
 }
 
-// A version that no runner can load is ordered again and again. The weight
-// store is shared, so the waits must grow.
+// Guards against frequent retries of a version that no runner can load. The weight store is
+// shared, so the delays must grow.
 func TestFailedLoadBacksOff(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, "1")
@@ -153,9 +152,9 @@
 	is.Equal(f.serving("1"), 1)
 }
 
-// An operator changes an adapter's version. Callers name the adapter alone, so
-// the old version must go, or answers come from either; but not before the new
-// one serves, or they are refused.
+// An operator changes an adapter's version. Callers request an adapter by name only, so the old
+// version must be unloaded, or both versions would answer. It must stay until the new version
+// serves, or requests would be refused.
 func TestOldAdapterIsUnloadedAfterNewOneServes(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
@@ -174,8 +173,8 @@
 	is.Equal(len(p.Plan(4*time.Second, models, report("a@2"))), 0)
 }
 
-// A runner has the new version of a model but not its adapters yet. Requests
-// for an adapter go to the old version, which must stay until they are there.
+// A runner has loaded the new version of a model but not its adapters. Requests for an adapter
+// go to the old version, which must stay until the adapters are loaded.
 func TestOldVersionStaysUntilAdaptersAreLoaded(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
@@ -189,8 +188,8 @@
 	is.Equal(p.Plan(2*time.Second, models, complete), []rollout.Order{{Runner: "r", Kind: rollout.Unload, Model: "m", Version: "1"}})
 }
 
-// The weight store asks for a pause. The load must go out when the pause is
-// over, not after a failure's growing wait, and must not hold its runner busy.
+// The weight store asks the caller to wait. The load must be ordered when that time has passed,
+// without the growing delay of a failure, and its runner must not count as changing meanwhile.
 func TestDeferredLoadDoesNotCountAsFailure(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
@@ -217,8 +216,8 @@
 	}
 }
 
-// A role changes on all runners of a service. An engine may take no work while it
-// changes, so most must stay as they are until the first have changed.
+// The role of all runners of a service changes. An engine may accept no requests during the
+// change, so most runners must keep their role until the first ones have changed.
 func TestRolesChangeFewRunnersAtATime(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
@@ -229,7 +228,7 @@
 	for changed := 0; changed < 8; now += time.Second {
 		orders := p.Plan(now, models, reports)
 		is.True(len(orders) > 0 && len(orders) <= 2)
-		is.Equal(len(p.Plan(now, models, reports)), 0) // those under way are waited for
+		is.Equal(len(p.Plan(now, models, reports)), 0) // no more orders while changes are in progress
 		for _, o := range orders {
 			is.Equal(o.Kind, rollout.Role)
 			for i := range reports {
