--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -1,6 +1,6 @@
-// Package health decides which runners are ejected from routing because calls
-// to them fail, and when they are tried again. It is pure: input is an outcome
-// or a tick with a time, output a list of effects.
+// Package health decides which runners are ejected from routing because calls to them fail, and
+// when they are probed and readmitted. It does no I/O and reads no clock: callers pass outcomes
+// and times, and get a list of effects to carry out.
 package health
 
 import (
@@ -11,60 +11,61 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Kind is what an effect asks for.
+// Kind is the kind of an effect.
 type Kind string
 
 // Kinds of effects.
 const (
-	// Eject takes the runner out of routing.
+	// Eject removes the runner from routing.
 	Eject Kind = "eject"
-	// Probe asks for one probe on a connection that was not used before.
+	// Probe asks for one probe over a new connection.
 	Probe Kind = "probe"
-	// Readmit takes the runner back into routing.
+	// Readmit returns the runner to routing.
 	Readmit Kind = "readmit"
 )
 
-// Effect is one thing for the driver to do.
+// Effect is one action for the driver to carry out.
 type Effect struct {
 	Kind   Kind
 	Runner ident.RunnerID
 }
 
-// Outcome is how a call ended, as far as it tells something of the runner.
+// Outcome is the result of a call, as far as it indicates the runner's health.
 type Outcome string
 
-// Outcomes.
+// Outcomes of calls.
 const (
-	// Success is any answer, a refusal for want of room included.
+	// Success is any answer, including a refusal for lack of capacity.
 	Success Outcome = "success"
-	// Failure is a failure of the runner: no connection, or its own error.
+	// Failure is a failed connection or an internal error of the runner.
 	Failure Outcome = "failure"
-	// SilentConnection is a connection without any sign of life. Something
-	// between the two ends may have lost track of it while the runner is well,
-	// so it leads to a probe on a new connection and counts for nothing else.
+	// SilentConnection is a connection on which nothing arrives. A device on the network
+	// path may have dropped its state while the runner is healthy. So the outcome leads
+	// to a probe over a new connection and does not count as a failure.
 	SilentConnection Outcome = "silent_connection"
 )
 
 // Config sets when runners are ejected.
 type Config struct {
-	// MaxConsecutive failures in a row eject.
+	// MaxConsecutive is the number of consecutive failures that ejects a runner.
 	MaxConsecutive int
-	// FailureRatio of failures among at least MinCalls calls within Window ejects.
+	// A share of FailureRatio of at least MinCalls calls within Window also ejects it.
 	FailureRatio float64
 	MinCalls     int
 	Window       time.Duration
-	// FirstEjection is the first time out; it doubles up to MaxEjection while
-	// probes fail.
+	// FirstEjection is the duration of the first ejection. It doubles up to MaxEjection
+	// while probes fail.
 	FirstEjection time.Duration
 	MaxEjection   time.Duration
-	// MaxEjectedShare of the runners, and one of two or more, may be out at once. When more fail, the cause is
-	// wider than these runners and an empty table would answer nobody.
+	// MaxEjectedShare is the fraction of the runners that may be ejected at once; of two or
+	// more runners, one may always be. If more fail, the cause is not in single runners, and
+	// without any runner no request could be served.
 	MaxEjectedShare float64
-	// ProbeTimeout is when an unanswered probe has failed.
+	// ProbeTimeout is the time after which an unanswered probe counts as failed.
 	ProbeTimeout time.Duration
 }
 
-// Default returns the policy in use; docs/design/retries.md gives the reasons.
+// Default returns the policy used in production; docs/design/retries.md gives the reasons.
 func Default() Config {
 	return Config{
 		MaxConsecutive:  3,
@@ -84,7 +85,7 @@
 	phaseHealthy phase = iota
 	phaseEjected
 	phaseProbing
-	// phaseVerifying ones are in routing while a probe checks them.
+	// phaseVerifying runners stay in routing while a probe tests them.
 	phaseVerifying
 )
 
@@ -98,7 +99,7 @@
 	ejection    time.Duration
 }
 
-// Tracker follows one service's runners. It is not safe for concurrent use.
+// Tracker tracks the health of one service's runners. It is not safe for concurrent use.
 type Tracker struct {
 	cfg     Config
 	runners map[ident.RunnerID]*runner
@@ -110,7 +111,7 @@
 	return &Tracker{cfg: cfg, runners: map[ident.RunnerID]*runner{}}
 }
 
-// SetRunners replaces the set of runners; new ones start out well.
+// SetRunners replaces the set of runners. New runners count as healthy.
 func (t *Tracker) SetRunners(ids []ident.RunnerID) {
 	next := make(map[ident.RunnerID]*runner, len(ids))
 	t.ejected = 0
@@ -129,10 +130,10 @@
 
 func (r *runner) isEjected() bool { return r.phase == phaseEjected || r.phase == phaseProbing }
 
-// Ejected is the number of ejected runners.
+// Ejected returns the number of ejected runners.
 func (t *Tracker) Ejected() int { return t.ejected }
 
-// HandleOutcome takes in how a call ended and appends what follows to dst.
+// HandleOutcome processes the outcome of a call and appends the resulting effects to dst.
 func (t *Tracker) HandleOutcome(now time.Time, id ident.RunnerID, o Outcome, dst []Effect) []Effect {
 	r, ok := t.runners[id]
 	if !ok || r.isEjected() {
@@ -197,7 +198,7 @@
 	r.consecutive, r.calls, r.failures = 0, 0, 0
 }
 
-// HandleProbe takes in how a probe ended.
+// HandleProbe processes the result of a probe and appends the resulting effects to dst.
 func (t *Tracker) HandleProbe(now time.Time, id ident.RunnerID, ok bool, dst []Effect) []Effect {
 	r, known := t.runners[id]
 	if !known {
@@ -207,8 +208,8 @@
 	case r.phase == phaseProbing && ok:
 		t.ejected--
 		r.phase = phaseHealthy
-		// One more failure ejects again: the probe is a small call and proves
-		// less than a real one.
+		// One more failure ejects the runner again, because the probe is a small call and
+		// proves less than a real one.
 		r.consecutive = t.cfg.MaxConsecutive - 1
 		return append(dst, Effect{Readmit, id})
 	case r.phase == phaseProbing:
@@ -225,7 +226,7 @@
 	return dst
 }
 
-// Tick appends the probes that are due and treats unanswered ones as failed.
+// Tick appends the probes that are due to dst and treats unanswered probes as failed.
 func (t *Tracker) Tick(now time.Time, dst []Effect) []Effect {
 	before := len(dst)
 	for id, r := range t.runners {
--- a/coordination/health/health_test.go
+++ b/coordination/health/health_test.go
@@ -33,14 +33,14 @@
 	is.Equal(len(tr.Tick(start.Add(time.Second), nil)), 0)
 	is.Equal(tr.Tick(start.Add(2*time.Second), nil), []Effect{{Probe, ids[0]}})
 	is.Equal(len(tr.HandleProbe(start.Add(2*time.Second), ids[0], false, nil)), 0)
-	is.Equal(len(tr.Tick(start.Add(5*time.Second), nil)), 0) // now out for twice as long
+	is.Equal(len(tr.Tick(start.Add(5*time.Second), nil)), 0) // the second ejection lasts twice as long
 	is.Equal(tr.Tick(start.Add(6*time.Second), nil), []Effect{{Probe, ids[0]}})
 	is.Equal(tr.HandleProbe(start.Add(6*time.Second), ids[0], true, nil), []Effect{{Readmit, ids[0]}})
 	is.Equal(tr.HandleOutcome(start.Add(7*time.Second), ids[0], Failure, nil), []Effect{{Eject, ids[0]}})
 }
 
-// Streams to a runner hang although it answers others. A middlebox forgot its
-// connections; the runner is well, and ejecting it would take capacity away.
+// Guards against an ejection that costs capacity without need: streams to a runner hang because
+// a middlebox dropped the state of their connections, but the runner is healthy.
 func TestSilentConnectionAloneDoesNotEject(t *testing.T) {
 	is := is.New(t)
 	tr, ids := newTracker(4)
@@ -51,11 +51,11 @@
 	is.Equal(len(tr.HandleProbe(start, ids[1], true, nil)), 0)
 	is.Equal(tr.Ejected(), 0)
 	is.Equal(tr.HandleOutcome(start, ids[1], SilentConnection, nil), []Effect{{Probe, ids[1]}})
-	is.Equal(tr.Tick(start.Add(time.Second), nil), []Effect{{Eject, ids[1]}}) // the new connection hangs, too
+	is.Equal(tr.Tick(start.Add(time.Second), nil), []Effect{{Eject, ids[1]}}) // the probe on the new connection got no answer either
 }
 
-// All callers are refused although three quarters of the runners work: the
-// gateway's own link failed for a moment and it ejected every runner.
+// Guards against a gateway that ejects every runner because its own network link failed for a
+// moment, and then refuses all requests although the runners work.
 func TestEjectionsStayBelowMaxShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "runners")
@@ -85,7 +85,7 @@
 				}
 			}
 			if len(out) != tr.Ejected() || len(out) >= n || len(out) > max(1, n*34/100) {
-				t.Fatalf("%d of %d out, tracker says %d", len(out), n, tr.Ejected())
+				t.Fatalf("%d of %d runners ejected, tracker counts %d", len(out), n, tr.Ejected())
 			}
 		}
 	})
