--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -1,9 +1,9 @@
-// Package polling decides which runner a gateway reads next, so that all its
-// reads of load reports and cache events together stay within a byte budget,
-// whatever the number of services and runners.
+// Package polling decides which runner a gateway reads next, so that all its reads of load
+// reports and cache events together stay within a byte budget for any number of services and
+// runners.
 //
-// It is pure: it reads no clock and does no I/O. Load reports come first;
-// cache events get what they leave over.
+// The package does no I/O and reads no clock. Load reports have priority; cache events get the
+// part of the budget that load reports leave unused.
 package polling
 
 import (
@@ -19,24 +19,24 @@
 	Runner  ident.RunnerID
 }
 
-// Config sets how reads are spread.
+// Config sets the rate of the reads.
 type Config struct {
-	// Interval is the least time between two reads of one target.
+	// Interval is the minimum time between two reads of one target.
 	Interval time.Duration
-	// IdleInterval is the same while this daemon has used no target for IdleAfter.
+	// IdleInterval replaces Interval once this daemon has used no target for IdleAfter.
 	IdleInterval time.Duration
 	IdleAfter    time.Duration
-	// InitialReadBytes is taken for the size of a load report until one was read.
+	// InitialReadBytes is the assumed size of a load report until one has been read.
 	InitialReadBytes float64
-	// MaxSaved is how long an unused budget is kept.
+	// MaxSaved is how much unused budget can accumulate, as a time at the full rate.
 	MaxSaved time.Duration
-	// EventsBackoff is how long a target's cache events are left alone after a
-	// page that did not follow the last one; it doubles up to EventsPauseMost.
+	// EventsBackoff is how long a target's cache events are not read after a page with a
+	// gap before it. It doubles up to MaxEventsBackoff.
 	EventsBackoff    time.Duration
 	MaxEventsBackoff time.Duration
 }
 
-// Default returns the settings in use.
+// Default returns the settings used in production.
 func Default() Config {
 	return Config{
 		Interval:         500 * time.Millisecond,
@@ -49,57 +49,56 @@
 	}
 }
 
-// meanGain is the weight of the newest report in the mean size.
+// meanGain is the weight of the latest report in the mean size.
 const meanGain = 0.1
 
-// Read is one read to make: a load report, and a page of cache events if asked.
+// Read is one read to make: a load report and, if Events is set, a page of cache events.
 type Read struct {
 	Target Target
 	Events bool
 	charge float64
 }
 
-// Result is what a read took. Bytes count both directions; zero is not known.
+// Result describes a completed read. Byte counts include both directions; zero means unknown.
 type Result struct {
 	LoadBytes  int
 	EventBytes int
-	// Gap says that cache events between this page and the last were lost.
+	// Gap says that cache events between this page and the previous one were lost.
 	Gap bool
 }
 
 type target struct {
 	reading  bool
 	lastRead time.Time
-	// used counts the own attempts that began or ended since the last read.
+	// used counts the daemon's own attempts that started or ended since the last read.
 	used          int
 	eventsAfter   time.Time
 	eventsBackoff time.Duration
 }
 
-// Planner holds one daemon's budget and targets. It is not safe for concurrent
-// use.
+// Planner holds the budget and the targets of one daemon. It is not safe for concurrent use.
 type Planner struct {
 	cfg     Config
 	budget  float64
 	targets map[Target]*target
-	// loadCredit is what load reports may use now, events what cache events may, in
-	// bytes; a read that took more than was there leaves a debt.
+	// loadCredit is the number of bytes that load reports may use now, events the number
+	// that cache events may use. Both become negative after a read that was larger.
 	loadCredit    float64
 	events        float64
 	filledAt      time.Time
 	meanReadBytes float64
 	started       bool
-	// used is set by Used until the next look, which gives it its time.
+	// used is set by RecordUse until the next call of Next, which then sets lastUsed.
 	used     bool
 	lastUsed time.Time
 }
 
-// New returns a planner without targets and without a budget.
+// New returns a planner without targets and with a zero budget.
 func New(cfg Config) *Planner {
 	return &Planner{cfg: cfg, targets: map[Target]*target{}, meanReadBytes: cfg.InitialReadBytes}
 }
 
-// SetBudget sets the bytes a second that all reads together may take.
+// SetBudget sets the bytes per second that all reads together may use.
 func (p *Planner) SetBudget(now time.Time, bytesPerSecond float64) {
 	p.addCredit(now)
 	p.budget = bytesPerSecond
@@ -122,8 +121,8 @@
 	}
 }
 
-// RecordUse counts an own attempt that began or ended at a target: what is known of
-// its load is older than it seems.
+// RecordUse records that an attempt of this daemon started or ended at a target, which makes the
+// target's last report less accurate.
 func (p *Planner) RecordUse(t Target) {
 	p.used = true
 	if s := p.targets[t]; s != nil {
@@ -131,9 +130,9 @@
 	}
 }
 
-// addCredit adds what the budget gave since the last call. What load reports do not
-// use up goes to cache events, whose debt is their own: a large page must not
-// hold up the load reports.
+// addCredit adds the budget for the time since the last call. Credit that load reports leave
+// unused goes to cache events. Cache events have their own debt, so that a large page does not
+// delay load reports.
 func (p *Planner) addCredit(now time.Time) {
 	if !p.started {
 		p.started, p.filledAt, p.lastUsed = true, now, now
@@ -147,7 +146,7 @@
 	}
 }
 
-// Next returns a read to make now, or else how long to wait before asking again.
+// Next returns a read to make now, or else the time to wait before the next call.
 func (p *Planner) Next(now time.Time) (read Read, wait time.Duration, ok bool) {
 	p.addCredit(now)
 	if p.loadCredit < p.meanReadBytes {
@@ -172,9 +171,9 @@
 	return min(p.cfg.Interval, time.Duration(math.Ceil(seconds*float64(time.Second))))
 }
 
-// mostUrgent returns the target with the greatest age of its report times the
-// own attempts since, among those whose turn it is; one never read goes first.
-// An unused target is read too, once it is old enough.
+// mostUrgent returns the target with the highest product of the report's age and the number of
+// own attempts since, among the targets that are due. A target that has never been read comes
+// first. A target without attempts is also read once its report is old enough.
 func (p *Planner) mostUrgent(now time.Time) (best Target, wait time.Duration) {
 	wait = p.cfg.Interval
 	interval := p.interval(now)
@@ -196,8 +195,8 @@
 	return best, wait
 }
 
-// interval is longer while the daemon has nothing to route: its reads then cost
-// more than all else that it does. The first request ends that at the next look.
+// interval returns a longer interval while the daemon routes no requests, because idle polling
+// would be the largest part of its work. The first request ends this at the next call of Next.
 func (p *Planner) interval(now time.Time) time.Duration {
 	if p.used {
 		p.used, p.lastUsed = false, now
@@ -208,7 +207,7 @@
 	return p.cfg.Interval
 }
 
-// less orders equally urgent targets, so that runs repeat.
+// less orders equally urgent targets, which makes runs reproducible.
 func less(a, b Target) bool {
 	if a.Service != b.Service {
 		return a.Service < b.Service
@@ -216,7 +215,7 @@
 	return a.Runner < b.Runner
 }
 
-// HandleResult charges a read for what it took.
+// HandleResult charges a completed read to the budget.
 func (p *Planner) HandleResult(now time.Time, read Read, result Result) {
 	p.addCredit(now)
 	if result.LoadBytes > 0 {
@@ -234,10 +233,10 @@
 	}
 }
 
-// delayEvents leaves a target's cache events alone for a while after a gap.
-// Guards against events that come faster than the budget reads them: each page
-// would be followed by a gap, at which the index drops all that it knows of the
-// runner, what this gateway itself sent there included.
+// delayEvents suspends reading a target's cache events for a while after a gap. Without the
+// delay, if events arrive faster than the budget allows to read, each page would follow a gap.
+// At each gap the prefix index drops all that it knows of the runner's cache, including the
+// prompts that this gateway itself sent there.
 func (p *Planner) delayEvents(now time.Time, s *target, gap bool) {
 	if !gap {
 		s.eventsBackoff = p.cfg.EventsBackoff
--- a/coordination/polling/polling_test.go
+++ b/coordination/polling/polling_test.go
@@ -20,8 +20,8 @@
 	return ids
 }
 
-// runReads makes the planner's reads for a while in steps of 10 ms; the bytes of
-// each are drawn by size. It returns the bytes and the reads of each target.
+// runReads makes the planner's reads for the given time in steps of 10 ms. size returns the
+// result of each read. It returns the total bytes and the number of reads per target.
 func runReads(p *Planner, span time.Duration, size func(Read) Result) (bytes int, reads map[Target]int) {
 	reads = map[Target]int{}
 	for at := time.Duration(0); at < span; at += 10 * time.Millisecond {
@@ -36,8 +36,8 @@
 	return bytes, reads
 }
 
-// A daemon gets more services and runners, and its reads crowd out the
-// heartbeats and the callers' own traffic: only the budget may decide.
+// Guards against reads that take bandwidth from heartbeats and callers when a daemon gets more
+// services and runners: only the budget may limit the reads.
 func TestReadsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.Float64Range(1000, 100_000).Draw(t, "budget")
@@ -56,9 +56,10 @@
 			largest = max(largest, result.LoadBytes+result.EventBytes)
 			return result
 		})
-		// A minute, the savings of loads and events, and one read of each over them.
+		// The limit is a minute of budget, the saved credit of loads and of events, and one
+		// read beyond the credit of each.
 		if limit := budget*62 + 2*float64(largest) + 2*1500; float64(bytes) > limit {
-			t.Fatalf("%d bytes in a minute at %.0f a second", bytes, budget)
+			t.Fatalf("%d bytes read in a minute with a budget of %.0f per second", bytes, budget)
 		}
 	})
 }
@@ -81,8 +82,8 @@
 	}
 }
 
-// Cache events come faster than the budget reads them: each page would follow a
-// gap, and the index would drop what it knows of the runner time and again.
+// Cache events arrive faster than the budget allows to read. Without a delay each page would
+// follow a gap, and the prefix index would drop what it knows of the runner again and again.
 func TestEventsAreDelayedAfterGaps(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
@@ -95,11 +96,11 @@
 		}
 		return Result{LoadBytes: 600, Gap: r.Events}
 	})
-	is.Equal(pages, 3) // after 0, 10 and 30 minutes
+	is.Equal(pages, 3) // at 0, 10 and 30 minutes
 }
 
-// A daemon without callers reads all its runners twice a second, which costs it
-// more than its heartbeats. Its first request must end the rest.
+// Without callers, reading all runners twice a second would cost a daemon more than its
+// heartbeats. The first request must restore the short interval.
 func TestReadsSlowDownWhileIdle(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
