--- a/coordination/owners/owners.go
+++ b/coordination/owners/owners.go
@@ -1,6 +1,6 @@
-// Package owners chooses the daemons that issue tokens of actions. Each daemon
-// chooses by itself from its own directory: views that differ cost a few more
-// journals for a while and no promise, since any daemon can be an owner.
+// Package owners selects the daemons that issue action tokens. Each daemon selects on its own
+// from its view of the directory. If views differ, a few more daemons keep journals for a while;
+// no guarantee is lost, because any daemon can be an owner.
 package owners
 
 import (
@@ -13,24 +13,22 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// DefaultMax is how many daemons issue tokens if nothing else is set: at most
-// 30 writes a second each, 240 of the several hundred that the key-value
-// service takes.
+// DefaultMax is the default number of daemons that issue tokens. Each makes at most 30 writes per
+// second, together 240 of the several hundred that the key-value service handles.
 const DefaultMax = 8
 
-// candidate is a live daemon with its place in the order of choice.
+// candidate is a live daemon with its sort keys.
 type candidate struct {
 	daemon *view.Daemon
 	score  uint64
-	// rank counts from zero within the failure domain, by score.
+	// rank is the position within the failure domain by score, from zero.
 	rank        int
 	domainScore uint64
 }
 
-// Select returns the daemons that issue tokens: limit of the live ones, or
-// all if they are no more. Failure domains take turns, so that each holds an
-// equal share or all it has. One daemon that comes or goes changes at most one
-// other's place.
+// Select returns the daemons that issue tokens: limit of the live ones, or all if there are
+// fewer. It takes daemons from the failure domains in turn, so that each domain has an equal share
+// or all of its daemons. Adding or removing one daemon changes at most one other selection.
 func Select(daemons []view.Daemon, limit int) []view.Daemon {
 	list := liveCandidates(daemons)
 	rankWithinDomains(list)
@@ -82,15 +80,15 @@
 	}
 }
 
-// Contains tells whether an incarnation is among daemons.
+// Contains reports whether a daemon with the incarnation is in the list.
 func Contains(daemons []view.Daemon, incarnation ident.Incarnation) bool {
 	return slices.ContainsFunc(daemons, func(d view.Daemon) bool {
 		return d.Incarnation == incarnation
 	})
 }
 
-// Nearest orders owners for one daemon: those of its failure domain first, then
-// by a hash of both, so that the daemons of a domain divide themselves evenly.
+// Nearest sorts owners by preference for one daemon: those of its failure domain first, then by a
+// hash of both IDs, which distributes the daemons of a domain evenly over its owners.
 func Nearest(self view.Daemon, owners []view.Daemon) []view.Daemon {
 	ordered := slices.Clone(owners)
 	slices.SortFunc(ordered, func(a, b view.Daemon) int {
--- a/coordination/owners/owners_test.go
+++ b/coordination/owners/owners_test.go
@@ -48,8 +48,9 @@
 	return slices.DeleteFunc(slices.Clone(daemons), func(d view.Daemon) bool { return d.State != view.Live })
 }
 
-// The set is full, of live ones only, the same in any order of the directory,
-// and no domain holds two more than another that has daemons left.
+// Checks that the selection has the right size, contains only live daemons, does not depend on the
+// order of the directory, and is balanced: no domain has two more than another one that has
+// unselected daemons.
 func TestSelect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -75,7 +76,7 @@
 	})
 }
 
-// One daemon that goes takes only its own place, which one other takes over.
+// Checks that removing a daemon changes only that daemon's selection, which one other takes over.
 func TestSelectIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -102,7 +103,7 @@
 	})
 }
 
-// The daemons of a failure domain divide themselves among its owners.
+// Checks that the daemons of a failure domain are distributed evenly over its owners.
 func TestNearest(t *testing.T) {
 	is := is.New(t)
 	daemons := fleet(1800)
@@ -116,7 +117,7 @@
 	}
 	for id, n := range load {
 		t.Logf("%s serves %d daemons", id, n)
-		is.True(n <= 360) // 300 is the fair share of a domain's two owners
+		is.True(n <= 360) // the two owners of a domain have a fair share of 300 daemons each
 	}
 }
 
