--- a/coordination/prefill/prefill.go
+++ b/coordination/prefill/prefill.go
@@ -1,13 +1,13 @@
-// Package prefill learns how fast a service's engines read prompts, from the times
-// to first token that are seen.
+// Package prefill estimates the prefill rate of a service's engines from observed times to first
+// token.
 //
-// A time to first token is a fixed part, the way there and the first step, and the
-// reading. It says how fast an engine reads only if the engine had nothing else to
-// read: what waits before a prompt is known roughly, and after a failure or a restart
-// not at all. Taken at its word it makes engines seem several times as fast as they
-// are, or several times as slow, and the fleet is then made of the wrong size for the
-// next burst. So only prompts without others before them count, and of those rather the
-// quicker ones: some wait for what another daemon sent a moment ago.
+// A time to first token consists of a fixed part (network and first step) and the prefill. It
+// shows the prefill rate only if the engine had no other prompts to process: the number of tokens
+// queued before a prompt is known only roughly, and after a failure or a restart not at all.
+// Samples with a queue would make engines appear several times faster or slower than they are,
+// and the fleet would get the wrong size for the next burst. So only prompts without others before
+// them count. Even those may have waited for a prompt that another daemon sent a moment earlier,
+// so the estimate follows a low quantile of the samples.
 //
 // The package does no I/O and reads no clock. A Model is not safe for concurrent use.
 package prefill
@@ -15,47 +15,46 @@
 import "time"
 
 const (
-	// maxShortPrompt is the tokens up to which the time is mostly the fixed part,
-	// longPrompt those from which it is mostly the reading.
+	// Up to maxShortPrompt tokens the time consists mostly of the fixed part; from
+	// minLongPrompt tokens on it consists mostly of the prefill.
 	maxShortPrompt = 500
 	minLongPrompt  = 2000
-	// maxAheadShare is the tokens that others may have to read before a prompt that
-	// counts, as a part of its own.
+	// maxAheadShare is the maximum number of tokens queued before a prompt for its sample to
+	// count, as a fraction of the prompt's own tokens.
 	maxAheadShare = 0.05
-	// targetQuantile is the part of the times that lie below an estimate.
+	// targetQuantile is the fraction of the samples that should lie below an estimate.
 	targetQuantile = 0.3
-	// stepSize is the part of itself that an estimate may move by for each time seen.
+	// stepSize is the fraction of itself by which an estimate can change per sample.
 	stepSize = 0.06
-	// initialFixed stands in until short prompts have been timed.
+	// initialFixed is the estimate of the fixed part before short prompts have been observed.
 	initialFixed = 20 * time.Millisecond
 )
 
-// Sample is one time to first token.
+// Sample is one observed time to first token.
 type Sample struct {
-	// Tokens were to be read, Ahead those of other requests before.
+	// Tokens is the number of prompt tokens to compute, Ahead the number queued before them.
 	Tokens, Ahead int
 	TTFT          time.Duration
 }
 
-// Model is what is known of a service's engines.
+// Model estimates the prefill time of a service's engines.
 type Model struct {
 	fixedTime float64
 	perToken  float64
 }
 
-// New returns a model that takes engines to read rate tokens a second until some
-// have been timed.
+// New returns a model with an initial prefill rate in tokens per second.
 func New(rate float64) *Model {
 	return &Model{fixedTime: initialFixed.Seconds(), perToken: 1 / rate}
 }
 
-// Rate is the prompt tokens that an engine reads in a second.
+// Rate returns the prefill rate of an engine in tokens per second.
 func (m *Model) Rate() float64 { return 1 / m.perToken }
 
-// FixedTime is the part of a time to first token that doesn't depend on the prompt.
+// FixedTime returns the part of a time to first token that doesn't depend on the prompt.
 func (m *Model) FixedTime() time.Duration { return time.Duration(m.fixedTime * float64(time.Second)) }
 
-// Observe takes a time in.
+// Observe updates the estimates with a sample.
 func (m *Model) Observe(s Sample) {
 	if float64(s.Ahead) > maxAheadShare*float64(s.Tokens) {
 		return
@@ -69,8 +68,8 @@
 	}
 }
 
-// updateQuantile moves an estimate by steps whose sizes don't depend on the distance, so that
-// it rests where the quick part of the samples lies below it.
+// updateQuantile moves an estimate up or down by steps that don't depend on its distance from the
+// sample, so that it converges to the targetQuantile of the samples.
 func updateQuantile(estimate, sample float64) float64 {
 	if sample > estimate {
 		return estimate * (1 + stepSize*targetQuantile)
--- a/coordination/prefill/prefill_test.go
+++ b/coordination/prefill/prefill_test.go
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/coordination/prefill"
 )
 
-// engine times prompts: a fixed part, the reading, and chance.
+// engine simulates times to first token: a fixed part, the prefill, and random variation.
 type engine struct {
 	rng   *rand.Rand
 	fixed float64
@@ -47,11 +47,10 @@
 	}
 }
 
-// Runners fail part of their requests for some seconds, and callers' retries pile up in
-// the counts of what they have to read. Prompts wait for some part of that which nobody
-// knows, engines seem to be half or twice as fast as they are, and the fleet is made of
-// the wrong size for the next burst. What has work before it must not count, and a third
-// of strange times must not move the rest by much.
+// Runners fail some of their requests for a few seconds, and retries make the counts of queued
+// tokens wrong. Samples with wrong counts would make engines appear half or twice as fast as they
+// are, and the fleet would get the wrong size for the next burst. Samples with a queue must be
+// ignored, and a third of extreme samples must not change the estimate by much.
 func TestWrongQueueCountsDoNotChangeRate(t *testing.T) {
 	is := is.New(t)
 	e := &engine{rand.New(rand.NewPCG(2, 1)), 0.03, 60_000}
