--- a/coordination/servicetime/servicetime.go
+++ b/coordination/servicetime/servicetime.go
@@ -1,8 +1,9 @@
-// Package servicetime learns how long the runners of a plain service work on a request, from
-// the answers that did not wait for a place.
+// Package servicetime estimates the mean service time of a plain service's runners from answers to
+// requests that did not wait for a slot.
 //
-// How long a request will wait at a busy runner follows from it: taken for too long it has
-// requests refused that would be answered in time, for too short it sends them to wait.
+// The expected wait at a busy runner is derived from this mean. If the mean is too long, requests
+// are refused that would be answered in time; if it is too short, requests are sent to runners
+// where they wait too long.
 //
 // The package does no I/O and reads no clock. A Mean is not safe for concurrent use.
 package servicetime
@@ -10,9 +11,9 @@
 import "time"
 
 const (
-	// weight is the weight of each answer.
+	// weight is the weight of each answer in the moving average.
 	weight = 0.03
-	// minMean and longest bound the mean.
+	// minMean and maxMean bound the mean.
 	minMean = time.Millisecond
 	maxMean = 10 * time.Second
 )
@@ -20,12 +21,12 @@
 // Mean is the mean service time of one service.
 type Mean struct{ mean float64 }
 
-// New returns a mean that begins with a guess.
+// New returns a Mean with an initial guess.
 func New(first time.Duration) *Mean { return &Mean{first.Seconds()} }
 
-// Observe takes in how long an answer took. running is what its runner had in progress when it
-// was sent there, places what it can work on at once: an answer that may have waited for a
-// place does not count.
+// Observe updates the mean with the time of an answer. running is the number of requests in
+// progress at the runner when the request was sent, slots the number that the runner can process at
+// once. An answer that may have waited for a slot does not count.
 func (m *Mean) Observe(took time.Duration, running, slots int) {
 	if running >= slots {
 		return
@@ -34,5 +35,5 @@
 	m.mean = min(max(m.mean, minMean.Seconds()), maxMean.Seconds())
 }
 
-// Seconds is the mean.
+// Seconds returns the mean in seconds.
 func (m *Mean) Seconds() float64 { return m.mean }
--- a/coordination/servicetime/servicetime_test.go
+++ b/coordination/servicetime/servicetime_test.go
@@ -10,7 +10,8 @@
 	"geraniumstack.org/geraniumstack/coordination/servicetime"
 )
 
-// Guards against a guess that stays in use, and against waits that are taken for work.
+// Guards against a mean that stays at the initial guess, and against waiting time that is counted
+// as service time.
 func TestMeanFollowsAnswersThatDidNotWait(t *testing.T) {
 	is := is.New(t)
 	m := servicetime.New(20 * time.Millisecond)
