--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -10,7 +10,7 @@
 
 const unlimited = int(^uint(0) >> 1)
 
-// candidate is an offer with how many VMs it can hold in a plan.
+// candidate is an offer with the number of VMs that a plan may place in it.
 type candidate struct {
 	Offer
 	expectedPrice float64
@@ -18,13 +18,15 @@
 	domainIndex   int
 }
 
-// candidates are the offers, cheapest first, over a number of failure domains.
+// candidates are the offers sorted by expected price, and the number of failure domains
+// that they cover.
 type candidates struct {
 	list    []candidate
 	domains int
 }
 
-// listCandidates lists the offers. A pool in backoff holds what it has.
+// listCandidates returns the offers as candidates. A pool in backoff can hold at most its
+// current VMs.
 func (p *Planner) listCandidates(now time.Duration, offers []Offer, have map[Pool]int) candidates {
 	index := map[ident.FailureDomain]int{}
 	list := make([]candidate, 0, len(offers))
@@ -44,13 +46,13 @@
 	return candidates{list: list, domains: len(index)}
 }
 
-// allocation is a plan under trial. It is used again for each trial, since a large
-// service needs thousands.
+// allocation is a tentative plan. It is reused for every attempt, because planning a large
+// service takes thousands of attempts.
 type allocation struct {
 	candidates
 	counts      []int
 	vmsByDomain []int
-	// atRisk is the part of inDom that goes with the failure domain.
+	// atRisk is the number of VMs in each failure domain that are lost with it.
 	atRisk        []int
 	allocated     int
 	expectedPrice float64
@@ -62,9 +64,8 @@
 	return &allocation{candidates: c, counts: make([]int, len(c.list)), vmsByDomain: make([]int, c.domains), atRisk: make([]int, c.domains), target: w, maxCost: w.MaxCostPerHour}
 }
 
-// allocate takes total VMs from the cheapest choices, at most perDomain in one
-// failure domain of those that can be lost with it, after the least number that
-// each failure domain must have.
+// allocate places total VMs in the cheapest candidates, after giving each failure domain
+// its minimum. In any failure domain at most perDomain VMs may be lost with it.
 func (f *allocation) allocate(total, perDomain int) {
 	clear(f.counts)
 	clear(f.vmsByDomain)
@@ -78,7 +79,8 @@
 	f.addCheapest(total, maxPerDomain, perDomain)
 }
 
-// lostWithDomain tells whether a choice's VMs go with their failure domain.
+// lostWithDomain reports whether a candidate's VMs are lost if their failure domain is
+// lost.
 func (f *allocation) lostWithDomain(c *candidate) bool {
 	return c.Reclaimable || !f.target.ReclaimsOnly
 }
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -11,7 +11,8 @@
 
 func decayFactor(halfLives float64) float64 { return math.Exp2(-halfLives) }
 
-// planningRound is the work of one Decide: the way from what is there to the plan.
+// planningRound is the state of one call of Decide, which derives changes from the current
+// VMs and the plan.
 type planningRound struct {
 	p       *Planner
 	now     time.Duration
@@ -22,10 +23,10 @@
 	plan    map[Pool]int
 }
 
-// planChanges keeps the fleet from being rebuilt at each change of price. VMs that
-// are needed for the target start at once; where what runs already holds the
-// target, a cheaper plan must save MoveGain of the cost for SurplusHold, and
-// then a few VMs move at a time.
+// planChanges sets the starts and stops of the decision without rebuilding the fleet at
+// each change of price. VMs that are needed to meet the target start at once. If the
+// current VMs already meet it, a cheaper plan must save MinMoveSaving of the cost for the
+// time SurplusHold, and then only a few VMs move at a time.
 func (t *planningRound) planChanges(d *Decision) {
 	starts := t.missingStarts()
 	if !t.domainTotals(t.current).meets(t.target) {
@@ -43,7 +44,7 @@
 	d.Starts = t.allowedMoves(starts)
 }
 
-// missingStarts lists what the plan has and the fleet has not.
+// missingStarts returns the VMs of the plan that the fleet lacks.
 func (t *planningRound) missingStarts() []Start {
 	var starts []Start
 	for id, n := range t.plan {
@@ -57,8 +58,8 @@
 	return starts
 }
 
-// requiredStarts drops the starts that are not requiredStarts to hold the target given what
-// runs already in pools that the plan would not choose.
+// requiredStarts returns the first starts that are enough to meet the target together with
+// all current VMs, including those in pools that the plan would not choose.
 func (t *planningRound) requiredStarts(starts []Start) []Start {
 	counts := t.domainTotals(t.current)
 	for i, s := range starts {
@@ -70,15 +71,16 @@
 	return starts
 }
 
-// worthMoving compares the plan with what would be left of the fleet without its
-// surplus. Against the whole fleet a surplus alone would look like a gain of moving,
-// and VMs be started in place of ones that only had to stay.
+// worthMoving reports whether the plan saves at least MinMoveSaving of the cost of the
+// current fleet without its surplus. Compared with the whole fleet, a surplus alone would
+// look like a saving, and VMs would be started to replace VMs that merely had to stay.
 func (t *planningRound) worthMoving() bool {
 	currentCost := cost(t.withoutSurplus(), t.offers)
 	return currentCost-cost(t.plan, t.offers) >= t.p.limits.MinMoveSaving*currentCost
 }
 
-// withoutSurplus counts the VMs that are left when the dearest go as long as the target holds.
+// withoutSurplus counts, by pool, the VMs that remain when VMs are removed in order of
+// falling price as long as the target is met.
 func (t *planningRound) withoutSurplus() map[Pool]int {
 	vms := slices.DeleteFunc(slices.Clone(t.vms), func(v VM) bool { return v.Leaving })
 	t.sortByPriceDescending(vms)
@@ -104,7 +106,7 @@
 		return nil
 	}
 	t.p.skipMoveHold = false
-	// VMs that are on their way in were moves of an earlier turn.
+	// VMs that are still starting belong to moves of earlier rounds.
 	room := max(t.p.limits.MaxMoves-countStarting(t.vms), 0)
 	return starts[:min(len(starts), room)]
 }
@@ -119,7 +121,7 @@
 	return n
 }
 
-// surplusStops picks VMs to let go after SurplusHold.
+// surplusStops returns the VMs to stop once the surplus has lasted for SurplusHold.
 func (t *planningRound) surplusStops() []string {
 	ids := t.removableVMs()
 	if len(ids) == 0 {
@@ -136,14 +138,14 @@
 	return ids
 }
 
-// removableVMs lists VMs of pools that hold more than the plan does, the dearest
-// first, as long as the target holds without them. Letting others go would only
-// make the planner start them again: the fleet would be superfluous in one turn
-// and worth moving in the next.
+// removableVMs returns VMs of pools that hold more VMs than the plan, in order of falling
+// price, as long as the target is met without them. If VMs of other pools were stopped, the
+// planner would start them again: they would be surplus in one round and worth moving to in
+// the next.
 //
-// Only VMs that serve count: one that is still starting may fail to, and must
-// not stand in for one that is let go. A fleet that costs more than it may
-// shrinks to the plan whatever becomes of the target.
+// Only serving VMs count, because a VM that is still starting may fail and must not replace
+// one that is stopped. A fleet that costs more than MaxCostPerHour shrinks to the plan even
+// if the target is then missed.
 func (t *planningRound) removableVMs() []string {
 	excess := t.excess()
 	if len(excess) == 0 {
@@ -170,7 +172,7 @@
 	return ids
 }
 
-// excess is what the fleet has over the plan; pools without any are left out.
+// excess returns by how many VMs each pool exceeds the plan, without pools that don't.
 func (t *planningRound) excess() map[Pool]int {
 	out := map[Pool]int{}
 	for id, n := range t.current {
@@ -202,9 +204,9 @@
 type domainTotals struct {
 	total   int
 	domains map[ident.FailureDomain]int
-	// atRisk counts those that go with their failure domain.
+	// atRisk counts the VMs that are lost if their failure domain is lost.
 	atRisk map[ident.FailureDomain]int
-	// safe pools lose nothing.
+	// safe holds the pools that lose no VMs with their failure domain.
 	safe map[Pool]bool
 }
 
@@ -216,8 +218,8 @@
 	}
 }
 
-// domainTotals counts the VMs of pools in all failure domains of the plan, empty ones
-// included.
+// domainTotals counts the VMs of the pools in all failure domains of the plan, including
+// those without VMs.
 func (t *planningRound) domainTotals(pools map[Pool]int) *domainTotals {
 	s := &domainTotals{domains: map[ident.FailureDomain]int{}, atRisk: map[ident.FailureDomain]int{}, safe: map[Pool]bool{}}
 	for _, o := range t.offers {
@@ -232,8 +234,8 @@
 	return s
 }
 
-// meets tells whether the target meets, with the fullest failure domain lost if
-// it must survive that.
+// meets reports whether the VMs meet the target. If the target must survive a loss, the
+// failure domain with the most VMs at risk is assumed to be lost.
 func (s *domainTotals) meets(w Target) bool {
 	for _, n := range s.domains {
 		if n < w.MinPerDomain {
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -5,29 +5,31 @@
 	"time"
 )
 
-// DemandConfig says how much more than the mean of the work runners must bear.
+// DemandConfig sets how much capacity above the mean load runners must provide.
 type DemandConfig struct {
-	// Headroom is the standard deviations of the work that comes within Work.Wait
-	// for which there must be room, ComfortableHeadroom the same where runners cost little.
+	// Headroom is the number of standard deviations of the work arriving within Work.Wait
+	// that must fit on top of the mean. ComfortableHeadroom is the same for runners that
+	// cost little.
 	Headroom, ComfortableHeadroom float64
-	// MaxSlowdown is how many times as long as alone a request may last: prompts are
-	// read between the tokens of streams, and the fuller a batch or the more places
-	// are taken, the longer each request takes.
+	// MaxSlowdown is by what factor a request may take longer than when it runs alone.
+	// Prompts are read between the tokens of streams, so each request slows down as a batch
+	// fills up or more slots are taken.
 	MaxSlowdown float64
-	// RiseTime and FallTime are the time constants of the mean. A burst must be answered
-	// before it is over. ComfortableFallTime is used where runners cost little: they are kept
-	// for the next wave, which may come sooner than others start.
+	// RiseTime and FallTime are the time constants with which the mean follows rising and
+	// falling load. A burst must be answered before it is over. ComfortableFallTime
+	// replaces FallTime for runners that cost little: they are kept for the next wave of
+	// load, which may come sooner than new runners start.
 	RiseTime, FallTime, ComfortableFallTime time.Duration
 	// VarianceTime is the time constant of the variance.
 	VarianceTime time.Duration
-	// Settle is how long there must have been work before it says what is
-	// needed; until then FirstShare of what is there is taken to be, or
-	// AmpleFirst where runners cost little.
+	// Settle is how long there must have been work before the estimate relies on
+	// measurements. Until then the estimate is at least InitialShare of the runners present
+	// at the start, or ComfortableInitialShare for runners that cost little.
 	Settle                                time.Duration
 	InitialShare, ComfortableInitialShare float64
 }
 
-// DefaultDemand suits engines that start in seconds.
+// DefaultDemand returns a configuration for engines that start within seconds.
 func DefaultDemand() DemandConfig {
 	return DemandConfig{
 		Headroom:                0.5,
@@ -43,59 +45,64 @@
 	}
 }
 
-// Work is what callers bring to a service's runners.
+// Work is the load that callers put on a service's runners.
 type Work struct {
-	// Runners that take new work.
+	// Runners is the number of runners that take new work.
 	Runners int
-	// PromptTokens is all that were brought so far and must be read, whether or
-	// not the requests were served.
+	// PromptTokens is the total of prompt tokens of all requests so far, whether or not the
+	// requests were served.
 	PromptTokens float64
-	// PrefillRate is prompt tokens that a runner reads in a second.
+	// PrefillRate is the number of prompt tokens that a runner reads per second.
 	PrefillRate float64
-	// Wait is how long a prompt may wait before its answer is late.
+	// Wait is how long a prompt may wait before its answer counts as late.
 	Wait time.Duration
-	// Requests in progress and the places of one runner's batch.
+	// Requests is the number of requests in progress, Slots the number of slots in the
+	// batch of one runner.
 	Requests int
 	Slots    int
 }
 
-// Demand measures how many runners a service needs. Work comes unevenly, and what
-// comes within the time that a prompt may wait must be read in that time. Its
-// standard deviation grows more slowly than its mean: a large fleet can be fuller
-// than a small one, and prompts that may wait longer need fewer runners. It is not
-// safe for concurrent use.
+// Demand estimates how many runners a service needs. Work arrives unevenly, and what
+// arrives within the time that a prompt may wait must be read in that time. The standard
+// deviation of the work grows more slowly than its mean, so a large fleet can run at a
+// higher utilisation than a small one, and prompts that may wait longer need fewer runners.
+// A Demand is not safe for concurrent use.
 type Demand struct {
 	cfg DemandConfig
-	// neverServed says that the service has not served before.
+	// neverServed is set if the service has not served before.
 	neverServed bool
-	// prefill is the work of prefill prompts, batch the requests in progress.
+	// prefill is the load of reading prompts, in runners kept busy; batch is the number of
+	// requests in progress.
 	prefill, batch loadStats
-	// comfortable are the same as they are remembered for runners that cost little.
+	// comfortable holds the same loads with ComfortableFallTime, for runners that cost
+	// little.
 	comfortable struct{ prefill, batch loadStats }
 	wait        time.Duration
 	slots       int
-	// blockEnd and tokens are of the end of the last block.
+	// blockEnd and promptTokens are the time and the value of Work.PromptTokens at the end
+	// of the last block.
 	blockEnd     time.Duration
 	promptTokens float64
 	sampled      bool
-	// firstSample is the first sample, working the first with work, now the last.
+	// firstSample is the time of the first sample, firstWork that of the first sample with
+	// requests in progress, now that of the last sample.
 	firstSample time.Duration
 	firstWork   time.Duration
 	now         time.Duration
-	// resumesAt is when blocks count again after a suspension.
+	// resumesAt is when blocks count again after this daemon was suspended.
 	resumesAt time.Duration
-	// initial is the runners that were there at the beginning.
+	// initial is the largest number of runners seen before Settle has passed.
 	initial int
 }
 
-// loadStats is the mean of some work and its variance over a second.
+// loadStats holds the mean of a load and its variance over one second.
 type loadStats struct {
 	mean, variance float64
 	blocks         int
 }
 
-// add takes in the work of a span of time. The first spans count alike: a mean that
-// rose slowly from nothing would seem to be a variance.
+// add adds the work of a span of time. The first spans have equal weights, because the slow
+// rise of the mean from zero would otherwise count as variance.
 func (l *loadStats) add(cfg *DemandConfig, fall time.Duration, work float64, span time.Duration) {
 	l.blocks++
 	equalWeight := 1 / float64(l.blocks)
@@ -114,17 +121,18 @@
 	return 1 - math.Exp(-span.Seconds()/constant.Seconds())
 }
 
-// minBlock is the least time that is taken as one. In a shorter one the daemons'
-// word, which comes every 100 to 200 ms, would seem to be a variance of the work.
+// minBlock is the shortest time that is evaluated as one block. In shorter blocks the
+// intervals of 100 to 200 ms between the daemons' messages would look like variance of the
+// work.
 const minBlock = 390 * time.Millisecond
 
-// maxBlock is the longest time that is taken as one. A daemon that was suspended
-// reads in a moment what the others told in seconds, so for as long after that the
-// totals say nothing.
+// maxBlock is the longest time that is evaluated as one block. A daemon that was suspended
+// reads in one moment what the others sent over seconds, so the totals say nothing for as
+// long after a longer block.
 const maxBlock = 5 * minBlock
 
-// NewDemand returns a measure that has seen nothing; fresh says that the service has
-// not served before, so that what is there stands for what is needed.
+// NewDemand returns a Demand without samples. neverServed states that the service has not
+// served before, so that the runners present at the start stand in for an estimate.
 func NewDemand(cfg DemandConfig, neverServed bool) *Demand {
 	return &Demand{cfg: cfg, neverServed: neverServed}
 }
--- a/coordination/fleet/demand_test.go
+++ b/coordination/fleet/demand_test.go
@@ -12,8 +12,7 @@
 
 const sampleEvery = 200 * time.Millisecond
 
-// load plays work into a Demand. Prompts come at random, each of them as long as
-// meanPrompt on average.
+// load feeds work into a Demand. Prompts arrive at random; their mean length is meanPrompt.
 type load struct {
 	*fleet.Demand
 	rng        *rand.Rand
@@ -29,7 +28,7 @@
 	}
 }
 
-// run brings perSecond tokens a second in prompts that come independently.
+// run adds perSecond prompt tokens per second, in prompts that arrive independently.
 func (l *load) run(span time.Duration, perSecond float64, requests int) fleet.Estimate {
 	l.work.Requests = requests
 	for end := l.now + span; l.now < end; l.now += sampleEvery {
@@ -43,23 +42,23 @@
 	return l.Estimate()
 }
 
-// A wave of work comes, holds and ends. The measure must follow it up within seconds
-// and not give back at the first lull.
+// A wave of work rises, holds and ends. The estimate must follow it within seconds and must
+// not fall at the first lull.
 func TestDemandFollowsWave(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(true)
-	is.Equal(l.run(5*time.Second, 0, 0).Runners, 6) // nothing is known yet
+	is.Equal(l.run(5*time.Second, 0, 0).Runners, 6) // no load has been measured yet
 	calm := l.run(30*time.Second, 70_000, 20)
-	is.True(calm.Runners >= 2 && calm.Runners <= 3) // 1.4 are kept busy
+	is.True(calm.Runners >= 2 && calm.Runners <= 3) // 1.4 runners are kept busy
 	is.True(calm.Comfortable >= calm.Runners)
 	is.True(l.run(4*time.Second, 250_000, 60).Runners >= 5)
 	is.True(l.run(2*time.Second, 70_000, 20).Runners >= 5)
 	is.True(l.run(40*time.Second, 70_000, 20).Runners <= 3)
 }
 
-// The same kind of load at ten times the size was given ten times the runners, and a
-// load of long prompts no more than one of short ones. Chance evens out over many
-// prompts, and long prompts are chance of a coarser grain.
+// Guards against headroom proportional to the mean: ten times the load got ten times the
+// headroom, and long prompts got no more than short ones. Variations even out over many
+// prompts, and longer prompts make the work more uneven.
 func TestHeadroomFollowsVarianceNotSize(t *testing.T) {
 	is := is.New(t)
 	headroom := func(perSecond, meanPrompt float64, wait time.Duration) float64 {
@@ -78,23 +77,23 @@
 	is.True(headroom(100_000, 2000, 2*time.Second) < 0.7*small)
 }
 
-// Requests that bring few tokens to read and many to write fill batches, not the time
-// for reading.
+// Requests with few prompt tokens and many output tokens fill the batches without taking
+// time for prefill.
 func TestDemandCountsBatchSlots(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
 	l.work.Slots = 16
 	is.True(l.run(20*time.Second, 10_000, 160).Runners >= 10)
-	l.work.Slots = 6 // a plain service's
+	l.work.Slots = 6 // as in a plain service
 	l.work.PrefillRate = 0
 	is.True(l.run(20*time.Second, 0, 30).Runners >= 6)
 }
 
-// Four reclaims in thirteen seconds leave eight runners for the work of six and a half.
-// Prompts are still read in time, but between their chunks streams get a token in a
-// tenth of the time only: they last for ten seconds in place of two, six hundred are in
-// progress in place of a hundred and forty, and time budgets pass. A large fleet whose
-// work hardly varies must have room for streams all the same.
+// Four reclaims in thirteen seconds left eight runners for the work of six and a half.
+// Prompts were still read in time, but streams, which get their tokens between chunks of
+// prompts, ran at a tenth of their speed. Requests took ten seconds instead of two, 600
+// instead of 140 were in progress, and time budgets were exceeded. So even a large fleet,
+// whose load hardly varies, needs headroom for streams.
 func TestStreamsAreNotStarvedByPrompts(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
@@ -106,9 +105,9 @@
 	}
 }
 
-// Work falls to a half for ten seconds between two waves. What costs the full price is
-// given back within them; what costs a fraction is kept for the next wave, which comes
-// sooner than new runners serve.
+// The load halves for ten seconds between two waves. Runners at the full price are given
+// back in that time. Runners at a fraction of the price are kept for the next wave, which
+// comes sooner than new runners could serve.
 func TestComfortableEstimateOutlastsLull(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
@@ -118,9 +117,9 @@
 	is.True(float64(lull.Comfortable) >= wave.Busy)
 }
 
-// The daemon that orders runners is suspended for eight seconds. When it wakes it reads
-// at once what the others told meanwhile: eight seconds' work seemed to have come in a
-// moment, and for half a minute seventy runners were ordered where twenty served.
+// The daemon that orders runners is suspended for eight seconds. When it resumes it reads
+// at once what the others sent meanwhile. Eight seconds' work used to look like a burst,
+// and for half a minute 70 runners were ordered where 20 served.
 func TestSuspensionIsNotTakenForBurst(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
@@ -134,9 +133,10 @@
 	}
 }
 
-// A daemon is cut off from its peers for ten seconds and goes on serving. When it is
-// heard again its count has grown by ten seconds' work, which the daemon that orders
-// runners took for a burst. The same for one whose peers hear of it for the first time.
+// A daemon is cut off from its peers for ten seconds and goes on serving. When it is heard
+// again its counter has grown by ten seconds' work, which the daemon that orders runners
+// used to take for a burst. The same happened for a daemon that was heard for the first
+// time.
 func TestTallyIgnoresGrowthDuringSilence(t *testing.T) {
 	is := is.New(t)
 	var tally fleet.Tally
@@ -157,8 +157,9 @@
 	is.Equal(tally.Total(), 11_000.0)
 }
 
-// Guards against a large fleet that orders too few runners: its daemons' counts come every
-// 400 ms, and with each that was lost or late what was brought in that time was forgotten.
+// Guards against a large fleet that orders too few runners: its daemons' counters arrive
+// every 400 ms, and whenever one message was lost or late, the growth in that time was
+// dropped.
 func TestRelayedCountsTolerateLostMessages(t *testing.T) {
 	is := is.New(t)
 	var tally fleet.Tally
@@ -167,9 +168,9 @@
 	count := 0.0
 	for i := range 100 {
 		count += 10
-		if i%4 != 3 { // one in four is lost
+		if i%4 != 3 { // one message in four is lost
 			tally.Receive(time.Duration(i)*every, "d~1", count)
 		}
 	}
-	is.Equal(tally.Total(), 980.0) // the first tells where the count goes on, the last is lost
+	is.Equal(tally.Total(), 980.0) // the first message only sets the starting value, the last one is lost
 }
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -1,15 +1,14 @@
-// Package fleet decides which VMs to ask the cloud for: in which failure
-// domain and class, so that the cost is least while the target holds with any
-// one failure domain lost; what to do where starts are refused; and when to
-// let a VM go.
+// Package fleet decides which VMs to order from the cloud: in which failure domain and
+// class, so that the cost is minimal while the target is met with any one failure domain
+// lost; what to do if starts are refused; and when to stop a VM.
 //
-// The choice is exact for one service. With at most m VMs in any failure domain
-// the service needs wanted+m of them to keep wanted after the worst loss. For
-// each m the cheapest filling takes the cheapest failure domains first, m each;
-// the planner tries every m. On-demand VMs count as lost with their failure
-// domain too, since a failure takes all of it.
+// The choice is optimal for a single service. With at most m VMs in any failure domain, the
+// service needs target+m VMs to keep the target after the worst loss. For each m, the
+// cheapest allocation fills the cheapest failure domains first, with m VMs each; the
+// planner tries every m. On-demand VMs count as lost with their failure domain, too, since
+// a failure takes all VMs in it, unless the target only has to survive reclaims.
 //
-// A planner does no I/O and reads no clock. It is not safe for concurrent use.
+// A Planner does no I/O and reads no clock. It is not safe for concurrent use.
 package fleet
 
 import (
@@ -18,67 +17,67 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Pool is where a VM can be had: a failure domain and a VM class.
+// Pool is a source of VMs: a failure domain and a VM class.
 type Pool struct {
 	FailureDomain ident.FailureDomain
 	Class         string
 }
 
-// Offer is a pool with its price now.
+// Offer is a pool with its current price.
 type Offer struct {
 	Pool
 	Reclaimable  bool
 	PricePerHour float64
 }
 
-// VM is one VM of the service, as the list and the ledger know it.
+// VM is a VM of the service, as known from the VM list and the record of starts.
 type VM struct {
 	ID   string
 	Pool Pool
-	// Token is the start's token where the VM is not in the list yet.
+	// Token is the token of the start while the VM is not yet in the VM list.
 	Token string
-	// Leaving ones count for nothing any more.
+	// Leaving VMs are ignored.
 	Leaving bool
-	// Starting ones are paid for but don't serve yet.
+	// Starting VMs are paid for but don't serve yet.
 	Starting bool
 }
 
 // Target is what a service needs.
 type Target struct {
-	// Runners that must serve at the target.
+	// Runners is the number of runners that must serve.
 	Runners int
-	// SurviveLoss asks for Runners to be left when any one failure domain goes.
+	// SurviveLoss requires that Runners remain if any one failure domain is lost.
 	SurviveLoss bool
-	// ReclaimsOnly says that the loss to survive takes the failure domain's
-	// reclaimable VMs and leaves the others.
+	// ReclaimsOnly limits the loss to survive to the reclaimable VMs of the failure domain.
 	ReclaimsOnly bool
-	// MaxCostPerHour bounds the price; zero is no bound. Spare VMs for the loss
-	// of a failure domain go first, then runners.
+	// MaxCostPerHour limits the cost; zero means no limit. To stay within it, spare VMs for
+	// the loss of a failure domain are given up first, then runners.
 	MaxCostPerHour float64
-	// MinPerDomain and MaxPerDomain bound the VMs of any failure domain; a zero
-	// MaxPerDomain is no bound.
+	// MinPerDomain and MaxPerDomain limit the VMs in each failure domain; a MaxPerDomain of
+	// zero means no limit.
 	MinPerDomain, MaxPerDomain int
 }
 
-// Limits tunes the planner.
+// Limits holds the planner's parameters.
 type Limits struct {
-	// FirstBackoff of a pool after a refused start; it doubles to MaxBackoff.
+	// FirstBackoff is how long a pool is not used after a refused start. It doubles with
+	// each further refusal up to MaxBackoff.
 	FirstBackoff, MaxBackoff time.Duration
-	// ReclaimCost is the price, in hours of the VM, of one reclaim: a new start,
-	// weights loaded, work computed again.
+	// ReclaimCost is the cost of one reclaim in hours of the VM's price: a new start,
+	// loading weights, and repeating lost work.
 	ReclaimCost float64
-	// HazardHalfLife is how fast a pool's past reclaims lose weight.
+	// HazardHalfLife is the half-life with which past reclaims of a pool lose weight.
 	HazardHalfLife time.Duration
-	// SurplusHold is how long a VM must be superfluous before it is let go.
+	// SurplusHold is how long a surplus must last before VMs are stopped.
 	SurplusHold time.Duration
-	// MinMoveSaving is the share of the cost that a cheaper plan must save before
+	// MinMoveSaving is the fraction of the cost that a cheaper plan must save before
 	// running VMs are moved to it.
 	MinMoveSaving float64
-	// MaxMoves bounds the VMs that are replaced for their price at once.
+	// MaxMoves limits the VMs that are being replaced because of their price at any time.
 	MaxMoves int
 }
 
-// DefaultLimits suits starts of a minute or two.
+// DefaultLimits returns limits for VMs that start within a minute or two.
 func DefaultLimits() Limits {
 	return Limits{
 		FirstBackoff:   30 * time.Second,
@@ -91,13 +90,13 @@
 	}
 }
 
-// Start asks for one VM in a pool.
+// Start is an order of one VM in a pool.
 type Start struct{ Pool Pool }
 
-// Decision is what to do now.
+// Decision holds the changes to make now.
 type Decision struct {
 	Starts []Start
-	// Stops are VMs to be let go, by graceful shutdown of their runners.
+	// Stops are the IDs of the VMs to remove, by graceful shutdown of their runners.
 	Stops []string
 	// Shortfall is the number of runners that no pool gives now.
 	Shortfall int
@@ -108,13 +107,14 @@
 type poolState struct {
 	refusals     int
 	backoffUntil time.Duration
-	// hazard is reclaims seen, decayed; per VM hours in exposure.
+	// reclaims is the decayed number of reclaims seen, exposure the decayed VM hours in
+	// which they occurred.
 	reclaims  float64
 	exposure  float64
 	decayedAt time.Duration
 }
 
-// Planner plans for one service.
+// Planner plans the VMs of one service.
 type Planner struct {
 	limits       Limits
 	pools        map[Pool]*poolState
@@ -122,12 +122,12 @@
 	hasSurplus   bool
 	movesSince   time.Duration
 	hasMoves     bool
-	// skipMoveHold says that the next move need not wait: what runs stood in for VMs
-	// that are to be had again.
+	// skipMoveHold lets the next moves start without waiting for SurplusHold, because the
+	// current VMs replaced VMs of pools that are available again.
 	skipMoveHold bool
 }
 
-// New returns a planner that knows of no refusals or reclaims.
+// New returns a planner without recorded refusals and reclaims.
 func New(l Limits) *Planner { return &Planner{limits: l, pools: map[Pool]*poolState{}} }
 
 func (p *Planner) pool(id Pool) *poolState {
@@ -139,8 +139,9 @@
 	return s
 }
 
-// RecordRefusal tells that the cloud refused a start in the pool. Several refusals of
-// one turn count as one: they say the same thing.
+// RecordRefusal records that the cloud refused a start in the pool. Refusals during the
+// pool's backoff are ignored, so that several refusals in one round, which have the same
+// cause, count as one.
 func (p *Planner) RecordRefusal(now time.Duration, id Pool) {
 	s := p.pool(id)
 	if now < s.backoffUntil {
@@ -151,11 +152,11 @@
 	s.backoffUntil = now + wait
 }
 
-// RecordStart tells that the cloud gave a VM in the pool.
+// RecordStart records that the cloud started a VM in the pool.
 func (p *Planner) RecordStart(id Pool) { p.pool(id).refusals = 0 }
 
-// ResetBackoff tells that VMs which were hard to get in all pools are to be had again, so
-// that earlier refusals say nothing any more and moving to them need not wait.
+// ResetBackoff records that scarce VMs are available again in all pools. Earlier refusals
+// are dropped, and moves to these pools need not wait.
 func (p *Planner) ResetBackoff() {
 	p.skipMoveHold = true
 	for _, s := range p.pools {
@@ -163,14 +164,14 @@
 	}
 }
 
-// RecordReclaims tells that n VMs of the pool were given notice.
+// RecordReclaims records that n VMs of the pool got notice of a reclaim.
 func (p *Planner) RecordReclaims(now time.Duration, id Pool, n int) {
 	s := p.pool(id)
 	p.decay(now, s)
 	s.reclaims += float64(n)
 }
 
-// RecordExposure tells that n VMs of the pool have run for d without notice.
+// RecordExposure records that n VMs of the pool ran for d without a notice.
 func (p *Planner) RecordExposure(now time.Duration, id Pool, n int, d time.Duration) {
 	s := p.pool(id)
 	p.decay(now, s)
@@ -188,10 +189,11 @@
 	s.decayedAt = now
 }
 
-// priorExposure in VM hours keeps one reclaim in a new pool from ruling it out.
+// priorExposure, in VM hours, keeps a single reclaim in a new pool from ruling the pool
+// out.
 const priorExposure = 20
 
-// Hazard is the expected number of reclaims of one VM of the pool in an hour.
+// Hazard returns the expected number of reclaims per VM of the pool and hour.
 func (p *Planner) Hazard(id Pool) float64 {
 	s, ok := p.pools[id]
 	if !ok {
@@ -200,7 +202,8 @@
 	return s.reclaims / (s.exposure + priorExposure)
 }
 
-// expectedPrice is what a VM of the offer costs in an hour, reclaims included.
+// expectedPrice returns the hourly price of a VM of the offer, including the expected cost
+// of reclaims.
 func (p *Planner) expectedPrice(o Offer) float64 {
 	if !o.Reclaimable {
 		return o.PricePerHour
@@ -208,8 +211,7 @@
 	return o.PricePerHour * (1 + p.Hazard(o.Pool)*p.limits.ReclaimCost)
 }
 
-// Decide compares the VMs with the cheapest plan and returns the changes to
-// make now.
+// Decide compares the VMs with the cheapest plan and returns the changes to make now.
 func (p *Planner) Decide(now time.Duration, w Target, offers []Offer, vms []VM) Decision {
 	current := countByPool(vms)
 	plan, shortfall := cheapestPlan(w, p.listCandidates(now, offers, current))
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -35,8 +35,8 @@
 	return n
 }
 
-// A whole failure domain goes. Whatever the prices and refusals were when the
-// fleet was planned, the runners left must hold the target.
+// A whole failure domain is lost. Whatever the prices and refusals were when the fleet was
+// planned, the remaining runners must meet the target.
 func TestPlanSurvivesLossOfAnyFailureDomain(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		domains := []ident.FailureDomain{"a", "b", "c", "d"}[:rapid.IntRange(2, 4).Draw(rt, "domains")]
@@ -57,7 +57,7 @@
 		vms := applyStarts(d, nil)
 		for _, lost := range domains {
 			if remaining(vms, lost) < w.Runners {
-				rt.Fatalf("%d left of %d after %s", remaining(vms, lost), w.Runners, lost)
+				rt.Fatalf("%d runners remain of %d after the loss of %s", remaining(vms, lost), w.Runners, lost)
 			}
 		}
 	})
@@ -71,12 +71,12 @@
 	}
 	p := fleet.New(fleet.DefaultLimits())
 	d := p.Decide(0, fleet.Target{Runners: 12, SurviveLoss: true}, offers, nil)
-	is.Equal(len(d.Starts), 18) // 6 in each of three beats 4 in each of four
+	is.Equal(len(d.Starts), 18) // 6 in each of three domains is cheaper than 4 in each of four
 	is.Equal(d.CostPerHour, 18.0)
 }
 
-// A wave takes a failure domain and the cloud refuses reclaimable starts just
-// then. The planner must go on to the next class at once and come back later.
+// Reclaims take a failure domain's VMs and the cloud refuses reclaimable starts at the same
+// time. The planner must use the next class at once and return to the refused pool later.
 func TestRefusedStartMovesToNextPool(t *testing.T) {
 	is := is.New(t)
 	spot, onDemand := offer("a", "spot", 1, true), offer("a", "on-demand", 3, false)
@@ -89,8 +89,8 @@
 	is.Equal(p.Decide(time.Minute, w, offers, nil).Starts[0].Pool, spot.Pool)
 }
 
-// Prices swing every minute. Without a hold the fleet would be rebuilt each
-// time, and each rebuild loads weights and moves requests.
+// Prices change every minute. Without SurplusHold the fleet would be rebuilt each time, and
+// each rebuild loads weights and moves requests.
 func TestSwingingPricesDoNotMoveTheFleet(t *testing.T) {
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
@@ -111,8 +111,8 @@
 	is.Equal(stops, 0)
 }
 
-// A replacement is still starting when the VM that it stands in for is let go.
-// If the start then fails, the target is missed, so only serving VMs count.
+// A replacement is still starting. If the VM that it replaces were stopped now and the
+// start then failed, the target would be missed, so only serving VMs count.
 func TestStartingVMDoesNotReplaceServingVM(t *testing.T) {
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
@@ -148,16 +148,16 @@
 	p := fleet.New(fleet.DefaultLimits())
 	offers := []fleet.Offer{offer("a", "spot", 1, true), offer("b", "spot", 1, true)}
 	d := p.Decide(0, fleet.Target{Runners: 4, SurviveLoss: true, MaxCostPerHour: 5}, offers, nil)
-	is.Equal(len(d.Starts), 5) // all runners and the spare that the money reaches
+	is.Equal(len(d.Starts), 5) // all runners, and as many spare VMs as the cost limit allows
 	is.Equal(d.Shortfall, 0)
 	d = p.Decide(0, fleet.Target{Runners: 4, SurviveLoss: true, MaxCostPerHour: 3}, offers, nil)
 	is.Equal(len(d.Starts), 3)
 	is.Equal(d.Shortfall, 1)
 }
 
-// After a wave the fleet holds more than the plan in some failure domains and
-// less in others. Letting the dearest VMs go, wherever they are, would unbalance
-// it, and the planner would start the same VMs again some minutes later.
+// After reclaims the fleet holds more VMs than planned in some failure domains and fewer in
+// others. Stopping the most expensive VMs regardless of their domain would unbalance the
+// fleet, and the planner would start the same VMs again some minutes later.
 func TestSurplusStopsLeadToPlan(t *testing.T) {
 	is := is.New(t)
 	var offers []fleet.Offer
@@ -185,8 +185,8 @@
 	}
 }
 
-// An operator lowers the cost bound. The VMs run already and hold the target,
-// but the bound is the operator's word: the fleet must shrink to it.
+// An operator lowers the cost limit. The running VMs meet the target, but the limit takes
+// precedence: the fleet must shrink to it.
 func TestLoweredCostBoundShrinksTheFleet(t *testing.T) {
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
@@ -197,8 +197,8 @@
 	is.Equal(len(p.Decide(10*time.Minute, w, offers, vms).Stops), 3)
 }
 
-// A wave's four refused starts of one turn say one thing; counted as four, the
-// pool would be left alone for minutes after it has VMs again.
+// Four starts refused in one round have one cause. If they counted as four refusals, the
+// pool would not be used for minutes after it has VMs again.
 func TestRefusalsOfOneRoundCountOnce(t *testing.T) {
 	is := is.New(t)
 	spot, onDemand := offer("a", "spot", 1, true), offer("a", "on-demand", 3, false)
@@ -225,9 +225,9 @@
 	}
 }
 
-// A fleet is twice as large as it must be and evenly spread, at one price everywhere. What
-// is too much may go; to start VMs in the failure domain that the plan would fill first
-// costs more for nothing.
+// A fleet is twice as large as needed and evenly spread over domains with equal prices. The
+// surplus may be stopped, but starting VMs in the failure domain that the plan would fill
+// first would only add cost.
 func TestSurplusAloneCausesNoMoves(t *testing.T) {
 	is := is.New(t)
 	var offers []fleet.Offer
@@ -249,9 +249,9 @@
 	}
 }
 
-// Reclaimable VMs run out in all failure domains and each start is refused, so that
-// every pool is asked less and less often. Then one of them gives again: the others
-// must not wait for the end of their backoff, while dear VMs stand in for theirs.
+// Reclaimable VMs run out in all failure domains and every start is refused, so the backoff
+// of every pool grows. Then one pool has VMs again. The planner must not wait for the end
+// of the other pools' backoff while on-demand VMs replace theirs.
 func TestResetBackoffAllowsAllPools(t *testing.T) {
 	is := is.New(t)
 	offers := []fleet.Offer{offer("a", "spot", 0.2, true), offer("b", "spot", 0.2, true), offer("a", "on-demand", 1, false)}
--- a/coordination/fleet/orders.go
+++ b/coordination/fleet/orders.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Orders keeps the numbers of VMs that were ordered where a cloud takes a number
-// for each pool instead of single starts and stops, and chooses itself which VM
-// goes. What was ordered and is not there yet counts as starting, what was given
-// back and is still there as leaving, each for a while only: an order may be
-// lost or refused without a word.
+// Orders tracks the ordered number of VMs in each pool, for clouds that take a number per
+// pool instead of single starts and stops and choose themselves which VM to stop. VMs that
+// were ordered and are not present yet count as starting, and VMs that were given back and
+// are still present count as leaving. Both count only until a timeout, because an order may
+// be lost or silently refused.
 type Orders struct {
 	pools map[Pool]*poolOrders
-	// timeout is how long an order may take to show.
+	// timeout is how long an order may take to take effect.
 	timeout time.Duration
 }
 
@@ -23,7 +23,7 @@
 	stopping []time.Duration
 }
 
-// NewOrders returns orders that forget what has not shown after patience.
+// NewOrders returns Orders that drop an order if it has no effect within timeout.
 func NewOrders(timeout time.Duration) *Orders {
 	return &Orders{pools: map[Pool]*poolOrders{}, timeout: timeout}
 }
@@ -37,7 +37,7 @@
 	return p
 }
 
-// Sync takes in how many VMs of each pool are there and not leaving.
+// Sync sets how many VMs of each pool are present and not leaving.
 func (o *Orders) Sync(now time.Duration, present map[Pool]int) {
 	for id := range present {
 		o.pool(id)
@@ -50,18 +50,19 @@
 	}
 }
 
-// dropCompleted drops the n oldest orders, which have dropCompleted, and those that are over.
+// dropCompleted removes the n oldest orders, which have taken effect, and those that have
+// expired.
 func dropCompleted(orders []time.Duration, n int, now time.Duration) []time.Duration {
 	orders = orders[min(max(n, 0), len(orders)):]
 	return slices.DeleteFunc(orders, func(until time.Duration) bool { return now >= until })
 }
 
-// RecordReclaims tells that the pool's VMs have been given notice. Those of it that were
-// still to come won't, and would stand in for others that could be ordered.
+// RecordReclaims records that VMs of the pool got notice of a reclaim. Pending starts in
+// the pool are dropped: those VMs won't come and would prevent orders in other pools.
 func (o *Orders) RecordReclaims(id Pool) { o.pool(id).starting = nil }
 
-// VMs lists what is there and what is on its way, for Planner.Decide. The names
-// stand for numbers and say nothing of which VM it is.
+// VMs returns the present and the starting VMs for Planner.Decide. The IDs are made up and
+// don't identify actual VMs.
 func (o *Orders) VMs() []VM {
 	var vms []VM
 	for id, p := range o.pools {
@@ -77,13 +78,13 @@
 	return vms
 }
 
-// Target is the number to order of a pool.
+// Target returns the number of VMs to order from the cloud in a pool.
 func (o *Orders) Target(id Pool) int {
 	p := o.pool(id)
 	return max(0, p.present-len(p.stopping)) + len(p.starting)
 }
 
-// Change orders n more of a pool, or fewer if n is negative.
+// Change orders n more VMs of a pool, or -n fewer if n is negative.
 func (o *Orders) Change(now time.Duration, id Pool, n int) {
 	p := o.pool(id)
 	for range max(n, 0) {
@@ -94,7 +95,7 @@
 	}
 }
 
-// Undo takes the last Change of the pool back, as after a refusal.
+// Undo reverts the last Change of the pool, e.g. after a refusal.
 func (o *Orders) Undo(id Pool, n int) {
 	p := o.pool(id)
 	p.starting = p.starting[:max(0, len(p.starting)-max(n, 0))]
--- a/coordination/fleet/orders_test.go
+++ b/coordination/fleet/orders_test.go
@@ -21,14 +21,14 @@
 	o.Change(0, northSpot, 2)
 	is.Equal(o.Target(northSpot), 4)
 	o.Sync(4*time.Second, map[fleet.Pool]int{northSpot: 3})
-	is.Equal(o.Target(northSpot), 4) // one more is on its way
+	is.Equal(o.Target(northSpot), 4) // one more VM is still starting
 	is.Equal(len(o.VMs()), 4)
 	o.Sync(6*time.Second, map[fleet.Pool]int{northSpot: 3})
-	is.Equal(o.Target(northSpot), 3) // it never came
+	is.Equal(o.Target(northSpot), 3) // the VM never came
 }
 
-// The cloud reclaims all VMs of a pool. What was ordered there must not count as
-// starting, or nobody orders elsewhere until the orders expire.
+// The cloud reclaims all VMs of a pool. Orders in that pool must not count as starting, or
+// nothing would be ordered elsewhere until the orders expire.
 func TestReclaimedAreNotStarting(t *testing.T) {
 	is := is.New(t)
 	o := fleet.NewOrders(6 * time.Second)
@@ -50,7 +50,7 @@
 	is.Equal(o.Target(northSpot), 2)
 }
 
-// Whatever the wanted number, the plan keeps the bounds of each failure domain.
+// The plan respects the limits of each failure domain for any number of runners.
 func TestPlanKeepsBoundsOfDomains(t *testing.T) {
 	is := is.New(t)
 	var offers []fleet.Offer
@@ -72,9 +72,9 @@
 	}
 }
 
-// Five VMs of a failure domain are on their way when its reclaimable ones are given
-// notice. They never come, but until their patience was over they stood in for others,
-// which were ordered seven seconds too late.
+// Five VMs of a failure domain are starting when its reclaimable VMs get notice. They never
+// come, but until the orders timed out they counted as starting, and replacements were
+// ordered seven seconds too late.
 func TestReclaimDropsPendingStarts(t *testing.T) {
 	is := is.New(t)
 	spot := fleet.Pool{FailureDomain: "a", Class: "spot"}
@@ -91,9 +91,9 @@
 	is.Equal(o.Target(other), 3)
 }
 
-// A reclaim takes the reclaimable VMs of a failure domain and leaves the others
-// there. The plan must hold what is wanted after any one reclaim, and must not pay
-// for spare VMs that no reclaim can take.
+// A reclaim takes the reclaimable VMs of a failure domain and leaves the others there. The
+// plan must keep the required runners after any one reclaim, and must not pay for spare VMs
+// that no reclaim can take.
 func TestPlanSurvivesReclaimOfAnyFailureDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var offers []fleet.Offer
@@ -126,10 +126,10 @@
 				}
 			}
 			if remaining < w.Runners {
-				t.Fatalf("%d left of %d after a reclaim of %s", remaining, w.Runners, lost)
+				t.Fatalf("%d runners remain of %d after a reclaim in %s", remaining, w.Runners, lost)
 			}
 			if onDemand > w.Runners {
-				t.Fatalf("%d at the full price for %d", onDemand, w.Runners)
+				t.Fatalf("%d on-demand VMs for %d runners", onDemand, w.Runners)
 			}
 		}
 	})
--- a/coordination/fleet/releasable.go
+++ b/coordination/fleet/releasable.go
@@ -7,10 +7,10 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Releasable lists the VMs that may be let go while reclaimable ones are hard to get,
-// the dearest first. All reclaimable ones may go at any moment then, so only the
-// others count: keep of them must stay, and minPerDomain in each failure domain.
-// Ones that are still starting may fail to and count for nothing.
+// Releasable returns the VMs that may be stopped while reclaimable VMs are scarce, in order
+// of falling price. During that time every reclaimable VM may be taken at any moment, so
+// only the other ones count: keep of them must stay, and minPerDomain in each failure
+// domain. VMs that are still starting may fail and are ignored.
 func Releasable(vms []VM, offers []Offer, keep, minPerDomain int) []string {
 	price := map[Pool]float64{}
 	for _, o := range offers {
--- a/coordination/fleet/releasable_test.go
+++ b/coordination/fleet/releasable_test.go
@@ -10,9 +10,9 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// A large fleet starts at the full price; before cheaper runners have come, the first
-// reclaim makes them hard to get. What runs at the full price beyond the need was all
-// kept until that was over: 90 runners for 35.
+// A large fleet starts with on-demand VMs, and the first reclaim makes reclaimable VMs
+// scarce before any could be started. All on-demand VMs beyond the need used to be kept
+// until the scarcity ended: 90 runners where 35 were needed.
 func TestReleasableDuringScarcity(t *testing.T) {
 	is := is.New(t)
 	var vms []fleet.VM
@@ -37,7 +37,7 @@
 	}
 	n, perDomain := release(12, 1)
 	is.Equal(n, 8)
-	is.Equal(perDomain['n'], 8) // the dearest first
+	is.Equal(perDomain['n'], 8) // the most expensive first
 	n, perDomain = release(2, 4)
 	is.Equal(n, 12)
 	is.Equal(perDomain['n'], 6)
--- a/coordination/fleet/tally.go
+++ b/coordination/fleet/tally.go
@@ -6,36 +6,36 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// maxSilence is how long a daemon, or this one, may have heard nothing for its
-// counts to go on. Five messages of a small fleet are then missing, or in a large one,
-// which is told of more seldom, three.
+// maxSilence is the longest time between two messages of a daemon, as received here, for
+// its counter to continue. Five messages of a small fleet are then missing. In a large
+// fleet, where messages are relayed and less frequent, maxRelayedSilence is used; three
+// messages are then missing.
 const (
 	maxSilence        = 600 * time.Millisecond
 	maxRelayedSilence = 1600 * time.Millisecond
 )
 
-// Tally adds up what daemons count, each since its own start. A daemon that has been
-// silent may have counted meanwhile, and taken at its word it would seem to have done
-// in a moment what it did in seconds; one that is heard for the first time likewise,
-// and all of them where this daemon was suspended. So the first word after a silence
-// only says where the count goes on from. The total never falls. It is not safe for
-// concurrent use.
+// Tally adds up the counters of daemons, each of which counts from its own start. After a
+// silence the first message only sets the value from which a counter continues. Otherwise
+// all that a daemon counted during the silence would seem to have happened in one moment.
+// The same applies to a daemon that is heard for the first time, and to all daemons after
+// this daemon was suspended. The total never falls. A Tally is not safe for concurrent use.
 type Tally struct {
 	total       float64
 	lastReading map[ident.Incarnation]reading
 	relayed     bool
 }
 
-// reading is where a daemon's count stood.
+// reading is a daemon's counter at the time at.
 type reading struct {
 	at    time.Duration
 	count float64
 }
 
-// SetRelayed says whether the counts are those of a large fleet.
+// SetRelayed sets whether the counters arrive through relays, as in a large fleet.
 func (t *Tally) SetRelayed(relayed bool) { t.relayed = relayed }
 
-// Receive takes in a daemon's count.
+// Receive adds the growth of a daemon's counter since its last message.
 func (t *Tally) Receive(now time.Duration, id ident.Incarnation, count float64) {
 	if t.lastReading == nil {
 		t.lastReading = map[ident.Incarnation]reading{}
@@ -50,8 +50,8 @@
 	t.lastReading[id] = reading{now, count}
 }
 
-// PeerEnded forgets a daemon.
+// PeerEnded removes a daemon's counter. The total stays.
 func (t *Tally) PeerEnded(id ident.Incarnation) { delete(t.lastReading, id) }
 
-// Total is what all of them have counted while they were heard.
+// Total returns the sum over all daemons of what they counted without a silence.
 func (t *Tally) Total() float64 { return t.total }
