--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -118,7 +118,8 @@
 	return plan
 }
 
-// cheapestPlan is the plan of least cost; short is what it lacks.
+// cheapestPlan returns the plan of least expected cost and the number of runners that it
+// lacks.
 func cheapestPlan(w Target, c candidates) (map[Pool]int, int) {
 	f := newAllocation(c, w)
 	if !w.SurviveLoss {
@@ -147,8 +148,9 @@
 	return f.plan(), 0
 }
 
-// minInFullestDomain is the least number in the fullest failure domain with which
-// the others can hold the runners; past runners if there is no other.
+// minInFullestDomain returns the smallest possible number of VMs in the fullest failure
+// domain if the other domains must hold all runners. It returns runners + 1 if there is no
+// other domain.
 func minInFullestDomain(runners, domains int) int {
 	if domains < 2 {
 		return runners + 1
@@ -156,8 +158,9 @@
 	return (runners + domains - 2) / (domains - 1)
 }
 
-// degradedPlan gives up the spare for a lost failure domain where pools or money
-// don't reach: runners that serve now go before runners that would be left.
+// degradedPlan is used if the pools or the cost limit don't allow enough VMs to survive the
+// loss of a failure domain. It gives up the spare VMs for such a loss before runners that
+// must serve now.
 func (f *allocation) degradedPlan(w Target) (map[Pool]int, int) {
 	evenShare := (w.Runners + f.domains - 1) / max(f.domains, 1)
 	best, bestGot, bestCost := 0, -1, 0.0
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -137,14 +137,14 @@
 	return &Demand{cfg: cfg, neverServed: neverServed}
 }
 
-// Sample takes in the work at a moment.
+// Sample records the work at the time now.
 func (d *Demand) Sample(now time.Duration, w Work) {
 	d.now, d.wait, d.slots = now, w.Wait, w.Slots
 	if !d.sampled {
 		d.firstSample = now
 	}
 	if now-d.firstSample < d.cfg.Settle {
-		// What is there at first, before any order shows.
+		// Only runners that were there before any order took effect count.
 		d.initial = max(d.initial, w.Runners)
 	}
 	if d.firstWork == 0 && w.Requests > 0 {
@@ -171,13 +171,14 @@
 	d.comfortable.batch.add(&d.cfg, d.cfg.ComfortableFallTime, float64(w.Requests), span)
 }
 
-// withHeadroom is what some work needs, with room for chance and so much that whatever is
-// in progress beside it is not slowed down too far.
+// withHeadroom returns the capacity needed for a load: the mean plus the given deviation,
+// but at least enough to keep requests in progress within MaxSlowdown.
 func (d *Demand) withHeadroom(mean, deviation float64) float64 {
 	return max(mean+deviation, mean/(1-1/d.cfg.MaxSlowdown))
 }
 
-// requiredRunners is how many bear the work with room for so many standard deviations.
+// requiredRunners returns how many runners can handle the load with headroom for the given
+// number of standard deviations.
 func (d *Demand) requiredRunners(prefill, batch *loadStats, deviations, initialShare float64) int {
 	needed := d.withHeadroom(prefill.mean, deviations*d.deviation(prefill))
 	if d.slots > 0 {
@@ -191,19 +192,20 @@
 	return max(1, n)
 }
 
-// Estimate is what Demand says at a moment.
+// Estimate is the result of Demand.Estimate.
 type Estimate struct {
-	// Runners are needed; Comfortable is how many there should be where they cost
-	// little.
+	// Runners is the number of runners needed, Comfortable the number that there should be
+	// if runners cost little.
 	Runners, Comfortable int
-	// Busy is how many runners the mean of the work keeps reading, Deviation the
-	// standard deviation of what comes while a prompt may wait, in the same unit.
+	// Busy is the mean number of runners kept busy by reading prompts. Deviation is the
+	// standard deviation of the prefill work arriving while a prompt may wait, in the same
+	// unit.
 	Busy, Deviation float64
-	// Settled says that there has been work for long enough to tell.
+	// Settled is set if there has been work for at least DemandConfig.Settle.
 	Settled bool
 }
 
-// Estimate tells what is needed.
+// Estimate returns the number of runners needed as of the last sample.
 func (d *Demand) Estimate() Estimate {
 	return Estimate{
 		Runners:     d.requiredRunners(&d.prefill, &d.batch, d.cfg.Headroom, d.cfg.InitialShare),
@@ -221,5 +223,5 @@
 	return math.Sqrt(prefill.variance / d.wait.Seconds())
 }
 
-// settled tells whether there has been work for long enough to say what is needed.
+// settled reports whether there has been work for long enough to rely on the measurements.
 func (d *Demand) settled() bool { return d.firstWork != 0 && d.now-d.firstWork >= d.cfg.Settle }
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -98,9 +98,9 @@
 	Starts []Start
 	// Stops are the IDs of the VMs to remove, by graceful shutdown of their runners.
 	Stops []string
-	// Shortfall is the number of runners that no pool gives now.
+	// Shortfall is the number of runners that no pool can provide now.
 	Shortfall int
-	// CostPerHour of the plan aimed at.
+	// CostPerHour is the cost of the target plan.
 	CostPerHour float64
 }
 
