--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -31,20 +31,20 @@
 	AliveFor = 800 * time.Millisecond
 	// RelayedAliveFor is the same in a large fleet, whose daemons are heard more seldom.
 	RelayedAliveFor = 1600 * time.Millisecond
-	// IntroducedFor is how long a daemon counts as alive of which only others have spoken:
+	// IntroductionTTL is how long a daemon counts as alive of which only others have spoken:
 	// two messages there and back. After a restart of all, those that are registered have
 	// ended.
-	IntroducedFor = time.Second
-	// ReferAgainAfter is how long after an introduction the next one counts.
-	ReferAgainAfter = 3 * time.Second
+	IntroductionTTL = time.Second
+	// ReintroduceAfter is how long after an introduction the next one counts.
+	ReintroduceAfter = 3 * time.Second
 	// ForgetAfter is how long a silent daemon counts as one that may be running.
 	ForgetAfter = 30 * time.Second
-	// CallFor is how long an address is still called at which nobody is heard. Parts of a
+	// AddressTTL is how long an address is still called at which nobody is heard. Parts of a
 	// fleet that are cut off from each other know nothing else of each other, and cuts
 	// last for minutes.
-	CallFor = 10 * time.Minute
-	// RosterFor is how long a relay's roster counts: one is lost, and the next is late.
-	RosterFor = 2500 * time.Millisecond
+	AddressTTL = 10 * time.Minute
+	// RosterTTL is how long a relay's roster counts: one is lost, and the next is late.
+	RosterTTL = 2500 * time.Millisecond
 	// MaxAddresses bounds the addresses that are called without having been heard.
 	MaxAddresses = 4096
 )
@@ -82,9 +82,9 @@
 
 type entry struct {
 	Member
-	// seq is the last message that was heard directly, told the last one that Member
+	// seq is the last message that was heard directly, memberSeq the last one that Member
 	// was taken from.
-	seq, told uint64
+	seq, memberSeq uint64
 	// heard is when it was heard directly, seen when anything was last known of it,
 	// introduced when somebody else first spoke of it.
 	heard, seen, introduced time.Duration
@@ -94,8 +94,8 @@
 type roster struct {
 	at   time.Duration
 	rows map[ident.Incarnation]bool
-	// fleet is the number of daemons, domains of failure domains.
-	fleet, domains int
+	// fleetSize is the number of daemons, domainCount of failure domainCount.
+	fleetSize, domainCount int
 }
 
 // Table is not safe for concurrent use.
@@ -143,10 +143,10 @@
 	t.addresses[address] = now
 }
 
-// Heard takes in a daemon's message; seq orders those of one incarnation. It
+// Receive takes in a daemon's message; seq orders those of one incarnation. It
 // returns false if a later one was heard already, and the incarnations that
 // ended because this one listens at their address.
-func (t *Table) Heard(now time.Duration, m Member, seq uint64) (fresh bool, ended []ident.Incarnation) {
+func (t *Table) Receive(now time.Duration, m Member, seq uint64) (isNew bool, ended []ident.Incarnation) {
 	if m.Incarnation == t.self.Incarnation {
 		return false, nil
 	}
@@ -159,26 +159,26 @@
 		t.entries[m.Incarnation] = e
 	}
 	if !known || e.heard == freshness.Never {
-		ended = t.replace(m)
+		ended = t.removeReplaced(m)
 	}
-	e.Member, e.seq, e.told, e.heard, e.seen = m, seq, max(seq, e.told), now, now
+	e.Member, e.seq, e.memberSeq, e.heard, e.seen = m, seq, max(seq, e.memberSeq), now, now
 	t.Learn(now, m.PeerAddress)
 	return true, ended
 }
 
-// Told takes in the roster of a relay, which replaces its last one. It returns the
+// ReceiveRoster takes in the roster of a relay, which replaces its last one. It returns the
 // incarnations that have ended because another one listens at their address.
-func (t *Table) Told(now time.Duration, by ident.Incarnation, rows []Row, fleet, domains int) []ident.Incarnation {
-	told := roster{at: now, rows: make(map[ident.Incarnation]bool, len(rows)), fleet: fleet, domains: domains}
+func (t *Table) ReceiveRoster(now time.Duration, by ident.Incarnation, rows []Row, fleetSize, domainCount int) []ident.Incarnation {
+	received := roster{at: now, rows: make(map[ident.Incarnation]bool, len(rows)), fleetSize: fleetSize, domainCount: domainCount}
 	var ended []ident.Incarnation
 	for _, r := range rows {
-		if t.passedOver(now, r) {
+		if t.shouldIgnore(now, r) {
 			continue
 		}
-		told.rows[r.Incarnation] = true
-		ended = append(ended, t.take(now, r)...)
+		received.rows[r.Incarnation] = true
+		ended = append(ended, t.mergeRow(now, r)...)
 	}
-	t.rosters[by] = told
+	t.rosters[by] = received
 	return ended
 }
 
@@ -187,44 +187,44 @@
 	if _, known := t.entries[r.Incarnation]; known {
 		return
 	}
-	t.Refer(now, r)
+	t.Reintroduce(now, r)
 }
 
-// Refer takes in that another daemon vouches for one, which counts for a moment, and again
+// Reintroduce takes in that another daemon vouches for one, which counts for a moment, and again
 // from time to time. That other one may reach it while this one can't.
-func (t *Table) Refer(now time.Duration, r Row) {
+func (t *Table) Reintroduce(now time.Duration, r Row) {
 	e, known := t.entries[r.Incarnation]
-	if known && now-e.introduced < ReferAgainAfter || t.passedOver(now, r) {
+	if known && now-e.introduced < ReintroduceAfter || t.shouldIgnore(now, r) {
 		return
 	}
-	t.take(now, r)
+	t.mergeRow(now, r)
 	t.entries[r.Incarnation].introduced = now
 }
 
-// passedOver tells whether a row says nothing of another daemon that may be alive.
-func (t *Table) passedOver(now time.Duration, r Row) bool {
-	return r.Incarnation == t.self.Incarnation || r.Incarnation == "" || t.former(now, r.Member)
+// shouldIgnore tells whether a row says nothing of another daemon that may be alive.
+func (t *Table) shouldIgnore(now time.Duration, r Row) bool {
+	return r.Incarnation == t.self.Incarnation || r.Incarnation == "" || t.hasEnded(now, r.Member)
 }
 
-func (t *Table) take(now time.Duration, r Row) []ident.Incarnation {
+func (t *Table) mergeRow(now time.Duration, r Row) []ident.Incarnation {
 	e, known := t.entries[r.Incarnation]
 	if known {
 		e.seen = now
-		if r.Seq > e.told {
-			e.Member, e.told = r.Member, r.Seq
+		if r.Seq > e.memberSeq {
+			e.Member, e.memberSeq = r.Member, r.Seq
 		}
 		return nil
 	}
-	t.entries[r.Incarnation] = &entry{Member: r.Member, told: r.Seq, heard: freshness.Never, seen: now, introduced: freshness.Never}
+	t.entries[r.Incarnation] = &entry{Member: r.Member, memberSeq: r.Seq, heard: freshness.Never, seen: now, introduced: freshness.Never}
 	t.Learn(now, r.PeerAddress)
-	return t.replace(r.Member)
+	return t.removeReplaced(r.Member)
 }
 
-// former tells whether a daemon that somebody else tells of has ended: another incarnation
+// hasEnded tells whether a daemon that somebody else tells of has ended: another incarnation
 // is heard at its address, or known to have started there later. A roster may be older
 // than what is known here, and a daemon that followed one that has ended would be
 // answered by its successor, which is no relay.
-func (t *Table) former(now time.Duration, m Member) bool {
+func (t *Table) hasEnded(now time.Duration, m Member) bool {
 	if m.PeerAddress == t.self.PeerAddress {
 		return true
 	}
@@ -236,7 +236,7 @@
 	return false
 }
 
-func (t *Table) replace(m Member) []ident.Incarnation {
+func (t *Table) removeReplaced(m Member) []ident.Incarnation {
 	var ended []ident.Incarnation
 	for id, e := range t.entries {
 		if id != m.Incarnation && e.PeerAddress == m.PeerAddress {
@@ -257,12 +257,12 @@
 		}
 	}
 	for by, r := range t.rosters {
-		if now-r.at > RosterFor {
+		if now-r.at > RosterTTL {
 			delete(t.rosters, by)
 		}
 	}
 	for address, at := range t.addresses {
-		if now-at > CallFor {
+		if now-at > AddressTTL {
 			delete(t.addresses, address)
 		}
 	}
@@ -283,14 +283,14 @@
 // incarnation.
 func (t *Table) Alive(now time.Duration) []Member { return t.list(now, true) }
 
-// Vouched lists the other daemons that are heard or told of, by incarnation.
-func (t *Table) Vouched(now time.Duration) []Member { return t.list(now, false) }
+// Confirmed lists the other daemons that are heard or told of, by incarnation.
+func (t *Table) Confirmed(now time.Duration) []Member { return t.list(now, false) }
 
 func (t *Table) list(now time.Duration, introduced bool) []Member {
-	told := t.told(now)
+	inRosters := t.inRosters(now)
 	var list []Member
 	for id, e := range t.entries {
-		if now-e.heard <= t.aliveFor || introduced && now-e.introduced <= IntroducedFor || told[id] {
+		if now-e.heard <= t.aliveFor || introduced && now-e.introduced <= IntroductionTTL || inRosters[id] {
 			list = append(list, e.Member)
 		}
 	}
@@ -310,22 +310,22 @@
 	return list
 }
 
-// told is the daemons in the rosters of relays that are heard.
-func (t *Table) told(now time.Duration) map[ident.Incarnation]bool {
-	told := map[ident.Incarnation]bool{}
+// inRosters is the daemons in the rosters of relays that are heard.
+func (t *Table) inRosters(now time.Duration) map[ident.Incarnation]bool {
+	inRosters := map[ident.Incarnation]bool{}
 	for by, r := range t.rosters {
-		if !t.HeardLately(now, by) || now-r.at > RosterFor {
+		if !t.HeardRecently(now, by) || now-r.at > RosterTTL {
 			continue
 		}
 		for id := range r.rows {
-			told[id] = true
+			inRosters[id] = true
 		}
 	}
-	return told
+	return inRosters
 }
 
-// HeardLately tells whether a daemon is heard directly.
-func (t *Table) HeardLately(now time.Duration, id ident.Incarnation) bool {
+// HeardRecently tells whether a daemon is heard directly.
+func (t *Table) HeardRecently(now time.Duration, id ident.Incarnation) bool {
 	e, known := t.entries[id]
 	return known && now-e.heard <= t.aliveFor
 }
@@ -335,7 +335,7 @@
 	rows := make([]Row, 0, len(ids))
 	for _, id := range ids {
 		if e, known := t.entries[id]; known {
-			rows = append(rows, Row{Member: e.Member, Seq: e.told})
+			rows = append(rows, Row{Member: e.Member, Seq: e.memberSeq})
 		}
 	}
 	return rows
@@ -343,32 +343,32 @@
 
 // Domains is the number of failure domains that any relay knows; zero is not told.
 func (t *Table) Domains(now time.Duration) int {
-	domains := 0
+	domainCount := 0
 	for _, r := range t.rosters {
-		if now-r.at <= RosterFor {
-			domains = max(domains, r.domains)
+		if now-r.at <= RosterTTL {
+			domainCount = max(domainCount, r.domainCount)
 		}
 	}
-	return domains
+	return domainCount
 }
 
-// Known is the number of daemons that this one knows of itself, itself included: those that
+// KnownCount is the number of daemons that this one knows of itself, itself included: those that
 // are heard or told of, and those that are silent but not forgotten.
-func (t *Table) Known() int { return 1 + len(t.entries) }
+func (t *Table) KnownCount() int { return 1 + len(t.entries) }
 
-// Size is the number of daemons that may be running, this one included: those that are known
+// FleetSize is the number of daemons that may be running, this one included: those that are known
 // here, or as many as a relay knows. It is never told on: relays would tell each other of the
 // largest fleet that there ever was.
-func (t *Table) Size() int {
-	size := t.Known()
+func (t *Table) FleetSize() int {
+	size := t.KnownCount()
 	for _, r := range t.rosters {
-		size = max(size, r.fleet)
+		size = max(size, r.fleetSize)
 	}
 	return size
 }
 
-// Unheard lists the addresses at which none of the daemons is.
-func (t *Table) Unheard(daemons []Member) []string {
+// UnheardAddresses lists the addresses at which none of the daemons is.
+func (t *Table) UnheardAddresses(daemons []Member) []string {
 	known := make(map[string]bool, len(daemons))
 	for _, m := range daemons {
 		known[m.PeerAddress] = true
@@ -393,14 +393,14 @@
 			FailureDomain: m.FailureDomain,
 			CallerAddress: m.CallerAddress,
 			PeerAddress:   m.PeerAddress,
-			State:         stateOf(m.Phase),
+			State:         viewState(m.Phase),
 		})
 	}
 	slices.SortFunc(list, func(a, b view.Daemon) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
-func stateOf(p Phase) view.State {
+func viewState(p Phase) view.State {
 	switch p {
 	case Ready:
 		return view.Live
--- a/coordination/peers/peers_test.go
+++ b/coordination/peers/peers_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func live(t *peers.Table, now time.Duration) []string {
+func liveIDs(t *peers.Table, now time.Duration) []string {
 	var ids []string
 	for _, d := range t.Directory(now) {
 		if d.State == view.Live {
@@ -28,48 +28,48 @@
 	return ids
 }
 
-func TestDirectoryHoldsWhoIsHeardAndReady(t *testing.T) {
+func TestDirectoryListsHeardAndReadyDaemons(t *testing.T) {
 	is := is.New(t)
-	tab := peers.New(member("a", "1"))
-	tab.Heard(0, member("b", "1"), 1)
+	table := peers.New(member("a", "1"))
+	table.Receive(0, member("b", "1"), 1)
 	starting := member("c", "1")
 	starting.Phase = peers.Starting
-	tab.Heard(0, starting, 1)
-	is.Equal(live(tab, 0), []string{"a", "b"})
-	is.Equal(live(tab, peers.AliveFor+1), []string{"a"})
-	is.Equal(tab.Size(), 3) // the silent one may still be there
-	is.Equal(tab.Addresses(), []string{"b:76", "c:76"})
-	is.Equal(len(tab.Tick(peers.ForgetAfter+1)), 2)
-	is.Equal(len(tab.Addresses()), 2) // those who are cut off must be called when the cut ends
-	tab.Tick(peers.CallFor + 1)
-	is.Equal(len(tab.Addresses()), 0)
+	table.Receive(0, starting, 1)
+	is.Equal(liveIDs(table, 0), []string{"a", "b"})
+	is.Equal(liveIDs(table, peers.AliveFor+1), []string{"a"})
+	is.Equal(table.FleetSize(), 3) // the silent one may still be there
+	is.Equal(table.Addresses(), []string{"b:76", "c:76"})
+	is.Equal(len(table.Tick(peers.ForgetAfter+1)), 2)
+	is.Equal(len(table.Addresses()), 2) // those who are cut off must be called when the cut ends
+	table.Tick(peers.AddressTTL + 1)
+	is.Equal(len(table.Addresses()), 0)
 }
 
 // A daemon is told to stop; a datagram that it sent before overtakes nobody but
 // arrives after the one that says so. Callers must not be sent there again.
 func TestLateMessageDoesNotUndoDraining(t *testing.T) {
 	is := is.New(t)
-	tab := peers.New(member("a", "1"))
+	table := peers.New(member("a", "1"))
 	leaving := member("b", "1")
 	leaving.Phase = peers.Draining
-	tab.Heard(0, leaving, 7)
-	fresh, _ := tab.Heard(0, member("b", "1"), 6)
+	table.Receive(0, leaving, 7)
+	fresh, _ := table.Receive(0, member("b", "1"), 6)
 	is.True(!fresh)
-	is.Equal(live(tab, 0), []string{"a"})
-	tab.SetPhase(peers.Draining)
-	tab.SetPhase(peers.Ready)
-	is.Equal(len(live(tab, 0)), 0)
+	is.Equal(liveIDs(table, 0), []string{"a"})
+	table.SetPhase(peers.Draining)
+	table.SetPhase(peers.Ready)
+	is.Equal(len(liveIDs(table, 0)), 0)
 }
 
 // A daemon is killed and starts again at once. Its former self must not keep a
 // part of the shared quotas until it is forgotten.
-func TestNewIncarnationEndsTheFormer(t *testing.T) {
+func TestNewIncarnationEndsFormerOne(t *testing.T) {
 	is := is.New(t)
-	tab := peers.New(member("a", "1"))
-	tab.Heard(0, member("b", "1"), 1)
-	_, ended := tab.Heard(0, member("b", "2"), 1)
+	table := peers.New(member("a", "1"))
+	table.Receive(0, member("b", "1"), 1)
+	_, ended := table.Receive(0, member("b", "2"), 1)
 	is.Equal(ended, []ident.Incarnation{"b~1"})
-	is.Equal(tab.Size(), 2)
+	is.Equal(table.FleetSize(), 2)
 }
 
 func rows(ids ...string) []peers.Row {
@@ -81,72 +81,72 @@
 }
 
 // Guards against a daemon that stays in the directory after its relay has ended.
-func TestRosterCountsWhileItsRelayIsHeard(t *testing.T) {
+func TestRosterIsValidWhileItsRelayIsHeard(t *testing.T) {
 	is := is.New(t)
-	tab := peers.New(member("a", "1"))
-	tab.Heard(0, member("r", "1"), 1)
-	tab.Told(0, "r~1", rows("b", "c"), 7, 2)
-	is.Equal(live(tab, 0), []string{"a", "b", "c", "r"})
-	is.Equal(tab.Size(), 7)
-	is.Equal(tab.Domains(0), 2)
-	is.Equal(live(tab, peers.AliveFor+1), []string{"a"})
-	tab.Heard(peers.AliveFor+1, member("r", "1"), 2)
-	tab.Told(peers.AliveFor+1, "r~1", rows("c"), 7, 2)
-	is.Equal(live(tab, peers.AliveFor+1), []string{"a", "c", "r"}) // b has ended
+	table := peers.New(member("a", "1"))
+	table.Receive(0, member("r", "1"), 1)
+	table.ReceiveRoster(0, "r~1", rows("b", "c"), 7, 2)
+	is.Equal(liveIDs(table, 0), []string{"a", "b", "c", "r"})
+	is.Equal(table.FleetSize(), 7)
+	is.Equal(table.Domains(0), 2)
+	is.Equal(liveIDs(table, peers.AliveFor+1), []string{"a"})
+	table.Receive(peers.AliveFor+1, member("r", "1"), 2)
+	table.ReceiveRoster(peers.AliveFor+1, "r~1", rows("c"), 7, 2)
+	is.Equal(liveIDs(table, peers.AliveFor+1), []string{"a", "c", "r"}) // b has ended
 }
 
 // Guards against an old roster that undoes what a daemon told itself.
 func TestRosterDoesNotUndoDraining(t *testing.T) {
 	is := is.New(t)
-	tab := peers.New(member("a", "1"))
-	tab.Heard(0, member("r", "1"), 1)
+	table := peers.New(member("a", "1"))
+	table.Receive(0, member("r", "1"), 1)
 	leaving := member("b", "1")
 	leaving.Phase = peers.Draining
-	tab.Heard(0, leaving, 6)
-	tab.Told(0, "r~1", rows("b"), 3, 2)
-	is.Equal(live(tab, 0), []string{"a", "r"})
+	table.Receive(0, leaving, 6)
+	table.ReceiveRoster(0, "r~1", rows("b"), 3, 2)
+	is.Equal(liveIDs(table, 0), []string{"a", "r"})
 }
 
 // Guards against a registration that outlives its daemon and brings it back.
-func TestIntroductionCountsForAMoment(t *testing.T) {
+func TestIntroductionExpires(t *testing.T) {
 	is := is.New(t)
-	tab := peers.New(member("a", "1"))
-	tab.Introduce(0, peers.Row{Member: member("b", "1")})
-	is.Equal(live(tab, 0), []string{"a", "b"})
-	tab.Introduce(peers.IntroducedFor+1, peers.Row{Member: member("b", "1")})
-	is.Equal(live(tab, peers.IntroducedFor+1), []string{"a"})
-	tab.Heard(peers.IntroducedFor+1, member("b", "2"), 1)
-	tab.Introduce(peers.IntroducedFor+1, peers.Row{Member: member("b", "0")})
-	is.Equal(tab.Size(), 2)
+	table := peers.New(member("a", "1"))
+	table.Introduce(0, peers.Row{Member: member("b", "1")})
+	is.Equal(liveIDs(table, 0), []string{"a", "b"})
+	table.Introduce(peers.IntroductionTTL+1, peers.Row{Member: member("b", "1")})
+	is.Equal(liveIDs(table, peers.IntroductionTTL+1), []string{"a"})
+	table.Receive(peers.IntroductionTTL+1, member("b", "2"), 1)
+	table.Introduce(peers.IntroductionTTL+1, peers.Row{Member: member("b", "0")})
+	is.Equal(table.FleetSize(), 2)
 }
 
 // Guards against a daemon that is heard at last and taken for a repeated message, since
 // a relay had told of it.
-func TestFirstMessageOfOneThatWasToldOf(t *testing.T) {
+func TestFirstMessageOfDaemonKnownFromRoster(t *testing.T) {
 	is := is.New(t)
-	tab := peers.New(member("a", "1"))
-	tab.Heard(0, member("r", "1"), 1)
-	tab.Told(0, "r~1", rows("b"), 3, 2)
-	fresh, _ := tab.Heard(0, member("b", "1"), 5)
+	table := peers.New(member("a", "1"))
+	table.Receive(0, member("r", "1"), 1)
+	table.ReceiveRoster(0, "r~1", rows("b"), 3, 2)
+	fresh, _ := table.Receive(0, member("b", "1"), 5)
 	is.True(fresh)
 }
 
 // Guards against a daemon that goes on following one that has ended, since an old roster
 // brings that back beside its successor.
-func TestRosterDoesNotBringBackAFormerIncarnation(t *testing.T) {
+func TestRosterDoesNotRestoreFormerIncarnation(t *testing.T) {
 	is := is.New(t)
-	tab := peers.New(member("a", "1"))
-	tab.Heard(0, member("r", "1"), 1)
-	tab.Told(0, "r~1", rows("b"), 3, 2)
-	tab.Heard(0, member("b", "2"), 1)
-	tab.Told(0, "r~1", rows("b"), 3, 2)
-	is.Equal(len(tab.Alive(0)), 2) // r and the second b
+	table := peers.New(member("a", "1"))
+	table.Receive(0, member("r", "1"), 1)
+	table.ReceiveRoster(0, "r~1", rows("b"), 3, 2)
+	table.Receive(0, member("b", "2"), 1)
+	table.ReceiveRoster(0, "r~1", rows("b"), 3, 2)
+	is.Equal(len(table.Alive(0)), 2) // r and the second b
 	later := member("b", "3")
 	later.Started = 5
-	tab.Told(peers.AliveFor+1, "r~1", []peers.Row{{Member: later, Seq: 1}}, 3, 2)
-	tab.Heard(peers.AliveFor+1, member("r", "1"), 2)
-	tab.Told(peers.AliveFor+1, "r~1", rows("b"), 3, 2)
-	for _, m := range tab.Alive(peers.AliveFor + 1) {
+	table.ReceiveRoster(peers.AliveFor+1, "r~1", []peers.Row{{Member: later, Seq: 1}}, 3, 2)
+	table.Receive(peers.AliveFor+1, member("r", "1"), 2)
+	table.ReceiveRoster(peers.AliveFor+1, "r~1", rows("b"), 3, 2)
+	for _, m := range table.Alive(peers.AliveFor + 1) {
 		is.True(m.Incarnation != "b~1")
 	}
 }
@@ -156,23 +156,23 @@
 // can't reach.
 func TestReferenceCountsAgainFromTimeToTime(t *testing.T) {
 	is := is.New(t)
-	tab := peers.New(member("a", "1"))
+	table := peers.New(member("a", "1"))
 	row := peers.Row{Member: member("b", "1")}
-	tab.Introduce(0, row)
-	tab.Refer(peers.IntroducedFor+1, row)
-	is.Equal(live(tab, peers.IntroducedFor+1), []string{"a"})
-	tab.Refer(peers.ReferAgainAfter, row)
-	is.Equal(live(tab, peers.ReferAgainAfter), []string{"a", "b"})
-	is.Equal(live(tab, peers.ReferAgainAfter+peers.IntroducedFor+1), []string{"a"})
+	table.Introduce(0, row)
+	table.Reintroduce(peers.IntroductionTTL+1, row)
+	is.Equal(liveIDs(table, peers.IntroductionTTL+1), []string{"a"})
+	table.Reintroduce(peers.ReintroduceAfter, row)
+	is.Equal(liveIDs(table, peers.ReintroduceAfter), []string{"a", "b"})
+	is.Equal(liveIDs(table, peers.ReintroduceAfter+peers.IntroductionTTL+1), []string{"a"})
 }
 
 // Guards against daemons that elect too many relays, since one that knows few failure domains
 // told of them last.
-func TestMostFailureDomainsThatAreKnownCount(t *testing.T) {
+func TestDomainCountIsHighestOfAllRosters(t *testing.T) {
 	is := is.New(t)
-	tab := peers.New(member("a", "1"))
-	tab.Told(0, "r~1", rows("b"), 119, 6)
-	tab.Told(1, "mistaken~1", rows("c"), 119, 3)
-	is.Equal(tab.Domains(1), 6)
-	is.Equal(tab.Domains(peers.RosterFor+2), 0)
+	table := peers.New(member("a", "1"))
+	table.ReceiveRoster(0, "r~1", rows("b"), 119, 6)
+	table.ReceiveRoster(1, "mistaken~1", rows("c"), 119, 3)
+	is.Equal(table.Domains(1), 6)
+	is.Equal(table.Domains(peers.RosterTTL+2), 0)
 }
--- /dev/null
+++ b/coordination/relays/confirmation_test.go
@@ -0,0 +1,35 @@
+package relays_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"geraniumstack.org/geraniumstack/coordination/relays"
+)
+
+// Guards against a daemon that gives out a whole quota beside relays that don't count it.
+func TestRelayThatNobodyElectsSharesNothing(t *testing.T) {
+	is := is.New(t)
+	var s relays.Confirmation
+	s.Start(0)
+	is.True(s.Receive(time.Second, false))
+	is.True(!s.Receive(2*time.Second, false)) // one doubt is one line of the log
+	is.True(!s.MayShare(time.Hour, true))
+	s.Receive(time.Hour, true)
+	is.True(s.MayShare(time.Hour, true))
+	is.True(s.MayShare(time.Hour+relays.ConfirmedFor, true))
+	is.True(!s.MayShare(time.Hour+relays.ConfirmedFor+1, true))
+	s.Start(time.Hour)
+	is.True(!s.MayShare(time.Hour, true))
+}
+
+// Guards against the last relay of a fleet that waits for others for ever.
+func TestIsolatedRelaySharesAfterDelay(t *testing.T) {
+	is := is.New(t)
+	var s relays.Confirmation
+	s.Start(0)
+	is.True(!s.MayShare(time.Second, false))
+	is.True(s.MayShare(2*time.Second, false))
+}
--- a/coordination/relays/export_test.go
+++ b/coordination/relays/export_test.go
@@ -1,4 +1,4 @@
 package relays
 
-// PerDomain is how many relays each failure domain has where nothing else is set.
-func PerDomain(daemons, domains int) int { return perDomain(daemons, domains, DirectFleet) }
+// RelaysPerDomain is how many relays each failure domain has where nothing else is set.
+func RelaysPerDomain(daemons, domains int) int { return relaysPerDomain(daemons, domains, DirectFleet) }
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	// SmallFleet is the number of daemons up to which each watches the key-value service
+	// AllWatchFleet is the number of daemons up to which each watches the key-value service
 	// itself, DirectFleet that up to which each tells every other where nothing else is set.
-	SmallFleet  = 10
-	DirectFleet = 36
-	// Followed is how many relays a daemon follows: when one ends, the other has
+	AllWatchFleet = 10
+	DirectFleet   = 36
+	// RelaysPerFollower is how many relays a daemon follows: when one ends, the other has
 	// heard of it.
-	Followed = 2
+	RelaysPerFollower = 2
 )
 
 // View is what a daemon knows of its fleet.
@@ -53,90 +53,90 @@
 type Plan struct {
 	// Relay says that the daemon is a relay itself.
 	Relay bool
-	// Others are the other relays of all failure domains, by incarnation. A daemon
+	// OtherRelays are the other relays of all failure domains, by incarnation. A daemon
 	// that is no relay knows some of them.
-	Others []peers.Member
-	// Own are the relays that the daemon follows, the primary first; none for a relay.
-	Own []peers.Member
-	// Watches says that the daemon watches the key-value service for others; Watchers are
+	OtherRelays []peers.Member
+	// Followed are the relays that the daemon follows, the primary first; none for a relay.
+	Followed []peers.Member
+	// WatchesStore says that the daemon watches the key-value service for others; Watchers are
 	// the other daemons that do. A relay that does not is told by Source, the first relay
 	// of its failure domain.
-	Watches  bool
-	Watchers []peers.Member
-	Source   peers.Member
-	// PerDomain is the number of relays that a failure domain should have, Domains that of
+	WatchesStore  bool
+	OtherWatchers []peers.Member
+	WatchSource   peers.Member
+	// RelaysPerDomain is the number of relays that a failure domain should have, Domains that of
 	// failure domains that the daemon knows itself. Only what it knows itself is told on: if
-	// PerDomain were, daemons that are wrong of it would confirm each other.
-	PerDomain int
-	Domains   int
+	// RelaysPerDomain were, daemons that are wrong of it would confirm each other.
+	RelaysPerDomain int
+	Domains         int
 	// Direct says that the fleet is small enough for all to be relays, AllWatch that it is
 	// small enough for all to watch.
 	Direct, AllWatch bool
 }
 
-// Make elects the relays.
-func Make(v View) Plan {
+// Elect elects the relays.
+func Elect(v View) Plan {
 	members := append(slices.Clone(v.Alive), v.Self)
-	domains := byDomain(members)
+	domains := groupByDomain(members)
 	fleet := max(v.Fleet, len(members))
 	direct := cmp.Or(v.DirectFleet, DirectFleet)
 	p := Plan{
-		PerDomain: perDomain(fleet, max(v.Domains, len(domains)), direct), Domains: len(domains),
-		Direct: fleet <= direct, AllWatch: fleet <= SmallFleet,
+		RelaysPerDomain: relaysPerDomain(fleet, max(v.Domains, len(domains)), direct), Domains: len(domains),
+		Direct: fleet <= direct, AllWatch: fleet <= AllWatchFleet,
 	}
-	var own []peers.Member
-	for domain, of := range domains {
-		first := elect(slices.Clone(of), 1)
+	var candidates []peers.Member
+	for domain, inDomain := range domains {
+		first := longestRunning(slices.Clone(inDomain), 1)
 		if !p.Direct {
-			of = elect(of, p.PerDomain)
+			inDomain = longestRunning(inDomain, p.RelaysPerDomain)
 		}
-		for _, r := range of {
+		for _, r := range inDomain {
 			if p.AllWatch || len(first) > 0 && r.Incarnation == first[0].Incarnation {
-				p.watch(v.Self, r)
+				p.addWatcher(v.Self, r)
 			}
 			if r.Incarnation == v.Self.Incarnation {
 				p.Relay = true
 				continue
 			}
-			p.Others = append(p.Others, r)
+			p.OtherRelays = append(p.OtherRelays, r)
 			if domain == v.Self.FailureDomain {
-				own = append(own, r)
+				candidates = append(candidates, r)
 			}
 		}
 	}
-	slices.SortFunc(p.Others, func(a, b peers.Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+	slices.SortFunc(p.OtherRelays, func(a, b peers.Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
 	switch {
-	case len(own) == 0:
+	case len(candidates) == 0:
 		// There is nobody to follow.
-		p.Relay, p.Watches = true, true
+		p.Relay, p.WatchesStore = true, true
 	case !p.Relay:
-		p.Own = follow(v.Self.ID, own)
+		p.Followed = chooseRelays(v.Self.ID, candidates)
 	}
 	return p
 }
 
-// watch notes that a daemon watches the key-value service.
-func (p *Plan) watch(self, r peers.Member) {
+// addWatcher notes that a daemon watches the key-value service.
+func (p *Plan) addWatcher(self, r peers.Member) {
 	if r.Incarnation == self.Incarnation {
-		p.Watches = true
+		p.WatchesStore = true
 		return
 	}
-	p.Watchers = append(p.Watchers, r)
+	p.OtherWatchers = append(p.OtherWatchers, r)
 	if r.FailureDomain == self.FailureDomain {
-		p.Source = r
+		p.WatchSource = r
 	}
 }
 
-// perDomain is how many relays each failure domain has. With one for each square root of the
+// relaysPerDomain is how many relays each failure domain has. With one for each square root of the
 // fleet a relay hears about as many followers as other relays.
-func perDomain(daemons, domains, direct int) int {
+func relaysPerDomain(daemons, domains, direct int) int {
 	if daemons <= direct {
 		return daemons
 	}
-	return max(Followed, int(math.Ceil(math.Sqrt(float64(daemons))/float64(max(1, domains)))))
+	return max(RelaysPerFollower, int(math.Ceil(math.Sqrt(float64(daemons))/float64(max(1, domains)))))
 }
 
-func byDomain(members []peers.Member) map[ident.FailureDomain][]peers.Member {
+func groupByDomain(members []peers.Member) map[ident.FailureDomain][]peers.Member {
 	domains := map[ident.FailureDomain][]peers.Member{}
 	for _, m := range members {
 		domains[m.FailureDomain] = append(domains[m.FailureDomain], m)
@@ -144,9 +144,9 @@
 	return domains
 }
 
-// elect takes the daemons that run for longest, so that one that joins displaces
+// longestRunning takes the daemons that run for longest, so that one that joins displaces
 // nobody. Those that are shutting down are no relays.
-func elect(domain []peers.Member, n int) []peers.Member {
+func longestRunning(domain []peers.Member, n int) []peers.Member {
 	domain = slices.DeleteFunc(domain, func(m peers.Member) bool { return m.Phase == peers.Draining })
 	slices.SortFunc(domain, func(a, b peers.Member) int {
 		return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.Incarnation, b.Incarnation))
@@ -154,13 +154,13 @@
 	return domain[:min(n, len(domain))]
 }
 
-// follow spreads the followers over the relays: each takes those with the highest hash
+// chooseRelays spreads the followers over the relays: each takes those with the highest hash
 // of both, so that a relay's end moves only its own followers.
-func follow(self ident.DaemonID, relays []peers.Member) []peers.Member {
+func chooseRelays(self ident.DaemonID, relays []peers.Member) []peers.Member {
 	slices.SortFunc(relays, func(a, b peers.Member) int {
 		return cmp.Or(cmp.Compare(rank(self, b), rank(self, a)), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
-	return relays[:min(Followed, len(relays))]
+	return relays[:min(RelaysPerFollower, len(relays))]
 }
 
 func rank(self ident.DaemonID, relay peers.Member) uint64 {
--- a/coordination/relays/relays_test.go
+++ b/coordination/relays/relays_test.go
@@ -25,45 +25,45 @@
 	return members
 }
 
-func planOf(members []peers.Member, i int) relays.Plan {
+func planFor(members []peers.Member, i int) relays.Plan {
 	others := slices.Delete(slices.Clone(members), i, i+1)
-	return relays.Make(relays.View{Self: members[i], Alive: others, Fleet: len(members)})
+	return relays.Elect(relays.View{Self: members[i], Alive: others, Fleet: len(members)})
 }
 
-func TestAllOfASmallFleetAreRelays(t *testing.T) {
+func TestAllDaemonsOfSmallFleetAreRelays(t *testing.T) {
 	is := is.New(t)
-	members := fleet(relays.SmallFleet, 4)
+	members := fleet(relays.AllWatchFleet, 4)
 	for i := range members {
-		p := planOf(members, i)
+		p := planFor(members, i)
 		is.True(p.Relay)
 		is.True(p.Direct)
-		is.Equal(len(p.Others), relays.SmallFleet-1)
+		is.Equal(len(p.OtherRelays), relays.AllWatchFleet-1)
 	}
 }
 
 // Guards against messages that grow with the square of the fleet.
-func TestLinksOfADaemonGrowSlowerThanTheFleet(t *testing.T) {
+func TestLinksGrowSlowerThanFleet(t *testing.T) {
 	is := is.New(t)
-	for n, most := range map[int]int{30: 40, 119: 50, 300: 60, 1828: 160} {
+	for n, maxLinks := range map[int]int{30: 40, 119: 50, 300: 60, 1828: 160} {
 		members := fleet(n, 6)
 		followers := map[ident.Incarnation]int{}
 		count := 0
 		for i := range members {
-			p := planOf(members, i)
+			p := planFor(members, i)
 			if p.Relay {
 				count++
-				followers[members[i].Incarnation] += len(p.Others)
+				followers[members[i].Incarnation] += len(p.OtherRelays)
 				continue
 			}
-			is.Equal(len(p.Own), relays.Followed)
-			for _, r := range p.Own {
+			is.Equal(len(p.Followed), relays.RelaysPerFollower)
+			for _, r := range p.Followed {
 				is.Equal(r.FailureDomain, members[i].FailureDomain)
 				followers[r.Incarnation]++
 			}
 		}
 		is.Equal(len(followers), count)
 		for _, links := range followers {
-			is.True(links <= most)
+			is.True(links <= maxLinks)
 		}
 	}
 }
@@ -72,45 +72,45 @@
 func TestNewcomerDisplacesNoRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(60, 6)
-	before := planOf(members, 59)
+	before := planFor(members, 59)
 	members = append(members, fleet(66, 6)[60:]...)
-	after := planOf(members, 59)
-	is.Equal(after.Own, before.Own)
-	is.Equal(after.Others, before.Others)
+	after := planFor(members, 59)
+	is.Equal(after.Followed, before.Followed)
+	is.Equal(after.OtherRelays, before.OtherRelays)
 }
 
 // Guards against followers that stay with a relay that is shutting down.
 func TestDrainingDaemonIsNoRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(60, 6)
-	first := planOf(members, 59).Own[0]
+	first := planFor(members, 59).Followed[0]
 	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Incarnation == first.Incarnation })
 	members[i].Phase = peers.Draining
-	for _, r := range planOf(members, 59).Own {
+	for _, r := range planFor(members, 59).Followed {
 		is.True(r.Incarnation != first.Incarnation)
 	}
-	is.True(!planOf(members, i).Relay)
+	is.True(!planFor(members, i).Relay)
 }
 
 // Guards against a daemon that waits for a relay where there is none.
-func TestLoneDaemonOfADomainIsARelay(t *testing.T) {
+func TestOnlyDaemonOfDomainIsRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(40, 4)
 	members[39].FailureDomain = "apart"
-	p := planOf(members, 39)
+	p := planFor(members, 39)
 	is.True(p.Relay)
-	is.Equal(len(p.Own), 0)
+	is.Equal(len(p.Followed), 0)
 }
 
 // Guards against a daemon that stays a relay beside those of its failure domain, since it knows
 // few failure domains and takes each for one that needs more relays.
-func TestDaemonThatKnowsFewDomainsElectsNoMoreRelays(t *testing.T) {
+func TestKnowingFewDomainsElectsNoExtraRelays(t *testing.T) {
 	is := is.New(t)
 	members := fleet(119, 6)
-	near := slices.DeleteFunc(slices.Clone(members[:118]), func(m peers.Member) bool {
+	known := slices.DeleteFunc(slices.Clone(members[:118]), func(m peers.Member) bool {
 		return m.FailureDomain != members[118].FailureDomain && m.FailureDomain != members[0].FailureDomain
 	})
-	p := relays.Make(relays.View{Self: members[118], Alive: near[:6], Fleet: len(members), Domains: 6})
-	is.Equal(p.PerDomain, relays.PerDomain(119, 6))
+	p := relays.Elect(relays.View{Self: members[118], Alive: known[:6], Fleet: len(members), Domains: 6})
+	is.Equal(p.RelaysPerDomain, relays.RelaysPerDomain(119, 6))
 	is.True(!p.Relay)
 }
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -116,7 +116,7 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	shares := e.sharesQuotas(now)
-	rank, _ := placeAmong(e.set.ID, e.plan.Others)
+	rank, _ := placeAmong(e.set.ID, e.plan.OtherRelays)
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -70,7 +70,7 @@
 	// follow it.
 	alive    []peers.Member
 	plan     relays.Plan
-	standing relays.Standing
+	standing relays.Confirmation
 	// followsAnew says that the relays that this daemon follows now were not told yet.
 	followsAnew bool
 	followers   map[ident.Incarnation]follower
@@ -160,8 +160,8 @@
 	e.asks.init()
 	e.duties.init(e)
 	// Until it hears of others a daemon is alone.
-	e.plan = relays.Make(relays.View{Self: e.peers.Self(), DirectFleet: set.Policy.DirectFleet()})
-	e.standing.Begin(now)
+	e.plan = relays.Elect(relays.View{Self: e.peers.Self(), DirectFleet: set.Policy.DirectFleet()})
+	e.standing.Start(now)
 	e.direct.Store(e.plan.Direct)
 	e.allWatch.Store(e.plan.AllWatch)
 	e.relaying.Store(e.plan.Relay)
--- a/daemon/edge/feed.go
+++ b/daemon/edge/feed.go
@@ -34,7 +34,7 @@
 // known.
 func (e *Edge) feedIsCurrent() bool {
 	e.mu.Lock()
-	watches := e.plan.Watches
+	watches := e.plan.WatchesStore
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
--- a/daemon/edge/follow.go
+++ b/daemon/edge/follow.go
@@ -290,7 +290,7 @@
 func (e *Edge) rank() (place, size int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return placeAmong(e.set.ID, e.plan.Watchers)
+	return placeAmong(e.set.ID, e.plan.OtherWatchers)
 }
 
 // placeAmong is a daemon's place in the order of names among others, and their number
@@ -333,7 +333,7 @@
 // gather is how long to let changes come together.
 func (e *Edge) gather() time.Duration {
 	switch {
-	case e.fleetSize() <= relays.SmallFleet:
+	case e.fleetSize() <= relays.AllWatchFleet:
 		return gatherFor
 	case e.duties.holder.Token() != 0:
 		return gatherOrders
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -186,10 +186,10 @@
 // failure domain, then others. Called with mu held.
 func (e *Edge) relaysToAsk() []string {
 	var ask, remote []string
-	for _, r := range e.plan.Own {
+	for _, r := range e.plan.Followed {
 		ask = append(ask, r.PeerAddress)
 	}
-	for _, r := range e.plan.Others {
+	for _, r := range e.plan.OtherRelays {
 		switch {
 		case slices.Contains(ask, r.PeerAddress):
 		case r.FailureDomain == e.set.FailureDomain:
@@ -206,7 +206,7 @@
 // sharesQuotas tells whether this daemon gives out quotas: it does so only as a relay that another
 // one takes for one, too, or that is the last. Called with mu held.
 func (e *Edge) sharesQuotas(now time.Duration) bool {
-	return e.plan.Relay && (e.plan.Direct || e.standing.Shares(now, e.hearsRelay(now)))
+	return e.plan.Relay && (e.plan.Direct || e.standing.MayShare(now, e.hearsRelay(now)))
 }
 
 // abandonGrants ends the wait for relays' answers and gives back what was granted beside the one
--- a/daemon/edge/harness_test.go
+++ b/daemon/edge/harness_test.go
@@ -75,7 +75,7 @@
 // relays.SmallFleet elect relays; inDirectFleet is for a fleet whose daemons need none.
 func withFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &testFleet{I: is.New(t), t: t, start: time.Now(), store: kvserver.New(), network: newNetwork(), runners: newRunners(), cloud: &fakeCloud{}, directFleet: relays.SmallFleet}
+		w := &testFleet{I: is.New(t), t: t, start: time.Now(), store: kvserver.New(), network: newNetwork(), runners: newRunners(), cloud: &fakeCloud{}, directFleet: relays.AllWatchFleet}
 		w.configure(c)
 		for range n {
 			w.addDaemon()
--- a/daemon/edge/policy.go
+++ b/daemon/edge/policy.go
@@ -73,14 +73,14 @@
 type DirectFleetError struct{ Daemons int }
 
 func (e *DirectFleetError) Error() string {
-	return fmt.Sprintf("direct fleet %d: must be %d to %d daemons", e.Daemons, relays.SmallFleet, MostDirectFleet)
+	return fmt.Sprintf("direct fleet %d: must be %d to %d daemons", e.Daemons, relays.AllWatchFleet, MostDirectFleet)
 }
 
 // WithDirectFleet returns the policy by which the daemons of a fleet of so many at the most
 // tell each other directly. It must be the same for all of a fleet. It fails with
 // *DirectFleetError.
 func (p Policy) WithDirectFleet(daemons int) (Policy, error) {
-	if daemons < relays.SmallFleet || daemons > MostDirectFleet {
+	if daemons < relays.AllWatchFleet || daemons > MostDirectFleet {
 		return Policy{}, &DirectFleetError{daemons}
 	}
 	p.directFleet = daemons
--- a/daemon/edge/policy_test.go
+++ b/daemon/edge/policy_test.go
@@ -31,11 +31,11 @@
 
 func TestDirectFleetIsChecked(t *testing.T) {
 	is := is.New(t)
-	for _, daemons := range []int{relays.SmallFleet, relays.DirectFleet, edge.MostDirectFleet} {
+	for _, daemons := range []int{relays.AllWatchFleet, relays.DirectFleet, edge.MostDirectFleet} {
 		_, err := edge.Policy{}.WithDirectFleet(daemons)
 		is.NoErr(err)
 	}
-	for _, daemons := range []int{-1, 0, relays.SmallFleet - 1, edge.MostDirectFleet + 1} {
+	for _, daemons := range []int{-1, 0, relays.AllWatchFleet - 1, edge.MostDirectFleet + 1} {
 		_, err := edge.Policy{}.WithDirectFleet(daemons)
 		var wrong *edge.DirectFleetError
 		is.True(errors.As(err, &wrong))
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -157,7 +157,7 @@
 // longest part of the prompt; zero is all. A large fleet's daemons know each other's work
 // up to a second late, and would all send to the runner that had the least then.
 func samplesFor(daemons int) int {
-	if daemons <= relays.SmallFleet {
+	if daemons <= relays.AllWatchFleet {
 		return 0
 	}
 	return largeSamples
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -82,7 +82,7 @@
 	id := ident.Incarnation(h.Incarnation)
 	now := e.deps.Steady()
 	e.mu.Lock()
-	isNew, ended := e.peers.Heard(now, peers.Member{
+	isNew, ended := e.peers.Receive(now, peers.Member{
 		ID: ident.DaemonID(h.Daemon), Incarnation: id, FailureDomain: ident.FailureDomain(h.FailureDomain),
 		CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress, Phase: peers.Phase(h.Phase), Started: h.StartedUnixMs,
 	}, h.Seq)
@@ -122,10 +122,10 @@
 		if h.Roster.Followers {
 			e.dropFollowersQuotaUse(rows)
 		}
-		ended = append(ended, e.peers.Told(now, id, rows, int(h.Roster.Fleet), int(h.Roster.Domains))...)
+		ended = append(ended, e.peers.ReceiveRoster(now, id, rows, int(h.Roster.Fleet), int(h.Roster.Domains))...)
 	}
 	for _, r := range h.Introduced {
-		e.peers.Refer(now, decodeRow(r))
+		e.peers.Reintroduce(now, decodeRow(r))
 	}
 	for _, a := range h.Addresses {
 		e.peers.Learn(now, a)
@@ -191,7 +191,7 @@
 		return sourceIgnored
 	case e.plan.Relay && h.Relay:
 		return sourceRelay
-	case len(e.plan.Own) > 0 && e.plan.Own[0].Incarnation == id:
+	case len(e.plan.Followed) > 0 && e.plan.Followed[0].Incarnation == id:
 		return sourcePrimary
 	}
 	return sourceIgnored
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -32,7 +32,7 @@
 // withRelayFleet runs a test of n daemons over the failure domains that have found their
 // relays.
 func withRelayFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
-	withSettledFleet(t, n, relays.SmallFleet, c, f)
+	withSettledFleet(t, n, relays.AllWatchFleet, c, f)
 }
 
 // withDirectFleet runs a test of n daemons over the failure domains that tell each other
--- a/daemon/edge/restarts_test.go
+++ b/daemon/edge/restarts_test.go
@@ -50,7 +50,7 @@
 // counts of one of them.
 func TestMessagesTellOfOneEndedDaemon(t *testing.T) {
 	const daemons, workspaces = 12, 2
-	for name, direct := range map[string]int{"relays": relays.SmallFleet, "direct": relays.DirectFleet} {
+	for name, direct := range map[string]int{"relays": relays.AllWatchFleet, "direct": relays.DirectFleet} {
 		t.Run(name, func(t *testing.T) {
 			withSettledFleet(t, daemons, direct, manyWorkspaces(workspaces), func(w *testFleet) {
 				w.addRunner("r1", "app")
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -60,7 +60,7 @@
 		e.removePeer(id, "silent")
 	}
 	e.electRelays(now)
-	e.told.noteComplete(now, len(e.plan.Others))
+	e.told.noteComplete(now, len(e.plan.OtherRelays))
 	e.limiter.SetExpectedDaemons(now, e.quotaSharers(now))
 	e.limiter.SetIsolatedParts(e.isolatedQuotaParts(now))
 	e.limiter.Tick(now)
@@ -76,9 +76,9 @@
 	}
 	e.peers.SetAliveFor(alive)
 	e.alive = e.peers.Alive(now)
-	v := relays.View{Self: e.peers.Self(), Alive: e.alive, Fleet: e.peers.Size(), Domains: e.peers.Domains(now), DirectFleet: e.set.Policy.DirectFleet()}
+	v := relays.View{Self: e.peers.Self(), Alive: e.alive, Fleet: e.peers.FleetSize(), Domains: e.peers.Domains(now), DirectFleet: e.set.Policy.DirectFleet()}
 	previous := e.plan
-	e.plan = relays.Make(v)
+	e.plan = relays.Elect(v)
 	e.direct.Store(e.plan.Direct)
 	e.allWatch.Store(e.plan.AllWatch)
 	e.relaying.Store(e.plan.Relay)
@@ -86,13 +86,13 @@
 	case e.plan.Relay && !previous.Relay:
 		e.resetLimiter(now)
 	case previous.Relay && !e.plan.Relay, previous.Direct && !e.plan.Direct:
-		e.formerRelays, e.demotionsLeft = previous.Others, demotionRepeats
+		e.formerRelays, e.demotionsLeft = previous.OtherRelays, demotionRepeats
 	}
-	relaysChanged := !slices.Equal(e.plan.Own, previous.Own)
+	relaysChanged := !slices.Equal(e.plan.Followed, previous.Followed)
 	e.followsAnew = e.followsAnew || relaysChanged
 	if e.plan.Relay != previous.Relay || relaysChanged {
 		var own []ident.Incarnation
-		for _, r := range e.plan.Own {
+		for _, r := range e.plan.Followed {
 			own = append(own, r.Incarnation)
 		}
 		e.log.Note("role", decisions.F("relay", e.plan.Relay), decisions.F("follows", own), decisions.F("daemons", v.Fleet))
@@ -103,7 +103,7 @@
 // is out of date.
 func (e *Edge) resetLimiter(now time.Duration) {
 	first := e.set.FirstStart && now-e.began < firstStartPeriod
-	e.standing.Begin(now)
+	e.standing.Start(now)
 	e.limiter = quota.New(now, e.set.Bounds.QuotaWindow, e.set.Bounds.QuotaTolerance, first)
 	if t := e.table.Load(); t != nil {
 		e.limiter.SetLimits(now, limitsOf(t))
@@ -115,7 +115,7 @@
 	if e.plan.Direct {
 		return 1 + len(e.peers.Addresses())
 	}
-	return 1 + len(e.plan.Others)
+	return 1 + len(e.plan.OtherRelays)
 }
 
 // isolatedQuotaParts is into how many parts quotas are to be divided where no other relay is
@@ -134,19 +134,19 @@
 			represented++
 		}
 	}
-	return (e.peers.Size() + represented - 1) / represented
+	return (e.peers.FleetSize() + represented - 1) / represented
 }
 
 // hearsAny tells whether any of some daemons is heard directly; called with mu held.
 func (e *Edge) hearsAny(now time.Duration, of []peers.Member) bool {
-	return slices.ContainsFunc(of, func(m peers.Member) bool { return e.peers.HeardLately(now, m.Incarnation) })
+	return slices.ContainsFunc(of, func(m peers.Member) bool { return e.peers.HeardRecently(now, m.Incarnation) })
 }
 
 // hearsRelay tells whether another relay is heard directly; called with mu held.
-func (e *Edge) hearsRelay(now time.Duration) bool { return e.hearsAny(now, e.plan.Others) }
+func (e *Edge) hearsRelay(now time.Duration) bool { return e.hearsAny(now, e.plan.OtherRelays) }
 
 // elects tells whether this daemon takes another one for a relay; called with mu held.
-func (e *Edge) elects(id ident.Incarnation) bool { return containsMember(e.plan.Others, id) }
+func (e *Edge) elects(id ident.Incarnation) bool { return containsMember(e.plan.OtherRelays, id) }
 
 func containsMember(members []peers.Member, id ident.Incarnation) bool {
 	return slices.ContainsFunc(members, func(m peers.Member) bool { return m.Incarnation == id })
@@ -164,9 +164,9 @@
 		e.joining[id] = h.PeerAddress
 		return
 	}
-	if e.standing.Heard(now, h.Elects) && !e.plan.Direct {
-		e.log.Note("role_doubted", decisions.F("by", id), decisions.F("relays", 1+len(e.plan.Others)),
-			decisions.F("knows", len(e.alive)), decisions.F("daemons", e.peers.Size()))
+	if e.standing.Receive(now, h.Elects) && !e.plan.Direct {
+		e.log.Note("role_doubted", decisions.F("by", id), decisions.F("relays", 1+len(e.plan.OtherRelays)),
+			decisions.F("knows", len(e.alive)), decisions.F("daemons", e.peers.FleetSize()))
 	}
 }
 
@@ -206,7 +206,7 @@
 func (e *Edge) fleetSize() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.peers.Size()
+	return e.peers.FleetSize()
 }
 
 // rosterDue tells whether rosters are told in a turn; called with mu held.
@@ -246,7 +246,7 @@
 // domainRoster is all daemons of this failure domain and some others; called with mu held.
 func (e *Edge) domainRoster(now time.Duration) *peersv1.Roster {
 	var local, remote []ident.Incarnation
-	for _, m := range e.peers.Vouched(now) {
+	for _, m := range e.peers.Confirmed(now) {
 		if m.FailureDomain == e.set.FailureDomain {
 			local = append(local, m.Incarnation)
 		} else if m.Phase == peers.Ready {
@@ -260,7 +260,7 @@
 }
 
 func (e *Edge) buildRoster(ids []ident.Incarnation) *peersv1.Roster {
-	return &peersv1.Roster{Rows: e.rosterRows(ids), Fleet: uint32(e.peers.Known()), Domains: uint32(e.plan.Domains)}
+	return &peersv1.Roster{Rows: e.rosterRows(ids), Fleet: uint32(e.peers.KnownCount()), Domains: uint32(e.plan.Domains)}
 }
 
 // rosterRows are what daemons told of themselves last; called with mu held.
@@ -280,7 +280,7 @@
 		return nil
 	}
 	var ids []ident.Incarnation
-	for _, m := range e.peers.Vouched(now) {
+	for _, m := range e.peers.Confirmed(now) {
 		if e.elects(m.Incarnation) {
 			ids = append(ids, m.Incarnation)
 		}
--- a/daemon/edge/send.go
+++ b/daemon/edge/send.go
@@ -113,7 +113,7 @@
 // relayMessageRounds is how many turns are between two messages to the other relays: of more than
 // relaysAtOnce each is told more seldom.
 func (e *Edge) relayMessageRounds() uint64 {
-	return uint64(relayRounds * (1 + len(e.plan.Others)/maxRelaysAtFullRate))
+	return uint64(relayRounds * (1 + len(e.plan.OtherRelays)/maxRelaysAtFullRate))
 }
 
 // sendsRoster tells whether the other relays are told of this one's roster, if that is due, and
@@ -141,13 +141,13 @@
 		c.hello.Introduced = rotatingSubset(e.introductions(now), messageNumber/2, maxIntroducedRelays)
 	}
 	counts := e.countsForRelays(now, messageNumber)
-	for i, r := range e.plan.Others {
+	for i, r := range e.plan.OtherRelays {
 		individual := e.stampReply(r.Incarnation)
 		individual.Elects = true
 		individual.Lacks = counts.requestFor(messageNumber, i)
 		e.addRelayCounts(now, r.Incarnation, counts, individual)
 		individual.Feed = e.feedAfter(now, e.feeding[r.Incarnation])
-		if r.Incarnation == e.plan.Source.Incarnation && !e.plan.Watches {
+		if r.Incarnation == e.plan.WatchSource.Incarnation && !e.plan.WatchesStore {
 			individual.FeedAt = e.dir.reached()
 		}
 		c.to = append(c.to, recipient{r.PeerAddress, individual})
@@ -162,7 +162,7 @@
 	addWork(c.hello, w.own)
 	e.addOwnCounts(now, c.hello)
 	e.told.remember(c.hello.Seq, w.own.loads)
-	for i, r := range e.plan.Own {
+	for i, r := range e.plan.Followed {
 		if i > 0 && round%standbyRounds != 0 {
 			break
 		}
@@ -212,9 +212,9 @@
 	}
 	e.demotionsLeft--
 	c.hello = e.baseHello(now)
-	upToDate := e.plan.Own
+	upToDate := e.plan.Followed
 	if e.plan.Relay {
-		upToDate = e.plan.Others
+		upToDate = e.plan.OtherRelays
 		e.addQuotaUses(now, c.hello)
 		c.hello.Roster = e.domainRoster(now)
 	}
@@ -232,7 +232,7 @@
 func (e *Edge) newcomerMessages(now time.Duration, round uint64) multicast {
 	c := multicast{}
 	if e.plan.Relay {
-		unheard := e.peers.Unheard(e.alive)
+		unheard := e.peers.UnheardAddresses(e.alive)
 		if !e.plan.Direct {
 			unheard = rotatingSubset(unheard, round, maxUnheardPerRound)
 		}
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -212,7 +212,7 @@
 // runners are there.
 func inTrial(t *testing.T, daemons int, bad, faults func(tw *trialWorld)) {
 	in := withFleet
-	if daemons > relays.SmallFleet {
+	if daemons > relays.AllWatchFleet {
 		in = withRelayFleet
 	}
 	inTrialOf(t, in, daemons, bad, faults)
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -75,7 +75,7 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.plan.Direct || e.sharesQuotas(now) && now-e.standing.Began() >= countsCompleteAfter
+	return e.plan.Direct || e.sharesQuotas(now) && now-e.standing.RelaySince() >= countsCompleteAfter
 }
 
 // shouldDelayReport tells whether a window's report should wait: until this daemon has heard what
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -87,7 +87,7 @@
 		e.addOwnCounts(now, c.hello)
 		return c
 	}
-	c.missing = e.missingCounts(now, max(e.standing.Began(), now-requestCountsAfter))
+	c.missing = e.missingCounts(now, max(e.standing.RelaySince(), now-requestCountsAfter))
 	c.hello.Workspaces = convertNames[string](e.book.Workspaces())
 	c.hello.Ended = e.followerCounts(now)
 	return c
@@ -171,7 +171,7 @@
 // that would follow it.
 func (e *Edge) reportingRelays() map[ident.Incarnation]bool {
 	ids := map[ident.Incarnation]bool{e.dir.holder(): true}
-	for _, m := range firstByID(e.plan.Others, maxSuccessors) {
+	for _, m := range firstByID(e.plan.OtherRelays, maxSuccessors) {
 		ids[m.Incarnation] = true
 	}
 	return ids
--- a/daemon/edge/usage_saved.go
+++ b/daemon/edge/usage_saved.go
@@ -120,6 +120,6 @@
 	if !e.sharesQuotas(now) || containsMember(e.alive, dutyHolder) {
 		return false
 	}
-	place, _ := placeAmong(e.set.ID, e.plan.Others)
+	place, _ := placeAmong(e.set.ID, e.plan.OtherRelays)
 	return place == 0
 }
--- a/daemon/edge/usage_saved_test.go
+++ b/daemon/edge/usage_saved_test.go
@@ -26,9 +26,9 @@
 		unsaved     time.Duration
 	}{
 		"direct":               {relays.DirectFleet, false, direct},
-		"relays":               {relays.SmallFleet, false, relayed},
+		"relays":               {relays.AllWatchFleet, false, relayed},
 		"direct, holder first": {relays.DirectFleet, true, direct + successor},
-		"relays, holder first": {relays.SmallFleet, true, relayed + successor},
+		"relays, holder first": {relays.AllWatchFleet, true, relayed + successor},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for offset := range offsets {
--- a/daemon/edge/workspaces_test.go
+++ b/daemon/edge/workspaces_test.go
@@ -14,7 +14,7 @@
 func TestCountsOfManyWorkspacesFitAMessage(t *testing.T) {
 	const workspaces, rounds, atOnce = 700, 4, 20
 	for name, fleet := range map[string]struct{ daemons, direct int }{
-		"relays": {12, relays.SmallFleet},
+		"relays": {12, relays.AllWatchFleet},
 		"direct": {12, relays.DirectFleet},
 	} {
 		t.Run(name, func(t *testing.T) {
