--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -1,17 +1,17 @@
-// Package peers keeps what one daemon knows of the others of its fleet: who is there,
-// who takes callers and who has gone.
+// Package peers keeps what one daemon knows of the other daemons of its fleet: which ones
+// are alive, which ones accept callers and which ones have ended.
 //
-// A daemon is alive while it is heard, or while a relay that is heard tells that it
-// hears it (a roster). What relays tell followers of rosters is never told on as a
-// roster, or two daemons could keep a third one alive that has ended. Registrations in
-// the key-value service and introductions by others only say where a daemon may be;
-// they count for as long as a message would need to follow, those by daemons that vouch
-// for it again and again. A new incarnation at an
-// address ends the former one at once, since that process can't be listening there any
-// more.
+// A daemon is alive while this daemon receives its messages, or while a relay whose
+// messages are received lists it in a roster, i.e. the list of daemons that the relay hears
+// directly. Followers don't pass a relay's roster on as a roster of their own, otherwise
+// two daemons could keep listing a third one that has ended. Registrations in the key-value
+// service and introductions by other daemons only say where a daemon may be. They count for
+// as long as a first message would need to arrive; introductions by daemons count again
+// from time to time. A new incarnation at an address ends the former one at once, since the
+// former process can't be listening there any more.
 //
-// The package does no I/O and reads no clock: times are offsets of a clock that
-// runs on while the VM is suspended. It is not safe for concurrent use.
+// The package does no I/O and reads no clock: times are offsets of a monotonic clock that
+// keeps running while the VM is suspended. A Table is not safe for concurrent use.
 package peers
 
 import (
@@ -25,43 +25,45 @@
 )
 
 const (
-	// AliveFor is how long a daemon counts as alive after it was last heard. It
-	// is several messages, so that a lost datagram costs nobody a caller, and
-	// less than callers keep an answer of the directory for.
+	// AliveFor is how long a daemon counts as alive after its last message. It covers
+	// several messages, so that a lost datagram doesn't take a daemon out of the directory,
+	// and is shorter than the time for which callers keep an answer of the directory.
 	AliveFor = 800 * time.Millisecond
-	// RelayedAliveFor is the same in a large fleet, whose daemons are heard more seldom.
+	// RelayedAliveFor replaces AliveFor in a large fleet, where messages are less frequent.
 	RelayedAliveFor = 1600 * time.Millisecond
-	// IntroductionTTL is how long a daemon counts as alive of which only others have spoken:
-	// two messages there and back. After a restart of all, those that are registered have
-	// ended.
+	// IntroductionTTL is how long a daemon counts as alive that is known only from an
+	// introduction or a registration: the time of two messages there and back. It is short
+	// because after a restart of the whole fleet all registered daemons have ended.
 	IntroductionTTL = time.Second
 	// ReintroduceAfter is how long after an introduction the next one counts.
 	ReintroduceAfter = 3 * time.Second
-	// ForgetAfter is how long a silent daemon counts as one that may be running.
+	// ForgetAfter is how long a silent daemon counts as possibly running.
 	ForgetAfter = 30 * time.Second
-	// AddressTTL is how long an address is still called at which nobody is heard. Parts of a
-	// fleet that are cut off from each other know nothing else of each other, and cuts
-	// last for minutes.
+	// AddressTTL is how long messages are sent to an address from which none is received.
+	// Parts of a fleet that are cut off from each other have no other way to find each
+	// other again, and such cuts last for minutes.
 	AddressTTL = 10 * time.Minute
-	// RosterTTL is how long a relay's roster counts: one is lost, and the next is late.
+	// RosterTTL is how long a relay's roster is valid. It allows for one lost and one late
+	// roster.
 	RosterTTL = 2500 * time.Millisecond
-	// MaxAddresses bounds the addresses that are called without having been heard.
+	// MaxAddresses is the maximum number of addresses to which messages are sent without
+	// having received one.
 	MaxAddresses = 4096
 )
 
-// Phase is where a daemon is in its life.
+// Phase is the stage of a daemon's life cycle.
 type Phase uint8
 
-// Phases, in their order.
+// The phases in the order in which a daemon passes through them.
 const (
-	// Starting ones don't take callers yet, or can't for now.
+	// Starting daemons don't accept callers yet, or can't at the moment.
 	Starting Phase = iota + 1
 	Ready
-	// Draining ones take no new callers; final.
+	// Draining daemons accept no new callers. The phase is final.
 	Draining
 )
 
-// Member is what a daemon tells of itself.
+// Member is what a daemon reports about itself.
 type Member struct {
 	ID            ident.DaemonID
 	Incarnation   ident.Incarnation
@@ -69,12 +71,13 @@
 	CallerAddress string
 	PeerAddress   string
 	Phase         Phase
-	// Started is when it started by its own time of day, in Unix milliseconds. It only
-	// orders daemons; see package relays.
+	// Started is the start time of the daemon by its own clock, in Unix milliseconds. It is
+	// used only to order daemons by age, e.g. when relays are elected.
 	Started int64
 }
 
-// Row is what a relay tells of a daemon: what that told of itself in its message seq.
+// Row is an entry of a roster or an introduction: what a daemon reported about itself in
+// its message number Seq.
 type Row struct {
 	Member
 	Seq uint64
@@ -82,35 +85,37 @@
 
 type entry struct {
 	Member
-	// seq is the last message that was heard directly, memberSeq the last one that Member
-	// was taken from.
+	// seq is the number of the last message received directly, memberSeq that of the
+	// message from which Member was taken.
 	seq, memberSeq uint64
-	// heard is when it was heard directly, seen when anything was last known of it,
-	// introduced when somebody else first spoke of it.
+	// heard is when a message was last received directly, seen when the daemon was last
+	// mentioned by any source, introduced when an introduction last counted.
 	heard, seen, introduced time.Duration
 }
 
-// roster is the daemons that a relay hears.
+// roster holds the daemons that a relay hears directly.
 type roster struct {
 	at   time.Duration
 	rows map[ident.Incarnation]bool
-	// fleetSize is the number of daemons, domainCount of failure domainCount.
+	// fleetSize is the number of daemons that the relay knows, domainCount that of failure
+	// domains.
 	fleetSize, domainCount int
 }
 
-// Table is not safe for concurrent use.
+// Table holds what this daemon knows of the others. It is not safe for concurrent use.
 type Table struct {
 	self    Member
 	entries map[ident.Incarnation]*entry
-	// rosters by the relay that told them.
+	// rosters holds the last roster of each relay.
 	rosters map[ident.Incarnation]roster
-	// aliveFor is how long a daemon counts as alive after it was last heard.
+	// aliveFor is how long a daemon counts as alive after its last message.
 	aliveFor time.Duration
-	// addresses are called whether or not anybody was heard there.
+	// addresses holds the addresses to send messages to, with the time when each was last
+	// learned. It includes addresses from which no message was received.
 	addresses map[string]time.Duration
 }
 
-// New returns a table that knows its own daemon only.
+// New returns a table that contains only this daemon.
 func New(self Member) *Table {
 	return &Table{
 		self: self, entries: map[ident.Incarnation]*entry{}, rosters: map[ident.Incarnation]roster{},
@@ -118,23 +123,23 @@
 	}
 }
 
-// SetAliveFor sets how long a daemon counts as alive after it was last heard.
+// SetAliveFor sets how long a daemon counts as alive after its last message.
 func (t *Table) SetAliveFor(d time.Duration) { t.aliveFor = d }
 
-// AliveFor is how long a daemon counts as alive after it was last heard.
+// AliveFor returns how long a daemon counts as alive after its last message.
 func (t *Table) AliveFor() time.Duration { return t.aliveFor }
 
-// Self returns this daemon.
+// Self returns this daemon's own record.
 func (t *Table) Self() Member { return t.self }
 
-// SetPhase moves this daemon on. Draining is final.
+// SetPhase sets the phase of this daemon unless it is Draining.
 func (t *Table) SetPhase(p Phase) {
 	if t.self.Phase != Draining {
 		t.self.Phase = p
 	}
 }
 
-// Learn notes an address at which a daemon may listen.
+// Learn records an address at which a daemon may be listening.
 func (t *Table) Learn(now time.Duration, address string) {
 	_, known := t.addresses[address]
 	if address == "" || address == t.self.PeerAddress || !known && len(t.addresses) >= MaxAddresses {
@@ -143,9 +148,9 @@
 	t.addresses[address] = now
 }
 
-// Receive takes in a daemon's message; seq orders those of one incarnation. It
-// returns false if a later one was heard already, and the incarnations that
-// ended because this one listens at their address.
+// Receive applies a message of a daemon; seq orders the messages of one incarnation. It
+// returns false if the same or a later message was already received, and it returns the
+// incarnations that have ended because this one listens at their address.
 func (t *Table) Receive(now time.Duration, m Member, seq uint64) (isNew bool, ended []ident.Incarnation) {
 	if m.Incarnation == t.self.Incarnation {
 		return false, nil
@@ -166,8 +171,8 @@
 	return true, ended
 }
 
-// ReceiveRoster takes in the roster of a relay, which replaces its last one. It returns the
-// incarnations that have ended because another one listens at their address.
+// ReceiveRoster applies the roster of a relay, which replaces the relay's previous one. It
+// returns the incarnations that have ended because another one listens at their address.
 func (t *Table) ReceiveRoster(now time.Duration, by ident.Incarnation, rows []Row, fleetSize, domainCount int) []ident.Incarnation {
 	received := roster{at: now, rows: make(map[ident.Incarnation]bool, len(rows)), fleetSize: fleetSize, domainCount: domainCount}
 	var ended []ident.Incarnation
@@ -182,7 +187,7 @@
 	return ended
 }
 
-// Introduce takes in that there may be a daemon.
+// Introduce records that a daemon may exist, unless it is already known.
 func (t *Table) Introduce(now time.Duration, r Row) {
 	if _, known := t.entries[r.Incarnation]; known {
 		return
@@ -190,8 +195,9 @@
 	t.Reintroduce(now, r)
 }
 
-// Reintroduce takes in that another daemon vouches for one, which counts for a moment, and again
-// from time to time. That other one may reach it while this one can't.
+// Reintroduce records another daemon's introduction of a daemon that this daemon may be
+// unable to reach. It counts for IntroductionTTL, and again if it is repeated after
+// ReintroduceAfter.
 func (t *Table) Reintroduce(now time.Duration, r Row) {
 	e, known := t.entries[r.Incarnation]
 	if known && now-e.introduced < ReintroduceAfter || t.shouldIgnore(now, r) {
@@ -201,7 +207,8 @@
 	t.entries[r.Incarnation].introduced = now
 }
 
-// shouldIgnore tells whether a row says nothing of another daemon that may be alive.
+// shouldIgnore reports whether a row is about this daemon, names no incarnation, or is
+// about a daemon that has ended.
 func (t *Table) shouldIgnore(now time.Duration, r Row) bool {
 	return r.Incarnation == t.self.Incarnation || r.Incarnation == "" || t.hasEnded(now, r.Member)
 }
@@ -220,10 +227,10 @@
 	return t.removeReplaced(r.Member)
 }
 
-// hasEnded tells whether a daemon that somebody else tells of has ended: another incarnation
-// is heard at its address, or known to have started there later. A roster may be older
-// than what is known here, and a daemon that followed one that has ended would be
-// answered by its successor, which is no relay.
+// hasEnded reports whether a daemon that others mention has ended: another incarnation is
+// heard at its address, or is known to have started there later. This check is needed
+// because a roster may be older than what this daemon knows. A daemon that followed an
+// ended one would get answers from its successor, which is no relay.
 func (t *Table) hasEnded(now time.Duration, m Member) bool {
 	if m.PeerAddress == t.self.PeerAddress {
 		return true
@@ -247,7 +254,8 @@
 	return ended
 }
 
-// Tick forgets what has been silent for long and returns the incarnations.
+// Tick removes expired entries, rosters and addresses, and returns the incarnations of the
+// removed daemons.
 func (t *Table) Tick(now time.Duration) []ident.Incarnation {
 	var ended []ident.Incarnation
 	for id, e := range t.entries {
@@ -269,7 +277,7 @@
 	return ended
 }
 
-// Addresses lists where to send messages to, in order.
+// Addresses returns the addresses to send messages to, sorted.
 func (t *Table) Addresses() []string {
 	list := make([]string, 0, len(t.addresses))
 	for a := range t.addresses {
@@ -279,11 +287,12 @@
 	return list
 }
 
-// Alive lists the other daemons that are heard, told of or were just introduced, by
-// incarnation.
+// Alive returns the other daemons that are heard, listed in a roster or recently
+// introduced, sorted by incarnation.
 func (t *Table) Alive(now time.Duration) []Member { return t.list(now, true) }
 
-// Confirmed lists the other daemons that are heard or told of, by incarnation.
+// Confirmed returns the other daemons that are heard or listed in a roster, sorted by
+// incarnation.
 func (t *Table) Confirmed(now time.Duration) []Member { return t.list(now, false) }
 
 func (t *Table) list(now time.Duration, introduced bool) []Member {
@@ -298,8 +307,8 @@
 	return list
 }
 
-// SeenSince lists the other daemons of which anything was last known at a time or later, in
-// no order. Some may have lost their relays, and some have ended.
+// SeenSince returns the other daemons that were last mentioned at the time at or later,
+// unsorted. Some of them may have lost their relays, others may have ended.
 func (t *Table) SeenSince(at time.Duration) []ident.Incarnation {
 	var list []ident.Incarnation
 	for id, e := range t.entries {
@@ -310,7 +319,7 @@
 	return list
 }
 
-// inRosters is the daemons in the rosters of relays that are heard.
+// inRosters returns the daemons in valid rosters of relays that are heard.
 func (t *Table) inRosters(now time.Duration) map[ident.Incarnation]bool {
 	inRosters := map[ident.Incarnation]bool{}
 	for by, r := range t.rosters {
@@ -324,13 +333,14 @@
 	return inRosters
 }
 
-// HeardRecently tells whether a daemon is heard directly.
+// HeardRecently reports whether a message of a daemon was received directly within
+// AliveFor.
 func (t *Table) HeardRecently(now time.Duration, id ident.Incarnation) bool {
 	e, known := t.entries[id]
 	return known && now-e.heard <= t.aliveFor
 }
 
-// Rows returns what daemons told of themselves last; those that are not known are left out.
+// Rows returns the last known records of the given daemons, without those that are unknown.
 func (t *Table) Rows(ids []ident.Incarnation) []Row {
 	rows := make([]Row, 0, len(ids))
 	for _, id := range ids {
@@ -341,7 +351,8 @@
 	return rows
 }
 
-// Domains is the number of failure domains that any relay knows; zero is not told.
+// Domains returns the highest number of failure domains in any valid roster, or zero if
+// there is none.
 func (t *Table) Domains(now time.Duration) int {
 	domainCount := 0
 	for _, r := range t.rosters {
@@ -352,13 +363,14 @@
 	return domainCount
 }
 
-// KnownCount is the number of daemons that this one knows of itself, itself included: those that
-// are heard or told of, and those that are silent but not forgotten.
+// KnownCount returns the number of daemons that this one knows, including itself: those
+// that are heard or listed, and those that are silent but not yet forgotten.
 func (t *Table) KnownCount() int { return 1 + len(t.entries) }
 
-// FleetSize is the number of daemons that may be running, this one included: those that are known
-// here, or as many as a relay knows. It is never told on: relays would tell each other of the
-// largest fleet that there ever was.
+// FleetSize returns the number of daemons that may be running, including this one: the
+// number known here or the highest number in a roster. It must not be sent to other
+// daemons, because relays would keep repeating to each other the largest size that the
+// fleet ever had.
 func (t *Table) FleetSize() int {
 	size := t.KnownCount()
 	for _, r := range t.rosters {
@@ -367,7 +379,8 @@
 	return size
 }
 
-// UnheardAddresses lists the addresses at which none of the daemons is.
+// UnheardAddresses returns the known addresses that belong to none of the given daemons,
+// sorted.
 func (t *Table) UnheardAddresses(daemons []Member) []string {
 	known := make(map[string]bool, len(daemons))
 	for _, m := range daemons {
@@ -383,7 +396,7 @@
 	return list
 }
 
-// Directory lists the daemons for callers to use, this one included.
+// Directory returns the daemons that callers may use, including this one, sorted by ID.
 func (t *Table) Directory(now time.Duration) []view.Daemon {
 	var list []view.Daemon
 	for _, m := range append(t.Alive(now), t.self) {
--- a/coordination/peers/peers_test.go
+++ b/coordination/peers/peers_test.go
@@ -37,16 +37,16 @@
 	table.Receive(0, starting, 1)
 	is.Equal(liveIDs(table, 0), []string{"a", "b"})
 	is.Equal(liveIDs(table, peers.AliveFor+1), []string{"a"})
-	is.Equal(table.FleetSize(), 3) // the silent one may still be there
+	is.Equal(table.FleetSize(), 3) // the silent daemons may still be running
 	is.Equal(table.Addresses(), []string{"b:76", "c:76"})
 	is.Equal(len(table.Tick(peers.ForgetAfter+1)), 2)
-	is.Equal(len(table.Addresses()), 2) // those who are cut off must be called when the cut ends
+	is.Equal(len(table.Addresses()), 2) // messages go on, so that daemons find each other after a network partition
 	table.Tick(peers.AddressTTL + 1)
 	is.Equal(len(table.Addresses()), 0)
 }
 
-// A daemon is told to stop; a datagram that it sent before overtakes nobody but
-// arrives after the one that says so. Callers must not be sent there again.
+// A daemon starts to drain. A datagram that it sent earlier arrives after the one that says
+// so. Callers must not be sent to that daemon again.
 func TestLateMessageDoesNotUndoDraining(t *testing.T) {
 	is := is.New(t)
 	table := peers.New(member("a", "1"))
@@ -61,8 +61,8 @@
 	is.Equal(len(liveIDs(table, 0)), 0)
 }
 
-// A daemon is killed and starts again at once. Its former self must not keep a
-// part of the shared quotas until it is forgotten.
+// A daemon is killed and starts again at once. Its former incarnation must not keep a share
+// of the quotas until it is forgotten.
 func TestNewIncarnationEndsFormerOne(t *testing.T) {
 	is := is.New(t)
 	table := peers.New(member("a", "1"))
@@ -95,7 +95,7 @@
 	is.Equal(liveIDs(table, peers.AliveFor+1), []string{"a", "c", "r"}) // b has ended
 }
 
-// Guards against an old roster that undoes what a daemon told itself.
+// Guards against an old roster that overrides what a daemon reported about itself.
 func TestRosterDoesNotUndoDraining(t *testing.T) {
 	is := is.New(t)
 	table := peers.New(member("a", "1"))
@@ -107,7 +107,7 @@
 	is.Equal(liveIDs(table, 0), []string{"a", "r"})
 }
 
-// Guards against a registration that outlives its daemon and brings it back.
+// Guards against a registration that outlives its daemon and makes it look alive again.
 func TestIntroductionExpires(t *testing.T) {
 	is := is.New(t)
 	table := peers.New(member("a", "1"))
@@ -120,8 +120,8 @@
 	is.Equal(table.FleetSize(), 2)
 }
 
-// Guards against a daemon that is heard at last and taken for a repeated message, since
-// a relay had told of it.
+// Guards against the first message of a daemon being treated as a duplicate because a
+// relay's roster already mentioned it.
 func TestFirstMessageOfDaemonKnownFromRoster(t *testing.T) {
 	is := is.New(t)
 	table := peers.New(member("a", "1"))
@@ -131,8 +131,8 @@
 	is.True(fresh)
 }
 
-// Guards against a daemon that goes on following one that has ended, since an old roster
-// brings that back beside its successor.
+// Guards against a daemon that keeps following a daemon that has ended, because an old
+// roster adds that daemon again beside its successor.
 func TestRosterDoesNotRestoreFormerIncarnation(t *testing.T) {
 	is := is.New(t)
 	table := peers.New(member("a", "1"))
@@ -140,7 +140,7 @@
 	table.ReceiveRoster(0, "r~1", rows("b"), 3, 2)
 	table.Receive(0, member("b", "2"), 1)
 	table.ReceiveRoster(0, "r~1", rows("b"), 3, 2)
-	is.Equal(len(table.Alive(0)), 2) // r and the second b
+	is.Equal(len(table.Alive(0)), 2) // r and the second incarnation of b
 	later := member("b", "3")
 	later.Started = 5
 	table.ReceiveRoster(peers.AliveFor+1, "r~1", []peers.Row{{Member: later, Seq: 1}}, 3, 2)
@@ -151,9 +151,9 @@
 	}
 }
 
-// Guards against a daemon that never learns of its relays, since it was introduced to them
-// once when it could not reach them, and against one that goes on waiting for those whom it
-// can't reach.
+// Guards against a daemon that never learns of its relays because they were introduced only
+// once, when it could not reach them, and against a daemon that keeps waiting for daemons
+// that it can't reach.
 func TestReferenceCountsAgainFromTimeToTime(t *testing.T) {
 	is := is.New(t)
 	table := peers.New(member("a", "1"))
@@ -166,8 +166,8 @@
 	is.Equal(liveIDs(table, peers.ReintroduceAfter+peers.IntroductionTTL+1), []string{"a"})
 }
 
-// Guards against daemons that elect too many relays, since one that knows few failure domains
-// told of them last.
+// Guards against daemons that elect too many relays because the last roster came from a
+// relay that knows few failure domains.
 func TestDomainCountIsHighestOfAllRosters(t *testing.T) {
 	is := is.New(t)
 	table := peers.New(member("a", "1"))
--- a/coordination/relays/confirmation.go
+++ b/coordination/relays/confirmation.go
@@ -8,38 +8,40 @@
 )
 
 const (
-	// ConfirmedFor is how long another relay's word that it takes a daemon for one counts:
-	// several messages.
+	// ConfirmedFor is how long another relay's confirmation that this daemon is a relay is
+	// valid: several messages.
 	ConfirmedFor = peers.RelayedAliveFor
-	// aloneAfter is how long a daemon that becomes a relay waits for the word of another
-	// one before it takes itself for the only one: its quotas are out of date, and it may
-	// be mistaken.
+	// aloneAfter is how long a daemon that becomes a relay waits for another relay's
+	// confirmation before it assumes that it is the only one. Until then its state of the
+	// quotas is out of date, and it may not be a relay in the view of the others.
 	aloneAfter = 1500 * time.Millisecond
 )
 
-// Confirmation is what other relays say of a daemon that takes itself for one.
+// Confirmation tracks whether other relays confirm that this daemon is a relay.
 //
-// A daemon elects by what it knows, which may be a few daemons of many: then it finds
-// nobody of its failure domain to follow and takes itself for a relay that none of the
-// others counts. What the others share out among themselves is the whole, so it may not
-// share in it until one of them takes it for a relay, too.
+// A daemon elects relays from the daemons that it knows, which may be only a few of many.
+// It may then find no relay in its failure domain to follow and consider itself a relay
+// although no other relay counts it. The other relays divide the entire quotas among
+// themselves, so this daemon must not use a share until one of them considers it a relay,
+// too.
 type Confirmation struct {
-	// relaySince is when the daemon relaySince to take itself for a relay, confirmedAt when another
-	// relay last did. doubted says that one which is heard does not, and none has since.
+	// relaySince is when this daemon started to consider itself a relay, confirmedAt when
+	// another relay last confirmed it. doubted is set if a relay has contradicted it and
+	// none has confirmed it since.
 	relaySince, confirmedAt time.Duration
 	doubted                 bool
 }
 
-// Start starts anew: the daemon takes itself for a relay from now on.
+// Start resets the state: this daemon considers itself a relay from now on.
 func (s *Confirmation) Start(now time.Duration) {
 	*s = Confirmation{relaySince: now, confirmedAt: freshness.Never}
 }
 
-// RelaySince is since when the daemon takes itself for a relay.
+// RelaySince returns when this daemon started to consider itself a relay.
 func (s *Confirmation) RelaySince() time.Duration { return s.relaySince }
 
-// Receive takes in whether another relay takes this daemon for one. It returns true if that
-// is the first doubt since one did.
+// Receive records whether another relay considers this daemon a relay. It returns true for
+// the first contradiction since the last confirmation.
 func (s *Confirmation) Receive(now time.Duration, elects bool) bool {
 	switch {
 	case elects:
@@ -51,11 +53,12 @@
 	return false
 }
 
-// Confirmed tells whether another relay takes this daemon for one.
+// Confirmed reports whether another relay has recently confirmed this daemon as a relay.
 func (s *Confirmation) Confirmed(now time.Duration) bool { return now-s.confirmedAt <= ConfirmedFor }
 
-// MayShare tells whether this daemon may give out a part of what relays share. hearsRelay
-// says that it hears any other relay; one that hears none may be the last.
+// MayShare reports whether this daemon may use a share of what the relays divide among
+// themselves. hearsRelay states that it hears another relay; a daemon that hears none may
+// be the last relay.
 func (s *Confirmation) MayShare(now time.Duration, hearsRelay bool) bool {
 	return s.Confirmed(now) || !hearsRelay && now-s.relaySince >= aloneAfter
 }
--- a/coordination/relays/confirmation_test.go
+++ b/coordination/relays/confirmation_test.go
@@ -9,13 +9,14 @@
 	"geraniumstack.org/geraniumstack/coordination/relays"
 )
 
-// Guards against a daemon that gives out a whole quota beside relays that don't count it.
+// Guards against a daemon that uses an entire quota in addition to relays that don't count
+// that daemon.
 func TestRelayThatNobodyElectsSharesNothing(t *testing.T) {
 	is := is.New(t)
 	var s relays.Confirmation
 	s.Start(0)
 	is.True(s.Receive(time.Second, false))
-	is.True(!s.Receive(2*time.Second, false)) // one doubt is one line of the log
+	is.True(!s.Receive(2*time.Second, false)) // only the first contradiction is reported, so it is logged once
 	is.True(!s.MayShare(time.Hour, true))
 	s.Receive(time.Hour, true)
 	is.True(s.MayShare(time.Hour, true))
@@ -25,7 +26,7 @@
 	is.True(!s.MayShare(time.Hour, true))
 }
 
-// Guards against the last relay of a fleet that waits for others for ever.
+// Guards against the last relay of a fleet waiting for other relays forever.
 func TestIsolatedRelaySharesAfterDelay(t *testing.T) {
 	is := is.New(t)
 	var s relays.Confirmation
--- a/coordination/relays/export_test.go
+++ b/coordination/relays/export_test.go
@@ -1,4 +1,5 @@
 package relays
 
-// RelaysPerDomain is how many relays each failure domain has where nothing else is set.
+// RelaysPerDomain is the number of relays in each failure domain with the default
+// DirectFleet.
 func RelaysPerDomain(daemons, domains int) int { return relaysPerDomain(daemons, domains, DirectFleet) }
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -1,14 +1,15 @@
-// Package relays decides which daemons of a large fleet pass on what the others tell.
+// Package relays decides which daemons of a large fleet relay the messages of the others.
 //
-// The daemons of a small fleet are all relays: each tells every other. In a larger
-// one that would grow with the square of the fleet. There each failure domain has a
-// few relays. Every other daemon follows two of them: it tells both its state, and the
-// first of them, its primary, counts its work. The relays tell each other the sums over
-// their followers, and their followers the sums over all.
+// In a small fleet all daemons are relays: each sends to every other. In a larger fleet the
+// number of such messages would grow with the square of the number of daemons, so each
+// failure domain has a few relays. Every other daemon follows two of them. It sends its
+// state to both, and the first one, its primary, counts its work. Relays send each other
+// the sums over their followers, and send the sums over all daemons to their followers.
 //
-// Each daemon elects by what it knows. Two that know different daemons may elect
-// different relays for a moment; whoever is told as a relay answers as one, and the
-// promises rest on what relays hear of each other, not on who elected them.
+// Each daemon elects the relays on its own, from the daemons that it knows. Two daemons
+// that know different daemons may elect different relays for a moment. A daemon that is
+// addressed as a relay acts as one, and the guarantees for callers depend only on what
+// relays hear of each other, not on who elected them.
 //
 // The package does no I/O and reads no clock.
 package relays
@@ -25,56 +26,59 @@
 )
 
 const (
-	// AllWatchFleet is the number of daemons up to which each watches the key-value service
-	// itself, DirectFleet that up to which each tells every other where nothing else is set.
+	// AllWatchFleet is the largest fleet in which every daemon watches the key-value
+	// service itself. DirectFleet is the default for the largest fleet in which every
+	// daemon sends to every other.
 	AllWatchFleet = 10
 	DirectFleet   = 36
-	// RelaysPerFollower is how many relays a daemon follows: when one ends, the other has
-	// heard of it.
+	// RelaysPerFollower is how many relays a daemon follows. If one ends, the other already
+	// has the daemon's state.
 	RelaysPerFollower = 2
 )
 
 // View is what a daemon knows of its fleet.
 type View struct {
 	Self peers.Member
-	// Alive are the other daemons that are taken to be alive. All of the own failure
-	// domain must be among them; a relay must know those of all.
+	// Alive holds the other daemons that are considered alive. It must include all daemons
+	// in this daemon's own failure domain and, on a relay, those of all domains.
 	Alive []peers.Member
-	// Fleet is the number of daemons, Domains that of failure domains, as far as relays
-	// know more than this one; zero is not told.
+	// Fleet is the number of daemons and Domains the number of failure domains known to
+	// relays. They may exceed what this daemon knows; zero means unknown.
 	Fleet   int
 	Domains int
-	// DirectFleet is the number of daemons up to which each tells every other; zero is the
-	// constant of that name.
+	// DirectFleet is the largest fleet in which every daemon sends to every other; zero
+	// selects the constant DirectFleet.
 	DirectFleet int
 }
 
-// Plan is whom a daemon tells.
+// Plan says to whom a daemon sends messages, and who watches the key-value service.
 type Plan struct {
-	// Relay says that the daemon is a relay itself.
+	// Relay is set if this daemon is a relay itself.
 	Relay bool
-	// OtherRelays are the other relays of all failure domains, by incarnation. A daemon
-	// that is no relay knows some of them.
+	// OtherRelays holds the other relays of all failure domains, sorted by incarnation. On
+	// a daemon that is not a relay it may be incomplete.
 	OtherRelays []peers.Member
-	// Followed are the relays that the daemon follows, the primary first; none for a relay.
+	// Followed holds the relays that this daemon follows, with the primary first. It is
+	// empty for a relay.
 	Followed []peers.Member
-	// WatchesStore says that the daemon watches the key-value service for others; Watchers are
-	// the other daemons that do. A relay that does not is told by Source, the first relay
-	// of its failure domain.
+	// WatchesStore is set if this daemon watches the key-value service for others.
+	// OtherWatchers holds the other daemons that do. A relay that doesn't watch gets the
+	// changes from WatchSource, the first relay of its failure domain.
 	WatchesStore  bool
 	OtherWatchers []peers.Member
 	WatchSource   peers.Member
-	// RelaysPerDomain is the number of relays that a failure domain should have, Domains that of
-	// failure domains that the daemon knows itself. Only what it knows itself is told on: if
-	// RelaysPerDomain were, daemons that are wrong of it would confirm each other.
+	// RelaysPerDomain is the number of relays that each failure domain should have. Domains
+	// is the number of failure domains that this daemon knows itself. Only Domains is sent
+	// to others: if RelaysPerDomain were, daemons with a wrong value would confirm each
+	// other.
 	RelaysPerDomain int
 	Domains         int
-	// Direct says that the fleet is small enough for all to be relays, AllWatch that it is
-	// small enough for all to watch.
+	// Direct is set if the fleet is small enough for all daemons to be relays, AllWatch if
+	// it is small enough for all to watch the key-value service.
 	Direct, AllWatch bool
 }
 
-// Elect elects the relays.
+// Elect chooses the relays and watchers from what a daemon knows of its fleet.
 func Elect(v View) Plan {
 	members := append(slices.Clone(v.Alive), v.Self)
 	domains := groupByDomain(members)
@@ -107,7 +111,7 @@
 	slices.SortFunc(p.OtherRelays, func(a, b peers.Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
 	switch {
 	case len(candidates) == 0:
-		// There is nobody to follow.
+		// There is no relay to follow.
 		p.Relay, p.WatchesStore = true, true
 	case !p.Relay:
 		p.Followed = chooseRelays(v.Self.ID, candidates)
@@ -115,7 +119,7 @@
 	return p
 }
 
-// addWatcher notes that a daemon watches the key-value service.
+// addWatcher records that the daemon r watches the key-value service.
 func (p *Plan) addWatcher(self, r peers.Member) {
 	if r.Incarnation == self.Incarnation {
 		p.WatchesStore = true
@@ -127,8 +131,9 @@
 	}
 }
 
-// relaysPerDomain is how many relays each failure domain has. With one for each square root of the
-// fleet a relay hears about as many followers as other relays.
+// relaysPerDomain returns the number of relays in each failure domain. The total is about
+// the square root of the number of daemons, so that a relay hears about as many followers
+// as other relays.
 func relaysPerDomain(daemons, domains, direct int) int {
 	if daemons <= direct {
 		return daemons
@@ -144,8 +149,8 @@
 	return domains
 }
 
-// longestRunning takes the daemons that run for longest, so that one that joins displaces
-// nobody. Those that are shutting down are no relays.
+// longestRunning returns the n daemons that have been running for longest, so that a daemon
+// that joins replaces no relay. Daemons that are shutting down are left out.
 func longestRunning(domain []peers.Member, n int) []peers.Member {
 	domain = slices.DeleteFunc(domain, func(m peers.Member) bool { return m.Phase == peers.Draining })
 	slices.SortFunc(domain, func(a, b peers.Member) int {
@@ -154,8 +159,9 @@
 	return domain[:min(n, len(domain))]
 }
 
-// chooseRelays spreads the followers over the relays: each takes those with the highest hash
-// of both, so that a relay's end moves only its own followers.
+// chooseRelays distributes the followers over the relays by rendezvous hashing: each
+// follower takes the relays with the highest hash of both IDs, so that the end of a relay
+// moves only its own followers.
 func chooseRelays(self ident.DaemonID, relays []peers.Member) []peers.Member {
 	slices.SortFunc(relays, func(a, b peers.Member) int {
 		return cmp.Or(cmp.Compare(rank(self, b), rank(self, a)), cmp.Compare(a.Incarnation, b.Incarnation))
--- a/coordination/relays/relays_test.go
+++ b/coordination/relays/relays_test.go
@@ -12,7 +12,8 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// fleet is n daemons over failure domains in turn; the first ones run for longest.
+// fleet returns n daemons, assigned to the failure domains in turn and sorted from the
+// longest running to the newest.
 func fleet(n, domains int) []peers.Member {
 	members := make([]peers.Member, n)
 	for i := range members {
@@ -41,7 +42,8 @@
 	}
 }
 
-// Guards against messages that grow with the square of the fleet.
+// Guards against a number of links per daemon that grows in proportion to the fleet, so
+// that messages grow with its square.
 func TestLinksGrowSlowerThanFleet(t *testing.T) {
 	is := is.New(t)
 	for n, maxLinks := range map[int]int{30: 40, 119: 50, 300: 60, 1828: 160} {
@@ -68,7 +70,7 @@
 	}
 }
 
-// Guards against a fleet that elects anew whenever a daemon joins.
+// Guards against a change of relays whenever a daemon joins.
 func TestNewcomerDisplacesNoRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(60, 6)
@@ -92,7 +94,7 @@
 	is.True(!planFor(members, i).Relay)
 }
 
-// Guards against a daemon that waits for a relay where there is none.
+// Guards against a daemon that waits for a relay in a failure domain without one.
 func TestOnlyDaemonOfDomainIsRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(40, 4)
@@ -102,8 +104,8 @@
 	is.Equal(len(p.Followed), 0)
 }
 
-// Guards against a daemon that stays a relay beside those of its failure domain, since it knows
-// few failure domains and takes each for one that needs more relays.
+// Guards against a daemon that stays an additional relay in its failure domain because it
+// knows few failure domains and concludes that each of them needs more relays.
 func TestKnowingFewDomainsElectsNoExtraRelays(t *testing.T) {
 	is := is.New(t)
 	members := fleet(119, 6)
