--- a/coordination/feed/feed.go
+++ b/coordination/feed/feed.go
@@ -22,8 +22,8 @@
 	Deleted  bool
 }
 
-// Part is what a Log holds after a revision.
-type Part struct {
+// Batch is what a Log holds after a revision.
+type Batch struct {
 	// After is the revision that was asked for.
 	After uint64
 	// Through is the revision up to which nothing is missing after these changes.
@@ -32,26 +32,26 @@
 }
 
 const (
-	// maxEnds bounds the ends of keys that are remembered.
-	maxEnds = 4000
+	// maxDeletions bounds the ends of keys that are remembered.
+	maxDeletions = 4000
 	// maxGaps bounds the gaps that are remembered.
 	maxGaps = 16
-	// overhead is counted for a change beside its key and value, in bytes.
-	overhead = 24
+	// changeOverhead is counted for a change beside its key and value, in bytes.
+	changeOverhead = 24
 )
 
 // Log is a copy of the service's keys in the order in which they were written last.
 type Log struct {
-	// at is the revision up to which nothing is missing.
-	at uint64
-	// floor is the latest end that is forgotten.
-	floor uint64
+	// revision is the revision up to which nothing is missing.
+	revision uint64
+	// forgottenThrough is the latest end that is forgotten.
+	forgottenThrough uint64
 	// gaps are the spans of revisions of which only the outcome was listed.
 	gaps []gap
 	// changes by revision; those that latest doesn't point at are superseded.
-	changes []Change
-	latest  map[string]uint64
-	ends    int
+	changes   []Change
+	latest    map[string]uint64
+	deletions int
 }
 
 // gap is a span of revisions, without its ends, in which keys may have been written and
@@ -62,36 +62,36 @@
 // NewLog returns a log that knows nothing.
 func NewLog() *Log { return &Log{latest: map[string]uint64{}} }
 
-// At is the revision up to which nothing is missing; zero knows nothing.
-func (l *Log) At() uint64 { return l.at }
+// LastRevision is the revision up to which nothing is missing; zero knows nothing.
+func (l *Log) LastRevision() uint64 { return l.revision }
 
 // Reset takes in a list of all keys that was made after the revision at.
-func (l *Log) Reset(list []Change, at uint64) {
+func (l *Log) Reset(list []Change, revision uint64) {
 	listed := make(map[string]bool, len(list))
 	for _, c := range list {
 		listed[c.Key] = true
 	}
-	var ended []Change
+	var deletions []Change
 	for _, c := range l.changes {
-		if l.latest[c.Key] == c.Revision && !c.Deleted && !listed[c.Key] && c.Revision <= at {
-			ended = append(ended, Change{Key: c.Key, Revision: at, Deleted: true})
+		if l.latest[c.Key] == c.Revision && !c.Deleted && !listed[c.Key] && c.Revision <= revision {
+			deletions = append(deletions, Change{Key: c.Key, Revision: revision, Deleted: true})
 		}
 	}
-	l.add(append(ended, list...))
-	if at > l.at {
-		l.gaps = append(l.gaps, gap{l.at, at})
+	l.add(append(deletions, list...))
+	if revision > l.revision {
+		l.gaps = append(l.gaps, gap{l.revision, revision})
 	}
 	if len(l.gaps) > maxGaps {
-		l.floor = max(l.floor, l.gaps[0].to)
+		l.forgottenThrough = max(l.forgottenThrough, l.gaps[0].to)
 		l.gaps = slices.Delete(l.gaps, 0, 1)
 	}
-	l.at = max(l.at, at)
+	l.revision = max(l.revision, revision)
 }
 
 // Apply takes in the changes of a watch, which has told all up to at.
-func (l *Log) Apply(changes []Change, at uint64) {
+func (l *Log) Apply(changes []Change, revision uint64) {
 	l.add(changes)
-	l.at = max(l.at, at)
+	l.revision = max(l.revision, revision)
 }
 
 func (l *Log) add(changes []Change) {
@@ -105,11 +105,11 @@
 		l.latest[c.Key] = c.Revision
 		l.changes = append(l.changes, c)
 		if c.Deleted {
-			l.ends++
+			l.deletions++
 		}
 	}
 	slices.SortStableFunc(l.changes, func(a, b Change) int { return cmp.Compare(a.Revision, b.Revision) })
-	if len(l.changes) > 2*len(l.latest) || l.ends > maxEnds {
+	if len(l.changes) > 2*len(l.latest) || l.deletions > maxDeletions {
 		l.compact()
 	}
 }
@@ -117,23 +117,23 @@
 // compact drops what is superseded and the older half of the ends.
 func (l *Log) compact() {
 	l.changes = slices.DeleteFunc(l.changes, func(c Change) bool { return l.latest[c.Key] != c.Revision })
-	l.ends = 0
+	l.deletions = 0
 	for _, c := range l.changes {
 		if c.Deleted {
-			l.ends++
+			l.deletions++
 		}
 	}
-	if l.ends <= maxEnds {
+	if l.deletions <= maxDeletions {
 		return
 	}
-	drop := l.ends - maxEnds/2
+	drop := l.deletions - maxDeletions/2
 	l.changes = slices.DeleteFunc(l.changes, func(c Change) bool {
 		if !c.Deleted || drop == 0 {
 			return false
 		}
 		drop--
-		l.ends--
-		l.floor = c.Revision
+		l.deletions--
+		l.forgottenThrough = c.Revision
 		delete(l.latest, c.Key)
 		return true
 	})
@@ -141,20 +141,20 @@
 
 // Since returns what came after a revision, as far as it fits into so many bytes but
 // at least one change. It returns false if it no longer knows what has ended since.
-func (l *Log) Since(after uint64, mostBytes int) (Part, bool) {
-	if after < l.floor || l.at == 0 || slices.ContainsFunc(l.gaps, func(g gap) bool { return g.from < after && after < g.to }) {
-		return Part{}, false
+func (l *Log) Since(after uint64, maxBytes int) (Batch, bool) {
+	if after < l.forgottenThrough || l.revision == 0 || slices.ContainsFunc(l.gaps, func(g gap) bool { return g.from < after && after < g.to }) {
+		return Batch{}, false
 	}
-	p := Part{After: after, Through: l.at}
+	p := Batch{After: after, Through: l.revision}
 	from, _ := slices.BinarySearchFunc(l.changes, after+1, func(c Change, r uint64) int { return cmp.Compare(c.Revision, r) })
-	bytes := 0
+	size := 0
 	for _, c := range l.changes[from:] {
 		if l.latest[c.Key] != c.Revision {
 			continue
 		}
-		bytes += len(c.Key) + len(c.Value) + overhead
+		size += len(c.Key) + len(c.Value) + changeOverhead
 		// What was written together is passed on together.
-		if n := len(p.Changes); bytes > mostBytes && n > 0 && c.Revision > p.Changes[n-1].Revision {
+		if n := len(p.Changes); size > maxBytes && n > 0 && c.Revision > p.Changes[n-1].Revision {
 			p.Through = min(p.Through, c.Revision-1)
 			break
 		}
--- a/coordination/feed/feed_test.go
+++ b/coordination/feed/feed_test.go
@@ -20,7 +20,7 @@
 }
 
 func (s *service) write(key string, deleted bool) {
-	if _, there := s.keys[key]; deleted && !there {
+	if _, exists := s.keys[key]; deleted && !exists {
 		return
 	}
 	s.revision++
@@ -46,7 +46,7 @@
 	keys      map[string]uint64
 }
 
-func (f *follower) take(p feed.Part) {
+func (f *follower) apply(p feed.Batch) {
 	if p.After > f.at {
 		return
 	}
@@ -65,18 +65,18 @@
 
 // Guards against a follower that misses a change: parts are lost, come late and come
 // twice, the relays' watches are cut and listed anew, and the follower changes relays.
-func TestFollowerEndsUpWithWhatTheServiceHolds(t *testing.T) {
+func TestFollowerConvergesToServiceState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &service{keys: map[string]uint64{}}
 		s.write("first", false)
 		logs := []*feed.Log{feed.NewLog(), feed.NewLog()}
-		watched := []int{0, 0}
+		watchedThrough := []int{0, 0}
 		for i, l := range logs {
 			l.Reset(s.list(), s.revision)
-			watched[i] = len(s.changes)
+			watchedThrough[i] = len(s.changes)
 		}
 		f := &follower{revisions: map[string]uint64{}, keys: map[string]uint64{}}
-		var late []feed.Part
+		var delayed []feed.Batch
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			i := rapid.IntRange(0, 1).Draw(t, "relay")
 			l := logs[i]
@@ -84,26 +84,26 @@
 			case 0, 1:
 				s.write(fmt.Sprint("k", rapid.IntRange(0, 8).Draw(t, "key")), rapid.Bool().Draw(t, "ends"))
 			case 2:
-				l.Apply(s.changes[watched[i]:], s.revision)
-				watched[i] = len(s.changes)
+				l.Apply(s.changes[watchedThrough[i]:], s.revision)
+				watchedThrough[i] = len(s.changes)
 			case 3:
 				// The list is read after the revision from which to watch on.
 				at, from := s.revision, len(s.changes)
 				s.write(fmt.Sprint("k", rapid.IntRange(0, 8).Draw(t, "between")), rapid.Bool().Draw(t, "ends"))
 				l.Reset(s.list(), at)
-				watched[i] = from
+				watchedThrough[i] = from
 			case 4:
 				if p, ok := l.Since(f.at, rapid.IntRange(1, 200).Draw(t, "bytes")); ok {
-					f.take(p)
-					late = append(late, p)
+					f.apply(p)
+					delayed = append(delayed, p)
 				}
 			case 5:
-				if len(late) > 0 {
-					f.take(late[rapid.IntRange(0, len(late)-1).Draw(t, "late")])
+				if len(delayed) > 0 {
+					f.apply(delayed[rapid.IntRange(0, len(delayed)-1).Draw(t, "late")])
 				}
 			}
 		}
-		logs[0].Apply(s.changes[watched[0]:], s.revision)
+		logs[0].Apply(s.changes[watchedThrough[0]:], s.revision)
 		for f.at < s.revision {
 			before := f.at
 			p, ok := logs[0].Since(f.at, 100)
@@ -112,7 +112,7 @@
 				f.at, f.keys = s.revision, maps.Clone(s.keys)
 				break
 			}
-			f.take(p)
+			f.apply(p)
 			if f.at == before && len(p.Changes) == 0 {
 				t.Fatal("no progress")
 			}
@@ -125,7 +125,7 @@
 
 // Guards against followers that all list the service whenever their relay had to: what
 // the relay has told them before is known to it.
-func TestListIsNoGapForItsOwnFollowers(t *testing.T) {
+func TestListLeavesNoGapForOwnFollowers(t *testing.T) {
 	is := is.New(t)
 	l := feed.NewLog()
 	l.Reset([]feed.Change{{Key: "a", Revision: 3}, {Key: "b", Revision: 5}}, 5)
@@ -139,7 +139,7 @@
 }
 
 // Guards against a follower that keeps a key for good whose end the relay forgot.
-func TestForgottenEndsAreAGap(t *testing.T) {
+func TestForgottenDeletionsAreReportedAsGap(t *testing.T) {
 	is := is.New(t)
 	l := feed.NewLog()
 	_, ok := l.Since(0, 1000)
--- a/coordination/freshness/freshness.go
+++ b/coordination/freshness/freshness.go
@@ -25,27 +25,27 @@
 // Tracker keeps the latest proof.
 type Tracker struct {
 	revision uint64
-	proved   time.Duration
+	provedAt time.Duration
 }
 
 // New returns a tracker without any proof.
-func New() *Tracker { return &Tracker{proved: Never} }
+func New() *Tracker { return &Tracker{provedAt: Never} }
 
-// Read takes in an own read of the service, sent at the given time, that found
+// RecordRead takes in an own read of the service, sent at the given time, that found
 // the configuration at the revision. It reports whether the revision is new.
-func (t *Tracker) Read(revision uint64, sent time.Duration) bool {
+func (t *Tracker) RecordRead(revision uint64, sent time.Duration) bool {
 	if revision < t.revision {
 		// A stale answer; it proves nothing about the newer one.
 		return false
 	}
 	changed := revision > t.revision
 	t.revision = revision
-	t.proved = max(t.proved, sent)
+	t.provedAt = max(t.provedAt, sent)
 	return changed
 }
 
-// Word is a peer's statement about its configuration.
-type Word struct {
+// Statement is a peer's statement about its configuration.
+type Statement struct {
 	Revision uint64
 	// Echo is this daemon's stamp that the peer received last.
 	Echo time.Duration
@@ -56,15 +56,15 @@
 	Proved bool
 }
 
-// Heard takes in a peer's word. It reports whether the peer has a newer
+// Receive takes in a peer's word. It reports whether the peer has a newer
 // configuration than this daemon.
-func (t *Tracker) Heard(w Word) bool {
+func (t *Tracker) Receive(w Statement) bool {
 	if w.Revision > t.revision {
 		return true
 	}
 	// With an older one than ours the peer proves less than we know already.
 	if w.Proved && w.Revision == t.revision {
-		t.proved = max(t.proved, w.Echo-w.Lag)
+		t.provedAt = max(t.provedAt, w.Echo-w.Lag)
 	}
 	return false
 }
@@ -76,25 +76,25 @@
 	Received time.Duration
 }
 
-// Answer makes the word for the peer that sent the stamp; nil is none yet.
-func (t *Tracker) Answer(s *Stamp) Word {
-	w := Word{Revision: t.revision}
-	if s == nil || t.proved == Never {
+// StatementFor makes the word for the peer that sent the stamp; nil is none yet.
+func (t *Tracker) StatementFor(s *Stamp) Statement {
+	w := Statement{Revision: t.revision}
+	if s == nil || t.provedAt == Never {
 		return w
 	}
 	w.Proved = true
 	w.Echo = s.Sent
-	w.Lag = max(0, s.Received-t.proved)
+	w.Lag = max(0, s.Received-t.provedAt)
 	return w
 }
 
 // Age is how long ago the configuration was proved to be the newest; very long
 // without a proof.
 func (t *Tracker) Age(now time.Duration) time.Duration {
-	if t.proved == Never {
+	if t.provedAt == Never {
 		return -Never
 	}
-	return max(0, now-t.proved)
+	return max(0, now-t.provedAt)
 }
 
 // Revision of the configuration; zero if there is none.
--- a/coordination/freshness/freshness_test.go
+++ b/coordination/freshness/freshness_test.go
@@ -15,8 +15,8 @@
 	is := is.New(t)
 	f := freshness.New()
 	is.True(f.Age(0) > time.Hour)
-	is.True(f.Read(5, 10*time.Second))
-	is.True(!f.Read(4, 20*time.Second)) // a lagging answer, sent later
+	is.True(f.RecordRead(5, 10*time.Second))
+	is.True(!f.RecordRead(4, 20*time.Second)) // a lagging answer, sent later
 	is.Equal(f.Age(21*time.Second), 11*time.Second)
 	is.Equal(f.Revision(), uint64(5))
 }
@@ -24,8 +24,8 @@
 func TestPeerWithNewerConfiguration(t *testing.T) {
 	is := is.New(t)
 	f := freshness.New()
-	f.Read(5, 0)
-	newer := f.Heard(freshness.Word{Revision: 6, Proved: true, Echo: 9 * time.Second})
+	f.RecordRead(5, 0)
+	newer := f.Receive(freshness.Statement{Revision: 6, Proved: true, Echo: 9 * time.Second})
 	is.True(newer)
 	is.Equal(f.Age(10*time.Second), 10*time.Second) // ours is not the newest
 }
@@ -33,15 +33,15 @@
 // A daemon is frozen while a peer's word waits in its socket. The word says "I
 // read the service just now"; taken at its word on waking, a key that was taken
 // away during the freeze would go on working.
-func TestWordThatWaitedWhileFrozen(t *testing.T) {
+func TestStatementDelayedWhileFrozen(t *testing.T) {
 	is := is.New(t)
 	f := freshness.New()
-	f.Read(5, 0)
+	f.RecordRead(5, 0)
 	peer := freshness.New()
-	peer.Read(5, time.Second)
+	peer.RecordRead(5, time.Second)
 	// Our stamp of 0.9 s reaches the peer, which answers; then we freeze until 9 s.
-	w := peer.Answer(&freshness.Stamp{Sent: 900 * time.Millisecond, Received: time.Second})
-	f.Heard(w)
+	w := peer.StatementFor(&freshness.Stamp{Sent: 900 * time.Millisecond, Received: time.Second})
+	f.Receive(w)
 	is.True(f.Age(9*time.Second) >= 8*time.Second)
 }
 
@@ -52,10 +52,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 3
 		type message struct {
-			to, from int
-			word     freshness.Word
-			sent     time.Duration
-			due      time.Duration
+			to, from  int
+			statement freshness.Statement
+			sent      time.Duration
+			due       time.Duration
 		}
 		var (
 			trackers [n]*freshness.Tracker
@@ -77,21 +77,21 @@
 			j := rapid.IntRange(0, n-1).Draw(t, "peer")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				trackers[i].Read(uint64(len(changedAt)-1), now+offsets[i])
+				trackers[i].RecordRead(uint64(len(changedAt)-1), now+offsets[i])
 			case 1, 2:
 				delay := time.Duration(rapid.IntRange(0, 6000).Draw(t, "delay")) * time.Millisecond
-				pending = append(pending, message{to: j, from: i, word: trackers[i].Answer(stamps[i][j]), sent: now + offsets[i], due: now + delay})
+				pending = append(pending, message{to: j, from: i, statement: trackers[i].StatementFor(stamps[i][j]), sent: now + offsets[i], due: now + delay})
 			}
-			left := pending[:0]
+			undelivered := pending[:0]
 			for _, m := range pending {
 				if m.due > now {
-					left = append(left, m)
+					undelivered = append(undelivered, m)
 					continue
 				}
 				stamps[m.to][m.from] = &freshness.Stamp{Sent: m.sent, Received: now + offsets[m.to]}
-				trackers[m.to].Heard(m.word)
+				trackers[m.to].Receive(m.statement)
 			}
-			pending = left
+			pending = undelivered
 			for i := range n {
 				age := trackers[i].Age(now + offsets[i])
 				if age > time.Hour {
--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -40,8 +40,8 @@
 	merged := m
 	merged.Version = max(m.Version, r.member.Version)
 	merged.Generation = max(m.Generation, r.member.Generation)
-	if r.member.Heard.After(m.Heard) {
-		merged.Heard = r.member.Heard
+	if r.member.LastHeard.After(m.LastHeard) {
+		merged.LastHeard = r.member.LastHeard
 	}
 	*r.member = merged
 	t.markChanged(key, from)
@@ -93,14 +93,14 @@
 
 // recordContact merges what a daemon reported about itself in a message received now.
 func (t *Table) recordContact(now time.Time, m Member) {
-	m.Heard = now
+	m.LastHeard = now
 	t.mergeMember(now, m, m.Incarnation)
 	r, ok := t.log.records[memberKey(m.Incarnation)]
 	if !ok || r.member == t.self {
 		return
 	}
 	r.failures = 0
-	r.member.Heard = now
+	r.member.LastHeard = now
 	if m.Generation > r.member.Generation {
 		r.member.Generation = m.Generation
 		t.revision.Members++
@@ -141,7 +141,7 @@
 	switch {
 	case r.member.State == view.Live:
 		t.setState(now, key, view.Suspect)
-	case r.member.State == view.Leaving && now.Sub(r.member.Heard) > goneAfterLeaving:
+	case r.member.State == view.Leaving && now.Sub(r.member.LastHeard) > goneAfterLeaving:
 		t.setState(now, key, view.Gone)
 	}
 }
@@ -168,7 +168,7 @@
 	for _, m := range members {
 		m.State = view.Live
 		m.Since = now
-		m.Heard = time.Time{}
+		m.LastHeard = time.Time{}
 		t.mergeMember(now, m, "")
 	}
 }
--- a/coordination/spread/antientropy.go
+++ b/coordination/spread/antientropy.go
@@ -54,7 +54,7 @@
 }
 
 // Interval is SmallInterval.
-func (a *AntiEntropy) Interval() time.Duration { return SmallInterval }
+func (a *AntiEntropy) Interval() time.Duration { return SmallFleetInterval }
 
 // Version is the highest known.
 func (a *AntiEntropy) Version() uint64 { return a.version }
--- a/coordination/spread/flat.go
+++ b/coordination/spread/flat.go
@@ -50,7 +50,7 @@
 }
 
 // Interval is SmallInterval.
-func (f *Flat) Interval() time.Duration { return SmallInterval }
+func (f *Flat) Interval() time.Duration { return SmallFleetInterval }
 
 // Version is the highest known.
 func (f *Flat) Version() uint64 { return f.version }
--- a/coordination/spread/neighbours.go
+++ b/coordination/spread/neighbours.go
@@ -16,9 +16,9 @@
 	// OutDegree links, as many incoming and 1,012 bytes an exchange it comes to
 	// 4.0 KB/s.
 	HeartbeatInterval = 2 * time.Second
-	// SmallInterval is the same where OutDegree links reach everybody: a small
+	// SmallFleetInterval is the same where OutDegree links reach everybody: a small
 	// fleet finds out sooner that a daemon is down.
-	SmallInterval = time.Second
+	SmallFleetInterval = time.Second
 )
 
 // Neighbours spreads over a random graph that stays the same while the members
@@ -27,12 +27,12 @@
 // no more than OutDegree others it is one to all. Links that stay are what
 // bounds connections; a version that a push missed comes with the next tick.
 type Neighbours struct {
-	self     string
-	version  uint64
-	links    []string
-	suspects []string
-	turn     int
-	small    bool
+	self        string
+	version     uint64
+	links       []string
+	suspects    []string
+	nextSuspect int
+	reachesAll  bool
 	// ranks remembers the hashes of pairs.
 	ranks map[string]uint64
 }
@@ -47,7 +47,7 @@
 // SetMembers ranks the members anew. Suspects are left out, so a link to a
 // crashed one moves to the next in rank.
 func (n *Neighbours) SetMembers(_ time.Time, peers []Peer) []Send {
-	n.small = len(peers) <= OutDegree
+	n.reachesAll = len(peers) <= OutDegree
 	n.suspects = n.suspects[:0]
 	n.links = n.links[:0]
 	if len(n.ranks) > 2*len(peers) {
@@ -58,19 +58,19 @@
 			n.suspects = append(n.suspects, p.ID)
 			continue
 		}
-		n.consider(p.ID)
+		n.insertLink(p.ID)
 	}
 	return nil
 }
 
-// consider keeps the links to be the first OutDegree by rank.
-func (n *Neighbours) consider(id string) {
+// insertLink keeps the links to be the first OutDegree by rank.
+func (n *Neighbours) insertLink(id string) {
 	rank := n.rank(id)
-	at := sort.Search(len(n.links), func(i int) bool { return n.rank(n.links[i]) > rank })
-	if at == OutDegree {
+	position := sort.Search(len(n.links), func(i int) bool { return n.rank(n.links[i]) > rank })
+	if position == OutDegree {
 		return
 	}
-	n.links = slices.Insert(n.links, at, id)
+	n.links = slices.Insert(n.links, position, id)
 	n.links = n.links[:min(OutDegree, len(n.links))]
 }
 
@@ -88,12 +88,12 @@
 
 // Publish raises the version and pushes it to every link.
 func (n *Neighbours) Publish(_ time.Time, version uint64) []Send {
-	return n.adopt(version, "")
+	return n.raiseVersion(version, "")
 }
 
 // Receive adopts a higher version and answers a push with its own.
 func (n *Neighbours) Receive(_ time.Time, from string, m Message) []Send {
-	sends := n.adopt(m.Version, from)
+	sends := n.raiseVersion(m.Version, from)
 	if m.Kind == Push {
 		sends = append(sends, Send{To: from, Message: Message{Kind: Reply, Version: n.version}})
 	}
@@ -104,10 +104,10 @@
 // two members, or two regions, that suspect each other: without a probe
 // neither would contact the other again and the suspicion would never end.
 func (n *Neighbours) Tick(time.Time) []Send {
-	sends := n.push("")
+	sends := n.pushToLinks("")
 	if len(n.suspects) > 0 {
-		n.turn++
-		suspect := n.suspects[n.turn%len(n.suspects)]
+		n.nextSuspect++
+		suspect := n.suspects[n.nextSuspect%len(n.suspects)]
 		sends = append(sends, Send{To: suspect, Message: Message{Kind: Push, Version: n.version}})
 	}
 	return sends
@@ -115,8 +115,8 @@
 
 // Interval depends on whether the links reach everybody.
 func (n *Neighbours) Interval() time.Duration {
-	if n.small {
-		return SmallInterval
+	if n.reachesAll {
+		return SmallFleetInterval
 	}
 	return HeartbeatInterval
 }
@@ -124,15 +124,15 @@
 // Version is the highest known.
 func (n *Neighbours) Version() uint64 { return n.version }
 
-func (n *Neighbours) adopt(version uint64, from string) []Send {
+func (n *Neighbours) raiseVersion(version uint64, from string) []Send {
 	if version <= n.version {
 		return nil
 	}
 	n.version = version
-	return n.push(from)
+	return n.pushToLinks(from)
 }
 
-func (n *Neighbours) push(except string) []Send {
+func (n *Neighbours) pushToLinks(except string) []Send {
 	var sends []Send
 	for _, id := range n.links {
 		if id != except {
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -14,10 +14,10 @@
 
 // network passes messages between machines in any order that a test draws.
 type network struct {
-	machines map[string]spread.Strategy
-	ids      []string
-	under    []sent
-	count    map[spread.Kind]int
+	strategies map[string]spread.Strategy
+	ids        []string
+	inFlight   []sent
+	count      map[spread.Kind]int
 }
 
 type sent struct {
@@ -27,45 +27,45 @@
 
 var zero time.Time
 
-func newNetwork(n int, machine func(self string, all []string) spread.Strategy) *network {
-	w := &network{machines: map[string]spread.Strategy{}, count: map[spread.Kind]int{}}
+func newNetwork(n int, newStrategy func(self string, all []string) spread.Strategy) *network {
+	w := &network{strategies: map[string]spread.Strategy{}, count: map[spread.Kind]int{}}
 	for i := range n {
 		w.ids = append(w.ids, fmt.Sprintf("m%02d", i))
 	}
 	for _, id := range w.ids {
-		w.machines[id] = machine(id, w.ids)
+		w.strategies[id] = newStrategy(id, w.ids)
 	}
 	for _, id := range w.ids {
-		w.suspect(id, nil)
+		w.setMembers(id, nil)
 	}
 	return w
 }
 
-func (w *network) suspect(at string, suspects map[string]bool) {
+func (w *network) setMembers(at string, suspects map[string]bool) {
 	var peers []spread.Peer
 	for _, id := range w.ids {
 		if id != at {
 			peers = append(peers, spread.Peer{ID: id, Suspect: suspects[id]})
 		}
 	}
-	w.add(at, w.machines[at].SetMembers(zero, peers))
+	w.enqueue(at, w.strategies[at].SetMembers(zero, peers))
 }
 
-func (w *network) add(from string, sends []spread.Send) {
+func (w *network) enqueue(from string, sends []spread.Send) {
 	for _, s := range sends {
 		w.count[s.Message.Kind]++
-		w.under = append(w.under, sent{from, s})
+		w.inFlight = append(w.inFlight, sent{from, s})
 	}
 }
 
-// drain delivers everything, the drawn one first; crashed ones take nothing.
-func (w *network) drain(crashed map[string]bool, draw func(n int) int) {
-	for len(w.under) > 0 {
-		i := draw(len(w.under))
-		s := w.under[i]
-		w.under = append(w.under[:i], w.under[i+1:]...)
+// deliverAll delivers everything, the drawn one first; crashed ones take nothing.
+func (w *network) deliverAll(crashed map[string]bool, draw func(n int) int) {
+	for len(w.inFlight) > 0 {
+		i := draw(len(w.inFlight))
+		s := w.inFlight[i]
+		w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 		if !crashed[s.To] {
-			w.add(s.To, w.machines[s.To].Receive(zero, s.from, s.Message))
+			w.enqueue(s.To, w.strategies[s.To].Receive(zero, s.from, s.Message))
 		}
 	}
 }
@@ -73,23 +73,23 @@
 func (w *network) missing(crashed map[string]bool) []string {
 	var missing []string
 	for _, id := range w.ids {
-		if !crashed[id] && w.machines[id].Version() == 0 {
+		if !crashed[id] && w.strategies[id].Version() == 0 {
 			missing = append(missing, id)
 		}
 	}
 	return missing
 }
 
-func tree(self string, all []string) spread.Strategy { return spread.NewHierarchicalTree(self, all) }
+func newTree(self string, all []string) spread.Strategy { return spread.NewHierarchicalTree(self, all) }
 
-func first(int) int { return 0 }
+func firstIndex(int) int { return 0 }
 
 func TestTreeSendsOneMessageToEachMember(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{2, 8, 13, 64} {
-		w := newNetwork(n, tree)
-		w.add("m00", w.machines["m00"].Publish(zero, 1))
-		w.drain(nil, first)
+		w := newNetwork(n, newTree)
+		w.enqueue("m00", w.strategies["m00"].Publish(zero, 1))
+		w.deliverAll(nil, firstIndex)
 		is.Equal(len(w.missing(nil)), 0)
 		is.Equal(w.count[spread.Tree], n-1)
 		is.Equal(w.count[spread.Ack], n-1)
@@ -102,59 +102,59 @@
 func TestTreeReachesEveryCorrectMember(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 20).Draw(t, "members")
-		w := newNetwork(n, tree)
-		crashed, doubted := map[string]bool{}, map[string]bool{}
+		w := newNetwork(n, newTree)
+		crashed, falselySuspected := map[string]bool{}, map[string]bool{}
 		for _, id := range w.ids[1:] {
 			switch rapid.IntRange(0, 4).Draw(t, "fault") {
 			case 0:
 				crashed[id] = true
 			case 1:
-				doubted[id] = true
+				falselySuspected[id] = true
 			}
 		}
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "message") }
 		for _, id := range w.ids {
-			w.suspect(id, doubted)
+			w.setMembers(id, falselySuspected)
 		}
-		w.add("m00", w.machines["m00"].Publish(zero, 1))
-		w.drain(crashed, draw)
-		all := map[string]bool{}
+		w.enqueue("m00", w.strategies["m00"].Publish(zero, 1))
+		w.deliverAll(crashed, draw)
+		suspected := map[string]bool{}
 		for id := range crashed {
-			all[id] = true
+			suspected[id] = true
 		}
-		for id := range doubted {
-			all[id] = true
+		for id := range falselySuspected {
+			suspected[id] = true
 		}
 		for _, id := range w.ids {
 			if !crashed[id] {
-				w.suspect(id, all)
+				w.setMembers(id, suspected)
 			}
 		}
-		w.drain(crashed, draw)
+		w.deliverAll(crashed, draw)
 		if missing := w.missing(crashed); len(missing) > 0 {
-			t.Fatalf("%v never heard; crashed %v, doubted %v", missing, crashed, doubted)
+			t.Fatalf("%v never heard; crashed %v, doubted %v", missing, crashed, falselySuspected)
 		}
 	})
 }
 
 // Pushes are lost. What a push missed must come with later rounds, whoever the
 // links of a member are.
-func TestNeighboursHealLostPushes(t *testing.T) {
+func TestNeighboursRecoverLostPushes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newNetwork(rapid.IntRange(2, 30).Draw(t, "members"), func(self string, _ []string) spread.Strategy {
 			return spread.NewNeighbours(self)
 		})
-		w.add("m00", w.machines["m00"].Publish(zero, 1))
-		for len(w.under) > 0 && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
-			w.under = w.under[1:]
+		w.enqueue("m00", w.strategies["m00"].Publish(zero, 1))
+		for len(w.inFlight) > 0 && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
+			w.inFlight = w.inFlight[1:]
 		}
 		for range 12 {
-			w.drain(nil, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "message") })
+			w.deliverAll(nil, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "message") })
 			for _, id := range w.ids {
-				w.add(id, w.machines[id].Tick(zero))
+				w.enqueue(id, w.strategies[id].Tick(zero))
 			}
 		}
-		w.drain(nil, first)
+		w.deliverAll(nil, firstIndex)
 		if missing := w.missing(nil); len(missing) > 0 {
 			t.Fatalf("%v never heard", missing)
 		}
@@ -188,5 +188,5 @@
 	is.Equal(len(n.Links()), spread.OutDegree)
 	is.Equal(n.Interval(), spread.HeartbeatInterval)
 	n.SetMembers(zero, peers[:4])
-	is.Equal(n.Interval(), spread.SmallInterval)
+	is.Equal(n.Interval(), spread.SmallFleetInterval)
 }
--- a/coordination/spread/tree.go
+++ b/coordination/spread/tree.go
@@ -77,9 +77,9 @@
 // forward is sent to the next of its cluster, and the broadcast of a newly
 // suspected source is started anew from here.
 func (t *HierarchicalTree) SetMembers(_ time.Time, peers []Peer) []Send {
-	before := t.suspect
+	previous := t.suspect
 	t.suspect = map[int]bool{}
-	var fresh []int
+	var newlySuspected []int
 	for _, p := range peers {
 		if !p.Suspect {
 			continue
@@ -89,19 +89,19 @@
 			continue
 		}
 		t.suspect[j] = true
-		if !before[j] {
-			fresh = append(fresh, j)
+		if !previous[j] {
+			newlySuspected = append(newlySuspected, j)
 		}
 	}
-	sort.Ints(fresh)
+	sort.Ints(newlySuspected)
 	var sends []Send
-	for _, j := range fresh {
-		sends = append(sends, t.crashed(j)...)
+	for _, j := range newlySuspected {
+		sends = append(sends, t.handleSuspected(j)...)
 	}
 	return sends
 }
 
-func (t *HierarchicalTree) crashed(j int) []Send {
+func (t *HierarchicalTree) handleSuspected(j int) []Send {
 	var sends []Send
 	if ack, ok := t.pending[j]; ok {
 		delete(t.pending, j)
@@ -132,9 +132,9 @@
 	case Push:
 		return []Send{{To: from, Message: Message{Kind: Reply, Version: t.version}}}
 	case Deliver:
-		return t.handle(m)
+		return t.adoptVersion(m)
 	case Tree:
-		sends := t.handle(m)
+		sends := t.adoptVersion(m)
 		sends = append(sends, t.broadcastTree(clusterOf(t.self, j)-1, j)...)
 		return append(sends, t.checkAcks(j)...)
 	case Ack:
@@ -148,9 +148,9 @@
 	return nil
 }
 
-// handle delivers a version once and takes over the broadcast of a source that
+// adoptVersion delivers a version once and takes over the broadcast of a source that
 // is suspected.
-func (t *HierarchicalTree) handle(m Message) []Send {
+func (t *HierarchicalTree) adoptVersion(m Message) []Send {
 	if m.Version <= t.version {
 		return nil
 	}
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -45,7 +45,7 @@
 	// LeavesAt is when a leaving one ends; zero if not known.
 	LeavesAt   time.Time
 	Generation ident.Generation
-	Heard      time.Time
+	LastHeard  time.Time
 }
 
 // Runner is one incarnation of a backend server.
--- a/daemon/adminapi/encode.go
+++ b/daemon/adminapi/encode.go
@@ -36,9 +36,9 @@
 	encoded := make([]*adminv1.DaemonStatus, 0, len(members))
 	for _, m := range members {
 		heard := int64(neverHeard)
-		if !m.Heard.IsZero() {
+		if !m.LastHeard.IsZero() {
 			// One that was heard while this answer was made is not of the future.
-			heard = max(0, now.Sub(m.Heard).Milliseconds())
+			heard = max(0, now.Sub(m.LastHeard).Milliseconds())
 		}
 		encoded = append(encoded, &adminv1.DaemonStatus{
 			Id: string(m.ID), Incarnation: string(m.Incarnation), FailureDomain: string(m.FailureDomain),
--- a/daemon/control/apply.go
+++ b/daemon/control/apply.go
@@ -296,7 +296,7 @@
 	d.Daemons++
 	switch {
 	case m.Generation >= generation || m.State == view.Leaving:
-	case m.Heard.Before(since):
+	case m.LastHeard.Before(since):
 		d.DaemonsUnheard++
 	default:
 		d.DaemonsBehind++
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -206,7 +206,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	self := c.table.Self().Daemon
-	self.Heard = time.Now()
+	self.LastHeard = time.Now()
 	return self
 }
 
@@ -226,7 +226,7 @@
 	members := c.table.Members()
 	for i := range members {
 		if members[i].Incarnation == c.cfg.Self.Incarnation {
-			members[i].Heard = time.Now()
+			members[i].LastHeard = time.Now()
 		}
 	}
 	return members
--- a/daemon/control/control_test.go
+++ b/daemon/control/control_test.go
@@ -474,7 +474,7 @@
 	inBubble(t, func(is *is.I, f *fleet) {
 		time.Sleep(5 * time.Minute)
 		for _, m := range f.daemons[0].MembersNow() {
-			is.True(time.Since(m.Heard) < 3*time.Second)
+			is.True(time.Since(m.LastHeard) < 3*time.Second)
 		}
 	})
 }
--- a/daemon/edge/confirm.go
+++ b/daemon/edge/confirm.go
@@ -116,6 +116,6 @@
 func (e *Edge) proved(revision uint64, at time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fresh.Read(revision, at)
+	e.fresh.RecordRead(revision, at)
 	e.refreshPhase(e.deps.Steady())
 }
--- a/daemon/edge/export_test.go
+++ b/daemon/edge/export_test.go
@@ -12,7 +12,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	during()
-	e.fresh.Read(uint64(revision), e.deps.Steady())
+	e.fresh.RecordRead(uint64(revision), e.deps.Steady())
 	e.putInForce(route.NewTable(c), revision)
 }
 
--- a/daemon/edge/feed.go
+++ b/daemon/edge/feed.go
@@ -51,9 +51,9 @@
 	defer e.dir.mu.Unlock()
 	part, ok := e.dir.log.Since(at, maxFeedBytes)
 	if !ok {
-		return &peersv1.Feed{After: at, Gap: e.dir.log.At() != 0}
+		return &peersv1.Feed{After: at, Gap: e.dir.log.LastRevision() != 0}
 	}
-	told := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.log.At(), AgeNs: int64(now - e.dir.current)}
+	told := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.log.LastRevision(), AgeNs: int64(now - e.dir.current)}
 	for _, c := range part.Changes {
 		if len(c.Value) <= maxFeedValueBytes {
 			told.Changes = append(told.Changes, &peersv1.Change{Key: c.Key, Value: c.Value, Revision: c.Revision, Deleted: c.Deleted})
--- a/daemon/edge/follow.go
+++ b/daemon/edge/follow.go
@@ -411,7 +411,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	before := e.table.Load()
-	changed := e.fresh.Read(uint64(event.Revision), sent)
+	changed := e.fresh.RecordRead(uint64(event.Revision), sent)
 	e.unreadable = e.unreadable && !changed
 	if changed && (before == nil || config.Version > before.Version()) {
 		e.putInForce(route.NewTable(config), event.Revision)
--- a/daemon/edge/hello.go
+++ b/daemon/edge/hello.go
@@ -77,7 +77,7 @@
 	if s, ok := e.stamps[to]; ok {
 		stamp = &s
 	}
-	w := e.fresh.Answer(stamp)
+	w := e.fresh.StatementFor(stamp)
 	return &peersv1.Hello{EchoNs: int64(w.Echo), LagNs: int64(w.Lag), Proved: w.Proved, ConfigRevision: w.Revision}
 }
 
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -98,7 +98,7 @@
 	e.wall.Receive(id, time.Unix(0, h.TimeUnixNs), now)
 	e.updateQuotaUses(now, id, h)
 	e.handleCounts(now, id, h)
-	behind := e.fresh.Heard(freshness.Word{
+	behind := e.fresh.Receive(freshness.Statement{
 		Revision: h.ConfigRevision, Echo: time.Duration(h.EchoNs), Lag: time.Duration(h.LagNs), Proved: h.Proved,
 	})
 	e.refreshPhase(now)
