--- a/coordination/feed/feed.go
+++ b/coordination/feed/feed.go
@@ -1,12 +1,13 @@
-// Package feed passes on what was written into the key-value service, so that a few
-// daemons watch it for all.
+// Package feed passes changes of the key-value service from daemons that watch it to
+// daemons that don't, so that only a few daemons watch.
 //
-// The service numbers its changes. A daemon that watches keeps a Log; one that doesn't
-// asks for what came after the revision up to which it knows everything, and gets a
-// Part. Since revisions are the service's own, any daemon's Log goes on where another's
-// ended, and a part that is lost or comes twice is of no consequence.
+// The service numbers its changes with revisions. A daemon that watches keeps a Log. A
+// daemon that doesn't asks for the changes after the revision up to which it knows
+// everything, and gets a Batch. Since the revisions are the service's own, it can switch to
+// the Log of another daemon at any revision, and a batch that is lost or arrives twice does
+// no harm.
 //
-// The package does no I/O and reads no clock. It is not safe for concurrent use.
+// The package does no I/O and reads no clock. A Log is not safe for concurrent use.
 package feed
 
 import (
@@ -14,7 +15,7 @@
 	"slices"
 )
 
-// Change is a key as it was written, or its end.
+// Change is a write or the deletion of a key.
 type Change struct {
 	Key      string
 	Value    []byte
@@ -22,50 +23,53 @@
 	Deleted  bool
 }
 
-// Batch is what a Log holds after a revision.
+// Batch holds changes after a revision.
 type Batch struct {
 	// After is the revision that was asked for.
 	After uint64
-	// Through is the revision up to which nothing is missing after these changes.
+	// Through is the revision up to which a receiver that knows everything through After is
+	// complete once it has applied the changes.
 	Through uint64
 	Changes []Change
 }
 
 const (
-	// maxDeletions bounds the ends of keys that are remembered.
+	// maxDeletions is the maximum number of deletions that a Log remembers.
 	maxDeletions = 4000
-	// maxGaps bounds the gaps that are remembered.
+	// maxGaps is the maximum number of gaps that a Log remembers.
 	maxGaps = 16
-	// changeOverhead is counted for a change beside its key and value, in bytes.
+	// changeOverhead is the size in bytes that counts for a change in addition to its key
+	// and value.
 	changeOverhead = 24
 )
 
-// Log is a copy of the service's keys in the order in which they were written last.
+// Log holds the last change of each key in the order of revisions.
 type Log struct {
-	// revision is the revision up to which nothing is missing.
+	// revision is the revision up to which the log is complete.
 	revision uint64
-	// forgottenThrough is the latest end that is forgotten.
+	// forgottenThrough is the revision of the latest deletion that was forgotten.
 	forgottenThrough uint64
-	// gaps are the spans of revisions of which only the outcome was listed.
+	// gaps are the ranges of revisions for which only the resulting keys were listed.
 	gaps []gap
-	// changes by revision; those that latest doesn't point at are superseded.
+	// changes is sorted by revision. Changes that latest doesn't refer to are superseded.
 	changes   []Change
 	latest    map[string]uint64
 	deletions int
 }
 
-// gap is a span of revisions, without its ends, in which keys may have been written and
-// removed that the log never heard of. Whoever knows everything up to a revision within
-// it may hold one of them.
+// gap is a range of revisions, exclusive at both ends, in which keys may have been written
+// and deleted without the log learning of it. A follower whose revision lies within the
+// range may hold such a key.
 type gap struct{ from, to uint64 }
 
-// NewLog returns a log that knows nothing.
+// NewLog returns an empty log.
 func NewLog() *Log { return &Log{latest: map[string]uint64{}} }
 
-// LastRevision is the revision up to which nothing is missing; zero knows nothing.
+// LastRevision returns the revision up to which the log is complete, or zero if the log is
+// empty.
 func (l *Log) LastRevision() uint64 { return l.revision }
 
-// Reset takes in a list of all keys that was made after the revision at.
+// Reset applies a complete list of the keys as of the given revision or later.
 func (l *Log) Reset(list []Change, revision uint64) {
 	listed := make(map[string]bool, len(list))
 	for _, c := range list {
@@ -88,7 +92,7 @@
 	l.revision = max(l.revision, revision)
 }
 
-// Apply takes in the changes of a watch, which has told all up to at.
+// Apply applies the changes of a watch that is complete up to the given revision.
 func (l *Log) Apply(changes []Change, revision uint64) {
 	l.add(changes)
 	l.revision = max(l.revision, revision)
@@ -114,7 +118,8 @@
 	}
 }
 
-// compact drops what is superseded and the older half of the ends.
+// compact drops superseded changes. If more than maxDeletions deletions remain, it also
+// drops the oldest until half of maxDeletions is left.
 func (l *Log) compact() {
 	l.changes = slices.DeleteFunc(l.changes, func(c Change) bool { return l.latest[c.Key] != c.Revision })
 	l.deletions = 0
@@ -139,8 +144,9 @@
 	})
 }
 
-// Since returns what came after a revision, as far as it fits into so many bytes but
-// at least one change. It returns false if it no longer knows what has ended since.
+// Since returns the changes after a revision that fit into maxBytes, but at least one if
+// there is any. It returns false if the log can't tell which keys were deleted since that
+// revision.
 func (l *Log) Since(after uint64, maxBytes int) (Batch, bool) {
 	if after < l.forgottenThrough || l.revision == 0 || slices.ContainsFunc(l.gaps, func(g gap) bool { return g.from < after && after < g.to }) {
 		return Batch{}, false
@@ -153,7 +159,7 @@
 			continue
 		}
 		size += len(c.Key) + len(c.Value) + changeOverhead
-		// What was written together is passed on together.
+		// Changes with the same revision are never split between two batches.
 		if n := len(p.Changes); size > maxBytes && n > 0 && c.Revision > p.Changes[n-1].Revision {
 			p.Through = min(p.Through, c.Revision-1)
 			break
--- a/coordination/feed/feed_test.go
+++ b/coordination/feed/feed_test.go
@@ -12,7 +12,8 @@
 	_ "geraniumstack.org/geraniumstack/internal/fixedseed"
 )
 
-// service is the keys with the revisions of their last writes, and all changes.
+// service simulates the key-value service: the existing keys with the revisions of their
+// last writes, and all changes.
 type service struct {
 	revision uint64
 	keys     map[string]uint64
@@ -39,7 +40,7 @@
 	return list
 }
 
-// follower takes parts in as a daemon does.
+// follower applies batches as a daemon does.
 type follower struct {
 	at        uint64
 	revisions map[string]uint64
@@ -63,8 +64,8 @@
 	f.at = max(f.at, p.Through)
 }
 
-// Guards against a follower that misses a change: parts are lost, come late and come
-// twice, the relays' watches are cut and listed anew, and the follower changes relays.
+// Guards against a follower that misses a change: batches are lost, delayed and duplicated,
+// the relays' watches break and start again from a list, and the follower changes relays.
 func TestFollowerConvergesToServiceState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &service{keys: map[string]uint64{}}
@@ -87,7 +88,7 @@
 				l.Apply(s.changes[watchedThrough[i]:], s.revision)
 				watchedThrough[i] = len(s.changes)
 			case 3:
-				// The list is read after the revision from which to watch on.
+				// The list is read after the revision from which the watch continues.
 				at, from := s.revision, len(s.changes)
 				s.write(fmt.Sprint("k", rapid.IntRange(0, 8).Draw(t, "between")), rapid.Bool().Draw(t, "ends"))
 				l.Reset(s.list(), at)
@@ -108,7 +109,7 @@
 			before := f.at
 			p, ok := logs[0].Since(f.at, 100)
 			if !ok {
-				// It lists the service itself.
+				// The follower lists the service itself.
 				f.at, f.keys = s.revision, maps.Clone(s.keys)
 				break
 			}
@@ -123,8 +124,8 @@
 	})
 }
 
-// Guards against followers that all list the service whenever their relay had to: what
-// the relay has told them before is known to it.
+// Guards against all followers listing the service whenever their relay had to: a relay can
+// still compute the changes for a follower that is as far as the relay was before.
 func TestListLeavesNoGapForOwnFollowers(t *testing.T) {
 	is := is.New(t)
 	l := feed.NewLog()
@@ -133,17 +134,17 @@
 	p, ok := l.Since(5, 1000)
 	is.True(ok)
 	is.Equal(p.Through, uint64(9))
-	is.Equal(len(p.Changes), 2) // the end of a, and c
+	is.Equal(len(p.Changes), 2) // the deletion of a, and c
 	_, ok = l.Since(7, 1000)
-	is.True(!ok) // it may know what was written and removed meanwhile
+	is.True(!ok) // the follower may hold a key that was written and deleted in the gap
 }
 
-// Guards against a follower that keeps a key for good whose end the relay forgot.
+// Guards against a follower that keeps a key forever because the relay forgot its deletion.
 func TestForgottenDeletionsAreReportedAsGap(t *testing.T) {
 	is := is.New(t)
 	l := feed.NewLog()
 	_, ok := l.Since(0, 1000)
-	is.True(!ok) // it knows nothing yet
+	is.True(!ok) // the log is empty
 	l.Reset(nil, 1)
 	revision := uint64(1)
 	for i := range 6000 {
--- a/coordination/freshness/freshness.go
+++ b/coordination/freshness/freshness.go
@@ -1,41 +1,41 @@
-// Package freshness bounds how old this daemon's configuration may be.
+// Package freshness limits how old this daemon's configuration may be.
 //
-// A key that an operator has taken away must stop working everywhere within a
-// bound, also at a VM that can't reach the key-value service. So a daemon keeps
-// the latest moment at which its configuration is known to have been the newest
-// one, and refuses keyed requests once that is too long ago. There are two
-// proofs: its own read of the service, current as of when it was sent; and the
-// word of a peer with no newer configuration that has read the service itself.
+// A key that an operator has revoked must stop working everywhere within a time limit, even
+// at a VM that can't reach the key-value service. So a daemon keeps the latest time at
+// which its configuration is known to have been the newest one, and refuses requests with
+// keys once that time is too long ago. There are two proofs: a read of the service by the
+// daemon itself, which is valid as of the time when the read was sent; and the statement of
+// a peer that has the same configuration and a proof of its own.
 //
-// A peer's word may have been under way for any time: it waits in a socket's
-// buffer while the receiver is frozen. It is therefore dated by an echo. The peer
-// returns the stamp that it last received from this daemon and how long before
-// that receipt its own proof was; the proof is then no older than the stamp less
-// that lag, on this daemon's own clock.
+// A peer's statement may be delayed by any time, e.g. in a socket's buffer while the
+// receiver is suspended. It is therefore dated by an echo: the peer returns the stamp that
+// it last received from this daemon, and the time by which its own proof precedes that
+// receipt. The proof is then no older than the stamp minus that time, on this daemon's own
+// clock.
 //
-// Times are offsets of a clock that runs on while the VM is suspended. The
-// package does no I/O and is not safe for concurrent use.
+// Times are offsets of a monotonic clock that keeps running while the VM is suspended. The
+// package does no I/O. A Tracker is not safe for concurrent use.
 package freshness
 
 import "time"
 
-// Never is the time of what has not happened, such as a proof.
+// Never is the time of an event that has not happened, such as a missing proof.
 const Never = time.Duration(-1 << 62)
 
-// Tracker keeps the latest proof.
+// Tracker keeps the revision of the configuration and the time of its latest proof.
 type Tracker struct {
 	revision uint64
 	provedAt time.Duration
 }
 
-// New returns a tracker without any proof.
+// New returns a Tracker without a proof.
 func New() *Tracker { return &Tracker{provedAt: Never} }
 
-// RecordRead takes in an own read of the service, sent at the given time, that found
-// the configuration at the revision. It reports whether the revision is new.
+// RecordRead records a read of the service that this daemon sent at the given time and that
+// found the configuration at the given revision. It reports whether the revision is new.
 func (t *Tracker) RecordRead(revision uint64, sent time.Duration) bool {
 	if revision < t.revision {
-		// A stale answer; it proves nothing about the newer one.
+		// A stale answer proves nothing about the newer revision.
 		return false
 	}
 	changed := revision > t.revision
@@ -44,39 +44,41 @@
 	return changed
 }
 
-// Statement is a peer's statement about its configuration.
+// Statement is what a peer reports about its configuration.
 type Statement struct {
 	Revision uint64
-	// Echo is this daemon's stamp that the peer received last.
+	// Echo is the last stamp of this daemon that the peer received.
 	Echo time.Duration
-	// Lag is how long before it received the stamp the peer's proof was; zero if
-	// the proof came after.
+	// Lag is the time by which the peer's proof precedes the receipt of that stamp; zero if
+	// the proof came after it.
 	Lag time.Duration
 	// Proved is false if the peer has no proof or has received no stamp.
 	Proved bool
 }
 
-// Receive takes in a peer's word. It reports whether the peer has a newer
-// configuration than this daemon.
+// Receive applies a peer's statement. It reports whether the peer has a newer configuration
+// than this daemon.
 func (t *Tracker) Receive(w Statement) bool {
 	if w.Revision > t.revision {
 		return true
 	}
-	// With an older one than ours the peer proves less than we know already.
+	// A peer with an older configuration proves nothing about this daemon's.
 	if w.Proved && w.Revision == t.revision {
 		t.provedAt = max(t.provedAt, w.Echo-w.Lag)
 	}
 	return false
 }
 
-// Stamp is what to remember of a received message for the answer.
+// Stamp records when a message was sent and received, for the echo in the answer.
 type Stamp struct {
-	// Sent is the sender's own time, Received this daemon's.
+	// Sent is the time of sending on the sender's clock, Received that of receipt on this
+	// daemon's clock.
 	Sent     time.Duration
 	Received time.Duration
 }
 
-// StatementFor makes the word for the peer that sent the stamp; nil is none yet.
+// StatementFor returns the statement for the peer whose last stamp is s; s is nil if none
+// was received.
 func (t *Tracker) StatementFor(s *Stamp) Statement {
 	w := Statement{Revision: t.revision}
 	if s == nil || t.provedAt == Never {
@@ -88,8 +90,8 @@
 	return w
 }
 
-// Age is how long ago the configuration was proved to be the newest; very long
-// without a proof.
+// Age returns how long ago the configuration was last proved to be the newest one. Without
+// a proof it returns -Never, which exceeds any limit.
 func (t *Tracker) Age(now time.Duration) time.Duration {
 	if t.provedAt == Never {
 		return -Never
@@ -97,5 +99,5 @@
 	return max(0, now-t.provedAt)
 }
 
-// Revision of the configuration; zero if there is none.
+// Revision returns the revision of the configuration, or zero if there is none.
 func (t *Tracker) Revision() uint64 { return t.revision }
--- a/coordination/freshness/freshness_test.go
+++ b/coordination/freshness/freshness_test.go
@@ -16,7 +16,7 @@
 	f := freshness.New()
 	is.True(f.Age(0) > time.Hour)
 	is.True(f.RecordRead(5, 10*time.Second))
-	is.True(!f.RecordRead(4, 20*time.Second)) // a lagging answer, sent later
+	is.True(!f.RecordRead(4, 20*time.Second)) // a stale answer, although sent later
 	is.Equal(f.Age(21*time.Second), 11*time.Second)
 	is.Equal(f.Revision(), uint64(5))
 }
@@ -27,27 +27,27 @@
 	f.RecordRead(5, 0)
 	newer := f.Receive(freshness.Statement{Revision: 6, Proved: true, Echo: 9 * time.Second})
 	is.True(newer)
-	is.Equal(f.Age(10*time.Second), 10*time.Second) // ours is not the newest
+	is.Equal(f.Age(10*time.Second), 10*time.Second) // this daemon's configuration is not the newest
 }
 
-// A daemon is frozen while a peer's word waits in its socket. The word says "I
-// read the service just now"; taken at its word on waking, a key that was taken
-// away during the freeze would go on working.
+// A daemon is suspended while a peer's statement waits in its socket. If the statement were
+// dated by its receipt, a key that was revoked during the suspension would go on working.
 func TestStatementDelayedWhileFrozen(t *testing.T) {
 	is := is.New(t)
 	f := freshness.New()
 	f.RecordRead(5, 0)
 	peer := freshness.New()
 	peer.RecordRead(5, time.Second)
-	// Our stamp of 0.9 s reaches the peer, which answers; then we freeze until 9 s.
+	// The stamp sent at 0.9 s reaches the peer, which answers; then the daemon is suspended
+	// until 9 s.
 	w := peer.StatementFor(&freshness.Stamp{Sent: 900 * time.Millisecond, Received: time.Second})
 	f.Receive(w)
 	is.True(f.Age(9*time.Second) >= 8*time.Second)
 }
 
-// Daemons with clocks of their own exchange words that are delayed and dropped
-// at random while the configuration changes. Whatever one believes to be proved
-// at a time must have been the newest then.
+// Daemons with different clocks exchange statements that are randomly delayed and lost
+// while the configuration changes. A configuration that a daemon believes to have been
+// proved at some time must have been the newest one at that time.
 func TestProofIsNeverTooYoung(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 3
@@ -62,7 +62,7 @@
 			offsets  [n]time.Duration
 			stamps   [n][n]*freshness.Stamp
 			pending  []message
-			// changedAt is when each revision came into being.
+			// changedAt is when each revision was created.
 			changedAt = []time.Duration{0, 0}
 		)
 		for i := range n {
@@ -99,7 +99,7 @@
 				}
 				next := int(trackers[i].Revision()) + 1
 				if next < len(changedAt) && changedAt[next] < now-age {
-					t.Fatalf("daemon %d at %v takes revision %d for proved %v ago, but %d came at %v", i, now, next-1, age, next, changedAt[next])
+					t.Fatalf("daemon %d at %v considers revision %d proved %v ago, but revision %d was created at %v", i, now, next-1, age, next, changedAt[next])
 				}
 			}
 		}
--- a/coordination/spread/antientropy.go
+++ b/coordination/spread/antientropy.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// AntiEntropy exchanges with a few members drawn anew at every tick, push and
-// pull, and sends nothing in between.
+// AntiEntropy exchanges versions with a few randomly chosen members at every tick, by push
+// and pull, and sends nothing in between.
 type AntiEntropy struct {
 	version uint64
 	peers   []Peer
@@ -16,24 +16,24 @@
 
 var _ Strategy = (*AntiEntropy)(nil)
 
-// NewAntiEntropy returns the machine of one member.
+// NewAntiEntropy returns the strategy of one member.
 func NewAntiEntropy(fanout int, seed uint64) *AntiEntropy {
 	return &AntiEntropy{fanout: fanout, random: rand.New(rand.NewPCG(seed, uint64(fanout)))}
 }
 
-// SetMembers replaces the members.
+// SetMembers replaces the list of other members.
 func (a *AntiEntropy) SetMembers(_ time.Time, peers []Peer) []Send {
 	a.peers = peers
 	return nil
 }
 
-// Publish raises the version; the next tick carries it.
+// Publish raises the version; it is sent with the next tick.
 func (a *AntiEntropy) Publish(_ time.Time, version uint64) []Send {
 	a.version = max(a.version, version)
 	return nil
 }
 
-// Receive adopts a higher version and answers a push with its own.
+// Receive adopts a higher version and replies to a push with its own version.
 func (a *AntiEntropy) Receive(_ time.Time, from string, m Message) []Send {
 	a.version = max(a.version, m.Version)
 	if m.Kind != Push {
@@ -42,8 +42,8 @@
 	return []Send{{To: from, Message: Message{Kind: Reply, Version: a.version}}}
 }
 
-// Tick draws the next partners; a suspect is as likely as any other, so a
-// false suspicion costs nothing.
+// Tick sends to randomly chosen members. Suspect members are as likely to be chosen as
+// others, so a false suspicion has no effect.
 func (a *AntiEntropy) Tick(time.Time) []Send {
 	var sends []Send
 	for range min(a.fanout, len(a.peers)) {
@@ -53,8 +53,8 @@
 	return sends
 }
 
-// Interval is SmallInterval.
+// Interval returns SmallFleetInterval.
 func (a *AntiEntropy) Interval() time.Duration { return SmallFleetInterval }
 
-// Version is the highest known.
+// Version returns the highest known version.
 func (a *AntiEntropy) Version() uint64 { return a.version }
--- a/coordination/spread/flat.go
+++ b/coordination/spread/flat.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Flat exchanges with every other member at every tick, and at once when a
-// version is published here.
+// Flat exchanges versions with every other member at every tick, and at once when a version
+// is published at this member.
 type Flat struct {
 	version uint64
 	peers   []Peer
@@ -13,16 +13,16 @@
 
 var _ Strategy = (*Flat)(nil)
 
-// NewFlat returns the machine of one member.
+// NewFlat returns the strategy of one member.
 func NewFlat() *Flat { return &Flat{} }
 
-// SetMembers replaces the members.
+// SetMembers replaces the list of other members.
 func (f *Flat) SetMembers(_ time.Time, peers []Peer) []Send {
 	f.peers = peers
 	return nil
 }
 
-// Publish raises the version and pushes it to all.
+// Publish raises the version and pushes it to all members.
 func (f *Flat) Publish(now time.Time, version uint64) []Send {
 	if version <= f.version {
 		return nil
@@ -31,7 +31,7 @@
 	return f.Tick(now)
 }
 
-// Receive adopts a higher version and answers a push with its own.
+// Receive adopts a higher version and replies to a push with its own version.
 func (f *Flat) Receive(_ time.Time, from string, m Message) []Send {
 	f.version = max(f.version, m.Version)
 	if m.Kind != Push {
@@ -40,7 +40,7 @@
 	return []Send{{To: from, Message: Message{Kind: Reply, Version: f.version}}}
 }
 
-// Tick pushes to all, suspects too.
+// Tick pushes the version to all members, including suspect ones.
 func (f *Flat) Tick(time.Time) []Send {
 	sends := make([]Send, 0, len(f.peers))
 	for _, p := range f.peers {
@@ -49,8 +49,8 @@
 	return sends
 }
 
-// Interval is SmallInterval.
+// Interval returns SmallFleetInterval.
 func (f *Flat) Interval() time.Duration { return SmallFleetInterval }
 
-// Version is the highest known.
+// Version returns the highest known version.
 func (f *Flat) Version() uint64 { return f.version }
--- a/coordination/spread/neighbours.go
+++ b/coordination/spread/neighbours.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// OutDegree is the number of members that each contacts by itself. As
-	// many contact it, so the overlay is a random graph of twice the degree.
+	// OutDegree is the number of members to which each member opens a link. On average as
+	// many members open one to it, so the overlay is a random graph of twice this degree.
 	OutDegree = 4
-	// HeartbeatInterval is the time between two exchanges with a neighbour. With
-	// OutDegree links, as many incoming and 1,012 bytes an exchange it comes to
+	// HeartbeatInterval is the time between two exchanges over a link. With OutDegree
+	// outgoing links, as many incoming ones and 1,012 bytes per exchange, the traffic is
 	// 4.0 KB/s.
 	HeartbeatInterval = 2 * time.Second
-	// SmallFleetInterval is the same where OutDegree links reach everybody: a small
-	// fleet finds out sooner that a daemon is down.
+	// SmallFleetInterval replaces HeartbeatInterval if OutDegree links reach all other
+	// members, so that a small fleet detects sooner that a daemon is down.
 	SmallFleetInterval = time.Second
 )
 
-// Neighbours spreads over a random graph that stays the same while the members
-// do: each member exchanges versions with the OutDegree others that rank first
-// by a hash of the pair, at every tick and at once when its version rises. With
-// no more than OutDegree others it is one to all. Links that stay are what
-// bounds connections; a version that a push missed comes with the next tick.
+// Neighbours spreads versions over a random graph that stays the same as long as the
+// members do. Each member exchanges versions with the OutDegree other members that come
+// first in the order of a hash of both IDs, at every tick and at once when its version
+// rises. With at most OutDegree other members it reaches all of them directly. Stable links
+// limit the number of connections. A version that a lost push didn't deliver is delivered
+// at the next tick.
 type Neighbours struct {
 	self        string
 	version     uint64
@@ -33,19 +34,19 @@
 	suspects    []string
 	nextSuspect int
 	reachesAll  bool
-	// ranks remembers the hashes of pairs.
+	// ranks caches the hashes of the pairs of IDs.
 	ranks map[string]uint64
 }
 
 var _ Strategy = (*Neighbours)(nil)
 
-// NewNeighbours returns the machine of one member.
+// NewNeighbours returns the strategy of the member self.
 func NewNeighbours(self string) *Neighbours {
 	return &Neighbours{self: self, ranks: map[string]uint64{}}
 }
 
-// SetMembers ranks the members anew. Suspects are left out, so a link to a
-// crashed one moves to the next in rank.
+// SetMembers selects the links from the members. Suspect members are left out, so that a
+// link to a crashed member is replaced by one to the next member in rank.
 func (n *Neighbours) SetMembers(_ time.Time, peers []Peer) []Send {
 	n.reachesAll = len(peers) <= OutDegree
 	n.suspects = n.suspects[:0]
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// insertLink keeps the links to be the first OutDegree by rank.
+// insertLink inserts a member into the sorted links and keeps the first OutDegree.
 func (n *Neighbours) insertLink(id string) {
 	rank := n.rank(id)
 	position := sort.Search(len(n.links), func(i int) bool { return n.rank(n.links[i]) > rank })
@@ -83,7 +84,7 @@
 	return rank
 }
 
-// Links lists the members that this one contacts by itself.
+// Links returns the members to which this member opens a link.
 func (n *Neighbours) Links() []string { return n.links }
 
 // Publish raises the version and pushes it to every link.
@@ -91,7 +92,7 @@
 	return n.raiseVersion(version, "")
 }
 
-// Receive adopts a higher version and answers a push with its own.
+// Receive adopts a higher version and replies to a push with its own version.
 func (n *Neighbours) Receive(_ time.Time, from string, m Message) []Send {
 	sends := n.raiseVersion(m.Version, from)
 	if m.Kind == Push {
@@ -100,9 +101,9 @@
 	return sends
 }
 
-// Tick exchanges with every link and with one suspect in turn. Guards against
-// two members, or two regions, that suspect each other: without a probe
-// neither would contact the other again and the suspicion would never end.
+// Tick pushes to every link and to one of the suspect members, in turn. Without the latter,
+// two members or regions that suspect each other would never contact each other again, and
+// the suspicion would never end.
 func (n *Neighbours) Tick(time.Time) []Send {
 	sends := n.pushToLinks("")
 	if len(n.suspects) > 0 {
@@ -113,7 +114,7 @@
 	return sends
 }
 
-// Interval depends on whether the links reach everybody.
+// Interval returns the time between ticks, which is shorter if the links reach all members.
 func (n *Neighbours) Interval() time.Duration {
 	if n.reachesAll {
 		return SmallFleetInterval
@@ -121,7 +122,7 @@
 	return HeartbeatInterval
 }
 
-// Version is the highest known.
+// Version returns the highest known version.
 func (n *Neighbours) Version() uint64 { return n.version }
 
 func (n *Neighbours) raiseVersion(version uint64, from string) []Send {
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -1,18 +1,18 @@
-// Package spread holds the ways to bring a growing version number (an accepted
-// generation, a change of membership) from one member to all: one interface,
-// four pure machines. Neighbours is the one that daemons run; Flat,
-// AntiEntropy and Tree are what it was weighed against.
+// Package spread holds strategies to propagate a growing version number (of an accepted
+// configuration generation or a membership change) from one member to all others: one
+// interface with four implementations that do no I/O. Daemons run Neighbours; Flat,
+// AntiEntropy and HierarchicalTree exist for comparison.
 package spread
 
 import (
 	"time"
 )
 
-// Kind tells messages apart.
+// Kind is the type of a message.
 type Kind string
 
-// Kinds of messages. Push and Reply are one exchange, as in one remote call;
-// Tree, Deliver and Ack are those of the hierarchical broadcast.
+// Push and Reply are the two messages of one exchange, as in a remote call. Tree, Deliver
+// and Ack are the messages of HierarchicalTree.
 const (
 	Push    Kind = "push"
 	Reply   Kind = "reply"
@@ -21,16 +21,17 @@
 	Ack     Kind = "ack"
 )
 
-// Message is what members send each other.
+// Message is a message between two members.
 type Message struct {
 	Kind Kind
-	// Version is the highest that the sender has.
+	// Version is the highest version that the sender knows.
 	Version uint64
-	// Source started the broadcast; only with Tree, Deliver and Ack.
+	// Source is the member that started the broadcast. It is set only for Tree, Deliver and
+	// Ack.
 	Source string
 }
 
-// Send is a message on its way.
+// Send is a message with its receiver.
 type Send struct {
 	To      string
 	Message Message
@@ -39,23 +40,24 @@
 // Peer is another member.
 type Peer struct {
 	ID string
-	// Suspect ones have been silent, which proves nothing.
+	// Suspect is set if the member hasn't answered for a while, though it may still be
+	// running.
 	Suspect bool
 }
 
-// Strategy is one member's side of a way to spread versions. Implementations
-// are not safe for concurrent use.
+// Strategy is the state of one member in a way to propagate versions. It does no I/O: its
+// methods return the messages to send. Implementations are not safe for concurrent use.
 type Strategy interface {
-	// SetMembers replaces what is known of the other members.
+	// SetMembers replaces the list of other members.
 	SetMembers(now time.Time, peers []Peer) []Send
-	// Publish raises the version from outside.
+	// Publish raises the version at this member.
 	Publish(now time.Time, version uint64) []Send
-	// Receive takes in a message.
+	// Receive handles a message from another member.
 	Receive(now time.Time, from string, m Message) []Send
-	// Tick is called every Interval.
+	// Tick must be called once per Interval.
 	Tick(now time.Time) []Send
-	// Interval is the time between ticks.
+	// Interval returns the time between ticks.
 	Interval() time.Duration
-	// Version is the highest known.
+	// Version returns the highest known version.
 	Version() uint64
 }
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -12,7 +12,7 @@
 	_ "geraniumstack.org/geraniumstack/internal/fixedseed"
 )
 
-// network passes messages between machines in any order that a test draws.
+// network passes messages between strategies in an order that a test chooses.
 type network struct {
 	strategies map[string]spread.Strategy
 	ids        []string
@@ -58,7 +58,8 @@
 	}
 }
 
-// deliverAll delivers everything, the drawn one first; crashed ones take nothing.
+// deliverAll delivers messages in the order chosen by draw until none is left. Messages to
+// crashed members are lost.
 func (w *network) deliverAll(crashed map[string]bool, draw func(n int) int) {
 	for len(w.inFlight) > 0 {
 		i := draw(len(w.inFlight))
@@ -97,8 +98,8 @@
 	}
 }
 
-// Members crash while a version spreads and are suspected later, others are
-// suspected without cause. Somebody would never hear of the version.
+// Some members crash while a version spreads and are suspected only later, others are
+// suspected falsely. The version must still reach every running member.
 func TestTreeReachesEveryCorrectMember(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 20).Draw(t, "members")
@@ -132,13 +133,13 @@
 		}
 		w.deliverAll(crashed, draw)
 		if missing := w.missing(crashed); len(missing) > 0 {
-			t.Fatalf("%v never heard; crashed %v, doubted %v", missing, crashed, falselySuspected)
+			t.Fatalf("%v never received the version; crashed %v, falsely suspected %v", missing, crashed, falselySuspected)
 		}
 	})
 }
 
-// Pushes are lost. What a push missed must come with later rounds, whoever the
-// links of a member are.
+// Pushes are lost. Later ticks must deliver what a lost push didn't, whichever links a
+// member has.
 func TestNeighboursRecoverLostPushes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newNetwork(rapid.IntRange(2, 30).Draw(t, "members"), func(self string, _ []string) spread.Strategy {
@@ -156,13 +157,13 @@
 		}
 		w.deliverAll(nil, firstIndex)
 		if missing := w.missing(nil); len(missing) > 0 {
-			t.Fatalf("%v never heard", missing)
+			t.Fatalf("%v never received the version", missing)
 		}
 	})
 }
 
-// Two members suspect each other. Neither has the other as a link, and if none
-// of them tried the other the suspicion would last for ever.
+// Two members suspect each other, so neither has a link to the other. If they never probed
+// each other, the suspicion would last forever.
 func TestSuspectsAreProbed(t *testing.T) {
 	is := is.New(t)
 	n := spread.NewNeighbours("a")
--- a/coordination/spread/tree.go
+++ b/coordination/spread/tree.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// treeInterval is the time between two rounds of tests; with the eleven
-// clusters of 1,800 members it costs about as much as OutDegree links at
-// HeartbeatInterval.
+// treeInterval is the time between two rounds of probes. With the eleven clusters of 1,800
+// members it costs about as much traffic as OutDegree links at HeartbeatInterval.
 const treeInterval = 5 * time.Second
 
-// HierarchicalTree is the reliable broadcast of Jeanneau, Rodrigues, Arantes
-// and Duarte over VCube ("An autonomic hierarchical reliable broadcast
-// protocol for asynchronous distributed systems with failure detection"). A
-// member groups the others in clusters of doubling size and sends a Tree
-// message to the first correct one of each, which forwards it into its smaller
-// clusters; suspected ones before it get a Deliver message, which is not
-// forwarded. As versions only grow, the newest stands for all earlier ones.
+// HierarchicalTree is the reliable broadcast of Jeanneau, Rodrigues, Arantes and Duarte
+// over VCube ("An autonomic hierarchical reliable broadcast protocol for asynchronous
+// distributed systems with failure detection"). A member groups the others into clusters of
+// doubling size. It sends a Tree message to the first member of each cluster that it does
+// not suspect, which forwards the message into its own smaller clusters. Suspect members
+// before that one get a Deliver message, which is not forwarded. As versions only grow,
+// only the newest one is broadcast.
 type HierarchicalTree struct {
 	self    int
 	members []string
@@ -28,20 +27,21 @@
 	source  string
 	// pending holds the children that have not acknowledged the current version.
 	pending map[int]pendingAck
-	// sent holds the members that were sent the current version.
+	// sent holds the members to which the current version was sent.
 	sent map[int]bool
 }
 
-// pendingAck is a child that owes an acknowledgement on behalf of parent.
+// pendingAck is an acknowledgement that a child owes. Once all children for a parent have
+// acknowledged, this member acknowledges to that parent.
 type pendingAck struct{ parent int }
 
-// noParent stands for a broadcast that started here.
+// noParent is the parent of a broadcast that this member started.
 const noParent = -1
 
 var _ Strategy = (*HierarchicalTree)(nil)
 
-// NewHierarchicalTree returns the machine of one member. Members is the whole
-// sorted list, the same everywhere; only suspicion changes.
+// NewHierarchicalTree returns the strategy of the member self. The argument members is the
+// complete sorted list and must be the same at every member; only suspicions change.
 func NewHierarchicalTree(self string, members []string) *HierarchicalTree {
 	t := &HierarchicalTree{members: members, index: map[string]int{}, suspect: map[int]bool{}}
 	for i, id := range members {
@@ -57,8 +57,8 @@
 	t.sent = map[int]bool{}
 }
 
-// cluster lists c(i,s) of the paper: the first member is i with bit s-1
-// inverted, then that member's own clusters below s.
+// cluster appends c(i,s) of the paper to into: first the member i with bit s-1 inverted,
+// then that member's own clusters smaller than s.
 func cluster(i, s int, into []int) []int {
 	first := i ^ (1 << (s - 1))
 	into = append(into, first)
@@ -73,9 +73,9 @@
 
 func (t *HierarchicalTree) dimensions() int { return bits.Len(uint(len(t.members) - 1)) }
 
-// SetMembers takes in the suspicions. What a newly suspected member had to
-// forward is sent to the next of its cluster, and the broadcast of a newly
-// suspected source is started anew from here.
+// SetMembers updates the suspicions. What a newly suspected member had to forward is sent
+// to the next member of its cluster. If the source of the current broadcast is newly
+// suspected, this member starts the broadcast again.
 func (t *HierarchicalTree) SetMembers(_ time.Time, peers []Peer) []Send {
 	previous := t.suspect
 	t.suspect = map[int]bool{}
@@ -114,7 +114,7 @@
 	return sends
 }
 
-// Publish starts a broadcast from here.
+// Publish starts a broadcast from this member.
 func (t *HierarchicalTree) Publish(_ time.Time, version uint64) []Send {
 	if version <= t.version {
 		return nil
@@ -125,7 +125,7 @@
 	return t.broadcastTree(t.dimensions(), noParent)
 }
 
-// Receive follows the paper's three messages; Push and Reply are tests.
+// Receive handles the three messages of the paper; Push and Reply are probes.
 func (t *HierarchicalTree) Receive(_ time.Time, from string, m Message) []Send {
 	j := t.index[from]
 	switch m.Kind {
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// adoptVersion delivers a version once and takes over the broadcast of a source that
-// is suspected.
+// adoptVersion adopts a version that is not known yet. If its source is suspected, this
+// member starts the broadcast again.
 func (t *HierarchicalTree) adoptVersion(m Message) []Send {
 	if m.Version <= t.version {
 		return nil
@@ -211,7 +211,7 @@
 	return Send{To: t.members[to], Message: Message{Kind: kind, Version: t.version, Source: t.source}}
 }
 
-// Tick tests the first correct member of each cluster.
+// Tick probes the first member of each cluster that is not suspected.
 func (t *HierarchicalTree) Tick(time.Time) []Send {
 	var sends []Send
 	for s := 1; s <= t.dimensions(); s++ {
@@ -225,8 +225,8 @@
 	return sends
 }
 
-// Interval is the time between two rounds of tests.
+// Interval returns the time between two rounds of probes.
 func (t *HierarchicalTree) Interval() time.Duration { return treeInterval }
 
-// Version is the highest known.
+// Version returns the highest known version.
 func (t *HierarchicalTree) Version() uint64 { return t.version }
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -1,7 +1,6 @@
-// Package view holds the read side of coordination: what the rest of the
-// daemon sees of the configuration in force, of the other daemons and of the
-// runners. The implementations are safe for concurrent use; returned values
-// are shared and must not be changed.
+// Package view holds the read-only interfaces through which the rest of the daemon sees the
+// configuration in force, the other daemons and the runners. Implementations are safe for
+// concurrent use. Returned values are shared and must not be modified.
 package view
 
 import (
@@ -11,26 +10,27 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// Config is the configuration in force at this daemon.
+// Config gives access to the configuration in force at this daemon.
 type Config interface {
-	// Current returns nil and zero until there is one.
+	// Current returns nil and zero until a configuration is in force.
 	Current() (*manifest.Manifest, ident.Generation)
-	// Changed is closed when the next generation comes into force.
+	// Changed returns a channel that is closed when the next generation comes into force.
 	Changed() <-chan struct{}
 }
 
-// State is what a daemon concludes of another process from all that it heard.
+// State is the state of a daemon or runner as concluded from all reports about it.
 type State string
 
 // States of daemons and runners.
 const (
-	// Live ones take new work.
+	// Live processes accept new work.
 	Live State = "live"
-	// Leaving ones take no new work; final for that incarnation.
+	// Leaving processes accept no new work. The state is final for the incarnation, except
+	// that it may become Gone.
 	Leaving State = "leaving"
-	// Suspect ones have been silent; they are used last and may come back.
+	// Suspect processes have been silent. They are used last and may become live again.
 	Suspect State = "suspect"
-	// Gone ones are over; final for that incarnation.
+	// Gone processes have ended. The state is final for the incarnation.
 	Gone State = "gone"
 )
 
@@ -42,7 +42,7 @@
 	CallerAddress string
 	PeerAddress   string
 	State         State
-	// LeavesAt is when a leaving one ends; zero if not known.
+	// LeavesAt is when a leaving daemon ends; zero if not known.
 	LeavesAt   time.Time
 	Generation ident.Generation
 	LastHeard  time.Time
@@ -58,20 +58,21 @@
 	Reclaimable   bool
 	PricePerHour  float64
 	State         State
-	// LeavesAt is when a leaving one ends; zero if not known.
+	// LeavesAt is when a leaving runner ends; zero if not known.
 	LeavesAt time.Time
 }
 
-// Directory lists daemons and runners with the conclusions drawn of them.
+// Directory lists the known daemons and runners with their states.
 type Directory interface {
 	Self() Daemon
-	// Daemons lists all known ones but the gone, this one included, by ID.
+	// Daemons returns all daemons that are not gone, including this one, sorted by ID.
 	Daemons() []Daemon
-	// Runners lists a service's runners but the gone, by ID.
+	// Runners returns a service's runners that are not gone, sorted by ID.
 	Runners(service string) []Runner
-	// Changed is closed at the next change of any of these.
+	// Changed returns a channel that is closed at the next change of any of these.
 	Changed() <-chan struct{}
-	// NoteLeaving tells what was learned elsewhere: a runner's own word or
-	// refusal. It spreads to the other daemons.
+	// NoteLeaving records that the runner at an address is leaving, as learned from the
+	// runner itself or from its refusal of a request. The information spreads to the other
+	// daemons.
 	NoteLeaving(address string, left time.Duration)
 }
