--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -71,7 +71,7 @@
 	// one.
 	alive         []peers.Member
 	relayPlan     relays.Plan
-	relayStanding relays.Standing
+	relayStanding relays.Confirmation
 	// relaysChanged says that this daemon follows new relays and has not sent them a message
 	// yet.
 	relaysChanged bool
@@ -165,8 +165,8 @@
 	e.grantRequests.init()
 	e.duties.init(e)
 	// Until it hears from other daemons, a daemon plans as if it were alone.
-	e.relayPlan = relays.Make(relays.View{Self: e.peers.Self(), DirectFleet: settings.Policy.DirectFleet()})
-	e.relayStanding.Begin(now)
+	e.relayPlan = relays.Elect(relays.View{Self: e.peers.Self(), DirectFleet: settings.Policy.DirectFleet()})
+	e.relayStanding.Start(now)
 	e.directMode.Store(e.relayPlan.Direct)
 	e.allWatch.Store(e.relayPlan.AllWatch)
 	e.relayMode.Store(e.relayPlan.Relay)
--- a/daemon/edge/feed.go
+++ b/daemon/edge/feed.go
@@ -36,7 +36,7 @@
 // messages, and so does a relay that gets its feed from such a relay.
 func (e *Edge) feedIsCurrent() bool {
 	e.mu.Lock()
-	watches := e.relayPlan.Watches
+	watches := e.relayPlan.WatchesStore
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
@@ -53,9 +53,9 @@
 	defer e.dir.mu.Unlock()
 	part, ok := e.dir.changeLog.Since(at, maxFeedBytes)
 	if !ok {
-		return &peersv1.Feed{After: at, Gap: e.dir.changeLog.At() != 0}
+		return &peersv1.Feed{After: at, Gap: e.dir.changeLog.LastRevision() != 0}
 	}
-	encoded := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.changeLog.At(), AgeNs: int64(now - e.dir.currentAt)}
+	encoded := &peersv1.Feed{After: part.After, Through: part.Through, Head: e.dir.changeLog.LastRevision(), AgeNs: int64(now - e.dir.currentAt)}
 	for _, c := range part.Changes {
 		if len(c.Value) <= maxFeedValueBytes {
 			encoded.Changes = append(encoded.Changes, &peersv1.Change{Key: c.Key, Value: c.Value, Revision: c.Revision, Deleted: c.Deleted})
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -195,10 +195,10 @@
 // order. The caller must hold e.mu.
 func (e *Edge) relaysToAsk() []string {
 	var addresses, remote []string
-	for _, r := range e.relayPlan.Own {
+	for _, r := range e.relayPlan.Followed {
 		addresses = append(addresses, r.PeerAddress)
 	}
-	for _, r := range e.relayPlan.Others {
+	for _, r := range e.relayPlan.OtherRelays {
 		switch {
 		case slices.Contains(addresses, r.PeerAddress):
 		case r.FailureDomain == e.settings.FailureDomain:
@@ -216,7 +216,7 @@
 // relay elects it, or if it hears no other relay for long enough to be the last one. In a
 // direct fleet every daemon does. The caller must hold e.mu.
 func (e *Edge) sharesQuotas(now time.Duration) bool {
-	return e.relayPlan.Relay && (e.relayPlan.Direct || e.relayStanding.Shares(now, e.hearsRelay(now)))
+	return e.relayPlan.Relay && (e.relayPlan.Direct || e.relayStanding.MayShare(now, e.hearsRelay(now)))
 }
 
 // abandonGrants stops waiting for relays' Grants and returns the quota of those that have
--- a/daemon/edge/send.go
+++ b/daemon/edge/send.go
@@ -122,7 +122,7 @@
 // relayMessageRounds returns the number of rounds between two messages to the other relays. It
 // grows with each maxRelaysAtFullRate of them.
 func (e *Edge) relayMessageRounds() uint64 {
-	return uint64(relayRounds * (1 + len(e.relayPlan.Others)/maxRelaysAtFullRate))
+	return uint64(relayRounds * (1 + len(e.relayPlan.OtherRelays)/maxRelaysAtFullRate))
 }
 
 // sendsRoster reports whether a message to the other relays carries this relay's own counts
@@ -152,13 +152,13 @@
 		c.hello.Introduced = rotatingSubset(e.introductions(now), messageNumber/2, maxIntroducedRelays)
 	}
 	counts := e.countsForRelays(now, messageNumber)
-	for i, r := range e.relayPlan.Others {
+	for i, r := range e.relayPlan.OtherRelays {
 		own := e.stampReply(r.Incarnation)
 		own.Elects = true
 		own.Lacks = counts.requestFor(messageNumber, i)
 		e.addRelayCounts(now, r.Incarnation, counts, own)
 		own.Feed = e.feedAfter(now, e.fedRelays[r.Incarnation])
-		if r.Incarnation == e.relayPlan.Source.Incarnation && !e.relayPlan.Watches {
+		if r.Incarnation == e.relayPlan.WatchSource.Incarnation && !e.relayPlan.WatchesStore {
 			own.FeedAt = e.dir.revisionReached()
 		}
 		c.to = append(c.to, recipient{r.PeerAddress, own})
@@ -173,7 +173,7 @@
 	addWork(c.hello, w.own)
 	e.addOwnCounts(now, c.hello)
 	e.reported.rememberSent(c.hello.Seq, w.own.loads)
-	for i, r := range e.relayPlan.Own {
+	for i, r := range e.relayPlan.Followed {
 		if i > 0 && round%standbyRounds != 0 {
 			break
 		}
@@ -223,9 +223,9 @@
 	}
 	e.demotionSendsLeft--
 	c.hello = e.baseHello(now)
-	upToDate := e.relayPlan.Own
+	upToDate := e.relayPlan.Followed
 	if e.relayPlan.Relay {
-		upToDate = e.relayPlan.Others
+		upToDate = e.relayPlan.OtherRelays
 		e.addQuotaUses(now, c.hello)
 		c.hello.Roster = e.domainRoster(now)
 	}
@@ -243,7 +243,7 @@
 func (e *Edge) newcomerMessages(now time.Duration, round uint64) multicast {
 	c := multicast{}
 	if e.relayPlan.Relay {
-		unheard := e.peers.Unheard(e.alive)
+		unheard := e.peers.UnheardAddresses(e.alive)
 		if !e.relayPlan.Direct {
 			unheard = rotatingSubset(unheard, round, maxUnheardPerRound)
 		}
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -90,7 +90,7 @@
 		e.addOwnCounts(now, c.hello)
 		return c
 	}
-	c.uncounted = e.uncounted(now, max(e.relayStanding.Began(), now-requestCountsAfter))
+	c.uncounted = e.uncounted(now, max(e.relayStanding.RelaySince(), now-requestCountsAfter))
 	c.hello.Workspaces = convertNames[string](e.usageBook.Workspaces())
 	c.hello.Ended = e.followerCounts(now)
 	return c
@@ -178,7 +178,7 @@
 // that would take them over.
 func (e *Edge) reportingRelays() map[ident.Incarnation]bool {
 	ids := map[ident.Incarnation]bool{e.dir.holder(): true}
-	for _, m := range firstByID(e.relayPlan.Others, maxSuccessors) {
+	for _, m := range firstByID(e.relayPlan.OtherRelays, maxSuccessors) {
 		ids[m.Incarnation] = true
 	}
 	return ids
--- a/daemon/edge/usage_saved.go
+++ b/daemon/edge/usage_saved.go
@@ -123,6 +123,6 @@
 	if !e.sharesQuotas(now) || containsMember(e.alive, dutyHolder) {
 		return false
 	}
-	place, _ := placeAmong(e.settings.ID, e.relayPlan.Others)
+	place, _ := placeAmong(e.settings.ID, e.relayPlan.OtherRelays)
 	return place == 0
 }
