--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -1,14 +1,15 @@
-// Package relays decides which daemons of a large fleet pass on what the others tell.
+// Package relays decides which daemons of a large fleet relay the messages of the others.
 //
-// The daemons of a small fleet are all relays: each tells every other. In a larger
-// one that would grow with the square of the fleet. There each failure domain has a
-// few relays. Every other daemon follows two of them: it tells both its state, and the
-// first of them, its primary, counts its work. The relays tell each other the sums over
-// their followers, and their followers the sums over all.
+// In a small fleet all daemons are relays: each sends to every other. In a larger fleet the
+// number of such messages would grow with the square of the number of daemons, so each
+// failure domain has a few relays. Every other daemon follows two of them. It sends its
+// state to both, and the first one, its primary, counts its work. Relays send each other
+// the sums over their followers, and send the sums over all daemons to their followers.
 //
-// Each daemon elects by what it knows. Two that know different daemons may elect
-// different relays for a moment; whoever is told as a relay answers as one, and the
-// promises rest on what relays hear of each other, not on who elected them.
+// Each daemon elects the relays on its own, from the daemons that it knows. Two daemons
+// that know different daemons may elect different relays for a moment. A daemon that is
+// addressed as a relay acts as one, and the guarantees for callers depend only on what
+// relays hear of each other, not on who elected them.
 //
 // The package does no I/O and reads no clock.
 package relays
@@ -25,118 +26,122 @@
 )
 
 const (
-	// SmallFleet is the number of daemons up to which each watches the key-value service
-	// itself, DirectFleet that up to which each tells every other where nothing else is set.
-	SmallFleet  = 10
-	DirectFleet = 36
-	// Followed is how many relays a daemon follows: when one ends, the other has
-	// heard of it.
-	Followed = 2
+	// AllWatchFleet is the largest fleet in which every daemon watches the key-value
+	// service itself. DirectFleet is the default for the largest fleet in which every
+	// daemon sends to every other.
+	AllWatchFleet = 10
+	DirectFleet   = 36
+	// RelaysPerFollower is how many relays a daemon follows. If one ends, the other already
+	// has the daemon's state.
+	RelaysPerFollower = 2
 )
 
 // View is what a daemon knows of its fleet.
 type View struct {
 	Self peers.Member
-	// Alive are the other daemons that are taken to be alive. All of the own failure
-	// domain must be among them; a relay must know those of all.
+	// Alive holds the other daemons that are considered alive. It must include all daemons
+	// in this daemon's own failure domain and, on a relay, those of all domains.
 	Alive []peers.Member
-	// Fleet is the number of daemons, Domains that of failure domains, as far as relays
-	// know more than this one; zero is not told.
+	// Fleet is the number of daemons and Domains the number of failure domains known to
+	// relays. They may exceed what this daemon knows; zero means unknown.
 	Fleet   int
 	Domains int
-	// DirectFleet is the number of daemons up to which each tells every other; zero is the
-	// constant of that name.
+	// DirectFleet is the largest fleet in which every daemon sends to every other; zero
+	// selects the constant DirectFleet.
 	DirectFleet int
 }
 
-// Plan is whom a daemon tells.
+// Plan says to whom a daemon sends messages, and who watches the key-value service.
 type Plan struct {
-	// Relay says that the daemon is a relay itself.
+	// Relay is set if this daemon is a relay itself.
 	Relay bool
-	// Others are the other relays of all failure domains, by incarnation. A daemon
-	// that is no relay knows some of them.
-	Others []peers.Member
-	// Own are the relays that the daemon follows, the primary first; none for a relay.
-	Own []peers.Member
-	// Watches says that the daemon watches the key-value service for others; Watchers are
-	// the other daemons that do. A relay that does not is told by Source, the first relay
-	// of its failure domain.
-	Watches  bool
-	Watchers []peers.Member
-	Source   peers.Member
-	// PerDomain is the number of relays that a failure domain should have, Domains that of
-	// failure domains that the daemon knows itself. Only what it knows itself is told on: if
-	// PerDomain were, daemons that are wrong of it would confirm each other.
-	PerDomain int
-	Domains   int
-	// Direct says that the fleet is small enough for all to be relays, AllWatch that it is
-	// small enough for all to watch.
+	// OtherRelays holds the other relays of all failure domains, sorted by incarnation. On
+	// a daemon that is not a relay it may be incomplete.
+	OtherRelays []peers.Member
+	// Followed holds the relays that this daemon follows, with the primary first. It is
+	// empty for a relay.
+	Followed []peers.Member
+	// WatchesStore is set if this daemon watches the key-value service for others.
+	// OtherWatchers holds the other daemons that do. A relay that doesn't watch gets the
+	// changes from WatchSource, the first relay of its failure domain.
+	WatchesStore  bool
+	OtherWatchers []peers.Member
+	WatchSource   peers.Member
+	// RelaysPerDomain is the number of relays that each failure domain should have. Domains
+	// is the number of failure domains that this daemon knows itself. Only Domains is sent
+	// to others: if RelaysPerDomain were, daemons with a wrong value would confirm each
+	// other.
+	RelaysPerDomain int
+	Domains         int
+	// Direct is set if the fleet is small enough for all daemons to be relays, AllWatch if
+	// it is small enough for all to watch the key-value service.
 	Direct, AllWatch bool
 }
 
-// Make elects the relays.
-func Make(v View) Plan {
+// Elect chooses the relays and watchers from what a daemon knows of its fleet.
+func Elect(v View) Plan {
 	members := append(slices.Clone(v.Alive), v.Self)
-	domains := byDomain(members)
+	domains := groupByDomain(members)
 	fleet := max(v.Fleet, len(members))
 	direct := cmp.Or(v.DirectFleet, DirectFleet)
 	p := Plan{
-		PerDomain: perDomain(fleet, max(v.Domains, len(domains)), direct), Domains: len(domains),
-		Direct: fleet <= direct, AllWatch: fleet <= SmallFleet,
+		RelaysPerDomain: relaysPerDomain(fleet, max(v.Domains, len(domains)), direct), Domains: len(domains),
+		Direct: fleet <= direct, AllWatch: fleet <= AllWatchFleet,
 	}
-	var own []peers.Member
-	for domain, of := range domains {
-		first := elect(slices.Clone(of), 1)
+	var candidates []peers.Member
+	for domain, inDomain := range domains {
+		first := longestRunning(slices.Clone(inDomain), 1)
 		if !p.Direct {
-			of = elect(of, p.PerDomain)
+			inDomain = longestRunning(inDomain, p.RelaysPerDomain)
 		}
-		for _, r := range of {
+		for _, r := range inDomain {
 			if p.AllWatch || len(first) > 0 && r.Incarnation == first[0].Incarnation {
-				p.watch(v.Self, r)
+				p.addWatcher(v.Self, r)
 			}
 			if r.Incarnation == v.Self.Incarnation {
 				p.Relay = true
 				continue
 			}
-			p.Others = append(p.Others, r)
+			p.OtherRelays = append(p.OtherRelays, r)
 			if domain == v.Self.FailureDomain {
-				own = append(own, r)
+				candidates = append(candidates, r)
 			}
 		}
 	}
-	slices.SortFunc(p.Others, func(a, b peers.Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+	slices.SortFunc(p.OtherRelays, func(a, b peers.Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
 	switch {
-	case len(own) == 0:
-		// There is nobody to follow.
-		p.Relay, p.Watches = true, true
+	case len(candidates) == 0:
+		// There is no relay to follow.
+		p.Relay, p.WatchesStore = true, true
 	case !p.Relay:
-		p.Own = follow(v.Self.ID, own)
+		p.Followed = chooseRelays(v.Self.ID, candidates)
 	}
 	return p
 }
 
-// watch notes that a daemon watches the key-value service.
-func (p *Plan) watch(self, r peers.Member) {
+// addWatcher records that the daemon r watches the key-value service.
+func (p *Plan) addWatcher(self, r peers.Member) {
 	if r.Incarnation == self.Incarnation {
-		p.Watches = true
+		p.WatchesStore = true
 		return
 	}
-	p.Watchers = append(p.Watchers, r)
+	p.OtherWatchers = append(p.OtherWatchers, r)
 	if r.FailureDomain == self.FailureDomain {
-		p.Source = r
+		p.WatchSource = r
 	}
 }
 
-// perDomain is how many relays each failure domain has. With one for each square root of the
-// fleet a relay hears about as many followers as other relays.
-func perDomain(daemons, domains, direct int) int {
+// relaysPerDomain returns the number of relays in each failure domain. The total is about
+// the square root of the number of daemons, so that a relay hears about as many followers
+// as other relays.
+func relaysPerDomain(daemons, domains, direct int) int {
 	if daemons <= direct {
 		return daemons
 	}
-	return max(Followed, int(math.Ceil(math.Sqrt(float64(daemons))/float64(max(1, domains)))))
+	return max(RelaysPerFollower, int(math.Ceil(math.Sqrt(float64(daemons))/float64(max(1, domains)))))
 }
 
-func byDomain(members []peers.Member) map[ident.FailureDomain][]peers.Member {
+func groupByDomain(members []peers.Member) map[ident.FailureDomain][]peers.Member {
 	domains := map[ident.FailureDomain][]peers.Member{}
 	for _, m := range members {
 		domains[m.FailureDomain] = append(domains[m.FailureDomain], m)
@@ -144,9 +149,9 @@
 	return domains
 }
 
-// elect takes the daemons that run for longest, so that one that joins displaces
-// nobody. Those that are shutting down are no relays.
-func elect(domain []peers.Member, n int) []peers.Member {
+// longestRunning returns the n daemons that have been running for longest, so that a daemon
+// that joins replaces no relay. Daemons that are shutting down are left out.
+func longestRunning(domain []peers.Member, n int) []peers.Member {
 	domain = slices.DeleteFunc(domain, func(m peers.Member) bool { return m.Phase == peers.Draining })
 	slices.SortFunc(domain, func(a, b peers.Member) int {
 		return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.Incarnation, b.Incarnation))
@@ -154,13 +159,14 @@
 	return domain[:min(n, len(domain))]
 }
 
-// follow spreads the followers over the relays: each takes those with the highest hash
-// of both, so that a relay's end moves only its own followers.
-func follow(self ident.DaemonID, relays []peers.Member) []peers.Member {
+// chooseRelays distributes the followers over the relays by rendezvous hashing: each
+// follower takes the relays with the highest hash of both IDs, so that the end of a relay
+// moves only its own followers.
+func chooseRelays(self ident.DaemonID, relays []peers.Member) []peers.Member {
 	slices.SortFunc(relays, func(a, b peers.Member) int {
 		return cmp.Or(cmp.Compare(rank(self, b), rank(self, a)), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
-	return relays[:min(Followed, len(relays))]
+	return relays[:min(RelaysPerFollower, len(relays))]
 }
 
 func rank(self ident.DaemonID, relay peers.Member) uint64 {
--- a/daemon/edge/confirm.go
+++ b/daemon/edge/confirm.go
@@ -120,6 +120,6 @@
 func (e *Edge) markConfirmed(revision uint64, at time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fresh.Read(revision, at)
+	e.fresh.RecordRead(revision, at)
 	e.refreshPhase(e.deps.Steady())
 }
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -118,7 +118,7 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	sharesQuotas := e.sharesQuotas(now)
-	rank, _ := placeAmong(e.settings.ID, e.relayPlan.Others)
+	rank, _ := placeAmong(e.settings.ID, e.relayPlan.OtherRelays)
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
--- a/daemon/edge/policy.go
+++ b/daemon/edge/policy.go
@@ -74,14 +74,14 @@
 type DirectFleetError struct{ Daemons int }
 
 func (e *DirectFleetError) Error() string {
-	return fmt.Sprintf("direct fleet of %d daemons: must be %d to %d", e.Daemons, relays.SmallFleet, MaxDirectFleet)
+	return fmt.Sprintf("direct fleet of %d daemons: must be %d to %d", e.Daemons, relays.AllWatchFleet, MaxDirectFleet)
 }
 
 // WithDirectFleet returns a copy of the policy in which fleets of up to the given number of
 // daemons exchange messages directly. All daemons of a fleet must use the same number. It fails
 // with *DirectFleetError.
 func (p Policy) WithDirectFleet(daemons int) (Policy, error) {
-	if daemons < relays.SmallFleet || daemons > MaxDirectFleet {
+	if daemons < relays.AllWatchFleet || daemons > MaxDirectFleet {
 		return Policy{}, &DirectFleetError{daemons}
 	}
 	p.directFleet = daemons
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -162,7 +162,7 @@
 // each other's load is up to a second old. If they considered all runners, all daemons would
 // send to the one that had the least load at that time.
 func samplesFor(daemons int) int {
-	if daemons <= relays.SmallFleet {
+	if daemons <= relays.AllWatchFleet {
 		return 0
 	}
 	return largeFleetSamples
--- a/daemon/edge/restarts_test.go
+++ b/daemon/edge/restarts_test.go
@@ -51,7 +51,7 @@
 // carries the counts of one of them at most.
 func TestMessagesTellOfOneEndedDaemon(t *testing.T) {
 	const daemons, workspaces = 12, 2
-	for name, direct := range map[string]int{"relays": relays.SmallFleet, "direct": relays.DirectFleet} {
+	for name, direct := range map[string]int{"relays": relays.AllWatchFleet, "direct": relays.DirectFleet} {
 		t.Run(name, func(t *testing.T) {
 			withSettledFleet(t, daemons, direct, manyWorkspaces(workspaces), func(w *testFleet) {
 				w.addRunner("r1", "app")
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -217,7 +217,7 @@
 // is a good one. faults is called after the new runners have started.
 func inTrial(t *testing.T, daemons int, bad, faults func(tw *trialTest)) {
 	in := withFleet
-	if daemons > relays.SmallFleet {
+	if daemons > relays.AllWatchFleet {
 		in = withRelayFleet
 	}
 	inTrialWith(t, in, daemons, bad, faults)
