--- a/coordination/polling/polling_test.go
+++ b/coordination/polling/polling_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func names(n int) []ident.RunnerID {
+func runnerIDs(n int) []ident.RunnerID {
 	ids := make([]ident.RunnerID, n)
 	for i := range ids {
 		ids[i] = ident.RunnerID('a' + rune(i))
@@ -20,9 +20,9 @@
 	return ids
 }
 
-// play makes the planner's reads for a while in steps of 10 ms; the bytes of
-// each are drawn by size. It returns the bytes and the reads of each target.
-func play(p *Planner, span time.Duration, size func(Read) Result) (bytes int, reads map[Target]int) {
+// runReads makes the planner's reads for the given time in steps of 10 ms. size returns the
+// result of each read. It returns the total bytes and the number of reads per target.
+func runReads(p *Planner, span time.Duration, size func(Read) Result) (bytes int, reads map[Target]int) {
 	reads = map[Target]int{}
 	for at := time.Duration(0); at < span; at += 10 * time.Millisecond {
 		now := epoch.Add(at)
@@ -30,24 +30,24 @@
 			result := size(read)
 			bytes += result.LoadBytes + result.EventBytes
 			reads[read.Target]++
-			p.Done(now, read, result)
+			p.HandleResult(now, read, result)
 		}
 	}
 	return bytes, reads
 }
 
-// A daemon gets more services and runners, and its reads crowd out the
-// heartbeats and the callers' own traffic: only the budget may decide.
-func TestReadsKeepTheBudget(t *testing.T) {
+// Guards against reads that take bandwidth from heartbeats and callers when a daemon gets more
+// services and runners: only the budget may limit the reads.
+func TestReadsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.Float64Range(1000, 100_000).Draw(t, "budget")
 		p := New(Default())
 		p.SetBudget(epoch, budget)
 		for i := range rapid.IntRange(1, 4).Draw(t, "services") {
-			p.SetTargets(string(rune('a'+i)), names(rapid.IntRange(1, 64).Draw(t, "runners")))
+			p.SetTargets(string(rune('a'+i)), runnerIDs(rapid.IntRange(1, 64).Draw(t, "runners")))
 		}
 		largest := 0
-		bytes, _ := play(p, time.Minute, func(r Read) Result {
+		bytes, _ := runReads(p, time.Minute, func(r Read) Result {
 			result := Result{LoadBytes: rapid.IntRange(300, 1500).Draw(t, "load")}
 			if r.Events {
 				result.EventBytes = rapid.IntRange(400, 30_000).Draw(t, "events")
@@ -56,22 +56,23 @@
 			largest = max(largest, result.LoadBytes+result.EventBytes)
 			return result
 		})
-		// A minute, the savings of loads and events, and one read of each over them.
+		// The limit is a minute of budget, the saved credit of loads and of events, and one
+		// read beyond the credit of each.
 		if limit := budget*62 + 2*float64(largest) + 2*1500; float64(bytes) > limit {
-			t.Fatalf("%d bytes in a minute at %.0f a second", bytes, budget)
+			t.Fatalf("%d bytes read in a minute with a budget of %.0f per second", bytes, budget)
 		}
 	})
 }
 
-func TestUsedRunnersFirstButAllInTheEnd(t *testing.T) {
+func TestUsedRunnersAreReadMoreOften(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
 	p.SetBudget(epoch, 3000)
-	p.SetTargets("llm", names(64))
+	p.SetTargets("llm", runnerIDs(64))
 	busy := Target{"llm", "a"}
-	_, reads := play(p, time.Minute, func(r Read) Result {
+	_, reads := runReads(p, time.Minute, func(r Read) Result {
 		for range 8 {
-			p.Used(busy)
+			p.RecordUse(busy)
 		}
 		return Result{LoadBytes: 600}
 	})
@@ -81,36 +82,36 @@
 	}
 }
 
-// Cache events come faster than the budget reads them: each page would follow a
-// gap, and the index would drop what it knows of the runner time and again.
-func TestEventsAreLeftAloneAfterGaps(t *testing.T) {
+// Cache events arrive faster than the budget allows to read. Without a delay each page would
+// follow a gap, and the prefix index would drop what it knows of the runner again and again.
+func TestEventsAreDelayedAfterGaps(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
 	p.SetBudget(epoch, 256_000)
-	p.SetTargets("llm", names(1))
+	p.SetTargets("llm", runnerIDs(1))
 	pages := 0
-	play(p, time.Hour, func(r Read) Result {
+	runReads(p, time.Hour, func(r Read) Result {
 		if r.Events {
 			pages++
 		}
 		return Result{LoadBytes: 600, Gap: r.Events}
 	})
-	is.Equal(pages, 3) // after 0, 10 and 30 minutes
+	is.Equal(pages, 3) // at 0, 10 and 30 minutes
 }
 
-// A daemon without callers reads all its runners twice a second, which costs it
-// more than its heartbeats. Its first request must end the rest.
-func TestReadsRestWhileNothingIsRouted(t *testing.T) {
+// Without callers, reading all runners twice a second would cost a daemon more than its
+// heartbeats. The first request must restore the short interval.
+func TestReadsSlowDownWhileIdle(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
 	p.SetBudget(epoch, 1e6)
-	p.SetTargets("llm", names(16))
+	p.SetTargets("llm", runnerIDs(16))
 	count := func(from, to time.Duration) int {
 		n := 0
 		for at := from; at < to; at += 10 * time.Millisecond {
 			for read, _, ok := p.Next(epoch.Add(at)); ok; read, _, ok = p.Next(epoch.Add(at)) {
 				n++
-				p.Done(epoch.Add(at), read, Result{LoadBytes: 500})
+				p.HandleResult(epoch.Add(at), read, Result{LoadBytes: 500})
 			}
 		}
 		return n
@@ -118,7 +119,7 @@
 	busy := count(0, 4*time.Second)
 	count(4*time.Second, 10*time.Second)
 	idle := count(10*time.Second, 14*time.Second)
-	p.Used(Target{"llm", "a"})
+	p.RecordUse(Target{"llm", "a"})
 	again := count(14*time.Second, 18*time.Second)
 	is.True(idle*3 < busy)
 	is.True(again > idle*2)
--- a/coordination/prefill/prefill_test.go
+++ b/coordination/prefill/prefill_test.go
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/coordination/prefill"
 )
 
-// engine times prompts: a fixed part, the reading, and chance.
+// engine simulates times to first token: a fixed part, the prefill, and random variation.
 type engine struct {
 	rng   *rand.Rand
 	fixed float64
@@ -22,50 +22,49 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (e *engine) teach(m *prefill.Model, prompts int) {
+func (e *engine) observe(m *prefill.Model, prompts int) {
 	for range prompts {
 		tokens := 1 + e.rng.IntN(8000)
-		m.Observe(prefill.Sample{Tokens: tokens, Took: e.time(tokens)})
+		m.Observe(prefill.Sample{Tokens: tokens, TTFT: e.time(tokens)})
 	}
 }
 
-func within(is *is.I, got, want, part float64) {
+func isWithin(is *is.I, got, want, part float64) {
 	is.Helper()
 	if got < want*(1-part) || got > want*(1+part) {
 		is.Equal(got, want)
 	}
 }
 
-func TestLearnsEnginesOfAnySpeed(t *testing.T) {
+func TestRateConvergesForAnyEngineSpeed(t *testing.T) {
 	is := is.New(t)
 	for _, rate := range []float64{8_000, 50_000, 200_000} {
 		e := &engine{rand.New(rand.NewPCG(1, 1)), 0.04, rate}
 		m := prefill.New(40_000)
-		e.teach(m, 600)
-		within(is, m.Rate(), rate, 0.15)
-		within(is, m.Fixed().Seconds(), 0.04, 0.25)
+		e.observe(m, 600)
+		isWithin(is, m.Rate(), rate, 0.15)
+		isWithin(is, m.FixedTime().Seconds(), 0.04, 0.25)
 	}
 }
 
-// Runners fail part of their requests for some seconds, and callers' retries pile up in
-// the counts of what they have to read. Prompts wait for some part of that which nobody
-// knows, engines seem to be half or twice as fast as they are, and the fleet is made of
-// the wrong size for the next burst. What has work before it must not count, and a third
-// of strange times must not move the rest by much.
-func TestCountsThatAreOffTeachNothing(t *testing.T) {
+// Runners fail some of their requests for a few seconds, and retries make the counts of queued
+// tokens wrong. Samples with wrong counts would make engines appear half or twice as fast as they
+// are, and the fleet would get the wrong size for the next burst. Samples with a queue must be
+// ignored, and a third of extreme samples must not change the estimate by much.
+func TestWrongQueueCountsDoNotChangeRate(t *testing.T) {
 	is := is.New(t)
 	e := &engine{rand.New(rand.NewPCG(2, 1)), 0.03, 60_000}
 	m := prefill.New(40_000)
-	e.teach(m, 600)
+	e.observe(m, 600)
 	for i := range 600 {
 		tokens := 2000 + e.rng.IntN(6000)
-		m.Observe(prefill.Sample{Tokens: tokens, Ahead: 50_000, Took: e.time(tokens + 25_000)})
-		m.Observe(prefill.Sample{Tokens: tokens, Ahead: tokens, Took: e.time(2 * tokens)})
-		sample := prefill.Sample{Tokens: tokens, Took: e.time(tokens)}
+		m.Observe(prefill.Sample{Tokens: tokens, Ahead: 50_000, TTFT: e.time(tokens + 25_000)})
+		m.Observe(prefill.Sample{Tokens: tokens, Ahead: tokens, TTFT: e.time(2 * tokens)})
+		sample := prefill.Sample{Tokens: tokens, TTFT: e.time(tokens)}
 		if i%3 == 0 {
-			sample.Took *= time.Duration(10)
+			sample.TTFT *= time.Duration(10)
 		}
 		m.Observe(sample)
 	}
-	within(is, m.Rate(), 60_000, 0.25)
+	isWithin(is, m.Rate(), 60_000, 0.25)
 }
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -14,7 +14,7 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// fleet obeys orders: a load takes some seconds and may fail.
+// fleet simulates runners that execute orders. A load takes ten seconds.
 type fleet struct {
 	loaded  map[ident.RunnerID][]rollout.Loaded
 	loading map[rollout.Order]time.Duration
@@ -47,7 +47,7 @@
 	return out
 }
 
-func (f *fleet) obey(now time.Duration, o rollout.Order) {
+func (f *fleet) execute(now time.Duration, o rollout.Order) {
 	if o.Kind == rollout.Load {
 		f.loading[o] = now + 10*time.Second
 		return
@@ -82,9 +82,8 @@
 	return n
 }
 
-// An operator changes a model's version. Callers must not see capacity fall:
-// at most a quarter of the runners load at once, and each keeps the old version
-// until it serves the new one.
+// Guards against a loss of capacity when an operator changes a model's version: at most a quarter
+// of the runners may load at once, and each must keep the old version until it serves the new one.
 func TestRollingUpdateKeepsCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 30).Draw(rt, "runners")
@@ -95,10 +94,10 @@
 			f.advance(now)
 			for _, o := range p.Plan(now, models, f.report()) {
 				if rapid.IntRange(0, 9).Draw(rt, "fails") == 0 {
-					p.Failed(now, o)
+					p.HandleFailure(now, o)
 					continue
 				}
-				f.obey(now, o)
+				f.execute(now, o)
 			}
 			if len(f.loading) > max(1, n/4) {
 				rt.Fatalf("%d of %d runners load at once", len(f.loading), n)
@@ -115,7 +114,7 @@
 	})
 }
 
-func TestCanaryShareStaysPut(t *testing.T) {
+func TestCanaryShareIsStable(t *testing.T) {
 	is := is.New(t)
 	m := &manifest.Model{Name: "m", Version: "1", Canary: &manifest.Canary{Version: "2", Share: 0.25}}
 	f := newFleet(12, "")
@@ -132,11 +131,11 @@
 			moved++
 		}
 	}
-	is.True(moved <= 1) // one runner less moves at most one canary
+	is.True(moved <= 1) // removing one runner changes at most one canary
 }
 
-// A version that no runner can load is ordered again and again. The weight
-// store is shared, so the waits must grow.
+// Guards against frequent retries of a version that no runner can load. The weight store is
+// shared, so the delays must grow.
 func TestFailedLoadBacksOff(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, "1")
@@ -146,17 +145,17 @@
 	for now := time.Second; now < time.Hour; now += time.Second {
 		for _, o := range p.Plan(now, models, f.report()) {
 			tries++
-			p.Failed(now, o)
+			p.HandleFailure(now, o)
 		}
 	}
 	is.True(tries >= 10 && tries <= 20)
 	is.Equal(f.serving("1"), 1)
 }
 
-// An operator changes an adapter's version. Callers name the adapter alone, so
-// the old version must go, or answers come from either; but not before the new
-// one serves, or they are refused.
-func TestOldAdapterGoesAfterNewOneServes(t *testing.T) {
+// An operator changes an adapter's version. Callers request an adapter by name only, so the old
+// version must be unloaded, or both versions would answer. It must stay until the new version
+// serves, or requests would be refused.
+func TestOldAdapterIsUnloadedAfterNewOneServes(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
 	models := []manifest.Model{{Name: "m", Version: "1", Adapters: []manifest.Adapter{{Name: "a", Version: "2"}}}}
@@ -174,24 +173,24 @@
 	is.Equal(len(p.Plan(4*time.Second, models, report("a@2"))), 0)
 }
 
-// A runner has the new version of a model but not its adapters yet. Requests
-// for an adapter go to the old version, which must stay until they are there.
-func TestOldVersionStaysUntilAdaptersAreThere(t *testing.T) {
+// A runner has loaded the new version of a model but not its adapters. Requests for an adapter
+// go to the old version, which must stay until the adapters are loaded.
+func TestOldVersionStaysUntilAdaptersAreLoaded(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
 	models := []manifest.Model{{Name: "m", Version: "2", Adapters: []manifest.Adapter{{Name: "a", Version: "1"}}}}
 	old := rollout.Loaded{Model: "m", Version: "1", Adapters: []string{"a@1"}}
-	bare := []rollout.Runner{{ID: "r", Loaded: []rollout.Loaded{old, {Model: "m", Version: "2"}}}}
-	whole := []rollout.Runner{{ID: "r", Loaded: []rollout.Loaded{old, {Model: "m", Version: "2", Adapters: []string{"a@1"}}}}}
-	orders := p.Plan(time.Second, models, bare)
+	withoutAdapters := []rollout.Runner{{ID: "r", Loaded: []rollout.Loaded{old, {Model: "m", Version: "2"}}}}
+	complete := []rollout.Runner{{ID: "r", Loaded: []rollout.Loaded{old, {Model: "m", Version: "2", Adapters: []string{"a@1"}}}}}
+	orders := p.Plan(time.Second, models, withoutAdapters)
 	is.Equal(len(orders), 1)
 	is.Equal(orders[0].Kind, rollout.Load)
-	is.Equal(p.Plan(2*time.Second, models, whole), []rollout.Order{{Runner: "r", Kind: rollout.Unload, Model: "m", Version: "1"}})
+	is.Equal(p.Plan(2*time.Second, models, complete), []rollout.Order{{Runner: "r", Kind: rollout.Unload, Model: "m", Version: "1"}})
 }
 
-// The weight store asks for a pause. The load must go out when the pause is
-// over, not after a failure's growing wait, and must not hold its runner busy.
-func TestDeferredLoadIsNoFailure(t *testing.T) {
+// The weight store asks the caller to wait. The load must be ordered when that time has passed,
+// without the growing delay of a failure, and its runner must not count as changing meanwhile.
+func TestDeferredLoadDoesNotCountAsFailure(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
 	f := newFleet(1, "")
@@ -217,9 +216,9 @@
 	}
 }
 
-// A role changes on all runners of a service. An engine may take no work while it
-// changes, so most must stay as they are until the first have changed.
-func TestRolesChangeAFewAtATime(t *testing.T) {
+// The role of all runners of a service changes. An engine may accept no requests during the
+// change, so most runners must keep their role until the first ones have changed.
+func TestRolesChangeFewRunnersAtATime(t *testing.T) {
 	is := is.New(t)
 	p := rollout.New(rollout.DefaultLimits())
 	p.SetRole("decode")
@@ -229,7 +228,7 @@
 	for changed := 0; changed < 8; now += time.Second {
 		orders := p.Plan(now, models, reports)
 		is.True(len(orders) > 0 && len(orders) <= 2)
-		is.Equal(len(p.Plan(now, models, reports)), 0) // those under way are waited for
+		is.Equal(len(p.Plan(now, models, reports)), 0) // no more orders while changes are in progress
 		for _, o := range orders {
 			is.Equal(o.Kind, rollout.Role)
 			for i := range reports {
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -162,7 +162,7 @@
 // each other's load is up to a second old. If they considered all runners, all daemons would
 // send to the one that had the least load at that time.
 func samplesFor(daemons int) int {
-	if daemons <= relays.SmallFleet {
+	if daemons <= relays.AllWatchFleet {
 		return 0
 	}
 	return largeFleetSamples
@@ -288,7 +288,7 @@
 		return
 	}
 	if c.FetchFrom == "" && p.edge.settings.Policy.Uses(LearnSpeed) {
-		p.prefillModel.Observe(prefill.Sample{Tokens: c.Uncached, Ahead: c.QueuedAhead, Took: took})
+		p.prefillModel.Observe(prefill.Sample{Tokens: c.Uncached, Ahead: c.QueuedAhead, TTFT: took})
 	}
 }
 
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -83,7 +83,7 @@
 	id := ident.Incarnation(h.Incarnation)
 	now := e.deps.Steady()
 	e.mu.Lock()
-	fresh, ended := e.peers.Heard(now, peers.Member{
+	fresh, ended := e.peers.Receive(now, peers.Member{
 		ID: ident.DaemonID(h.Daemon), Incarnation: id, FailureDomain: ident.FailureDomain(h.FailureDomain),
 		CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress, Phase: peers.Phase(h.Phase), Started: h.StartedUnixMs,
 	}, h.Seq)
@@ -99,7 +99,7 @@
 	e.wallClock.Receive(id, time.Unix(0, h.TimeUnixNs), now)
 	e.updateQuotaUses(now, id, h)
 	e.handleCounts(now, id, h)
-	behind := e.fresh.Heard(freshness.Word{
+	behind := e.fresh.Receive(freshness.Statement{
 		Revision: h.ConfigRevision, Echo: time.Duration(h.EchoNs), Lag: time.Duration(h.LagNs), Proved: h.Proved,
 	})
 	e.refreshPhase(now)
@@ -124,10 +124,10 @@
 		if h.Roster.Followers {
 			e.dropFollowersQuotaUse(rows)
 		}
-		ended = append(ended, e.peers.Told(now, id, rows, int(h.Roster.Fleet), int(h.Roster.Domains))...)
+		ended = append(ended, e.peers.ReceiveRoster(now, id, rows, int(h.Roster.Fleet), int(h.Roster.Domains))...)
 	}
 	for _, r := range h.Introduced {
-		e.peers.Refer(now, decodeRow(r))
+		e.peers.Reintroduce(now, decodeRow(r))
 	}
 	for _, a := range h.Addresses {
 		e.peers.Learn(now, a)
@@ -194,7 +194,7 @@
 		return sourceIgnored
 	case e.relayPlan.Relay && h.Relay:
 		return sourceRelay
-	case len(e.relayPlan.Own) > 0 && e.relayPlan.Own[0].Incarnation == id:
+	case len(e.relayPlan.Followed) > 0 && e.relayPlan.Followed[0].Incarnation == id:
 		return sourcePrimary
 	}
 	return sourceIgnored
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -67,7 +67,7 @@
 		e.removePeer(id, "silent")
 	}
 	e.electRelays(now)
-	e.reported.updateMostKnown(now, len(e.relayPlan.Others))
+	e.reported.updateMostKnown(now, len(e.relayPlan.OtherRelays))
 	e.limiter.SetExpectedDaemons(now, e.quotaSharers(now))
 	e.limiter.SetIsolatedParts(e.isolatedQuotaParts(now))
 	e.limiter.Tick(now)
@@ -84,9 +84,9 @@
 	}
 	e.peers.SetAliveFor(alive)
 	e.alive = e.peers.Alive(now)
-	v := relays.View{Self: e.peers.Self(), Alive: e.alive, Fleet: e.peers.Size(), Domains: e.peers.Domains(now), DirectFleet: e.settings.Policy.DirectFleet()}
+	v := relays.View{Self: e.peers.Self(), Alive: e.alive, Fleet: e.peers.FleetSize(), Domains: e.peers.Domains(now), DirectFleet: e.settings.Policy.DirectFleet()}
 	previous := e.relayPlan
-	e.relayPlan = relays.Make(v)
+	e.relayPlan = relays.Elect(v)
 	e.directMode.Store(e.relayPlan.Direct)
 	e.allWatch.Store(e.relayPlan.AllWatch)
 	e.relayMode.Store(e.relayPlan.Relay)
@@ -94,13 +94,13 @@
 	case e.relayPlan.Relay && !previous.Relay:
 		e.resetLimiter(now)
 	case previous.Relay && !e.relayPlan.Relay, previous.Direct && !e.relayPlan.Direct:
-		e.demotionRecipients, e.demotionSendsLeft = previous.Others, demotionRepeats
+		e.demotionRecipients, e.demotionSendsLeft = previous.OtherRelays, demotionRepeats
 	}
-	relaysChanged := !slices.Equal(e.relayPlan.Own, previous.Own)
+	relaysChanged := !slices.Equal(e.relayPlan.Followed, previous.Followed)
 	e.relaysChanged = e.relaysChanged || relaysChanged
 	if e.relayPlan.Relay != previous.Relay || relaysChanged {
 		var followed []ident.Incarnation
-		for _, r := range e.relayPlan.Own {
+		for _, r := range e.relayPlan.Followed {
 			followed = append(followed, r.Incarnation)
 		}
 		e.log.Note("role", decisions.F("relay", e.relayPlan.Relay), decisions.F("follows", followed), decisions.F("daemons", v.Fleet))
@@ -111,7 +111,7 @@
 // an earlier period as a relay is out of date.
 func (e *Edge) resetLimiter(now time.Duration) {
 	first := e.settings.FirstStart && now-e.startedAt < firstStartPeriod
-	e.relayStanding.Begin(now)
+	e.relayStanding.Start(now)
 	e.limiter = quota.New(now, e.settings.Bounds.QuotaWindow, e.settings.Bounds.QuotaTolerance, first)
 	if t := e.table.Load(); t != nil {
 		e.limiter.SetLimits(now, limitsOf(t))
@@ -123,7 +123,7 @@
 	if e.relayPlan.Direct {
 		return 1 + len(e.peers.Addresses())
 	}
-	return 1 + len(e.relayPlan.Others)
+	return 1 + len(e.relayPlan.OtherRelays)
 }
 
 // isolatedQuotaParts returns the number of parts into which quotas are divided while this relay
@@ -143,22 +143,22 @@
 			represented++
 		}
 	}
-	return (e.peers.Size() + represented - 1) / represented
+	return (e.peers.FleetSize() + represented - 1) / represented
 }
 
 // hearsAny reports whether this daemon recently received a message from one of the members. The
 // caller must hold e.mu.
 func (e *Edge) hearsAny(now time.Duration, members []peers.Member) bool {
-	return slices.ContainsFunc(members, func(m peers.Member) bool { return e.peers.HeardLately(now, m.Incarnation) })
+	return slices.ContainsFunc(members, func(m peers.Member) bool { return e.peers.HeardRecently(now, m.Incarnation) })
 }
 
 // hearsRelay reports whether this daemon recently received a message from another relay. The
 // caller must hold e.mu.
-func (e *Edge) hearsRelay(now time.Duration) bool { return e.hearsAny(now, e.relayPlan.Others) }
+func (e *Edge) hearsRelay(now time.Duration) bool { return e.hearsAny(now, e.relayPlan.OtherRelays) }
 
 // elects reports whether another daemon is a relay according to this daemon's election. The
 // caller must hold e.mu.
-func (e *Edge) elects(id ident.Incarnation) bool { return containsMember(e.relayPlan.Others, id) }
+func (e *Edge) elects(id ident.Incarnation) bool { return containsMember(e.relayPlan.OtherRelays, id) }
 
 func containsMember(members []peers.Member, id ident.Incarnation) bool {
 	return slices.ContainsFunc(members, func(m peers.Member) bool { return m.Incarnation == id })
@@ -177,9 +177,9 @@
 		e.rosterRequesters[id] = h.PeerAddress
 		return
 	}
-	if e.relayStanding.Heard(now, h.Elects) && !e.relayPlan.Direct {
-		e.log.Note("role_doubted", decisions.F("by", id), decisions.F("relays", 1+len(e.relayPlan.Others)),
-			decisions.F("knows", len(e.alive)), decisions.F("daemons", e.peers.Size()))
+	if e.relayStanding.Receive(now, h.Elects) && !e.relayPlan.Direct {
+		e.log.Note("role_doubted", decisions.F("by", id), decisions.F("relays", 1+len(e.relayPlan.OtherRelays)),
+			decisions.F("knows", len(e.alive)), decisions.F("daemons", e.peers.FleetSize()))
 	}
 }
 
@@ -220,7 +220,7 @@
 func (e *Edge) fleetSize() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.peers.Size()
+	return e.peers.FleetSize()
 }
 
 // rosterDue reports whether rosters are sent in a round. The caller must hold e.mu.
@@ -263,7 +263,7 @@
 // others, for followers. The caller must hold e.mu.
 func (e *Edge) domainRoster(now time.Duration) *peersv1.Roster {
 	var local, remote []ident.Incarnation
-	for _, m := range e.peers.Vouched(now) {
+	for _, m := range e.peers.Confirmed(now) {
 		if m.FailureDomain == e.settings.FailureDomain {
 			local = append(local, m.Incarnation)
 		} else if m.Phase == peers.Ready {
@@ -277,7 +277,7 @@
 }
 
 func (e *Edge) buildRoster(ids []ident.Incarnation) *peersv1.Roster {
-	return &peersv1.Roster{Rows: e.rosterRows(ids), Fleet: uint32(e.peers.Known()), Domains: uint32(e.relayPlan.Domains)}
+	return &peersv1.Roster{Rows: e.rosterRows(ids), Fleet: uint32(e.peers.KnownCount()), Domains: uint32(e.relayPlan.Domains)}
 }
 
 // rosterRows returns the latest known state of the given daemons. The caller must hold e.mu.
@@ -297,7 +297,7 @@
 		return nil
 	}
 	var ids []ident.Incarnation
-	for _, m := range e.peers.Vouched(now) {
+	for _, m := range e.peers.Confirmed(now) {
 		if e.elects(m.Incarnation) {
 			ids = append(ids, m.Incarnation)
 		}
