--- a/daemon/edge/duties_test.go
+++ b/daemon/edge/duties_test.go
@@ -92,7 +92,7 @@
 func TestUsageOfDeadDaemonIsReported(t *testing.T) {
 	withFleet(t, 2, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
-		// Begin a window anew so that all requests lie in it.
+		// Wait for the start of a window, so that all requests fall into it.
 		for time.Now().UnixMilli()%5000 > 200 {
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/daemon/edge/harness_test.go
+++ b/daemon/edge/harness_test.go
@@ -100,7 +100,7 @@
 	return d
 }
 
-// restart starts a daemon that was killed again, as a new incarnation.
+// restart starts the daemon with index i, which was killed, as a new incarnation.
 func (w *testFleet) restart(i int) *daemon {
 	w.daemons[i] = w.startDaemon(i)
 	return w.daemons[i]
--- a/daemon/edge/hello.go
+++ b/daemon/edge/hello.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// maxAddresses bounds the peer addresses in one message. Only daemons that have just
-	// started need them, and those hear several daemons ten times a second.
+	// maxAddresses bounds the peer addresses in one message. They only help daemons that have
+	// just started, and those receive messages of several daemons ten times a second.
 	maxAddresses = 4
-	// noticeRepeatPeriod is the time for which the other daemons are told of a runner's notice
-	// that it leaves: the longest time that a daemon may need to read the notice, and a few
-	// messages more.
+	// noticeRepeatPeriod is the time for which messages list a runner that has given notice
+	// that it leaves: the longest time that a daemon may need to read the notice from the
+	// key-value service, and a few messages more.
 	noticeRepeatPeriod = gatherLong + time.Second
 	// maxLeaving bounds the leaving runners listed in one message.
 	maxLeaving = 3000
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -140,16 +140,16 @@
 }
 
 // dropFollowersQuotaUse notes that the followers of another relay grant no quota. While a fleet
-// starts, each daemon briefly claims to be a relay; without this, relays that hear no more of
-// it would keep a share of the quotas for it. The caller must hold e.mu.
+// starts, each daemon briefly claims to be a relay. Relays that receive no further message of
+// such a daemon would otherwise keep a share of the quotas for it. The caller must hold e.mu.
 func (e *Edge) dropFollowersQuotaUse(rows []peers.Row) {
 	for _, r := range rows {
 		e.limiter.PeerLeft(r.Incarnation)
 	}
 }
 
-// updateQuotaUses records what another relay took out of the quotas. Daemons that are no relays
-// take nothing themselves. The caller must hold e.mu.
+// updateQuotaUses records what another relay took out of the quotas. A daemon that is no relay
+// takes nothing itself. The caller must hold e.mu.
 func (e *Edge) updateQuotaUses(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if !e.plan.Relay {
 		return
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -49,8 +49,8 @@
 	lastHeard time.Duration
 	// primary is true if the follower's work is counted by this relay.
 	primary bool
-	// includedSeq is the sequence number of the follower's message whose loads the sums
-	// include.
+	// includedSeq is the sequence number of the follower's latest message whose loads are
+	// included in the sums that this relay sends.
 	includedSeq uint64
 	// feedRevision is the revision of the key-value service up to which the follower is up to
 	// date.
--- a/daemon/edge/usage_saved_test.go
+++ b/daemon/edge/usage_saved_test.go
@@ -17,9 +17,9 @@
 	const (
 		daemons, workspaces = 12, 4
 		offsets             = 10
-		// Requests served within this time before the end may be lost: the time until the
-		// daemon that saves counts has received theirs (direct or through relays), until it
-		// saves next, and until its successor saves instead.
+		// Requests served within this time before the end may be lost. The time covers
+		// sending the counts to the daemon that saves them, directly or through relays, the
+		// wait until it saves next, and the wait until its successor saves instead.
 		direct, relayed, successor = 1600 * time.Millisecond, 3 * time.Second, 1600 * time.Millisecond
 	)
 	for name, fleet := range map[string]struct {
