--- /dev/null
+++ b/daemon/edge/attempt.go
@@ -0,0 +1,423 @@
+package edge
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"geraniumstack.org/geraniumstack/coordination/health"
+	"geraniumstack.org/geraniumstack/coordination/routing"
+	"geraniumstack.org/geraniumstack/daemon/decisions"
+	"geraniumstack.org/geraniumstack/internal/pause"
+	"geraniumstack.org/geraniumstack/protocol/forward"
+	"geraniumstack.org/geraniumstack/protocol/retry"
+	"geraniumstack.org/geraniumstack/state/ident"
+	"geraniumstack.org/geraniumstack/state/prefix"
+	"geraniumstack.org/geraniumstack/state/refusal"
+	"geraniumstack.org/geraniumstack/state/route"
+)
+
+const (
+	// maxBufferedBytes is the largest body that is read completely before it is passed on, so
+	// that an answer that breaks off can still be replaced by another attempt's.
+	maxBufferedBytes = 256 << 10
+	// copyBufferBytes is the size of the buffer that streams are copied through; an event has a
+	// few hundred bytes.
+	copyBufferBytes = 8 << 10
+	// noRunnerRetryAfter is the retry time given to callers if no runner is available. A new
+	// runner takes a few seconds to start; one whose entry has expired registers again within
+	// two seconds.
+	noRunnerRetryAfter = time.Second
+)
+
+// bufferedAnswer is a runner's answer that has been read completely.
+type bufferedAnswer struct {
+	status int
+	header http.Header
+	body   []byte
+	runner ident.RunnerID
+}
+
+// attempt is a single send of the request to a runner.
+type attempt struct {
+	s      *requestHandler
+	choice routing.Choice
+	ticket routing.Ticket
+	sent   time.Time
+	// firstEventAfter is the time from the send to the stream's first event, zero before it.
+	firstEventAfter time.Duration
+	// activity records when the runner was last heard. cancel ends the attempt from this side,
+	// and abandoned says that it was ended because the runner is silent.
+	activity  *activity
+	cancel    context.CancelFunc
+	abandoned atomic.Bool
+	trial     trialSample
+}
+
+// run makes attempts until one succeeds, no further attempt is allowed or the caller
+// disconnects.
+func (s *requestHandler) run(ctx context.Context) {
+	ctx, cancel := context.WithDeadline(ctx, s.deadline)
+	defer cancel()
+	for {
+		a, r := s.chooseRunner(ctx)
+		if r != nil {
+			s.end(r)
+			return
+		}
+		failure := a.execute(ctx)
+		if failure == nil {
+			return
+		}
+		if s.endIfCallerGone(ctx) {
+			return
+		}
+		var wait time.Duration
+		var end *refusal.Refusal
+		s.pool.withRetryPolicy(func(p *retry.Policy) { wait, end = s.exchange.HandleFailure(time.Now(), p, *failure) })
+		s.note("attempt_failed", decisions.F("runner", a.choice.Runner), decisions.F("reason", failure.Reason),
+			decisions.F("may_have_run", failure.MayHaveRun), decisions.F("attempts", s.exchange.Sent()),
+			decisions.F("again", end == nil), decisions.F("wait", wait))
+		s.edge.log.Count("attempt_failed." + string(failure.Reason))
+		if end != nil {
+			s.end(s.withRetryAfter(end))
+			return
+		}
+		if !pause.For(ctx, wait) && s.endIfCallerGone(ctx) {
+			return
+		}
+		s.failedRunners = s.failedRunners.Or(s.pool.exclusionOf(a.choice.Runner))
+		s.routingRequest.Exclude = s.failedRunners
+	}
+}
+
+// endIfCallerGone ends a request whose caller has disconnected or whose deadline has passed,
+// and reports whether it did.
+func (s *requestHandler) endIfCallerGone(ctx context.Context) bool {
+	switch {
+	case ctx.Err() == nil:
+		return false
+	case errors.Is(ctx.Err(), context.DeadlineExceeded):
+		s.end(s.exchange.DeadlineRefusal().After(notReadyRetryAfter))
+	default:
+		s.note("caller_left", decisions.F("begun", s.exchange.AnswerBegun))
+		s.reply.Abort()
+	}
+	return true
+}
+
+// withRetryAfter adds a retry time to a refusal that has none.
+func (s *requestHandler) withRetryAfter(r *refusal.Refusal) *refusal.Refusal {
+	if r.RetryAfter == 0 {
+		return r.After(notReadyRetryAfter / 2)
+	}
+	return r
+}
+
+// end gives the final answer: the buffered server error of a runner if there is one, otherwise
+// the refusal. If a part of the answer has already been sent, the answer can only be aborted.
+func (s *requestHandler) end(r *refusal.Refusal) {
+	if s.exchange.AnswerBegun {
+		s.note("broken_off", decisions.F("reason", r.Reason), decisions.F("detail", r.Detail), decisions.F("events", s.eventsSent()))
+		s.edge.log.Count("broken_off." + string(r.Reason))
+		s.reply.Abort()
+		return
+	}
+	if s.buffered != nil {
+		s.sendBuffered(s.buffered)
+		return
+	}
+	s.refuse(r)
+}
+
+func (s *requestHandler) eventsSent() int {
+	if s.events == nil {
+		return 0
+	}
+	return s.events.Events()
+}
+
+// chooseRunner chooses a runner for the next attempt, or refuses a request that can't be served
+// in time.
+func (s *requestHandler) chooseRunner(ctx context.Context) (*attempt, *refusal.Refusal) {
+	now := time.Now()
+	if ctx.Err() != nil || !now.Before(s.deadline) {
+		return nil, s.exchange.DeadlineRefusal().After(notReadyRetryAfter)
+	}
+	choice, err := s.pick(ctx, now)
+	s.recommended = ""
+	if err != nil {
+		return nil, s.refuseWithoutRunner(err)
+	}
+	if late := choice.Estimate - s.maxFirstTokenWait(now); late > 0 && s.edge.settings.Policy.Uses(RefuseEarly) {
+		return nil, s.refuseTooLate(late, choice)
+	}
+	a := &attempt{s: s, choice: choice, sent: now, trial: s.sampleFor(choice.Runner)}
+	a.ticket = s.pool.dispatch(now, choice, &s.routingRequest, s.exchange.Sent() == 0)
+	s.countTrialDispatch()
+	s.note("dispatched", decisions.F("runner", choice.Runner), decisions.F("estimate", choice.Estimate),
+		decisions.F("uncached", choice.Uncached), decisions.F("ahead", choice.QueuedAhead), decisions.F("running", choice.Running), decisions.F("fetch_from", choice.FetchFrom), decisions.F("attempt", s.exchange.Sent()+1), decisions.F("cost", s.cost))
+	return a, nil
+}
+
+func (s *requestHandler) refuseWithoutRunner(err error) *refusal.Refusal {
+	r := refusal.New(refusal.NoRunner, "%v", err).After(noRunnerRetryAfter)
+	if s.exchange.MayHaveRun() {
+		return r.Unknown()
+	}
+	return r
+}
+
+// maxFirstTokenWait is how long the first token may take from now for the request to be worth
+// sending. Callers abandon a stream that stays silent for longer than abandonAfter, and nobody
+// waits past the deadline.
+func (s *requestHandler) maxFirstTokenWait(now time.Time) time.Duration {
+	left := s.deadline.Sub(now)
+	if s.route.Kind != route.Stream || s.exchange.AnswerBegun {
+		return left
+	}
+	return min(left, abandonAfter(s.route)-now.Sub(s.req.Received))
+}
+
+// Callers abandon a silent stream after the longest of minFirstTokenWait, targetLatencyFactor
+// times the route's target latency, and maxPauseFactor times its longest allowed pause.
+const (
+	minFirstTokenWait   = 2 * time.Second
+	targetLatencyFactor = 4
+	maxPauseFactor      = 8
+)
+
+func abandonAfter(r *route.Route) time.Duration {
+	return max(minFirstTokenWait, targetLatencyFactor*r.TargetLatency, maxPauseFactor*r.MaxPause)
+}
+
+// refuseTooLate refuses a request that would wait too long. The retry time is how long the
+// queue will take to become short enough.
+func (s *requestHandler) refuseTooLate(late time.Duration, c routing.Choice) *refusal.Refusal {
+	r := refusal.New(refusal.DeadlineUnreachable, "first token expected in %v", c.Estimate).After(late + notReadyRetryAfter)
+	if s.exchange.MayHaveRun() {
+		return r.Unknown()
+	}
+	return r
+}
+
+// exclusionOf returns the set that excludes one runner from a choice; see
+// routing.Request.Exclude.
+func (p *pool) exclusionOf(id ident.RunnerID) prefix.Set {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.table.Exclude(id)
+}
+
+// execute sends the request and passes the answer on. It returns nil if the caller has received
+// the final answer, otherwise what is known about the failure.
+func (a *attempt) execute(ctx context.Context) *forward.FailedAttempt {
+	s := a.s
+	sendCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	a.cancel = cancel
+	s.pool.beginAttempt(a)
+	defer s.pool.endAttempt(a)
+	answer, err := s.edge.deps.Runners.Send(sendCtx, &Attempt{
+		Request:     s.req,
+		Runner:      a.choice.Runner,
+		Address:     a.choice.Address,
+		Workspace:   s.workspace,
+		TimeLeft:    time.Until(s.deadline),
+		Priority:    s.enginePriority(),
+		FetchFrom:   a.choice.FetchFrom,
+		LastEventID: s.lastEventID(),
+	})
+	if err != nil {
+		return a.handleSendError(ctx, err)
+	}
+	defer answer.Body.Close()
+	a.activity.recordHeard(time.Now())
+	if answer.NotRun || answer.Misdirected {
+		return a.handleNotRun(answer)
+	}
+	a.countStarted()
+	if answer.Events {
+		return a.stream(ctx, answer)
+	}
+	if s.exchange.AnswerBegun {
+		return a.rejectNonStream()
+	}
+	return a.bufferAnswer(ctx, answer)
+}
+
+// rejectNonStream fails an attempt that should resume a stream but was answered with something
+// other than an event stream. Passed on, that body would look like the end of a complete
+// answer.
+func (a *attempt) rejectNonStream() *forward.FailedAttempt {
+	a.finish()
+	a.s.pool.observe(a.choice.Runner, health.Failure)
+	a.recordFailure()
+	return &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true, Sent: true}
+}
+
+func (s *requestHandler) lastEventID() string {
+	if s.events != nil && s.events.LastID() != "" {
+		return s.events.LastID()
+	}
+	return s.req.LastEventID
+}
+
+// enginePriority returns the request's priority for model engines; other runners are not told
+// any.
+func (s *requestHandler) enginePriority() int {
+	if !s.pool.hasEngine() {
+		return -1
+	}
+	return s.priority
+}
+
+func (a *attempt) handleSendError(ctx context.Context, err error) *forward.FailedAttempt {
+	failure := &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true, Sent: true}
+	var send *SendError
+	if errors.As(err, &send) {
+		failure.Reason, failure.Sent, failure.MayHaveRun = send.Reason, send.Sent, send.Sent
+	}
+	if ctx.Err() != nil {
+		a.interrupted(failure.Sent)
+		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
+			a.recordFailure()
+		}
+		return failure
+	}
+	if a.abandoned.Load() {
+		failure.Reason = retry.Silent
+	}
+	if failure.MayHaveRun {
+		a.countStarted()
+		a.finish()
+		a.recordFailure()
+	} else {
+		a.s.pool.notStarted(&a.ticket, &a.s.routingRequest)
+	}
+	a.s.pool.observe(a.choice.Runner, health.Failure)
+	return failure
+}
+
+// interrupted ends an attempt because the caller has disconnected or the deadline has passed.
+func (a *attempt) interrupted(sent bool) {
+	if sent {
+		a.s.exchange.RecordInterrupted()
+	}
+	a.finish()
+}
+
+func (a *attempt) finish() { a.s.pool.finished(&a.ticket, 0) }
+
+// handleNotRun handles a runner's statement that it did not run the request.
+func (a *attempt) handleNotRun(answer *Answer) *forward.FailedAttempt {
+	a.s.pool.notStarted(&a.ticket, &a.s.routingRequest)
+	failure := &forward.FailedAttempt{Reason: retry.Busy, Sent: true, RetryAfter: 0}
+	if answer.Misdirected {
+		failure.Reason = retry.NotLoaded
+		a.s.pool.observe(a.choice.Runner, health.Failure)
+		return failure
+	}
+	if answer.Leaving {
+		failure.Reason = retry.Leaving
+	}
+	a.s.pool.observe(a.choice.Runner, health.Success)
+	return failure
+}
+
+// countStarted counts the request for the usage report once a runner has begun to run it.
+func (a *attempt) countStarted() {
+	s := a.s
+	if s.usageCounted || s.workspace == "" {
+		return
+	}
+	s.usageCounted = true
+	s.edge.mu.Lock()
+	s.edge.usageBook.RecordStart(s.edge.wallClock.At(s.edge.deps.Steady()), s.workspace)
+	s.edge.mu.Unlock()
+}
+
+// bufferAnswer reads a body completely before it is passed on. If the body breaks off, the
+// request can be repeated, or the caller can be told of the failure.
+func (a *attempt) bufferAnswer(ctx context.Context, answer *Answer) *forward.FailedAttempt {
+	s := a.s
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBytes+1))
+	took := time.Since(a.sent)
+	if err != nil {
+		a.finish()
+		if ctx.Err() != nil {
+			s.exchange.RecordInterrupted()
+			return &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true}
+		}
+		s.pool.observe(a.choice.Runner, health.Failure)
+		a.recordFailure()
+		return &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true, Sent: true}
+	}
+	if len(body) > maxBufferedBytes {
+		return a.streamBody(ctx, answer, body)
+	}
+	a.finish()
+	buffered := &bufferedAnswer{answer.Status, answer.Header, body, a.choice.Runner}
+	if answer.Status >= http.StatusInternalServerError {
+		s.pool.observe(a.choice.Runner, health.Failure)
+		a.recordFailure()
+		s.buffered = buffered
+		return &forward.FailedAttempt{Reason: retry.ServerError, MayHaveRun: true, Sent: true}
+	}
+	s.pool.observe(a.choice.Runner, health.Success)
+	s.edge.log.Time("answer_us", took)
+	s.pool.observeServiceTime(a.choice, took)
+	a.took(took, false)
+	s.sendBuffered(buffered)
+	return nil
+}
+
+// sendBuffered sends a buffered answer to the caller.
+func (s *requestHandler) sendBuffered(k *bufferedAnswer) {
+	s.note("answered", decisions.F("runner", k.runner), decisions.F("status", k.status), decisions.F("bytes", len(k.body)))
+	s.reply.Start(k.status, k.header, int64(len(k.body)), s.connectionClosing())
+	if err := s.reply.Write(k.body); err != nil {
+		s.reply.Abort()
+		return
+	}
+	s.reply.Finish()
+}
+
+// streamBody passes a body on that is too long to be buffered.
+func (a *attempt) streamBody(ctx context.Context, answer *Answer, first []byte) *forward.FailedAttempt {
+	s := a.s
+	defer a.finish()
+	s.exchange.AnswerBegun = true
+	s.reply.Start(answer.Status, answer.Header, answer.Length, s.connectionClosing())
+	chunk := first
+	buffer := make([]byte, copyBufferBytes)
+	for {
+		if err := s.reply.Write(chunk); err != nil {
+			s.reply.Abort()
+			return nil
+		}
+		n, err := answer.Body.Read(buffer)
+		chunk = buffer[:n]
+		if errors.Is(err, io.EOF) {
+			if s.reply.Write(chunk) != nil {
+				s.reply.Abort()
+				return nil
+			}
+			a.took(time.Since(a.sent), false)
+			s.note("answered", decisions.F("runner", a.choice.Runner), decisions.F("status", answer.Status))
+			s.reply.Finish()
+			return nil
+		}
+		if err != nil {
+			if ctx.Err() != nil {
+				s.exchange.RecordInterrupted()
+			} else {
+				a.recordFailure()
+			}
+			return &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true, Sent: ctx.Err() == nil}
+		}
+	}
+}
--- a/daemon/edge/hello.go
+++ b/daemon/edge/hello.go
@@ -17,7 +17,7 @@
 	// noticeRepeatPeriod is the time for which messages list a runner that has given notice
 	// that it leaves: the longest time that a daemon may need to read the notice from the
 	// key-value service, and a few messages more.
-	noticeRepeatPeriod = gatherLong + time.Second
+	noticeRepeatPeriod = largeFleetBatchDelay + time.Second
 	// maxLeaving bounds the leaving runners listed in one message.
 	maxLeaving = 3000
 )
@@ -38,14 +38,14 @@
 		Seq:           e.seq,
 		StampNs:       int64(now),
 		AgeNs:         int64(e.limiter.Age(now)),
-		TimeUnixNs:    e.wall.LocalTime(now).UnixNano(),
-		Relay:         e.plan.Relay,
+		TimeUnixNs:    e.wallClock.LocalTime(now).UnixNano(),
+		Relay:         e.relayPlan.Relay,
 		Joining:       !e.hearsAny(now, e.alive),
 	}
-	if e.set.Policy.Uses(TellLeaving) {
-		h.Leaving = rotatingSubset(e.dir.noticedSince(now-noticeRepeatPeriod), e.seq, maxLeaving)
+	if e.settings.Policy.Uses(TellLeaving) {
+		h.Leaving = rotatingSubset(e.dir.leavingHashesSince(now-noticeRepeatPeriod), e.seq, maxLeaving)
 	}
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		h.Addresses = rotatingSubset(e.peers.Addresses(), e.seq, maxAddresses)
 	}
 	return h
@@ -60,7 +60,7 @@
 
 // addWork adds work in progress at the runners, the prompt tokens that callers brought, and
 // recent placements.
-func addWork(h *peersv1.Hello, w work) {
+func addWork(h *peersv1.Hello, w workSummary) {
 	for _, l := range w.loads {
 		if l.Requests > 0 {
 			h.Loads = append(h.Loads, &peersv1.Load{
--- /dev/null
+++ b/daemon/edge/recommendations.go
@@ -0,0 +1,146 @@
+package edge
+
+import (
+	"sync"
+	"time"
+
+	"geraniumstack.org/geraniumstack/coordination/routing"
+	peersv1 "geraniumstack.org/geraniumstack/gen/geranium/peers/v1"
+	"geraniumstack.org/geraniumstack/state/ident"
+)
+
+// A follower learns of other daemons' load up to a second late. During that second several
+// followers may send prompts to a runner that looks idle to all of them. Therefore the relay that
+// grants a request's quota also chooses among the runners that the follower considers best. The
+// relay knows its followers' choices immediately, since it makes them, and receives those of
+// the other relays several times a second.
+
+// maxCandidates is the number of runners that a relay chooses from.
+const maxCandidates = 4
+
+// recommended is a prompt that a follower sends to a runner by this relay's recommendation. It
+// counts as load until the runner should have read it or the follower reports it.
+type recommended struct {
+	at, until     time.Duration
+	daemonAddress string
+	runner        ident.RunnerID
+	tokens        int
+}
+
+// recommendations holds the recent recommendations.
+type recommendations struct {
+	mu     sync.Mutex
+	recent []recommended
+}
+
+func (a *recommendations) add(one recommended) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.recent = append(a.recent, one)
+}
+
+// reported drops the prompts of a daemon that the daemon has now reported itself: those
+// recommended up to the time before.
+func (a *recommendations) reported(daemonAddress string, before time.Duration) {
+	a.retain(func(one recommended) bool { return one.daemonAddress != daemonAddress || one.at > before })
+}
+
+func (a *recommendations) retain(retain func(recommended) bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	kept := a.recent[:0]
+	for _, one := range a.recent {
+		if retain(one) {
+			kept = append(kept, one)
+		}
+	}
+	a.recent = kept
+}
+
+// loads returns the load by recommended prompts that the runners have not read yet.
+func (a *recommendations) loads(now time.Duration) []routing.OwnLoad {
+	a.retain(func(one recommended) bool { return one.until > now })
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	var loads []routing.OwnLoad
+	for _, one := range a.recent {
+		loads = append(loads, routing.OwnLoad{Runner: one.runner, Prefill: one.tokens, KV: one.tokens, Requests: 1})
+	}
+	return loads
+}
+
+// tokensAt returns the number of tokens that a runner has yet to read of the prompts
+// recommended after a time.
+func (a *recommendations) tokensAt(runner ident.RunnerID, now, after time.Duration) int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	tokens := 0
+	for _, one := range a.recent {
+		if one.runner == runner && one.at > after && one.until > now {
+			tokens += one.tokens
+		}
+	}
+	return tokens
+}
+
+// recommendRunner returns the candidate with the earliest expected first token; empty if there
+// is none.
+func (e *Edge) recommendRunner(now time.Duration, a *peersv1.Ask) string {
+	p := e.pool(a.Service)
+	if p == nil {
+		return ""
+	}
+	best, soonest := -1, time.Duration(0)
+	for i, c := range a.Candidates {
+		runner := ident.RunnerID(c.Runner)
+		expectedWait, ok := p.expectedWait(runner, e.recommended.tokensAt(runner, now, p.peerLoadsTime()))
+		if first := expectedWait + time.Duration(c.AloneNs); ok && (best < 0 || first < soonest) {
+			best, soonest = i, first
+		}
+	}
+	if best < 0 {
+		return ""
+	}
+	c := a.Candidates[best]
+	e.recommended.add(recommended{at: now, until: now + soonest, daemonAddress: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
+	return c.Runner
+}
+
+// expectedWait returns the expected time until a runner begins to read a prompt that comes
+// behind the given number of further tokens.
+func (p *pool) expectedWait(id ident.RunnerID, tokens int) (time.Duration, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.table.QueueWait(id, tokens)
+}
+
+// peerLoadsTime returns when the routing table last received the other daemons' loads.
+func (p *pool) peerLoadsTime() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.peerLoadsAt
+}
+
+// candidates returns the service of the request, and the best runners for it. It implements
+// whereTo. The service is empty for runners without an engine, for which relays recommend none.
+func (s *requestHandler) candidates() (string, []*peersv1.Candidate) {
+	if s.pool == nil || !s.pool.hasEngine() {
+		return "", nil
+	}
+	return s.pool.name, s.pool.candidates(&s.routingRequest)
+}
+
+func (p *pool) candidates(r *routing.Request) []*peersv1.Candidate {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	best, err := p.table.Candidates(r, maxCandidates)
+	if err != nil {
+		// Without a suitable runner the request is refused later, by chooseRunner.
+		return nil
+	}
+	told := make([]*peersv1.Candidate, 0, len(best))
+	for _, c := range best {
+		told = append(told, &peersv1.Candidate{Runner: string(c.Runner), AloneNs: int64(c.IdleEstimate), UncachedTokens: uint32(c.Uncached)})
+	}
+	return told
+}
--- a/daemon/edge/request_test.go
+++ b/daemon/edge/request_test.go
@@ -15,22 +15,23 @@
 	"geraniumstack.org/geraniumstack/state/route"
 )
 
-func broken(context.Context, *edge.Attempt) (*edge.Answer, error) {
+func breakConnection(context.Context, *edge.Attempt) (*edge.Answer, error) {
 	return nil, &edge.SendError{Reason: retry.Broken, Sent: true, Err: io.ErrUnexpectedEOF}
 }
 
-func notRun(context.Context, *edge.Attempt) (*edge.Answer, error) {
-	a := plain(http.StatusServiceUnavailable, "")
+func refuseUnrun(context.Context, *edge.Attempt) (*edge.Answer, error) {
+	a := plainAnswer(http.StatusServiceUnavailable, "")
 	a.NotRun = true
 	return a, nil
 }
 
-// A runner takes a pledge and its connection breaks. The caller must not be told
-// that it was not run, and no other runner may get it. A lookup goes to another.
+// A runner receives a non-repeatable request and its connection breaks. The caller must not be
+// told that the request was not run, and no other runner may get it. A repeatable request is
+// sent to another runner.
 func TestBrokenAttempt(t *testing.T) {
 	withFleet(t, 1, config(1), func(w *testFleet) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
-		r1.script, r2.script = broken, broken
+		r1.script, r2.script = breakConnection, breakConnection
 		time.Sleep(100 * time.Millisecond)
 		a := w.ask(w.daemons[0], "/pledge/1", key)
 		w.Equal(a.reason(), refusal.RunnerFailed)
@@ -42,12 +43,12 @@
 	})
 }
 
-// All runners say that they did not run the request. It may be sent on, and its
-// caller may be told so with a time to come back.
+// All runners state that they did not run the request. It may be sent to other runners, and the
+// caller may be told that it was not run, with a retry time.
 func TestRunnersThatDidNotRun(t *testing.T) {
 	withFleet(t, 1, config(1), func(w *testFleet) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
-		r1.script, r2.script = notRun, notRun
+		r1.script, r2.script = refuseUnrun, refuseUnrun
 		time.Sleep(100 * time.Millisecond)
 		a := w.ask(w.daemons[0], "/pledge/1", key)
 		w.Equal(a.refusal.Executed, refusal.ExecutedNo)
@@ -59,8 +60,9 @@
 	})
 }
 
-// A runner never answers. The caller gets the final answer when the route's time
-// is over, without a promise; one that could not be sent at all gets it at once.
+// A runner never answers. The caller must get the final answer when the route's timeout has
+// passed, without a statement that the request was not run. A request that could not be sent at
+// all must be refused immediately.
 func TestRouteTimeout(t *testing.T) {
 	withFleet(t, 1, config(1), func(w *testFleet) {
 		a := w.ask(w.daemons[0], "/read/1", key)
@@ -80,14 +82,14 @@
 	})
 }
 
-// The runner is told what is left of the shorter of both bounds, also on the
-// second attempt.
+// The runner must be told the time left until the earlier of the caller's and the route's
+// timeouts, also on the second attempt.
 func TestTimeLeftForRunner(t *testing.T) {
 	withFleet(t, 1, config(1), func(w *testFleet) {
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
 		slow := func(ctx context.Context, a *edge.Attempt) (*edge.Answer, error) {
 			time.Sleep(200 * time.Millisecond)
-			return broken(ctx, a)
+			return breakConnection(ctx, a)
 		}
 		r1.script, r2.script = slow, slow
 		time.Sleep(100 * time.Millisecond)
@@ -109,16 +111,16 @@
 	return s
 }
 
-// A runner dies in the middle of an event. A stream that may be resumed goes on at
-// another runner, each event once; one that may not ends without looking whole.
+// A runner dies in the middle of an event. A resumable stream must continue at another runner,
+// with each event sent once; any other stream must end without looking complete.
 func TestStreamThatBreaksOff(t *testing.T) {
 	withFleet(t, 1, config(1), func(w *testFleet) {
 		dying := func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
 			if a.LastEventID == "" {
-				return events(eventText(1, 3)+"id: 4\nda", errors.New("reset")), nil
+				return eventAnswer(eventText(1, 3)+"id: 4\nda", errors.New("reset")), nil
 			}
 			w.Equal(a.LastEventID, "3")
-			return events(eventText(3, 6), io.EOF), nil
+			return eventAnswer(eventText(3, 6), io.EOF), nil
 		}
 		r1, r2 := w.addRunner("r1", "app"), w.addRunner("r2", "app")
 		r1.script, r2.script = dying, dying
@@ -135,16 +137,17 @@
 	})
 }
 
-// A stream breaks off and goes on at another runner, which answers with a body that is no
-// stream. That body was appended to the events and passed off as the end of a whole answer.
+// Guards against completing a stream with a body that isn't a stream. A stream breaks off and
+// is resumed at another runner, which answers with such a body. The body was appended to the
+// events, and the answer looked complete.
 func TestStreamIsNotEndedByAnotherKindOfAnswer(t *testing.T) {
 	for _, status := range []int{http.StatusOK, http.StatusBadRequest, http.StatusInternalServerError} {
 		withFleet(t, 1, config(1), func(w *testFleet) {
 			script := func(_ context.Context, a *edge.Attempt) (*edge.Answer, error) {
 				if a.LastEventID == "" {
-					return events(eventText(1, 3), errors.New("reset")), nil
+					return eventAnswer(eventText(1, 3), errors.New("reset")), nil
 				}
-				return plain(status, "early"), nil
+				return plainAnswer(status, "early"), nil
 			}
 			w.addRunner("r1", "app").script = script
 			w.addRunner("r2", "app").script = script
@@ -156,8 +159,8 @@
 	}
 }
 
-// A runner announces that it leaves, another's entry just goes. Neither gets a new
-// request, at any daemon.
+// One runner announces that it is leaving, and another one's entry is removed. Neither may get
+// a new request from any daemon.
 func TestLeavingRunnersGetNothingNew(t *testing.T) {
 	withFleet(t, 3, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
@@ -178,8 +181,9 @@
 	})
 }
 
-// The service is away and the runners' entries lapse with it. Once it is back they
-// are missing for a moment: to take them for gone would refuse everybody.
+// The service is unreachable and the runners' entries expire meanwhile. When the service is
+// back, the entries are missing for a moment. If the runners were taken to be gone, all
+// requests would be refused.
 func TestEntriesThatLapsedWithTheService(t *testing.T) {
 	withFleet(t, 1, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
@@ -194,12 +198,12 @@
 		time.Sleep(1200 * time.Millisecond)
 		w.Equal(w.ask(d, "/read/1", key).status, 200)
 		time.Sleep(3 * time.Second)
-		w.Equal(w.ask(d, "/read/1", key).reason(), refusal.NoRunner) // it did not come back
+		w.Equal(w.ask(d, "/read/1", key).reason(), refusal.NoRunner) // its entry did not come back
 	})
 }
 
-// All daemons lose power while the service is down and start again before it is
-// back. They can't know anything, say so truthfully, and serve once it is there.
+// All daemons lose power while the service is down and start again before it is back. They must
+// refuse requests as not ready, and serve once the service is back.
 func TestColdStartWithoutService(t *testing.T) {
 	withFleet(t, 0, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
@@ -218,8 +222,8 @@
 	})
 }
 
-// A daemon is told to stop. Callers are sent elsewhere at once; for a while it
-// still serves what comes on connections that are kept, then it refuses.
+// A daemon is told to stop. Callers must be directed to other daemons immediately. For a while
+// it must still serve requests on kept connections, and then refuse them.
 func TestDrainOfDaemon(t *testing.T) {
 	withFleet(t, 2, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
@@ -237,8 +241,8 @@
 	})
 }
 
-// One workspace floods all daemons at once. Together they let through what its
-// quota allows, not each of them.
+// One workspace sends many requests to all daemons at once. All daemons together must admit
+// what the quota allows, not each of them.
 func TestQuotaOverDaemons(t *testing.T) {
 	c := config(1)
 	c.Workspaces[0].Quota = route.Quota{PerSecond: 10, Burst: 20}
@@ -258,19 +262,19 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		w.True(served >= 50) // the burst and four seconds of the rate are 60
+		w.True(served >= 50) // the quota allows 60: the burst of 20 and four seconds at 10 a second
 		w.True(served <= 75)
 	})
 }
 
-// Every runner fails every request. Second sends stay within the budget that the
-// daemons share.
+// Every runner fails every request. The retries must stay within the budget that the daemons
+// share.
 func TestRetryBudgetOverDaemons(t *testing.T) {
 	withFleet(t, 2, config(1), func(w *testFleet) {
 		var all []*runner
 		for i := range 4 {
 			r := w.addRunner(fmt.Sprintf("r%d", i), "app")
-			r.script = func(context.Context, *edge.Attempt) (*edge.Answer, error) { return plain(500, "oops"), nil }
+			r.script = func(context.Context, *edge.Attempt) (*edge.Answer, error) { return plainAnswer(500, "oops"), nil }
 			all = append(all, r)
 		}
 		time.Sleep(time.Second)
@@ -289,7 +293,7 @@
 	})
 }
 
-// A caller leaves while its request runs.
+// A caller disconnects while its request runs. The attempt must end, and no other may follow.
 func TestCallerLeavesWhileItRuns(t *testing.T) {
 	withFleet(t, 1, config(1), func(w *testFleet) {
 		r := w.addRunner("r1", "app")
@@ -305,12 +309,12 @@
 		a := w.askWithin(ctx, w.daemons[0], "/read/1", key, time.Minute)
 		w.True(ended)
 		w.True(a.aborted)
-		w.Equal(r.count(), 1) // nobody waits for a second attempt
+		w.Equal(r.count(), 1) // there is no second attempt, since the caller has left
 	})
 }
 
-// A split sends each service its share, and a service that no configuration allows
-// gets nothing.
+// A route split by weights must send each service its share, and nothing to a service that
+// isn't a target of the route.
 func TestSplitOfRoute(t *testing.T) {
 	c := config(1)
 	c.Services = append(c.Services, route.Service{Name: "next"}, route.Service{Name: "other"})
@@ -327,27 +331,27 @@
 	})
 }
 
-// A runner loses its power: its connections stay open and say nothing, and its
-// entry is there for seconds. What may be repeated goes on elsewhere within little
-// more than a second; what may not waits, since it may have run.
+// A runner loses power: its connections stay open without any data, and its entry remains for
+// seconds. Repeatable requests must continue at another runner within little more than a
+// second. Others must wait, since the runner may have run them.
 func TestRunnerGoesDark(t *testing.T) {
 	withFleet(t, 1, config(1), func(w *testFleet) {
-		dark := w.addRunner("r1", "app")
+		unresponsive := w.addRunner("r1", "app")
 		hang := func(ctx context.Context, _ *edge.Attempt) (*edge.Answer, error) {
 			<-ctx.Done()
 			return nil, &edge.SendError{Reason: retry.Broken, Sent: true, Err: ctx.Err()}
 		}
-		dark.script = hang
+		unresponsive.script = hang
 		time.Sleep(100 * time.Millisecond)
-		w.runners.dark("r1", true)
+		w.runners.unresponsive("r1", true)
 		stream, pledge := make(chan *recordedReply, 1), make(chan *recordedReply, 1)
 		begun := time.Now()
 		go func() { stream <- w.ask(w.daemons[0], "/draft/1", key) }()
 		go func() { pledge <- w.ask(w.daemons[0], "/pledge/1", key) }()
 		time.Sleep(100 * time.Millisecond)
 		other := w.addRunner("r2", "app")
-		other.play(func(context.Context, *edge.Attempt) (*edge.Answer, error) {
-			return events(eventText(1, 3), io.EOF), nil
+		other.setScript(func(context.Context, *edge.Attempt) (*edge.Answer, error) {
+			return eventAnswer(eventText(1, 3), io.EOF), nil
 		})
 		a := <-stream
 		w.True(a.finished)
--- a/daemon/edge/silent_runners.go
+++ b/daemon/edge/silent_runners.go
@@ -42,10 +42,10 @@
 func (p *pool) beginAttempt(a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	act, ok := p.active[a.choice.Runner]
+	act, ok := p.activities[a.choice.Runner]
 	if !ok {
 		act = &activity{attempts: map[*attempt]bool{}}
-		p.active[a.choice.Runner] = act
+		p.activities[a.choice.Runner] = act
 	}
 	act.attempts[a] = true
 	a.activity = act
@@ -57,14 +57,14 @@
 	defer p.mu.Unlock()
 	delete(a.activity.attempts, a)
 	if len(a.activity.attempts) == 0 {
-		delete(p.active, a.choice.Runner)
+		delete(p.activities, a.choice.Runner)
 	}
 }
 
 // silentRunners lists the runners to probe for their silence. The caller must hold p.mu.
 func (p *pool) silentRunners(now time.Time) []ident.RunnerID {
 	var silentRunners []ident.RunnerID
-	for id, act := range p.active {
+	for id, act := range p.activities {
 		since := time.Unix(0, act.lastHeard.Load())
 		for a := range act.attempts {
 			// The time that the runner was expected to need for an attempt doesn't count as
@@ -97,7 +97,7 @@
 func (p *pool) abandonAttempts(id ident.RunnerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	act, ok := p.active[id]
+	act, ok := p.activities[id]
 	if !ok {
 		return
 	}
--- a/daemon/edge/stream.go
+++ b/daemon/edge/stream.go
@@ -12,18 +12,17 @@
 	"geraniumstack.org/geraniumstack/protocol/retry"
 )
 
-// stream passes an event stream on as it comes. Of a stream that may go on at
-// another runner only whole events are passed, since nothing can follow a part
-// of one.
-func (a *attempt) stream(ctx context.Context, answer *Answer) *forward.Attempt {
+// stream passes an event stream on as it arrives. If the stream may be resumed at another
+// runner, only whole events are passed on, since a partial event could not be continued.
+func (a *attempt) stream(ctx context.Context, answer *Answer) *forward.FailedAttempt {
 	s := a.s
 	if s.events == nil {
 		s.events = forward.NewEventStream(s.req.LastEventID)
 	}
-	s.events.Restart()
-	if !s.exchange.Begun {
-		s.reply.Start(answer.Status, answer.Header, -1, s.closing())
-		s.exchange.Begun = true
+	s.events.DropPartialEvent()
+	if !s.exchange.AnswerBegun {
+		s.reply.Start(answer.Status, answer.Header, -1, s.connectionClosing())
+		s.exchange.AnswerBegun = true
 	}
 	err := a.copyEvents(answer)
 	if err == nil {
@@ -39,38 +38,39 @@
 	}
 	if ctx.Err() != nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			a.failed()
+			a.recordFailure()
 		}
-		s.exchange.Interrupted()
-		return &forward.Attempt{Reason: retry.Broken, MayHaveRun: true}
+		s.exchange.RecordInterrupted()
+		return &forward.FailedAttempt{Reason: retry.Broken, MayHaveRun: true}
 	}
 	s.pool.observe(a.choice.Runner, health.Failure)
-	a.failed()
+	a.recordFailure()
 	reason := retry.Broken
 	if a.abandoned.Load() {
 		reason = retry.Silent
 	}
-	return &forward.Attempt{Reason: reason, MayHaveRun: true, Sent: true}
+	return &forward.FailedAttempt{Reason: reason, MayHaveRun: true, Sent: true}
 }
 
-// callerLeftError says that the caller takes no more.
+// callerLeftError says that the answer could not be written because the caller has
+// disconnected.
 type callerLeftError struct{ Err error }
 
 func (e *callerLeftError) Error() string { return "caller left: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *callerLeftError) Unwrap() error { return e.Err }
 
-// tornError says that a stream ended within an event.
-type tornError struct{}
+// truncatedEventError says that a stream ended in the middle of an event.
+type truncatedEventError struct{}
 
-func (*tornError) Error() string { return "stream ended within an event" }
+func (*truncatedEventError) Error() string { return "stream ended within an event" }
 
-// copyEvents passes events on until the runner's stream ends. Nil means that it
-// ended whole.
+// copyEvents passes events on until the runner's stream ends. It returns nil if the stream
+// ended after a whole event.
 func (a *attempt) copyEvents(answer *Answer) error {
 	s := a.s
-	buffer := make([]byte, copyBytes)
+	buffer := make([]byte, copyBufferBytes)
 	var out []byte
 	first := true
 	for {
@@ -82,19 +82,19 @@
 			first = false
 			a.firstToken()
 		}
-		var whole error
-		out, whole = s.events.Push(out[:0], buffer[:n])
-		if whole != nil {
-			return whole
+		var pushErr error
+		out, pushErr = s.events.Push(out[:0], buffer[:n])
+		if pushErr != nil {
+			return pushErr
 		}
 		if len(out) > 0 {
-			if werr := s.reply.Write(out); werr != nil {
-				return &callerLeftError{werr}
+			if writeErr := s.reply.Write(out); writeErr != nil {
+				return &callerLeftError{writeErr}
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if s.events.Torn() {
-				return &tornError{}
+			if s.events.HasPartialEvent() {
+				return &truncatedEventError{}
 			}
 			return nil
 		}
@@ -106,7 +106,7 @@
 
 func (a *attempt) firstToken() {
 	took := time.Since(a.sent)
-	a.first = took
+	a.firstEventAfter = took
 	a.s.pool.firstToken(&a.ticket, a.choice, took)
 	a.s.edge.log.Time("first_event_us", took)
 }
@@ -115,7 +115,7 @@
 	s := a.s
 	s.pool.finished(&a.ticket, max(1, s.req.Prompt.ExpectedOutput))
 	s.pool.observe(a.choice.Runner, health.Success)
-	a.tookStream()
-	s.note("answered", decisions.F("runner", a.choice.Runner), decisions.F("events", s.events.Events()), decisions.F("first_event", a.first), decisions.F("attempts", s.exchange.Sent()+1))
+	a.recordStreamLatency()
+	s.note("answered", decisions.F("runner", a.choice.Runner), decisions.F("events", s.events.Events()), decisions.F("first_event", a.firstEventAfter), decisions.F("attempts", s.exchange.Sent()+1))
 	s.reply.Finish()
 }
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -47,13 +47,13 @@
 func (e *Edge) addOwnCounts(now time.Duration, h *peersv1.Hello) {
 	h.Counts = true
 	h.Windows = e.openWindowCounts(now, e.self)
-	h.Workspaces = convertNames[string](e.book.Workspaces())
+	h.Workspaces = convertNames[string](e.usageBook.Workspaces())
 }
 
 // openWindowCounts returns a daemon's counts for the windows that can still be reported.
 // Workspaces are encoded by their index in the usage book's list. The caller must hold e.mu.
 func (e *Edge) openWindowCounts(now time.Duration, id ident.Incarnation) []*peersv1.Window {
-	return encodeWindows(e.book.Workspaces(), e.book.OpenWindows(e.wall.At(now), id))
+	return encodeWindows(e.usageBook.Workspaces(), e.usageBook.OpenWindows(e.wallClock.At(now), id))
 }
 
 // relayCounts holds the counts that one message carries to the relays that may report windows.
@@ -82,7 +82,7 @@
 // counts, which would make a single message too long. In a direct fleet the result is empty,
 // since all daemons are sent the same counts there. The caller must hold e.mu.
 func (e *Edge) countsForRelays(now time.Duration, messageNumber uint64) relayCounts {
-	if e.plan.Direct {
+	if e.relayPlan.Direct {
 		return relayCounts{}
 	}
 	c := relayCounts{to: e.reportingRelays(), hello: &peersv1.Hello{}, ended: e.endedCounts(now)}
@@ -90,8 +90,8 @@
 		e.addOwnCounts(now, c.hello)
 		return c
 	}
-	c.uncounted = e.uncounted(now, max(e.standing.Began(), now-requestCountsAfter))
-	c.hello.Workspaces = convertNames[string](e.book.Workspaces())
+	c.uncounted = e.uncounted(now, max(e.relayStanding.Began(), now-requestCountsAfter))
+	c.hello.Workspaces = convertNames[string](e.usageBook.Workspaces())
 	c.hello.Ended = e.followerCounts(now)
 	return c
 }
@@ -103,19 +103,19 @@
 		return
 	}
 	h.Counts, h.Windows, h.Workspaces = c.hello.Counts, c.hello.Windows, c.hello.Workspaces
-	h.Ended = append(slices.Clone(c.hello.Ended), e.requestedCounts(now, to, c.ended)...)
+	h.Ended = append(slices.Clone(c.hello.Ended), e.endedCountsFor(now, to, c.ended)...)
 }
 
-// requestedCounts returns the counts that a relay has asked for, or else the fallback. A relay
+// endedCountsFor returns the counts that a relay has asked for, or else the fallback. A relay
 // may need to ask because the relay that a daemon followed may end before that daemon notices,
 // and because a new relay knows only what it was sent since its election. The caller must hold
 // e.mu.
-func (e *Edge) requestedCounts(now time.Duration, to ident.Incarnation, fallback []*peersv1.Ended) []*peersv1.Ended {
-	id, asked := e.lacked[to]
+func (e *Edge) endedCountsFor(now time.Duration, to ident.Incarnation, fallback []*peersv1.Ended) []*peersv1.Ended {
+	id, asked := e.requestedCounts[to]
 	if !asked {
 		return fallback
 	}
-	delete(e.lacked, to)
+	delete(e.requestedCounts, to)
 	open := e.openWindowCounts(now, id)
 	if len(open) == 0 {
 		return fallback
@@ -140,7 +140,7 @@
 		}
 	}
 	slices.Sort(ids)
-	next, found := slices.BinarySearch(ids, e.lastFollower)
+	next, found := slices.BinarySearch(ids, e.lastFollowerSent)
 	if found {
 		next++
 	}
@@ -154,7 +154,7 @@
 			break
 		}
 		selected = append(selected, one)
-		e.lastFollower = id
+		e.lastFollowerSent = id
 	}
 	return selected
 }
@@ -166,11 +166,11 @@
 	for _, m := range e.alive {
 		alive[m.Incarnation] = true
 	}
-	id, ok := e.book.NextEndedDaemon(e.wall.At(now), e.lastEnded, alive)
+	id, ok := e.usageBook.NextEndedDaemon(e.wallClock.At(now), e.lastEndedSent, alive)
 	if !ok {
 		return nil
 	}
-	e.lastEnded = id
+	e.lastEndedSent = id
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: e.openWindowCounts(now, id)}}
 }
 
@@ -178,7 +178,7 @@
 // that would take them over.
 func (e *Edge) reportingRelays() map[ident.Incarnation]bool {
 	ids := map[ident.Incarnation]bool{e.dir.holder(): true}
-	for _, m := range firstByID(e.plan.Others, maxSuccessors) {
+	for _, m := range firstByID(e.relayPlan.Others, maxSuccessors) {
 		ids[m.Incarnation] = true
 	}
 	return ids
@@ -207,19 +207,19 @@
 // The caller must hold e.mu.
 func (e *Edge) handleCounts(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	workspaces := convertNames[ident.Workspace](h.Workspaces)
-	e.book.Receive(id, decodeWindows(workspaces, h.Windows))
+	e.usageBook.Receive(id, decodeWindows(workspaces, h.Windows))
 	if h.Counts {
 		e.coverage.Receive(now, id)
 	}
 	for _, one := range h.Ended {
 		ended := ident.Incarnation(one.Incarnation)
-		e.book.Receive(ended, decodeWindows(workspaces, one.Windows))
+		e.usageBook.Receive(ended, decodeWindows(workspaces, one.Windows))
 		if one.Follows {
 			e.coverage.ReceiveRelayed(now, ended)
 		}
 	}
 	if h.Lacks != "" {
-		e.lacked[id] = ident.Incarnation(h.Lacks)
+		e.requestedCounts[id] = ident.Incarnation(h.Lacks)
 	}
 }
 
--- a/protocol/retry/retry_test.go
+++ b/protocol/retry/retry_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestNeverWhatMayHaveRun(t *testing.T) {
+func TestWorkThatMayHaveRunIsRetriedOnlyIfRepeatable(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
 	is.Equal(p.Decide(start, Failure{Reason: Broken, MayHaveRun: true, Attempts: 1}).Verdict, StopMayHaveRun)
@@ -25,7 +25,8 @@
 	is.True(d.Wait >= 3*time.Second)
 }
 
-// TestBudgetIsNeverExceeded makes any sequence of first attempts and failures.
+// TestBudgetIsNeverExceeded makes a random sequence of first attempts and
+// failures and checks that the retries stay within the budget.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Default()
@@ -57,10 +58,11 @@
 	})
 }
 
-// Callers in the healthy failure domains wait and time out although their own
-// runners work. A failure domain with a quarter of the runners has gone, every
-// call to it fails at once, and the repeats take the rest of the capacity.
-func TestNoStormWhenAFailureDomainGoes(t *testing.T) {
+// Guards against a retry storm: a failure domain with a quarter of the runners
+// fails, every call to it fails at once, and the retries use up the capacity
+// of the others, so that callers there time out although their own runners
+// work.
+func TestNoRetryStormWhenFailureDomainFails(t *testing.T) {
 	is := is.New(t)
 	p := New(Default())
 	attempts, answered := 0, 0
