--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -96,9 +96,9 @@
 	case previous.Relay && !e.relayPlan.Relay, previous.Direct && !e.relayPlan.Direct:
 		e.demotionRecipients, e.demotionSendsLeft = previous.Others, demotionRepeats
 	}
-	relaysChanged := !slices.Equal(e.relayPlan.Own, previous.Own)
-	e.relaysChanged = e.relaysChanged || relaysChanged
-	if e.relayPlan.Relay != previous.Relay || relaysChanged {
+	followedRelaysChanged := !slices.Equal(e.relayPlan.Own, previous.Own)
+	e.relaysChanged = e.relaysChanged || followedRelaysChanged
+	if e.relayPlan.Relay != previous.Relay || followedRelaysChanged {
 		var followed []ident.Incarnation
 		for _, r := range e.relayPlan.Own {
 			followed = append(followed, r.Incarnation)
