--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -175,8 +175,8 @@
 // with their requests. It reports whether there were any.
 func (t *peerLoadTable) expire(now time.Duration) bool {
 	expired := false
-	for id, told := range t.byDaemon {
-		if now-told.receivedAt <= peers.RelayedAliveFor {
+	for id, load := range t.byDaemon {
+		if now-load.receivedAt <= peers.RelayedAliveFor {
 			continue
 		}
 		expired = true
@@ -205,14 +205,14 @@
 func (t *peerLoadTable) updateMostKnown(now time.Duration, others int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	told := 0
+	reporting := 0
 	for _, d := range t.byDaemon {
 		if !d.follower {
-			told++
+			reporting++
 		}
 	}
 	switch {
-	case 2*told < others:
+	case 2*reporting < others:
 		t.mostKnownSince = 0
 	case t.mostKnownSince == 0:
 		t.mostKnownSince = max(1, now)
@@ -249,8 +249,8 @@
 		sums.add(t.sent[t.total.includedSeq], -1)
 		return sums
 	}
-	for _, told := range t.byDaemon {
-		sums.add(told.ownLoads, 1)
+	for _, load := range t.byDaemon {
+		sums.add(load.ownLoads, 1)
 	}
 	return sums
 }
@@ -258,9 +258,9 @@
 // followers returns the load of the followers.
 func (t *peerLoadTable) followers() loadSums {
 	sums := loadSums{}
-	for _, told := range t.byDaemon {
-		if told.follower {
-			sums.add(told.ownLoads, 1)
+	for _, load := range t.byDaemon {
+		if load.follower {
+			sums.add(load.ownLoads, 1)
 		}
 	}
 	return sums
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -88,18 +88,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var recent []placement
-	for key, one := range p.known {
-		switch age := now - one.at; {
+	for key, entry := range p.known {
+		switch age := now - entry.at; {
 		case age > placementRepeatInterval:
 			delete(p.known, key)
-		case age <= sent && one.origin <= origin:
-			recent = append(recent, one)
+		case age <= sent && entry.origin <= origin:
+			recent = append(recent, entry)
 		}
 	}
 	slices.SortFunc(recent, func(a, b placement) int { return cmp.Compare(b.at, a.at) })
 	list := make([]*peersv1.Placed, 0, maxPlacements)
-	for _, one := range recent[:min(maxPlacements, len(recent))] {
-		list = append(list, one.sent)
+	for _, entry := range recent[:min(maxPlacements, len(recent))] {
+		list = append(list, entry.sent)
 	}
 	return list
 }
@@ -139,10 +139,10 @@
 		by = originFollower
 	}
 	now, quiet := e.deps.Steady(), e.placementRepeatTime()
-	for _, one := range messages {
-		e.placements.note(now, quiet, by, one)
-		if p := e.pool(one.Service); p != nil {
-			p.assumeCached(ident.RunnerID(one.Runner), one.Prefix)
+	for _, message := range messages {
+		e.placements.note(now, quiet, by, message)
+		if p := e.pool(message.Service); p != nil {
+			p.assumeCached(ident.RunnerID(message.Runner), message.Prefix)
 		}
 	}
 }
--- a/daemon/edge/recommendations.go
+++ b/daemon/edge/recommendations.go
@@ -33,38 +33,38 @@
 	recent []recommended
 }
 
-func (a *recommendations) add(one recommended) {
+func (a *recommendations) add(prompt recommended) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.recent = append(a.recent, one)
+	a.recent = append(a.recent, prompt)
 }
 
 // reported drops the prompts of a daemon that the daemon has now reported itself: those
 // recommended up to the time before.
 func (a *recommendations) reported(daemonAddress string, before time.Duration) {
-	a.retain(func(one recommended) bool { return one.daemonAddress != daemonAddress || one.at > before })
+	a.retain(func(prompt recommended) bool { return prompt.daemonAddress != daemonAddress || prompt.at > before })
 }
 
 func (a *recommendations) retain(retain func(recommended) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	kept := a.recent[:0]
-	for _, one := range a.recent {
-		if retain(one) {
-			kept = append(kept, one)
+	remaining := a.recent[:0]
+	for _, prompt := range a.recent {
+		if retain(prompt) {
+			remaining = append(remaining, prompt)
 		}
 	}
-	a.recent = kept
+	a.recent = remaining
 }
 
 // loads returns the load by recommended prompts that the runners have not read yet.
 func (a *recommendations) loads(now time.Duration) []routing.OwnLoad {
-	a.retain(func(one recommended) bool { return one.until > now })
+	a.retain(func(prompt recommended) bool { return prompt.until > now })
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var loads []routing.OwnLoad
-	for _, one := range a.recent {
-		loads = append(loads, routing.OwnLoad{Runner: one.runner, Prefill: one.tokens, KV: one.tokens, Requests: 1})
+	for _, prompt := range a.recent {
+		loads = append(loads, routing.OwnLoad{Runner: prompt.runner, Prefill: prompt.tokens, KV: prompt.tokens, Requests: 1})
 	}
 	return loads
 }
@@ -75,9 +75,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	tokens := 0
-	for _, one := range a.recent {
-		if one.runner == runner && one.at > after && one.until > now {
-			tokens += one.tokens
+	for _, prompt := range a.recent {
+		if prompt.runner == runner && prompt.at > after && prompt.until > now {
+			tokens += prompt.tokens
 		}
 	}
 	return tokens
@@ -138,9 +138,9 @@
 		// Without a suitable runner the request is refused later, by chooseRunner.
 		return nil
 	}
-	told := make([]*peersv1.Candidate, 0, len(best))
+	messages := make([]*peersv1.Candidate, 0, len(best))
 	for _, c := range best {
-		told = append(told, &peersv1.Candidate{Runner: string(c.Runner), AloneNs: int64(c.IdleEstimate), UncachedTokens: uint32(c.Uncached)})
+		messages = append(messages, &peersv1.Candidate{Runner: string(c.Runner), AloneNs: int64(c.IdleEstimate), UncachedTokens: uint32(c.Uncached)})
 	}
-	return told
+	return messages
 }
--- a/daemon/edge/trialcontroller.go
+++ b/daemon/edge/trialcontroller.go
@@ -85,11 +85,11 @@
 // advanceTrial writes the next state of a trial if there is one. It returns false if that could
 // not be written; the record is then read again from the service.
 func (e *Edge) advanceTrial(ctx context.Context, d *trialController) bool {
-	old, fresh := 0, 0
+	oldRunners, newRunners := 0, 0
 	if p := e.pool(d.order.Service); p != nil {
-		old, fresh, _ = p.countVersions(e.trials.gate(d.order.Service))
+		oldRunners, newRunners, _ = p.countVersions(e.trials.gate(d.order.Service))
 	}
-	fleet := canary.Fleet{Reporting: reporterShare(e.fleetSize()), OldRunners: old, NewRunners: fresh}
+	fleet := canary.Fleet{Reporting: reporterShare(e.fleetSize()), OldRunners: oldRunners, NewRunners: newRunners}
 	unix := e.unixMillis()
 	e.trials.mu.Lock()
 	next := d.holder.Tick(e.deps.Steady(), unix, e.settings.PeerAddress, fleet)
@@ -108,7 +108,7 @@
 	e.log.Note("trial_step", decisions.F("service", next.Service), decisions.F("target", next.Target), decisions.F("order", next.Order),
 		decisions.F("state", next.State), decisions.F("reason", next.Reason), decisions.F("route", next.Route),
 		decisions.F("reserved", next.Reserved), decisions.F("sent", sent), decisions.F("answers", answers), decisions.F("failed", failed),
-		decisions.F("old_runners", old), decisions.F("new_runners", fresh), decisions.F("outcome", outcome))
+		decisions.F("old_runners", oldRunners), decisions.F("new_runners", newRunners), decisions.F("outcome", outcome))
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	if err != nil {
@@ -211,18 +211,18 @@
 
 // The following functions convert between messages and the types of package canary.
 func (e *Edge) encodeTrialReport(service string, r canary.Report) *peersv1.TrialReport {
-	told := &peersv1.TrialReport{
+	message := &peersv1.TrialReport{
 		Service: service, Order: r.Order, Incarnation: string(e.self), PeerAddress: e.settings.PeerAddress, Ask: r.Ask,
 		Total: uint64(r.Total), Sent: uint64(r.Sent), Ceiling: uint64(r.Ceiling), Knows: string(r.KnownState), OldInFlight: uint32(r.OldInFlight),
 	}
 	for s, b := range r.Tally {
-		told.Series = append(told.Series, &peersv1.TrialSeries{Route: s.Route, Pace: s.Pace, Old: encodeTrialCounts(&b.Old), New: encodeTrialCounts(&b.New)})
+		message.Series = append(message.Series, &peersv1.TrialSeries{Route: s.Route, Pace: s.Pace, Old: encodeTrialCounts(&b.Old), New: encodeTrialCounts(&b.New)})
 	}
-	return told
+	return message
 }
 
 func encodeTrialCounts(c *canary.Counts) *peersv1.TrialCounts {
-	told := &peersv1.TrialCounts{Answers: uint32(c.Answers), Failed: uint32(c.Failed)}
+	message := &peersv1.TrialCounts{Answers: uint32(c.Answers), Failed: uint32(c.Failed)}
 	first, last := len(c.Times), 0
 	for i, n := range c.Times {
 		if n > 0 {
@@ -230,12 +230,12 @@
 		}
 	}
 	if first < last {
-		told.First = uint32(first)
+		message.First = uint32(first)
 		for _, n := range c.Times[first:last] {
-			told.Times = append(told.Times, uint32(n))
+			message.Times = append(message.Times, uint32(n))
 		}
 	}
-	return told
+	return message
 }
 
 func decodeTrialReport(r *peersv1.TrialReport) canary.Report {
@@ -251,13 +251,13 @@
 	return report
 }
 
-func decodeTrialCounts(c *canary.Counts, told *peersv1.TrialCounts) {
-	if told == nil {
+func decodeTrialCounts(c *canary.Counts, message *peersv1.TrialCounts) {
+	if message == nil {
 		return
 	}
-	c.Answers, c.Failed = int(told.Answers), int(told.Failed)
-	for i, n := range told.Times {
-		if at := int(told.First) + i; at < len(c.Times) {
+	c.Answers, c.Failed = int(message.Answers), int(message.Failed)
+	for i, n := range message.Times {
+		if at := int(message.First) + i; at < len(c.Times) {
 			c.Times[at] = int(n)
 		}
 	}
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -276,7 +276,7 @@
 // countVersions counts the runners that accept new requests, by the version in use (old) and
 // the order's target (fresh), and this daemon's attempts in progress at runners of versions
 // other than the target.
-func (p *pool) countVersions(g *canary.Gate) (old, fresh, oldInFlight int) {
+func (p *pool) countVersions(g *canary.Gate) (oldRunners, newRunners, oldInFlight int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.edge.trials.mu.Lock()
@@ -285,15 +285,15 @@
 	for id, r := range p.runners {
 		switch {
 		case r.Version == target && r.State == view.Live:
-			fresh++
+			newRunners++
 		case r.Version != target && r.State == view.Live && !g.Avoids(r.Version):
-			old++
+			oldRunners++
 		}
 		if act := p.activities[id]; act != nil && r.Version != target {
 			oldInFlight += len(act.attempts)
 		}
 	}
-	return old, fresh, oldInFlight
+	return oldRunners, newRunners, oldInFlight
 }
 
 // awaitingDecision returns the number of a service's runners whose version is on trial.
@@ -308,8 +308,8 @@
 	if final {
 		return 0
 	}
-	_, fresh, _ := p.countVersions(g)
-	return fresh
+	_, newRunners, _ := p.countVersions(g)
+	return newRunners
 }
 
 // isTrialReporter reports whether this daemon is one of those that report on a trial.
