--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -336,7 +336,7 @@
 	}
 	s.usageCounted = true
 	s.edge.mu.Lock()
-	s.edge.usageBook.RecordStart(s.edge.wallClock.At(s.edge.deps.Steady()), s.workspace)
+	s.edge.usageLedger.RecordStart(s.edge.wallClock.At(s.edge.deps.Steady()), s.workspace)
 	s.edge.mu.Unlock()
 }
 
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -57,14 +57,14 @@
 
 	// mu guards the fields from here to lastFollowerSent: the state that the daemons exchange,
 	// and the record of when the configuration was confirmed to be the newest one.
-	mu        sync.Mutex
-	fresh     *freshness.Tracker
-	peers     *peers.Table
-	stamps    map[ident.Incarnation]freshness.Stamp
-	wallClock *walltime.Estimate
-	usageBook *accounting.Ledger
-	limiter   *quota.Limiter
-	seq       uint64
+	mu          sync.Mutex
+	fresh       *freshness.Tracker
+	peers       *peers.Table
+	stamps      map[ident.Incarnation]freshness.Stamp
+	wallClock   *walltime.Estimate
+	usageLedger *accounting.Ledger
+	limiter     *quota.Limiter
+	seq         uint64
 	// alive are the other daemons that are alive, as of the last check. relayPlan is derived
 	// from them and says to which daemons this daemon sends; relayStanding tracks whether the
 	// other relays count this daemon as a relay; followers are the daemons that follow this
@@ -150,7 +150,7 @@
 		requestedCounts:  map[ident.Incarnation]ident.Incarnation{},
 		stamps:           map[ident.Incarnation]freshness.Stamp{},
 		wallClock:        walltime.New(time.Now(), now),
-		usageBook: accounting.NewLedger(self, accounting.Timing{
+		usageLedger: accounting.NewLedger(self, accounting.Timing{
 			Length: settings.Bounds.UsageWindow, Due: settings.Bounds.UsageDue, Settle: accounting.SettleAfter,
 		}),
 		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FirstStart),
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -54,8 +54,8 @@
 }
 
 type peerLoad struct {
-	receivedAt time.Duration
-	ownLoads   []routing.OwnLoad
+	receivedAt  time.Duration
+	runnerLoads []routing.OwnLoad
 	// follower says that the load is reported by a follower, so that no other relay includes
 	// it.
 	follower bool
@@ -98,7 +98,7 @@
 	if from == sourceFollower {
 		e.recommended.reported(h.PeerAddress, now-minMessageAge)
 	}
-	heard := peerLoad{receivedAt: now, ownLoads: loads, follower: from == sourceFollower, includedSeq: h.IncludedSeq}
+	heard := peerLoad{receivedAt: now, runnerLoads: loads, follower: from == sourceFollower, includedSeq: h.IncludedSeq}
 	for _, o := range h.Offered {
 		e.reported.receiveOffered(now, id, o, from, !e.directMode.Load())
 	}
@@ -244,13 +244,13 @@
 // part in it, or the sum of the followers' and other relays' loads.
 func (t *peerLoadTable) sumOthers(now time.Duration) loadSums {
 	sums := loadSums{}
-	if t.total.ownLoads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
-		sums.add(t.total.ownLoads, 1)
+	if t.total.runnerLoads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
+		sums.add(t.total.runnerLoads, 1)
 		sums.add(t.sent[t.total.includedSeq], -1)
 		return sums
 	}
 	for _, load := range t.byDaemon {
-		sums.add(load.ownLoads, 1)
+		sums.add(load.runnerLoads, 1)
 	}
 	return sums
 }
@@ -260,7 +260,7 @@
 	sums := loadSums{}
 	for _, load := range t.byDaemon {
 		if load.follower {
-			sums.add(load.ownLoads, 1)
+			sums.add(load.runnerLoads, 1)
 		}
 	}
 	return sums
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -71,7 +71,7 @@
 	e.limiter.SetExpectedDaemons(now, e.quotaSharers(now))
 	e.limiter.SetIsolatedParts(e.isolatedQuotaParts(now))
 	e.limiter.Tick(now)
-	e.usageBook.Tick(e.wallClock.At(now))
+	e.usageLedger.Tick(e.wallClock.At(now))
 	e.refreshPhase(now)
 }
 
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -55,7 +55,7 @@
 		return
 	}
 	e.mu.Lock()
-	due := e.usageBook.WindowsDue(e.wallClock.At(e.deps.Steady()))
+	due := e.usageLedger.WindowsDue(e.wallClock.At(e.deps.Steady()))
 	e.mu.Unlock()
 	for _, w := range due {
 		if w <= u.lastWindow {
@@ -92,7 +92,7 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	endedFor := e.usageBook.TimeSinceEnd(e.wallClock.At(now), w)
+	endedFor := e.usageLedger.TimeSinceEnd(e.wallClock.At(now), w)
 	since := now - endedFor + accounting.SettleAfter
 	uncounted := append(e.uncounted(now, since), e.coverage.InTransit(now, countsRelayedWithin, since)...)
 	if len(uncounted) == 0 {
@@ -147,7 +147,7 @@
 func (e *Edge) writeIntent(ctx context.Context, w accounting.Window) bool {
 	u := &e.duties.usage
 	e.mu.Lock()
-	next := &reportIntent{Window: w, Counts: e.usageBook.Sum(w)}
+	next := &reportIntent{Window: w, Counts: e.usageLedger.Sum(w)}
 	e.mu.Unlock()
 	data, err := json.Marshal(next)
 	if err != nil {
@@ -191,7 +191,7 @@
 		return false
 	}
 	e.mu.Lock()
-	e.usageBook.MarkReported(u.pending.Window)
+	e.usageLedger.MarkReported(u.pending.Window)
 	e.mu.Unlock()
 	e.log.Note("usage_reported", decisions.F("window", int64(u.pending.Window)), decisions.F("workspaces", len(u.pending.Counts)), decisions.F("token", duty.Token))
 	u.pending = nil
@@ -202,5 +202,5 @@
 func (e *Edge) reportTooLate(w accounting.Window) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.usageBook.PastDue(e.wallClock.At(e.deps.Steady()), w)
+	return e.usageLedger.PastDue(e.wallClock.At(e.deps.Steady()), w)
 }
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -47,13 +47,13 @@
 func (e *Edge) addOwnCounts(now time.Duration, h *peersv1.Hello) {
 	h.Counts = true
 	h.Windows = e.openWindowCounts(now, e.self)
-	h.Workspaces = convertNames[string](e.usageBook.Workspaces())
+	h.Workspaces = convertNames[string](e.usageLedger.Workspaces())
 }
 
 // openWindowCounts returns a daemon's counts for the windows that can still be reported.
 // Workspaces are encoded by their index in the usage book's list. The caller must hold e.mu.
 func (e *Edge) openWindowCounts(now time.Duration, id ident.Incarnation) []*peersv1.Window {
-	return encodeWindows(e.usageBook.Workspaces(), e.usageBook.OpenWindows(e.wallClock.At(now), id))
+	return encodeWindows(e.usageLedger.Workspaces(), e.usageLedger.OpenWindows(e.wallClock.At(now), id))
 }
 
 // relayCounts holds the counts that one message carries to the relays that may report windows.
@@ -91,7 +91,7 @@
 		return c
 	}
 	c.uncounted = e.uncounted(now, max(e.relayStanding.Began(), now-requestCountsAfter))
-	c.hello.Workspaces = convertNames[string](e.usageBook.Workspaces())
+	c.hello.Workspaces = convertNames[string](e.usageLedger.Workspaces())
 	c.hello.Ended = e.followerCounts(now)
 	return c
 }
@@ -166,7 +166,7 @@
 	for _, m := range e.alive {
 		alive[m.Incarnation] = true
 	}
-	id, ok := e.usageBook.NextEndedDaemon(e.wallClock.At(now), e.lastEndedSent, alive)
+	id, ok := e.usageLedger.NextEndedDaemon(e.wallClock.At(now), e.lastEndedSent, alive)
 	if !ok {
 		return nil
 	}
@@ -207,13 +207,13 @@
 // The caller must hold e.mu.
 func (e *Edge) handleCounts(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	workspaces := convertNames[ident.Workspace](h.Workspaces)
-	e.usageBook.Receive(id, decodeWindows(workspaces, h.Windows))
+	e.usageLedger.Receive(id, decodeWindows(workspaces, h.Windows))
 	if h.Counts {
 		e.coverage.Receive(now, id)
 	}
 	for _, one := range h.Ended {
 		ended := ident.Incarnation(one.Incarnation)
-		e.usageBook.Receive(ended, decodeWindows(workspaces, one.Windows))
+		e.usageLedger.Receive(ended, decodeWindows(workspaces, one.Windows))
 		if one.Follows {
 			e.coverage.ReceiveRelayed(now, ended)
 		}
--- a/daemon/edge/usage_saved.go
+++ b/daemon/edge/usage_saved.go
@@ -43,7 +43,7 @@
 		return
 	}
 	e.mu.Lock()
-	open := e.usageBook.TakeSnapshot(e.wallClock.At(now))
+	open := e.usageLedger.TakeSnapshot(e.wallClock.At(now))
 	e.mu.Unlock()
 	data, err := json.Marshal(open)
 	if err != nil {
@@ -103,7 +103,7 @@
 		return
 	}
 	e.mu.Lock()
-	e.usageBook.Load(open)
+	e.usageLedger.Load(open)
 	e.mu.Unlock()
 	e.log.Note("usage_loaded", decisions.F("revision", uint64(entry.Revision)), decisions.F("daemons", len(open.Daemons)))
 }
