--- a/daemon/edge/fleet.go
+++ b/daemon/edge/fleet.go
@@ -164,9 +164,9 @@
 	d := f.planner.Decide(now, needed, offers, vms)
 	d.Stops = fleet.Releasable(vms, offers, int(math.Ceil(scarcityHeadroom*float64(needed.Runners))), needed.MinPerDomain)
 	if len(d.Starts) == 0 {
-		left := plenty
-		left.Runners = needed.Runners
-		d.Starts = f.planner.Decide(now, left, offers, vms).Starts
+		remaining := plenty
+		remaining.Runners = needed.Runners
+		d.Starts = f.planner.Decide(now, remaining, offers, vms).Starts
 	}
 	if now >= f.nextRetryAt && f.uses(AskOften) {
 		f.nextRetryAt = now + scarcityRetryInterval
@@ -204,8 +204,8 @@
 	if domains > 2 && f.uses(TwoReclaims) {
 		spareTarget = max(spareTarget, (demand.Runners*(domains-1)+domains-3)/(domains-2))
 	}
-	if most := f.service.Scaling.Max * (domains - 1); f.service.Scaling.Max > 0 {
-		spareTarget = min(spareTarget, max(most, demand.Runners))
+	if maxReclaimable := f.service.Scaling.Max * (domains - 1); f.service.Scaling.Max > 0 {
+		spareTarget = min(spareTarget, max(maxReclaimable, demand.Runners))
 	}
 	return max(spareTarget, demand.Runners)
 }
--- a/daemon/edge/serve.go
+++ b/daemon/edge/serve.go
@@ -123,7 +123,7 @@
 	s.routingRequest = routingRequestOf(s.req)
 	s.routingRequest.Fetchable = s.pool.canFetchPrefix()
 	if s.gate = s.edge.trials.gate(service); s.gate != nil {
-		s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, s.edge.sideOfRepeat(s.gate))
+		s.pool.excludeByPlacement(&s.routingRequest, s.failedRunners, s.gate, s.edge.placeRepeat(s.gate))
 	}
 	if r := s.charge(ctx); r != nil {
 		return r
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -136,16 +136,16 @@
 	}
 }
 
-// sideOfNewRequest decides which versions' runners a new request may use.
-func (e *Edge) sideOfNewRequest(g *canary.Gate, route string) canary.Placement {
+// placeNewRequest decides which versions' runners a new request may use.
+func (e *Edge) placeNewRequest(g *canary.Gate, route string) canary.Placement {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	return g.PlaceRequest(e.deps.Steady(), route, rand.Float64())
 }
 
-// sideOfRepeat decides which versions' runners a request may use that isn't new to the trial,
+// placeRepeat decides which versions' runners a request may use that isn't new to the trial,
 // such as a repeated attempt.
-func (e *Edge) sideOfRepeat(g *canary.Gate) canary.Placement {
+func (e *Edge) placeRepeat(g *canary.Gate) canary.Placement {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	return g.PlaceRetry(e.deps.Steady())
@@ -161,14 +161,14 @@
 	return e.configAge() > confirmTimeout
 }
 
-// excludedBySide returns the set of the service's runners that a request on a side of the trial
+// excludedByPlacement returns the set of the service's runners that a request on a side of the trial
 // must not use. The caller must hold the pool's lock.
-func (p *pool) excludedBySide(g *canary.Gate, side canary.Placement) prefix.Set {
+func (p *pool) excludedByPlacement(g *canary.Gate, trialPlacement canary.Placement) prefix.Set {
 	var ids []ident.RunnerID
 	p.edge.trials.mu.Lock()
 	defer p.edge.trials.mu.Unlock()
 	target := g.Order().Target
-	switch side {
+	switch trialPlacement {
 	case canary.OldOnly:
 		for id, r := range p.runners {
 			if g.Avoids(r.Version) {
@@ -189,7 +189,7 @@
 
 // trialRunners returns the first few of the new version's runners by name, which serve all
 // requests of the trial.
-func (p *pool) trialRunners(target canary.Version, most int) []ident.RunnerID {
+func (p *pool) trialRunners(target canary.Version, limit int) []ident.RunnerID {
 	var ids []ident.RunnerID
 	for id, r := range p.runners {
 		if r.Version == target && r.State == view.Live {
@@ -197,7 +197,7 @@
 		}
 	}
 	slices.Sort(ids)
-	return ids[:min(len(ids), most)]
+	return ids[:min(len(ids), limit)]
 }
 
 func (p *pool) allBut(some []ident.RunnerID) prefix.Set {
@@ -210,16 +210,16 @@
 	return p.table.Exclude(ids...)
 }
 
-// excludeBySide excludes the runners that have failed the request, and those that a request on
+// excludeByPlacement excludes the runners that have failed the request, and those that a request on
 // a side of the trial must not use.
-func (p *pool) excludeBySide(r *routing.Request, failed prefix.Set, g *canary.Gate, side canary.Placement) {
+func (p *pool) excludeByPlacement(r *routing.Request, failed prefix.Set, g *canary.Gate, trialPlacement canary.Placement) {
 	r.Exclude = failed
-	if g == nil || side == canary.AnyVersion {
+	if g == nil || trialPlacement == canary.AnyVersion {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.Exclude = failed.Or(p.excludedBySide(g, side))
+	r.Exclude = failed.Or(p.excludedByPlacement(g, trialPlacement))
 }
 
 // pick chooses a runner among those that the request's side of the trial may use. If there is
@@ -234,21 +234,21 @@
 	if s.gate == nil {
 		return s.pool.pick(now, &s.routingRequest, s.recommended, first)
 	}
-	side := s.edge.sideOfRepeat(s.gate)
+	trialPlacement := s.edge.placeRepeat(s.gate)
 	if first {
-		side = s.edge.sideOfNewRequest(s.gate, s.route.Name)
+		trialPlacement = s.edge.placeNewRequest(s.gate, s.route.Name)
 	}
-	s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, side)
+	s.pool.excludeByPlacement(&s.routingRequest, s.failedRunners, s.gate, trialPlacement)
 	choice, err := s.pool.pick(now, &s.routingRequest, s.recommended, first)
 	late := err == nil && choice.Estimate > s.maxFirstTokenWait(now)
-	if err == nil && !late || side == canary.AnyVersion {
+	if err == nil && !late || trialPlacement == canary.AnyVersion {
 		return choice, err
 	}
 	switch {
-	case side == canary.Trial:
-		s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, canary.OldOnly)
-	case side == canary.NewPreferred || !late && (s.edge.outOfContact(ctx) || s.pool.targetInUse(s.gate)):
-		s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, canary.AnyVersion)
+	case trialPlacement == canary.Trial:
+		s.pool.excludeByPlacement(&s.routingRequest, s.failedRunners, s.gate, canary.OldOnly)
+	case trialPlacement == canary.NewPreferred || !late && (s.edge.outOfContact(ctx) || s.pool.targetInUse(s.gate)):
+		s.pool.excludeByPlacement(&s.routingRequest, s.failedRunners, s.gate, canary.AnyVersion)
 	default:
 		return choice, err
 	}
