--- a/daemon/edge/config_test.go
+++ b/daemon/edge/config_test.go
@@ -119,7 +119,7 @@
 
 // Guards against a data race: a request read the service's settings while the watch replaced
 // them, and could see a mix of both. Only the race detector notices.
-func TestConfigurationsComeWhileRequestsArePlaced(t *testing.T) {
+func TestConfigurationsChangeDuringRequests(t *testing.T) {
 	withFleet(t, 1, config(1), func(w *testFleet) {
 		w.addRunner("r1", "app")
 		time.Sleep(100 * time.Millisecond)
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -74,7 +74,7 @@
 
 // Where there are no reclaimable runners, or they cost nearly as much as others, spare runners
 // would cost the full price. Nothing beyond the need may be ordered.
-func TestNothingIsSpareAtTheFullPrice(t *testing.T) {
+func TestNoSpareRunnersAtFullPrice(t *testing.T) {
 	for _, rate := range []float64{0, 0.9} {
 		c := scaledConfig()
 		c.Services[0].Scaling.ReclaimableRate = rate
@@ -92,7 +92,7 @@
 // Guards against giving back runners before the load is known. All daemons are killed at once
 // and lose their knowledge of the load. The first one to order runners again took the load of
 // its first moments for all of it, and gave back runners that were needed.
-func TestRestartedDaemonsGiveNothingBackUnmeasured(t *testing.T) {
+func TestRestartedDaemonsKeepRunnersUntilDemandIsKnown(t *testing.T) {
 	withFleet(t, 1, scaledConfig(), func(w *testFleet) {
 		w.addFleet(3, true)
 		w.daemons[0].kill()
@@ -110,7 +110,7 @@
 // runners at the full price. All runners were kept until cheaper ones served, at several times
 // the cost of the ones needed until then. And since runners register one after the other, the
 // first ones seen were taken for all, and too many were given back.
-func TestFirstRunnersAtTheFullPriceAreGivenBackOnceAllAreSeen(t *testing.T) {
+func TestFullPriceRunnersAreGivenBackOnceAllAreSeen(t *testing.T) {
 	withFleet(t, 1, scaledConfig(), func(w *testFleet) {
 		w.addOnDemandRunners("north", 5)
 		time.Sleep(1200 * time.Millisecond)
--- a/daemon/edge/policy_test.go
+++ b/daemon/edge/policy_test.go
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/daemon/edge"
 )
 
-func TestPolicyLeavesOutWhatIsNamed(t *testing.T) {
+func TestWithoutDisablesNamedMechanisms(t *testing.T) {
 	is := is.New(t)
 	all, err := edge.Without("")
 	is.NoErr(err)
--- a/daemon/edge/recommendations_test.go
+++ b/daemon/edge/recommendations_test.go
@@ -132,7 +132,7 @@
 
 // Guards against daemons that all send to the runner that was idle a second ago. The relay that
 // grants a request's quota must also choose its runner.
-func TestRelaysChooseBetterThanTheirFollowers(t *testing.T) {
+func TestRecommendedRunnersReduceLateTokens(t *testing.T) {
 	var alone, advised float64
 	t.Run("alone", func(t *testing.T) { alone = lateShare(t, 0) })
 	t.Run("advised", func(t *testing.T) { advised = lateShare(t, 10_000_000) })
--- a/daemon/edge/storesync_test.go
+++ b/daemon/edge/storesync_test.go
@@ -18,26 +18,26 @@
 //
 // Watches of this test by the delay after a change: 1,203 with 60 ms, 370 with 400 ms, 235 to
 // 245 with 800 ms.
-func TestChangesAreGatheredInALargeFleet(t *testing.T) {
-	gatherChanges(t, nil)
+func TestChangesAreBatchedInALargeFleet(t *testing.T) {
+	checkWatchesWhileRunnersChange(t, nil)
 }
 
 // The same for daemons that each watch on behalf of their own failure domain: they did not wait
 // for further changes.
-func TestChangesAreGatheredInManyDomains(t *testing.T) {
+func TestChangesAreBatchedInManyDomains(t *testing.T) {
 	var domains []ident.FailureDomain
-	for i := range gatheringDaemons {
+	for i := range batchingDaemons {
 		domains = append(domains, ident.FailureDomain(fmt.Sprintf("domain-%d", i)))
 	}
-	gatherChanges(t, domains)
+	checkWatchesWhileRunnersChange(t, domains)
 }
 
-const gatheringDaemons = 12
+const batchingDaemons = 12
 
-// gatherChanges lets a runner come or go every 100 ms in a fleet spread over some failure
+// checkWatchesWhileRunnersChange lets a runner come or go every 100 ms in a fleet spread over some failure
 // domains, and checks the number of watches.
-func gatherChanges(t *testing.T, domains []ident.FailureDomain) {
-	const daemons = gatheringDaemons
+func checkWatchesWhileRunnersChange(t *testing.T, domains []ident.FailureDomain) {
+	const daemons = batchingDaemons
 	withFleet(t, 0, config(1), func(w *testFleet) {
 		w.domains = domains
 		for range daemons {
