--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -57,11 +57,16 @@
 
 	// mu guards the fields from here to lastFollowerSent: the state that the daemons exchange,
 	// and the record of when the configuration was confirmed to be the newest one.
-	mu          sync.Mutex
-	fresh       *freshness.Tracker
-	peers       *peers.Table
-	stamps      map[ident.Incarnation]freshness.Stamp
-	wallClock   *walltime.Estimate
+	mu sync.Mutex
+	// fresh tracks when the active configuration was last proved to be the newest one. stamps
+	// holds the latest time stamp received from each daemon, which is echoed to it for such
+	// proofs.
+	fresh     *freshness.Tracker
+	peers     *peers.Table
+	stamps    map[ident.Incarnation]freshness.Stamp
+	wallClock *walltime.Estimate
+	// usageLedger counts requests for the usage reports. seq is the number of the latest
+	// message that this daemon has sent.
 	usageLedger *accounting.Ledger
 	limiter     *quota.Limiter
 	seq         uint64
@@ -88,7 +93,7 @@
 	demotionRecipients []peers.Member
 	demotionSendsLeft  int
 	// rosterRequesters are the addresses of daemons that have asked for the relays' addresses,
-	// or that wrongly believe to be relays.
+	// or that wrongly consider themselves relays.
 	rosterRequesters map[ident.Incarnation]string
 	// rosterVersion is the version of the list of daemons that was last sent; it is sent in
 	// rosterSendsLeft more messages.
@@ -100,7 +105,7 @@
 	// follower whose counts were sent last. The next message continues after them.
 	lastEndedSent, lastFollowerSent ident.Incarnation
 
-	// poolsMu guards the map; each pool has a lock of its own.
+	// poolsMu guards the map pools; each pool has a lock of its own.
 	poolsMu sync.RWMutex
 	pools   map[string]*pool
 
@@ -111,7 +116,9 @@
 	// mu.
 	directMode, relayMode, allWatch atomic.Bool
 
-	trials            trials
+	trials trials
+	// reported holds the other daemons' load at the runners, and recommended the prompts that
+	// this daemon's followers send by its recommendation.
 	reported          peerLoadTable
 	placements        placements
 	grantRequests     pendingGrants
--- a/daemon/edge/fleet.go
+++ b/daemon/edge/fleet.go
@@ -17,17 +17,18 @@
 	// orderSlackTime is how much longer than a runner's boot time an order may take until the
 	// runner is registered.
 	orderSlackTime = 3 * time.Second
-	// A class of runners that the cloud has refused is asked for again soon: runners that cost
-	// a fraction of the full price are worth a call every few seconds.
+	// minRefusalBackoff and maxRefusalBackoff bound the time until a class of runners that the
+	// cloud has refused is asked for again. They are short because runners that cost a fraction
+	// of the full price are worth a call every few seconds.
 	minRefusalBackoff = 2 * time.Second
 	maxRefusalBackoff = 4 * time.Second
 	// surplusHold is how long a runner must be superfluous before it is given back. The
 	// estimated demand already falls slowly; this time only bridges short fluctuations.
 	surplusHold = 300 * time.Millisecond
 	// minMoveSaving is the share of the cost that replacing runners by cheaper ones must save.
-	// All of them are replaced at the same time: the old runners are given back only when the
-	// new ones serve, and replacing them in parts would incur the full price for several boot
-	// times.
+	// All runners concerned are replaced at the same time: the old ones are given back only
+	// when the new ones serve, and replacing them in parts would incur the full price for
+	// several boot times.
 	minMoveSaving = 0.1
 	// scarcityPeriod is how long after a reclaim or a refused order runners are kept that would
 	// otherwise be given back. Refusals last for ten to fifteen seconds, and reclaims come a
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -53,6 +53,7 @@
 	mostKnownSince time.Duration
 }
 
+// peerLoad is the load that another daemon has reported.
 type peerLoad struct {
 	receivedAt  time.Duration
 	runnerLoads []routing.OwnLoad
--- a/daemon/edge/policy.go
+++ b/daemon/edge/policy.go
@@ -47,7 +47,7 @@
 	ProbeSilent Mechanism = "probe-silent"
 	// Retries repeats failed attempts that are safe to repeat.
 	Retries Mechanism = "retries"
-	// RefuseEarly refuses requests immediately whose answer is expected to come too late.
+	// RefuseEarly immediately refuses a request whose answer is expected to come too late.
 	RefuseEarly Mechanism = "refuse-early"
 )
 
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -52,6 +52,7 @@
 	// name is the service's name.
 	name string
 
+	// mu guards the fields below.
 	mu      sync.Mutex
 	service route.Service
 	table   *routing.Table
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -161,8 +161,8 @@
 	return e.configAge() > confirmTimeout
 }
 
-// excludedByPlacement returns the set of the service's runners that a request on a side of the trial
-// must not use. The caller must hold the pool's lock.
+// excludedByPlacement returns the set of the service's runners that a request with the given
+// placement must not use. The caller must hold the pool's lock.
 func (p *pool) excludedByPlacement(g *canary.Gate, trialPlacement canary.Placement) prefix.Set {
 	var ids []ident.RunnerID
 	p.edge.trials.mu.Lock()
@@ -210,8 +210,8 @@
 	return p.table.Exclude(ids...)
 }
 
-// excludeByPlacement excludes the runners that have failed the request, and those that a request on
-// a side of the trial must not use.
+// excludeByPlacement excludes the runners that have failed the request, and those that a
+// request with the given placement must not use.
 func (p *pool) excludeByPlacement(r *routing.Request, failed prefix.Set, g *canary.Gate, trialPlacement canary.Placement) {
 	r.Exclude = failed
 	if g == nil || trialPlacement == canary.AnyVersion {
@@ -222,13 +222,13 @@
 	r.Exclude = failed.Or(p.excludedByPlacement(g, trialPlacement))
 }
 
-// pick chooses a runner among those that the request's side of the trial may use. If there is
-// none, or the wait would be too long, a request of the trial goes to the version in use, and a
-// request that only prefers the new version may go to any runner. A request that must use the
-// version in use goes to the version on trial only if it finds no runner otherwise and either
-// this daemon is out of contact, since the old runners may have been stopped by then, or the
-// trial hasn't begun and the service has no other version, which means that the target is
-// already in use.
+// pick chooses a runner among those that the request's placement in the trial allows. If there
+// is none, or the wait would be too long, a request of the trial goes to the version in use,
+// and a request that only prefers the new version may go to any runner. A request that must use
+// the version in use goes to the version on trial only if no other runner is available and one
+// of two conditions holds: this daemon is out of contact, so that the old runners may have been
+// stopped without its knowledge; or the trial hasn't begun and the service has no other
+// version, which means that the target is already in use.
 func (s *requestHandler) pick(ctx context.Context, now time.Time) (routing.Choice, error) {
 	first := s.exchange.Sent() == 0
 	if s.gate == nil {
