--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -72,7 +72,7 @@
 		if failure == nil {
 			return
 		}
-		if s.endIfCallerGone(ctx) {
+		if s.endIfCanceled(ctx) {
 			return
 		}
 		var wait time.Duration
@@ -86,7 +86,7 @@
 			s.end(s.withRetryAfter(end))
 			return
 		}
-		if !pause.For(ctx, wait) && s.endIfCallerGone(ctx) {
+		if !pause.For(ctx, wait) && s.endIfCanceled(ctx) {
 			return
 		}
 		s.failedRunners = s.failedRunners.Or(s.pool.exclusionOf(a.choice.Runner))
@@ -94,9 +94,9 @@
 	}
 }
 
-// endIfCallerGone ends a request whose caller has disconnected or whose deadline has passed,
+// endIfCanceled ends a request whose caller has disconnected or whose deadline has passed,
 // and reports whether it did.
-func (s *requestHandler) endIfCallerGone(ctx context.Context) bool {
+func (s *requestHandler) endIfCanceled(ctx context.Context) bool {
 	switch {
 	case ctx.Err() == nil:
 		return false
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -213,19 +213,19 @@
 	}
 }
 
-// inTrial plays the order of a version until its time is over. bad sets up a bad version, nil
+// withTrial plays the order of a version until its time is over. bad sets up a bad version, nil
 // is a good one. faults is called after the new runners have started.
-func inTrial(t *testing.T, daemons int, bad, faults func(tw *trialTest)) {
-	in := withFleet
+func withTrial(t *testing.T, daemons int, bad, faults func(tw *trialTest)) {
+	run := withFleet
 	if daemons > relays.SmallFleet {
-		in = withRelayFleet
+		run = withRelayFleet
 	}
-	inTrialWith(t, in, daemons, bad, faults)
+	withTrialIn(t, run, daemons, bad, faults)
 }
 
-// inTrialWith is inTrial with a given kind of fleet.
-func inTrialWith(t *testing.T, in fleetRunner, daemons int, bad, faults func(tw *trialTest)) {
-	in(t, daemons, config(1), func(w *testFleet) {
+// withTrialIn is inTrial with a given kind of fleet.
+func withTrialIn(t *testing.T, run fleetRunner, daemons int, bad, faults func(tw *trialTest)) {
+	run(t, daemons, config(1), func(w *testFleet) {
 		tw := newTrial(w)
 		if bad != nil {
 			bad(tw)
@@ -247,7 +247,7 @@
 func TestGoodVersionIsCompleted(t *testing.T) {
 	for _, daemons := range []int{1, 5, 33, 40} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
-			inTrial(t, daemons, nil, func(tw *trialTest) {
+			withTrial(t, daemons, nil, func(tw *trialTest) {
 				tw.runLoad(trialDuration - time.Second)
 				tw.Equal(tw.status(), orderStatus{newVersion, canary.Completed})
 				tw.Equal(tw.refused+tw.failed, 0)
@@ -274,7 +274,7 @@
 	} {
 		for _, daemons := range []int{5, 33, 40} {
 			t.Run(fmt.Sprintf("%s/%d", name, daemons), func(t *testing.T) {
-				inTrial(t, daemons, bad, func(tw *trialTest) {
+				withTrial(t, daemons, bad, func(tw *trialTest) {
 					tw.runLoad(trialDuration - time.Second)
 					tw.Equal(tw.status(), orderStatus{newVersion, canary.RolledBack})
 				})
@@ -290,7 +290,7 @@
 		"bad":  func(tw *trialTest) { tw.fails = failsOn("/read/1") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inTrialWith(t, withDirectFleet, 33, bad, func(tw *trialTest) {
+			withTrialIn(t, withDirectFleet, 33, bad, func(tw *trialTest) {
 				tw.runLoad(trialDuration - time.Second)
 				want := canary.Completed
 				if bad != nil {
@@ -319,7 +319,7 @@
 		"bad":  func(tw *trialTest) { tw.fails = func(string) float64 { return 0.08 } },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inTrial(t, 5, bad, func(tw *trialTest) {
+			withTrial(t, 5, bad, func(tw *trialTest) {
 				tw.runLoad(1500 * time.Millisecond)
 				tw.killHolder()
 				tw.runLoad(trialDuration - 2500*time.Millisecond)
@@ -343,7 +343,7 @@
 // Guards against a bad version that keeps getting requests while the key-value service is
 // unreachable.
 func TestTrialWhileTheServiceIsAway(t *testing.T) {
-	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.5 } }, func(tw *trialTest) {
+	withTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.5 } }, func(tw *trialTest) {
 		tw.cutStore(true)
 		tw.runLoad(4 * time.Second)
 		tw.cutStore(false)
@@ -360,7 +360,7 @@
 
 // Guards against shares that are handed out twice because messages are lost.
 func TestTrialWithLostMessages(t *testing.T) {
-	inTrial(t, 5, func(tw *trialTest) { tw.fails = failsOn("/read/1") }, func(tw *trialTest) {
+	withTrial(t, 5, func(tw *trialTest) { tw.fails = failsOn("/read/1") }, func(tw *trialTest) {
 		tw.network.setLossRate(0.3, rand.New(rand.NewPCG(2, 0)))
 		tw.runLoad(trialDuration - time.Second)
 		tw.Equal(tw.status().State, canary.RolledBack)
@@ -370,7 +370,7 @@
 // Guards against refusing requests after the old runners have been stopped, at a daemon that
 // can't learn of it. The daemon must use the new runners because it is out of contact.
 func TestDaemonCutOffFindsTheNewRunners(t *testing.T) {
-	inTrial(t, 5, nil, func(tw *trialTest) {
+	withTrial(t, 5, nil, func(tw *trialTest) {
 		tw.runLoad(5 * time.Second)
 		cut := tw.daemons[4]
 		if cut.HoldsDuties() {
@@ -388,7 +388,7 @@
 
 // Guards against putting a version into use that has too few runners to serve all callers.
 func TestTooFewNewRunners(t *testing.T) {
-	inTrial(t, 5, nil, func(tw *trialTest) {
+	withTrial(t, 5, nil, func(tw *trialTest) {
 		for i := 1; i < trialRunners; i++ {
 			tw.remove(fmt.Sprintf("%s-%d", newVersion, i))
 		}
@@ -419,7 +419,7 @@
 // Guards against sending requests to a version that was rolled back once another version is
 // ordered, or while that one is on trial.
 func TestSecondOrderWhileOneRuns(t *testing.T) {
-	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 1 } }, func(tw *trialTest) {
+	withTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 1 } }, func(tw *trialTest) {
 		tw.runLoad(5 * time.Second)
 		tw.mu.Lock()
 		before := tw.exposed
@@ -435,7 +435,7 @@
 // Guards against a trial that reaches a wrong decision because the operator changes routes
 // meanwhile.
 func TestConfigurationChangesDuringATrial(t *testing.T) {
-	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.4 } }, func(tw *trialTest) {
+	withTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.4 } }, func(tw *trialTest) {
 		for i := range 10 {
 			c := config(uint64(i + 2))
 			c.Routes[i%2].Name = fmt.Sprint("moved-", i)
@@ -449,7 +449,7 @@
 
 // Guards against a trial that starts from scratch after all daemons were killed.
 func TestTrialAfterAllDaemonsWereKilled(t *testing.T) {
-	inTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.08 } }, func(tw *trialTest) {
+	withTrial(t, 5, func(tw *trialTest) { tw.fails = func(string) float64 { return 0.08 } }, func(tw *trialTest) {
 		tw.runLoad(2 * time.Second)
 		for _, d := range tw.daemons {
 			d.kill()
