--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -49,8 +49,8 @@
 	sent   time.Time
 	// firstEventAfter is the time from the send to the stream's first event, zero before it.
 	firstEventAfter time.Duration
-	// activity records when the runner was last heard. cancel ends the attempt from this side,
-	// and abandoned says that it was ended because the runner is silent.
+	// activity records when the runner was last heard. cancel ends the attempt on this daemon's
+	// side, and abandoned says that it was ended because the runner is silent.
 	activity  *activity
 	cancel    context.CancelFunc
 	abandoned atomic.Bool
@@ -94,8 +94,8 @@
 	}
 }
 
-// endIfCanceled ends a request whose caller has disconnected or whose deadline has passed,
-// and reports whether it did.
+// endIfCanceled ends a request whose caller has disconnected or whose deadline has passed, and
+// reports whether it did.
 func (s *requestHandler) endIfCanceled(ctx context.Context) bool {
 	switch {
 	case ctx.Err() == nil:
--- a/daemon/edge/storesync_test.go
+++ b/daemon/edge/storesync_test.go
@@ -22,8 +22,8 @@
 	checkWatchesWhileRunnersChange(t, nil)
 }
 
-// The same for daemons that each watch on behalf of their own failure domain: they did not wait
-// for further changes.
+// Guards against daemons that each watch on behalf of their own failure domain and don't wait
+// for further changes before the next watch.
 func TestChangesAreBatchedInManyDomains(t *testing.T) {
 	var domains []ident.FailureDomain
 	for i := range batchingDaemons {
@@ -34,8 +34,8 @@
 
 const batchingDaemons = 12
 
-// checkWatchesWhileRunnersChange lets a runner come or go every 100 ms in a fleet spread over some failure
-// domains, and checks the number of watches.
+// checkWatchesWhileRunnersChange lets a runner come or go every 100 ms in a fleet spread over
+// some failure domains, and checks the number of watches.
 func checkWatchesWhileRunnersChange(t *testing.T, domains []ident.FailureDomain) {
 	const daemons = batchingDaemons
 	withFleet(t, 0, config(1), func(w *testFleet) {
--- a/daemon/edge/trialcontroller.go
+++ b/daemon/edge/trialcontroller.go
@@ -210,6 +210,7 @@
 }
 
 // The following functions convert between messages and the types of package canary.
+
 func (e *Edge) encodeTrialReport(service string, r canary.Report) *peersv1.TrialReport {
 	message := &peersv1.TrialReport{
 		Service: service, Order: r.Order, Incarnation: string(e.self), PeerAddress: e.settings.PeerAddress, Ask: r.Ask,
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -19,6 +19,9 @@
 )
 
 const (
+	// The new version may get trialShare of the requests plus trialSlack, and must get no
+	// requests later than maxRollbackTime after toleratedBadAnswers bad answers. trialRunners
+	// is the number of runners of each version, trialRate the number of requests per second.
 	trialShare          = 0.1
 	trialSlack          = 50
 	trialDuration       = 12 * time.Second
@@ -213,8 +216,8 @@
 	}
 }
 
-// withTrial plays the order of a version until its time is over. bad sets up a bad version, nil
-// is a good one. faults is called after the new runners have started.
+// withTrial plays the order of a version until its time is over. bad sets up a bad version; nil
+// stands for a good one. faults is called after the new runners have started.
 func withTrial(t *testing.T, daemons int, bad, faults func(tw *trialTest)) {
 	run := withFleet
 	if daemons > relays.SmallFleet {
@@ -223,7 +226,7 @@
 	withTrialIn(t, run, daemons, bad, faults)
 }
 
-// withTrialIn is inTrial with a given kind of fleet.
+// withTrialIn is withTrial in a given kind of fleet.
 func withTrialIn(t *testing.T, run fleetRunner, daemons int, bad, faults func(tw *trialTest)) {
 	run(t, daemons, config(1), func(w *testFleet) {
 		tw := newTrial(w)
