--- a/coordination/feed/feed_test.go
+++ b/coordination/feed/feed_test.go
@@ -12,7 +12,8 @@
 	_ "geraniumstack.org/geraniumstack/internal/fixedseed"
 )
 
-// service is the keys with the revisions of their last writes, and all changes.
+// service simulates the key-value service: the existing keys with the revisions of their
+// last writes, and all changes.
 type service struct {
 	revision uint64
 	keys     map[string]uint64
@@ -20,7 +21,7 @@
 }
 
 func (s *service) write(key string, deleted bool) {
-	if _, there := s.keys[key]; deleted && !there {
+	if _, exists := s.keys[key]; deleted && !exists {
 		return
 	}
 	s.revision++
@@ -39,14 +40,14 @@
 	return list
 }
 
-// follower takes parts in as a daemon does.
+// follower applies batches as a daemon does.
 type follower struct {
 	at        uint64
 	revisions map[string]uint64
 	keys      map[string]uint64
 }
 
-func (f *follower) take(p feed.Part) {
+func (f *follower) apply(p feed.Batch) {
 	if p.After > f.at {
 		return
 	}
@@ -63,20 +64,20 @@
 	f.at = max(f.at, p.Through)
 }
 
-// Guards against a follower that misses a change: parts are lost, come late and come
-// twice, the relays' watches are cut and listed anew, and the follower changes relays.
-func TestFollowerEndsUpWithWhatTheServiceHolds(t *testing.T) {
+// Guards against a follower that misses a change: batches are lost, delayed and duplicated,
+// the relays' watches break and start again from a list, and the follower changes relays.
+func TestFollowerConvergesToServiceState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &service{keys: map[string]uint64{}}
 		s.write("first", false)
 		logs := []*feed.Log{feed.NewLog(), feed.NewLog()}
-		watched := []int{0, 0}
+		watchedThrough := []int{0, 0}
 		for i, l := range logs {
 			l.Reset(s.list(), s.revision)
-			watched[i] = len(s.changes)
+			watchedThrough[i] = len(s.changes)
 		}
 		f := &follower{revisions: map[string]uint64{}, keys: map[string]uint64{}}
-		var late []feed.Part
+		var delayed []feed.Batch
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			i := rapid.IntRange(0, 1).Draw(t, "relay")
 			l := logs[i]
@@ -84,35 +85,35 @@
 			case 0, 1:
 				s.write(fmt.Sprint("k", rapid.IntRange(0, 8).Draw(t, "key")), rapid.Bool().Draw(t, "ends"))
 			case 2:
-				l.Apply(s.changes[watched[i]:], s.revision)
-				watched[i] = len(s.changes)
+				l.Apply(s.changes[watchedThrough[i]:], s.revision)
+				watchedThrough[i] = len(s.changes)
 			case 3:
-				// The list is read after the revision from which to watch on.
+				// The list is read after the revision from which the watch continues.
 				at, from := s.revision, len(s.changes)
 				s.write(fmt.Sprint("k", rapid.IntRange(0, 8).Draw(t, "between")), rapid.Bool().Draw(t, "ends"))
 				l.Reset(s.list(), at)
-				watched[i] = from
+				watchedThrough[i] = from
 			case 4:
 				if p, ok := l.Since(f.at, rapid.IntRange(1, 200).Draw(t, "bytes")); ok {
-					f.take(p)
-					late = append(late, p)
+					f.apply(p)
+					delayed = append(delayed, p)
 				}
 			case 5:
-				if len(late) > 0 {
-					f.take(late[rapid.IntRange(0, len(late)-1).Draw(t, "late")])
+				if len(delayed) > 0 {
+					f.apply(delayed[rapid.IntRange(0, len(delayed)-1).Draw(t, "late")])
 				}
 			}
 		}
-		logs[0].Apply(s.changes[watched[0]:], s.revision)
+		logs[0].Apply(s.changes[watchedThrough[0]:], s.revision)
 		for f.at < s.revision {
 			before := f.at
 			p, ok := logs[0].Since(f.at, 100)
 			if !ok {
-				// It lists the service itself.
+				// The follower lists the service itself.
 				f.at, f.keys = s.revision, maps.Clone(s.keys)
 				break
 			}
-			f.take(p)
+			f.apply(p)
 			if f.at == before && len(p.Changes) == 0 {
 				t.Fatal("no progress")
 			}
@@ -123,9 +124,9 @@
 	})
 }
 
-// Guards against followers that all list the service whenever their relay had to: what
-// the relay has told them before is known to it.
-func TestListIsNoGapForItsOwnFollowers(t *testing.T) {
+// Guards against all followers listing the service whenever their relay had to: a relay can
+// still compute the changes for a follower that is as far as the relay was before.
+func TestListLeavesNoGapForOwnFollowers(t *testing.T) {
 	is := is.New(t)
 	l := feed.NewLog()
 	l.Reset([]feed.Change{{Key: "a", Revision: 3}, {Key: "b", Revision: 5}}, 5)
@@ -133,17 +134,17 @@
 	p, ok := l.Since(5, 1000)
 	is.True(ok)
 	is.Equal(p.Through, uint64(9))
-	is.Equal(len(p.Changes), 2) // the end of a, and c
+	is.Equal(len(p.Changes), 2) // the deletion of a, and c
 	_, ok = l.Since(7, 1000)
-	is.True(!ok) // it may know what was written and removed meanwhile
+	is.True(!ok) // the follower may hold a key that was written and deleted in the gap
 }
 
-// Guards against a follower that keeps a key for good whose end the relay forgot.
-func TestForgottenEndsAreAGap(t *testing.T) {
+// Guards against a follower that keeps a key forever because the relay forgot its deletion.
+func TestForgottenDeletionsAreReportedAsGap(t *testing.T) {
 	is := is.New(t)
 	l := feed.NewLog()
 	_, ok := l.Since(0, 1000)
-	is.True(!ok) // it knows nothing yet
+	is.True(!ok) // the log is empty
 	l.Reset(nil, 1)
 	revision := uint64(1)
 	for i := range 6000 {
--- a/daemon/edge/harness_test.go
+++ b/daemon/edge/harness_test.go
@@ -77,7 +77,7 @@
 // daemon is a relay.
 func withFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &testFleet{I: is.New(t), t: t, start: time.Now(), store: kvserver.New(), network: newNetwork(), runners: newRunners(), cloud: &cloud{}, directFleet: relays.SmallFleet}
+		w := &testFleet{I: is.New(t), t: t, start: time.Now(), store: kvserver.New(), network: newNetwork(), runners: newRunners(), cloud: &cloud{}, directFleet: relays.AllWatchFleet}
 		w.configure(c)
 		for range n {
 			w.addDaemon()
--- a/daemon/edge/storesync.go
+++ b/daemon/edge/storesync.go
@@ -299,7 +299,7 @@
 func (e *Edge) rank() (place, size int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return placeAmong(e.settings.ID, e.relayPlan.Watchers)
+	return placeAmong(e.settings.ID, e.relayPlan.OtherWatchers)
 }
 
 // placeAmong returns a daemon's position in the order of names among others, and the number of
@@ -342,7 +342,7 @@
 // batchDelay returns how long to wait before the next watch so that it returns several changes.
 func (e *Edge) batchDelay() time.Duration {
 	switch {
-	case e.fleetSize() <= relays.SmallFleet:
+	case e.fleetSize() <= relays.AllWatchFleet:
 		return smallFleetBatchDelay
 	case e.duties.holder.Token() != 0:
 		return dutyHolderBatchDelay
@@ -421,7 +421,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	before := e.table.Load()
-	changed := e.fresh.Read(uint64(event.Revision), sent)
+	changed := e.fresh.RecordRead(uint64(event.Revision), sent)
 	e.configUnreadable = e.configUnreadable && !changed
 	if changed && (before == nil || config.Version > before.Version()) {
 		e.activateConfig(route.NewTable(config), event.Revision)
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -220,7 +220,7 @@
 // stands for a good one. faults is called after the new runners have started.
 func withTrial(t *testing.T, daemons int, bad, faults func(tw *trialTest)) {
 	run := withFleet
-	if daemons > relays.SmallFleet {
+	if daemons > relays.AllWatchFleet {
 		run = withRelayFleet
 	}
 	withTrialIn(t, run, daemons, bad, faults)
