--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -49,8 +49,8 @@
 	sent   time.Time
 	// firstEventAfter is the time from the send to the stream's first event, zero before it.
 	firstEventAfter time.Duration
-	// activity records when the runner was last heard. cancel ends the attempt from this side,
-	// and abandoned says that it was ended because the runner is silent.
+	// activity records when the runner was last heard. cancel ends the attempt on this daemon's
+	// side, and abandoned says that it was ended because the runner is silent.
 	activity  *activity
 	cancel    context.CancelFunc
 	abandoned atomic.Bool
@@ -72,7 +72,7 @@
 		if failure == nil {
 			return
 		}
-		if s.endIfCallerGone(ctx) {
+		if s.endIfCanceled(ctx) {
 			return
 		}
 		var wait time.Duration
@@ -86,7 +86,7 @@
 			s.end(s.withRetryAfter(end))
 			return
 		}
-		if !pause.For(ctx, wait) && s.endIfCallerGone(ctx) {
+		if !pause.For(ctx, wait) && s.endIfCanceled(ctx) {
 			return
 		}
 		s.failedRunners = s.failedRunners.Or(s.pool.exclusionOf(a.choice.Runner))
@@ -94,9 +94,9 @@
 	}
 }
 
-// endIfCallerGone ends a request whose caller has disconnected or whose deadline has passed,
-// and reports whether it did.
-func (s *requestHandler) endIfCallerGone(ctx context.Context) bool {
+// endIfCanceled ends a request whose caller has disconnected or whose deadline has passed, and
+// reports whether it did.
+func (s *requestHandler) endIfCanceled(ctx context.Context) bool {
 	switch {
 	case ctx.Err() == nil:
 		return false
@@ -336,7 +336,7 @@
 	}
 	s.usageCounted = true
 	s.edge.mu.Lock()
-	s.edge.usageBook.RecordStart(s.edge.wallClock.At(s.edge.deps.Steady()), s.workspace)
+	s.edge.usageLedger.RecordStart(s.edge.wallClock.At(s.edge.deps.Steady()), s.workspace)
 	s.edge.mu.Unlock()
 }
 
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -53,9 +53,10 @@
 	mostKnownSince time.Duration
 }
 
+// peerLoad is the load that another daemon has reported.
 type peerLoad struct {
-	receivedAt time.Duration
-	ownLoads   []routing.OwnLoad
+	receivedAt  time.Duration
+	runnerLoads []routing.OwnLoad
 	// follower says that the load is reported by a follower, so that no other relay includes
 	// it.
 	follower bool
@@ -98,7 +99,7 @@
 	if from == sourceFollower {
 		e.recommended.reported(h.PeerAddress, now-minMessageAge)
 	}
-	heard := peerLoad{receivedAt: now, ownLoads: loads, follower: from == sourceFollower, includedSeq: h.IncludedSeq}
+	heard := peerLoad{receivedAt: now, runnerLoads: loads, follower: from == sourceFollower, includedSeq: h.IncludedSeq}
 	for _, o := range h.Offered {
 		e.reported.receiveOffered(now, id, o, from, !e.directMode.Load())
 	}
@@ -175,8 +176,8 @@
 // with their requests. It reports whether there were any.
 func (t *peerLoadTable) expire(now time.Duration) bool {
 	expired := false
-	for id, told := range t.byDaemon {
-		if now-told.receivedAt <= peers.RelayedAliveFor {
+	for id, load := range t.byDaemon {
+		if now-load.receivedAt <= peers.RelayedAliveFor {
 			continue
 		}
 		expired = true
@@ -205,14 +206,14 @@
 func (t *peerLoadTable) updateMostKnown(now time.Duration, others int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	told := 0
+	reporting := 0
 	for _, d := range t.byDaemon {
 		if !d.follower {
-			told++
+			reporting++
 		}
 	}
 	switch {
-	case 2*told < others:
+	case 2*reporting < others:
 		t.mostKnownSince = 0
 	case t.mostKnownSince == 0:
 		t.mostKnownSince = max(1, now)
@@ -244,13 +245,13 @@
 // part in it, or the sum of the followers' and other relays' loads.
 func (t *peerLoadTable) sumOthers(now time.Duration) loadSums {
 	sums := loadSums{}
-	if t.total.ownLoads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
-		sums.add(t.total.ownLoads, 1)
+	if t.total.runnerLoads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
+		sums.add(t.total.runnerLoads, 1)
 		sums.add(t.sent[t.total.includedSeq], -1)
 		return sums
 	}
-	for _, told := range t.byDaemon {
-		sums.add(told.ownLoads, 1)
+	for _, load := range t.byDaemon {
+		sums.add(load.runnerLoads, 1)
 	}
 	return sums
 }
@@ -258,9 +259,9 @@
 // followers returns the load of the followers.
 func (t *peerLoadTable) followers() loadSums {
 	sums := loadSums{}
-	for _, told := range t.byDaemon {
-		if told.follower {
-			sums.add(told.ownLoads, 1)
+	for _, load := range t.byDaemon {
+		if load.follower {
+			sums.add(load.runnerLoads, 1)
 		}
 	}
 	return sums
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -136,16 +136,16 @@
 	}
 }
 
-// sideOfNewRequest decides which versions' runners a new request may use.
-func (e *Edge) sideOfNewRequest(g *canary.Gate, route string) canary.Placement {
+// placeNewRequest decides which versions' runners a new request may use.
+func (e *Edge) placeNewRequest(g *canary.Gate, route string) canary.Placement {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	return g.PlaceRequest(e.deps.Steady(), route, rand.Float64())
 }
 
-// sideOfRepeat decides which versions' runners a request may use that isn't new to the trial,
+// placeRepeat decides which versions' runners a request may use that isn't new to the trial,
 // such as a repeated attempt.
-func (e *Edge) sideOfRepeat(g *canary.Gate) canary.Placement {
+func (e *Edge) placeRepeat(g *canary.Gate) canary.Placement {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	return g.PlaceRetry(e.deps.Steady())
@@ -161,14 +161,14 @@
 	return e.configAge() > confirmTimeout
 }
 
-// excludedBySide returns the set of the service's runners that a request on a side of the trial
-// must not use. The caller must hold the pool's lock.
-func (p *pool) excludedBySide(g *canary.Gate, side canary.Placement) prefix.Set {
+// excludedByPlacement returns the set of the service's runners that a request with the given
+// placement must not use. The caller must hold the pool's lock.
+func (p *pool) excludedByPlacement(g *canary.Gate, trialPlacement canary.Placement) prefix.Set {
 	var ids []ident.RunnerID
 	p.edge.trials.mu.Lock()
 	defer p.edge.trials.mu.Unlock()
 	target := g.Order().Target
-	switch side {
+	switch trialPlacement {
 	case canary.OldOnly:
 		for id, r := range p.runners {
 			if g.Avoids(r.Version) {
@@ -189,7 +189,7 @@
 
 // trialRunners returns the first few of the new version's runners by name, which serve all
 // requests of the trial.
-func (p *pool) trialRunners(target canary.Version, most int) []ident.RunnerID {
+func (p *pool) trialRunners(target canary.Version, limit int) []ident.RunnerID {
 	var ids []ident.RunnerID
 	for id, r := range p.runners {
 		if r.Version == target && r.State == view.Live {
@@ -197,7 +197,7 @@
 		}
 	}
 	slices.Sort(ids)
-	return ids[:min(len(ids), most)]
+	return ids[:min(len(ids), limit)]
 }
 
 func (p *pool) allBut(some []ident.RunnerID) prefix.Set {
@@ -210,45 +210,45 @@
 	return p.table.Exclude(ids...)
 }
 
-// excludeBySide excludes the runners that have failed the request, and those that a request on
-// a side of the trial must not use.
-func (p *pool) excludeBySide(r *routing.Request, failed prefix.Set, g *canary.Gate, side canary.Placement) {
+// excludeByPlacement excludes the runners that have failed the request, and those that a
+// request with the given placement must not use.
+func (p *pool) excludeByPlacement(r *routing.Request, failed prefix.Set, g *canary.Gate, trialPlacement canary.Placement) {
 	r.Exclude = failed
-	if g == nil || side == canary.AnyVersion {
+	if g == nil || trialPlacement == canary.AnyVersion {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.Exclude = failed.Or(p.excludedBySide(g, side))
+	r.Exclude = failed.Or(p.excludedByPlacement(g, trialPlacement))
 }
 
-// pick chooses a runner among those that the request's side of the trial may use. If there is
-// none, or the wait would be too long, a request of the trial goes to the version in use, and a
-// request that only prefers the new version may go to any runner. A request that must use the
-// version in use goes to the version on trial only if it finds no runner otherwise and either
-// this daemon is out of contact, since the old runners may have been stopped by then, or the
-// trial hasn't begun and the service has no other version, which means that the target is
-// already in use.
+// pick chooses a runner among those that the request's placement in the trial allows. If there
+// is none, or the wait would be too long, a request of the trial goes to the version in use,
+// and a request that only prefers the new version may go to any runner. A request that must use
+// the version in use goes to the version on trial only if no other runner is available and one
+// of two conditions holds: this daemon is out of contact, so that the old runners may have been
+// stopped without its knowledge; or the trial hasn't begun and the service has no other
+// version, which means that the target is already in use.
 func (s *requestHandler) pick(ctx context.Context, now time.Time) (routing.Choice, error) {
 	first := s.exchange.Sent() == 0
 	if s.gate == nil {
 		return s.pool.pick(now, &s.routingRequest, s.recommended, first)
 	}
-	side := s.edge.sideOfRepeat(s.gate)
+	trialPlacement := s.edge.placeRepeat(s.gate)
 	if first {
-		side = s.edge.sideOfNewRequest(s.gate, s.route.Name)
+		trialPlacement = s.edge.placeNewRequest(s.gate, s.route.Name)
 	}
-	s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, side)
+	s.pool.excludeByPlacement(&s.routingRequest, s.failedRunners, s.gate, trialPlacement)
 	choice, err := s.pool.pick(now, &s.routingRequest, s.recommended, first)
 	late := err == nil && choice.Estimate > s.maxFirstTokenWait(now)
-	if err == nil && !late || side == canary.AnyVersion {
+	if err == nil && !late || trialPlacement == canary.AnyVersion {
 		return choice, err
 	}
 	switch {
-	case side == canary.Trial:
-		s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, canary.OldOnly)
-	case side == canary.NewPreferred || !late && (s.edge.outOfContact(ctx) || s.pool.targetInUse(s.gate)):
-		s.pool.excludeBySide(&s.routingRequest, s.failedRunners, s.gate, canary.AnyVersion)
+	case trialPlacement == canary.Trial:
+		s.pool.excludeByPlacement(&s.routingRequest, s.failedRunners, s.gate, canary.OldOnly)
+	case trialPlacement == canary.NewPreferred || !late && (s.edge.outOfContact(ctx) || s.pool.targetInUse(s.gate)):
+		s.pool.excludeByPlacement(&s.routingRequest, s.failedRunners, s.gate, canary.AnyVersion)
 	default:
 		return choice, err
 	}
@@ -276,7 +276,7 @@
 // countVersions counts the runners that accept new requests, by the version in use (old) and
 // the order's target (fresh), and this daemon's attempts in progress at runners of versions
 // other than the target.
-func (p *pool) countVersions(g *canary.Gate) (old, fresh, oldInFlight int) {
+func (p *pool) countVersions(g *canary.Gate) (oldRunners, newRunners, oldInFlight int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.edge.trials.mu.Lock()
@@ -285,15 +285,15 @@
 	for id, r := range p.runners {
 		switch {
 		case r.Version == target && r.State == view.Live:
-			fresh++
+			newRunners++
 		case r.Version != target && r.State == view.Live && !g.Avoids(r.Version):
-			old++
+			oldRunners++
 		}
 		if act := p.activities[id]; act != nil && r.Version != target {
 			oldInFlight += len(act.attempts)
 		}
 	}
-	return old, fresh, oldInFlight
+	return oldRunners, newRunners, oldInFlight
 }
 
 // awaitingDecision returns the number of a service's runners whose version is on trial.
@@ -308,8 +308,8 @@
 	if final {
 		return 0
 	}
-	_, fresh, _ := p.countVersions(g)
-	return fresh
+	_, newRunners, _ := p.countVersions(g)
+	return newRunners
 }
 
 // isTrialReporter reports whether this daemon is one of those that report on a trial.
