--- a/coordination/feed/feed_test.go
+++ b/coordination/feed/feed_test.go
@@ -119,7 +119,7 @@
 			}
 		}
 		if !maps.Equal(f.keys, s.keys) {
-			t.Fatalf("follower has %v, the service %v", f.keys, s.keys)
+			t.Fatalf("the follower holds %v, the service %v", f.keys, s.keys)
 		}
 	})
 }
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -49,10 +49,10 @@
 	Slack   float64
 }
 
-// Use is what a daemon tells the others about its replica of one workspace's
-// bucket.
+// Use is what a daemon sends to the others about its replica of one workspace's bucket.
 type Use struct {
-	// Taken is the sum of all costs that the daemon took since it started, less what was released.
+	// Taken is the sum of all costs that the daemon took since it started, less what was
+	// released.
 	Taken float64
 	// Level is the number of tokens in the daemon's replica of the bucket.
 	Level float64
@@ -76,7 +76,7 @@
 	minRateShare        = 0.7
 	fullMinShareDaemons = 6
 	// uninformedShare is the fraction of an equal share that a daemon may take once while
-	// it is uninformed, i.e. while a peer has just stopped sending.
+	// it is uninformed, i.e. while a peer is overdue but not yet considered silent.
 	uninformedShare = 1.0
 	// uninformedMaxShares is how many such shares a single long prompt may take.
 	uninformedMaxShares = 2.0
@@ -114,8 +114,8 @@
 	// budget is what may still be taken in the interval that ends at budgetEnds.
 	budget     float64
 	budgetEnds time.Duration
-	// uninformedBudgetUsed is set once the share for uninformed times was added to the
-	// budget, until the daemon is informed again.
+	// uninformedBudgetUsed is set once uninformedShare was added to the budget, until all
+	// peers that are not silent have been heard again.
 	uninformedBudgetUsed bool
 	// recentUsage is the recent use by this daemon's own requests.
 	recentUsage decayingSum
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -223,7 +223,7 @@
 			disconnectFor:  time.Duration(rapid.IntRange(0, 8_000).Draw(t, "cut for")) * time.Millisecond,
 		}
 		if w := f.worstWindow(); w > toleratedPerWindow {
-			t.Fatalf("%.0f tokens in a window; tolerated are %.0f", w, toleratedPerWindow)
+			t.Fatalf("%.0f tokens in a window; at most %.0f are tolerated", w, toleratedPerWindow)
 		}
 	})
 }
@@ -292,7 +292,7 @@
 				}
 				worst = max(worst, sum)
 			}
-			t.Logf("%d daemons, %.1f times the rate: %.0f of %.0f", n, times, worst, toleratedPerWindow)
+			t.Logf("%d daemons, %.1f times the rate: %.0f of %.0f tolerated in a window", n, times, worst, toleratedPerWindow)
 			is.True(worst <= toleratedPerWindow)
 		}
 	}
@@ -309,7 +309,7 @@
 			f.exchangeStates()
 			m := f.members[rapid.IntRange(0, n-1).Draw(t, "daemon")]
 			if wait, ok := m.Take(f.now, ws, 1000*use*step.Seconds()); !ok {
-				t.Fatalf("refused at %v for %v", f.now, wait)
+				t.Fatalf("request refused at %v, retry after %v", f.now, wait)
 			}
 		}
 	})
@@ -356,7 +356,7 @@
 			worstSecond = max(worstSecond, usageOver(time.Second))
 		}
 	}
-	t.Logf("most in a second %.0f, in a window %.0f of %.0f", worstSecond, worstWindow, toleratedPerWindow)
+	t.Logf("highest use in a second: %.0f; in a window: %.0f of %.0f tolerated", worstSecond, worstWindow, toleratedPerWindow)
 	is.True(worstSecond <= 1.4*perSecond)
 	is.True(worstWindow <= toleratedPerWindow)
 }
@@ -382,7 +382,7 @@
 				refused++
 			}
 		}
-		t.Logf("%.1f of the rate: %d of %d refused", use, refused, asked)
+		t.Logf("%.1f times the rate: %d of %d requests refused", use, refused, asked)
 		is.True(refused <= asked/50)
 	}
 }
