--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -113,9 +113,9 @@
 	return t.choice(best, r), nil
 }
 
-// Choose returns the Choice for a runner that the caller has already selected. It
+// ChoiceFor returns the Choice for a runner that the caller has already selected. It
 // returns false if the runner is not in the table.
-func (t *Table) Choose(id ident.RunnerID, r *Request) (Choice, bool) {
+func (t *Table) ChoiceFor(id ident.RunnerID, r *Request) (Choice, bool) {
 	i, ok := t.byID[id]
 	if !ok {
 		return Choice{}, false
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -141,17 +141,17 @@
 // number of gateways may use: its equal share or, if more, what it uses now plus part of
 // what is free. Callers are not spread evenly over the gateways, and a gateway with many
 // callers must not refuse requests while runners are idle.
-func (c Capacity) Share(gateways, running int) (places, perSecond float64) {
+func (c Capacity) Share(gateways, running int) (slots, perSecond float64) {
 	if c.Batch == 0 {
 		return 0, 0
 	}
 	equal := float64(c.Batch) / float64(max(1, gateways))
 	free := max(0, float64(c.Free)-reservedFraction*float64(c.Batch))
-	places = equal
+	slots = equal
 	if free > 0 {
-		places = max(equal, float64(running)+borrowedShare*free)
+		slots = max(equal, float64(running)+borrowedShare*free)
 	}
-	return places, c.DecodeRate * places / float64(c.Batch)
+	return slots, c.DecodeRate * slots / float64(c.Batch)
 }
 
 // Capacity returns the total capacity of the runners that are live and not ejected.
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -255,14 +255,14 @@
 	}
 }
 
-func (t *Table) indexModelKey(i int, p modelKey, wanted bool) {
-	at := t.loadedSlots[p]
+func (t *Table) indexModelKey(i int, key modelKey, wanted bool) {
+	entry := t.loadedSlots[key]
 	if wanted {
-		at.wanted = at.wanted.With(i)
+		entry.wanted = entry.wanted.With(i)
 	} else {
-		at.other = at.other.With(i)
+		entry.other = entry.other.With(i)
 	}
-	t.loadedSlots[p] = at
+	t.loadedSlots[key] = entry
 }
 
 func (t *Table) isWantedVersion(name, version string) bool {
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -157,7 +157,7 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	r := s.routed(j, g)
-	choice, ok := s.table.Choose(c.Runner, &r)
+	choice, ok := s.table.ChoiceFor(c.Runner, &r)
 	if !ok {
 		return
 	}
--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -140,7 +140,7 @@
 func (s *service) address(id ident.RunnerID) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c, _ := s.table.Choose(id, &routing.Request{})
+	c, _ := s.table.ChoiceFor(id, &routing.Request{})
 	return c.Address
 }
 
