--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -40,12 +40,12 @@
 	// completedAt is when the gate learned that the order is completed.
 	completedAt time.Duration
 	// sent counts the requests sent to the new version while Running, total all requests.
-	sent, total int
-	ask         uint64
-	asked       time.Duration
-	allowance   Allowance
-	expiresAt   time.Duration
-	tally       Tally
+	sent, total  int
+	reportNumber uint64
+	reportedAt   time.Duration
+	allowance    Allowance
+	expiresAt    time.Duration
+	tally        Tally
 }
 
 // Allowance permits a daemon to send requests to the new version.
@@ -102,15 +102,15 @@
 
 // SetRecord sets the service's record as read from the key-value service.
 func (g *Gate) SetRecord(now time.Duration, r Record) {
-	before := g.State()
+	previous := g.State()
 	g.record = r
-	if g.State() == Completed && before != Completed {
+	if g.State() == Completed && previous != Completed {
 		g.completedAt = now
 	}
 }
 
-// TakenUp reports whether a holder has written a record for the order.
-func (g *Gate) TakenUp() bool { return g.record.Order == g.order.Revision }
+// HasRecord reports whether a holder has written a record for the order.
+func (g *Gate) HasRecord() bool { return g.record.Order == g.order.Revision }
 
 // Avoids reports whether runners of a version get no new requests. That holds for the
 // order's target while the order is open or after it was rolled back, and for the targets of
@@ -124,9 +124,9 @@
 
 // PlaceRequest decides where a new request of a route goes. random is uniform in [0, 1).
 func (g *Gate) PlaceRequest(now time.Duration, route string, random float64) Placement {
-	side := g.PlaceRetry(now)
-	if side != OldOnly || g.State() != Running {
-		return side
+	placement := g.PlaceRetry(now)
+	if placement != OldOnly || g.State() != Running {
+		return placement
 	}
 	if now >= g.expiresAt || g.sent >= g.allowance.Ceiling || random >= g.trialShare(route) {
 		return OldOnly
@@ -176,10 +176,10 @@
 // earlier reports are ignored from now on unless they have already arrived. oldInFlight is
 // the number of the daemon's requests in progress at old runners.
 func (g *Gate) Report(now time.Duration, oldInFlight int) Report {
-	g.ask++
-	g.asked = now
+	g.reportNumber++
+	g.reportedAt = now
 	r := Report{
-		Order: g.order.Revision, Ask: g.ask, Total: g.total, Sent: g.sent,
+		Order: g.order.Revision, Ask: g.reportNumber, Total: g.total, Sent: g.sent,
 		KnownState: g.State(), OldInFlight: oldInFlight, Tally: g.tally.clone(),
 	}
 	if now < g.expiresAt {
@@ -188,11 +188,11 @@
 	return r
 }
 
-// Allow applies an allowance if it answers the latest report.
-func (g *Gate) Allow(a Allowance) {
-	if a.Order != g.order.Revision || a.Ask != g.ask {
+// SetAllowance applies an allowance if it answers the latest report.
+func (g *Gate) SetAllowance(a Allowance) {
+	if a.Order != g.order.Revision || a.Ask != g.reportNumber {
 		return
 	}
 	a.Halt = a.Halt || g.allowance.Halt
-	g.allowance, g.expiresAt = a, g.asked+allowanceTTL
+	g.allowance, g.expiresAt = a, g.reportedAt+allowanceTTL
 }
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -154,8 +154,8 @@
 		h.daemons[daemon] = a
 	}
 	h.compare(a, &r)
-	if span := (now - a.reportedAt).Seconds(); known && span > 0 {
-		a.perSecond = float64(r.Total-a.report.Total) / span
+	if elapsed := (now - a.reportedAt).Seconds(); known && elapsed > 0 {
+		a.perSecond = float64(r.Total-a.report.Total) / elapsed
 	}
 	a.report, a.reportedAt, a.ceiling = r, now, heldCeiling
 	return h.grant(a), true
@@ -202,32 +202,32 @@
 
 // grant raises a daemon's ceiling by what the daemon needs until its next report.
 func (h *Holder) grant(a *daemonState) Allowance {
-	answer := Allowance{Order: h.order.Revision, Ask: a.report.Ask, Ceiling: a.ceiling}
-	free := min(h.grantLimit(), h.record.Reserved) - h.granted()
+	allowance := Allowance{Order: h.order.Revision, Ask: a.report.Ask, Ceiling: a.ceiling}
+	available := min(h.grantLimit(), h.record.Reserved) - h.granted()
 	switch {
-	case free >= h.burstSize():
+	case available >= h.burstSize():
 		h.burstOpen = true
-	case free < burstEndBelow:
+	case available < burstEndBelow:
 		h.burstOpen = false
 	}
 	if h.bad() {
-		answer.Halt = true
-		return answer
+		allowance.Halt = true
+		return allowance
 	}
 	if h.record.State != Running || !h.burstOpen || h.fleet.NewRunners == 0 || h.fleet.Reporting == 0 {
-		return answer
+		return allowance
 	}
-	answer.FavouredRoute, _ = h.leastTestedRoute()
-	answer.Runners = max(1, int(burstShare*h.fleet.Reporting*float64(h.fleet.NewRunners)))
-	answer.Share = min(1, float64(answer.Runners)/(h.fleet.Reporting*float64(h.fleet.NewRunners)))
+	allowance.FavouredRoute, _ = h.leastTestedRoute()
+	allowance.Runners = max(1, int(burstShare*h.fleet.Reporting*float64(h.fleet.NewRunners)))
+	allowance.Share = min(1, float64(allowance.Runners)/(h.fleet.Reporting*float64(h.fleet.NewRunners)))
 	if h.fleet.OldRunners > 0 {
-		answer.Share = min(answer.Share, 0.5)
+		allowance.Share = min(allowance.Share, 0.5)
 	}
-	more := int(math.Ceil(answer.Share * a.perSecond * allowanceTTL.Seconds()))
+	more := int(math.Ceil(allowance.Share * a.perSecond * allowanceTTL.Seconds()))
 	left := a.ceiling - a.report.Sent
-	a.ceiling += max(0, min(free, more-left))
-	answer.Ceiling = a.ceiling
-	return answer
+	a.ceiling += max(0, min(available, more-left))
+	allowance.Ceiling = a.ceiling
+	return allowance
 }
 
 // bad reports whether the new version has ever been found bad. The result is kept, because
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -192,10 +192,10 @@
 	if p.now <= p.duration {
 		p.total++
 	}
-	side := gate.PlaceRequest(p.now, k.route, p.rng.Float64())
-	isNew := side == canary.Trial || side == canary.NewPreferred && len(p.runners[true]) > 0
+	placement := gate.PlaceRequest(p.now, k.route, p.rng.Float64())
+	isNew := placement == canary.Trial || placement == canary.NewPreferred && len(p.runners[true]) > 0
 	list := p.runners[isNew]
-	if side == canary.Trial {
+	if placement == canary.Trial {
 		list = list[:min(len(list), gate.TrialRunners())]
 	}
 	if p.record.State == canary.Completed && !isNew || len(list) == 0 {
@@ -280,7 +280,7 @@
 		}
 		a, ok := holder.HandleReport(p.now, fmt.Sprint(i, "~", p.incarnations[i]), r)
 		if ok && p.rng.Float64() >= p.messageLoss {
-			g.Allow(a)
+			g.SetAllowance(a)
 		}
 	}
 }
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -262,7 +262,7 @@
 	defer p.mu.Unlock()
 	p.edge.trials.mu.Lock()
 	defer p.edge.trials.mu.Unlock()
-	if g.TakenUp() {
+	if g.HasRecord() {
 		return false
 	}
 	for _, r := range p.runners {
@@ -365,7 +365,7 @@
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
 	if g := e.trials.gates[a.Service]; g != nil {
-		g.Allow(decodeAllowance(a))
+		g.SetAllowance(decodeAllowance(a))
 	}
 }
 
