--- a/coordination/journal/entry.go
+++ b/coordination/journal/entry.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	root        = "journal/"
+	keyPrefix   = "journal/"
 	indexDigits = 12
 )
 
@@ -82,7 +82,7 @@
 func (e *DecodeError) Unwrap() error { return e.Err }
 
 // Prefix returns the key prefix of an owner's entries.
-func Prefix(owner ident.Incarnation) string { return root + string(owner) + "/" }
+func Prefix(owner ident.Incarnation) string { return keyPrefix + string(owner) + "/" }
 
 // EntryKey returns the key of entry n.
 func EntryKey(owner ident.Incarnation, index uint64) string {
--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -116,7 +116,7 @@
 	seal          *Seal
 
 	inFlight       *Entry
-	value          []byte
+	inFlightValue  []byte
 	awaitingAnswer bool
 	retryAt        time.Time
 	inFlightSince  time.Time
@@ -202,7 +202,7 @@
 	}
 	w.tokens--
 	w.awaitingAnswer = true
-	return Write{Index: w.next, Value: w.value}, true
+	return Write{Index: w.next, Value: w.inFlightValue}, true
 }
 
 // CollectNext returns an entry to delete if one has expired and the rate limit allows it.
@@ -248,7 +248,7 @@
 	w.sealed = p.Sealed
 	w.retained = append(w.retained, retained{Collect: Collect{Index: w.next, Revision: revision}, lastExpiry: w.inFlightExpiry})
 	w.floor = max(w.floor, e.Floor)
-	w.inFlight, w.value = nil, nil
+	w.inFlight, w.inFlightValue = nil, nil
 	w.next++
 	return p
 }
@@ -311,7 +311,7 @@
 	w.inFlight = e
 	w.inFlightSince = now
 	w.inFlightExpiry = latestExpiry(e)
-	w.value = mustEncode(e)
+	w.inFlightValue = mustEncode(e)
 }
 
 func (w *Writer) refill(now time.Time) {
