--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -122,16 +122,16 @@
 	inFlightSince  time.Time
 	inFlightExpiry time.Time
 
-	tokens   float64
-	tokensAt time.Time
-	floor    int64
-	retained []retained
-	sealed   bool
+	writeTokens   float64
+	writeTokensAt time.Time
+	floor         int64
+	retained      []retained
+	sealed        bool
 }
 
 // NewWriter returns a Writer for an empty log.
 func NewWriter(now time.Time, cfg Config) *Writer {
-	return &Writer{cfg: cfg, tokens: cfg.Burst, tokensAt: now}
+	return &Writer{cfg: cfg, writeTokens: cfg.Burst, writeTokensAt: now}
 }
 
 // AddIntent queues an intent. The action may be dispatched once the intent is durable.
@@ -189,7 +189,7 @@
 		return Write{}, false
 	}
 	w.refill(now)
-	if w.tokens < 1 {
+	if w.writeTokens < 1 {
 		return Write{}, false
 	}
 	if w.inFlight == nil {
@@ -200,7 +200,7 @@
 	} else if now.Before(w.retryAt) {
 		return Write{}, false
 	}
-	w.tokens--
+	w.writeTokens--
 	w.awaitingAnswer = true
 	return Write{Index: w.next, Value: w.inFlightValue}, true
 }
@@ -210,7 +210,7 @@
 	w.refill(now)
 	// Deletions use at most every second write, so that entries don't wait for them. While
 	// an entry has no answer, nothing is deleted, because the service may be down.
-	if w.sealed || w.inFlight != nil || w.tokens < 1 || len(w.retained) < 2 {
+	if w.sealed || w.inFlight != nil || w.writeTokens < 1 || len(w.retained) < 2 {
 		return Collect{}, false
 	}
 	oldest := w.retained[0]
@@ -218,7 +218,7 @@
 		return Collect{}, false
 	}
 	w.retained = w.retained[1:]
-	w.tokens--
+	w.writeTokens--
 	return oldest.Collect, true
 }
 
@@ -315,20 +315,20 @@
 }
 
 func (w *Writer) refill(now time.Time) {
-	added := now.Sub(w.tokensAt).Seconds() * w.cfg.WritesPerSecond
+	added := now.Sub(w.writeTokensAt).Seconds() * w.cfg.WritesPerSecond
 	if added <= 0 {
 		return
 	}
-	w.tokens = min(w.cfg.Burst, w.tokens+added)
-	w.tokensAt = now
+	w.writeTokens = min(w.cfg.Burst, w.writeTokens+added)
+	w.writeTokensAt = now
 }
 
 func (w *Writer) tokenAvailableAt(now time.Time) time.Time {
 	w.refill(now)
-	if w.tokens >= 1 {
+	if w.writeTokens >= 1 {
 		return now
 	}
-	missing := (1 - w.tokens) / w.cfg.WritesPerSecond
+	missing := (1 - w.writeTokens) / w.cfg.WritesPerSecond
 	// One nanosecond is added so that rounding down can't leave less than one token.
 	return now.Add(time.Duration(missing*float64(time.Second)) + 1)
 }
