--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -125,10 +125,10 @@
 // candidate is a stream that can't finish at its source, with the target assigned to it.
 type candidate struct {
 	Stream
-	target      *targetState
-	deadline    time.Duration
-	savedTokens int
-	duration    time.Duration
+	target           *targetState
+	deadline         time.Duration
+	savedTokens      int
+	transferDuration time.Duration
 }
 
 // Plan decides on every stream of the batch and returns the decisions sorted by request ID.
@@ -224,7 +224,7 @@
 		target.freeTokens -= s.Context + s.Remaining
 		c := &candidate{Stream: s, target: target, deadline: p.deadline(s)}
 		c.savedTokens = max(s.Context-s.CachedAt[target.Runner], 0)
-		c.duration = p.b.Link.transferTime(s.CacheBytes)
+		c.transferDuration = p.b.Link.transferTime(s.CacheBytes)
 		placed = append(placed, c)
 	}
 	return placed
@@ -286,7 +286,7 @@
 func (p *plan) scheduleMoves(placed []*candidate) []*candidate {
 	byBenefit := slices.Clone(placed)
 	slices.SortStableFunc(byBenefit, func(a, b *candidate) int {
-		return cmp.Compare(b.tokensPerSecond(), a.tokensPerSecond())
+		return cmp.Compare(b.savedPerSecond(), a.savedPerSecond())
 	})
 	link := newSchedule(p.b.Link.BusyFor, byBenefit)
 	var moved, rest []*candidate
@@ -300,18 +300,18 @@
 	slices.SortStableFunc(moved, func(a, b *candidate) int { return cmp.Compare(a.deadline, b.deadline) })
 	at := p.b.Link.BusyFor
 	for _, c := range moved {
-		p.decide(c.Stream, Decision{Kind: Move, Target: c.target.Runner, Start: at, End: at + c.duration})
-		at += c.duration
+		p.decide(c.Stream, Decision{Kind: Move, Target: c.target.Runner, Start: at, End: at + c.transferDuration})
+		at += c.transferDuration
 	}
 	return rest
 }
 
-// tokensPerSecond returns the recomputed tokens that a move saves per second of transfer.
-func (c *candidate) tokensPerSecond() float64 {
-	if c.duration <= 0 {
+// savedPerSecond returns the recomputed tokens that a move saves per second of transfer.
+func (c *candidate) savedPerSecond() float64 {
+	if c.transferDuration <= 0 {
 		return 0
 	}
-	return float64(c.savedTokens) / c.duration.Seconds()
+	return float64(c.savedTokens) / c.transferDuration.Seconds()
 }
 
 // schedule holds the accepted transfers on the link by deadline. Transfers run in the order of
@@ -336,12 +336,12 @@
 // tryAdd adds the transfer if all transfers accepted so far still meet their deadlines.
 func (s *schedule) tryAdd(c *candidate) bool {
 	index, _ := slices.BinarySearch(s.deadlines, c.deadline)
-	s.load[index] += c.duration
+	s.load[index] += c.transferDuration
 	end := s.busy
 	for i, load := range s.load {
 		end += load
 		if load > 0 && end > s.deadlines[i] {
-			s.load[index] -= c.duration
+			s.load[index] -= c.transferDuration
 			return false
 		}
 	}
