--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -161,9 +161,9 @@
 	if n < minCompared || m < minCompared || e.allNew.failed < minFailed {
 		return 0
 	}
-	both := (e.allNew.failed + e.allOld.failed) / (n + m)
-	both = min(max(both, minFailureShare), 1-minFailureShare)
-	return (e.allNew.failed/n - e.allOld.failed/m) / math.Sqrt(both*(1-both)*(1/n+1/m))
+	pooled := (e.allNew.failed + e.allOld.failed) / (n + m)
+	pooled = min(max(pooled, minFailureShare), 1-minFailureShare)
+	return (e.allNew.failed/n - e.allOld.failed/m) / math.Sqrt(pooled*(1-pooled)*(1/n+1/m))
 }
 
 // Bad implements Comparison.
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -223,9 +223,9 @@
 	if h.fleet.OldRunners > 0 {
 		allowance.Share = min(allowance.Share, 0.5)
 	}
-	more := int(math.Ceil(allowance.Share * a.perSecond * allowanceTTL.Seconds()))
-	left := a.ceiling - a.report.Sent
-	a.ceiling += max(0, min(available, more-left))
+	needed := int(math.Ceil(allowance.Share * a.perSecond * allowanceTTL.Seconds()))
+	remaining := a.ceiling - a.report.Sent
+	a.ceiling += max(0, min(available, needed-remaining))
 	allowance.Ceiling = a.ceiling
 	return allowance
 }
