--- a/coordination/routing/hazard.go
+++ b/coordination/routing/hazard.go
@@ -23,11 +23,13 @@
 	return HazardConfig{PriorRate: 0.05, PriorHours: 4, HalfLife: time.Hour}
 }
 
+// pool identifies the VMs of one class in one failure domain.
 type pool struct {
 	domain ident.FailureDomain
 	class  string
 }
 
+// exposure holds the number of VMs in a pool, and its reclaims and VM hours with decay.
 type exposure struct {
 	vms       int
 	reclaims  float64
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -197,6 +197,7 @@
 	return prefix.Set{}, errNotLoaded
 }
 
+// matchPrefix finds the slots that have cached a part of the request's prefix.
 func (t *Table) matchPrefix(r *Request) {
 	t.depths.Held, t.depths.Deepest = prefix.Set{}, prefix.Set{}
 	if !t.cfg.IgnorePrefix {
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -52,6 +52,7 @@
 	price  float64
 }
 
+// sumChangesSinceReport recomputes the sums of the own changes after the last report of slot i.
 func (t *Table) sumChangesSinceReport(i int) {
 	s := &t.slots[i]
 	s.sincePrefill, s.sinceKV, s.sinceRequests = 0, 0, 0
@@ -65,6 +66,7 @@
 	}
 }
 
+// recordChange applies an own change to the load of slot i and keeps it for later reports.
 func (t *Table) recordChange(i int, c change) {
 	log := &t.logs[i]
 	log.entries[log.next] = c
--- a/coordination/routing/subset.go
+++ b/coordination/routing/subset.go
@@ -10,6 +10,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
+// ranked is one runner of a list with its rendezvous hash.
 type ranked struct {
 	// index is the runner's position in the list.
 	index int
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -78,8 +78,11 @@
 	}
 }
 
+// slot holds what the table knows of one runner.
 type slot struct {
-	used  bool
+	used bool
+	// epoch changes whenever the slot gets another runner, so that choices and tickets for the
+	// earlier runner have no effect.
 	epoch uint32
 	// hash is the hash of the runner's ID.
 	hash        uint64
@@ -101,8 +104,10 @@
 	hazard        float64
 }
 
+// modelKey identifies a model or, if adapter is not empty, one of its adapters.
 type modelKey struct{ model, adapter string }
 
+// loadedSlots are the slots that have loaded a model: in a wanted version or in another one.
 type loadedSlots struct{ wanted, other prefix.Set }
 
 // Table routes the requests of one service. It is not safe for concurrent use.
--- a/coordination/routing/ticket.go
+++ b/coordination/routing/ticket.go
@@ -6,6 +6,7 @@
 	"geraniumstack.org/geraniumstack/state/prefix"
 )
 
+// phase is the progress of a dispatched request.
 type phase uint8
 
 const (
