--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -113,9 +113,9 @@
 	return t.choice(best, r), nil
 }
 
-// Choose returns the Choice for a runner that the caller has already selected. It
+// ChoiceFor returns the Choice for a runner that the caller has already selected. It
 // returns false if the runner is not in the table.
-func (t *Table) Choose(id ident.RunnerID, r *Request) (Choice, bool) {
+func (t *Table) ChoiceFor(id ident.RunnerID, r *Request) (Choice, bool) {
 	i, ok := t.byID[id]
 	if !ok {
 		return Choice{}, false
@@ -197,6 +197,7 @@
 	return prefix.Set{}, errNotLoaded
 }
 
+// matchPrefix finds the slots that have cached a part of the request's prefix.
 func (t *Table) matchPrefix(r *Request) {
 	t.depths.Held, t.depths.Deepest = prefix.Set{}, prefix.Set{}
 	if !t.cfg.IgnorePrefix {
