--- a/bench/overload/workload.go
+++ b/bench/overload/workload.go
@@ -148,11 +148,11 @@
 // blocks makes the prompt's block hashes without any text.
 func blocks(r *request, file int) []uint64 {
 	k := r.kind
-	hash := prefixhash.RootHash(model, fmt.Sprint(r.tenant, k.class))
+	hash := prefixhash.Root(model, fmt.Sprint(r.tenant, k.class))
 	chain := make([]uint64, 0, k.shared+k.file+k.own)
 	add := func(n int, name string) {
 		for i := range n {
-			hash = prefixhash.NextBlockHash(hash, []string{name, fmt.Sprint(i)})
+			hash = prefixhash.Next(hash, []string{name, fmt.Sprint(i)})
 			chain = append(chain, hash)
 		}
 	}
--- a/daemon/dispatch/grant.go
+++ b/daemon/dispatch/grant.go
@@ -48,7 +48,7 @@
 
 // newGrant works out what the decisions need of a request.
 func newGrant(r call.ModelRequest, class *manifest.Class) *grant {
-	hashes, tokens := prefixhash.PromptHashes(r.Model, r.Adapter, r.Prompt)
+	hashes, tokens := prefixhash.Prompt(r.Model, r.Adapter, r.Prompt)
 	return &grant{
 		class:    class.Name,
 		accepted: class.Deferrable || r.Async,
--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -74,14 +74,14 @@
 	}
 	s.table = routing.New(r)
 	a := cfg.Policy.Admission
-	a.OnRefusal = func(reason refusal.Reason, ws ident.Workspace, class string) {
+	a.Count = func(reason refusal.Reason, ws ident.Workspace, class string) {
 		cfg.count(name, "refused."+string(reason)+"."+class)
 		cfg.count(name, "refused_by_workspace."+string(ws))
 	}
 	s.admission = admission.New(a)
 	t := cfg.Policy.Retry
 	t.Seed = cfg.Seed
-	t.OnDecision = func(reason retry.Reason, v retry.Verdict) {
+	t.Count = func(reason retry.Reason, v retry.Verdict) {
 		cfg.count(name, "retry."+string(reason)+"."+string(v))
 	}
 	s.retry = retry.New(t)
--- a/daemon/services/services.go
+++ b/daemon/services/services.go
@@ -237,7 +237,7 @@
 		v = &service{health: health.New(s.cfg.Health), ejected: map[ident.RunnerID]bool{}, inFlight: map[ident.RunnerID]int{}}
 		cfg := s.cfg.Retry
 		cfg.Seed = s.cfg.Seed
-		cfg.OnDecision = func(reason retry.Reason, verdict retry.Verdict) {
+		cfg.Count = func(reason retry.Reason, verdict retry.Verdict) {
 			s.count(name, "retry."+string(reason)+"."+string(verdict))
 		}
 		v.retry = retry.New(cfg)
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -96,9 +96,9 @@
 	RateBurst time.Duration
 	// MaxRetryAfter is the longest retry delay that a refusal asks for.
 	MaxRetryAfter time.Duration
-	// OnRefusal is called with the reason, the workspace and the class of every
+	// Count is called with the reason, the workspace and the class of every
 	// refusal. It may be nil.
-	OnRefusal func(refusal.Reason, ident.Workspace, string)
+	Count func(refusal.Reason, ident.Workspace, string)
 }
 
 // Default returns the policy used in production; docs/design/limits.md gives
@@ -492,8 +492,8 @@
 }
 
 func (c *Controller) refuse(dst []Effect, it Item, waited time.Duration, r *refusal.Refusal) []Effect {
-	if c.cfg.OnRefusal != nil {
-		c.cfg.OnRefusal(r.Reason, it.Workspace, it.Class)
+	if c.cfg.Count != nil {
+		c.cfg.Count(r.Reason, it.Workspace, it.Class)
 	}
 	return append(dst, Effect{Kind: Refuse, ID: it.ID, Refusal: r, Waited: waited})
 }
--- a/protocol/admission/admission_test.go
+++ b/protocol/admission/admission_test.go
@@ -89,7 +89,7 @@
 	is := is.New(t)
 	counted := map[refusal.Reason]int{}
 	c := newTestController(1, manifest.Workspace{Name: "a", Weight: 1})
-	c.cfg.OnRefusal = func(r refusal.Reason, _ ident.Workspace, _ string) { counted[r]++ }
+	c.cfg.Count = func(r refusal.Reason, _ ident.Workspace, _ string) { counted[r]++ }
 	for i := range 5 {
 		c.Offer(start, newItem(ID(i), "a", "chat"), nil)
 	}
--- a/protocol/retry/retry.go
+++ b/protocol/retry/retry.go
@@ -110,8 +110,8 @@
 	Backoffs map[Reason]Backoff
 	Backoff  Backoff
 	Seed     uint64
-	// OnDecision is called for every decision. It may be nil.
-	OnDecision func(Reason, Verdict)
+	// Count is called for every decision. It may be nil.
+	Count func(Reason, Verdict)
 }
 
 // Default returns the policy used in production; docs/design/retries.md gives
@@ -182,8 +182,8 @@
 func (p *Policy) Decide(now time.Time, f Failure) Decision {
 	p.accrue(now)
 	d := p.decide(now, f)
-	if p.cfg.OnDecision != nil {
-		p.cfg.OnDecision(f.Reason, d.Verdict)
+	if p.cfg.Count != nil {
+		p.cfg.Count(f.Reason, d.Verdict)
 	}
 	return d
 }
--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -94,7 +94,7 @@
 		Seed:           OutputSeed(r.Model, r.Prompt),
 		PromptTokens:   prompt,
 		EmittedTokens:  len(r.Emitted),
-		Blocks:         prefixhash.BlockHashes(prefixhash.RootHash(r.Model, r.Adapter), words),
+		Blocks:         prefixhash.Blocks(prefixhash.Root(r.Model, r.Adapter), words),
 		Tail:           words[whole:],
 		MaxTokens:      r.MaxTokens,
 		Priority:       r.Priority,
--- a/standin/engine/core.go
+++ b/standin/engine/core.go
@@ -402,11 +402,11 @@
 	if len(s.tail) < prefixhash.BlockTokens {
 		return
 	}
-	previous := prefixhash.RootHash(s.Model, s.Adapter)
+	previous := prefixhash.Root(s.Model, s.Adapter)
 	if len(s.chain) > 0 {
 		previous = s.chain[len(s.chain)-1]
 	}
-	s.chain = append(s.chain, prefixhash.NextBlockHash(previous, s.tail))
+	s.chain = append(s.chain, prefixhash.Next(previous, s.tail))
 	s.tail = s.tail[:0]
 	c.storeBlocks(s)
 }
--- a/state/prefixhash/prefixhash.go
+++ b/state/prefixhash/prefixhash.go
@@ -21,9 +21,9 @@
 
 var separator = []byte{0}
 
-// RootHash returns the hash before the first block of a prompt. The adapter is
+// Root returns the hash before the first block of a prompt. The adapter is
 // empty if the model is used without one.
-func RootHash(model, adapter string) uint64 {
+func Root(model, adapter string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	writeWord(&d, model)
@@ -31,9 +31,9 @@
 	return d.Sum64()
 }
 
-// NextBlockHash returns the hash of a block from the hash of the previous
+// Next returns the hash of a block from the hash of the previous
 // block.
-func NextBlockHash(previous uint64, words []string) uint64 {
+func Next(previous uint64, words []string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	writeHash(&d, previous)
@@ -43,22 +43,22 @@
 	return d.Sum64()
 }
 
-// BlockHashes returns the hash of every complete block of words.
-func BlockHashes(root uint64, words []string) []uint64 {
+// Blocks returns the hash of every complete block of words.
+func Blocks(root uint64, words []string) []uint64 {
 	blocks := make([]uint64, 0, len(words)/BlockTokens)
 	for len(words) >= BlockTokens {
-		root = NextBlockHash(root, words[:BlockTokens])
+		root = Next(root, words[:BlockTokens])
 		blocks = append(blocks, root)
 		words = words[BlockTokens:]
 	}
 	return blocks
 }
 
-// PromptHashes returns the hash of every complete block of a prompt, and the
+// Prompt returns the hash of every complete block of a prompt, and the
 // length of the prompt in tokens.
-func PromptHashes(model, adapter, prompt string) (blocks []uint64, tokens int) {
+func Prompt(model, adapter, prompt string) (blocks []uint64, tokens int) {
 	var d xxhash.Digest
-	hash := RootHash(model, adapter)
+	hash := Root(model, adapter)
 	for word := range strings.FieldsSeq(prompt) {
 		if tokens%BlockTokens == 0 {
 			d.Reset()
--- a/state/prefixhash/prefixhash_test.go
+++ b/state/prefixhash/prefixhash_test.go
@@ -16,20 +16,20 @@
 	return w
 }
 
-func TestPromptHashesAgreeWithBlockHashes(t *testing.T) {
+func TestPromptAgreesWithBlocks(t *testing.T) {
 	is := is.New(t)
 	w := words(2*BlockTokens+3, "a")
-	blocks, tokens := PromptHashes("m", "", strings.Join(w, "  "))
+	blocks, tokens := Prompt("m", "", strings.Join(w, "  "))
 	is.Equal(tokens, len(w))
-	is.Equal(blocks, BlockHashes(RootHash("m", ""), w))
+	is.Equal(blocks, Blocks(Root("m", ""), w))
 	is.Equal(len(blocks), 2)
 }
 
 func TestHashCoversPrefixModelAndAdapter(t *testing.T) {
 	is := is.New(t)
-	a := BlockHashes(RootHash("m", ""), words(2*BlockTokens, "a"))
-	b := BlockHashes(RootHash("m", ""), words(2*BlockTokens, "b"))
+	a := Blocks(Root("m", ""), words(2*BlockTokens, "a"))
+	b := Blocks(Root("m", ""), words(2*BlockTokens, "b"))
 	is.True(a[1] != b[1]) // same words in the second block, another first one
-	is.True(RootHash("m", "x") != RootHash("m", ""))
-	is.True(RootHash("mx", "") != RootHash("m", "x"))
+	is.True(Root("m", "x") != Root("m", ""))
+	is.True(Root("mx", "") != Root("m", "x"))
 }
