--- a/protocol/action/simulation_test.go
+++ b/protocol/action/simulation_test.go
@@ -126,7 +126,7 @@
 	replyHandlers  map[action.Waiter]func(action.Result)
 	lastWaiter     action.Waiter
 	scheduledTicks map[*action.Owner]time.Time
-	epoch          int
+	openedOwners   int
 	draining       bool
 	cutOff         interval // from the key-value service
 	mistakenlyDown map[ident.Incarnation]interval
@@ -179,10 +179,10 @@
 
 func (n *node) openOwner() {
 	name := n.name
-	if n.epoch > 0 {
-		name = ident.Incarnation(fmt.Sprintf("%s+%d", n.name, n.epoch))
+	if n.openedOwners > 0 {
+		name = ident.Incarnation(fmt.Sprintf("%s+%d", n.name, n.openedOwners))
 	}
-	n.epoch++
+	n.openedOwners++
 	cfg := action.DefaultConfig(name)
 	cfg.TokenLifetime = lifetime
 	cfg.KeyRetention = second
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -477,16 +477,16 @@
 	reserved := c.cfg.ReservedShare * limit
 	for _, o := range c.byPriority {
 		if o.Priority > k.Priority {
-			reserved += max(0, o.expectedPlaces(now, c.cfg.HeadroomDeviations)-float64(o.running))
+			reserved += max(0, o.expectedSlots(now, c.cfg.HeadroomDeviations)-float64(o.running))
 		}
 	}
 	return float64(c.running)+reserved < limit
 }
 
-// expectedPlaces returns the number of places that the class occupies if
+// expectedSlots returns the number of places that the class occupies if
 // everything offered is admitted: the mean plus headroom standard deviations
 // of a Poisson distribution.
-func (k *class) expectedPlaces(now time.Time, headroom float64) float64 {
+func (k *class) expectedSlots(now time.Time, headroom float64) float64 {
 	mean := k.offered.perSecond(now) * k.residence
 	return mean + headroom*math.Sqrt(mean)
 }
