--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -12,6 +12,7 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
+// record is one action in the table of an owner.
 type record struct {
 	id       actionkey.ID
 	bodyHash string
@@ -167,6 +168,8 @@
 	return expired.Unknown()
 }
 
+// atCapacity reports whether the table has no room for the request and the
+// reserve for its answer.
 func (o *Owner) atCapacity(r Request) bool {
 	return len(o.records) >= o.cfg.MaxRecords ||
 		o.bytes+len(r.Call.Body)+o.cfg.AnswerReserve > o.cfg.MaxBytes
@@ -176,6 +179,8 @@
 // the call again with a new key.
 const newKeyRetryAfter = time.Second
 
+// tableFullRefusal refuses a key because the table is full. The refusal says
+// "not executed" only if a tombstone keeps the key from being accepted later.
 func (o *Owner) tableFullRefusal(id actionkey.ID, key actionkey.Key) *refusal.Refusal {
 	refused := refusal.New(refusal.ActionTableFull, "too many actions").After(newKeyRetryAfter)
 	if o.cfg.Fault == FaultNoTombstones || o.tombstones.add(id, key.Expires()) {
@@ -184,6 +189,8 @@
 	return refused.Unknown()
 }
 
+// accept adds the action to the table and starts its journal entry. An action
+// that must not run is settled at once as not executed.
 func (o *Owner) accept(r Request) {
 	key, err := actionkey.Parse(r.ID.Key)
 	if err != nil {
@@ -214,6 +221,8 @@
 	}
 }
 
+// admissionRefusal returns the reason why the action must not run although its
+// key is valid, or nil.
 func (o *Owner) admissionRefusal(r Request) *refusal.Refusal {
 	switch {
 	case r.Inadmissible != nil:
@@ -405,6 +414,8 @@
 	o.dispatch(rec)
 }
 
+// dispatch hands the action over to a runner, unless it was dispatched or
+// settled before or the owner has ended.
 func (o *Owner) dispatch(rec *record) {
 	if rec.state != Received || o.ended {
 		return
@@ -415,6 +426,8 @@
 	o.releaseCall(rec)
 }
 
+// releaseCall frees the memory of the call, which is not needed after the
+// dispatch.
 func (o *Owner) releaseCall(rec *record) {
 	if rec.call == nil {
 		return
@@ -441,6 +454,7 @@
 	o.effects = append(o.effects, &Ended{Owner: o.cfg.Owner})
 }
 
+// settle gives the action its final state and replies to all waiters.
 func (o *Owner) settle(rec *record, s State, r Result) {
 	rec.state = s
 	rec.result = r
@@ -481,6 +495,8 @@
 	o.received = waiting
 }
 
+// expire drops the records whose retention has ended. The record of an action
+// that has no result yet is kept for another KeyRetention.
 func (o *Owner) expire(now time.Time) {
 	o.tombstones.expire(now)
 	ms := now.UnixMilli()
--- a/protocol/action/record.go
+++ b/protocol/action/record.go
@@ -10,6 +10,7 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
+// stateForResult returns the final state of an action with the given result.
 func stateForResult(r Result) State {
 	switch r.Executed() {
 	case refusal.ExecutedYes:
@@ -21,6 +22,8 @@
 	}
 }
 
+// journalOutcome converts the result of an action to the outcome that is
+// written to the journal.
 func journalOutcome(rec *record) journal.Outcome {
 	out := journal.Outcome{ID: rec.id, BodyHash: rec.bodyHash, Executed: rec.result.Executed()}
 	if refused := rec.result.Refusal; refused != nil {
@@ -58,6 +61,8 @@
 	return Result{Answer: answer}
 }
 
+// answerSize returns the size of the body and the headers of an answer in
+// bytes.
 func answerSize(a call.Answer) int {
 	size := len(a.Body)
 	for _, h := range a.Headers {
--- a/protocol/request/request.go
+++ b/protocol/request/request.go
@@ -234,6 +234,8 @@
 	return next
 }
 
+// requestRunner asks the router for a runner other than those that failed or
+// are leaving.
 func (m *Machine) requestRunner(after Cause) {
 	m.phase = picking
 	m.moveTarget = ""
@@ -253,6 +255,7 @@
 	m.requestRunner("")
 }
 
+// suspend abandons the current attempt. No other attempt starts until resume.
 func (m *Machine) suspend() {
 	if m.phase == running {
 		m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner})
@@ -288,6 +291,8 @@
 	m.generate(now, runner, "")
 }
 
+// generate starts a new attempt at a runner. handle identifies a KV cache that
+// was exported there, if any.
 func (m *Machine) generate(now time.Time, runner ident.RunnerID, handle string) {
 	m.attempts++
 	m.attempt = ident.AttemptID(fmt.Sprintf("%s.%d.%d", m.spec.ID, m.spec.Epoch, m.attempts))
@@ -332,6 +337,8 @@
 	return m.answer.Offset() == 0 || m.failures >= m.limits.MaxFailures
 }
 
+// waitForCapacity delays the next request for a runner with exponential
+// backoff, at least by the given time if BackoffMax allows it.
 func (m *Machine) waitForCapacity(now time.Time, atLeast time.Duration) {
 	m.backoff = min(max(m.backoff*2, m.limits.BackoffMin), m.limits.BackoffMax)
 	m.phase = waiting
@@ -398,6 +405,8 @@
 	m.handleRunnerFailure(now, cause)
 }
 
+// handleRunnerFailure excludes the current runner and continues at another
+// one, waits, or ends the request once MaxFailures is reached.
 func (m *Machine) handleRunnerFailure(now time.Time, cause Cause) {
 	m.reopens = 0
 	m.excluded = append(m.excluded, m.runner)
@@ -457,6 +466,7 @@
 	m.switchTo(now, in.Target, in.Handle, cause)
 }
 
+// switchTo abandons the current attempt and starts another one at the target.
 func (m *Machine) switchTo(now time.Time, target ident.RunnerID, handle string, cause Cause) {
 	m.emit(AbandonAttempt{Attempt: m.attempt, Runner: m.runner, Cause: cause})
 	m.reopens = 0
--- a/state/prefix/index.go
+++ b/state/prefix/index.go
@@ -137,6 +137,8 @@
 	return x.lostEvents[slot]
 }
 
+// resetSlot clears the slot and sets its cursor after a gap in the sequence
+// numbers.
 func (x *Index) resetSlot(slot int, cursor, lost uint64) error {
 	x.Clear(slot)
 	x.cursor[slot] = cursor
@@ -190,6 +192,8 @@
 	}
 }
 
+// removeSlot removes the slot from an entry, and the entry if no other slot
+// holds its prefix.
 func (x *Index) removeSlot(i int32, slot int) {
 	e := &x.entries[i]
 	e.set = e.set.Without(slot)
@@ -198,6 +202,8 @@
 	}
 }
 
+// allocate returns an unused entry for the prefix. If the index is full, it
+// drops the entry that has not changed for the longest time.
 func (x *Index) allocate(h Hash) int32 {
 	if x.freeList == noEntry && len(x.entries) == cap(x.entries) {
 		x.remove(x.oldest)
@@ -221,6 +227,7 @@
 	x.freeList = i
 }
 
+// link makes the entry the most recently changed one.
 func (x *Index) link(i int32) {
 	e := &x.entries[i]
 	e.newer, e.older = noEntry, x.newest
