--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -49,8 +49,8 @@
 	lastHeard time.Duration
 	// primary is true if the follower's work is counted by this relay.
 	primary bool
-	// includedSeq is the sequence number of the follower's message whose loads the sums
-	// include.
+	// includedSeq is the sequence number of the follower's latest message whose loads are
+	// included in the sums that this relay sends.
 	includedSeq uint64
 	// feedRevision is the revision of the key-value service up to which the follower is up to
 	// date.
@@ -71,7 +71,7 @@
 	e.limiter.SetExpectedDaemons(now, e.quotaSharers(now))
 	e.limiter.SetIsolatedParts(e.isolatedQuotaParts(now))
 	e.limiter.Tick(now)
-	e.usageBook.Tick(e.wallClock.At(now))
+	e.usageLedger.Tick(e.wallClock.At(now))
 	e.refreshPhase(now)
 }
 
@@ -96,9 +96,9 @@
 	case previous.Relay && !e.relayPlan.Relay, previous.Direct && !e.relayPlan.Direct:
 		e.demotionRecipients, e.demotionSendsLeft = previous.OtherRelays, demotionRepeats
 	}
-	relaysChanged := !slices.Equal(e.relayPlan.Followed, previous.Followed)
-	e.relaysChanged = e.relaysChanged || relaysChanged
-	if e.relayPlan.Relay != previous.Relay || relaysChanged {
+	followedRelaysChanged := !slices.Equal(e.relayPlan.Followed, previous.Followed)
+	e.relaysChanged = e.relaysChanged || followedRelaysChanged
+	if e.relayPlan.Relay != previous.Relay || followedRelaysChanged {
 		var followed []ident.Incarnation
 		for _, r := range e.relayPlan.Followed {
 			followed = append(followed, r.Incarnation)
