--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -99,15 +99,15 @@
 	if from == sourceFollower {
 		e.recommended.reported(h.PeerAddress, now-minMessageAge)
 	}
-	heard := peerLoad{receivedAt: now, runnerLoads: loads, follower: from == sourceFollower, includedSeq: h.IncludedSeq}
+	load := peerLoad{receivedAt: now, runnerLoads: loads, follower: from == sourceFollower, includedSeq: h.IncludedSeq}
 	for _, o := range h.Offered {
 		e.reported.receiveOffered(now, id, o, from, !e.directMode.Load())
 	}
 	if from == sourcePrimary {
-		e.reported.total = heard
+		e.reported.total = load
 		return
 	}
-	e.reported.byDaemon[id] = heard
+	e.reported.byDaemon[id] = load
 }
 
 func (t *peerLoadTable) receiveOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from workSource, relayed bool) {
--- a/daemon/edge/storesync.go
+++ b/daemon/edge/storesync.go
@@ -283,12 +283,12 @@
 // watchTimeout returns the timeout of the next watch. A change ends the watches of all daemons
 // at the same time. So that their next empty answers arrive one after the other, each daemon
 // then first uses a timeout by its position in the order of names.
-func (e *Edge) watchTimeout(together bool) time.Duration {
+func (e *Edge) watchTimeout(sawChanges bool) time.Duration {
 	if !e.allWatch.Load() {
 		return relayWatchTimeout
 	}
 	place, size := e.rank()
-	if together {
+	if sawChanges {
 		size = place + 1
 	}
 	return min(maxWatchTimeout, watchTimeoutPerDaemon*time.Duration(size))
