--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -161,7 +161,7 @@
 			Length: settings.Bounds.UsageWindow, Due: settings.Bounds.UsageDue, Settle: accounting.SettleAfter,
 		}),
 		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FirstStart),
-		// Each daemon begins at its own name, so that all daemons together have sent the counts
+		// Each daemon begins at its own ID, so that all daemons together have sent the counts
 		// of all ended daemons within a few messages.
 		lastEndedSent: self,
 		pools:         map[string]*pool{},
--- a/daemon/edge/storesync.go
+++ b/daemon/edge/storesync.go
@@ -282,7 +282,7 @@
 
 // watchTimeout returns the timeout of the next watch. A change ends the watches of all daemons
 // at the same time. So that their next empty answers arrive one after the other, each daemon
-// then first uses a timeout by its position in the order of names.
+// then first uses a timeout by its position in the order of IDs.
 func (e *Edge) watchTimeout(sawChanges bool) time.Duration {
 	if !e.allWatch.Load() {
 		return relayWatchTimeout
@@ -294,7 +294,7 @@
 	return min(maxWatchTimeout, watchTimeoutPerDaemon*time.Duration(size))
 }
 
-// rank returns this daemon's position in the order of names among the daemons that watch, and
+// rank returns this daemon's position in the order of IDs among the daemons that watch, and
 // their number.
 func (e *Edge) rank() (place, size int) {
 	e.mu.Lock()
@@ -302,7 +302,7 @@
 	return placeAmong(e.settings.ID, e.relayPlan.OtherWatchers)
 }
 
-// placeAmong returns a daemon's position in the order of names among others, and the number of
+// placeAmong returns a daemon's position in the order of IDs among others, and the number of
 // all of them including the daemon.
 func placeAmong(self ident.DaemonID, others []peers.Member) (place, size int) {
 	for _, m := range others {
