--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -53,6 +53,7 @@
 	decayedAt time.Duration
 }
 
+// evidence is what the answers of one series show.
 type evidence struct {
 	// answers and failed count the old version's answers, with decay; times is the
 	// histogram of their durations.
--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -7,7 +7,7 @@
 
 const (
 	// allowanceTTL is how long an allowance is valid after it was asked for. A verdict is in
-	// force on all daemons after this time, even on those that have not heard of it.
+	// force on all daemons after this time, even on those that have not received it.
 	allowanceTTL = time.Second
 	// preferNewFor is how long after an order was completed the old runners are still used
 	// as a last resort. They are being stopped, and their directory entries expire meanwhile.
@@ -40,7 +40,8 @@
 	// completedAt is when the gate learned that the order is completed.
 	completedAt time.Duration
 	// sent counts the requests sent to the new version while Running, total all requests.
-	sent, total  int
+	sent, total int
+	// reportNumber and reportedAt are the number and time of the latest report.
 	reportNumber uint64
 	reportedAt   time.Duration
 	allowance    Allowance
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -72,7 +72,8 @@
 	grantedBefore int
 	burstOpen     bool
 	// unwritten is set until the first record of the order has been written.
-	unwritten  bool
+	unwritten bool
+	// promotedAt is when this holder first saw the order as Promoting; negative before.
 	promotedAt time.Duration
 	fleet      Fleet
 	// badReason and badSeries are the reason for a verdict against the new version and the
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -155,7 +155,7 @@
 
 func (p *simulation) self() string { return fmt.Sprint("holder-", p.holders) }
 
-// replaceHoldersAndDaemons replaces the holder and restarts daemons when their time has come.
+// replaceHoldersAndDaemons replaces the holder at the times in holderEnds and restarts random daemons.
 func (p *simulation) replaceHoldersAndDaemons() {
 	if len(p.holderEnds) > 0 && p.now >= p.holderEnds[0] {
 		p.holderEnds = p.holderEnds[1:]
