--- a/coordination/config/follower.go
+++ b/coordination/config/follower.go
@@ -59,10 +59,13 @@
 type Follower struct {
 	inForce  Accepted
 	manifest *manifest.Manifest
-	wanted   Accepted
+	// wanted is the accepted configuration whose sections are being fetched.
+	wanted Accepted
+	// rejected is the latest generation that this program can't read.
 	rejected ident.Generation
 	sections map[manifest.Hash][]byte
 
+	// sources are the sources that have announced wanted; sourceIndex selects the next one.
 	sources     []string
 	sourceIndex int
 	fetchedAt   time.Time
