--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -115,6 +115,7 @@
 	outcomesSince time.Time
 	seal          *Seal
 
+	// inFlight is the entry that is being written, or nil; the next fields belong to it.
 	inFlight       *Entry
 	inFlightValue  []byte
 	awaitingAnswer bool
@@ -122,6 +123,7 @@
 	inFlightSince  time.Time
 	inFlightExpiry time.Time
 
+	// writeTokens is the content of the token bucket at time writeTokensAt.
 	writeTokens   float64
 	writeTokensAt time.Time
 	floor         int64
@@ -314,6 +316,7 @@
 	w.inFlightValue = mustEncode(e)
 }
 
+// refill adds the tokens for the time since the last call to the token bucket.
 func (w *Writer) refill(now time.Time) {
 	added := now.Sub(w.writeTokensAt).Seconds() * w.cfg.WritesPerSecond
 	if added <= 0 {
