--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -213,7 +213,8 @@
 	models  []manifest.Model
 	runners []Runner
 	// targets holds the result of Targets for each of models.
-	targets  []map[ident.RunnerID]string
+	targets []map[ident.RunnerID]string
+	// changing holds the runners that are loading or changing their role, or are about to.
 	changing map[ident.RunnerID]bool
 	orders   []Order
 }
@@ -345,6 +346,8 @@
 	return Order{}, false
 }
 
+// addIfAllowed adds an order unless its runner is changing, limit runners are changing, or the
+// order must not be repeated yet.
 func (t *planning) addIfAllowed(o Order, limit int) {
 	if t.changing[o.Runner] || len(t.changing) >= limit || t.delayed(o) {
 		return
@@ -353,6 +356,7 @@
 	t.orders = append(t.orders, o)
 }
 
+// delayed reports whether an order must not be given or repeated yet.
 func (t *planning) delayed(o Order) bool {
 	s, ok := t.p.orders[o]
 	return ok && t.now < s.retryAt
