--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -89,6 +89,7 @@
 	phaseVerifying
 )
 
+// runner is the health of one runner. phaseEnd is when its ejection ends or its probe times out.
 type runner struct {
 	phase       phase
 	consecutive int
