--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -204,6 +204,8 @@
 	return rest
 }
 
+// orderFirst returns the comparison result that sorts the first of two streams before the second if
+// first is set, and after it otherwise.
 func orderFirst(first bool) int {
 	if first {
 		return -1
@@ -253,6 +255,7 @@
 	return bestTarget
 }
 
+// betterTarget reports whether target a suits the stream better than target b.
 func betterTarget(s Stream, a, b *targetState) bool {
 	order := cmp.Or(
 		cmp.Compare(s.CachedAt[b.Runner], s.CachedAt[a.Runner]),
