--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -211,6 +211,7 @@
 	}
 }
 
+// reset ends the holding or the attempt to acquire it.
 func (m *Machine) reset(now time.Duration) {
 	m.state = Idle
 	if m.stopping {
