--- a/coordination/accounting/coverage.go
+++ b/coordination/accounting/coverage.go
@@ -13,7 +13,7 @@
 // third daemon may be older than the end of the daemon that they belong to. The zero value
 // is ready to use and covers no daemon.
 type Coverage struct {
-	lastTold map[ident.Incarnation]time.Duration
+	lastReceived map[ident.Incarnation]time.Duration
 	// ended is when daemons ended that have not been heard since.
 	ended map[ident.Incarnation]time.Duration
 }
@@ -30,10 +30,10 @@
 
 // ReceiveRelayed records that the relay that a daemon follows sent the daemon's counts.
 func (c *Coverage) ReceiveRelayed(now time.Duration, id ident.Incarnation) {
-	if c.lastTold == nil {
-		c.lastTold = map[ident.Incarnation]time.Duration{}
+	if c.lastReceived == nil {
+		c.lastReceived = map[ident.Incarnation]time.Duration{}
 	}
-	c.lastTold[id] = now
+	c.lastReceived[id] = now
 }
 
 // PeerEnded records that a daemon has ended.
@@ -45,7 +45,7 @@
 	for former, at := range c.ended {
 		if now-at > rememberEndedFor {
 			delete(c.ended, former)
-			delete(c.lastTold, former)
+			delete(c.lastReceived, former)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 func (c *Coverage) InTransit(now, within, since time.Duration) []ident.Incarnation {
 	var inTransit []ident.Incarnation
 	for id, at := range c.ended {
-		if now-at < within && !c.toldSince(id, since) {
+		if now-at < within && !c.receivedSince(id, since) {
 			inTransit = append(inTransit, id)
 		}
 	}
@@ -64,8 +64,8 @@
 	return inTransit
 }
 
-func (c *Coverage) toldSince(id ident.Incarnation, since time.Duration) bool {
-	at, ok := c.lastTold[id]
+func (c *Coverage) receivedSince(id ident.Incarnation, since time.Duration) bool {
+	at, ok := c.lastReceived[id]
 	return ok && at >= since
 }
 
@@ -74,7 +74,7 @@
 func (c *Coverage) Missing(ids []ident.Incarnation, since time.Duration) []ident.Incarnation {
 	var missing []ident.Incarnation
 	for _, id := range ids {
-		if _, ended := c.ended[id]; ended || !c.toldSince(id, since) {
+		if _, ended := c.ended[id]; ended || !c.receivedSince(id, since) {
 			missing = append(missing, id)
 		}
 	}
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -254,8 +254,8 @@
 		b.budgetEnds = now + BudgetInterval
 		b.budget = b.level
 		if n := l.daemonCount(); n > 1 {
-			minBudget := minRateShare * min(1, fullMinShareDaemons/float64(n))
-			b.budget = max(need, b.level*l.budgetShare(now, ws, b), minBudget*BudgetInterval.Seconds()*l.rate(b.limit))
+			minShare := minRateShare * min(1, fullMinShareDaemons/float64(n))
+			b.budget = max(need, b.level*l.budgetShare(now, ws, b), minShare*BudgetInterval.Seconds()*l.rate(b.limit))
 		}
 	}
 	if b.budget < need {
