--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -85,6 +85,8 @@
 	return c.Reclaimable || !f.target.ReclaimsOnly
 }
 
+// addCheapest adds VMs from the cheapest candidates until the allocation holds total VMs,
+// perDomain VMs in a failure domain, or atRisk VMs that are lost with their domain.
 func (f *allocation) addCheapest(total, perDomain, atRisk int) {
 	for i := range f.list {
 		c := &f.list[i]
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -97,6 +97,8 @@
 	return kept
 }
 
+// allowedMoves returns the starts that may be made now to move the fleet towards the cheaper
+// plan: none until SurplusHold has passed, then at most MaxMoves at a time.
 func (t *planningRound) allowedMoves(starts []Start) []Start {
 	if !t.p.hasMoves {
 		t.p.hasMoves = true
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -104,6 +104,7 @@
 	CostPerHour float64
 }
 
+// poolState holds the refusals and reclaims recorded for a pool.
 type poolState struct {
 	refusals     int
 	backoffUntil time.Duration
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -74,6 +74,7 @@
 	return t.revision != before
 }
 
+// apply merges all that a message contains.
 func (t *Table) apply(now time.Time, m Message) {
 	if m.From.Incarnation == t.self.Incarnation {
 		return
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -83,6 +83,7 @@
 	Seq uint64
 }
 
+// entry is what this daemon knows of another daemon.
 type entry struct {
 	Member
 	// seq is the number of the last message received directly, memberSeq that of the
@@ -213,6 +214,8 @@
 	return r.Incarnation == t.self.Incarnation || r.Incarnation == "" || t.hasEnded(now, r.Member)
 }
 
+// mergeRow updates or adds the daemon of a row. It returns the incarnations that have ended
+// because a newly added one listens at their address.
 func (t *Table) mergeRow(now time.Duration, r Row) []ident.Incarnation {
 	e, known := t.entries[r.Incarnation]
 	if known {
@@ -243,6 +246,7 @@
 	return false
 }
 
+// removeReplaced removes all other incarnations at the address of m and returns them.
 func (t *Table) removeReplaced(m Member) []ident.Incarnation {
 	var ended []ident.Incarnation
 	for id, e := range t.entries {
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -135,6 +135,7 @@
 	return r.amount * math.Exp(-(now-r.at).Seconds()/usageDecay.Seconds())
 }
 
+// peerState is what this daemon knows of another daemon.
 type peerState struct {
 	lastHeard time.Duration
 	taken     map[ident.Workspace]float64
@@ -226,8 +227,8 @@
 }
 
 // Take takes cost out of the workspace's bucket and returns true. If the bucket or this
-// daemon's budget holds too little, Take changes nothing and returns false with the time
-// after which a retry may succeed.
+// daemon's budget holds too little, Take takes nothing and returns false with the time after
+// which a retry may succeed.
 func (l *Limiter) Take(now time.Duration, ws ident.Workspace, cost float64) (time.Duration, bool) {
 	b := l.bucket(ws)
 	if b.limit.PerSecond <= 0 {
@@ -383,6 +384,7 @@
 // daemon hears no other; its own part is included. Zero ends the division.
 func (l *Limiter) SetIsolatedParts(parts int) { l.isolatedParts = parts }
 
+// record adds amount to the recent use of the workspace by the peer.
 func (p *peerState) record(now time.Duration, ws ident.Workspace, amount float64) {
 	recentUsage, ok := p.recentUsage[ws]
 	if !ok {
