--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -58,55 +58,55 @@
 	Dispatch time.Duration
 	// Poll is how long an owner may keep a forwarded call waiting.
 	Poll time.Duration
-	// Slack is how much later than Poll a connection counts as silent.
-	Slack time.Duration
+	// PollGrace is how much later than Poll a connection counts as silent.
+	PollGrace time.Duration
 	// Call bounds calls without a deadline of their own.
 	Call time.Duration
-	// Settle is how long after its start a daemon doesn't conclude from its
+	// StartupGrace is how long after its start a daemon doesn't conclude from its
 	// directory that an owner is gone.
-	Settle time.Duration
+	StartupGrace time.Duration
 	// Seal is how long a drain waits for its seal.
 	Seal time.Duration
-	// Retry is the pause before a peer or the service is tried again.
-	Retry time.Duration
-	// Look is the mean pause between looks at which daemons issue tokens.
-	Look time.Duration
-	// Refresh is the longest time until a fetched token is fetched anew.
-	Refresh time.Duration
-	// Fetch bounds the fetch of a token from one owner.
-	Fetch time.Duration
+	// RetryPause is the pause before a peer or the service is tried again.
+	RetryPause time.Duration
+	// TokenCheckInterval is the mean pause between looks at which daemons issue tokens.
+	TokenCheckInterval time.Duration
+	// TokenRefresh is the longest time until a fetched token is fetched anew.
+	TokenRefresh time.Duration
+	// TokenFetch bounds the fetch of a token from one owner.
+	TokenFetch time.Duration
 }
 
 // DefaultTimes suits failure domains a few milliseconds apart.
 func DefaultTimes() Times {
 	return Times{
-		Store:    time.Second,
-		Dispatch: 30 * time.Second,
-		Poll:     time.Second,
-		Slack:    500 * time.Millisecond,
-		Call:     30 * time.Second,
-		Settle:   5 * time.Second,
-		Seal:     2 * time.Second,
-		Retry:    200 * time.Millisecond,
-		Look:     400 * time.Millisecond,
-		Refresh:  2 * time.Second,
-		Fetch:    400 * time.Millisecond,
+		Store:              time.Second,
+		Dispatch:           30 * time.Second,
+		Poll:               time.Second,
+		PollGrace:          500 * time.Millisecond,
+		Call:               30 * time.Second,
+		StartupGrace:       5 * time.Second,
+		Seal:               2 * time.Second,
+		RetryPause:         200 * time.Millisecond,
+		TokenCheckInterval: 400 * time.Millisecond,
+		TokenRefresh:       2 * time.Second,
+		TokenFetch:         400 * time.Millisecond,
 	}
 }
 
 // Service implements call.Actions.
 type Service struct {
-	cfg      Config
-	start    time.Time
-	clock    *clock
-	counters *counters
-	logs     logCache
-	sealing  singleflight.Group
-	granting singleflight.Group
-	seals    *rate.Limiter
-	lease    dayLease
-	draining drainOnce
-	tokens   tokenSource
+	cfg         Config
+	start       time.Time
+	clock       *clock
+	counters    *counters
+	logs        logCache
+	sealGroup   singleflight.Group
+	leaseGroup  singleflight.Group
+	sealLimiter *rate.Limiter
+	lease       sharedLease
+	draining    drainOnce
+	tokens      tokenSource
 
 	ctx   context.Context
 	stop  context.CancelFunc
@@ -144,27 +144,27 @@
 		cfg.Peers = &http.Client{Transport: &http.Transport{IdleConnTimeout: time.Minute}}
 	}
 	s := &Service{
-		cfg:      cfg,
-		start:    time.Now(),
-		clock:    newClock(),
-		counters: &counters{registry: cfg.Metrics},
-		seals:    rate.NewLimiter(sealsPerSecond, sealBurst),
-		wake:     make(chan struct{}, 1),
-		owners:   map[ident.Incarnation]*action.Owner{},
-		adopted:  map[ident.Incarnation]*action.AdoptedTable{},
-		waiters:  map[action.Waiter]chan action.Result{},
+		cfg:         cfg,
+		start:       time.Now(),
+		clock:       newClock(),
+		counters:    &counters{registry: cfg.Metrics},
+		sealLimiter: rate.NewLimiter(sealsPerSecond, sealBurst),
+		wake:        make(chan struct{}, 1),
+		owners:      map[ident.Incarnation]*action.Owner{},
+		adopted:     map[ident.Incarnation]*action.AdoptedTable{},
+		waiters:     map[action.Waiter]chan action.Result{},
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	s.open()
+	s.startOwner()
 	return s
 }
 
 func (s *Service) now() time.Time { return s.clock.now() }
 
-// open starts the next owner of this daemon. The first bears the daemon's
+// startOwner starts the next owner of this daemon. The first bears the daemon's
 // incarnation; one whose log another daemon sealed by mistake is followed by
 // one with a new name, since a sealed log is over for good.
-func (s *Service) open() {
+func (s *Service) startOwner() {
 	name := s.cfg.Self
 	if s.epoch > 0 {
 		name = ident.Incarnation(fmt.Sprintf("%s%s%d", s.cfg.Self, epochSeparator, s.epoch))
@@ -180,14 +180,14 @@
 func (s *Service) Run(ctx context.Context) error {
 	defer s.tasks.Wait()
 	defer s.stop()
-	s.tasks.Go(func() { s.collectEnded(ctx) })
-	s.tasks.Go(func() { s.keepToken(ctx) })
+	s.tasks.Go(func() { s.collectEndedLogs(ctx) })
+	s.tasks.Go(func() { s.maintainToken(ctx) })
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			s.close()
+			s.stopSpawning()
 			return nil
 		case <-timer.C:
 		case <-s.wake:
@@ -196,8 +196,8 @@
 	}
 }
 
-// close keeps go from starting tasks while Run waits for them.
-func (s *Service) close() {
+// stopSpawning keeps go from starting tasks while Run waits for them.
+func (s *Service) stopSpawning() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -222,7 +222,7 @@
 	now := s.now()
 	wait := idleTick
 	for name, o := range s.owners {
-		s.carryOut(o, o.Tick(now))
+		s.performEffects(o, o.Tick(now))
 		if o.Ended() && o.Len() == 0 && o != s.current {
 			delete(s.owners, name)
 			continue
@@ -239,39 +239,39 @@
 	return wait
 }
 
-func (s *Service) nudge() {
+func (s *Service) requestTick() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// apply carries effects out and lets Run look again at when it is due; s.mu
+// applyEffects carries effects out and lets Run look again at when it is due; s.mu
 // must be held.
-func (s *Service) apply(o *action.Owner, effects []action.Effect) {
-	s.carryOut(o, effects)
-	s.nudge()
+func (s *Service) applyEffects(o *action.Owner, effects []action.Effect) {
+	s.performEffects(o, effects)
+	s.requestTick()
 }
 
-func (s *Service) carryOut(o *action.Owner, effects []action.Effect) {
+func (s *Service) performEffects(o *action.Owner, effects []action.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case *action.Reply:
-			s.deliver(e)
+			s.deliverReply(e)
 		case *action.Dispatch:
 			s.countDispatch(e)
-			s.spawn(func() { s.dispatch(o, e) })
+			s.spawn(func() { s.dispatchAction(o, e) })
 		case *action.Write:
-			s.spawn(func() { s.write(o, e.Write) })
+			s.spawn(func() { s.writeEntry(o, e.Write) })
 		case *action.Collect:
-			s.spawn(func() { s.collect(o, e.Collect) })
+			s.spawn(func() { s.collectEntry(o, e.Collect) })
 		case *action.Ended:
-			s.ended(o)
+			s.onOwnerEnded(o)
 		}
 	}
 }
 
-func (s *Service) deliver(r *action.Reply) {
+func (s *Service) deliverReply(r *action.Reply) {
 	ch, ok := s.waiters[r.Waiter]
 	if !ok {
 		return
@@ -288,26 +288,26 @@
 	s.counters.inc(dispatchedUnjournaled)
 }
 
-func (s *Service) ended(o *action.Owner) {
+func (s *Service) onOwnerEnded(o *action.Owner) {
 	s.counters.inc(ownerSealed)
-	if o == s.current && !s.draining.begun() {
-		s.open()
+	if o == s.current && !s.draining.started() {
+		s.startOwner()
 	}
 }
 
-// dispatch sends an action and takes its result in.
-func (s *Service) dispatch(o *action.Owner, d *action.Dispatch) {
+// dispatchAction sends an action and takes its result in.
+func (s *Service) dispatchAction(o *action.Owner, d *action.Dispatch) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Dispatch)
 	defer cancel()
-	result := s.send(ctx, d)
+	result := s.sendToRunners(ctx, d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(o, o.Finished(s.now(), d.ID, result))
+	s.applyEffects(o, o.Finished(s.now(), d.ID, result))
 }
 
-// write creates a journal entry. An error other than a conflict leaves it open
+// writeEntry creates a journal entry. An error other than a conflict leaves it open
 // whether the entry stands; the writer sends it again under the same index.
-func (s *Service) write(o *action.Owner, w journal.Write) {
+func (s *Service) writeEntry(o *action.Owner, w journal.Write) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Store)
 	defer cancel()
 	key := journal.EntryKey(o.Incarnation(), w.Index)
@@ -315,14 +315,14 @@
 	revision, err := s.cfg.Store.CompareAndSwap(ctx, key, 0, w.Value, 0)
 	written := journal.Written{Index: w.Index, Revision: uint64(revision)}
 	if err != nil {
-		written = s.failedWrite(w, err)
+		written = s.classifyWriteError(w, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(o, o.Written(s.now(), written))
+	s.applyEffects(o, o.Written(s.now(), written))
 }
 
-func (s *Service) collect(o *action.Owner, c journal.Collect) {
+func (s *Service) collectEntry(o *action.Owner, c journal.Collect) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Store)
 	defer cancel()
 	s.counters.inc(journalDeletes)
@@ -330,12 +330,12 @@
 	if err := s.cfg.Store.Delete(ctx, key, kv.Revision(c.Revision)); err != nil {
 		s.counters.inc(journalDeleteFailed)
 	}
-	s.nudge()
+	s.requestTick()
 }
 
 // Execute runs the call at most once for its workspace and key.
 func (s *Service) Execute(ctx context.Context, c call.ServiceCall) (call.Answer, error) {
-	ctx, cancel := s.bound(ctx, c.Deadline)
+	ctx, cancel := s.withDeadline(ctx, c.Deadline)
 	defer cancel()
 	result := s.execute(ctx, c)
 	s.counters.result(result)
@@ -345,7 +345,7 @@
 	return result.Answer, nil
 }
 
-func (s *Service) bound(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
+func (s *Service) withDeadline(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	if deadline.IsZero() {
 		return context.WithTimeout(ctx, s.cfg.Times.Call)
 	}
@@ -368,7 +368,7 @@
 	}
 	id := actionkey.ID{Workspace: c.Workspace, Key: key}
 	if s.owns(parsed.Owner) {
-		result, _ := s.run(ctx, parsed.Owner, id, c, 0)
+		result, _ := s.submitAndWait(ctx, parsed.Owner, id, c, 0)
 		return result
 	}
 	return s.forward(ctx, parsed.Owner, id, c)
@@ -383,9 +383,9 @@
 	return ok
 }
 
-// run submits a call to an owner of this daemon and waits for its result. With
+// submitAndWait submits a call to an owner of this daemon and waits for its result. With
 // a positive poll it waits no longer than that and may return pending.
-func (s *Service) run(ctx context.Context, owner ident.Incarnation, id actionkey.ID, c call.ServiceCall,
+func (s *Service) submitAndWait(ctx context.Context, owner ident.Incarnation, id actionkey.ID, c call.ServiceCall,
 	poll time.Duration) (r action.Result, pending bool) {
 	o, w, ch := s.submit(owner, id, c)
 	if o == nil {
@@ -410,7 +410,7 @@
 func (s *Service) submit(owner ident.Incarnation, id actionkey.ID, c call.ServiceCall) (
 	*action.Owner, action.Waiter, chan action.Result) {
 	request := action.Request{ID: id, BodyHash: bodyHash(c), Call: c}
-	request.Policy, request.Inadmissible = s.admit(c)
+	request.Policy, request.Inadmissible = s.findRoute(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o, ok := s.owners[owner]
@@ -421,7 +421,7 @@
 	request.Waiter = s.nextWaiter
 	ch := make(chan action.Result, 1)
 	s.waiters[request.Waiter] = ch
-	s.apply(o, o.Submit(s.now(), request))
+	s.applyEffects(o, o.Submit(s.now(), request))
 	return o, request.Waiter, ch
 }
 
@@ -441,7 +441,7 @@
 
 func (s *Service) abandon(o *action.Owner, id actionkey.ID, w action.Waiter, ch chan action.Result) action.Result {
 	s.mu.Lock()
-	s.apply(o, o.AbandonWait(s.now(), id, w))
+	s.applyEffects(o, o.AbandonWait(s.now(), id, w))
 	delete(s.waiters, w)
 	s.mu.Unlock()
 	select {
@@ -454,7 +454,7 @@
 
 // Outcome tells what is known of an earlier call without running it.
 func (s *Service) Outcome(ctx context.Context, ws ident.Workspace, key string) (call.Answer, bool, error) {
-	ctx, cancel := s.bound(ctx, time.Time{})
+	ctx, cancel := s.withDeadline(ctx, time.Time{})
 	defer cancel()
 	result, pending := s.outcome(ctx, ws, key)
 	if pending {
@@ -476,14 +476,14 @@
 		return refused(refusal.New(refusal.KeyMalformed, "%v", err)), false
 	}
 	id := actionkey.ID{Workspace: ws, Key: key}
-	if result, pending, ok := s.ask(parsed.Owner, id, ""); ok {
+	if result, pending, ok := s.lookUpLocal(parsed.Owner, id, ""); ok {
 		return result, pending
 	}
 	return s.forwardOutcome(ctx, parsed.Owner, id)
 }
 
-// ask answers from the tables of this daemon, if it has one of the owner.
-func (s *Service) ask(owner ident.Incarnation, id actionkey.ID, hash string) (r action.Result, pending, ok bool) {
+// lookUpLocal answers from the tables of this daemon, if it has one of the owner.
+func (s *Service) lookUpLocal(owner ident.Incarnation, id actionkey.ID, hash string) (r action.Result, pending, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o, found := s.owners[owner]; found {
--- a/daemon/actions/actions_test.go
+++ b/daemon/actions/actions_test.go
@@ -17,7 +17,7 @@
 // Story: a finder's phone sends a pledge three times through three gateways,
 // and three bounties are pledged. The copies come at the same time.
 func TestDuplicatesThroughSeveralGateways(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
 		for _, r := range f.runners {
 			r.SetFaults(service.Faults{DelayMillis: 4000}) // longer than a poll
@@ -35,16 +35,16 @@
 		for _, a := range answers {
 			f.is.Equal(a, answers[0])
 		}
-		f.is.Equal(f.runs(key), 1)
+		f.is.Equal(f.executionCount(key), 1)
 		_, err := f.post(0, key, "/closures")
-		f.refused(err, refusal.ExecutedUnknown, refusal.KeyReused)
+		f.expectRefusal(err, refusal.ExecutedUnknown, refusal.KeyReused)
 	})
 }
 
 // Story: a pledge gets no answer for minutes. The connection between its
 // gateway and the owner went silent, while a new one would have worked.
 func TestSilentConnectionBetweenGateways(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		_, err := f.pledge(0, f.key(1, "first"))
 		f.is.NoErr(err)
 		f.is.True(f.network.Silence("entry-1:90") > 0)
@@ -54,14 +54,14 @@
 		_, err = f.pledge(0, key)
 		f.is.NoErr(err)
 		f.is.True(time.Since(start) < 5*time.Second)
-		f.is.Equal(f.runs(key), 1)
+		f.is.Equal(f.executionCount(key), 1)
 	})
 }
 
 // Story: a desk is told that a booking didn't run, books again, and the slot
 // is sold twice. The owner of the first had crashed after it ran.
 func TestOwnerCrash(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		done, fresh, open := f.key(1, "done"), f.key(1, "fresh"), f.key(1, "open")
 		want, err := f.pledge(0, done)
 		f.is.NoErr(err)
@@ -72,17 +72,17 @@
 		go func() { _, _ = f.pledge(0, open) }()
 		time.Sleep(500 * time.Millisecond)
 		f.nodes[1].crash()
-		f.forget(1)
+		f.removeFromDirectory(1)
 
 		got, err := f.outcome(0, done)
 		f.is.NoErr(err)
 		f.is.Equal(got, want)
 		_, err = f.pledge(2, fresh)
-		f.refused(err, refusal.ExecutedNo, refusal.OwnerGone)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
 		_, err = f.pledge(2, open)
-		f.refused(err, refusal.ExecutedUnknown, refusal.OutcomeUnknown)
-		f.is.Equal(f.runs(open), 1)
-		f.is.Equal(f.runs(fresh), 0)
+		f.expectRefusal(err, refusal.ExecutedUnknown, refusal.OutcomeUnknown)
+		f.is.Equal(f.executionCount(open), 1)
+		f.is.Equal(f.executionCount(fresh), 0)
 		time.Sleep(time.Minute) // the pledge that hangs ends
 	})
 }
@@ -90,14 +90,14 @@
 // Story: a pledge is run by a VM that has just been started. It has the
 // address of the owner that was reclaimed, and the directory doesn't know yet.
 func TestReplacedVMWithTheSameAddress(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
 		f.nodes[1].crash()
 		f.nodes[1] = f.start(1, 2)
 
 		_, err := f.pledge(0, key)
-		f.refused(err, refusal.ExecutedNo, refusal.OwnerGone)
-		f.is.Equal(f.nodes[0].count("actions.forward.not_owner"), int64(1))
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
+		f.is.Equal(f.nodes[0].counter("actions.forward.not_owner"), int64(1))
 		_, err = f.pledge(0, f.key(1, "pledge"))
 		f.is.NoErr(err)
 	})
@@ -105,13 +105,13 @@
 
 // Story: nobody can pledge for ten minutes, since the key-value service is
 // down. Pledges are let run without the journal; closures are not.
-func TestLongOutage(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+func TestLongStoreOutage(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		old := f.key(1, "old")
 		f.store.SetFaults(kvserver.Faults{Outage: true})
 
 		_, err := f.pledge(0, old)
-		f.refused(err, refusal.ExecutedNo, refusal.JournalUnavailable)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.JournalUnavailable)
 		var keys []string
 		for i := range 20 {
 			key := f.key(1, strings.Repeat("x", i+1))
@@ -121,17 +121,17 @@
 			time.Sleep(30 * time.Second)
 		}
 		_, err = f.post(0, f.key(1, "closure"), "/closures")
-		f.refused(err, refusal.ExecutedNo, refusal.JournalUnavailable)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.JournalUnavailable)
 		_, err = f.pledge(0, "without-token")
-		f.refused(err, refusal.ExecutedUnknown, refusal.ClaimUnavailable)
+		f.expectRefusal(err, refusal.ExecutedUnknown, refusal.ClaimUnavailable)
 
 		f.store.SetFaults(kvserver.Faults{})
 		time.Sleep(10 * time.Second) // the outcomes are journaled now
 		f.nodes[1].crash()
-		f.forget(1)
+		f.removeFromDirectory(1)
 		_, err = f.outcome(0, keys[19])
 		f.is.NoErr(err)
-		f.is.Equal(f.runs(old), 0)
+		f.is.Equal(f.executionCount(old), 0)
 		f.is.Equal(len(f.log.RunTwice()), 0)
 	})
 }
@@ -139,20 +139,20 @@
 // Story: a pledge runs after its caller was told that it had not. Its owner
 // was paused, another gateway sealed the owner's log and said "no", and the
 // owner woke up.
-func TestPausedOwnerWakesAfterTheSeal(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+func TestPausedOwnerResumesAfterSeal(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
 		self := f.daemons[1]
-		f.forget(1)
+		f.removeFromDirectory(1)
 		_, err := f.pledge(0, key)
-		f.refused(err, refusal.ExecutedNo, refusal.OwnerGone)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
 
 		f.mu.Lock()
 		f.daemons = append(f.daemons, self)
 		f.mu.Unlock()
 		_, err = f.pledge(1, key)
-		f.refused(err, refusal.ExecutedNo, refusal.OwnerGone)
-		f.is.Equal(f.runs(key), 0)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
+		f.is.Equal(f.executionCount(key), 0)
 		// The daemon goes on under another owner's name.
 		_, err = f.pledge(0, f.key(1, "pledge"))
 		f.is.NoErr(err)
@@ -161,22 +161,22 @@
 
 // Story: a booking hangs, or runs twice. The service took the journal entry
 // and its answer was lost.
-func TestLostAnswerOfTheJournal(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+func TestJournalWriteResponseLost(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		f.store.SetFaults(kvserver.Faults{LoseAnswers: 2, LosePrefix: "journal/"})
 		key := f.key(1, "pledge")
 		_, err := f.pledge(0, key)
 		f.is.NoErr(err)
-		f.is.Equal(f.runs(key), 1)
-		f.is.Equal(f.nodes[1].count("actions.journal.doubtful"), int64(1))
-		f.is.Equal(f.nodes[1].count("actions.dispatched.journaled"), int64(1))
+		f.is.Equal(f.executionCount(key), 1)
+		f.is.Equal(f.nodes[1].counter("actions.journal.doubtful"), int64(1))
+		f.is.Equal(f.nodes[1].counter("actions.dispatched.journaled"), int64(1))
 	})
 }
 
 // Story: two operators drain the same VM, and a caller that asks for its
 // pledge afterwards is told that nothing is known. The tables went two ways.
-func TestTwoDrainsOneSuccessor(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+func TestConcurrentDrainsUseOneSuccessor(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		key, late := f.key(1, "pledge"), f.key(1, "late")
 		want, err := f.pledge(0, key)
 		f.is.NoErr(err)
@@ -190,27 +190,27 @@
 		}
 		wg.Wait()
 		f.nodes[1].crash()
-		f.forget(1)
+		f.removeFromDirectory(1)
 
-		adopted := f.nodes[0].count("actions.hand_off.adopted") + f.nodes[2].count("actions.hand_off.adopted")
+		adopted := f.nodes[0].counter("actions.hand_off.adopted") + f.nodes[2].counter("actions.hand_off.adopted")
 		f.is.Equal(adopted, int64(1))
 		for _, gateway := range []int{0, 2} {
 			got, err := f.outcome(gateway, key)
 			f.is.NoErr(err)
 			f.is.Equal(got, want)
 			_, err = f.pledge(gateway, late)
-			f.refused(err, refusal.ExecutedNo, refusal.OwnerGone)
+			f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
 		}
 	})
 }
 
 // Story: a VM is drained in an outage of the service, and its callers' answers
 // are lost. The successor seals the log when the service is back.
-func TestDrainInAnOutage(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+func TestDrainDuringStoreOutage(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		f.store.SetFaults(kvserver.Faults{Outage: true})
 		_, err := f.pledge(0, f.key(1, "first"))
-		f.refused(err, refusal.ExecutedNo, refusal.JournalUnavailable)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.JournalUnavailable)
 		key := f.key(1, "pledge")
 		want, err := f.pledge(0, key)
 		f.is.NoErr(err)
@@ -218,7 +218,7 @@
 		defer cancel()
 		f.is.NoErr(f.nodes[1].Drain(ctx))
 		f.nodes[1].crash()
-		f.forget(1)
+		f.removeFromDirectory(1)
 		f.store.SetFaults(kvserver.Faults{})
 		time.Sleep(10 * time.Second)
 		for _, gateway := range []int{0, 2} {
@@ -232,7 +232,7 @@
 // Story: a caller that knows nothing of tokens repeats its pledge at another
 // gateway, and it runs twice.
 func TestKeysWithoutTokenAreClaimed(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		var wg sync.WaitGroup
 		answers := make([]string, 3)
 		for i := range answers {
@@ -255,7 +255,7 @@
 // Story: the service fills up with the journals of VMs that were reclaimed
 // long ago; or they are cleared away, and a pledge that ran is "not executed".
 func TestLogsOfEndedDaemonsAreCollected(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
 		_, err := f.pledge(0, key)
 		f.is.NoErr(err)
@@ -263,7 +263,7 @@
 		owner := f.daemons[1].Incarnation
 		prefix := journal.Prefix(owner)
 		f.nodes[1].crash()
-		f.forget(1)
+		f.removeFromDirectory(1)
 		time.Sleep(time.Minute) // sealed, though nobody has asked
 		entries, err := f.store.List(t.Context(), prefix, "", 0)
 		f.is.NoErr(err)
@@ -276,7 +276,7 @@
 		f.is.NoErr(err)
 		f.is.Equal(len(entries), 1)
 		_, err = f.outcome(2, key)
-		f.refused(err, refusal.ExecutedUnknown, refusal.KeyExpired)
+		f.expectRefusal(err, refusal.ExecutedUnknown, refusal.KeyExpired)
 		log := journal.NewLog(owner)
 		entry, err := journal.Decode(entries[0].Key, entries[0].Value)
 		f.is.NoErr(err)
@@ -289,8 +289,8 @@
 
 // A runner's own refusal sends the action on to the next; a connection that
 // broke after it was sent does not.
-func TestOnlyWhatDidNotRunGoesToAnotherRunner(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+func TestOnlyUnexecutedActionsGoToAnotherRunner(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		f.runners[0].Notice()
 		for i := range 5 {
 			_, err := f.pledge(0, f.key(1, strings.Repeat("a", i+1)))
@@ -300,9 +300,9 @@
 		key := f.key(1, "broken")
 		for range 2 {
 			_, err := f.pledge(0, key)
-			f.refused(err, refusal.ExecutedUnknown, refusal.RunnerFailed)
+			f.expectRefusal(err, refusal.ExecutedUnknown, refusal.RunnerFailed)
 		}
-		f.is.Equal(f.runs(key), 1)
+		f.is.Equal(f.executionCount(key), 1)
 		for _, e := range f.log.Executions() {
 			f.is.True(e.Action != "") // the runner learns the key
 		}
--- a/daemon/actions/claim.go
+++ b/daemon/actions/claim.go
@@ -21,8 +21,8 @@
 	// claimLifetime is at least how long a key without a token is remembered.
 	claimLifetime = 24 * time.Hour
 	// claimRenewal is after how long claims go under a new lease.
-	claimRenewal = time.Hour
-	claimTries   = 3
+	claimRenewal     = time.Hour
+	maxClaimAttempts = 3
 )
 
 // claim is what stands in the key-value service for a key without a token: the
@@ -31,12 +31,12 @@
 	Key string `json:"key"`
 }
 
-// dayLease is the lease under which this daemon's claims and seals stand, so
+// sharedLease is the lease under which this daemon's claims and seals stand, so
 // that they vanish a day or so after they were written.
-type dayLease struct {
-	mu    sync.Mutex
-	id    kv.LeaseID
-	until time.Time
+type sharedLease struct {
+	mu      sync.Mutex
+	id      kv.LeaseID
+	renewAt time.Time
 }
 
 func claimName(ws ident.Workspace, key string) string {
@@ -56,7 +56,7 @@
 	if len(key) > actionkey.MaxLength {
 		return "", refusal.New(refusal.KeyMalformed, "key is over %d bytes", actionkey.MaxLength)
 	}
-	claimed, err := s.claim(ctx, ws, key)
+	claimed, err := s.claimKey(ctx, ws, key)
 	if err != nil {
 		s.counters.inc(claimsFailed)
 		// Not "no": a copy of this call may have claimed the key elsewhere.
@@ -67,36 +67,36 @@
 	return claimed, nil
 }
 
-// claim names the owner of the token at hand as the key's, unless the key has
+// claimKey names the owner of the token at hand as the key's, unless the key has
 // one.
-func (s *Service) claim(ctx context.Context, ws ident.Workspace, key string) (string, error) {
-	lease, err := s.dayLease(ctx)
+func (s *Service) claimKey(ctx context.Context, ws ident.Workspace, key string) (string, error) {
+	lease, err := s.currentLease(ctx)
 	if err != nil {
 		return "", err
 	}
 	name := claimName(ws, key)
 	token, _ := s.Token()
-	mine := token + name
-	value, err := json.Marshal(claim{Key: mine})
+	ownKey := token + name
+	value, err := json.Marshal(claim{Key: ownKey})
 	if err != nil {
 		return "", fmt.Errorf("encode claim: %w", err)
 	}
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		err = s.createClaim(ctx, name, value, lease)
 		var conflict *kv.ConflictError
 		var expired *kv.LeaseExpiredError
 		switch {
 		case errors.As(err, &expired):
-			s.lease.forget(lease)
+			s.lease.invalidate(lease)
 			return "", fmt.Errorf("create claim: %w", err)
 		case err == nil:
-			s.counters.inc(claimsMade)
-			return mine, nil
+			s.counters.inc(claimsCreated)
+			return ownKey, nil
 		case errors.As(err, &conflict):
 			// Perhaps its own, if the answer to it was lost.
 			s.counters.inc(claimsFound)
 			return decodeClaim(conflict.Current.Value)
-		case try == claimTries || ctx.Err() != nil:
+		case attempt == maxClaimAttempts || ctx.Err() != nil:
 			return "", fmt.Errorf("create claim: %w", err)
 		}
 	}
@@ -109,12 +109,12 @@
 	return err
 }
 
-func (s *Service) dayLease(ctx context.Context) (kv.LeaseID, error) {
+func (s *Service) currentLease(ctx context.Context) (kv.LeaseID, error) {
 	if id := s.lease.current(time.Now()); id != 0 {
 		return id, nil
 	}
 	// One grant at a time, and no lock held while it is waited for.
-	granted := s.granting.DoChan("", func() (any, error) {
+	granted := s.leaseGroup.DoChan("", func() (any, error) {
 		ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Store)
 		defer cancel()
 		id, err := s.cfg.Store.Grant(ctx, claimLifetime+claimRenewal)
@@ -135,23 +135,23 @@
 }
 
 // current returns zero when a new lease is due.
-func (l *dayLease) current(now time.Time) kv.LeaseID {
+func (l *sharedLease) current(now time.Time) kv.LeaseID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.After(l.until) {
+	if now.After(l.renewAt) {
 		return 0
 	}
 	return l.id
 }
 
-func (l *dayLease) set(id kv.LeaseID, until time.Time) {
+func (l *sharedLease) set(id kv.LeaseID, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.id, l.until = id, until
+	l.id, l.renewAt = id, until
 }
 
-// forget makes the next claim grant a lease of its own.
-func (l *dayLease) forget(lease kv.LeaseID) {
+// invalidate makes the next claim grant a lease of its own.
+func (l *sharedLease) invalidate(lease kv.LeaseID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.id == lease {
--- a/daemon/actions/clock.go
+++ b/daemon/actions/clock.go
@@ -12,23 +12,23 @@
 // would take keys for good whose callers were told "not executed" long ago.
 // This clock is the monotonic one, moved ahead whenever the wall clock is.
 type clock struct {
-	start time.Time
-	ahead atomic.Int64
+	start  time.Time
+	offset atomic.Int64
 }
 
 func newClock() *clock { return &clock{start: time.Now()} }
 
 func (c *clock) now() time.Time {
 	t := time.Now()
-	steady := c.start.Round(0).Add(t.Sub(c.start))
-	lead := int64(t.Round(0).Sub(steady))
+	monotonic := c.start.Round(0).Add(t.Sub(c.start))
+	wallOffset := int64(t.Round(0).Sub(monotonic))
 	for {
-		ahead := c.ahead.Load()
-		if lead <= ahead {
-			return steady.Add(time.Duration(ahead))
+		current := c.offset.Load()
+		if wallOffset <= current {
+			return monotonic.Add(time.Duration(current))
 		}
-		if c.ahead.CompareAndSwap(ahead, lead) {
-			return steady.Add(time.Duration(lead))
+		if c.offset.CompareAndSwap(current, wallOffset) {
+			return monotonic.Add(time.Duration(wallOffset))
 		}
 	}
 }
--- a/daemon/actions/collect.go
+++ b/daemon/actions/collect.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	collectEvery = 10 * time.Second
-	// collectPause paces deletions to a share of the service's rate.
-	collectPause = 100 * time.Millisecond
+	collectInterval = 10 * time.Second
+	// deletePause paces deletions to a share of the service's rate.
+	deletePause = 100 * time.Millisecond
 	// collectMargin is kept between the end of all keys of a log and its
 	// collection.
 	collectMargin = time.Minute
@@ -31,31 +31,31 @@
 // collector seals and collects the logs of daemons that have ended, so that
 // they are sealed before anyone asks and don't fill the service for ever.
 type collector struct {
-	present  map[ident.Incarnation]bool
-	departed map[ident.Incarnation]*departure
+	present map[ident.Incarnation]bool
+	ended   map[ident.Incarnation]*endedDaemon
 }
 
-// departure is the end of a daemon as seen from here.
-type departure struct {
+// endedDaemon is the end of a daemon as seen from here.
+type endedDaemon struct {
 	at     time.Time
 	sealed bool
 }
 
-// collectEnded runs until ctx ends. One daemon is responsible for each that has
+// collectEndedLogs runs until ctx ends. One daemon is responsible for each that has
 // ended; when it ends itself, the next in rank goes on.
-func (s *Service) collectEnded(ctx context.Context) {
-	c := &collector{present: map[ident.Incarnation]bool{}, departed: map[ident.Incarnation]*departure{}}
+func (s *Service) collectEndedLogs(ctx context.Context) {
+	c := &collector{present: map[ident.Incarnation]bool{}, ended: map[ident.Incarnation]*endedDaemon{}}
 	for ctx.Err() == nil {
 		daemons := s.cfg.Directory.Daemons()
 		c.observe(daemons, s.now())
-		for name, d := range c.departed {
-			if s.responsible(name, daemons) {
-				s.tend(ctx, c, name, d)
-			} else if s.now().Sub(d.at) > 2*s.keysOver(name) {
-				delete(c.departed, name)
+		for name, d := range c.ended {
+			if s.isResponsible(name, daemons) {
+				s.sealAndCollect(ctx, c, name, d)
+			} else if s.now().Sub(d.at) > 2*s.allKeysExpireAfter(name) {
+				delete(c.ended, name)
 			}
 		}
-		s.pause(ctx, collectEvery)
+		s.pause(ctx, collectInterval)
 	}
 }
 
@@ -65,55 +65,55 @@
 	for _, d := range daemons {
 		if d.State != view.Gone {
 			present[d.Incarnation] = true
-			delete(c.departed, d.Incarnation)
+			delete(c.ended, d.Incarnation)
 		}
 	}
 	for name := range c.present {
 		if !present[name] {
-			c.departed[name] = &departure{at: now}
+			c.ended[name] = &endedDaemon{at: now}
 		}
 	}
 	c.present = present
 }
 
-// responsible ranks the live daemons for an ended one.
-func (s *Service) responsible(ended ident.Incarnation, daemons []view.Daemon) bool {
-	own := xxhash.Sum64String(string(ended) + string(s.cfg.Self))
+// isResponsible ranks the live daemons for an ended one.
+func (s *Service) isResponsible(ended ident.Incarnation, daemons []view.Daemon) bool {
+	ownRank := xxhash.Sum64String(string(ended) + string(s.cfg.Self))
 	for _, d := range daemons {
-		if d.State == view.Live && xxhash.Sum64String(string(ended)+string(d.Incarnation)) > own {
+		if d.State == view.Live && xxhash.Sum64String(string(ended)+string(d.Incarnation)) > ownRank {
 			return false
 		}
 	}
 	return true
 }
 
-// keysOver is how long after an owner's end all of its keys are over.
-func (s *Service) keysOver(owner ident.Incarnation) time.Duration {
+// allKeysExpireAfter is how long after an owner's end all of its keys are over.
+func (s *Service) allKeysExpireAfter(owner ident.Incarnation) time.Duration {
 	cfg := s.cfg.Owner(owner)
 	return cfg.TokenLifetime + cfg.KeyRetention + collectMargin
 }
 
-func (s *Service) tend(ctx context.Context, c *collector, name ident.Incarnation, d *departure) {
+func (s *Service) sealAndCollect(ctx context.Context, c *collector, name ident.Incarnation, d *endedDaemon) {
 	if !d.sealed {
-		if err := s.eachLog(ctx, name, s.sealEnded); err != nil {
+		if err := s.forEachLog(ctx, name, s.sealEndedLog); err != nil {
 			klog.InfoS("Log of an ended daemon not sealed yet", "owner", name, "err", err)
 			return
 		}
 		d.sealed = true
 	}
-	if s.now().Sub(d.at) < s.keysOver(name) {
+	if s.now().Sub(d.at) < s.allKeysExpireAfter(name) {
 		return
 	}
-	if err := s.eachLog(ctx, name, s.collectLog); err != nil {
+	if err := s.forEachLog(ctx, name, s.collectLog); err != nil {
 		klog.InfoS("Log of an ended daemon not collected yet", "owner", name, "err", err)
 		return
 	}
-	delete(c.departed, name)
+	delete(c.ended, name)
 }
 
-// eachLog calls f for the logs of all owners that a daemon can have had, up to
+// forEachLog calls f for the logs of all owners that a daemon can have had, up to
 // the first empty one.
-func (s *Service) eachLog(ctx context.Context, name ident.Incarnation, f func(context.Context, ident.Incarnation) error) error {
+func (s *Service) forEachLog(ctx context.Context, name ident.Incarnation, f func(context.Context, ident.Incarnation) error) error {
 	owner := name
 	for epoch := 1; epoch <= maxEpochs; epoch++ {
 		first, err := s.readPage(ctx, owner, "")
@@ -131,8 +131,8 @@
 	return nil
 }
 
-func (s *Service) sealEnded(ctx context.Context, owner ident.Incarnation) error {
-	_, err := s.sealedLog(ctx, owner, "")
+func (s *Service) sealEndedLog(ctx context.Context, owner ident.Incarnation) error {
+	_, err := s.readSealedLog(ctx, owner, "")
 	return err
 }
 
@@ -145,7 +145,7 @@
 		return err
 	}
 	last := entries[len(entries)-1]
-	if err := s.raiseFloor(ctx, last); err != nil {
+	if err := s.markCollected(ctx, last); err != nil {
 		return err
 	}
 	s.logs.drop(owner)
@@ -153,7 +153,7 @@
 		if err := s.deleteEntry(ctx, e); err != nil {
 			return err
 		}
-		s.pause(ctx, collectPause)
+		s.pause(ctx, deletePause)
 	}
 	return nil
 }
@@ -184,7 +184,7 @@
 
 func (e *NotSealedError) Error() string { return fmt.Sprintf("%q is no seal", e.Key) }
 
-func (s *Service) raiseFloor(ctx context.Context, last kv.Entry) error {
+func (s *Service) markCollected(ctx context.Context, last kv.Entry) error {
 	seal, err := journal.Decode(last.Key, last.Value)
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.Times.Store)
 	defer cancel()
-	lease, err := s.dayLease(ctx)
+	lease, err := s.currentLease(ctx)
 	if err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 func (s *Service) deleteEntry(ctx context.Context, e kv.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.Times.Store)
 	defer cancel()
-	s.counters.inc(logsDeleted)
+	s.counters.inc(logEntriesDeleted)
 	if err := s.cfg.Store.Delete(ctx, e.Key, e.Revision); err != nil {
 		return fmt.Errorf("delete entry of an ended log: %w", err)
 	}
--- a/daemon/actions/counters.go
+++ b/daemon/actions/counters.go
@@ -13,7 +13,7 @@
 	dispatchNextRunner    = "actions.dispatch.next_runner"
 	ownerSealed           = "actions.owner.sealed"
 	journalWrites         = "actions.journal.writes"
-	journalDoubtful       = "actions.journal.doubtful"
+	journalUncertain      = "actions.journal.doubtful"
 	journalConflict       = "actions.journal.conflict"
 	journalDeletes        = "actions.journal.deletes"
 	journalDeleteFailed   = "actions.journal.delete_failed"
@@ -23,12 +23,12 @@
 	tokensFetched         = "actions.token.fetched"
 	tokenFetchFailed      = "actions.token.fetch_failed"
 	tokensServed          = "actions.token.served"
-	tokensOwnInstead      = "actions.token.own_instead"
-	sealsTried            = "actions.seal.tried"
-	sealsWon              = "actions.seal.won"
+	ownTokenFallbacks     = "actions.token.own_instead"
+	sealsAttempted        = "actions.seal.tried"
+	sealsCreated          = "actions.seal.won"
 	sealsFailed           = "actions.seal.failed"
-	logsDeleted           = "actions.seal.collected_entries"
-	claimsMade            = "actions.claim.made"
+	logEntriesDeleted     = "actions.seal.collected_entries"
+	claimsCreated         = "actions.claim.made"
 	claimsFound           = "actions.claim.found"
 	claimsFailed          = "actions.claim.failed"
 	handOffParts          = "actions.hand_off.parts"
@@ -36,8 +36,8 @@
 	handOffRefused        = "actions.hand_off.refused"
 	handOffAdopted        = "actions.hand_off.adopted"
 
-	resultPrefix = "actions.result."
-	noReason     = "answered"
+	resultPrefix   = "actions.result."
+	answeredReason = "answered"
 )
 
 type counters struct{ registry metrics.Registry }
@@ -47,7 +47,7 @@
 }
 
 func (c *counters) result(r action.Result) {
-	reason := noReason
+	reason := answeredReason
 	if r.Refusal != nil {
 		reason = string(r.Refusal.Reason)
 	}
--- a/daemon/actions/drain.go
+++ b/daemon/actions/drain.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	partRecords     = 256
-	maxAdoptedBytes = 16 << 20
-	drainPoll       = 20 * time.Millisecond
-	// drainShare of the time is left for the seal and the hand-off.
-	drainShare = 3
+	recordsPerPart    = 256
+	maxAdoptedBytes   = 16 << 20
+	drainPollInterval = 20 * time.Millisecond
+	// idleWaitDivisor of the time is left for the seal and the hand-off.
+	idleWaitDivisor = 3
 )
 
 // drainOnce makes all drains one: two operators may drain at once, and the
@@ -33,14 +33,14 @@
 	err  error
 }
 
-func (d *drainOnce) begun() bool {
+func (d *drainOnce) started() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.done != nil
 }
 
-// begin returns true to the first caller only.
-func (d *drainOnce) begin() (first bool, done chan struct{}) {
+// start returns true to the first caller only.
+func (d *drainOnce) start() (first bool, done chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.done != nil {
@@ -63,24 +63,24 @@
 	return fmt.Sprintf("%s refused the hand-off", e.Successor)
 }
 
-// HandOffBrokenError says that time ran out before the successor had
+// HandOffIncompleteError says that time ran out before the successor had
 // acknowledged every part.
-type HandOffBrokenError struct {
+type HandOffIncompleteError struct {
 	Successor ident.Incarnation
 	Err       error
 }
 
-func (e *HandOffBrokenError) Error() string {
+func (e *HandOffIncompleteError) Error() string {
 	return fmt.Sprintf("hand-off to %s broke off: %v", e.Successor, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *HandOffBrokenError) Unwrap() error { return e.Err }
+func (e *HandOffIncompleteError) Unwrap() error { return e.Err }
 
 // Drain takes no new actions, lets those in progress end, seals the log and
 // passes the whole table to one successor. Later calls wait for the first.
 func (s *Service) Drain(ctx context.Context) error {
-	first, done := s.draining.begin()
+	first, done := s.draining.start()
 	if !first {
 		select {
 		case <-done:
@@ -95,9 +95,9 @@
 }
 
 func (s *Service) drain(ctx context.Context) error {
-	s.eachOwner(func(o *action.Owner) { o.StopAccepting() })
+	s.forEachOwner(func(o *action.Owner) { o.StopAccepting() })
 	s.waitIdle(ctx)
-	successor, found := s.successor()
+	successor, found := s.chooseSuccessor()
 	s.endOwners(ctx, successor.Incarnation)
 	if !found {
 		return &NoSuccessorError{}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func (s *Service) eachOwner(f func(*action.Owner)) {
+func (s *Service) forEachOwner(f func(*action.Owner)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range s.owners {
@@ -120,7 +120,7 @@
 
 func (s *Service) listOwners() []*action.Owner {
 	var owners []*action.Owner
-	s.eachOwner(func(o *action.Owner) { owners = append(owners, o) })
+	s.forEachOwner(func(o *action.Owner) { owners = append(owners, o) })
 	return owners
 }
 
@@ -128,47 +128,47 @@
 func (s *Service) waitIdle(ctx context.Context) {
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/drainShare)
+		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/idleWaitDivisor)
 		defer cancel()
 	}
-	s.waitFor(ctx, func(o *action.Owner) bool { return o.DispatchedCount() == 0 })
+	s.waitForOwners(ctx, func(o *action.Owner) bool { return o.DispatchedCount() == 0 })
 }
 
-// waitFor polls until all owners satisfy done.
-func (s *Service) waitFor(ctx context.Context, done func(*action.Owner) bool) {
+// waitForOwners polls until all owners satisfy done.
+func (s *Service) waitForOwners(ctx context.Context, done func(*action.Owner) bool) {
 	for ctx.Err() == nil {
 		all := true
-		s.eachOwner(func(o *action.Owner) { all = all && done(o) })
+		s.forEachOwner(func(o *action.Owner) { all = all && done(o) })
 		if all {
 			return
 		}
-		s.pause(ctx, drainPoll)
+		s.pause(ctx, drainPollInterval)
 	}
 }
 
 // endOwners seals the logs, and stops the owners in any case: with the service
 // down the seal comes later, from the successor.
 func (s *Service) endOwners(ctx context.Context, successor ident.Incarnation) {
-	s.eachOwner(func(o *action.Owner) { s.apply(o, o.End(s.now(), successor)) })
+	s.forEachOwner(func(o *action.Owner) { s.applyEffects(o, o.End(s.now(), successor)) })
 	sealCtx, cancel := context.WithTimeout(ctx, s.cfg.Times.Seal)
 	defer cancel()
-	s.waitFor(sealCtx, (*action.Owner).Ended)
-	s.eachOwner(func(o *action.Owner) { s.apply(o, o.EndUnsealed(s.now())) })
+	s.waitForOwners(sealCtx, (*action.Owner).Ended)
+	s.forEachOwner(func(o *action.Owner) { s.applyEffects(o, o.EndUnsealed(s.now())) })
 }
 
-// successor is the same for every attempt: the live daemon in another failure
+// chooseSuccessor is the same for every attempt: the live daemon in another failure
 // domain, if there is one, that ranks highest for this incarnation.
-func (s *Service) successor() (view.Daemon, bool) {
+func (s *Service) chooseSuccessor() (view.Daemon, bool) {
 	var best view.Daemon
 	var bestRank uint64
 	found := false
-	own := s.cfg.Directory.Self().FailureDomain
+	ownDomain := s.cfg.Directory.Self().FailureDomain
 	for _, d := range s.cfg.Directory.Daemons() {
 		if d.Incarnation == s.cfg.Self || d.State != view.Live {
 			continue
 		}
 		rank := xxhash.Sum64String(string(s.cfg.Self)+string(d.Incarnation)) >> 1
-		if d.FailureDomain != own {
+		if d.FailureDomain != ownDomain {
 			rank |= 1 << 63
 		}
 		if !found || rank > bestRank {
@@ -185,12 +185,12 @@
 	records, complete, ok := o.Export(s.now())
 	s.mu.Unlock()
 	if !ok {
-		return &HandOffBrokenError{Successor: successor.Incarnation, Err: context.Cause(ctx)}
+		return &HandOffIncompleteError{Successor: successor.Incarnation, Err: context.Cause(ctx)}
 	}
 	for number := uint32(0); ; number++ {
-		n := min(partRecords, len(records))
+		n := min(recordsPerPart, len(records))
 		last := n == len(records)
-		req := partOf(o.Incarnation(), successor.Incarnation, number, records[:n])
+		req := encodePart(o.Incarnation(), successor.Incarnation, number, records[:n])
 		if last {
 			req.Last = true
 			req.CompleteUnixMs = complete.UnixMilli()
@@ -218,14 +218,14 @@
 			return &HandOffRefusedError{Successor: successor.Incarnation}
 		}
 		if ctx.Err() != nil {
-			return &HandOffBrokenError{Successor: successor.Incarnation, Err: err}
+			return &HandOffIncompleteError{Successor: successor.Incarnation, Err: err}
 		}
 		s.counters.inc(handOffRetried)
-		s.forwardFailed(ctx)
+		s.prepareRetry(ctx)
 	}
 }
 
-func partOf(owner, successor ident.Incarnation, number uint32, records []action.Record) *actionv1.HandOffRequest {
+func encodePart(owner, successor ident.Incarnation, number uint32, records []action.Record) *actionv1.HandOffRequest {
 	req := &actionv1.HandOffRequest{Owner: string(owner), Successor: string(successor), Part: number}
 	for _, r := range records {
 		req.Records = append(req.Records, &actionv1.Record{
@@ -233,14 +233,14 @@
 			Key:       r.ID.Key,
 			BodyHash:  r.BodyHash,
 			State:     string(r.State),
-			Outcome:   responseOf(r.Result),
+			Outcome:   encodeResult(r.Result),
 		})
 	}
 	return req
 }
 
-// adopt takes a part in, or refuses it if it is for another or there is no room.
-func (s *Service) adopt(m *actionv1.HandOffRequest) bool {
+// adoptPart takes a part in, or refuses it if it is for another or there is no room.
+func (s *Service) adoptPart(m *actionv1.HandOffRequest) bool {
 	owner := ident.Incarnation(m.GetOwner())
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,7 +254,7 @@
 		s.adopted[owner] = a
 	}
 	before := a.Complete()
-	a.AddPart(partFrom(m))
+	a.AddPart(decodePart(m))
 	if a.Complete() && !before {
 		s.counters.inc(handOffAdopted)
 		s.spawn(func() { s.sealAdopted(owner) })
@@ -276,17 +276,17 @@
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Owner(owner).TokenLifetime)
 	defer cancel()
 	for ctx.Err() == nil {
-		if _, err := s.sealedLog(ctx, owner, s.cfg.Self); err == nil {
+		if _, err := s.readSealedLog(ctx, owner, s.cfg.Self); err == nil {
 			return
 		}
 		s.pause(ctx, s.cfg.Times.Seal)
 	}
 }
 
-func partFrom(m *actionv1.HandOffRequest) action.TablePart {
+func decodePart(m *actionv1.HandOffRequest) action.TablePart {
 	part := action.TablePart{Number: m.GetPart(), Last: m.GetLast(), Complete: time.UnixMilli(m.GetCompleteUnixMs())}
 	for _, r := range m.GetRecords() {
-		result := resultOf(r.GetOutcome())
+		result := decodeResult(r.GetOutcome())
 		if r.GetOutcome() == nil {
 			result = refused(refusal.New(refusal.OutcomeUnknown, "no outcome").Unknown())
 		}
--- a/daemon/actions/forward.go
+++ b/daemon/actions/forward.go
@@ -16,8 +16,8 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// maxSilent is how many attempts in a row may end without an answer.
-const maxSilent = 3
+// maxUnanswered is how many attempts in a row may end without an answer.
+const maxUnanswered = 3
 
 // forward passes a call on to the daemon that runs its owner. A call that got
 // no answer is sent again: the owner joins it to the one execution.
@@ -25,37 +25,37 @@
 	c call.ServiceCall) action.Result {
 	hash := bodyHash(c)
 	s.counters.inc(forwarded)
-	silent := 0
-	for ctx.Err() == nil && silent < maxSilent {
+	unanswered := 0
+	for ctx.Err() == nil && unanswered < maxUnanswered {
 		d, found := s.daemonOf(owner)
 		if !found {
-			return s.speakFor(ctx, owner, id, hash)
+			return s.resolveEndedOwner(ctx, owner, id, hash)
 		}
 		resp, err := s.forwardOnce(ctx, d, owner, id, c)
 		switch {
 		case err != nil:
-			silent++
-			s.forwardFailed(ctx)
+			unanswered++
+			s.prepareRetry(ctx)
 		case resp.GetNotOwner():
 			// Another incarnation answers at the owner's address, so the owner
 			// has ended, whatever the directory still says.
 			s.counters.inc(forwardNotOwner)
 			s.tokens.drop(owner)
-			return s.speakFor(ctx, owner, id, hash)
+			return s.resolveEndedOwner(ctx, owner, id, hash)
 		case resp.GetInProgress():
-			silent = 0
+			unanswered = 0
 		default:
-			result := resultOf(resp)
-			s.noteRefusal(owner, result)
+			result := decodeResult(resp)
+			s.refreshAfterRefusal(owner, result)
 			return result
 		}
 	}
-	return s.unreachable(owner)
+	return s.ownerUnreachable(owner)
 }
 
-// unreachable doesn't say "no", even if no byte left this daemon: a copy of
+// ownerUnreachable doesn't say "no", even if no byte left this daemon: a copy of
 // the call may be on its way to the owner through another gateway.
-func (s *Service) unreachable(owner ident.Incarnation) action.Result {
+func (s *Service) ownerUnreachable(owner ident.Incarnation) action.Result {
 	s.tokens.drop(owner)
 	return refused(refusal.New(refusal.OwnerUnreachable, "no answer from %s; ask for the outcome", owner).
 		Unknown().After(time.Second))
@@ -70,14 +70,14 @@
 		Service:   c.Service,
 		Method:    c.Method,
 		Path:      c.Path,
-		Headers:   toHeaders(c.Headers),
+		Headers:   encodeHeaders(c.Headers),
 		Body:      c.Body,
 		WaitMs:    s.cfg.Times.Poll.Milliseconds(),
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		req.TimeoutMs = time.Until(deadline).Milliseconds()
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.cfg.Times.Poll+s.cfg.Times.Slack)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.Times.Poll+s.cfg.Times.PollGrace)
 	defer cancel()
 	resp, err := s.peer(d).Execute(ctx, connect.NewRequest(req))
 	if err != nil {
@@ -86,12 +86,12 @@
 	return resp.Msg, nil
 }
 
-// forwardFailed gives up the idle connections, too: what lost track of one has
+// prepareRetry gives up the idle connections, too: what lost track of one has
 // often lost all that are as old, and a new one works.
-func (s *Service) forwardFailed(ctx context.Context) {
+func (s *Service) prepareRetry(ctx context.Context) {
 	s.counters.inc(forwardRetried)
 	s.cfg.Peers.CloseIdleConnections()
-	s.pause(ctx, s.cfg.Times.Retry)
+	s.pause(ctx, s.cfg.Times.RetryPause)
 }
 
 func (s *Service) pause(ctx context.Context, d time.Duration) {
@@ -111,41 +111,41 @@
 // ended. Shortly after the start the directory may not know everyone.
 func (s *Service) daemonOf(owner ident.Incarnation) (view.Daemon, bool) {
 	incarnation := daemonIncarnation(owner)
-	place, err := incarnation.Daemon()
+	daemonID, err := incarnation.Daemon()
 	for _, d := range s.cfg.Directory.Daemons() {
 		if d.Incarnation == incarnation {
 			return d, d.State != view.Gone
 		}
-		if err == nil && d.ID == place && d.State == view.Live && d.PeerAddress != "" {
+		if err == nil && d.ID == daemonID && d.State == view.Live && d.PeerAddress != "" {
 			// The place has a new incarnation: let it say so itself, since the
 			// directory may lag behind.
 			return d, true
 		}
 	}
-	return view.Daemon{}, time.Since(s.start) < s.cfg.Times.Settle
+	return view.Daemon{}, time.Since(s.start) < s.cfg.Times.StartupGrace
 }
 
 func (s *Service) forwardOutcome(ctx context.Context, owner ident.Incarnation, id actionkey.ID) (
 	action.Result, bool) {
-	for range maxSilent {
+	for range maxUnanswered {
 		d, found := s.daemonOf(owner)
 		if !found {
-			return s.speakFor(ctx, owner, id, ""), false
+			return s.resolveEndedOwner(ctx, owner, id, ""), false
 		}
-		resp, err := s.askPeer(ctx, d, owner, id, "")
+		resp, err := s.queryPeer(ctx, d, owner, id, "")
 		if err != nil {
-			s.forwardFailed(ctx)
+			s.prepareRetry(ctx)
 			continue
 		}
 		if resp.GetOutcome().GetNotOwner() {
-			return s.speakFor(ctx, owner, id, ""), false
+			return s.resolveEndedOwner(ctx, owner, id, ""), false
 		}
-		return resultOf(resp.GetOutcome()), resp.GetInProgress()
+		return decodeResult(resp.GetOutcome()), resp.GetInProgress()
 	}
-	return s.unreachable(owner), false
+	return s.ownerUnreachable(owner), false
 }
 
-func (s *Service) askPeer(ctx context.Context, d view.Daemon, owner ident.Incarnation, id actionkey.ID,
+func (s *Service) queryPeer(ctx context.Context, d view.Daemon, owner ident.Incarnation, id actionkey.ID,
 	hash string) (*actionv1.OutcomeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.Times.Poll)
 	defer cancel()
--- a/daemon/actions/handler.go
+++ b/daemon/actions/handler.go
@@ -38,7 +38,7 @@
 		Key:       m.GetKey(),
 		Method:    m.GetMethod(),
 		Path:      m.GetPath(),
-		Headers:   fromHeaders(m.GetHeaders()),
+		Headers:   decodeHeaders(m.GetHeaders()),
 		Body:      m.GetBody(),
 	}
 	poll := max(time.Millisecond, time.Duration(m.GetWaitMs())*time.Millisecond)
@@ -47,14 +47,14 @@
 	if pending {
 		return connect.NewResponse(&actionv1.ExecuteResponse{InProgress: true}), nil
 	}
-	return connect.NewResponse(responseOf(result)), nil
+	return connect.NewResponse(encodeResult(result)), nil
 }
 
 // runForwarded never abandons the action when the connection breaks: its
 // gateway comes back on another.
 func (s *Service) runForwarded(ctx context.Context, owner ident.Incarnation, id actionkey.ID, c call.ServiceCall,
 	poll time.Duration) (action.Result, bool) {
-	return s.run(context.WithoutCancel(ctx), owner, id, c, poll)
+	return s.submitAndWait(context.WithoutCancel(ctx), owner, id, c, poll)
 }
 
 // Outcome tells what this daemon's tables hold of a key.
@@ -62,11 +62,11 @@
 	*connect.Response[actionv1.OutcomeResponse], error) {
 	m := req.Msg
 	id := actionkey.ID{Workspace: ident.Workspace(m.GetWorkspace()), Key: m.GetKey()}
-	result, pending, ok := h.s.ask(ident.Incarnation(m.GetOwner()), id, m.GetBodyHash())
+	result, pending, ok := h.s.lookUpLocal(ident.Incarnation(m.GetOwner()), id, m.GetBodyHash())
 	if !ok {
 		return connect.NewResponse(&actionv1.OutcomeResponse{Outcome: notOwner()}), nil
 	}
-	return connect.NewResponse(&actionv1.OutcomeResponse{Outcome: responseOf(result), InProgress: pending}), nil
+	return connect.NewResponse(&actionv1.OutcomeResponse{Outcome: encodeResult(result), InProgress: pending}), nil
 }
 
 // Token issues a token of this daemon's own owner, never a fetched one. It
@@ -74,7 +74,7 @@
 // directories differ for a while, and any daemon can be an owner.
 func (h *handler) Token(context.Context, *connect.Request[actionv1.TokenRequest]) (
 	*connect.Response[actionv1.TokenResponse], error) {
-	if h.s.draining.begun() {
+	if h.s.draining.started() {
 		return connect.NewResponse(&actionv1.TokenResponse{Leaving: true}), nil
 	}
 	h.s.counters.inc(tokensServed)
@@ -88,16 +88,16 @@
 // HandOff takes a part of an ended owner's table in.
 func (h *handler) HandOff(_ context.Context, req *connect.Request[actionv1.HandOffRequest]) (
 	*connect.Response[actionv1.HandOffResponse], error) {
-	return connect.NewResponse(&actionv1.HandOffResponse{Accepted: h.s.adopt(req.Msg)}), nil
+	return connect.NewResponse(&actionv1.HandOffResponse{Accepted: h.s.adoptPart(req.Msg)}), nil
 }
 
 func notOwner() *actionv1.ExecuteResponse {
-	resp := responseOf(refused(refusal.New(refusal.OwnerGone, "not the owner").Unknown()))
+	resp := encodeResult(refused(refusal.New(refusal.OwnerGone, "not the owner").Unknown()))
 	resp.NotOwner = true
 	return resp
 }
 
-func responseOf(r action.Result) *actionv1.ExecuteResponse {
+func encodeResult(r action.Result) *actionv1.ExecuteResponse {
 	if refused := r.Refusal; refused != nil {
 		return &actionv1.ExecuteResponse{
 			Executed:     string(refused.Executed),
@@ -109,12 +109,12 @@
 	return &actionv1.ExecuteResponse{
 		Executed: string(refusal.ExecutedYes),
 		Status:   int32(r.Answer.Status),
-		Headers:  toHeaders(r.Answer.Headers),
+		Headers:  encodeHeaders(r.Answer.Headers),
 		Body:     r.Answer.Body,
 	}
 }
 
-func resultOf(m *actionv1.ExecuteResponse) action.Result {
+func decodeResult(m *actionv1.ExecuteResponse) action.Result {
 	if m.GetReason() != "" {
 		return refused(&refusal.Refusal{
 			Reason:     refusal.Reason(m.GetReason()),
@@ -125,12 +125,12 @@
 	}
 	return action.Result{Answer: call.Answer{
 		Status:  int(m.GetStatus()),
-		Headers: fromHeaders(m.GetHeaders()),
+		Headers: decodeHeaders(m.GetHeaders()),
 		Body:    m.GetBody(),
 	}}
 }
 
-func toHeaders(headers []call.Header) []*actionv1.Header {
+func encodeHeaders(headers []call.Header) []*actionv1.Header {
 	out := make([]*actionv1.Header, 0, len(headers))
 	for _, h := range headers {
 		out = append(out, &actionv1.Header{Name: h.Name, Value: h.Value})
@@ -138,7 +138,7 @@
 	return out
 }
 
-func fromHeaders(headers []*actionv1.Header) []call.Header {
+func decodeHeaders(headers []*actionv1.Header) []call.Header {
 	out := make([]call.Header, 0, len(headers))
 	for _, h := range headers {
 		out = append(out, call.Header{Name: h.GetName(), Value: h.GetValue()})
--- a/daemon/actions/harness_test.go
+++ b/daemon/actions/harness_test.go
@@ -80,8 +80,8 @@
 	maxOwners int
 	// direct and instant replace connections between gateways, and those to
 	// runners, if not nil.
-	direct  direct
-	instant *instant
+	direct  directTransport
+	instant *instantDispatcher
 
 	mu      sync.Mutex
 	daemons []view.Daemon
@@ -99,12 +99,12 @@
 	ended   atomic.Bool
 }
 
-// inBubble runs a test with three gateways in virtual time.
-func inBubble(t *testing.T, test func(f *fleet)) {
+// withThreeGateways runs a test with three gateways in virtual time.
+func withThreeGateways(t *testing.T, test func(f *fleet)) {
 	t.Helper()
 	log := service.NewLog()
 	var runners []*service.Service
-	inBubbleWith(t, func(name string) http.Handler {
+	withSmallFleet(t, func(name string) http.Handler {
 		runners = append(runners, service.New(name, log))
 		return runners[len(runners)-1].Handler()
 	}, func(f *fleet) {
@@ -113,9 +113,9 @@
 	})
 }
 
-func inBubbleWith(t *testing.T, runner func(name string) http.Handler, test func(f *fleet)) {
+func withSmallFleet(t *testing.T, runner func(name string) http.Handler, test func(f *fleet)) {
 	t.Helper()
-	inFleet(t, smallFleet, 0, runner, test)
+	withFleet(t, smallFleetSize, 0, runner, test)
 }
 
 // maxConnected is how many gateways are connected with each other. With 40 the
@@ -124,35 +124,35 @@
 // without connections.
 const maxConnected = 12
 
-// direct maps peer addresses to handlers; it doesn't change once calls begin.
-type direct map[string]http.Handler
+// directTransport maps peer addresses to handlers; it doesn't change once calls begin.
+type directTransport map[string]http.Handler
 
 // RoundTrip implements http.RoundTripper.
-func (d direct) RoundTrip(req *http.Request) (*http.Response, error) {
+func (d directTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	rec := httptest.NewRecorder()
 	d[req.URL.Host].ServeHTTP(rec, req)
 	return rec.Result(), nil
 }
 
-// instant is a dispatcher whose runner answers at once.
-type instant struct{ sent atomic.Int64 }
+// instantDispatcher is a dispatcher whose runner answers at once.
+type instantDispatcher struct{ sent atomic.Int64 }
 
 // Send implements actions.Dispatcher.
-func (i *instant) Send(context.Context, string, actionkey.ID, call.ServiceCall) action.Result {
+func (i *instantDispatcher) Send(context.Context, string, actionkey.ID, call.ServiceCall) action.Result {
 	i.sent.Add(1)
 	return action.Result{Answer: call.Answer{Status: http.StatusOK, Body: []byte("pledged")}}
 }
 
-// smallFleet is how many gateways a test gets that states no number; they are
+// smallFleetSize is how many gateways a test gets that states no number; they are
 // fewer than issue tokens by default.
-const smallFleet = 3
+const smallFleetSize = 3
 
-func inFleet(t *testing.T, size, maxOwners int, runner func(name string) http.Handler, test func(f *fleet)) {
+func withFleet(t *testing.T, size, maxOwners int, runner func(name string) http.Handler, test func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{is: is.New(t), network: pipe.NewNetwork(), store: kvserver.New(), maxOwners: maxOwners}
 		if size > maxConnected {
-			f.direct, f.instant = direct{}, &instant{}
+			f.direct, f.instant = directTransport{}, &instantDispatcher{}
 		}
 		var servers []*http.Server
 		for i := range 3 {
@@ -184,17 +184,17 @@
 	return server
 }
 
-// domains is the number of failure domains.
-const domains = 3
+// failureDomainCount is the number of failure failureDomainCount.
+const failureDomainCount = 3
 
 // start boots an incarnation at a place; the directory knows it at once.
-func (f *fleet) start(place, number int) *node {
-	id := ident.DaemonID(fmt.Sprintf("entry-%d", place))
+func (f *fleet) start(index, number int) *node {
+	id := ident.DaemonID(fmt.Sprintf("entry-%d", index))
 	self := view.Daemon{
 		ID:            id,
 		Incarnation:   ident.NewIncarnation(id, []byte{byte(number)}),
-		FailureDomain: ident.FailureDomain(fmt.Sprintf("domain-%d", place%domains)),
-		PeerAddress:   fmt.Sprintf("entry-%d:90", place),
+		FailureDomain: ident.FailureDomain(fmt.Sprintf("domain-%d", index%failureDomainCount)),
+		PeerAddress:   fmt.Sprintf("entry-%d:90", index),
 		State:         view.Live,
 	}
 	cfg := dispatch.DefaultConfig()
@@ -238,8 +238,8 @@
 	return n
 }
 
-// once tells whether the caller is the first to end the incarnation.
-func (n *node) once() bool { return !n.ended.Swap(true) }
+// markEnded tells whether the caller is the first to end the incarnation.
+func (n *node) markEnded() bool { return !n.ended.Swap(true) }
 
 // crash ends an incarnation; the directory doesn't notice.
 func (n *node) crash() {
@@ -248,12 +248,12 @@
 	<-n.done
 }
 
-// forget takes a place's oldest incarnation out of the directory.
-func (f *fleet) forget(place int) {
+// removeFromDirectory takes a place's oldest incarnation out of the directory.
+func (f *fleet) removeFromDirectory(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, d := range f.daemons {
-		if d.ID == ident.DaemonID(fmt.Sprintf("entry-%d", place)) {
+		if d.ID == ident.DaemonID(fmt.Sprintf("entry-%d", index)) {
 			f.daemons = append(f.daemons[:i:i], f.daemons[i+1:]...)
 			return
 		}
@@ -282,10 +282,10 @@
 	return string(a.Body), err
 }
 
-// runs counts how often an action with a token ran.
-func (f *fleet) runs(key string) int { return f.log.Count("huaman/" + key) }
+// executionCount counts how often an action with a token ran.
+func (f *fleet) executionCount(key string) int { return f.log.Count("huaman/" + key) }
 
-func (f *fleet) refused(err error, executed refusal.Executed, reason refusal.Reason) {
+func (f *fleet) expectRefusal(err error, executed refusal.Executed, reason refusal.Reason) {
 	f.is.Helper()
 	f.is.True(err != nil) // a refusal
 	if err == nil {
@@ -296,6 +296,6 @@
 	f.is.Equal(r.Reason, reason)
 }
 
-func (n *node) count(name string) int64 {
+func (n *node) counter(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, n.metrics).Count()
 }
--- a/daemon/actions/history_test.go
+++ b/daemon/actions/history_test.go
@@ -37,14 +37,14 @@
 	wg      sync.WaitGroup
 }
 
-func (w *workload) below(n int) int {
+func (w *workload) intN(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.IntN(n)
 }
 
 func (w *workload) sleep(upTo time.Duration) {
-	time.Sleep(time.Duration(w.below(int(upTo/time.Millisecond))) * time.Millisecond)
+	time.Sleep(time.Duration(w.intN(int(upTo/time.Millisecond))) * time.Millisecond)
 }
 
 // runner executes actions, and now and then refuses, hangs or breaks off.
@@ -54,17 +54,17 @@
 		if err != nil {
 			return
 		}
-		what := w.below(20)
-		if what == 0 {
+		behavior := w.intN(20)
+		if behavior == 0 {
 			rw.Header().Set(dispatch.HeaderNotExecuted, "1")
 			rw.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		w.sleep(100 * time.Millisecond)
 		_, key, _ := strings.Cut(r.Header.Get(dispatch.HeaderAction), "/")
-		answer := fmt.Sprintf("%s#%d", body, w.below(1<<30))
+		answer := fmt.Sprintf("%s#%d", body, w.intN(1<<30))
 		w.history.Ran(time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, string(body), answer)
-		switch what {
+		switch behavior {
 		case 1:
 			panic(http.ErrAbortHandler)
 		case 2:
@@ -79,8 +79,8 @@
 // outcome.
 func (w *workload) caller(name string) {
 	w.sleep(20 * time.Second)
-	key := w.node().key(name)
-	for range 1 + w.below(4) {
+	key := w.randomNode().key(name)
+	for range 1 + w.intN(4) {
 		w.wg.Go(func() {
 			w.sleep(5 * time.Second)
 			w.send(key, name)
@@ -88,7 +88,7 @@
 	}
 	w.wg.Go(func() {
 		w.sleep(30 * time.Second)
-		w.ask(key)
+		w.queryOutcome(key)
 	})
 }
 
@@ -97,38 +97,38 @@
 	return token + suffix
 }
 
-func (w *workload) node() *node {
-	place := w.below(len(w.f.nodes))
+func (w *workload) randomNode() *node {
+	index := w.intN(len(w.f.nodes))
 	w.f.mu.Lock()
 	defer w.f.mu.Unlock()
-	return w.f.nodes[place]
+	return w.f.nodes[index]
 }
 
 func (w *workload) send(key, body string) {
 	from := time.Now()
-	n := w.node()
+	n := w.randomNode()
 	if n.ended.Load() {
 		return
 	}
 	a, err := n.Execute(context.Background(), call.ServiceCall{
 		Workspace: "huaman", Service: "casos", Key: key, Method: http.MethodPost, Path: "/pledges", Body: []byte(body),
 	})
-	w.told(from, key, body, a, err)
+	w.recordAnswer(from, key, body, a, err)
 }
 
-func (w *workload) ask(key string) {
+func (w *workload) queryOutcome(key string) {
 	from := time.Now()
-	n := w.node()
+	n := w.randomNode()
 	if n.ended.Load() {
 		return
 	}
 	a, pending, err := n.Outcome(context.Background(), "huaman", key)
 	if !pending {
-		w.told(from, key, "", a, err)
+		w.recordAnswer(from, key, "", a, err)
 	}
 }
 
-func (w *workload) told(from time.Time, key, body string, a call.Answer, err error) {
+func (w *workload) recordAnswer(from time.Time, key, body string, a call.Answer, err error) {
 	r := action.Result{Answer: a}
 	if err != nil {
 		r.Refusal = refusal.From(err)
@@ -136,37 +136,37 @@
 	w.history.Told(from, time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, body, r)
 }
 
-// fault does one kind of harm.
-func (w *workload) fault(number int) {
+// injectFault does one kind of harm.
+func (w *workload) injectFault(number int) {
 	w.sleep(25 * time.Second)
-	place := w.below(len(w.f.nodes))
-	switch w.below(7) {
+	index := w.intN(len(w.f.nodes))
+	switch w.intN(7) {
 	case 0:
-		w.replace(place, number, false)
+		w.replace(index, number, false)
 	case 1:
-		w.replace(place, number, true)
+		w.replace(index, number, true)
 	case 2:
 		w.f.store.SetFaults(kvserver.Faults{Outage: true})
 		w.sleep(15 * time.Second)
 		w.f.store.SetFaults(kvserver.Faults{})
 	case 3:
-		w.f.store.SetFaults(kvserver.Faults{LoseAnswers: w.below(6), DelayMillis: int64(w.below(1500)), LateEffects: true})
+		w.f.store.SetFaults(kvserver.Faults{LoseAnswers: w.intN(6), DelayMillis: int64(w.intN(1500)), LateEffects: true})
 		w.sleep(10 * time.Second)
 		w.f.store.SetFaults(kvserver.Faults{})
 	case 4:
-		w.f.network.Silence(fmt.Sprintf("entry-%d:90", place))
+		w.f.network.Silence(fmt.Sprintf("entry-%d:90", index))
 	case 5:
-		w.f.network.Break(fmt.Sprintf("casos-%d:80", 1+w.below(3)))
+		w.f.network.Break(fmt.Sprintf("casos-%d:80", 1+w.intN(3)))
 	case 6:
-		w.mistake(place)
+		w.hideFromDirectory(index)
 	}
 }
 
 // replace ends an incarnation, by a drain that may be cut half way or by a
 // crash, and boots another at its address. The directory learns of it late.
-func (w *workload) replace(place, number int, drain bool) {
+func (w *workload) replace(index, number int, drain bool) {
 	w.f.mu.Lock()
-	n := w.f.nodes[place]
+	n := w.f.nodes[index]
 	w.f.mu.Unlock()
 	if drain {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -176,34 +176,34 @@
 		w.sleep(4 * time.Second)
 		defer cancel()
 	}
-	if !n.once() {
+	if !n.markEnded() {
 		return // another fault has replaced it
 	}
 	n.crash()
 	w.sleep(3 * time.Second)
-	next := w.f.start(place, 10+number)
+	next := w.f.start(index, 10+number)
 	w.f.mu.Lock()
-	w.f.nodes[place] = next
+	w.f.nodes[index] = next
 	w.f.mu.Unlock()
 	w.sleep(3 * time.Second)
-	w.f.forget(place)
+	w.f.removeFromDirectory(index)
 }
 
-// mistake takes a live daemon out of the directory for a while.
-func (w *workload) mistake(place int) {
+// hideFromDirectory takes a live daemon out of the directory for a while.
+func (w *workload) hideFromDirectory(index int) {
 	w.f.mu.Lock()
-	var hidden []int
+	var matches []int
 	for i, d := range w.f.daemons {
-		if d.ID == ident.DaemonID(fmt.Sprintf("entry-%d", place)) {
-			hidden = append(hidden, i)
+		if d.ID == ident.DaemonID(fmt.Sprintf("entry-%d", index)) {
+			matches = append(matches, i)
 		}
 	}
-	if len(hidden) != 1 {
+	if len(matches) != 1 {
 		w.f.mu.Unlock()
 		return
 	}
-	d := w.f.daemons[hidden[0]]
-	w.f.daemons = append(w.f.daemons[:hidden[0]:hidden[0]], w.f.daemons[hidden[0]+1:]...)
+	d := w.f.daemons[matches[0]]
+	w.f.daemons = append(w.f.daemons[:matches[0]:matches[0]], w.f.daemons[matches[0]+1:]...)
 	w.f.mu.Unlock()
 	w.sleep(5 * time.Second)
 	w.f.mu.Lock()
@@ -218,10 +218,10 @@
 	for seed := range *histories {
 		w := &workload{rng: rand.New(rand.NewPCG(uint64(seed), 3))}
 		// In two of three histories some gateways hand out others' tokens.
-		inFleet(t, smallFleet, 1+seed%smallFleet, w.runner, func(f *fleet) {
+		withFleet(t, smallFleetSize, 1+seed%smallFleetSize, w.runner, func(f *fleet) {
 			w.f = f
-			for i := range 2 + w.below(4) {
-				w.wg.Go(func() { w.fault(i) })
+			for i := range 2 + w.intN(4) {
+				w.wg.Go(func() { w.injectFault(i) })
 			}
 			for i := range 12 {
 				w.wg.Go(func() { w.caller(fmt.Sprintf("c%d", i)) })
--- a/daemon/actions/runners.go
+++ b/daemon/actions/runners.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	hashBytes  = 16
-	maxRunners = 3
+	hashBytes         = 16
+	maxRunnerAttempts = 3
 )
 
 // bodyHash tells calls under the same key apart. Headers don't count: proxies
@@ -36,11 +36,11 @@
 	return hex.EncodeToString(h.Sum(nil)[:hashBytes])
 }
 
-// admit finds the call's route, or tells why there is none.
-func (s *Service) admit(c call.ServiceCall) (manifest.OutagePolicy, *refusal.Refusal) {
+// findRoute finds the call's route, or tells why there is none.
+func (s *Service) findRoute(c call.ServiceCall) (manifest.OutagePolicy, *refusal.Refusal) {
 	m, _ := s.cfg.Config.Current()
 	if m == nil {
-		return "", refusal.New(refusal.NotReady, "no configuration yet").After(s.cfg.Times.Settle)
+		return "", refusal.New(refusal.NotReady, "no configuration yet").After(s.cfg.Times.StartupGrace)
 	}
 	svc := m.ServiceNamed(c.Service)
 	if svc == nil {
@@ -54,12 +54,12 @@
 	return route.OutagePolicy, nil
 }
 
-// send tries a few runners one after the other, and goes on to the next only
+// sendToRunners tries a few runners one after the other, and goes on to the next only
 // where it is certain that nothing ran.
-func (s *Service) send(ctx context.Context, d *action.Dispatch) action.Result {
-	result := refused(refusal.New(refusal.NoRunner, "no runner of %q takes work", d.Call.Service).After(s.cfg.Times.Retry))
+func (s *Service) sendToRunners(ctx context.Context, d *action.Dispatch) action.Result {
+	result := refused(refusal.New(refusal.NoRunner, "no runner of %q takes work", d.Call.Service).After(s.cfg.Times.RetryPause))
 	for i, r := range s.runners(d.Call.Service) {
-		if i == maxRunners || ctx.Err() != nil {
+		if i == maxRunnerAttempts || ctx.Err() != nil {
 			return result
 		}
 		if i > 0 {
@@ -77,41 +77,41 @@
 // first, then the suspect ones; never a leaving one.
 func (s *Service) runners(service string) []view.Runner {
 	domain := s.cfg.Directory.Self().FailureDomain
-	var near, far, suspect []view.Runner
+	var local, remote, suspect []view.Runner
 	for _, r := range s.cfg.Directory.Runners(service) {
 		switch {
 		case r.State == view.Suspect:
 			suspect = append(suspect, r)
 		case r.State != view.Live:
 		case r.FailureDomain == domain:
-			near = append(near, r)
+			local = append(local, r)
 		default:
-			far = append(far, r)
+			remote = append(remote, r)
 		}
 	}
-	for _, list := range [][]view.Runner{near, far, suspect} {
+	for _, list := range [][]view.Runner{local, remote, suspect} {
 		rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	}
-	return append(append(near, far...), suspect...)
+	return append(append(local, remote...), suspect...)
 }
 
-// failedWrite tells the writer what an error proves.
-func (s *Service) failedWrite(w journal.Write, err error) journal.Written {
+// classifyWriteError tells the writer what an error proves.
+func (s *Service) classifyWriteError(w journal.Write, err error) journal.Written {
 	var conflict *kv.ConflictError
 	if !errors.As(err, &conflict) {
-		s.counters.inc(journalDoubtful)
+		s.counters.inc(journalUncertain)
 		return journal.Written{Index: w.Index, Status: journal.Unknown}
 	}
 	s.counters.inc(journalConflict)
-	standing, decodeErr := journal.Decode(conflict.Current.Key, conflict.Current.Value)
+	existing, decodeErr := journal.Decode(conflict.Current.Key, conflict.Current.Value)
 	if decodeErr != nil {
 		// Whatever it is, it isn't this owner's entry: the log has ended.
-		standing = journal.Entry{}
+		existing = journal.Entry{}
 	}
 	return journal.Written{
 		Index:    w.Index,
 		Status:   journal.Conflict,
-		Existing: standing,
+		Existing: existing,
 		Revision: uint64(conflict.Current.Revision),
 	}
 }
--- a/daemon/actions/seal.go
+++ b/daemon/actions/seal.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	listLimit  = 64
-	sealTries  = 8
-	cachedLogs = 8
+	listLimit       = 64
+	maxSealAttempts = 8
+	maxCachedLogs   = 8
 	// sealsPerSecond and sealBurst bound the logs that this daemon reads and
 	// seals: a caller can make up any number of owners.
 	sealsPerSecond = 5
 	sealBurst      = 20
-	// ancient is how long after its end a key is over without any look at a
+	// expiredWithoutLogAfter is how long after its end a key is over without any look at a
 	// log, which may have been collected; clocks differ by less.
-	ancient = sealLifetime / 2
+	expiredWithoutLogAfter = sealLifetime / 2
 )
 
 // daemonIncarnation strips the number of a daemon's later owners.
@@ -35,28 +35,28 @@
 	return ident.Incarnation(name)
 }
 
-// speakFor answers for an owner that has ended: from its table if this daemon
+// resolveEndedOwner answers for an owner that has ended: from its table if this daemon
 // or its successor has it, else from its log, which it seals first.
-func (s *Service) speakFor(ctx context.Context, owner ident.Incarnation, id actionkey.ID, hash string) action.Result {
-	if r, _, ok := s.ask(owner, id, hash); ok {
+func (s *Service) resolveEndedOwner(ctx context.Context, owner ident.Incarnation, id actionkey.ID, hash string) action.Result {
+	if r, _, ok := s.lookUpLocal(owner, id, hash); ok {
 		return r
 	}
-	if key, err := actionkey.Parse(id.Key); err != nil || s.now().Sub(key.Expires()) > ancient {
+	if key, err := actionkey.Parse(id.Key); err != nil || s.now().Sub(key.Expires()) > expiredWithoutLogAfter {
 		return refused(refusal.New(refusal.KeyExpired, "key was over long ago").Unknown())
 	}
-	log, err := s.sealedLog(ctx, owner, "")
+	log, err := s.readSealedLog(ctx, owner, "")
 	if err != nil {
 		return refused(refusal.New(refusal.JournalUnavailable, "owner has ended; its journal: %v", err).
 			Unknown().After(time.Second))
 	}
-	if r, ok := s.askSuccessor(ctx, log, owner, id, hash); ok {
+	if r, ok := s.querySuccessor(ctx, log, owner, id, hash); ok {
 		return r
 	}
 	return action.ResultFromVerdict(log.Verdict(s.now(), id, hash))
 }
 
-// askSuccessor asks the one daemon that the seal names, while it lives.
-func (s *Service) askSuccessor(ctx context.Context, log *journal.Log, owner ident.Incarnation, id actionkey.ID,
+// querySuccessor asks the one daemon that the seal names, while it lives.
+func (s *Service) querySuccessor(ctx context.Context, log *journal.Log, owner ident.Incarnation, id actionkey.ID,
 	hash string) (action.Result, bool) {
 	successor := log.Seal().Successor
 	if successor == "" || successor == s.cfg.Self {
@@ -66,45 +66,47 @@
 		if d.Incarnation != successor {
 			continue
 		}
-		resp, err := s.askPeer(ctx, d, owner, id, hash)
+		resp, err := s.queryPeer(ctx, d, owner, id, hash)
 		if err != nil || resp.GetOutcome().GetNotOwner() {
 			return action.Result{}, false
 		}
-		return resultOf(resp.GetOutcome()), true
+		return decodeResult(resp.GetOutcome()), true
 	}
 	return action.Result{}, false
 }
 
-// UnsettledSealError says that a log could not be sealed for now.
-type UnsettledSealError struct {
+// SealFailedError says that a log could not be sealed for now.
+type SealFailedError struct {
 	Owner ident.Incarnation
 	Err   error
 }
 
-func (e *UnsettledSealError) Error() string { return fmt.Sprintf("seal log of %q: %v", e.Owner, e.Err) }
+func (e *SealFailedError) Error() string { return fmt.Sprintf("seal log of %q: %v", e.Owner, e.Err) }
 
 // Unwrap returns the cause.
-func (e *UnsettledSealError) Unwrap() error { return e.Err }
+func (e *SealFailedError) Unwrap() error { return e.Err }
 
-// ContendedError says that entries kept coming while the log was sealed.
-type ContendedError struct{ Tries int }
+// SealContendedError says that entries kept coming while the log was sealed.
+type SealContendedError struct{ Attempts int }
 
-func (e *ContendedError) Error() string { return fmt.Sprintf("lost %d entries in a row", e.Tries) }
+func (e *SealContendedError) Error() string {
+	return fmt.Sprintf("lost %d entries in a row", e.Attempts)
+}
 
 // SealRateError says that too many logs were asked for at once.
 type SealRateError struct{}
 
 func (e *SealRateError) Error() string { return "too many ended owners at once" }
 
-// sealedLog reads an ended owner's log to its seal, and seals it if nobody has.
-func (s *Service) sealedLog(ctx context.Context, owner, successor ident.Incarnation) (*journal.Log, error) {
+// readSealedLog reads an ended owner's log to its seal, and seals it if nobody has.
+func (s *Service) readSealedLog(ctx context.Context, owner, successor ident.Incarnation) (*journal.Log, error) {
 	if log := s.logs.get(owner, s.now()); log != nil {
 		return log, nil
 	}
-	if !s.seals.Allow() {
-		return nil, &UnsettledSealError{Owner: owner, Err: &SealRateError{}}
+	if !s.sealLimiter.Allow() {
+		return nil, &SealFailedError{Owner: owner, Err: &SealRateError{}}
 	}
-	result := s.sealing.DoChan(string(owner), func() (any, error) {
+	result := s.sealGroup.DoChan(string(owner), func() (any, error) {
 		// Not the caller's context: others wait for the same log.
 		ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Call)
 		defer cancel()
@@ -114,13 +116,13 @@
 	case r := <-result:
 		if r.Err != nil {
 			s.counters.inc(sealsFailed)
-			return nil, &UnsettledSealError{Owner: owner, Err: r.Err}
+			return nil, &SealFailedError{Owner: owner, Err: r.Err}
 		}
 		log := r.Val.(*journal.Log)
 		s.logs.put(owner, log, s.now())
 		return log, nil
 	case <-ctx.Done():
-		return nil, &UnsettledSealError{Owner: owner, Err: ctx.Err()}
+		return nil, &SealFailedError{Owner: owner, Err: ctx.Err()}
 	}
 }
 
@@ -129,7 +131,7 @@
 	if err := s.readLog(ctx, log, owner, ""); err != nil {
 		return nil, err
 	}
-	for range sealTries {
+	for range maxSealAttempts {
 		if log.Seal() != nil {
 			return log, nil
 		}
@@ -138,15 +140,15 @@
 		}
 		// The read shows whether the seal is the last entry: a reader that was
 		// paused can win an index that the owner has collected.
-		if err := s.readLog(ctx, log, owner, lastKey(log, owner)); err != nil {
+		if err := s.readLog(ctx, log, owner, lastEntryKey(log, owner)); err != nil {
 			return nil, err
 		}
 	}
-	return nil, &ContendedError{Tries: sealTries}
+	return nil, &SealContendedError{Attempts: maxSealAttempts}
 }
 
-// lastKey is the key of the last entry that was read.
-func lastKey(log *journal.Log, owner ident.Incarnation) string {
+// lastEntryKey is the key of the last entry that was read.
+func lastEntryKey(log *journal.Log, owner ident.Incarnation) string {
 	if log.Next() == 0 {
 		return ""
 	}
@@ -156,7 +158,7 @@
 // trySeal creates the seal as the next entry. Whatever comes of it shows in
 // the log; only a call without an answer is an error.
 func (s *Service) trySeal(ctx context.Context, log *journal.Log, owner, successor ident.Incarnation) error {
-	s.counters.inc(sealsTried)
+	s.counters.inc(sealsAttempted)
 	value, err := journal.Encode(journal.Entry{
 		Nonce: "seal/" + string(s.cfg.Self),
 		Seal:  &journal.Seal{By: s.cfg.Self, Successor: successor},
@@ -166,7 +168,7 @@
 	}
 	// The seal may vanish with its lease: by then the owner refuses the keys
 	// of which it has spoken as expired.
-	lease, err := s.dayLease(ctx)
+	lease, err := s.currentLease(ctx)
 	if err != nil {
 		return err
 	}
@@ -179,10 +181,10 @@
 	}
 	var expired *kv.LeaseExpiredError
 	if errors.As(err, &expired) {
-		s.lease.forget(lease)
+		s.lease.invalidate(lease)
 	}
 	if err == nil {
-		s.counters.inc(sealsWon)
+		s.counters.inc(sealsCreated)
 	}
 	return err
 }
@@ -225,8 +227,8 @@
 }
 
 type cachedLog struct {
-	log  *journal.Log
-	used time.Time
+	log      *journal.Log
+	lastUsed time.Time
 }
 
 func (c *logCache) get(owner ident.Incarnation, now time.Time) *journal.Log {
@@ -236,7 +238,7 @@
 	if !ok {
 		return nil
 	}
-	c.logs[owner] = cachedLog{log: entry.log, used: now}
+	c.logs[owner] = cachedLog{log: entry.log, lastUsed: now}
 	return entry.log
 }
 
@@ -246,9 +248,9 @@
 	if c.logs == nil {
 		c.logs = map[ident.Incarnation]cachedLog{}
 	}
-	c.logs[owner] = cachedLog{log: log, used: now}
-	for len(c.logs) > cachedLogs {
-		delete(c.logs, c.oldest())
+	c.logs[owner] = cachedLog{log: log, lastUsed: now}
+	for len(c.logs) > maxCachedLogs {
+		delete(c.logs, c.leastRecentlyUsed())
 	}
 }
 
@@ -258,12 +260,12 @@
 	delete(c.logs, owner)
 }
 
-func (c *logCache) oldest() ident.Incarnation {
+func (c *logCache) leastRecentlyUsed() ident.Incarnation {
 	var name ident.Incarnation
 	var used time.Time
 	for owner, entry := range c.logs {
-		if name == "" || entry.used.Before(used) {
-			name, used = owner, entry.used
+		if name == "" || entry.lastUsed.Before(used) {
+			name, used = owner, entry.lastUsed
 		}
 	}
 	return name
