--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -1,6 +1,10 @@
-// Package actions runs the owner of actions in a daemon: it forwards calls to
-// the owners that their keys name, writes the journal, sends to runners, and
-// speaks for owners that have ended.
+// Package actions executes calls with idempotency keys at most once.
+//
+// Each key contains a token that names its owner, the daemon incarnation that
+// records and dispatches the call. A daemon that receives a call forwards it to
+// the owner. The owner writes journal entries to the key-value service and
+// sends the call to a runner. When an owner has ended, any daemon can seal the
+// owner's log, which is the sequence of its journal entries, and answer from it.
 package actions
 
 import (
@@ -30,54 +34,65 @@
 	Send(ctx context.Context, address string, id actionkey.ID, c call.ServiceCall) action.Result
 }
 
-// Config holds what the service works with. Zero times take their defaults.
+// Config holds the dependencies and settings of a Service.
 type Config struct {
 	Self       ident.Incarnation
 	Directory  view.Directory
 	Config     view.Config
 	Store      kv.Store
 	Dispatcher Dispatcher
-	// Peers calls other daemons; nil is a client of its own over TCP.
+	// Peers is the HTTP client for calls to other daemons. If it is nil, the
+	// service creates a client that connects over TCP.
 	Peers   *http.Client
 	Metrics metrics.Registry
-	// Owner returns an owner's bounds; nil is action.DefaultConfig.
+	// Owner returns the limits of an owner; nil means action.DefaultConfig.
 	Owner func(ident.Incarnation) action.Config
+	// Times is replaced by DefaultTimes if all of its fields are zero.
 	Times Times
-	// RequireToken refuses every key without a token instead of claiming it.
+	// RequireToken makes the service refuse keys without a token. Otherwise a
+	// claim in the key-value service assigns an owner to such a key.
 	RequireToken bool
-	// MaxTokenOwners is how many daemons issue tokens, the others hand out
-	// tokens of these; zero is owners.DefaultMax.
+	// MaxTokenOwners is the maximum number of daemons that issue tokens. The
+	// other daemons hand out tokens that they fetch from these. Zero means
+	// owners.DefaultMax.
 	MaxTokenOwners int
 }
 
-// Times bounds how long the parts of an action may take.
+// Times holds the timeouts and intervals of a Service.
 type Times struct {
-	// Store bounds a call of the key-value service.
+	// Store is the timeout of a call to the key-value service.
 	Store time.Duration
-	// Dispatch bounds a runner's answer.
+	// Dispatch is the timeout for sending an action to runners, including
+	// attempts at further runners.
 	Dispatch time.Duration
-	// Poll is how long an owner may keep a forwarded call waiting.
+	// Poll is how long an owner may hold a forwarded call before it answers
+	// that the action is still in progress.
 	Poll time.Duration
-	// PollGrace is how much later than Poll a connection counts as silent.
+	// PollGrace is added to Poll to get the timeout of a forwarded call.
 	PollGrace time.Duration
-	// Call bounds calls without a deadline of their own.
+	// Call is the timeout of calls that have no deadline.
 	Call time.Duration
-	// StartupGrace is how long after its start a daemon doesn't conclude from its
-	// directory that an owner is gone.
+	// StartupGrace is how long after its start a daemon doesn't treat an owner
+	// that is missing from the directory as ended: the directory may still be
+	// incomplete.
 	StartupGrace time.Duration
-	// Seal is how long a drain waits for its seal.
+	// Seal is how long a drain waits until the owners' logs are sealed.
 	Seal time.Duration
-	// RetryPause is the pause before a peer or the service is tried again.
+	// RetryPause is the pause before a failed call to another daemon is
+	// repeated.
 	RetryPause time.Duration
-	// TokenCheckInterval is the mean pause between looks at which daemons issue tokens.
+	// TokenCheckInterval is the mean interval between checks of which daemons
+	// issue tokens.
 	TokenCheckInterval time.Duration
-	// TokenRefresh is the longest time until a fetched token is fetched anew.
+	// TokenRefresh is the longest time after which a fetched token is replaced
+	// by a newly fetched one.
 	TokenRefresh time.Duration
-	// TokenFetch bounds the fetch of a token from one owner.
+	// TokenFetch is the timeout for fetching a token from one owner.
 	TokenFetch time.Duration
 }
 
-// DefaultTimes suits failure domains a few milliseconds apart.
+// DefaultTimes returns values for failure domains with a network latency of a
+// few milliseconds between them.
 func DefaultTimes() Times {
 	return Times{
 		Store:              time.Second,
@@ -125,8 +140,8 @@
 
 var _ call.Actions = (*Service)(nil)
 
-// New returns a service that owns actions from now on; Run must be running
-// for it to make progress.
+// New returns a service with a first owner. Actions make progress only while
+// Run is running.
 func New(cfg Config) *Service {
 	if cfg.Times == (Times{}) {
 		cfg.Times = DefaultTimes()
@@ -161,9 +176,10 @@
 
 func (s *Service) now() time.Time { return s.clock.now() }
 
-// startOwner starts the next owner of this daemon. The first bears the daemon's
-// incarnation; one whose log another daemon sealed by mistake is followed by
-// one with a new name, since a sealed log is over for good.
+// startOwner creates the next owner of this daemon. The first owner has the
+// name of the daemon's incarnation. If another daemon has sealed the log of the
+// current owner by mistake, the next owner gets a new name, because nothing can
+// be appended to a sealed log.
 func (s *Service) startOwner() {
 	name := s.cfg.Self
 	if s.epoch > 0 {
@@ -176,7 +192,7 @@
 
 const epochSeparator = "+"
 
-// Run drives the owners until ctx ends, then waits for what it started.
+// Run drives the owners until ctx ends, then waits for the tasks it started.
 func (s *Service) Run(ctx context.Context) error {
 	defer s.tasks.Wait()
 	defer s.stop()
@@ -196,14 +212,14 @@
 	}
 }
 
-// stopSpawning keeps go from starting tasks while Run waits for them.
+// stopSpawning keeps spawn from starting tasks while Run waits for them to end.
 func (s *Service) stopSpawning() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 }
 
-// spawn runs a task that Run waits for; s.mu must be held.
+// spawn starts a task that Run waits for. The caller must hold s.mu.
 func (s *Service) spawn(task func()) {
 	if !s.closed {
 		s.tasks.Go(task)
@@ -215,7 +231,8 @@
 	minTick  = time.Millisecond
 )
 
-// tick lets time pass in all owners and returns how long until the next.
+// tick processes what is due in all owners and returns how long to wait until
+// the next tick.
 func (s *Service) tick() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -246,8 +263,8 @@
 	}
 }
 
-// applyEffects carries effects out and lets Run look again at when it is due; s.mu
-// must be held.
+// applyEffects performs effects and requests a tick, because the effects may
+// have changed when the next one is due. The caller must hold s.mu.
 func (s *Service) applyEffects(o *action.Owner, effects []action.Effect) {
 	s.performEffects(o, effects)
 	s.requestTick()
@@ -277,7 +294,7 @@
 		return
 	}
 	delete(s.waiters, r.Waiter)
-	ch <- r.Result // of capacity one, and each waiter gets one reply
+	ch <- r.Result // never blocks: the capacity is one and each waiter gets one reply
 }
 
 func (s *Service) countDispatch(d *action.Dispatch) {
@@ -295,7 +312,7 @@
 	}
 }
 
-// dispatchAction sends an action and takes its result in.
+// dispatchAction sends an action to a runner and reports the result to the owner.
 func (s *Service) dispatchAction(o *action.Owner, d *action.Dispatch) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Dispatch)
 	defer cancel()
@@ -305,8 +322,9 @@
 	s.applyEffects(o, o.Finished(s.now(), d.ID, result))
 }
 
-// writeEntry creates a journal entry. An error other than a conflict leaves it open
-// whether the entry stands; the writer sends it again under the same index.
+// writeEntry creates a journal entry. After an error other than a conflict it is
+// unknown whether the entry was created; the journal writer then repeats the
+// write at the same index.
 func (s *Service) writeEntry(o *action.Owner, w journal.Write) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Store)
 	defer cancel()
@@ -333,7 +351,8 @@
 	s.requestTick()
 }
 
-// Execute runs the call at most once for its workspace and key.
+// Execute runs the call at most once for its workspace and key. A repeated call
+// gets the answer of the first one.
 func (s *Service) Execute(ctx context.Context, c call.ServiceCall) (call.Answer, error) {
 	ctx, cancel := s.withDeadline(ctx, c.Deadline)
 	defer cancel()
@@ -383,8 +402,9 @@
 	return ok
 }
 
-// submitAndWait submits a call to an owner of this daemon and waits for its result. With
-// a positive poll it waits no longer than that and may return pending.
+// submitAndWait submits a call to an owner of this daemon and waits for its
+// result. If poll is positive, it waits no longer than poll and returns pending
+// if there is no result by then.
 func (s *Service) submitAndWait(ctx context.Context, owner ident.Incarnation, id actionkey.ID, c call.ServiceCall,
 	poll time.Duration) (r action.Result, pending bool) {
 	o, w, ch := s.submit(owner, id, c)
@@ -425,6 +445,7 @@
 	return o, request.Waiter, ch
 }
 
+// detach ends a wait without a result; the action goes on.
 func (s *Service) detach(o *action.Owner, id actionkey.ID, w action.Waiter, ch chan action.Result) (
 	action.Result, bool) {
 	s.mu.Lock()
@@ -439,6 +460,7 @@
 	return action.Result{}, true
 }
 
+// abandon ends the wait of a call whose deadline has passed.
 func (s *Service) abandon(o *action.Owner, id actionkey.ID, w action.Waiter, ch chan action.Result) action.Result {
 	s.mu.Lock()
 	s.applyEffects(o, o.AbandonWait(s.now(), id, w))
@@ -452,7 +474,8 @@
 	}
 }
 
-// Outcome tells what is known of an earlier call without running it.
+// Outcome returns the result of an earlier call without running it. The boolean
+// is true if the call is still in progress.
 func (s *Service) Outcome(ctx context.Context, ws ident.Workspace, key string) (call.Answer, bool, error) {
 	ctx, cancel := s.withDeadline(ctx, time.Time{})
 	defer cancel()
@@ -482,7 +505,8 @@
 	return s.forwardOutcome(ctx, parsed.Owner, id)
 }
 
-// lookUpLocal answers from the tables of this daemon, if it has one of the owner.
+// lookUpLocal looks up an action in the owner's table, if this daemon runs the
+// owner or has adopted its table. Otherwise ok is false.
 func (s *Service) lookUpLocal(owner ident.Incarnation, id actionkey.ID, hash string) (r action.Result, pending, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/actions/actions_test.go
+++ b/daemon/actions/actions_test.go
@@ -14,13 +14,13 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Story: a finder's phone sends a pledge three times through three gateways,
-// and three bounties are pledged. The copies come at the same time.
+// A client sends the same call through several gateways at the same time. Without
+// a common owner each gateway would run the call.
 func TestDuplicatesThroughSeveralGateways(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
 		for _, r := range f.runners {
-			r.SetFaults(service.Faults{DelayMillis: 4000}) // longer than a poll
+			r.SetFaults(service.Faults{DelayMillis: 4000}) // longer than Times.Poll
 		}
 		answers := make([]string, 6)
 		var wg sync.WaitGroup
@@ -41,8 +41,9 @@
 	})
 }
 
-// Story: a pledge gets no answer for minutes. The connection between its
-// gateway and the owner went silent, while a new one would have worked.
+// The connection between a gateway and the owner stops transmitting without being
+// closed. The call must be repeated on a new connection instead of waiting for
+// minutes.
 func TestSilentConnectionBetweenGateways(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		_, err := f.pledge(0, f.key(1, "first"))
@@ -58,14 +59,14 @@
 	})
 }
 
-// Story: a desk is told that a booking didn't run, books again, and the slot
-// is sold twice. The owner of the first had crashed after it ran.
+// The owner crashes after a call ran. If the caller were told that the call had
+// not run, it would send the call again and the effect would happen twice.
 func TestOwnerCrash(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		done, fresh, open := f.key(1, "done"), f.key(1, "fresh"), f.key(1, "open")
 		want, err := f.pledge(0, done)
 		f.is.NoErr(err)
-		time.Sleep(time.Second) // its outcome is journaled
+		time.Sleep(time.Second) // until the outcome is journaled
 		for _, r := range f.runners {
 			r.SetFaults(service.Faults{HangSilently: 1})
 		}
@@ -83,12 +84,12 @@
 		f.expectRefusal(err, refusal.ExecutedUnknown, refusal.OutcomeUnknown)
 		f.is.Equal(f.executionCount(open), 1)
 		f.is.Equal(f.executionCount(fresh), 0)
-		time.Sleep(time.Minute) // the pledge that hangs ends
+		time.Sleep(time.Minute) // until the hanging call ends
 	})
 }
 
-// Story: a pledge is run by a VM that has just been started. It has the
-// address of the owner that was reclaimed, and the directory doesn't know yet.
+// A new VM gets the address of an owner that was reclaimed, before the directory
+// is updated. The new VM must not run calls for the old owner.
 func TestReplacedVMWithTheSameAddress(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
@@ -103,8 +104,9 @@
 	})
 }
 
-// Story: nobody can pledge for ten minutes, since the key-value service is
-// down. Pledges are let run without the journal; closures are not.
+// The key-value service is down for ten minutes. Calls of a route whose outage
+// policy allows it (/pledges) must run without the journal; others (/closures)
+// are refused.
 func TestLongStoreOutage(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		old := f.key(1, "old")
@@ -126,7 +128,7 @@
 		f.expectRefusal(err, refusal.ExecutedUnknown, refusal.ClaimUnavailable)
 
 		f.store.SetFaults(kvserver.Faults{})
-		time.Sleep(10 * time.Second) // the outcomes are journaled now
+		time.Sleep(10 * time.Second) // until the outcomes are journaled
 		f.nodes[1].crash()
 		f.removeFromDirectory(1)
 		_, err = f.outcome(0, keys[19])
@@ -136,9 +138,9 @@
 	})
 }
 
-// Story: a pledge runs after its caller was told that it had not. Its owner
-// was paused, another gateway sealed the owner's log and said "no", and the
-// owner woke up.
+// An owner is paused, another gateway seals the owner's log and answers that a
+// call didn't run, and the owner resumes. The owner must not run the call
+// afterwards.
 func TestPausedOwnerResumesAfterSeal(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
@@ -153,14 +155,14 @@
 		_, err = f.pledge(1, key)
 		f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
 		f.is.Equal(f.executionCount(key), 0)
-		// The daemon goes on under another owner's name.
+		// The daemon continues with a new owner.
 		_, err = f.pledge(0, f.key(1, "pledge"))
 		f.is.NoErr(err)
 	})
 }
 
-// Story: a booking hangs, or runs twice. The service took the journal entry
-// and its answer was lost.
+// The key-value service stores a journal entry, but its response is lost. The
+// call must neither hang nor run twice.
 func TestJournalWriteResponseLost(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		f.store.SetFaults(kvserver.Faults{LoseAnswers: 2, LosePrefix: "journal/"})
@@ -173,8 +175,8 @@
 	})
 }
 
-// Story: two operators drain the same VM, and a caller that asks for its
-// pledge afterwards is told that nothing is known. The tables went two ways.
+// Two operators drain the same VM at the same time. If the table went to two
+// successors, a later query could reach one that doesn't know the call.
 func TestConcurrentDrainsUseOneSuccessor(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		key, late := f.key(1, "pledge"), f.key(1, "late")
@@ -204,8 +206,9 @@
 	})
 }
 
-// Story: a VM is drained in an outage of the service, and its callers' answers
-// are lost. The successor seals the log when the service is back.
+// A VM is drained during an outage of the key-value service, when its log can't
+// be sealed. The answers must survive: the successor seals the log when the
+// service is available again.
 func TestDrainDuringStoreOutage(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		f.store.SetFaults(kvserver.Faults{Outage: true})
@@ -229,8 +232,8 @@
 	})
 }
 
-// Story: a caller that knows nothing of tokens repeats its pledge at another
-// gateway, and it runs twice.
+// A caller that doesn't use tokens sends the same call through several gateways.
+// Without a claim each gateway would run the call.
 func TestKeysWithoutTokenAreClaimed(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		var wg sync.WaitGroup
@@ -252,8 +255,9 @@
 	})
 }
 
-// Story: the service fills up with the journals of VMs that were reclaimed
-// long ago; or they are cleared away, and a pledge that ran is "not executed".
+// Logs of reclaimed VMs must be deleted, or they would fill up the key-value
+// service. After the deletion a call that ran must not be reported as not
+// executed.
 func TestLogsOfEndedDaemonsAreCollected(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
@@ -264,7 +268,7 @@
 		prefix := journal.Prefix(owner)
 		f.nodes[1].crash()
 		f.removeFromDirectory(1)
-		time.Sleep(time.Minute) // sealed, though nobody has asked
+		time.Sleep(time.Minute) // until the log is sealed, without any query
 		entries, err := f.store.List(t.Context(), prefix, "", 0)
 		f.is.NoErr(err)
 		f.is.Equal(len(entries), 3)
@@ -283,12 +287,12 @@
 		log.Add(2, entry)
 		slow := time.Now().Add(-time.Hour)
 		verdict := log.Verdict(slow, actionkey.ID{Workspace: "huaman", Key: key}, "")
-		f.is.Equal(verdict.Executed, refusal.ExecutedUnknown) // also by a slow clock
+		f.is.Equal(verdict.Executed, refusal.ExecutedUnknown) // also with a slow clock
 	})
 }
 
-// A runner's own refusal sends the action on to the next; a connection that
-// broke after it was sent does not.
+// An action that a runner refuses is sent to another runner. An action whose
+// connection breaks after it was sent may have run and is not sent again.
 func TestOnlyUnexecutedActionsGoToAnotherRunner(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		f.runners[0].Notice()
@@ -304,7 +308,7 @@
 		}
 		f.is.Equal(f.executionCount(key), 1)
 		for _, e := range f.log.Executions() {
-			f.is.True(e.Action != "") // the runner learns the key
+			f.is.True(e.Action != "") // the key was passed to the runner
 		}
 	})
 }
--- a/daemon/actions/claim.go
+++ b/daemon/actions/claim.go
@@ -18,21 +18,23 @@
 
 const (
 	claimPrefix = "claim/"
-	// claimLifetime is at least how long a key without a token is remembered.
+	// claimLifetime is the minimum time for which a key without a token is
+	// remembered.
 	claimLifetime = 24 * time.Hour
-	// claimRenewal is after how long claims go under a new lease.
+	// claimRenewal is the time after which a new lease is granted for further
+	// claims.
 	claimRenewal     = time.Hour
 	maxClaimAttempts = 3
 )
 
-// claim is what stands in the key-value service for a key without a token: the
-// key with a token in its place, by which it goes on like any other.
+// claim is the value stored in the key-value service for a key without a token.
+// Key is a key with a token, under which the action is processed instead.
 type claim struct {
 	Key string `json:"key"`
 }
 
-// sharedLease is the lease under which this daemon's claims and seals stand, so
-// that they vanish a day or so after they were written.
+// sharedLease is the key-value lease to which this daemon's claims and seals are
+// attached, so that they are deleted about a day after they were written.
 type sharedLease struct {
 	mu      sync.Mutex
 	id      kv.LeaseID
@@ -44,7 +46,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// resolveKey returns the key by which a call is known to its owner.
+// resolveKey returns the key under which the owner records a call. A key with a
+// token is returned unchanged; a key without one is claimed.
 func (s *Service) resolveKey(ctx context.Context, ws ident.Workspace, key string) (string, *refusal.Refusal) {
 	if actionkey.HasToken(key) {
 		return key, nil
@@ -59,7 +62,8 @@
 	claimed, err := s.claimKey(ctx, ws, key)
 	if err != nil {
 		s.counters.inc(claimsFailed)
-		// Not "no": a copy of this call may have claimed the key elsewhere.
+		// The refusal must not state that the call didn't run: a copy of the
+		// call may have claimed the key at another daemon.
 		return "", refusal.New(refusal.ClaimUnavailable,
 			"key without a token can't be claimed now; start it with a token from /v1/gateways: %v", err).
 			Unknown().After(time.Second)
@@ -67,8 +71,8 @@
 	return claimed, nil
 }
 
-// claimKey names the owner of the token at hand as the key's, unless the key has
-// one.
+// claimKey returns the claimed key for a key without a token. If there is no
+// claim yet, it creates one with the daemon's current token.
 func (s *Service) claimKey(ctx context.Context, ws ident.Workspace, key string) (string, error) {
 	lease, err := s.currentLease(ctx)
 	if err != nil {
@@ -93,7 +97,8 @@
 			s.counters.inc(claimsCreated)
 			return ownKey, nil
 		case errors.As(err, &conflict):
-			// Perhaps its own, if the answer to it was lost.
+			// The existing claim may be from an earlier attempt whose response was
+			// lost.
 			s.counters.inc(claimsFound)
 			return decodeClaim(conflict.Current.Value)
 		case attempt == maxClaimAttempts || ctx.Err() != nil:
@@ -113,7 +118,7 @@
 	if id := s.lease.current(time.Now()); id != 0 {
 		return id, nil
 	}
-	// One grant at a time, and no lock held while it is waited for.
+	// Concurrent callers share one grant, and no lock is held while they wait.
 	granted := s.leaseGroup.DoChan("", func() (any, error) {
 		ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Store)
 		defer cancel()
@@ -126,15 +131,15 @@
 	select {
 	case r := <-granted:
 		if r.Err != nil {
-			return 0, fmt.Errorf("grant lease of a day: %w", r.Err)
+			return 0, fmt.Errorf("grant lease for claims and seals: %w", r.Err)
 		}
 		return r.Val.(kv.LeaseID), nil
 	case <-ctx.Done():
-		return 0, fmt.Errorf("grant lease of a day: %w", ctx.Err())
+		return 0, fmt.Errorf("wait for lease for claims and seals: %w", ctx.Err())
 	}
 }
 
-// current returns zero when a new lease is due.
+// current returns zero if a new lease must be granted.
 func (l *sharedLease) current(now time.Time) kv.LeaseID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,7 +155,8 @@
 	l.id, l.renewAt = id, until
 }
 
-// invalidate makes the next claim grant a lease of its own.
+// invalidate makes the next call of currentLease grant a new lease, unless that
+// has already happened.
 func (l *sharedLease) invalidate(lease kv.LeaseID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,7 +173,7 @@
 	return c.Key, nil
 }
 
-// lookUpKey is resolveKey without making a claim.
+// lookUpKey is like resolveKey, but doesn't create a claim.
 func (s *Service) lookUpKey(ctx context.Context, ws ident.Workspace, key string) (string, *refusal.Refusal) {
 	if actionkey.HasToken(key) {
 		return key, nil
--- a/daemon/actions/clock.go
+++ b/daemon/actions/clock.go
@@ -5,14 +5,17 @@
 	"time"
 )
 
-// clock is an owner's clock: it never goes back and never stops.
+// clock is the clock that owners use. It never goes back and includes the time
+// during which the VM is suspended.
 //
-// Go's monotonic time stands still while a VM is suspended, and the wall clock
-// can be set back. An owner that woke after a day with its clock of yesterday
-// would take keys for good whose callers were told "not executed" long ago.
-// This clock is the monotonic one, moved ahead whenever the wall clock is.
+// Go's monotonic clock stops while a VM is suspended, and the wall clock can be
+// set back. An owner that resumed after a day with a clock that had stopped
+// would accept expired keys whose callers have long been told "not executed".
+// This clock follows the monotonic clock and is moved forward whenever the wall
+// clock is ahead of it.
 type clock struct {
-	start  time.Time
+	start time.Time
+	// offset is what is added to the monotonic clock, in nanoseconds.
 	offset atomic.Int64
 }
 
--- a/daemon/actions/collect.go
+++ b/daemon/actions/collect.go
@@ -17,32 +17,36 @@
 
 const (
 	collectInterval = 10 * time.Second
-	// deletePause paces deletions to a share of the service's rate.
+	// deletePause limits deletions to a fraction of the rate that the
+	// key-value service can handle.
 	deletePause = 100 * time.Millisecond
-	// collectMargin is kept between the end of all keys of a log and its
-	// collection.
+	// collectMargin is the time between the expiry of all keys of a log and the
+	// deletion of the log.
 	collectMargin = time.Minute
-	// sealLifetime is at least how long a seal stays.
+	// sealLifetime is the minimum time for which a seal is kept.
 	sealLifetime = claimLifetime
-	// maxEpochs bounds the owners that are looked for behind one incarnation.
+	// maxEpochs limits how many successive owners of one incarnation are
+	// searched for.
 	maxEpochs = 64
 )
 
-// collector seals and collects the logs of daemons that have ended, so that
-// they are sealed before anyone asks and don't fill the service for ever.
+// collector seals and deletes the logs of daemons that have ended, so that they
+// are sealed before the first query and don't fill up the key-value service.
 type collector struct {
 	present map[ident.Incarnation]bool
 	ended   map[ident.Incarnation]*endedDaemon
 }
 
-// endedDaemon is the end of a daemon as seen from here.
+// endedDaemon is the state of the collection for a daemon that has ended.
 type endedDaemon struct {
+	// at is when this daemon noticed the end.
 	at     time.Time
 	sealed bool
 }
 
-// collectEndedLogs runs until ctx ends. One daemon is responsible for each that has
-// ended; when it ends itself, the next in rank goes on.
+// collectEndedLogs seals and deletes logs of ended daemons until ctx ends. One
+// live daemon is responsible for each ended daemon; when the responsible daemon
+// ends, the next in rank takes over.
 func (s *Service) collectEndedLogs(ctx context.Context) {
 	c := &collector{present: map[ident.Incarnation]bool{}, ended: map[ident.Incarnation]*endedDaemon{}}
 	for ctx.Err() == nil {
@@ -59,7 +63,7 @@
 	}
 }
 
-// observe notes which daemons have gone since the last look.
+// observe records which daemons have disappeared since the last call.
 func (c *collector) observe(daemons []view.Daemon, now time.Time) {
 	present := map[ident.Incarnation]bool{}
 	for _, d := range daemons {
@@ -76,7 +80,8 @@
 	c.present = present
 }
 
-// isResponsible ranks the live daemons for an ended one.
+// isResponsible reports whether this daemon ranks highest among the live daemons
+// by rendezvous hash for an ended one.
 func (s *Service) isResponsible(ended ident.Incarnation, daemons []view.Daemon) bool {
 	ownRank := xxhash.Sum64String(string(ended) + string(s.cfg.Self))
 	for _, d := range daemons {
@@ -87,16 +92,19 @@
 	return true
 }
 
-// allKeysExpireAfter is how long after an owner's end all of its keys are over.
+// allKeysExpireAfter returns how long after an owner's end all of its keys have
+// expired.
 func (s *Service) allKeysExpireAfter(owner ident.Incarnation) time.Duration {
 	cfg := s.cfg.Owner(owner)
 	return cfg.TokenLifetime + cfg.KeyRetention + collectMargin
 }
 
+// sealAndCollect seals the logs of an ended daemon at once and deletes them when
+// all of their keys have expired. After an error the next round tries again.
 func (s *Service) sealAndCollect(ctx context.Context, c *collector, name ident.Incarnation, d *endedDaemon) {
 	if !d.sealed {
 		if err := s.forEachLog(ctx, name, s.sealEndedLog); err != nil {
-			klog.InfoS("Log of an ended daemon not sealed yet", "owner", name, "err", err)
+			klog.InfoS("Failed to seal log of ended daemon, will retry", "owner", name, "err", err)
 			return
 		}
 		d.sealed = true
@@ -105,14 +113,14 @@
 		return
 	}
 	if err := s.forEachLog(ctx, name, s.collectLog); err != nil {
-		klog.InfoS("Log of an ended daemon not collected yet", "owner", name, "err", err)
+		klog.InfoS("Failed to delete log of ended daemon, will retry", "owner", name, "err", err)
 		return
 	}
 	delete(c.ended, name)
 }
 
-// forEachLog calls f for the logs of all owners that a daemon can have had, up to
-// the first empty one.
+// forEachLog calls f for the logs of all successive owners of a daemon, up to
+// the first empty log.
 func (s *Service) forEachLog(ctx context.Context, name ident.Incarnation, f func(context.Context, ident.Incarnation) error) error {
 	owner := name
 	for epoch := 1; epoch <= maxEpochs; epoch++ {
@@ -136,9 +144,10 @@
 	return err
 }
 
-// collectLog deletes a sealed log whose keys are all over. First the seal says
-// so: who reads the log in the middle of it, or with a slow clock, then answers
-// "unknown" for what is missing, never "not executed".
+// collectLog deletes all entries but the seal of a log whose keys have all
+// expired. It first marks the seal accordingly: a daemon that reads the log
+// during the deletion, or whose clock is slow, then answers "unknown" for
+// missing entries instead of "not executed".
 func (s *Service) collectLog(ctx context.Context, owner ident.Incarnation) error {
 	entries, err := s.listLog(ctx, owner)
 	if err != nil || len(entries) == 0 {
@@ -158,7 +167,7 @@
 	return nil
 }
 
-// listLog returns the log's keys and revisions, and the value of the last.
+// listLog returns the log's entries. Only the last entry includes its value.
 func (s *Service) listLog(ctx context.Context, owner ident.Incarnation) ([]kv.Entry, error) {
 	var all []kv.Entry
 	for after := ""; ; {
@@ -179,11 +188,13 @@
 	}
 }
 
-// NotSealedError says that a log's last entry is no seal.
+// NotSealedError means that the last entry of a log is not a seal.
 type NotSealedError struct{ Key string }
 
-func (e *NotSealedError) Error() string { return fmt.Sprintf("%q is no seal", e.Key) }
+func (e *NotSealedError) Error() string { return fmt.Sprintf("journal entry %q is not a seal", e.Key) }
 
+// markCollected sets the seal's floor to its maximum. Entries of keys that expired
+// before the floor may be missing from the log.
 func (s *Service) markCollected(ctx context.Context, last kv.Entry) error {
 	seal, err := journal.Decode(last.Key, last.Value)
 	if err != nil {
--- a/daemon/actions/counters.go
+++ b/daemon/actions/counters.go
@@ -6,7 +6,7 @@
 	"geraniumstack.org/geraniumstack/protocol/action"
 )
 
-// Names of counters. Results are counted as actions.result.<executed>.<reason>.
+// Counter names. Results are counted as actions.result.<executed>.<reason>.
 const (
 	dispatchedJournaled   = "actions.dispatched.journaled"
 	dispatchedUnjournaled = "actions.dispatched.unjournaled"
--- a/daemon/actions/drain.go
+++ b/daemon/actions/drain.go
@@ -21,12 +21,14 @@
 	recordsPerPart    = 256
 	maxAdoptedBytes   = 16 << 20
 	drainPollInterval = 20 * time.Millisecond
-	// idleWaitDivisor of the time is left for the seal and the hand-off.
+	// idleWaitDivisor is the divisor by which the time of a drain yields the
+	// time to wait for actions in progress. The rest is left for sealing the
+	// logs and the hand-off.
 	idleWaitDivisor = 3
 )
 
-// drainOnce makes all drains one: two operators may drain at once, and the
-// table must go to one successor only.
+// drainOnce makes concurrent drains share one: two operators may drain the same
+// daemon at the same time, and its tables must go to only one successor.
 type drainOnce struct {
 	mu   sync.Mutex
 	done chan struct{}
@@ -39,7 +41,8 @@
 	return d.done != nil
 }
 
-// start returns true to the first caller only.
+// start returns first as true only for the first caller. The channel is closed
+// at the end of the drain.
 func (d *drainOnce) start() (first bool, done chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -50,35 +53,38 @@
 	return true, d.done
 }
 
-// NoSuccessorError says that there is no daemon to pass the table to; the
-// journal alone speaks for its keys.
+// NoSuccessorError means that no daemon can take over the tables. Later queries
+// are answered from the journal alone.
 type NoSuccessorError struct{}
 
 func (e *NoSuccessorError) Error() string { return "no live daemon to hand actions off to" }
 
-// HandOffRefusedError says that the successor has no room for the table.
+// HandOffRefusedError means that the successor has refused a part of a table,
+// because its memory limit for adopted tables is reached or the part was
+// addressed to another incarnation.
 type HandOffRefusedError struct{ Successor ident.Incarnation }
 
 func (e *HandOffRefusedError) Error() string {
-	return fmt.Sprintf("%s refused the hand-off", e.Successor)
+	return fmt.Sprintf("successor %s refused the hand-off", e.Successor)
 }
 
-// HandOffIncompleteError says that time ran out before the successor had
-// acknowledged every part.
+// HandOffIncompleteError means that the drain's time ran out before the
+// successor had acknowledged every part.
 type HandOffIncompleteError struct {
 	Successor ident.Incarnation
 	Err       error
 }
 
 func (e *HandOffIncompleteError) Error() string {
-	return fmt.Sprintf("hand-off to %s broke off: %v", e.Successor, e.Err)
+	return fmt.Sprintf("hand-off to %s not completed in time: %v", e.Successor, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *HandOffIncompleteError) Unwrap() error { return e.Err }
 
-// Drain takes no new actions, lets those in progress end, seals the log and
-// passes the whole table to one successor. Later calls wait for the first.
+// Drain stops accepting new actions, waits for those in progress, seals the logs
+// and transfers the owners' tables to one successor. Later calls wait for the
+// first one and return its error.
 func (s *Service) Drain(ctx context.Context) error {
 	first, done := s.draining.start()
 	if !first {
@@ -124,7 +130,8 @@
 	return owners
 }
 
-// waitIdle waits until nothing is in progress, but keeps a share of the time.
+// waitIdle waits until no action is in progress, at most for the share of the
+// remaining time that idleWaitDivisor gives.
 func (s *Service) waitIdle(ctx context.Context) {
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
@@ -146,8 +153,8 @@
 	}
 }
 
-// endOwners seals the logs, and stops the owners in any case: with the service
-// down the seal comes later, from the successor.
+// endOwners seals the logs and ends the owners. If the key-value service is down,
+// the owners end without a seal, and the successor seals the logs later.
 func (s *Service) endOwners(ctx context.Context, successor ident.Incarnation) {
 	s.forEachOwner(func(o *action.Owner) { s.applyEffects(o, o.End(s.now(), successor)) })
 	sealCtx, cancel := context.WithTimeout(ctx, s.cfg.Times.Seal)
@@ -156,8 +163,9 @@
 	s.forEachOwner(func(o *action.Owner) { s.applyEffects(o, o.EndUnsealed(s.now())) })
 }
 
-// chooseSuccessor is the same for every attempt: the live daemon in another failure
-// domain, if there is one, that ranks highest for this incarnation.
+// chooseSuccessor returns the live daemon that ranks highest by rendezvous hash
+// for this incarnation. Daemons in other failure domains rank before those in
+// the same one.
 func (s *Service) chooseSuccessor() (view.Daemon, bool) {
 	var best view.Daemon
 	var bestRank uint64
@@ -178,8 +186,9 @@
 	return best, found
 }
 
-// handOff sends the table in parts. A part without an acknowledgement goes to
-// the same successor again until time is over; then the journal speaks.
+// handOff sends an owner's table in parts. A part that is not acknowledged is
+// sent to the same successor again until ctx ends; from then on queries are
+// answered from the journal.
 func (s *Service) handOff(ctx context.Context, o *action.Owner, successor view.Daemon) error {
 	s.mu.Lock()
 	records, complete, ok := o.Export(s.now())
@@ -239,7 +248,8 @@
 	return req
 }
 
-// adoptPart takes a part in, or refuses it if it is for another or there is no room.
+// adoptPart stores a part of another owner's table. It returns false if the part
+// is for another successor or the memory limit for adopted tables is reached.
 func (s *Service) adoptPart(m *actionv1.HandOffRequest) bool {
 	owner := ident.Incarnation(m.GetOwner())
 	s.mu.Lock()
@@ -270,8 +280,9 @@
 	return total
 }
 
-// sealAdopted makes sure that the log names this daemon as the successor, also
-// when the owner could not reach the service.
+// sealAdopted seals the log of an owner whose table was adopted, in case the
+// owner couldn't reach the key-value service. The seal names this daemon as the
+// successor, so that other daemons query it.
 func (s *Service) sealAdopted(owner ident.Incarnation) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Owner(owner).TokenLifetime)
 	defer cancel()
--- a/daemon/actions/forward.go
+++ b/daemon/actions/forward.go
@@ -16,11 +16,13 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// maxUnanswered is how many attempts in a row may end without an answer.
+// maxUnanswered is the number of consecutive attempts without an answer after
+// which forwarding gives up.
 const maxUnanswered = 3
 
-// forward passes a call on to the daemon that runs its owner. A call that got
-// no answer is sent again: the owner joins it to the one execution.
+// forward sends a call to the daemon that runs its owner. A call without an
+// answer is sent again, which is safe: the owner attaches the repeated call to
+// the same execution.
 func (s *Service) forward(ctx context.Context, owner ident.Incarnation, id actionkey.ID,
 	c call.ServiceCall) action.Result {
 	hash := bodyHash(c)
@@ -37,8 +39,8 @@
 			unanswered++
 			s.prepareRetry(ctx)
 		case resp.GetNotOwner():
-			// Another incarnation answers at the owner's address, so the owner
-			// has ended, whatever the directory still says.
+			// Another incarnation answers at the owner's address, so the owner has
+			// ended, even if the directory still lists it.
 			s.counters.inc(forwardNotOwner)
 			s.tokens.drop(owner)
 			return s.resolveEndedOwner(ctx, owner, id, hash)
@@ -53,8 +55,9 @@
 	return s.ownerUnreachable(owner)
 }
 
-// ownerUnreachable doesn't say "no", even if no byte left this daemon: a copy of
-// the call may be on its way to the owner through another gateway.
+// ownerUnreachable returns a refusal that leaves open whether the call ran, even
+// if this daemon sent nothing: a copy of the call may reach the owner through
+// another gateway.
 func (s *Service) ownerUnreachable(owner ident.Incarnation) action.Result {
 	s.tokens.drop(owner)
 	return refused(refusal.New(refusal.OwnerUnreachable, "no answer from %s; ask for the outcome", owner).
@@ -86,8 +89,9 @@
 	return resp.Msg, nil
 }
 
-// prepareRetry gives up the idle connections, too: what lost track of one has
-// often lost all that are as old, and a new one works.
+// prepareRetry pauses before a retry. It also closes idle connections: a network
+// device that has dropped the state of one connection has often dropped that of
+// others of the same age, while a new connection works.
 func (s *Service) prepareRetry(ctx context.Context) {
 	s.counters.inc(forwardRetried)
 	s.cfg.Peers.CloseIdleConnections()
@@ -107,8 +111,9 @@
 	return actionv1connect.NewActionServiceClient(s.cfg.Peers, "http://"+d.PeerAddress)
 }
 
-// daemonOf finds the daemon that runs an owner, unless it is known to have
-// ended. Shortly after the start the directory may not know everyone.
+// daemonOf returns the daemon that runs an owner, and false if the owner is known
+// to have ended. During StartupGrace the directory may be incomplete, so that an
+// owner that is not in it counts as running.
 func (s *Service) daemonOf(owner ident.Incarnation) (view.Daemon, bool) {
 	incarnation := daemonIncarnation(owner)
 	daemonID, err := incarnation.Daemon()
@@ -117,8 +122,9 @@
 			return d, d.State != view.Gone
 		}
 		if err == nil && d.ID == daemonID && d.State == view.Live && d.PeerAddress != "" {
-			// The place has a new incarnation: let it say so itself, since the
-			// directory may lag behind.
+			// The directory lists another incarnation of the same daemon. Its
+			// answer decides whether the owner has ended, because the directory
+			// may be out of date.
 			return d, true
 		}
 	}
--- a/daemon/actions/handler.go
+++ b/daemon/actions/handler.go
@@ -16,15 +16,16 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// handler is the side of the service that other daemons call.
+// handler serves the RPCs that other daemons call.
 type handler struct{ s *Service }
 
-// Handler returns the path and the handler for the daemons' listener.
+// Handler returns the path and the HTTP handler for calls from other daemons.
 func (s *Service) Handler() (string, http.Handler) {
 	return actionv1connect.NewActionServiceHandler(&handler{s: s})
 }
 
-// Execute runs a forwarded call if this daemon is its key's owner.
+// Execute runs a forwarded call if this daemon runs the owner that the request
+// names.
 func (h *handler) Execute(ctx context.Context, req *connect.Request[actionv1.ExecuteRequest]) (
 	*connect.Response[actionv1.ExecuteResponse], error) {
 	m := req.Msg
@@ -50,14 +51,14 @@
 	return connect.NewResponse(encodeResult(result)), nil
 }
 
-// runForwarded never abandons the action when the connection breaks: its
-// gateway comes back on another.
+// runForwarded ignores the cancellation of ctx: when the connection breaks, the
+// gateway repeats the call on another connection.
 func (s *Service) runForwarded(ctx context.Context, owner ident.Incarnation, id actionkey.ID, c call.ServiceCall,
 	poll time.Duration) (action.Result, bool) {
 	return s.submitAndWait(context.WithoutCancel(ctx), owner, id, c, poll)
 }
 
-// Outcome tells what this daemon's tables hold of a key.
+// Outcome looks up a key in the tables of this daemon.
 func (h *handler) Outcome(_ context.Context, req *connect.Request[actionv1.OutcomeRequest]) (
 	*connect.Response[actionv1.OutcomeResponse], error) {
 	m := req.Msg
@@ -69,9 +70,10 @@
 	return connect.NewResponse(&actionv1.OutcomeResponse{Outcome: encodeResult(result), InProgress: pending}), nil
 }
 
-// Token issues a token of this daemon's own owner, never a fetched one. It
-// does so also while this daemon doesn't count itself among those that issue:
-// directories differ for a while, and any daemon can be an owner.
+// Token issues a token of this daemon's current owner, never a fetched one. It
+// also does so while this daemon isn't among the daemons selected to issue
+// tokens: the directories of daemons differ for a while after a change, and any
+// daemon can be an owner.
 func (h *handler) Token(context.Context, *connect.Request[actionv1.TokenRequest]) (
 	*connect.Response[actionv1.TokenResponse], error) {
 	if h.s.draining.started() {
@@ -85,7 +87,7 @@
 	}), nil
 }
 
-// HandOff takes a part of an ended owner's table in.
+// HandOff stores a part of the table of an owner that is being drained.
 func (h *handler) HandOff(_ context.Context, req *connect.Request[actionv1.HandOffRequest]) (
 	*connect.Response[actionv1.HandOffResponse], error) {
 	return connect.NewResponse(&actionv1.HandOffResponse{Accepted: h.s.adoptPart(req.Msg)}), nil
--- a/daemon/actions/harness_test.go
+++ b/daemon/actions/harness_test.go
@@ -28,7 +28,8 @@
 	"geraniumstack.org/geraniumstack/transport/dispatch"
 )
 
-// directory is what every gateway of a fleet sees.
+// directory is a view.Directory that returns the daemons of a fleet and three
+// fixed runners.
 type directory struct {
 	self  view.Daemon
 	fleet *fleet
@@ -68,7 +69,8 @@
 
 func (config) Changed() <-chan struct{} { return nil }
 
-// fleet is a few gateways with their stand-ins in one bubble.
+// fleet holds several gateways together with simulated runners, network and
+// key-value service, all in one synctest bubble.
 type fleet struct {
 	is      *is.I
 	network *pipe.Network
@@ -76,10 +78,11 @@
 	log     *service.Log
 	runners []*service.Service
 	nodes   []*node
-	// maxOwners is how many of the gateways issue tokens; zero is the default.
+	// maxOwners is the maximum number of gateways that issue tokens; zero means
+	// the default.
 	maxOwners int
-	// direct and instant replace connections between gateways, and those to
-	// runners, if not nil.
+	// direct replaces connections between gateways, and instant those to
+	// runners, if they are not nil.
 	direct  directTransport
 	instant *instantDispatcher
 
@@ -99,7 +102,8 @@
 	ended   atomic.Bool
 }
 
-// withThreeGateways runs a test with three gateways in virtual time.
+// withThreeGateways runs a test with three gateways and standard runners in
+// virtual time.
 func withThreeGateways(t *testing.T, test func(f *fleet)) {
 	t.Helper()
 	log := service.NewLog()
@@ -118,13 +122,14 @@
 	withFleet(t, smallFleetSize, 0, runner, test)
 }
 
-// maxConnected is how many gateways are connected with each other. With 40 the
-// race detector's runtime ended with a failed CHECK of its own in most runs,
-// so that more than these call each other's handlers, and an instant runner,
-// without connections.
+// maxConnected is the largest fleet whose gateways use connections. With 40
+// connected gateways the race detector's runtime failed with an internal CHECK in
+// most runs. In larger fleets gateways call each other's handlers directly and
+// use a dispatcher that answers at once.
 const maxConnected = 12
 
-// directTransport maps peer addresses to handlers; it doesn't change once calls begin.
+// directTransport is an HTTP transport that calls handlers, by peer address,
+// without connections. The map must not change after the first call.
 type directTransport map[string]http.Handler
 
 // RoundTrip implements http.RoundTripper.
@@ -134,7 +139,7 @@
 	return rec.Result(), nil
 }
 
-// instantDispatcher is a dispatcher whose runner answers at once.
+// instantDispatcher is a dispatcher that answers at once without a runner.
 type instantDispatcher struct{ sent atomic.Int64 }
 
 // Send implements actions.Dispatcher.
@@ -143,8 +148,8 @@
 	return action.Result{Answer: call.Answer{Status: http.StatusOK, Body: []byte("pledged")}}
 }
 
-// smallFleetSize is how many gateways a test gets that states no number; they are
-// fewer than issue tokens by default.
+// smallFleetSize is the default number of gateways in a test. It is less than the
+// default number of daemons that issue tokens, so that all of them do.
 const smallFleetSize = 3
 
 func withFleet(t *testing.T, size, maxOwners int, runner func(name string) http.Handler, test func(f *fleet)) {
@@ -162,7 +167,7 @@
 		for i := range size {
 			f.nodes = append(f.nodes, f.start(i, 1))
 		}
-		time.Sleep(10 * time.Second) // past the settling time
+		time.Sleep(10 * time.Second) // longer than Times.StartupGrace
 		test(f)
 		for _, n := range f.nodes {
 			n.crash()
@@ -171,7 +176,7 @@
 			_ = s.Close()
 		}
 		for _, n := range f.started {
-			n.peers.CloseIdleConnections() // silent ones would outlive the bubble
+			n.peers.CloseIdleConnections() // connections without traffic would outlive the bubble
 		}
 	})
 }
@@ -187,7 +192,8 @@
 // failureDomainCount is the number of failure failureDomainCount.
 const failureDomainCount = 3
 
-// start boots an incarnation at a place; the directory knows it at once.
+// start starts an incarnation of the gateway with the given index and adds it to
+// the directory at once.
 func (f *fleet) start(index, number int) *node {
 	id := ident.DaemonID(fmt.Sprintf("entry-%d", index))
 	self := view.Daemon{
@@ -238,17 +244,17 @@
 	return n
 }
 
-// markEnded tells whether the caller is the first to end the incarnation.
+// markEnded reports whether the caller is the first to end the incarnation.
 func (n *node) markEnded() bool { return !n.ended.Swap(true) }
 
-// crash ends an incarnation; the directory doesn't notice.
+// crash ends an incarnation without removing it from the directory.
 func (n *node) crash() {
 	n.cancel()
 	_ = n.server.Close()
 	<-n.done
 }
 
-// removeFromDirectory takes a place's oldest incarnation out of the directory.
+// removeFromDirectory removes a gateway's oldest incarnation from the directory.
 func (f *fleet) removeFromDirectory(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -282,12 +288,12 @@
 	return string(a.Body), err
 }
 
-// executionCount counts how often an action with a token ran.
+// executionCount returns how often an action whose key has a token ran.
 func (f *fleet) executionCount(key string) int { return f.log.Count("huaman/" + key) }
 
 func (f *fleet) expectRefusal(err error, executed refusal.Executed, reason refusal.Reason) {
 	f.is.Helper()
-	f.is.True(err != nil) // a refusal
+	f.is.True(err != nil) // expected a refusal
 	if err == nil {
 		return
 	}
--- a/daemon/actions/history_test.go
+++ b/daemon/actions/history_test.go
@@ -23,12 +23,12 @@
 	"geraniumstack.org/geraniumstack/transport/dispatch"
 )
 
-// The longer run: go test ./daemon/actions -run TestHistories -histories=2000
-var histories = flag.Int("histories", 40, "how many histories TestHistories checks")
+// For a longer run: go test ./daemon/actions -run TestHistories -histories=2000
+var histories = flag.Int("histories", 40, "number of histories that TestHistories checks")
 
-// workload plays callers and faults by one seed against real gateways. The
-// order in which goroutines run is the scheduler's, so a seed repeats the
-// faults but not each history.
+// workload generates calls and faults from one seed and applies them to real
+// gateways. The Go scheduler determines the order in which goroutines run, so a
+// seed reproduces the faults but not the exact history.
 type workload struct {
 	f       *fleet
 	mu      sync.Mutex
@@ -47,7 +47,8 @@
 	time.Sleep(time.Duration(w.intN(int(upTo/time.Millisecond))) * time.Millisecond)
 }
 
-// runner executes actions, and now and then refuses, hangs or breaks off.
+// runner returns a handler that executes actions and sometimes refuses, hangs or
+// closes the connection without an answer.
 func (w *workload) runner(string) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -75,7 +76,7 @@
 	})
 }
 
-// caller sends copies of one call through several gateways and asks for its
+// caller sends copies of one call through random gateways and queries its
 // outcome.
 func (w *workload) caller(name string) {
 	w.sleep(20 * time.Second)
@@ -136,7 +137,7 @@
 	w.history.Told(from, time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, body, r)
 }
 
-// injectFault does one kind of harm.
+// injectFault injects one random fault.
 func (w *workload) injectFault(number int) {
 	w.sleep(25 * time.Second)
 	index := w.intN(len(w.f.nodes))
@@ -162,8 +163,9 @@
 	}
 }
 
-// replace ends an incarnation, by a drain that may be cut half way or by a
-// crash, and boots another at its address. The directory learns of it late.
+// replace ends an incarnation by a crash, optionally after a drain that may not
+// complete, and starts another at its address. The old incarnation stays in the
+// directory for a while.
 func (w *workload) replace(index, number int, drain bool) {
 	w.f.mu.Lock()
 	n := w.f.nodes[index]
@@ -177,7 +179,7 @@
 		defer cancel()
 	}
 	if !n.markEnded() {
-		return // another fault has replaced it
+		return // another fault has ended this incarnation
 	}
 	n.crash()
 	w.sleep(3 * time.Second)
@@ -189,7 +191,7 @@
 	w.f.removeFromDirectory(index)
 }
 
-// hideFromDirectory takes a live daemon out of the directory for a while.
+// hideFromDirectory removes a live daemon from the directory for a while.
 func (w *workload) hideFromDirectory(index int) {
 	w.f.mu.Lock()
 	var matches []int
@@ -211,13 +213,15 @@
 	w.f.daemons = append(w.f.daemons, d)
 }
 
-// Story: as in protocol/action, but with the gateways as they run in a daemon:
-// their goroutines, calls to each other and connections to runners.
+// Checks random histories of calls and faults against the guarantees given to
+// callers: a call runs at most once, and answers about it don't contradict each
+// other. The gateways run as in a daemon, with their goroutines, calls to each
+// other and connections to runners.
 func TestHistories(t *testing.T) {
 	var yes, no, unknown, runs int
 	for seed := range *histories {
 		w := &workload{rng: rand.New(rand.NewPCG(uint64(seed), 3))}
-		// In two of three histories some gateways hand out others' tokens.
+		// In two of three histories some gateways hand out tokens of others.
 		withFleet(t, smallFleetSize, 1+seed%smallFleetSize, w.runner, func(f *fleet) {
 			w.f = f
 			for i := range 2 + w.intN(4) {
@@ -231,12 +235,12 @@
 			synctest.Wait()
 		})
 		if !w.history.Legal() {
-			t.Errorf("seed %d: history is not legal", seed)
+			t.Errorf("seed %d: history violates the guarantees", seed)
 		}
 		yes, no, unknown, runs = yes+w.history.Yes, no+w.history.No, unknown+w.history.Unknown, runs+w.history.Runs
 	}
-	t.Logf("%d histories: %d runs; callers were told yes %d, no %d, unknown %d times", *histories, runs, yes, no, unknown)
+	t.Logf("%d histories, %d executions; answers: executed %d, not executed %d, unknown %d", *histories, runs, yes, no, unknown)
 	if yes == 0 || no == 0 || unknown == 0 {
-		t.Error("histories don't reach every kind of answer")
+		t.Error("the histories don't produce every kind of answer")
 	}
 }
--- a/daemon/actions/runners.go
+++ b/daemon/actions/runners.go
@@ -24,8 +24,8 @@
 	maxRunnerAttempts = 3
 )
 
-// bodyHash tells calls under the same key apart. Headers don't count: proxies
-// on the callers' side may change them.
+// bodyHash returns a hash that distinguishes different calls with the same key.
+// It doesn't include headers, since proxies on the callers' side may change them.
 func bodyHash(c call.ServiceCall) string {
 	h := sha256.New()
 	for _, part := range []string{c.Service, c.Method, c.Path} {
@@ -36,7 +36,8 @@
 	return hex.EncodeToString(h.Sum(nil)[:hashBytes])
 }
 
-// findRoute finds the call's route, or tells why there is none.
+// findRoute returns the outage policy of the call's route, or a refusal if there
+// is no such route.
 func (s *Service) findRoute(c call.ServiceCall) (manifest.OutagePolicy, *refusal.Refusal) {
 	m, _ := s.cfg.Config.Current()
 	if m == nil {
@@ -54,8 +55,8 @@
 	return route.OutagePolicy, nil
 }
 
-// sendToRunners tries a few runners one after the other, and goes on to the next only
-// where it is certain that nothing ran.
+// sendToRunners sends an action to a runner. It tries another runner, up to
+// maxRunnerAttempts, only if it is certain that the action has not run.
 func (s *Service) sendToRunners(ctx context.Context, d *action.Dispatch) action.Result {
 	result := refused(refusal.New(refusal.NoRunner, "no runner of %q takes work", d.Call.Service).After(s.cfg.Times.RetryPause))
 	for i, r := range s.runners(d.Call.Service) {
@@ -73,8 +74,9 @@
 	return result
 }
 
-// runners lists a service's live runners in random order, this failure domain
-// first, then the suspect ones; never a leaving one.
+// runners returns a service's runners in the order in which to try them: live
+// runners in this failure domain, live runners in others, then suspect ones, each
+// group in random order. Leaving runners are left out.
 func (s *Service) runners(service string) []view.Runner {
 	domain := s.cfg.Directory.Self().FailureDomain
 	var local, remote, suspect []view.Runner
@@ -95,7 +97,8 @@
 	return append(append(local, remote...), suspect...)
 }
 
-// classifyWriteError tells the writer what an error proves.
+// classifyWriteError converts an error of a journal write to the result that the
+// journal writer expects.
 func (s *Service) classifyWriteError(w journal.Write, err error) journal.Written {
 	var conflict *kv.ConflictError
 	if !errors.As(err, &conflict) {
@@ -105,7 +108,8 @@
 	s.counters.inc(journalConflict)
 	existing, decodeErr := journal.Decode(conflict.Current.Key, conflict.Current.Value)
 	if decodeErr != nil {
-		// Whatever it is, it isn't this owner's entry: the log has ended.
+		// A value that can't be decoded isn't this owner's entry. The empty
+		// entry makes the writer treat the log as ended.
 		existing = journal.Entry{}
 	}
 	return journal.Written{
--- a/daemon/actions/seal.go
+++ b/daemon/actions/seal.go
@@ -20,23 +20,26 @@
 	listLimit       = 64
 	maxSealAttempts = 8
 	maxCachedLogs   = 8
-	// sealsPerSecond and sealBurst bound the logs that this daemon reads and
-	// seals: a caller can make up any number of owners.
+	// sealsPerSecond and sealBurst limit the rate at which this daemon reads
+	// and seals logs: callers can send keys with any number of invented owners.
 	sealsPerSecond = 5
 	sealBurst      = 20
-	// expiredWithoutLogAfter is how long after its end a key is over without any look at a
-	// log, which may have been collected; clocks differ by less.
+	// expiredWithoutLogAfter is the time since its expiry after which a key is
+	// refused as expired without reading the log, which may have been deleted.
+	// It is longer than the clocks of daemons differ.
 	expiredWithoutLogAfter = sealLifetime / 2
 )
 
-// daemonIncarnation strips the number of a daemon's later owners.
+// daemonIncarnation returns the incarnation of the daemon that runs an owner. The
+// names of its second and later owners have a number appended.
 func daemonIncarnation(owner ident.Incarnation) ident.Incarnation {
 	name, _, _ := strings.Cut(string(owner), epochSeparator)
 	return ident.Incarnation(name)
 }
 
-// resolveEndedOwner answers for an owner that has ended: from its table if this daemon
-// or its successor has it, else from its log, which it seals first.
+// resolveEndedOwner answers a query for an owner that has ended. It uses the
+// owner's table if this daemon or the successor has it, and otherwise the owner's
+// log, which it seals first.
 func (s *Service) resolveEndedOwner(ctx context.Context, owner ident.Incarnation, id actionkey.ID, hash string) action.Result {
 	if r, _, ok := s.lookUpLocal(owner, id, hash); ok {
 		return r
@@ -55,7 +58,8 @@
 	return action.ResultFromVerdict(log.Verdict(s.now(), id, hash))
 }
 
-// querySuccessor asks the one daemon that the seal names, while it lives.
+// querySuccessor queries the successor that the seal names, if it is in the
+// directory.
 func (s *Service) querySuccessor(ctx context.Context, log *journal.Log, owner ident.Incarnation, id actionkey.ID,
 	hash string) (action.Result, bool) {
 	successor := log.Seal().Successor
@@ -75,7 +79,8 @@
 	return action.Result{}, false
 }
 
-// SealFailedError says that a log could not be sealed for now.
+// SealFailedError means that a log couldn't be read or sealed. A later attempt
+// may succeed.
 type SealFailedError struct {
 	Owner ident.Incarnation
 	Err   error
@@ -86,19 +91,21 @@
 // Unwrap returns the cause.
 func (e *SealFailedError) Unwrap() error { return e.Err }
 
-// SealContendedError says that entries kept coming while the log was sealed.
+// SealContendedError means that other writers created the log's next entry before
+// the seal in every attempt.
 type SealContendedError struct{ Attempts int }
 
 func (e *SealContendedError) Error() string {
-	return fmt.Sprintf("lost %d entries in a row", e.Attempts)
+	return fmt.Sprintf("log still changing after %d attempts to seal it", e.Attempts)
 }
 
-// SealRateError says that too many logs were asked for at once.
+// SealRateError means that the rate limit for sealing logs was exceeded.
 type SealRateError struct{}
 
-func (e *SealRateError) Error() string { return "too many ended owners at once" }
+func (e *SealRateError) Error() string { return "rate limit for sealing logs exceeded" }
 
-// readSealedLog reads an ended owner's log to its seal, and seals it if nobody has.
+// readSealedLog returns the log of an ended owner. It seals the log if that has
+// not happened yet.
 func (s *Service) readSealedLog(ctx context.Context, owner, successor ident.Incarnation) (*journal.Log, error) {
 	if log := s.logs.get(owner, s.now()); log != nil {
 		return log, nil
@@ -107,7 +114,8 @@
 		return nil, &SealFailedError{Owner: owner, Err: &SealRateError{}}
 	}
 	result := s.sealGroup.DoChan(string(owner), func() (any, error) {
-		// Not the caller's context: others wait for the same log.
+		// This doesn't use the caller's context, because other callers wait for
+		// the same log.
 		ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Call)
 		defer cancel()
 		return s.sealLog(ctx, owner, successor)
@@ -138,8 +146,9 @@
 		if err := s.trySeal(ctx, log, owner, successor); err != nil {
 			return nil, err
 		}
-		// The read shows whether the seal is the last entry: a reader that was
-		// paused can win an index that the owner has collected.
+		// The log is read again to check that the seal is its last entry. If this
+		// daemon was paused, the seal may have been created at an index whose
+		// entry the owner had already deleted.
 		if err := s.readLog(ctx, log, owner, lastEntryKey(log, owner)); err != nil {
 			return nil, err
 		}
@@ -147,7 +156,8 @@
 	return nil, &SealContendedError{Attempts: maxSealAttempts}
 }
 
-// lastEntryKey is the key of the last entry that was read.
+// lastEntryKey returns the key of the last entry that was read, or "" if there is
+// none.
 func lastEntryKey(log *journal.Log, owner ident.Incarnation) string {
 	if log.Next() == 0 {
 		return ""
@@ -155,8 +165,8 @@
 	return journal.EntryKey(owner, log.Next()-1)
 }
 
-// trySeal creates the seal as the next entry. Whatever comes of it shows in
-// the log; only a call without an answer is an error.
+// trySeal tries to create a seal as the log's next entry. A conflict with another
+// writer is no error; the caller reads the log to find out what was written.
 func (s *Service) trySeal(ctx context.Context, log *journal.Log, owner, successor ident.Incarnation) error {
 	s.counters.inc(sealsAttempted)
 	value, err := journal.Encode(journal.Entry{
@@ -166,8 +176,8 @@
 	if err != nil {
 		return err
 	}
-	// The seal may vanish with its lease: by then the owner refuses the keys
-	// of which it has spoken as expired.
+	// The seal may be deleted when its lease expires: by then the owner refuses
+	// all keys that were answered from the sealed log as expired.
 	lease, err := s.currentLease(ctx)
 	if err != nil {
 		return err
@@ -189,7 +199,7 @@
 	return err
 }
 
-// readLog takes in the entries after the given key.
+// readLog adds the entries after the given key to log.
 func (s *Service) readLog(ctx context.Context, log *journal.Log, owner ident.Incarnation, after string) error {
 	for {
 		page, err := s.readPage(ctx, owner, after)
@@ -220,7 +230,8 @@
 	return s.cfg.Store.List(ctx, journal.Prefix(owner), after, listLimit)
 }
 
-// logCache keeps a few sealed logs; sealed ones never change.
+// logCache caches the least recently used sealed logs. Sealed logs don't change
+// until they are deleted.
 type logCache struct {
 	mu   sync.Mutex
 	logs map[ident.Incarnation]cachedLog
--- a/daemon/actions/tokens.go
+++ b/daemon/actions/tokens.go
@@ -21,51 +21,55 @@
 )
 
 const (
-	// jitter is the share of a pause that is drawn anew each time, so that
-	// daemons started together don't fetch together.
+	// jitter is the fraction by which pauses vary at random, so that daemons
+	// that start at the same time don't fetch tokens at the same time.
 	jitter = 0.2
-	// maxTokenAgeRefreshes in times of Refresh. A suspended VM wakes with a token whose
-	// owner may be long gone; what is older than this isn't handed out.
+	// maxTokenAgeRefreshes is the age, as a multiple of Times.TokenRefresh, up
+	// to which a fetched token is handed out. A VM that resumes after a
+	// suspension has a token whose owner may have ended long ago.
 	maxTokenAgeRefreshes = 2
-	// unresponsiveFor is how long an owner that didn't answer is asked last.
+	// unresponsiveFor is how long other owners are preferred to an owner that
+	// didn't answer.
 	unresponsiveFor = 10 * time.Second
 )
 
-// OwnerDrainingError says that a daemon issues no tokens any more.
+// OwnerDrainingError means that a daemon is draining and issues no more tokens.
 type OwnerDrainingError struct{ Owner ident.Incarnation }
 
 func (e *OwnerDrainingError) Error() string {
-	return fmt.Sprintf("%s leaves and issues no tokens", e.Owner)
+	return fmt.Sprintf("%s is draining and issues no tokens", e.Owner)
 }
 
-// WrongOwnerError says that another owner than the one asked answered: a new
-// incarnation at its address.
+// WrongOwnerError means that a fetched token names another owner than the
+// requested one, because a new incarnation has the same address.
 type WrongOwnerError struct{ Requested, Returned ident.Incarnation }
 
 func (e *WrongOwnerError) Error() string {
-	return fmt.Sprintf("asked %s for a token and got one of %s", e.Requested, e.Returned)
+	return fmt.Sprintf("requested a token of %s, got a token of %s", e.Requested, e.Returned)
 }
 
-// fetchedToken is another daemon's token.
+// fetchedToken is a token that was fetched from another daemon.
 type fetchedToken struct {
 	text  string
 	owner ident.Incarnation
-	// requestedAt is when the fetch began, by this daemon's clock.
+	// requestedAt is when the fetch started, by this daemon's clock.
 	requestedAt time.Time
 	lifetime    time.Duration
 }
 
 func (t *fetchedToken) age(now time.Time) time.Duration { return now.Sub(t.requestedAt) }
 
-// tokenSource holds the token that a daemon hands out when it issues none of
-// its own.
+// tokenSource holds the fetched token that a daemon hands out while it issues
+// none of its own.
 type tokenSource struct {
 	mu sync.Mutex
-	// issuing is whether this daemon hands out its own tokens.
+	// issuing is true while this daemon hands out its own tokens.
 	issuing bool
 	fetched *fetchedToken
-	// refreshAt is when the next fetch begins.
-	refreshAt    time.Time
+	// refreshAt is when the fetched token is to be replaced.
+	refreshAt time.Time
+	// unresponsive holds the owners that didn't answer, and until when other
+	// owners are preferred to them.
 	unresponsive map[ident.Incarnation]time.Time
 }
 
@@ -75,7 +79,7 @@
 	return t.fetched, t.issuing
 }
 
-// useOwnToken drops the fetched token.
+// useOwnToken drops the fetched token and makes this daemon hand out its own.
 func (t *tokenSource) useOwnToken() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,8 +96,8 @@
 	delete(t.unresponsive, f.owner)
 }
 
-// drop forgets the token if it is of this daemon's owner; the next look
-// fetches another.
+// drop discards the fetched token if it names the daemon that runs owner. The
+// next check fetches another token.
 func (t *tokenSource) drop(owner ident.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +106,8 @@
 	}
 }
 
-// refreshNow makes the next look fetch anew; the token at hand stays until then.
+// refreshNow makes the next check replace the fetched token if it names the
+// daemon that runs owner. The token is kept until then.
 func (t *tokenSource) refreshNow(owner ident.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,8 +116,8 @@
 	}
 }
 
-// needsFetch drops a token whose owner isn't live any more, and tells whether
-// another is to be fetched.
+// needsFetch drops the fetched token if its owner is no longer live, and reports
+// whether a token must be fetched.
 func (t *tokenSource) needsFetch(now time.Time, daemons, issuing []view.Daemon) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,12 +143,14 @@
 	if t.unresponsive == nil {
 		t.unresponsive = map[ident.Incarnation]time.Time{}
 	}
-	// Ended owners never answer again and would stay.
+	// Ended owners never answer again, so their expired entries are removed
+	// here.
 	maps.DeleteFunc(t.unresponsive, func(_ ident.Incarnation, until time.Time) bool { return !now.Before(until) })
 	t.unresponsive[owner] = now.Add(unresponsiveFor)
 }
 
-// unresponsiveLast moves the owners that didn't answer lately to the end.
+// unresponsiveLast moves owners that recently didn't answer to the end of the
+// list.
 func (t *tokenSource) unresponsiveLast(now time.Time, ordered []view.Daemon) []view.Daemon {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,8 +165,8 @@
 	return append(answering, unresponsive...)
 }
 
-// Token returns the token that callers put before their suffixes, and how long
-// its keys may be used. It never waits.
+// Token returns the token that callers use as the prefix of their keys, and how
+// long such keys are valid. It never blocks on the network.
 func (s *Service) Token() (string, time.Duration) {
 	fetched, issuing := s.tokens.current()
 	if fetched != nil {
@@ -181,8 +188,8 @@
 	return s.current.Token(s.now())
 }
 
-// maintainToken looks at who issues tokens, and fetches one ahead of the callers
-// while this daemon doesn't, until ctx ends.
+// maintainToken checks regularly, until ctx ends, which daemons issue tokens.
+// While this daemon issues none, it fetches a token before callers need it.
 func (s *Service) maintainToken(ctx context.Context) {
 	s.pause(ctx, time.Duration(rand.Int64N(int64(s.cfg.Times.TokenCheckInterval)))) // daemons may start together
 	for ctx.Err() == nil {
@@ -191,7 +198,8 @@
 	}
 }
 
-// withJitter draws a time within jitter of d, and d at the mean.
+// withJitter returns a random duration with mean d that differs from d by at most
+// the fraction jitter.
 func withJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - jitter + 2*jitter*rand.Float64()))
 }
@@ -212,14 +220,15 @@
 	s.fetchFromAny(ctx, s.tokens.unresponsiveLast(now, ordered))
 }
 
-// isSelfDraining tells of this daemon itself that it has begun to drain.
+// isSelfDraining reports whether d is this daemon and its drain has started.
 func (s *Service) isSelfDraining(d view.Daemon) bool {
 	return d.Incarnation == s.cfg.Self && s.draining.started()
 }
 
-// fetchFromAny asks one owner after the other. The token at hand goes when its
-// owner doesn't answer: keys of an owner that has ended would be refused, and
-// a token of this daemon's own bridges the time until another answers.
+// fetchFromAny requests a token from one owner after the other until one
+// succeeds. It drops the current token if its owner doesn't answer: keys of an
+// ended owner would be refused, and this daemon hands out its own token until
+// another owner answers.
 func (s *Service) fetchFromAny(ctx context.Context, ordered []view.Daemon) {
 	for _, d := range ordered {
 		fetched, err := s.fetchToken(ctx, d)
@@ -238,8 +247,9 @@
 	}
 }
 
-// refreshDelay draws a pause that ends, with the look that notices, within
-// Refresh.
+// refreshDelay returns a random delay until the fetched token is to be replaced.
+// It is short enough that the check after the delay still takes place within
+// Times.TokenRefresh.
 func (s *Service) refreshDelay() time.Duration {
 	longest := s.cfg.Times.TokenRefresh - time.Duration(float64(s.cfg.Times.TokenCheckInterval)*(1+jitter))
 	return time.Duration(float64(longest) * (1 - jitter*rand.Float64()))
@@ -259,7 +269,7 @@
 	}
 	token, err := actionkey.ParseToken(m.GetToken())
 	if err != nil {
-		return nil, fmt.Errorf("token from %s: %w", d.Incarnation, err)
+		return nil, fmt.Errorf("parse token from %s: %w", d.Incarnation, err)
 	}
 	if returned := daemonIncarnation(token.Owner); returned != d.Incarnation {
 		return nil, &WrongOwnerError{Requested: d.Incarnation, Returned: returned}
@@ -272,8 +282,9 @@
 	}, nil
 }
 
-// refreshAfterRefusal learns from an owner's answer that the token at hand is out of
-// date: its journal has become unavailable, or it was sealed.
+// refreshAfterRefusal requests a new token if an owner's answer shows that the
+// fetched token is out of date: the owner's journal has become unavailable, or
+// another daemon has sealed its log.
 func (s *Service) refreshAfterRefusal(owner ident.Incarnation, r action.Result) {
 	if r.Refusal == nil {
 		return
--- a/daemon/actions/tokens_test.go
+++ b/daemon/actions/tokens_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-// tokenAt reads the token that a gateway hands out.
+// tokenAt returns the token that a gateway hands out.
 func (f *fleet) tokenAt(gateway int) actionkey.Token {
 	f.is.Helper()
 	text, lifetime := f.nodes[gateway].Token()
@@ -54,7 +54,7 @@
 	return token
 }
 
-// tokenOwners returns the gateways whose tokens are handed out.
+// tokenOwners returns the owners whose tokens the gateways hand out.
 func (f *fleet) tokenOwners() map[ident.Incarnation]bool {
 	named := map[ident.Incarnation]bool{}
 	for i := range f.nodes {
@@ -63,14 +63,15 @@
 	return named
 }
 
-// gatewayWithFetchedToken returns a gateway that issues no tokens, and the one whose it has.
+// gatewayWithFetchedToken returns a gateway that issues no tokens, and the gateway
+// that issued the token it hands out.
 func (f *fleet) gatewayWithFetchedToken() (gateway, owner int) {
 	for i := range f.nodes {
 		if named := f.tokenAt(i).Owner; named != f.daemons[i].Incarnation {
 			return i, f.daemonIndex(named)
 		}
 	}
-	f.is.Fail() // no gateway hands out another's token
+	f.is.Fail() // no gateway hands out a fetched token
 	return 0, 0
 }
 
@@ -80,7 +81,7 @@
 			return i
 		}
 	}
-	f.is.Fail() // a token names nobody
+	f.is.Fail() // a token names an unknown owner
 	return 0
 }
 
@@ -90,8 +91,9 @@
 	f.daemons[index].State = state
 }
 
-// Story: at 1,800 gateways the key-value service refuses most writes, and
-// actions fail everywhere. Each gateway had a journal of its own.
+// When each gateway had its own journal, the key-value service refused most
+// writes of 1,800 gateways and actions failed everywhere. The rate of writes must
+// depend on the number of token owners, not on the number of gateways.
 func TestWritesAreBoundedByTokenOwnerCount(t *testing.T) {
 	withFleetOfSize(t, largeFleetSize, largeFleetOwners, func(f *fleet) {
 		f.is.Equal(len(f.tokenOwners()), largeFleetOwners)
@@ -115,11 +117,11 @@
 		wg.Wait()
 		seconds := time.Since(start).Seconds()
 		writes := float64(f.store.Calls().Writes())
-		t.Logf("%.0f writes a second at %d gateways; %.2f fetches a second by each guest",
+		t.Logf("%.0f writes per second with %d gateways; %.2f fetches per second by each gateway that issues no tokens",
 			writes/seconds, largeFleetSize, fetches)
 		bounds := journal.DefaultConfig("")
 		f.is.True(writes <= largeFleetOwners*(bounds.WritesPerSecond*seconds+bounds.Burst))
-		f.is.True(fetches > 0.5 && fetches < 0.8) // every 2 s at least
+		f.is.True(fetches > 0.5 && fetches < 0.8) // Times.TokenRefresh is 2 s
 		f.is.Equal(f.instant.sent.Load(), int64(pledges*largeFleetSize))
 	})
 }
@@ -132,8 +134,9 @@
 	return sum
 }
 
-// Story: callers of a third of the gateways are refused for minutes. The owner
-// whose tokens these hand out was reclaimed, and the directory lags behind.
+// An owner is reclaimed and the directory still lists it. Gateways that hand out
+// its tokens must switch to another owner, or their callers would be refused for
+// minutes.
 func TestTokenSwitchesAfterOwnerCrash(t *testing.T) {
 	withMediumFleet(t, func(f *fleet) {
 		gateway, owner := f.gatewayWithFetchedToken()
@@ -149,8 +152,8 @@
 	})
 }
 
-// Story: as above, but the VM was suspended: its connections are silent instead
-// of refused.
+// An owner's VM is suspended, so that its connections hang instead of being
+// refused. Gateways that hand out its tokens must switch to another owner.
 func TestTokenSwitchesWhenOwnerStopsResponding(t *testing.T) {
 	withMediumFleet(t, func(f *fleet) {
 		gateway, owner := f.gatewayWithFetchedToken()
@@ -165,8 +168,8 @@
 	})
 }
 
-// Story: a gateway that drains tells its callers, which have not noticed, to
-// use its token, and refuses every key made from it.
+// A draining gateway refuses keys with its own token, so it must hand out the
+// token of another owner to callers that still use it.
 func TestDrainingGatewayHandsOutTokensOfOthers(t *testing.T) {
 	withMediumFleet(t, func(f *fleet) {
 		_, owner := f.gatewayWithFetchedToken()
@@ -181,8 +184,8 @@
 	})
 }
 
-// Story: a pledge is "owner gone", though its owner runs. The owner had left
-// the set of those that issue tokens, since others had joined.
+// A running daemon is no longer selected to issue tokens. It must still answer for
+// keys with its tokens instead of refusing them because the owner has ended.
 func TestOwnerNoLongerIssuingTokensAnswersItsKeys(t *testing.T) {
 	withMediumFleet(t, func(f *fleet) {
 		gateway, owner := f.gatewayWithFetchedToken()
@@ -191,7 +194,7 @@
 		f.is.NoErr(err)
 		f.setState(owner, view.Suspect)
 		time.Sleep(3 * time.Second)
-		f.is.True(!f.tokenOwners()[f.daemons[owner].Incarnation]) // nobody hands its tokens out, itself included
+		f.is.True(!f.tokenOwners()[f.daemons[owner].Incarnation]) // no gateway, including the owner, hands out its tokens
 
 		got, err := f.outcome(gateway, before)
 		f.is.NoErr(err)
@@ -201,8 +204,8 @@
 	})
 }
 
-// Story: a gateway that is cut off from all others refuses every action. It
-// waits for a token of somebody else.
+// A gateway that can't reach any other must hand out its own token instead of
+// refusing every action because it can't fetch one.
 func TestOwnTokenWhenNoOwnerResponds(t *testing.T) {
 	withMediumFleet(t, func(f *fleet) {
 		gateway, _ := f.gatewayWithFetchedToken()
@@ -218,8 +221,8 @@
 	})
 }
 
-// A guest's token says what its owner's journal can do, soon after a caller
-// was refused.
+// After a caller was refused because the owner's journal is unavailable, a
+// gateway soon hands out a newly fetched token that is marked accordingly.
 func TestFetchedTokenFollowsTheJournal(t *testing.T) {
 	withMediumFleet(t, func(f *fleet) {
 		gateway, _ := f.gatewayWithFetchedToken()
@@ -234,7 +237,7 @@
 	})
 }
 
-// BenchmarkToken fetches tokens over TCP, as guests do: client and owner.
+// BenchmarkToken measures client and owner when a token is fetched over TCP.
 func BenchmarkToken(b *testing.B) {
 	is := is.New(b)
 	fleet := &fleet{}
