--- a/daemon/actions/claim.go
+++ b/daemon/actions/claim.go
@@ -59,7 +59,7 @@
 	if len(key) > actionkey.MaxLength {
 		return "", refusal.New(refusal.KeyMalformed, "key is over %d bytes", actionkey.MaxLength)
 	}
-	claimed, err := s.claimKey(ctx, ws, key)
+	claimed, err := s.claim(ctx, ws, key)
 	if err != nil {
 		s.counters.inc(claimsFailed)
 		// The refusal must not state that the call didn't run: a copy of the
@@ -71,9 +71,9 @@
 	return claimed, nil
 }
 
-// claimKey returns the claimed key for a key without a token. If there is no
+// claim returns the claimed key for a key without a token. If there is no
 // claim yet, it creates one with the daemon's current token.
-func (s *Service) claimKey(ctx context.Context, ws ident.Workspace, key string) (string, error) {
+func (s *Service) claim(ctx context.Context, ws ident.Workspace, key string) (string, error) {
 	lease, err := s.currentLease(ctx)
 	if err != nil {
 		return "", err
@@ -149,10 +149,10 @@
 	return l.id
 }
 
-func (l *sharedLease) set(id kv.LeaseID, until time.Time) {
+func (l *sharedLease) set(id kv.LeaseID, renewAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.id, l.renewAt = id, until
+	l.id, l.renewAt = id, renewAt
 }
 
 // invalidate makes the next call of currentLease grant a new lease, unless that
--- a/daemon/actions/clock.go
+++ b/daemon/actions/clock.go
@@ -26,11 +26,11 @@
 	monotonic := c.start.Round(0).Add(t.Sub(c.start))
 	wallOffset := int64(t.Round(0).Sub(monotonic))
 	for {
-		current := c.offset.Load()
-		if wallOffset <= current {
-			return monotonic.Add(time.Duration(current))
+		offset := c.offset.Load()
+		if wallOffset <= offset {
+			return monotonic.Add(time.Duration(offset))
 		}
-		if c.offset.CompareAndSwap(current, wallOffset) {
+		if c.offset.CompareAndSwap(offset, wallOffset) {
 			return monotonic.Add(time.Duration(wallOffset))
 		}
 	}
--- a/daemon/actions/drain.go
+++ b/daemon/actions/drain.go
@@ -103,7 +103,7 @@
 func (s *Service) drain(ctx context.Context) error {
 	s.forEachOwner(func(o *action.Owner) { o.StopAccepting() })
 	s.waitIdle(ctx)
-	successor, found := s.chooseSuccessor()
+	successor, found := s.successor()
 	s.endOwners(ctx, successor.Incarnation)
 	if !found {
 		return &NoSuccessorError{}
@@ -163,10 +163,10 @@
 	s.forEachOwner(func(o *action.Owner) { s.applyEffects(o, o.EndUnsealed(s.now())) })
 }
 
-// chooseSuccessor returns the live daemon that ranks highest by rendezvous hash
+// successor returns the live daemon that ranks highest by rendezvous hash
 // for this incarnation. Daemons in other failure domains rank before those in
 // the same one.
-func (s *Service) chooseSuccessor() (view.Daemon, bool) {
+func (s *Service) successor() (view.Daemon, bool) {
 	var best view.Daemon
 	var bestRank uint64
 	found := false
--- a/daemon/actions/harness_test.go
+++ b/daemon/actions/harness_test.go
@@ -81,10 +81,10 @@
 	// maxOwners is the maximum number of gateways that issue tokens; zero means
 	// the default.
 	maxOwners int
-	// direct replaces connections between gateways, and instant those to
+	// directTransport replaces connections between gateways, and instant those to
 	// runners, if they are not nil.
-	direct  directTransport
-	instant *instantDispatcher
+	directTransport   directTransport
+	instantDispatcher *instantDispatcher
 
 	mu      sync.Mutex
 	daemons []view.Daemon
@@ -157,7 +157,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{is: is.New(t), network: pipe.NewNetwork(), store: kvserver.New(), maxOwners: maxOwners}
 		if size > maxConnected {
-			f.direct, f.instant = directTransport{}, &instantDispatcher{}
+			f.directTransport, f.instantDispatcher = directTransport{}, &instantDispatcher{}
 		}
 		var servers []*http.Server
 		for i := range 3 {
@@ -207,9 +207,9 @@
 	cfg.Dial = f.network.Dial
 	n := &node{metrics: metrics.NewRegistry(), done: make(chan struct{}), peers: f.network.Client()}
 	var dispatcher actions.Dispatcher = dispatch.New(cfg)
-	if f.direct != nil {
-		n.peers = &http.Client{Transport: f.direct}
-		dispatcher = f.instant
+	if f.directTransport != nil {
+		n.peers = &http.Client{Transport: f.directTransport}
+		dispatcher = f.instantDispatcher
 	}
 	n.Service = actions.New(actions.Config{
 		Self:       self.Incarnation,
@@ -225,10 +225,10 @@
 	path, handler := n.Handler()
 	mux := http.NewServeMux()
 	mux.Handle(path, handler)
-	if f.direct == nil {
+	if f.directTransport == nil {
 		n.server = f.serve(self.PeerAddress, mux)
 	} else {
-		f.direct[self.PeerAddress] = mux
+		f.directTransport[self.PeerAddress] = mux
 		n.server = &http.Server{}
 	}
 	var ctx context.Context
--- a/daemon/actions/history_test.go
+++ b/daemon/actions/history_test.go
@@ -80,7 +80,7 @@
 // outcome.
 func (w *workload) caller(name string) {
 	w.sleep(20 * time.Second)
-	key := w.randomNode().key(name)
+	key := w.node().key(name)
 	for range 1 + w.intN(4) {
 		w.wg.Go(func() {
 			w.sleep(5 * time.Second)
@@ -98,7 +98,7 @@
 	return token + suffix
 }
 
-func (w *workload) randomNode() *node {
+func (w *workload) node() *node {
 	index := w.intN(len(w.f.nodes))
 	w.f.mu.Lock()
 	defer w.f.mu.Unlock()
@@ -107,7 +107,7 @@
 
 func (w *workload) send(key, body string) {
 	from := time.Now()
-	n := w.randomNode()
+	n := w.node()
 	if n.ended.Load() {
 		return
 	}
@@ -119,7 +119,7 @@
 
 func (w *workload) queryOutcome(key string) {
 	from := time.Now()
-	n := w.randomNode()
+	n := w.node()
 	if n.ended.Load() {
 		return
 	}
--- a/daemon/actions/seal.go
+++ b/daemon/actions/seal.go
@@ -273,10 +273,10 @@
 
 func (c *logCache) leastRecentlyUsed() ident.Incarnation {
 	var name ident.Incarnation
-	var used time.Time
+	var lastUsed time.Time
 	for owner, entry := range c.logs {
-		if name == "" || entry.lastUsed.Before(used) {
-			name, used = owner, entry.lastUsed
+		if name == "" || entry.lastUsed.Before(lastUsed) {
+			name, lastUsed = owner, entry.lastUsed
 		}
 	}
 	return name
--- a/daemon/actions/tokens.go
+++ b/daemon/actions/tokens.go
@@ -88,11 +88,11 @@
 	t.refreshAt = time.Time{}
 }
 
-func (t *tokenSource) storeFetched(f *fetchedToken, due time.Time) {
+func (t *tokenSource) storeFetched(f *fetchedToken, refreshAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fetched = f
-	t.refreshAt = due
+	t.refreshAt = refreshAt
 	delete(t.unresponsive, f.owner)
 }
 
--- a/daemon/actions/tokens_test.go
+++ b/daemon/actions/tokens_test.go
@@ -122,7 +122,7 @@
 		bounds := journal.DefaultConfig("")
 		f.is.True(writes <= largeFleetOwners*(bounds.WritesPerSecond*seconds+bounds.Burst))
 		f.is.True(fetches > 0.5 && fetches < 0.8) // Times.TokenRefresh is 2 s
-		f.is.Equal(f.instant.sent.Load(), int64(pledges*largeFleetSize))
+		f.is.Equal(f.instantDispatcher.sent.Load(), int64(pledges*largeFleetSize))
 	})
 }
 
