--- a/daemon/actions/harness_test.go
+++ b/daemon/actions/harness_test.go
@@ -81,8 +81,8 @@
 	// maxOwners is the maximum number of gateways that issue tokens; zero means
 	// the default.
 	maxOwners int
-	// directTransport replaces connections between gateways, and instant those to
-	// runners, if they are not nil.
+	// directTransport replaces the connections between gateways, and
+	// instantDispatcher those to runners, if they are not nil.
 	directTransport   directTransport
 	instantDispatcher *instantDispatcher
 
@@ -189,7 +189,6 @@
 	return server
 }
 
-// failureDomainCount is the number of failure failureDomainCount.
 const failureDomainCount = 3
 
 // start starts an incarnation of the gateway with the given index and adds it to
