--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -53,6 +53,7 @@
 	decayedAt time.Duration
 }
 
+// evidence is what the answers of one series show.
 type evidence struct {
 	// answers and failed count the old version's answers, with decay; times is the
 	// histogram of their durations.
@@ -161,9 +162,9 @@
 	if n < minCompared || m < minCompared || e.allNew.failed < minFailed {
 		return 0
 	}
-	both := (e.allNew.failed + e.allOld.failed) / (n + m)
-	both = min(max(both, minFailureShare), 1-minFailureShare)
-	return (e.allNew.failed/n - e.allOld.failed/m) / math.Sqrt(both*(1-both)*(1/n+1/m))
+	pooled := (e.allNew.failed + e.allOld.failed) / (n + m)
+	pooled = min(max(pooled, minFailureShare), 1-minFailureShare)
+	return (e.allNew.failed/n - e.allOld.failed/m) / math.Sqrt(pooled*(1-pooled)*(1/n+1/m))
 }
 
 // Bad implements Comparison.
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -155,7 +155,7 @@
 
 func (p *simulation) self() string { return fmt.Sprint("holder-", p.holders) }
 
-// replaceHoldersAndDaemons replaces the holder and restarts daemons when their time has come.
+// replaceHoldersAndDaemons replaces the holder at the times in holderEnds and restarts random daemons.
 func (p *simulation) replaceHoldersAndDaemons() {
 	if len(p.holderEnds) > 0 && p.now >= p.holderEnds[0] {
 		p.holderEnds = p.holderEnds[1:]
@@ -192,10 +192,10 @@
 	if p.now <= p.duration {
 		p.total++
 	}
-	side := gate.PlaceRequest(p.now, k.route, p.rng.Float64())
-	isNew := side == canary.Trial || side == canary.NewPreferred && len(p.runners[true]) > 0
+	placement := gate.PlaceRequest(p.now, k.route, p.rng.Float64())
+	isNew := placement == canary.Trial || placement == canary.NewPreferred && len(p.runners[true]) > 0
 	list := p.runners[isNew]
-	if side == canary.Trial {
+	if placement == canary.Trial {
 		list = list[:min(len(list), gate.TrialRunners())]
 	}
 	if p.record.State == canary.Completed && !isNew || len(list) == 0 {
@@ -280,7 +280,7 @@
 		}
 		a, ok := holder.HandleReport(p.now, fmt.Sprint(i, "~", p.incarnations[i]), r)
 		if ok && p.rng.Float64() >= p.messageLoss {
-			g.Allow(a)
+			g.SetAllowance(a)
 		}
 	}
 }
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -52,6 +52,7 @@
 	price  float64
 }
 
+// sumChangesSinceReport recomputes the sums of the own changes after the last report of slot i.
 func (t *Table) sumChangesSinceReport(i int) {
 	s := &t.slots[i]
 	s.sincePrefill, s.sinceKV, s.sinceRequests = 0, 0, 0
@@ -65,6 +66,7 @@
 	}
 }
 
+// recordChange applies an own change to the load of slot i and keeps it for later reports.
 func (t *Table) recordChange(i int, c change) {
 	log := &t.logs[i]
 	log.entries[log.next] = c
@@ -141,17 +143,17 @@
 // number of gateways may use: its equal share or, if more, what it uses now plus part of
 // what is free. Callers are not spread evenly over the gateways, and a gateway with many
 // callers must not refuse requests while runners are idle.
-func (c Capacity) Share(gateways, running int) (places, perSecond float64) {
+func (c Capacity) Share(gateways, running int) (slots, perSecond float64) {
 	if c.Batch == 0 {
 		return 0, 0
 	}
 	equal := float64(c.Batch) / float64(max(1, gateways))
 	free := max(0, float64(c.Free)-reservedFraction*float64(c.Batch))
-	places = equal
+	slots = equal
 	if free > 0 {
-		places = max(equal, float64(running)+borrowedShare*free)
+		slots = max(equal, float64(running)+borrowedShare*free)
 	}
-	return places, c.DecodeRate * places / float64(c.Batch)
+	return slots, c.DecodeRate * slots / float64(c.Batch)
 }
 
 // Capacity returns the total capacity of the runners that are live and not ejected.
--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -74,14 +74,14 @@
 	}
 	s.table = routing.New(r)
 	a := cfg.Policy.Admission
-	a.OnRefusal = func(reason refusal.Reason, ws ident.Workspace, class string) {
+	a.Count = func(reason refusal.Reason, ws ident.Workspace, class string) {
 		cfg.count(name, "refused."+string(reason)+"."+class)
 		cfg.count(name, "refused_by_workspace."+string(ws))
 	}
 	s.admission = admission.New(a)
 	t := cfg.Policy.Retry
 	t.Seed = cfg.Seed
-	t.OnDecision = func(reason retry.Reason, v retry.Verdict) {
+	t.Count = func(reason retry.Reason, v retry.Verdict) {
 		cfg.count(name, "retry."+string(reason)+"."+string(v))
 	}
 	s.retry = retry.New(t)
@@ -140,7 +140,7 @@
 func (s *service) address(id ident.RunnerID) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c, _ := s.table.Choose(id, &routing.Request{})
+	c, _ := s.table.ChoiceFor(id, &routing.Request{})
 	return c.Address
 }
 
