--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -189,7 +189,7 @@
 		Self: d.self.Incarnation, Configuration: configuration, Directory: d.control,
 		Store: d.store, Cloud: cloud, Lister: lister, Weights: weights(p.Weights, client),
 		Engines: engines, Timing: lease.DefaultTiming(), Metrics: d.metrics,
-		Every: ordersEvery, StopGrace: stopGrace,
+		RoundInterval: ordersEvery, StopGrace: stopGrace,
 	})
 	d.gateway = gateway.New(gateway.Config{
 		Configuration: configuration, Directory: d.control, Models: d.models,
--- a/daemon/orders/candidacy.go
+++ b/daemon/orders/candidacy.go
@@ -18,50 +18,50 @@
 	candidatesPerResponsibility = 3
 )
 
-// candidacies are the responsibilities of the manifest that this daemon stands
+// candidateDuties are the responsibilities of the manifest that this daemon stands
 // for, by name, with what makes their duties.
-func (d *Driver) candidacies(m *manifest.Manifest) map[string]func(*holder.Holder) duty {
+func (d *Driver) candidateDuties(m *manifest.Manifest) map[string]func(*holder.Holder) duty {
 	wanted := map[string]func(*holder.Holder) duty{}
-	e := newElectorate(d.Directory)
+	e := newCandidateSelector(d.Directory)
 	for i := range m.Services {
 		s := &m.Services[i]
-		if name := "fleet/" + s.Name; e.chooses(name) {
+		if name := "fleet/" + s.Name; e.selectsSelf(name) {
 			wanted[name] = func(h *holder.Holder) duty { return newFleetDuty(d, s.Name, h) }
 		}
-		for shard := range shardsOf(s) {
-			if name := shardName(s, shard); e.chooses(name) {
-				wanted[name] = func(h *holder.Holder) duty { return newRolloutDuty(d, s.Name, shardsOf(s), shard, h) }
+		for shard := range shardCount(s) {
+			if name := shardResponsibility(s, shard); e.selectsSelf(name) {
+				wanted[name] = func(h *holder.Holder) duty { return newRolloutDuty(d, s.Name, shardCount(s), shard, h) }
 			}
 		}
 	}
 	return wanted
 }
 
-// shardsOf is the number of shards that a service's runners are ordered in.
-func shardsOf(s *manifest.Service) int {
+// shardCount is the number of shards that a service's runners are ordered in.
+func shardCount(s *manifest.Service) int {
 	if s.Kind != manifest.KindModel {
 		return 0
 	}
 	return (s.Runners + runnersPerShard - 1) / runnersPerShard
 }
 
-// shardName has the number of shards in it: when it changes, all shards are
+// shardResponsibility has the number of shards in it: when it changes, all shards are
 // acquired anew, and a runner that moves to another shard never sees that
 // shard's older, lower fencing token.
-func shardName(s *manifest.Service, shard int) string {
-	return fmt.Sprintf("rollout/%s/%d/%d", s.Name, shardsOf(s), shard)
+func shardResponsibility(s *manifest.Service, shard int) string {
+	return fmt.Sprintf("rollout/%s/%d/%d", s.Name, shardCount(s), shard)
 }
 
-// electorate chooses candidates by rendezvous hash among the live daemons.
-type electorate struct {
-	self   uint64
-	stands bool
-	others []uint64
+// candidateSelector chooses candidates by rendezvous hash among the live daemons.
+type candidateSelector struct {
+	self     uint64
+	eligible bool
+	others   []uint64
 }
 
-func newElectorate(directory view.Directory) electorate {
+func newCandidateSelector(directory view.Directory) candidateSelector {
 	self := directory.Self()
-	e := electorate{self: hashDaemon(self.ID), stands: self.State != view.Leaving}
+	e := candidateSelector{self: hashDaemon(self.ID), eligible: self.State != view.Leaving}
 	for _, other := range directory.Daemons() {
 		if other.State == view.Live && other.ID != self.ID {
 			e.others = append(e.others, hashDaemon(other.ID))
@@ -72,28 +72,28 @@
 
 func hashDaemon(id ident.DaemonID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// chooses tells whether this daemon is one of the candidates.
-func (e electorate) chooses(name string) bool {
-	if !e.stands {
+// selectsSelf tells whether this daemon is one of the candidates.
+func (e candidateSelector) selectsSelf(name string) bool {
+	if !e.eligible {
 		return false
 	}
 	n := xxhash.Sum64String(name)
-	own := mix(n, e.self)
-	before := 0
+	selfRank := combineHashes(n, e.self)
+	higherRanked := 0
 	for _, other := range e.others {
-		if mix(n, other) > own {
-			before++
+		if combineHashes(n, other) > selfRank {
+			higherRanked++
 		}
-		if before >= candidatesPerResponsibility {
+		if higherRanked >= candidatesPerResponsibility {
 			return false
 		}
 	}
 	return true
 }
 
-// mix joins two hashes; it is the finalizer of MurmurHash3, whose output bits
+// combineHashes joins two hashes; it is the finalizer of MurmurHash3, whose output bits
 // each depend on all input bits.
-func mix(a, b uint64) uint64 {
+func combineHashes(a, b uint64) uint64 {
 	h := a ^ b
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/daemon/orders/candidacy_test.go
+++ b/daemon/orders/candidacy_test.go
@@ -11,17 +11,17 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-type daemons struct {
+type fakeDirectory struct {
 	view.Directory
 	self ident.DaemonID
 	list []view.Daemon
 }
 
-func (d daemons) Self() view.Daemon      { return view.Daemon{ID: d.self, State: view.Live} }
-func (d daemons) Daemons() []view.Daemon { return d.list }
+func (d fakeDirectory) Self() view.Daemon      { return view.Daemon{ID: d.self, State: view.Live} }
+func (d fakeDirectory) Daemons() []view.Daemon { return d.list }
 
-func manyDaemons(n int) daemons {
-	var d daemons
+func directoryWith(n int) fakeDirectory {
+	var d fakeDirectory
 	for i := range n {
 		id := ident.DaemonID(fmt.Sprintf("daemon-%04d", i))
 		d.list = append(d.list, view.Daemon{ID: id, State: view.Live})
@@ -34,32 +34,32 @@
 // key-value service's calls grow with the daemons.
 func TestEachResponsibilityHasThreeCandidates(t *testing.T) {
 	is := is.New(t)
-	d := manyDaemons(30)
-	most := 0
-	standing := map[string]int{}
+	d := directoryWith(30)
+	maxPerDaemon := 0
+	candidates := map[string]int{}
 	for _, daemon := range d.list {
 		d.self = daemon.ID
-		e := newElectorate(d)
-		own := 0
+		e := newCandidateSelector(d)
+		perDaemon := 0
 		for shard := range 157 {
-			if name := fmt.Sprintf("rollout/chat/157/%d", shard); e.chooses(name) {
-				standing[name]++
-				own++
+			if name := fmt.Sprintf("rollout/chat/157/%d", shard); e.selectsSelf(name) {
+				candidates[name]++
+				perDaemon++
 			}
 		}
-		most = max(most, own)
+		maxPerDaemon = max(maxPerDaemon, perDaemon)
 	}
-	is.Equal(len(standing), 157)
-	for _, n := range standing {
+	is.Equal(len(candidates), 157)
+	for _, n := range candidates {
 		is.Equal(n, candidatesPerResponsibility)
 	}
-	is.True(most < 40) // spread evenly: the mean is 16
+	is.True(maxPerDaemon < 40) // spread evenly: the mean is 16
 }
 
-func BenchmarkCandidacies(b *testing.B) {
-	d := New(Config{Directory: manyDaemons(1800)})
+func BenchmarkCandidateDuties(b *testing.B) {
+	d := New(Config{Directory: directoryWith(1800)})
 	m := &manifest.Manifest{Services: []manifest.Service{{Name: "chat", Kind: manifest.KindModel, Runners: 10_000}}}
 	for b.Loop() {
-		d.candidacies(m)
+		d.candidateDuties(m)
 	}
 }
--- a/daemon/orders/errors.go
+++ b/daemon/orders/errors.go
@@ -17,30 +17,30 @@
 	return fmt.Sprintf("responsibility %s is not held", e.Responsibility)
 }
 
-// LeavingError says that an order was not sent since its runner is leaving.
-type LeavingError struct{ Runner ident.RunnerID }
+// RunnerLeavingError says that an order was not sent since its runner is leaving.
+type RunnerLeavingError struct{ Runner ident.RunnerID }
 
-func (e *LeavingError) Error() string { return fmt.Sprintf("runner %s is leaving", e.Runner) }
+func (e *RunnerLeavingError) Error() string { return fmt.Sprintf("runner %s is leaving", e.Runner) }
 
-// RefusedError says that a runner refused an order, or that its answer is not
+// OrderFailedError says that a runner refused an order, or that its answer is not
 // known.
-type RefusedError struct {
+type OrderFailedError struct {
 	Order rollout.Order
 	Err   error
 }
 
-func (e *RefusedError) Error() string {
+func (e *OrderFailedError) Error() string {
 	return fmt.Sprintf("order of %s version %s to runner %s: %v", e.Order.Model, e.Order.Version, e.Order.Runner, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *RefusedError) Unwrap() error { return e.Err }
+func (e *OrderFailedError) Unwrap() error { return e.Err }
 
 // failureName is the counter's name for a failure.
 func failureName(err error) string {
 	var notHeld *NotHeldError
-	var leaving *LeavingError
-	var refused *RefusedError
+	var leaving *RunnerLeavingError
+	var refused *OrderFailedError
 	var stale *cloudapi.StaleFencingError
 	var missing *cloudapi.NotFoundError
 	var limited *cloudapi.RateLimitedError
--- a/daemon/orders/fleet.go
+++ b/daemon/orders/fleet.go
@@ -18,9 +18,9 @@
 	"geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// slotLifetime is how long a start that the cloud has answered may be missing
+// maxUnlistedTime is how long a start that the cloud has answered may be missing
 // from the lagging list before its VM is taken for dead.
-const slotLifetime = 10 * time.Minute
+const maxUnlistedTime = 10 * time.Minute
 
 // fleetDuty holds one service's VMs at what the manifest asks for.
 type fleetDuty struct {
@@ -34,20 +34,20 @@
 // fleetTenure is what the holder knows since it has acquired the lease. Times
 // are the holder's own monotonic ones; another daemon's clock may be off.
 type fleetTenure struct {
-	held   uint64
-	ledger *ledger
-	seen   map[string]cloudapi.VM
-	looked time.Duration
-	// answered is when each slot was first known to have its VM.
-	answered map[string]time.Duration
-	// due is when each announced VM may be stopped.
-	due     map[string]time.Duration
-	stopped map[string]bool
-	last    fleetLook
+	fencingToken uint64
+	ledger       *ledger
+	lastListed   map[string]cloudapi.VM
+	lastListedAt time.Duration
+	// confirmedAt is when each slot was first known to have its VM.
+	confirmedAt map[string]time.Duration
+	// stopAt is when each announced VM may be stopped.
+	stopAt    map[string]time.Duration
+	stopped   map[string]bool
+	lastRound fleetInputs
 }
 
-// fleetLook is what the last look at the fleet was about.
-type fleetLook struct {
+// fleetInputs is what the last look at the fleet was about.
+type fleetInputs struct {
 	at      time.Duration
 	service manifest.Service
 	fleet   manifest.Fleet
@@ -60,21 +60,21 @@
 	return &fleetDuty{driver: d, service: service, holder: h, planner: fleet.New(fleet.DefaultLimits())}
 }
 
-func (f *fleetDuty) run(ctx context.Context, m *manifest.Manifest, held uint64) error {
+func (f *fleetDuty) run(ctx context.Context, m *manifest.Manifest, fencingToken uint64) error {
 	service := m.ServiceNamed(f.service)
 	if service == nil {
 		return nil
 	}
-	if err := f.open(ctx, held); err != nil {
+	if err := f.openTenure(ctx, fencingToken); err != nil {
 		return err
 	}
-	l := fleetLook{at: f.holder.Now(), service: *service, fleet: m.Fleet, runners: f.driver.Directory.Runners(f.service)}
-	if !f.due(l) {
+	l := fleetInputs{at: f.holder.Now(), service: *service, fleet: m.Fleet, runners: f.driver.Directory.Runners(f.service)}
+	if !f.roundNeeded(l) {
 		return nil
 	}
 	idle, err := f.round(ctx, m, service, l.runners)
 	l.settled = idle && f.tenure.ledger.empty()
-	f.tenure.last = l
+	f.tenure.lastRound = l
 	var lost *LedgerLostError
 	if errors.As(err, &lost) {
 		f.tenure = nil
@@ -82,29 +82,29 @@
 	return err
 }
 
-// due tells whether a look is needed. Of a settled fleet, a changed manifest or
+// roundNeeded tells whether a look is needed. Of a settled fleet, a changed manifest or
 // runner is seen at once, and anything else within settledEvery: the list of a
 // large fleet is megabytes.
-func (f *fleetDuty) due(l fleetLook) bool {
-	last := &f.tenure.last
-	if !last.settled || l.at >= last.at+settledEvery {
+func (f *fleetDuty) roundNeeded(l fleetInputs) bool {
+	lastRound := &f.tenure.lastRound
+	if !lastRound.settled || l.at >= lastRound.at+settledRecheckInterval {
 		return true
 	}
-	return !reflect.DeepEqual(l.service, last.service) || !reflect.DeepEqual(l.fleet, last.fleet) ||
-		!slices.Equal(l.runners, last.runners)
+	return !reflect.DeepEqual(l.service, lastRound.service) || !reflect.DeepEqual(l.fleet, lastRound.fleet) ||
+		!slices.Equal(l.runners, lastRound.runners)
 }
 
-func (f *fleetDuty) open(ctx context.Context, held uint64) error {
-	if f.tenure != nil && f.tenure.held == held {
+func (f *fleetDuty) openTenure(ctx context.Context, fencingToken uint64) error {
+	if f.tenure != nil && f.tenure.fencingToken == fencingToken {
 		return nil
 	}
-	l, err := openLedger(ctx, f.driver.Store, f.service, held)
+	l, err := openLedger(ctx, f.driver.Store, f.service, fencingToken)
 	if err != nil {
 		return err
 	}
 	f.tenure = &fleetTenure{
-		held: held, ledger: l, seen: map[string]cloudapi.VM{}, looked: f.holder.Now(),
-		answered: map[string]time.Duration{}, due: map[string]time.Duration{}, stopped: map[string]bool{},
+		fencingToken: fencingToken, ledger: l, lastListed: map[string]cloudapi.VM{}, lastListedAt: f.holder.Now(),
+		confirmedAt: map[string]time.Duration{}, stopAt: map[string]time.Duration{}, stopped: map[string]bool{},
 	}
 	return nil
 }
@@ -112,13 +112,13 @@
 // round mends what an earlier round or holder left open, decides, writes the
 // decision down and carries it out. It is idle if there was nothing to decide.
 func (f *fleetDuty) round(ctx context.Context, m *manifest.Manifest, service *manifest.Service, runners []view.Runner) (idle bool, err error) {
-	listed, err := f.list(ctx)
+	listed, err := f.listVMs(ctx)
 	if err != nil {
 		return false, err
 	}
-	f.learn(listed)
-	f.settle(listed)
-	if err := f.finish(ctx, listed); err != nil {
+	f.recordObservations(listed)
+	f.pruneLedger(listed)
+	if err := f.executeLedger(ctx, listed); err != nil {
 		return false, err
 	}
 	quotes, err := f.driver.Cloud.Quotes(ctx)
@@ -128,13 +128,13 @@
 	wanted := fleet.Target{
 		Runners: service.Runners, SurviveLoss: m.Fleet.SurviveDomainLoss, MaxCostPerHour: costShare(m, f.service),
 	}
-	d := f.planner.Decide(f.holder.Now(), wanted, offersFor(m, f.service, quotes), f.vms(listed, runners))
-	f.note(d, listed)
+	d := f.planner.Decide(f.holder.Now(), wanted, offersFor(m, f.service, quotes), f.plannerVMs(listed, runners))
+	f.recordDecision(d, listed)
 	idle = len(d.Starts) == 0 && len(d.Stops) == 0 && d.Shortfall == 0
-	return idle, f.finish(ctx, listed)
+	return idle, f.executeLedger(ctx, listed)
 }
 
-func (f *fleetDuty) list(ctx context.Context) (map[string]cloudapi.VM, error) {
+func (f *fleetDuty) listVMs(ctx context.Context) (map[string]cloudapi.VM, error) {
 	all, err := f.driver.Lister.List(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("list VMs: %w", err)
@@ -148,37 +148,37 @@
 	return listed, nil
 }
 
-// learn feeds the planner's hazard from VMs that began to leave unasked.
-func (f *fleetDuty) learn(listed map[string]cloudapi.VM) {
+// recordObservations feeds the planner's hazard from VMs that began to leave unasked.
+func (f *fleetDuty) recordObservations(listed map[string]cloudapi.VM) {
 	now := f.holder.Now()
 	for id, vm := range listed {
-		before, known := f.tenure.seen[id]
+		before, known := f.tenure.lastListed[id]
 		pool := fleet.Pool{FailureDomain: vm.FailureDomain, Class: vm.Class}
 		switch {
 		case vm.State != cloudapi.VMLeaving:
-			f.planner.RecordExposure(now, pool, 1, now-f.tenure.looked)
-		case known && before.State != cloudapi.VMLeaving && !f.tenure.ledger.stopping(id):
+			f.planner.RecordExposure(now, pool, 1, now-f.tenure.lastListedAt)
+		case known && before.State != cloudapi.VMLeaving && !f.tenure.ledger.isStopping(id):
 			f.planner.RecordReclaims(now, pool, 1)
 		}
 	}
-	f.tenure.seen = listed
-	f.tenure.looked = now
+	f.tenure.lastListed = listed
+	f.tenure.lastListedAt = now
 }
 
-// settle drops slots whose VM the list shows or that were too long without, and
+// pruneLedger drops slots whose VM the list shows or that were too long without, and
 // stops whose VM the list no longer has.
-func (f *fleetDuty) settle(listed map[string]cloudapi.VM) {
+func (f *fleetDuty) pruneLedger(listed map[string]cloudapi.VM) {
 	now := f.holder.Now()
 	state := &f.tenure.ledger.state
-	state.Slots = slices.DeleteFunc(state.Slots, func(s slot) bool {
+	state.PendingStarts = slices.DeleteFunc(state.PendingStarts, func(s pendingStart) bool {
 		if s.VM == "" {
 			return false
 		}
-		if _, ok := f.tenure.answered[s.Token]; !ok {
-			f.tenure.answered[s.Token] = now
+		if _, ok := f.tenure.confirmedAt[s.Token]; !ok {
+			f.tenure.confirmedAt[s.Token] = now
 		}
 		_, ok := listed[s.VM]
-		return ok || now >= f.tenure.answered[s.Token]+slotLifetime
+		return ok || now >= f.tenure.confirmedAt[s.Token]+maxUnlistedTime
 	})
 	state.Stops = slices.DeleteFunc(state.Stops, func(s stop) bool {
 		_, ok := listed[s.VM]
@@ -186,10 +186,10 @@
 	})
 }
 
-// vms joins the list with the starts that it does not show yet: without them a
+// plannerVMs joins the list with the starts that it does not show yet: without them a
 // lagging list would make the planner start the same VMs again. A notice is
 // known to the directory before the list has it.
-func (f *fleetDuty) vms(listed map[string]cloudapi.VM, runners []view.Runner) []fleet.VM {
+func (f *fleetDuty) plannerVMs(listed map[string]cloudapi.VM, runners []view.Runner) []fleet.VM {
 	leaving := map[string]bool{}
 	for _, r := range runners {
 		if r.State == view.Leaving {
@@ -200,11 +200,11 @@
 	for id, vm := range listed {
 		out = append(out, fleet.VM{
 			ID: id, Pool: fleet.Pool{FailureDomain: vm.FailureDomain, Class: vm.Class},
-			Leaving:  vm.State == cloudapi.VMLeaving || leaving[vm.Address] || f.tenure.ledger.stopping(id),
+			Leaving:  vm.State == cloudapi.VMLeaving || leaving[vm.Address] || f.tenure.ledger.isStopping(id),
 			Starting: vm.State == cloudapi.VMStarting,
 		})
 	}
-	for _, s := range f.tenure.ledger.state.Slots {
+	for _, s := range f.tenure.ledger.state.PendingStarts {
 		if _, ok := listed[s.VM]; !ok {
 			out = append(out, fleet.VM{Token: s.Token, Pool: s.Pool, Starting: true})
 		}
@@ -235,22 +235,22 @@
 // runners cost at list prices: each service's fleet is planned by itself, and
 // all of them together must stay under the bound.
 func costShare(m *manifest.Manifest, service string) float64 {
-	own, all := 0.0, 0.0
+	serviceCost, totalCost := 0.0, 0.0
 	for i := range m.Services {
 		s := &m.Services[i]
-		cost := float64(s.Runners) * cheapestClass(m, s.Name)
-		all += cost
+		cost := float64(s.Runners) * cheapestPrice(m, s.Name)
+		totalCost += cost
 		if s.Name == service {
-			own = cost
+			serviceCost = cost
 		}
 	}
-	if all == 0 {
+	if totalCost == 0 {
 		return 0
 	}
-	return m.Fleet.MaxCostPerHour * own / all
+	return m.Fleet.MaxCostPerHour * serviceCost / totalCost
 }
 
-func cheapestClass(m *manifest.Manifest, service string) float64 {
+func cheapestPrice(m *manifest.Manifest, service string) float64 {
 	price := 0.0
 	for _, o := range offersFor(m, service, nil) {
 		if price == 0 || o.PricePerHour < price {
@@ -260,54 +260,54 @@
 	return price
 }
 
-// note enters a decision in the ledger. finish saves it before it acts.
-func (f *fleetDuty) note(d fleet.Decision, listed map[string]cloudapi.VM) {
+// recordDecision enters a decision in the ledger. finish saves it before it acts.
+func (f *fleetDuty) recordDecision(d fleet.Decision, listed map[string]cloudapi.VM) {
 	for _, id := range d.Stops {
 		f.tenure.ledger.state.Stops = append(f.tenure.ledger.state.Stops, stop{VM: id, Address: listed[id].Address})
 	}
-	f.tenure.ledger.addSlots(d.Starts)
+	f.tenure.ledger.addPendingStarts(d.Starts)
 }
 
-// finish carries out what stands in the ledger. It is saved first, so that the
+// executeLedger carries out what stands in the ledger. It is saved first, so that the
 // next holder knows of every call that may have been made, and again with what
 // the cloud answered.
-func (f *fleetDuty) finish(ctx context.Context, listed map[string]cloudapi.VM) error {
+func (f *fleetDuty) executeLedger(ctx context.Context, listed map[string]cloudapi.VM) error {
 	if err := f.tenure.ledger.save(ctx); err != nil {
 		return err
 	}
-	if err := f.finishStarts(ctx); err != nil {
+	if err := f.executeStarts(ctx); err != nil {
 		return err
 	}
-	if err := f.finishStops(ctx, listed); err != nil {
+	if err := f.executeStops(ctx, listed); err != nil {
 		return err
 	}
 	return f.tenure.ledger.save(ctx)
 }
 
-// finishStarts asks the cloud for every slot that has no answer yet. The token
+// executeStarts asks the cloud for every slot that has no answer yet. The token
 // makes the call repeatable, also by a later holder. A slot whose answer was
 // lost stays, and the others go on.
-func (f *fleetDuty) finishStarts(ctx context.Context) error {
-	slots := f.tenure.ledger.state.Slots
-	results := f.startAll(ctx, slots)
-	var over []string
+func (f *fleetDuty) executeStarts(ctx context.Context) error {
+	pending := f.tenure.ledger.state.PendingStarts
+	results := f.startAll(ctx, pending)
+	var obsolete []string
 	var ended error
-	for i := range slots {
-		s := &slots[i]
+	for i := range pending {
+		s := &pending[i]
 		err := results[i].err
 		switch {
-		case endsRound(err):
+		case endsTenure(err):
 			ended = err
-		case f.isOver(s, err):
-			over = append(over, s.Token)
+		case f.isObsolete(s, err):
+			obsolete = append(obsolete, s.Token)
 		case err != nil:
-			f.driver.failed(f.holder.Name(), err)
+			f.driver.recordFailure(f.holder.Name(), err)
 		case s.VM == "":
 			f.planner.RecordStart(s.Pool)
 			s.VM = results[i].vm.ID
 		}
 	}
-	f.tenure.ledger.dropSlots(over)
+	f.tenure.ledger.removePendingStarts(obsolete)
 	return ended
 }
 
@@ -317,11 +317,11 @@
 	err error
 }
 
-func (f *fleetDuty) startAll(ctx context.Context, slots []slot) []startResult {
-	results := make([]startResult, len(slots))
+func (f *fleetDuty) startAll(ctx context.Context, pending []pendingStart) []startResult {
+	results := make([]startResult, len(pending))
 	var g errgroup.Group
 	g.SetLimit(orderParallelism)
-	for i, s := range slots {
+	for i, s := range pending {
 		if s.VM != "" {
 			continue
 		}
@@ -335,9 +335,9 @@
 	return results
 }
 
-// isOver tells that a start's token has no VM and never will: it was refused,
+// isObsolete tells that a start's token has no VM and never will: it was refused,
 // or the VM that it had started is gone again.
-func (f *fleetDuty) isOver(s *slot, err error) bool {
+func (f *fleetDuty) isObsolete(s *pendingStart, err error) bool {
 	var refused *cloudapi.StartRefusedError
 	if errors.As(err, &refused) {
 		f.driver.count("fleet.start_refused")
@@ -348,14 +348,14 @@
 	return errors.As(err, &gone)
 }
 
-// endsRound tells that this daemon is not, or no longer, the one to give orders.
-func endsRound(err error) bool {
+// endsTenure tells that this daemon is not, or no longer, the one to give orders.
+func endsTenure(err error) bool {
 	var notHeld *NotHeldError
 	var stale *cloudapi.StaleFencingError
 	return errors.As(err, &notHeld) || errors.As(err, &stale)
 }
 
-func (f *fleetDuty) start(ctx context.Context, s slot) (cloudapi.VM, error) {
+func (f *fleetDuty) start(ctx context.Context, s pendingStart) (cloudapi.VM, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.driver.Timing.MaxOrder)
 	defer cancel()
 	token, ok := f.holder.Permit(true)
@@ -373,19 +373,19 @@
 	return vm, nil
 }
 
-// finishStops makes every planned stop a graceful shutdown: the runner is
+// executeStops makes every planned stop a graceful shutdown: the runner is
 // announced as leaving to all daemons first, and stopped when its grace is over.
-func (f *fleetDuty) finishStops(ctx context.Context, listed map[string]cloudapi.VM) error {
+func (f *fleetDuty) executeStops(ctx context.Context, listed map[string]cloudapi.VM) error {
 	for _, s := range f.tenure.ledger.state.Stops {
-		if _, ok := listed[s.VM]; !ok || f.tenure.stopped[s.VM] || !f.announce(s) {
+		if _, ok := listed[s.VM]; !ok || f.tenure.stopped[s.VM] || !f.announceStop(s) {
 			continue
 		}
 		err := f.stop(ctx, s)
-		if endsRound(err) {
+		if endsTenure(err) {
 			return err
 		}
 		if err != nil {
-			f.driver.failed(f.holder.Name(), err)
+			f.driver.recordFailure(f.holder.Name(), err)
 			continue
 		}
 		f.tenure.stopped[s.VM] = true
@@ -393,17 +393,17 @@
 	return nil
 }
 
-// announce tells all daemons that the VM leaves, and reports whether its grace
+// announceStop tells all daemons that the VM leaves, and reports whether its grace
 // is over.
-func (f *fleetDuty) announce(s stop) bool {
+func (f *fleetDuty) announceStop(s stop) bool {
 	now := f.holder.Now()
-	if _, ok := f.tenure.due[s.VM]; !ok {
-		f.tenure.due[s.VM] = now + f.driver.StopGrace
+	if _, ok := f.tenure.stopAt[s.VM]; !ok {
+		f.tenure.stopAt[s.VM] = now + f.driver.StopGrace
 		klog.InfoS("VM is going to be stopped", "service", f.service, "vm", s.VM, "grace", f.driver.StopGrace)
 	}
-	left := f.tenure.due[s.VM] - now
-	f.driver.Directory.NoteLeaving(s.Address, max(left, 0))
-	return left <= 0
+	remaining := f.tenure.stopAt[s.VM] - now
+	f.driver.Directory.NoteLeaving(s.Address, max(remaining, 0))
+	return remaining <= 0
 }
 
 func (f *fleetDuty) stop(ctx context.Context, s stop) error {
--- a/daemon/orders/fleet_test.go
+++ b/daemon/orders/fleet_test.go
@@ -10,22 +10,22 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-const fleetDuty = "fleet/chat"
+const fleetResponsibility = "fleet/chat"
 
-// exactly checks that the fleet reaches n VMs and never has more.
-func (w *world) exactly(n int, during time.Duration) {
+// expectVMCount checks that the fleet reaches n VMs and never has more.
+func (w *cluster) expectVMCount(n int, during time.Duration) {
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		w.True(len(w.running()) <= n) // never a VM too many
+		w.True(len(w.runningVMs()) <= n) // never a VM too many
 	}
-	w.Equal(len(w.running()), n)
+	w.Equal(len(w.runningVMs()), n)
 }
 
 // The cloud starts VMs and its answers are lost. If the holder asked anew, each
 // lost answer would be a second VM that nobody wants and everybody pays.
-func TestAnswerOfStartLost(t *testing.T) {
-	bubble(t, base(4, true), lease.DefaultTiming(), func(w *world) {
+func TestStartResponseLost(t *testing.T) {
+	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(w *cluster) {
 		w.cloud.SetFaults(standin.Faults{LoseAnswers: 3})
-		w.exactly(4, 2*time.Minute)
+		w.expectVMCount(4, 2*time.Minute)
 		w.Equal(w.cloud.Faults().LoseAnswers, 0)
 	})
 }
@@ -35,12 +35,12 @@
 // the VM yet, must repeat the start, not begin another.
 func TestHolderDiesDuringStart(t *testing.T) {
 	for _, call := range []string{"start", "started"} {
-		laggingBubble(t, base(4, true), lease.DefaultTiming(), longLag, func(w *world) {
-			w.until(time.Second, "a holder", func() bool { return len(w.leases()) == 2 && w.holder(fleetDuty) != nil })
-			first := w.holder(fleetDuty)
-			first.at(call, first.kill)
-			w.exactly(4, 2*time.Minute)
-			w.True(w.holder(fleetDuty) != first)
+		withClusterAndListLag(t, baseManifest(4, true), lease.DefaultTiming(), longLag, func(w *cluster) {
+			w.waitUntil(time.Second, "a holder", func() bool { return len(w.heldLeases()) == 2 && w.holder(fleetResponsibility) != nil })
+			first := w.holder(fleetResponsibility)
+			first.beforeNext(call, first.kill)
+			w.expectVMCount(4, 2*time.Minute)
+			w.True(w.holder(fleetResponsibility) != first)
 		})
 	}
 }
@@ -48,51 +48,51 @@
 // The holder is paused right before it asks the cloud for a VM, and wakes when
 // another has taken over and repeated the start from the ledger.
 func TestHolderPausedBeforeStart(t *testing.T) {
-	bubble(t, base(4, true), lease.DefaultTiming(), func(w *world) {
-		w.until(time.Second, "a holder", func() bool { return len(w.leases()) == 2 && w.holder(fleetDuty) != nil })
-		first := w.holder(fleetDuty)
-		first.at("start", first.pause)
+	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(w *cluster) {
+		w.waitUntil(time.Second, "a holder", func() bool { return len(w.heldLeases()) == 2 && w.holder(fleetResponsibility) != nil })
+		first := w.holder(fleetResponsibility)
+		first.beforeNext("start", first.pause)
 		time.Sleep(time.Minute)
-		w.Equal(len(w.running()), 4)
+		w.Equal(len(w.runningVMs()), 4)
 		first.resume()
-		w.exactly(4, 2*time.Minute)
+		w.expectVMCount(4, 2*time.Minute)
 	})
 }
 
 // A VM dies after the cloud has started it and before its answer was written
 // down. Its token can't be answered any more; repeating it for ever would keep
 // the service without a replacement.
-func TestVMGoneBeforeItsAnswerIsKnown(t *testing.T) {
-	bubble(t, base(2, true), lease.DefaultTiming(), func(w *world) {
+func TestVMGoneBeforeStartResponseIsKnown(t *testing.T) {
+	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(w *cluster) {
 		w.cloud.SetFaults(standin.Faults{LoseAnswers: 1})
-		w.until(3*time.Second, "a VM", func() bool { return len(w.running()) > 0 && w.cloud.Faults().LoseAnswers == 0 })
-		for _, vm := range w.running() {
+		w.waitUntil(3*time.Second, "a VM", func() bool { return len(w.runningVMs()) > 0 && w.cloud.Faults().LoseAnswers == 0 })
+		for _, vm := range w.runningVMs() {
 			w.cloud.Kill(vm.ID)
 		}
-		w.settled(2, "1")
-		w.Equal(len(w.running()), 2)
+		w.waitSettled(2, "1")
+		w.Equal(len(w.runningVMs()), 2)
 	})
 }
 
 // A wave reclaims a failure domain's VMs, and reclaimable starts are refused
 // there just then. Replacements must come from elsewhere within seconds.
-func TestRefusedStartsInWave(t *testing.T) {
-	m := base(4, true)
+func TestRefusedStartsDuringReclaimWave(t *testing.T) {
+	m := baseManifest(4, true)
 	m.Fleet.SurviveDomainLoss = true
-	bubble(t, m, lease.DefaultTiming(), func(w *world) {
-		w.settled(8, "1")
+	withCluster(t, m, lease.DefaultTiming(), func(w *cluster) {
+		w.waitSettled(8, "1")
 		lost := len(w.cloud.ReclaimDomain("a", 30*time.Second))
 		w.True(lost > 0)
-		w.until(10*time.Second, "replacements", func() bool { return w.spared("a") >= 4 && w.spared("b") >= 4 })
+		w.waitUntil(10*time.Second, "replacements", func() bool { return w.runningOutside("a") >= 4 && w.runningOutside("b") >= 4 })
 		w.True(w.counter("fleet.start_refused") > 0)
 		w.True(w.counter("fleet.start_refused") <= 2*int64(lost)) // the pool is left alone for a while
 	})
 }
 
-// spared counts the running VMs that the loss of a failure domain would leave.
-func (w *world) spared(lost ident.FailureDomain) int {
+// runningOutside counts the running VMs that the loss of a failure domain would leave.
+func (w *cluster) runningOutside(lost ident.FailureDomain) int {
 	n := 0
-	for _, vm := range w.running() {
+	for _, vm := range w.runningVMs() {
 		if vm.FailureDomain != lost {
 			n++
 		}
@@ -103,26 +103,26 @@
 // An operator asks for fewer runners. Their work must end well: each VM that
 // goes was announced as leaving to all daemons its whole grace before.
 func TestPlannedStopIsGraceful(t *testing.T) {
-	bubble(t, base(6, true), lease.DefaultTiming(), func(w *world) {
-		w.settled(6, "1")
-		w.shrink(2)
-		w.until(10*time.Minute, "stops", func() bool { return len(w.running()) == 2 })
-		w.stoppedGracefully(4)
+	withCluster(t, baseManifest(6, true), lease.DefaultTiming(), func(w *cluster) {
+		w.waitSettled(6, "1")
+		w.setRunners(2)
+		w.waitUntil(10*time.Minute, "stops", func() bool { return len(w.runningVMs()) == 2 })
+		w.expectGracefulStops(4)
 	})
 }
 
-func (w *world) shrink(n int) {
-	w.apply(func(m *manifest.Manifest) { m.Services[0].Runners = n })
+func (w *cluster) setRunners(n int) {
+	w.updateManifest(func(m *manifest.Manifest) { m.Services[0].Runners = n })
 }
 
-func (w *world) stoppedGracefully(n int) {
+func (w *cluster) expectGracefulStops(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Equal(len(w.removed), n)
 	for id, at := range w.removed {
 		announced, ok := w.announced[id]
 		w.True(ok)
-		w.True(at.Sub(announced) >= grace)
+		w.True(at.Sub(announced) >= stopGrace)
 	}
 }
 
@@ -130,28 +130,28 @@
 // announced them. Its successor comes when the grace would be over, and must
 // give it all the same.
 func TestHolderDiesBeforeAnnouncingStop(t *testing.T) {
-	bubble(t, base(4, true), lease.DefaultTiming(), func(w *world) {
-		w.settled(4, "1")
-		first := w.holder(fleetDuty)
+	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(w *cluster) {
+		w.waitSettled(4, "1")
+		first := w.holder(fleetResponsibility)
 		// The ledger's next write is that of the stops.
-		first.at("swapped", first.kill)
-		w.shrink(2)
-		w.until(10*time.Minute, "stops", func() bool { return len(w.running()) == 2 })
-		w.stoppedGracefully(2)
-		w.True(w.holder(fleetDuty) != first)
+		first.beforeNext("swapped", first.kill)
+		w.setRunners(2)
+		w.waitUntil(10*time.Minute, "stops", func() bool { return len(w.runningVMs()) == 2 })
+		w.expectGracefulStops(2)
+		w.True(w.holder(fleetResponsibility) != first)
 	})
 }
 
 // Two services share a cost bound. Planned each for itself with the whole of
 // it, they would spend it twice.
 func TestServicesShareCostBound(t *testing.T) {
-	m := base(6, true)
+	m := baseManifest(6, true)
 	m.Services = append(m.Services, manifest.Service{Name: "plain", Kind: manifest.KindPlain, Runners: 2})
 	m.Fleet.MaxCostPerHour = 4
-	bubble(t, m, lease.DefaultTiming(), func(w *world) {
+	withCluster(t, m, lease.DefaultTiming(), func(w *cluster) {
 		time.Sleep(time.Minute)
 		count := map[string]int{}
-		for _, vm := range w.running() {
+		for _, vm := range w.runningVMs() {
 			count[vm.Service]++
 		}
 		w.Equal(count, map[string]int{service: 3, "plain": 1})
--- a/daemon/orders/world_test.go
+++ b/daemon/orders/harness_test.go
@@ -28,7 +28,7 @@
 
 const (
 	service   = "chat"
-	grace     = 30 * time.Second
+	stopGrace = 30 * time.Second
 	startTime = 5 * time.Second
 	listLag   = 3 * time.Second
 	// longLag is longer than a takeover by a holder that need not wait.
@@ -36,8 +36,8 @@
 	loadTime = 10 * time.Second
 )
 
-// world is the platform, the engines and some daemons that give orders.
-type world struct {
+// cluster is the platform, the engines and some daemons that give orders.
+type cluster struct {
 	*is.I
 	store   *kvserver.Store
 	cloud   *standin.Cloud
@@ -52,22 +52,22 @@
 	engines    map[string]*engine.Engine
 	announced  map[string]time.Time
 	removed    map[string]time.Time
-	given      []given
+	delivered  []delivered
 	reports    int
 }
 
-// given is an order that reached a runner.
-type given struct {
+// delivered is an order that reached a runner.
+type delivered struct {
 	at      time.Time
 	daemon  ident.DaemonID
 	address string
 	order   engineapi.Order
 }
 
-func base(runners int, checks bool) manifest.Manifest {
+func baseManifest(runners int, checksFencing bool) manifest.Manifest {
 	return manifest.Manifest{
 		Models:   []manifest.Model{{Name: "m", Version: "1", Service: service}},
-		Services: []manifest.Service{{Name: service, Kind: manifest.KindModel, Runners: runners, ChecksFencing: checks}},
+		Services: []manifest.Service{{Name: service, Kind: manifest.KindModel, Runners: runners, ChecksFencing: checksFencing}},
 		Fleet: manifest.Fleet{
 			FailureDomains: []ident.FailureDomain{"a", "b"},
 			VMClasses: []manifest.VMClass{
@@ -77,14 +77,14 @@
 	}
 }
 
-// bubble runs a test with three daemons in virtual time.
-func bubble(t *testing.T, m manifest.Manifest, timing lease.Timing, test func(w *world)) {
-	laggingBubble(t, m, timing, listLag, test)
+// withCluster runs a test with three daemons in virtual time.
+func withCluster(t *testing.T, m manifest.Manifest, timing lease.Timing, test func(w *cluster)) {
+	withClusterAndListLag(t, m, timing, listLag, test)
 }
 
-func laggingBubble(t *testing.T, m manifest.Manifest, timing lease.Timing, lag time.Duration, test func(w *world)) {
+func withClusterAndListLag(t *testing.T, m manifest.Manifest, timing lease.Timing, lag time.Duration, test func(w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, m, timing, lag)
+		w := newCluster(t, m, timing, lag)
 		defer w.close()
 		for i := range 3 {
 			w.daemons = append(w.daemons, w.process(ident.DaemonID(fmt.Sprintf("d%d", i))))
@@ -96,8 +96,8 @@
 	})
 }
 
-func newWorld(t *testing.T, m manifest.Manifest, timing lease.Timing, lag time.Duration) *world {
-	w := &world{
+func newCluster(t *testing.T, m manifest.Manifest, timing lease.Timing, lag time.Duration) *cluster {
+	w := &cluster{
 		I: is.New(t), store: kvserver.New(), timing: timing, metrics: metrics.NewRegistry(), manifest: m, generation: 1,
 		engines: map[string]*engine.Engine{}, announced: map[string]time.Time{}, removed: map[string]time.Time{},
 	}
@@ -105,7 +105,7 @@
 		FailureDomains: m.Fleet.FailureDomains,
 		Classes:        []standin.Class{{Name: "spot", Reclaimable: true, PricePerHour: 1}, {Name: "on-demand", PricePerHour: 3}},
 		StartTime:      startTime, ListLag: lag, RefuseAfterReclaim: 10 * time.Minute,
-		Hooks: standin.Hooks{Launch: w.launch, Noticed: w.noticed, Removed: w.remove},
+		Hooks: standin.Hooks{Launch: w.launch, Noticed: w.notifyLeaving, Removed: w.recordRemoval},
 	})
 	w.weights = standin.NewWeights(100, 100)
 	for _, version := range []string{"1", "2", "3"} {
@@ -114,7 +114,7 @@
 	return w
 }
 
-func (w *world) launch(vm cloudapi.VM) (string, error) {
+func (w *cluster) launch(vm cloudapi.VM) (string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	cfg := engine.DefaultConfig(vm.ID, "m", "1")
@@ -125,19 +125,19 @@
 	return vm.ID, nil
 }
 
-// noticed tells the engine, and the directory as the membership would.
-func (w *world) noticed(vm cloudapi.VM, left time.Duration) {
+// notifyLeaving tells the engine, and the directory as the membership would.
+func (w *cluster) notifyLeaving(vm cloudapi.VM, left time.Duration) {
 	w.engine(vm.ID).Notice(left)
 	directory{w.daemons[0]}.NoteLeaving(vm.Address, left)
 }
 
-func (w *world) remove(vm cloudapi.VM) {
+func (w *cluster) recordRemoval(vm cloudapi.VM) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.removed[vm.ID] = time.Now()
 }
 
-func (w *world) close() {
+func (w *cluster) close() {
 	for _, d := range w.daemons {
 		d.stop()
 	}
@@ -148,14 +148,14 @@
 	}
 }
 
-func (w *world) engine(address string) *engine.Engine {
+func (w *cluster) engine(address string) *engine.Engine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.engines[address]
 }
 
-// apply puts a changed manifest in force.
-func (w *world) apply(change func(m *manifest.Manifest)) {
+// updateManifest puts a changed manifest in force.
+func (w *cluster) updateManifest(change func(m *manifest.Manifest)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := w.manifest
@@ -166,40 +166,40 @@
 	w.generation++
 }
 
-func (w *world) version(v string) {
-	w.apply(func(m *manifest.Manifest) { m.Models[0].Version = v })
+func (w *cluster) setVersion(v string) {
+	w.updateManifest(func(m *manifest.Manifest) { m.Models[0].Version = v })
 }
 
-// running lists the VMs that are there without a notice.
-func (w *world) running() []cloudapi.VM {
+// runningVMs lists the VMs that are there without a notice.
+func (w *cluster) runningVMs() []cloudapi.VM {
 	return slices.DeleteFunc(w.cloud.VMs(), func(vm cloudapi.VM) bool {
 		return vm.State == cloudapi.VMLeaving || vm.Address == ""
 	})
 }
 
-// serving counts the running VMs that hold a version, loaded.
-func (w *world) serving(version string) int {
+// servingCount counts the running VMs that hold a version, loaded.
+func (w *cluster) servingCount(version string) int {
 	n := 0
-	for _, vm := range w.running() {
-		if holds(w.engine(vm.Address).Load(), version) {
+	for _, vm := range w.runningVMs() {
+		if hasLoaded(w.engine(vm.Address).Load(), version) {
 			n++
 		}
 	}
 	return n
 }
 
-func holds(l engineapi.Load, version string) bool {
+func hasLoaded(l engineapi.Load, version string) bool {
 	return slices.ContainsFunc(l.Models, func(m engineapi.Loaded) bool { return m.Version == version && !m.Loading })
 }
 
-func (w *world) orders() []given {
+func (w *cluster) deliveredOrders() []delivered {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.given)
+	return slices.Clone(w.delivered)
 }
 
 // staleOrders counts the orders with an old token that runners carried out.
-func (w *world) staleOrders() int {
+func (w *cluster) staleOrders() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -209,30 +209,30 @@
 	return n
 }
 
-func (w *world) counter(name string) int64 {
+func (w *cluster) counter(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, w.metrics).Count()
 }
 
-// until waits for a condition and returns how long it took.
-func (w *world) until(bound time.Duration, what string, reached func() bool) time.Duration {
+// waitUntil waits for a condition and returns how long it took.
+func (w *cluster) waitUntil(bound time.Duration, condition string, reached func() bool) time.Duration {
 	began := time.Now()
 	for !reached() {
 		if time.Since(began) > bound {
-			w.Equal("not reached within its bound", what)
+			w.Equal("not reached within its bound", condition)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// settled waits until n runners serve a version, and a while more.
-func (w *world) settled(n int, version string) {
-	w.until(10*time.Minute, "runners serve version "+version, func() bool { return w.serving(version) == n })
+// waitSettled waits until n runners serve a version, and a while more.
+func (w *cluster) waitSettled(n int, version string) {
+	w.waitUntil(10*time.Minute, "runners serve version "+version, func() bool { return w.servingCount(version) == n })
 	time.Sleep(time.Minute)
 }
 
 // holder is the daemon that holds the responsibility.
-func (w *world) holder(name string) *process {
+func (w *cluster) holder(name string) *process {
 	entry, err := w.store.Get(context.Background(), "lease/"+name)
 	w.NoErr(err)
 	for _, d := range w.daemons {
@@ -246,7 +246,7 @@
 // process is one daemon. A paused one's calls go out when it wakes, whatever
 // their deadlines; a dead one's never do.
 type process struct {
-	world       *world
+	cluster     *cluster
 	id          ident.DaemonID
 	incarnation ident.Incarnation
 	cancel      context.CancelFunc
@@ -256,24 +256,24 @@
 	// wake is closed at the end of a pause; nil is no pause.
 	wake chan struct{}
 	dead bool
-	// trap runs at the next call of a kind, before it goes out.
-	trap map[string]func()
+	// hook runs at the next call of a kind, before it goes out.
+	hook map[string]func()
 }
 
-func (w *world) process(id ident.DaemonID) *process {
+func (w *cluster) process(id ident.DaemonID) *process {
 	return &process{
-		world: w, id: id, incarnation: ident.NewIncarnation(id, []byte{1}),
-		done: make(chan error, 1), trap: map[string]func(){},
+		cluster: w, id: id, incarnation: ident.NewIncarnation(id, []byte{1}),
+		done: make(chan error, 1), hook: map[string]func(){},
 	}
 }
 
 func (p *process) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	w := p.world
+	w := p.cluster
 	d := orders.New(orders.Config{
 		Self: p.incarnation, Configuration: p, Directory: directory{p}, Store: store{w.store, p}, Cloud: cloud{w.cloud, p},
-		Lister: w.cloud, Weights: w.weights, Engines: p, Timing: w.timing, Metrics: w.metrics, Every: time.Second, StopGrace: grace,
+		Lister: w.cloud, Weights: w.weights, Engines: p, Timing: w.timing, Metrics: w.metrics, RoundInterval: time.Second, StopGrace: stopGrace,
 	})
 	go func() { p.done <- d.Run(ctx) }()
 }
@@ -305,20 +305,20 @@
 	p.wake = nil
 }
 
-func (p *process) at(call string, do func()) {
+func (p *process) beforeNext(call string, do func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trap[call] = do
+	p.hook[call] = do
 }
 
-// pass lets a call go out.
-func (p *process) pass(call string) error {
+// interceptCall lets a call go out.
+func (p *process) interceptCall(call string) error {
 	p.mu.Lock()
-	trap := p.trap[call]
-	delete(p.trap, call)
+	hook := p.hook[call]
+	delete(p.hook, call)
 	p.mu.Unlock()
-	if trap != nil {
-		trap()
+	if hook != nil {
+		hook()
 	}
 	p.mu.Lock()
 	wake := p.wake
@@ -340,33 +340,33 @@
 
 // Load implements orders.Engines.
 func (p *process) Load(_ context.Context, address string) (engineapi.Load, error) {
-	if err := p.pass("report"); err != nil {
+	if err := p.interceptCall("report"); err != nil {
 		return engineapi.Load{}, err
 	}
-	p.world.mu.Lock()
-	p.world.reports++
-	p.world.mu.Unlock()
-	return p.world.engine(address).Load(), nil
+	p.cluster.mu.Lock()
+	p.cluster.reports++
+	p.cluster.mu.Unlock()
+	return p.cluster.engine(address).Load(), nil
 }
 
 // Order implements orders.Engines.
 func (p *process) Order(_ context.Context, address string, o engineapi.Order) error {
-	if err := p.pass("order"); err != nil {
+	if err := p.interceptCall("order"); err != nil {
 		return err
 	}
-	w := p.world
+	w := p.cluster
 	w.mu.Lock()
-	w.given = append(w.given, given{at: time.Now(), daemon: p.id, address: address, order: o})
+	w.delivered = append(w.delivered, delivered{at: time.Now(), daemon: p.id, address: address, order: o})
 	w.mu.Unlock()
 	return w.engine(address).Order(o)
 }
 
 // Current implements view.Config.
 func (p *process) Current() (*manifest.Manifest, ident.Generation) {
-	p.world.mu.Lock()
-	defer p.world.mu.Unlock()
-	m := p.world.manifest
-	return &m, p.world.generation
+	p.cluster.mu.Lock()
+	defer p.cluster.mu.Unlock()
+	m := p.cluster.manifest
+	return &m, p.cluster.generation
 }
 
 // Changed implements view.Config.
@@ -379,14 +379,14 @@
 
 func (d directory) Daemons() []view.Daemon {
 	var out []view.Daemon
-	for _, other := range d.p.world.daemons {
+	for _, other := range d.p.cluster.daemons {
 		out = append(out, view.Daemon{ID: other.id, State: view.Live})
 	}
 	return out
 }
 
 func (d directory) Runners(string) []view.Runner {
-	w := d.p.world
+	w := d.p.cluster
 	vms := w.cloud.VMs()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -407,7 +407,7 @@
 func (d directory) Changed() <-chan struct{} { return nil }
 
 func (d directory) NoteLeaving(address string, _ time.Duration) {
-	w := d.p.world
+	w := d.p.cluster
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, ok := w.announced[address]; !ok {
@@ -421,39 +421,39 @@
 }
 
 func (s store) Get(ctx context.Context, key string) (kv.Entry, error) {
-	if err := s.p.pass("get"); err != nil {
+	if err := s.p.interceptCall("get"); err != nil {
 		return kv.Entry{}, err
 	}
 	return s.Store.Get(ctx, key)
 }
 
 func (s store) CompareAndSwap(ctx context.Context, key string, expected kv.Revision, value []byte, id kv.LeaseID) (kv.Revision, error) {
-	if err := s.p.pass("swap"); err != nil {
+	if err := s.p.interceptCall("swap"); err != nil {
 		return 0, err
 	}
 	revision, err := s.Store.CompareAndSwap(ctx, key, expected, value, id)
-	if lost := s.p.pass("swapped"); lost != nil {
+	if lost := s.p.interceptCall("swapped"); lost != nil {
 		return 0, lost
 	}
 	return revision, err
 }
 
 func (s store) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
-	if err := s.p.pass("grant"); err != nil {
+	if err := s.p.interceptCall("grant"); err != nil {
 		return 0, err
 	}
 	return s.Store.Grant(ctx, ttl)
 }
 
 func (s store) KeepAlive(ctx context.Context, id kv.LeaseID) error {
-	if err := s.p.pass("renew"); err != nil {
+	if err := s.p.interceptCall("renew"); err != nil {
 		return err
 	}
 	return s.Store.KeepAlive(ctx, id)
 }
 
 func (s store) Revoke(ctx context.Context, id kv.LeaseID) error {
-	if err := s.p.pass("revoke"); err != nil {
+	if err := s.p.interceptCall("revoke"); err != nil {
 		return err
 	}
 	return s.Store.Revoke(ctx, id)
@@ -465,25 +465,25 @@
 }
 
 func (c cloud) Start(ctx context.Context, r cloudapi.StartRequest) (cloudapi.VM, error) {
-	if err := c.p.pass("start"); err != nil {
+	if err := c.p.interceptCall("start"); err != nil {
 		return cloudapi.VM{}, err
 	}
 	vm, err := c.Cloud.Start(ctx, r)
-	if lost := c.p.pass("started"); lost != nil {
+	if lost := c.p.interceptCall("started"); lost != nil {
 		return cloudapi.VM{}, lost
 	}
 	return vm, err
 }
 
 func (c cloud) Stop(ctx context.Context, id string, fencing uint64) error {
-	if err := c.p.pass("stop"); err != nil {
+	if err := c.p.interceptCall("stop"); err != nil {
 		return err
 	}
 	return c.Cloud.Stop(ctx, id, fencing)
 }
 
-// leases lists the responsibilities that anybody holds.
-func (w *world) leases() []string {
+// heldLeases lists the responsibilities that anybody holds.
+func (w *cluster) heldLeases() []string {
 	entries, err := w.store.List(context.Background(), "lease/", "", 0)
 	w.NoErr(err)
 	held := map[string]bool{}
--- a/daemon/orders/ledger.go
+++ b/daemon/orders/ledger.go
@@ -13,9 +13,9 @@
 
 const ledgerPrefix = "fleet/"
 
-// slot is a start that was decided on. It stands in the ledger before the cloud
+// pendingStart is a start that was decided on. It stands in the ledger before the cloud
 // is asked and until the VM shows in the list or the cloud refuses.
-type slot struct {
+type pendingStart struct {
 	Token string     `json:"token"`
 	Pool  fleet.Pool `json:"pool"`
 	// VM is the cloud's answer; empty until it is known.
@@ -33,9 +33,9 @@
 // ledgerState is the value in the key-value service.
 type ledgerState struct {
 	// Holder is the fencing token of the tenure that wrote last.
-	Holder uint64 `json:"holder"`
-	Slots  []slot `json:"slots,omitempty"`
-	Stops  []stop `json:"stops,omitempty"`
+	Holder        uint64         `json:"holder"`
+	PendingStarts []pendingStart `json:"slots,omitempty"`
+	Stops         []stop         `json:"stops,omitempty"`
 }
 
 // ledger is the holder's copy. Every change is a compare-and-swap against the
@@ -46,8 +46,8 @@
 	key      string
 	state    ledgerState
 	revision kv.Revision
-	// written is the value at revision.
-	written []byte
+	// saved is the value at revision.
+	saved []byte
 }
 
 // LedgerLostError says that another holder has written the ledger, or that it
@@ -60,7 +60,7 @@
 func (e *LedgerLostError) Unwrap() error { return e.Err }
 
 // openLedger reads the ledger and claims it for a tenure.
-func openLedger(ctx context.Context, store kv.Store, service string, held uint64) (*ledger, error) {
+func openLedger(ctx context.Context, store kv.Store, service string, fencingToken uint64) (*ledger, error) {
 	l := &ledger{store: store, key: ledgerPrefix + service}
 	entry, err := store.Get(ctx, l.key)
 	if err != nil {
@@ -72,10 +72,10 @@
 			return nil, fmt.Errorf("ledger of %s: %w", service, err)
 		}
 	}
-	if l.state.Holder > held {
+	if l.state.Holder > fencingToken {
 		return nil, &LedgerLostError{Err: &NotHeldError{Responsibility: l.key}}
 	}
-	l.state.Holder = held
+	l.state.Holder = fencingToken
 	return l, l.save(ctx)
 }
 
@@ -85,7 +85,7 @@
 	if err != nil {
 		return fmt.Errorf("marshal ledger: %w", err)
 	}
-	if bytes.Equal(data, l.written) {
+	if bytes.Equal(data, l.saved) {
 		return nil
 	}
 	revision, err := l.store.CompareAndSwap(ctx, l.key, l.revision, data, 0)
@@ -93,25 +93,25 @@
 		return &LedgerLostError{Err: err}
 	}
 	l.revision = revision
-	l.written = data
+	l.saved = data
 	return nil
 }
 
-func (l *ledger) addSlots(starts []fleet.Start) {
+func (l *ledger) addPendingStarts(starts []fleet.Start) {
 	for i, s := range starts {
 		// Unique for all time: a revision is never given twice, and the ledger
 		// is saved at a new one before the next slots are added.
 		token := fmt.Sprintf("%s/%d/%d", l.key, l.revision, i)
-		l.state.Slots = append(l.state.Slots, slot{Token: token, Pool: s.Pool})
+		l.state.PendingStarts = append(l.state.PendingStarts, pendingStart{Token: token, Pool: s.Pool})
 	}
 }
 
-func (l *ledger) dropSlots(tokens []string) {
-	l.state.Slots = slices.DeleteFunc(l.state.Slots, func(s slot) bool { return slices.Contains(tokens, s.Token) })
+func (l *ledger) removePendingStarts(tokens []string) {
+	l.state.PendingStarts = slices.DeleteFunc(l.state.PendingStarts, func(s pendingStart) bool { return slices.Contains(tokens, s.Token) })
 }
 
-func (l *ledger) empty() bool { return len(l.state.Slots) == 0 && len(l.state.Stops) == 0 }
+func (l *ledger) empty() bool { return len(l.state.PendingStarts) == 0 && len(l.state.Stops) == 0 }
 
-func (l *ledger) stopping(vm string) bool {
+func (l *ledger) isStopping(vm string) bool {
 	return slices.ContainsFunc(l.state.Stops, func(s stop) bool { return s.VM == vm })
 }
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -48,34 +48,34 @@
 	Engines Engines
 	Timing  lease.Timing
 	Metrics metrics.Registry
-	// Every is the time between two looks at a responsibility.
-	Every time.Duration
+	// RoundInterval is the time between two looks at a responsibility.
+	RoundInterval time.Duration
 	// StopGrace is how long a runner that is to be stopped finishes its work.
 	StopGrace time.Duration
 }
 
-// tickEvery is the time between two looks at what is held.
-const tickEvery = 250 * time.Millisecond
+// leaseTickInterval is the time between two looks at what is held.
+const leaseTickInterval = 250 * time.Millisecond
 
-// roundLimit bounds one round of a duty, so that one call that hangs does not
+// roundTimeout bounds one round of a duty, so that one call that hangs does not
 // keep the others of the next round waiting.
-const roundLimit = 10 * time.Second
+const roundTimeout = 10 * time.Second
 
-// settledEvery is the time between two looks at what is as it should be. A look
+// settledRecheckInterval is the time between two looks at what is as it should be. A look
 // each round would cost its holder more bytes than all its other control.
-const settledEvery = 10 * time.Second
+const settledRecheckInterval = 10 * time.Second
 
 // duty is the work of one responsibility, done while its lease is held.
 type duty interface {
 	// run does one round. held is the fencing token of this tenure.
-	run(ctx context.Context, m *manifest.Manifest, held uint64) error
+	run(ctx context.Context, m *manifest.Manifest, fencingToken uint64) error
 }
 
 // Driver holds responsibilities and gives orders. Run it once.
 type Driver struct {
 	Config
-	start time.Time
-	held  map[string]*responsibility
+	start  time.Time
+	active map[string]*responsibility
 	// generation and directoryChanged tell when candidacies are to be worked
 	// out again.
 	generation       ident.Generation
@@ -84,7 +84,7 @@
 
 // New makes a driver that holds nothing.
 func New(c Config) *Driver {
-	return &Driver{Config: c, start: time.Now(), held: map[string]*responsibility{}}
+	return &Driver{Config: c, start: time.Now(), active: map[string]*responsibility{}}
 }
 
 // Run competes for responsibilities and does their work until ctx ends; then it
@@ -92,7 +92,7 @@
 func (d *Driver) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(leaseTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -111,32 +111,32 @@
 	if m == nil {
 		return
 	}
-	removed := d.removeDone()
-	if !d.outdated(generation) && !removed {
+	removed := d.removeReleased()
+	if !d.candidaciesOutdated(generation) && !removed {
 		return
 	}
-	wanted := d.candidacies(m)
-	for name, r := range d.held {
+	wanted := d.candidateDuties(m)
+	for name, r := range d.active {
 		_, ok := wanted[name]
 		r.candidate.Store(ok)
 	}
 	for name, newDuty := range wanted {
-		if d.held[name] == nil {
-			d.begin(ctx, running, name, newDuty)
+		if d.active[name] == nil {
+			d.startResponsibility(ctx, running, name, newDuty)
 		}
 	}
 }
 
-func (d *Driver) begin(ctx context.Context, running *sync.WaitGroup, name string, newDuty func(*holder.Holder) duty) {
+func (d *Driver) startResponsibility(ctx context.Context, running *sync.WaitGroup, name string, newDuty func(*holder.Holder) duty) {
 	h := holder.New(holder.Options{
 		Name:   name,
 		Self:   string(d.Self),
 		Store:  d.Store,
 		Timing: d.Timing,
 		Clock:  func() time.Duration { return time.Since(d.start) },
-		Changed: func(held bool, token uint64) {
+		Changed: func(active bool, token uint64) {
 			change := "ended"
-			if held {
+			if active {
 				change = "acquired"
 			}
 			d.count("orders.lease_" + change)
@@ -145,16 +145,16 @@
 	})
 	r := &responsibility{driver: d, holder: h, duty: newDuty(h), done: make(chan struct{})}
 	r.candidate.Store(true)
-	d.held[name] = r
+	d.active[name] = r
 	running.Go(func() { r.run(ctx) })
 }
 
-func (d *Driver) removeDone() bool {
+func (d *Driver) removeReleased() bool {
 	removed := false
-	for name, r := range d.held {
+	for name, r := range d.active {
 		select {
 		case <-r.done:
-			delete(d.held, name)
+			delete(d.active, name)
 			removed = true
 		default:
 		}
@@ -162,10 +162,10 @@
 	return removed
 }
 
-// outdated tells whether the configuration or the directory has changed since
+// candidaciesOutdated tells whether the configuration or the directory has changed since
 // candidacies were worked out. Doing so each time would cost a large fleet's
 // daemon more than all its orders.
-func (d *Driver) outdated(generation ident.Generation) bool {
+func (d *Driver) candidaciesOutdated(generation ident.Generation) bool {
 	changed := d.directoryChanged == nil || generation != d.generation
 	select {
 	case <-d.directoryChanged:
@@ -185,8 +185,8 @@
 	metrics.GetOrRegisterCounter(name, d.Metrics).Inc(1)
 }
 
-// failed counts a failure that the next round mends.
-func (d *Driver) failed(responsibility string, err error) {
+// recordFailure counts a failure that the next round mends.
+func (d *Driver) recordFailure(responsibility string, err error) {
 	d.count("orders.failed." + failureName(err))
 	klog.V(1).InfoS("Orders failed", "responsibility", responsibility, "err", err)
 }
@@ -208,15 +208,15 @@
 	defer stopWork()
 	var working sync.WaitGroup
 	working.Go(func() { r.work(work) })
-	r.hold(ctx)
+	r.keepLease(ctx)
 	stopWork()
 	working.Wait()
 	r.release()
 }
 
-// hold keeps the lease until ctx ends or the responsibility is given back.
-func (r *responsibility) hold(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+// keepLease keeps the lease until ctx ends or the responsibility is given back.
+func (r *responsibility) keepLease(ctx context.Context) {
+	ticker := time.NewTicker(leaseTickInterval)
 	defer ticker.Stop()
 	for {
 		candidate := r.candidate.Load()
@@ -240,7 +240,7 @@
 }
 
 func (r *responsibility) work(ctx context.Context) {
-	ticker := time.NewTicker(r.driver.Every)
+	ticker := time.NewTicker(r.driver.RoundInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -254,13 +254,13 @@
 
 func (r *responsibility) round(ctx context.Context) {
 	m, _ := r.driver.Configuration.Current()
-	held := r.holder.Token()
-	if m == nil || held == 0 {
+	fencingToken := r.holder.Token()
+	if m == nil || fencingToken == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, roundLimit)
+	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	if err := r.duty.run(ctx, m, held); err != nil {
-		r.driver.failed(r.holder.Name(), err)
+	if err := r.duty.run(ctx, m, fencingToken); err != nil {
+		r.driver.recordFailure(r.holder.Name(), err)
 	}
 }
--- a/daemon/orders/rollout.go
+++ b/daemon/orders/rollout.go
@@ -35,11 +35,11 @@
 	holder        *holder.Holder
 	planner       *rollout.Planner
 	tenure        uint64
-	last          look
+	lastRound     shardInputs
 }
 
-// look is what the last look at the shard was about.
-type look struct {
+// shardInputs is what the last shardInputs at the shard was about.
+type shardInputs struct {
 	at      time.Duration
 	models  []manifest.Model
 	role    string
@@ -52,15 +52,15 @@
 	return &rolloutDuty{driver: d, service: service, shards: shards, shard: shard, holder: h}
 }
 
-func (r *rolloutDuty) run(ctx context.Context, m *manifest.Manifest, held uint64) error {
+func (r *rolloutDuty) run(ctx context.Context, m *manifest.Manifest, fencingToken uint64) error {
 	service := m.ServiceNamed(r.service)
 	if service == nil {
 		return nil
 	}
-	if r.tenure != held {
-		r.tenure = held
+	if r.tenure != fencingToken {
+		r.tenure = fencingToken
 		r.planner = rollout.New(rollout.DefaultLimits())
-		r.last = look{}
+		r.lastRound = shardInputs{}
 	}
 	// Without a permit the orders would only be planned to be dropped, and the
 	// runners polled for nothing.
@@ -68,32 +68,32 @@
 		r.driver.count("orders.waiting")
 		return nil
 	}
-	l := look{at: r.holder.Now(), models: modelsOf(m, r.service), role: service.Role, runners: r.runners()}
-	if !r.due(l) {
+	l := shardInputs{at: r.holder.Now(), models: modelsOf(m, r.service), role: service.Role, runners: r.runners()}
+	if !r.roundNeeded(l) {
 		return nil
 	}
-	l.settled = r.mend(ctx, service.ChecksFencing, l)
-	r.last = l
+	l.settled = r.reconcile(ctx, service.ChecksFencing, l)
+	r.lastRound = l
 	return nil
 }
 
-// due tells whether a look is needed. Of a settled shard, a changed manifest
+// roundNeeded tells whether a look is needed. Of a settled shard, a changed manifest
 // or runner is seen at once, and anything else within settledEvery.
-func (r *rolloutDuty) due(l look) bool {
-	if !r.last.settled || l.at >= r.last.at+settledEvery {
+func (r *rolloutDuty) roundNeeded(l shardInputs) bool {
+	if !r.lastRound.settled || l.at >= r.lastRound.at+settledRecheckInterval {
 		return true
 	}
-	return l.role != r.last.role || !reflect.DeepEqual(l.models, r.last.models) || !slices.Equal(l.runners, r.last.runners)
+	return l.role != r.lastRound.role || !reflect.DeepEqual(l.models, r.lastRound.models) || !slices.Equal(l.runners, r.lastRound.runners)
 }
 
-// mend orders what is missing and tells whether the shard is settled.
-func (r *rolloutDuty) mend(ctx context.Context, checked bool, l look) bool {
+// reconcile orders what is missing and tells whether the shard is settled.
+func (r *rolloutDuty) reconcile(ctx context.Context, checksFencing bool, l shardInputs) bool {
 	addresses, reports := r.reports(ctx, l.runners)
 	r.planner.SetRole(l.role)
 	orders := r.planner.Plan(l.at, l.models, reports)
-	results := r.giveAll(ctx, checked, addresses, orders)
+	results := r.sendOrders(ctx, checksFencing, addresses, orders)
 	for i, o := range orders {
-		r.learn(o, results[i])
+		r.recordResult(o, results[i])
 	}
 	return len(orders) == 0 && len(reports) == len(l.runners) && !r.planner.Pending()
 }
@@ -102,7 +102,7 @@
 func (r *rolloutDuty) runners() []view.Runner {
 	var out []view.Runner
 	for _, runner := range r.driver.Directory.Runners(r.service) {
-		if runner.State == view.Live && r.mine(runner.ID) {
+		if runner.State == view.Live && r.inShard(runner.ID) {
 			out = append(out, runner)
 		}
 	}
@@ -119,7 +119,7 @@
 	return out
 }
 
-func (r *rolloutDuty) mine(id ident.RunnerID) bool {
+func (r *rolloutDuty) inShard(id ident.RunnerID) bool {
 	return xxhash.Sum64String(string(id))%uint64(r.shards) == uint64(r.shard)
 }
 
@@ -140,7 +140,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			addresses[runner.ID] = runner.Address
-			out = append(out, reportOf(runner.ID, load))
+			out = append(out, newReport(runner.ID, load))
 			return nil
 		})
 	}
@@ -167,7 +167,7 @@
 	return load, true
 }
 
-func reportOf(id ident.RunnerID, load engineapi.Load) rollout.Runner {
+func newReport(id ident.RunnerID, load engineapi.Load) rollout.Runner {
 	report := rollout.Runner{ID: id, Role: load.Role}
 	for _, l := range load.Models {
 		report.Loaded = append(report.Loaded, rollout.Loaded{Model: l.Model, Version: l.Version, Adapters: l.Adapters, Loading: l.Loading})
@@ -175,15 +175,15 @@
 	return report
 }
 
-// giveAll sends orders side by side: a runner that hangs must not hold up the
+// sendOrders sends orders side by side: a runner that hangs must not hold up the
 // others. The results are in the orders' sequence.
-func (r *rolloutDuty) giveAll(ctx context.Context, checked bool, addresses map[ident.RunnerID]string, orders []rollout.Order) []error {
+func (r *rolloutDuty) sendOrders(ctx context.Context, checksFencing bool, addresses map[ident.RunnerID]string, orders []rollout.Order) []error {
 	results := make([]error, len(orders))
 	var g errgroup.Group
 	g.SetLimit(orderParallelism)
 	for i, o := range orders {
 		g.Go(func() error {
-			results[i] = r.give(ctx, checked, addresses[o.Runner], o)
+			results[i] = r.sendOrder(ctx, checksFencing, addresses[o.Runner], o)
 			return nil
 		})
 	}
@@ -192,42 +192,42 @@
 	return results
 }
 
-// give sends one order if the lease still allows it and the runner is not
+// sendOrder sends one order if the lease still allows it and the runner is not
 // leaving. The lease comes last before sending; see package lease for what a
 // pause after it does.
-func (r *rolloutDuty) give(ctx context.Context, checked bool, address string, o rollout.Order) error {
-	if err := r.weightsThere(ctx, o); err != nil {
+func (r *rolloutDuty) sendOrder(ctx context.Context, checksFencing bool, address string, o rollout.Order) error {
+	if err := r.checkWeights(ctx, o); err != nil {
 		return err
 	}
-	if !r.live(o.Runner) {
-		return &LeavingError{Runner: o.Runner}
+	if !r.isLive(o.Runner) {
+		return &RunnerLeavingError{Runner: o.Runner}
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.driver.Timing.MaxOrder)
 	defer cancel()
-	token, ok := r.holder.Permit(checked)
+	token, ok := r.holder.Permit(checksFencing)
 	if !ok {
 		return &NotHeldError{Responsibility: r.holder.Name()}
 	}
 	if err := r.driver.Engines.Order(ctx, address, engineOrder(o, token)); err != nil {
-		return &RefusedError{Order: o, Err: err}
+		return &OrderFailedError{Order: o, Err: err}
 	}
 	return nil
 }
 
-func (r *rolloutDuty) live(id ident.RunnerID) bool {
+func (r *rolloutDuty) isLive(id ident.RunnerID) bool {
 	return slices.ContainsFunc(r.driver.Directory.Runners(r.service), func(runner view.Runner) bool {
 		return runner.ID == id && runner.State == view.Live
 	})
 }
 
-// learn tells the planner how an order ended.
-func (r *rolloutDuty) learn(o rollout.Order, err error) {
+// recordResult tells the planner how an order ended.
+func (r *rolloutDuty) recordResult(o rollout.Order, err error) {
 	now := r.holder.Now()
 	if err == nil {
 		r.driver.count("orders.given")
 		return
 	}
-	r.driver.failed(r.holder.Name(), err)
+	r.driver.recordFailure(r.holder.Name(), err)
 	var limited *cloudapi.RateLimitedError
 	var notHeld *NotHeldError
 	switch {
@@ -240,9 +240,9 @@
 	}
 }
 
-// weightsThere keeps a version that does not exist from being ordered, and a
+// checkWeights keeps a version that does not exist from being ordered, and a
 // load from being ordered while the weight store asks for a pause.
-func (r *rolloutDuty) weightsThere(ctx context.Context, o rollout.Order) error {
+func (r *rolloutDuty) checkWeights(ctx context.Context, o rollout.Order) error {
 	if o.Kind != rollout.Load || r.driver.Weights == nil {
 		return nil
 	}
