--- a/daemon/orders/candidacy.go
+++ b/daemon/orders/candidacy.go
@@ -13,13 +13,13 @@
 
 const (
 	runnersPerShard = 64
-	// candidatesPerResponsibility keeps the calls for one responsibility the
-	// same however many daemons there are.
+	// candidatesPerResponsibility limits the key-value service's calls for one
+	// responsibility, so that they don't grow with the number of daemons.
 	candidatesPerResponsibility = 3
 )
 
-// candidateDuties are the responsibilities of the manifest that this daemon stands
-// for, by name, with what makes their duties.
+// candidateDuties returns the names of the manifest's responsibilities for which
+// this daemon is a candidate, each with a function that creates its duty.
 func (d *Driver) candidateDuties(m *manifest.Manifest) map[string]func(*holder.Holder) duty {
 	wanted := map[string]func(*holder.Holder) duty{}
 	e := newCandidateSelector(d.Directory)
@@ -37,7 +37,8 @@
 	return wanted
 }
 
-// shardCount is the number of shards that a service's runners are ordered in.
+// shardCount returns the number of shards into which a service's runners are
+// divided. Runners of services without models get no orders and have no shards.
 func shardCount(s *manifest.Service) int {
 	if s.Kind != manifest.KindModel {
 		return 0
@@ -45,18 +46,21 @@
 	return (s.Runners + runnersPerShard - 1) / runnersPerShard
 }
 
-// shardResponsibility has the number of shards in it: when it changes, all shards are
-// acquired anew, and a runner that moves to another shard never sees that
-// shard's older, lower fencing token.
+// shardResponsibility returns the name of a shard's responsibility. The name
+// contains the number of shards: when the number changes, all shards have new
+// leases, and a runner that moves to another shard never gets an older, lower
+// fencing token of that shard.
 func shardResponsibility(s *manifest.Service, shard int) string {
 	return fmt.Sprintf("rollout/%s/%d/%d", s.Name, shardCount(s), shard)
 }
 
-// candidateSelector chooses candidates by rendezvous hash among the live daemons.
+// candidateSelector selects candidates among the live daemons by rendezvous
+// hashing.
 type candidateSelector struct {
-	self     uint64
+	self uint64 // hash of this daemon's ID
+	// eligible is false if this daemon is leaving.
 	eligible bool
-	others   []uint64
+	others   []uint64 // hashes of the other live daemons' IDs
 }
 
 func newCandidateSelector(directory view.Directory) candidateSelector {
@@ -72,7 +76,8 @@
 
 func hashDaemon(id ident.DaemonID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// selectsSelf tells whether this daemon is one of the candidates.
+// selectsSelf reports whether this daemon is one of the candidates for the named
+// responsibility.
 func (e candidateSelector) selectsSelf(name string) bool {
 	if !e.eligible {
 		return false
@@ -91,8 +96,8 @@
 	return true
 }
 
-// combineHashes joins two hashes; it is the finalizer of MurmurHash3, whose output bits
-// each depend on all input bits.
+// combineHashes combines two hashes with the finalizer of MurmurHash3, in which
+// each output bit depends on all input bits.
 func combineHashes(a, b uint64) uint64 {
 	h := a ^ b
 	h ^= h >> 33
--- a/daemon/orders/candidacy_test.go
+++ b/daemon/orders/candidacy_test.go
@@ -30,8 +30,8 @@
 	return d
 }
 
-// Too few candidates and a dead holder has no successor; too many and the
-// key-value service's calls grow with the daemons.
+// With too few candidates a crashed holder would have no successor; with too many
+// the calls to the key-value service would grow with the number of daemons.
 func TestEachResponsibilityHasThreeCandidates(t *testing.T) {
 	is := is.New(t)
 	d := directoryWith(30)
@@ -53,7 +53,7 @@
 	for _, n := range candidates {
 		is.Equal(n, candidatesPerResponsibility)
 	}
-	is.True(maxPerDaemon < 40) // spread evenly: the mean is 16
+	is.True(maxPerDaemon < 40) // evenly distributed: the mean is 16
 }
 
 func BenchmarkCandidateDuties(b *testing.B) {
--- a/daemon/orders/errors.go
+++ b/daemon/orders/errors.go
@@ -9,21 +9,22 @@
 	"geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// NotHeldError says that an order was not sent since its lease no longer
-// allows one.
+// NotHeldError means that an order was not sent because the responsibility's
+// lease doesn't allow it, or not any more.
 type NotHeldError struct{ Responsibility string }
 
 func (e *NotHeldError) Error() string {
 	return fmt.Sprintf("responsibility %s is not held", e.Responsibility)
 }
 
-// RunnerLeavingError says that an order was not sent since its runner is leaving.
+// RunnerLeavingError means that an order was not sent because its runner is
+// leaving.
 type RunnerLeavingError struct{ Runner ident.RunnerID }
 
 func (e *RunnerLeavingError) Error() string { return fmt.Sprintf("runner %s is leaving", e.Runner) }
 
-// OrderFailedError says that a runner refused an order, or that its answer is not
-// known.
+// OrderFailedError means that a runner refused an order, or that it is unknown
+// whether the runner carried it out.
 type OrderFailedError struct {
 	Order rollout.Order
 	Err   error
@@ -36,7 +37,7 @@
 // Unwrap returns the cause.
 func (e *OrderFailedError) Unwrap() error { return e.Err }
 
-// failureName is the counter's name for a failure.
+// failureName returns the last part of the name of the counter for an error.
 func failureName(err error) string {
 	var notHeld *NotHeldError
 	var leaving *RunnerLeavingError
--- a/daemon/orders/fleet.go
+++ b/daemon/orders/fleet.go
@@ -18,11 +18,11 @@
 	"geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// maxUnlistedTime is how long a start that the cloud has answered may be missing
-// from the lagging list before its VM is taken for dead.
+// maxUnlistedTime is how long a VM whose start the cloud has confirmed may be
+// missing from the cloud's list, which lags behind, before it is considered gone.
 const maxUnlistedTime = 10 * time.Minute
 
-// fleetDuty holds one service's VMs at what the manifest asks for.
+// fleetDuty keeps one service's VMs in line with the manifest.
 type fleetDuty struct {
 	driver  *Driver
 	service string
@@ -31,28 +31,30 @@
 	tenure  *fleetTenure
 }
 
-// fleetTenure is what the holder knows since it has acquired the lease. Times
-// are the holder's own monotonic ones; another daemon's clock may be off.
+// fleetTenure is what the holder has learned since it acquired the lease. All
+// times are of the holder's monotonic clock, because the clocks of daemons may
+// differ.
 type fleetTenure struct {
 	fencingToken uint64
 	ledger       *ledger
 	lastListed   map[string]cloudapi.VM
 	lastListedAt time.Duration
-	// confirmedAt is when each slot was first known to have its VM.
+	// confirmedAt is, by start token, when the holder first knew the VM of a
+	// pending start.
 	confirmedAt map[string]time.Duration
-	// stopAt is when each announced VM may be stopped.
+	// stopAt is when each VM whose stop was announced may be stopped.
 	stopAt    map[string]time.Duration
 	stopped   map[string]bool
 	lastRound fleetInputs
 }
 
-// fleetInputs is what the last look at the fleet was about.
+// fleetInputs is the input of a round, kept to detect changes in later ones.
 type fleetInputs struct {
 	at      time.Duration
 	service manifest.Service
 	fleet   manifest.Fleet
 	runners []view.Runner
-	// settled says that it found nothing to change and nothing under way.
+	// settled is true if the round found nothing to change and no call pending.
 	settled bool
 }
 
@@ -82,9 +84,10 @@
 	return err
 }
 
-// roundNeeded tells whether a look is needed. Of a settled fleet, a changed manifest or
-// runner is seen at once, and anything else within settledEvery: the list of a
-// large fleet is megabytes.
+// roundNeeded reports whether a round must be done now. If the last round found
+// the fleet settled, changes of the manifest or of runners are handled at once,
+// and the cloud's list is read only at settledRecheckInterval, because the list of
+// a large fleet has megabytes.
 func (f *fleetDuty) roundNeeded(l fleetInputs) bool {
 	lastRound := &f.tenure.lastRound
 	if !lastRound.settled || l.at >= lastRound.at+settledRecheckInterval {
@@ -94,6 +97,7 @@
 		!slices.Equal(l.runners, lastRound.runners)
 }
 
+// openTenure reads the ledger and resets the state if the lease was newly acquired.
 func (f *fleetDuty) openTenure(ctx context.Context, fencingToken uint64) error {
 	if f.tenure != nil && f.tenure.fencingToken == fencingToken {
 		return nil
@@ -109,8 +113,9 @@
 	return nil
 }
 
-// round mends what an earlier round or holder left open, decides, writes the
-// decision down and carries it out. It is idle if there was nothing to decide.
+// round completes the calls that an earlier round or holder left pending, plans
+// starts and stops, writes them to the ledger and executes them. It returns idle
+// as true if there was nothing to start or stop.
 func (f *fleetDuty) round(ctx context.Context, m *manifest.Manifest, service *manifest.Service, runners []view.Runner) (idle bool, err error) {
 	listed, err := f.listVMs(ctx)
 	if err != nil {
@@ -123,7 +128,7 @@
 	}
 	quotes, err := f.driver.Cloud.Quotes(ctx)
 	if err != nil {
-		return false, fmt.Errorf("quotes: %w", err)
+		return false, fmt.Errorf("get price quotes: %w", err)
 	}
 	wanted := fleet.Target{
 		Runners: service.Runners, SurviveLoss: m.Fleet.SurviveDomainLoss, MaxCostPerHour: costShare(m, f.service),
@@ -148,7 +153,8 @@
 	return listed, nil
 }
 
-// recordObservations feeds the planner's hazard from VMs that began to leave unasked.
+// recordObservations gives the planner the running time of VMs and the number of
+// VMs that the cloud reclaimed, from which it estimates reclaim rates.
 func (f *fleetDuty) recordObservations(listed map[string]cloudapi.VM) {
 	now := f.holder.Now()
 	for id, vm := range listed {
@@ -165,8 +171,8 @@
 	f.tenure.lastListedAt = now
 }
 
-// pruneLedger drops slots whose VM the list shows or that were too long without, and
-// stops whose VM the list no longer has.
+// pruneLedger removes pending starts whose VM is in the list or was missing from
+// it for maxUnlistedTime, and stops whose VM is no longer in the list.
 func (f *fleetDuty) pruneLedger(listed map[string]cloudapi.VM) {
 	now := f.holder.Now()
 	state := &f.tenure.ledger.state
@@ -186,9 +192,10 @@
 	})
 }
 
-// plannerVMs joins the list with the starts that it does not show yet: without them a
-// lagging list would make the planner start the same VMs again. A notice is
-// known to the directory before the list has it.
+// plannerVMs returns the listed VMs and the pending starts that are not listed
+// yet. Without these the planner would start the same VMs again, because the list
+// lags behind. The runners of the directory are included because the directory
+// learns of a reclaim notice before the list does.
 func (f *fleetDuty) plannerVMs(listed map[string]cloudapi.VM, runners []view.Runner) []fleet.VM {
 	leaving := map[string]bool{}
 	for _, r := range runners {
@@ -231,9 +238,9 @@
 	return out
 }
 
-// costShare is the service's part of the manifest's cost bound, by what its
-// runners cost at list prices: each service's fleet is planned by itself, and
-// all of them together must stay under the bound.
+// costShare returns the service's share of the manifest's cost limit, in
+// proportion to the cost of its runners at list prices. Each service's VMs are
+// planned separately, and all of them together must stay within the limit.
 func costShare(m *manifest.Manifest, service string) float64 {
 	serviceCost, totalCost := 0.0, 0.0
 	for i := range m.Services {
@@ -260,7 +267,8 @@
 	return price
 }
 
-// recordDecision enters a decision in the ledger. finish saves it before it acts.
+// recordDecision adds the planned starts and stops to the ledger. executeLedger
+// saves the ledger before it executes them.
 func (f *fleetDuty) recordDecision(d fleet.Decision, listed map[string]cloudapi.VM) {
 	for _, id := range d.Stops {
 		f.tenure.ledger.state.Stops = append(f.tenure.ledger.state.Stops, stop{VM: id, Address: listed[id].Address})
@@ -268,9 +276,9 @@
 	f.tenure.ledger.addPendingStarts(d.Starts)
 }
 
-// executeLedger carries out what stands in the ledger. It is saved first, so that the
-// next holder knows of every call that may have been made, and again with what
-// the cloud answered.
+// executeLedger executes the pending starts and stops. It saves the ledger first,
+// so that the next holder knows of every call that may have been made, and again
+// afterwards with the cloud's answers.
 func (f *fleetDuty) executeLedger(ctx context.Context, listed map[string]cloudapi.VM) error {
 	if err := f.tenure.ledger.save(ctx); err != nil {
 		return err
@@ -284,9 +292,9 @@
 	return f.tenure.ledger.save(ctx)
 }
 
-// executeStarts asks the cloud for every slot that has no answer yet. The token
-// makes the call repeatable, also by a later holder. A slot whose answer was
-// lost stays, and the others go on.
+// executeStarts calls the cloud for every pending start without a VM. The start's
+// token makes the call idempotent, so that a later holder can repeat it too. If a
+// call fails, its start stays pending and the other starts continue.
 func (f *fleetDuty) executeStarts(ctx context.Context) error {
 	pending := f.tenure.ledger.state.PendingStarts
 	results := f.startAll(ctx, pending)
@@ -311,7 +319,8 @@
 	return ended
 }
 
-// startResult is empty for a slot that has its VM.
+// startResult is the result of a cloud call. It is empty for a pending start whose
+// VM was already known.
 type startResult struct {
 	vm  cloudapi.VM
 	err error
@@ -335,8 +344,8 @@
 	return results
 }
 
-// isObsolete tells that a start's token has no VM and never will: it was refused,
-// or the VM that it had started is gone again.
+// isObsolete reports whether a start will never result in a VM: the cloud refused
+// it, or the VM that it started is already gone.
 func (f *fleetDuty) isObsolete(s *pendingStart, err error) bool {
 	var refused *cloudapi.StartRefusedError
 	if errors.As(err, &refused) {
@@ -348,7 +357,8 @@
 	return errors.As(err, &gone)
 }
 
-// endsTenure tells that this daemon is not, or no longer, the one to give orders.
+// endsTenure reports whether an error means that this daemon doesn't hold the
+// lease and must not give orders.
 func endsTenure(err error) bool {
 	var notHeld *NotHeldError
 	var stale *cloudapi.StaleFencingError
@@ -373,8 +383,8 @@
 	return vm, nil
 }
 
-// executeStops makes every planned stop a graceful shutdown: the runner is
-// announced as leaving to all daemons first, and stopped when its grace is over.
+// executeStops shuts down VMs gracefully: it announces the runner as leaving to
+// all daemons first, and stops the VM after StopGrace.
 func (f *fleetDuty) executeStops(ctx context.Context, listed map[string]cloudapi.VM) error {
 	for _, s := range f.tenure.ledger.state.Stops {
 		if _, ok := listed[s.VM]; !ok || f.tenure.stopped[s.VM] || !f.announceStop(s) {
@@ -393,13 +403,13 @@
 	return nil
 }
 
-// announceStop tells all daemons that the VM leaves, and reports whether its grace
-// is over.
+// announceStop announces to all daemons that the VM is leaving, and reports
+// whether its grace period has ended.
 func (f *fleetDuty) announceStop(s stop) bool {
 	now := f.holder.Now()
 	if _, ok := f.tenure.stopAt[s.VM]; !ok {
 		f.tenure.stopAt[s.VM] = now + f.driver.StopGrace
-		klog.InfoS("VM is going to be stopped", "service", f.service, "vm", s.VM, "grace", f.driver.StopGrace)
+		klog.InfoS("VM will be stopped after its grace period", "service", f.service, "vm", s.VM, "grace", f.driver.StopGrace)
 	}
 	remaining := f.tenure.stopAt[s.VM] - now
 	f.driver.Directory.NoteLeaving(s.Address, max(remaining, 0))
--- a/daemon/orders/fleet_test.go
+++ b/daemon/orders/fleet_test.go
@@ -12,16 +12,17 @@
 
 const fleetResponsibility = "fleet/chat"
 
-// expectVMCount checks that the fleet reaches n VMs and never has more.
+// expectVMCount checks that the number of VMs never exceeds n, and that it is n at
+// the end of the given time.
 func (w *cluster) expectVMCount(n int, during time.Duration) {
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		w.True(len(w.runningVMs()) <= n) // never a VM too many
+		w.True(len(w.runningVMs()) <= n) // no excess VM
 	}
 	w.Equal(len(w.runningVMs()), n)
 }
 
-// The cloud starts VMs and its answers are lost. If the holder asked anew, each
-// lost answer would be a second VM that nobody wants and everybody pays.
+// The cloud starts VMs and its responses are lost. If the holder repeated the
+// calls with new tokens, each lost response would cause a second, unneeded VM.
 func TestStartResponseLost(t *testing.T) {
 	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(w *cluster) {
 		w.cloud.SetFaults(standin.Faults{LoseAnswers: 3})
@@ -30,9 +31,9 @@
 	})
 }
 
-// The holder dies right before or after the cloud has started a VM, with the
-// start in the ledger and no answer. The next holder, whose list does not show
-// the VM yet, must repeat the start, not begin another.
+// The holder crashes directly before or after the cloud has started a VM, when the
+// ledger has the start but no answer. The cloud's list doesn't show the VM yet.
+// The next holder must repeat the same start instead of starting another VM.
 func TestHolderDiesDuringStart(t *testing.T) {
 	for _, call := range []string{"start", "started"} {
 		withClusterAndListLag(t, baseManifest(4, true), lease.DefaultTiming(), longLag, func(w *cluster) {
@@ -45,8 +46,9 @@
 	}
 }
 
-// The holder is paused right before it asks the cloud for a VM, and wakes when
-// another has taken over and repeated the start from the ledger.
+// The holder is paused directly before it calls the cloud to start a VM, and
+// resumes after another daemon has taken over and repeated the start from the
+// ledger. The late call must not start another VM.
 func TestHolderPausedBeforeStart(t *testing.T) {
 	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(w *cluster) {
 		w.waitUntil(time.Second, "a holder", func() bool { return len(w.heldLeases()) == 2 && w.holder(fleetResponsibility) != nil })
@@ -59,9 +61,9 @@
 	})
 }
 
-// A VM dies after the cloud has started it and before its answer was written
-// down. Its token can't be answered any more; repeating it for ever would keep
-// the service without a replacement.
+// A VM ends after the cloud has started it and before the holder has recorded the
+// cloud's answer. The cloud can no longer return a VM for the start's token. If
+// the holder repeated the start forever, the service would get no replacement.
 func TestVMGoneBeforeStartResponseIsKnown(t *testing.T) {
 	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(w *cluster) {
 		w.cloud.SetFaults(standin.Faults{LoseAnswers: 1})
@@ -74,8 +76,9 @@
 	})
 }
 
-// A wave reclaims a failure domain's VMs, and reclaimable starts are refused
-// there just then. Replacements must come from elsewhere within seconds.
+// The cloud reclaims all VMs of a failure domain and then refuses to start
+// reclaimable VMs there. Replacements must be started in other pools within
+// seconds.
 func TestRefusedStartsDuringReclaimWave(t *testing.T) {
 	m := baseManifest(4, true)
 	m.Fleet.SurviveDomainLoss = true
@@ -85,11 +88,11 @@
 		w.True(lost > 0)
 		w.waitUntil(10*time.Second, "replacements", func() bool { return w.runningOutside("a") >= 4 && w.runningOutside("b") >= 4 })
 		w.True(w.counter("fleet.start_refused") > 0)
-		w.True(w.counter("fleet.start_refused") <= 2*int64(lost)) // the pool is left alone for a while
+		w.True(w.counter("fleet.start_refused") <= 2*int64(lost)) // the pool is not tried again for a while
 	})
 }
 
-// runningOutside counts the running VMs that the loss of a failure domain would leave.
+// runningOutside returns the number of running VMs outside a failure domain.
 func (w *cluster) runningOutside(lost ident.FailureDomain) int {
 	n := 0
 	for _, vm := range w.runningVMs() {
@@ -100,8 +103,9 @@
 	return n
 }
 
-// An operator asks for fewer runners. Their work must end well: each VM that
-// goes was announced as leaving to all daemons its whole grace before.
+// An operator reduces the number of runners. Work in progress must not be lost:
+// each VM must be announced as leaving to all daemons at least its whole grace
+// period before it is stopped.
 func TestPlannedStopIsGraceful(t *testing.T) {
 	withCluster(t, baseManifest(6, true), lease.DefaultTiming(), func(w *cluster) {
 		w.waitSettled(6, "1")
@@ -126,14 +130,14 @@
 	}
 }
 
-// The holder has written planned stops into the ledger and dies before it has
-// announced them. Its successor comes when the grace would be over, and must
-// give it all the same.
+// The holder has written planned stops to the ledger and crashes before it has
+// announced them. Its successor takes over when the grace period would have ended
+// and must still give the VMs the whole grace period.
 func TestHolderDiesBeforeAnnouncingStop(t *testing.T) {
 	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(w *cluster) {
 		w.waitSettled(4, "1")
 		first := w.holder(fleetResponsibility)
-		// The ledger's next write is that of the stops.
+		// The next write to the key-value service is that of the ledger with the stops.
 		first.beforeNext("swapped", first.kill)
 		w.setRunners(2)
 		w.waitUntil(10*time.Minute, "stops", func() bool { return len(w.runningVMs()) == 2 })
@@ -142,8 +146,8 @@
 	})
 }
 
-// Two services share a cost bound. Planned each for itself with the whole of
-// it, they would spend it twice.
+// Two services share a cost limit. If each were planned with the whole limit, they
+// would together spend twice the limit.
 func TestServicesShareCostBound(t *testing.T) {
 	m := baseManifest(6, true)
 	m.Services = append(m.Services, manifest.Service{Name: "plain", Kind: manifest.KindPlain, Runners: 2})
--- a/daemon/orders/harness_test.go
+++ b/daemon/orders/harness_test.go
@@ -31,12 +31,14 @@
 	stopGrace = 30 * time.Second
 	startTime = 5 * time.Second
 	listLag   = 3 * time.Second
-	// longLag is longer than a takeover by a holder that need not wait.
+	// longLag is longer than a takeover by a holder that doesn't have to wait
+	// for orders of the previous one.
 	longLag  = 30 * time.Second
 	loadTime = 10 * time.Second
 )
 
-// cluster is the platform, the engines and some daemons that give orders.
+// cluster holds simulated cloud, key-value service, weight store and engines, and
+// daemons that run a Driver.
 type cluster struct {
 	*is.I
 	store   *kvserver.Store
@@ -56,7 +58,7 @@
 	reports    int
 }
 
-// delivered is an order that reached a runner.
+// delivered is an order that was delivered to a runner.
 type delivered struct {
 	at      time.Time
 	daemon  ident.DaemonID
@@ -77,7 +79,8 @@
 	}
 }
 
-// withCluster runs a test with three daemons in virtual time.
+// withCluster runs a test with three daemons in virtual time. The cloud's list of
+// VMs lags by listLag.
 func withCluster(t *testing.T, m manifest.Manifest, timing lease.Timing, test func(w *cluster)) {
 	withClusterAndListLag(t, m, timing, listLag, test)
 }
@@ -125,7 +128,8 @@
 	return vm.ID, nil
 }
 
-// notifyLeaving tells the engine, and the directory as the membership would.
+// notifyLeaving passes a reclaim notice to the engine and to the directory. In a
+// real fleet the membership protocol informs the directory.
 func (w *cluster) notifyLeaving(vm cloudapi.VM, left time.Duration) {
 	w.engine(vm.ID).Notice(left)
 	directory{w.daemons[0]}.NoteLeaving(vm.Address, left)
@@ -154,7 +158,7 @@
 	return w.engines[address]
 }
 
-// updateManifest puts a changed manifest in force.
+// updateManifest changes the manifest and makes it the current one.
 func (w *cluster) updateManifest(change func(m *manifest.Manifest)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -170,14 +174,15 @@
 	w.updateManifest(func(m *manifest.Manifest) { m.Models[0].Version = v })
 }
 
-// runningVMs lists the VMs that are there without a notice.
+// runningVMs returns the started VMs that are not leaving.
 func (w *cluster) runningVMs() []cloudapi.VM {
 	return slices.DeleteFunc(w.cloud.VMs(), func(vm cloudapi.VM) bool {
 		return vm.State == cloudapi.VMLeaving || vm.Address == ""
 	})
 }
 
-// servingCount counts the running VMs that hold a version, loaded.
+// servingCount returns the number of running VMs that have a version completely
+// loaded.
 func (w *cluster) servingCount(version string) int {
 	n := 0
 	for _, vm := range w.runningVMs() {
@@ -198,7 +203,8 @@
 	return slices.Clone(w.delivered)
 }
 
-// staleOrders counts the orders with an old token that runners carried out.
+// staleOrders returns the number of orders with an old fencing token that runners
+// carried out.
 func (w *cluster) staleOrders() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -213,25 +219,26 @@
 	return metrics.GetOrRegisterCounter(name, w.metrics).Count()
 }
 
-// waitUntil waits for a condition and returns how long it took.
+// waitUntil waits for a condition and returns how long that took. It fails the
+// test if the condition isn't reached within bound.
 func (w *cluster) waitUntil(bound time.Duration, condition string, reached func() bool) time.Duration {
 	began := time.Now()
 	for !reached() {
 		if time.Since(began) > bound {
-			w.Equal("not reached within its bound", condition)
+			w.Equal("not reached in time", condition)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// waitSettled waits until n runners serve a version, and a while more.
+// waitSettled waits until n runners serve a version, and then another minute.
 func (w *cluster) waitSettled(n int, version string) {
 	w.waitUntil(10*time.Minute, "runners serve version "+version, func() bool { return w.servingCount(version) == n })
 	time.Sleep(time.Minute)
 }
 
-// holder is the daemon that holds the responsibility.
+// holder returns the daemon that holds the responsibility, or nil.
 func (w *cluster) holder(name string) *process {
 	entry, err := w.store.Get(context.Background(), "lease/"+name)
 	w.NoErr(err)
@@ -243,8 +250,9 @@
 	return nil
 }
 
-// process is one daemon. A paused one's calls go out when it wakes, whatever
-// their deadlines; a dead one's never do.
+// process simulates the process of one daemon. While it is paused, its calls
+// block, and they are sent when it resumes even if their deadlines have passed.
+// After it was killed, its calls fail and are never sent.
 type process struct {
 	cluster     *cluster
 	id          ident.DaemonID
@@ -253,10 +261,11 @@
 	done        chan error
 
 	mu sync.Mutex
-	// wake is closed at the end of a pause; nil is no pause.
+	// wake is closed at the end of a pause; it is nil if the process isn't paused.
 	wake chan struct{}
 	dead bool
-	// hook runs at the next call of a kind, before it goes out.
+	// hook holds functions, by the kind of call, that are run once before the
+	// next call of that kind is sent.
 	hook map[string]func()
 }
 
@@ -311,7 +320,8 @@
 	p.hook[call] = do
 }
 
-// interceptCall lets a call go out.
+// interceptCall runs the hook for a call and waits while the process is paused. It
+// returns an error if the process was killed.
 func (p *process) interceptCall(call string) error {
 	p.mu.Lock()
 	hook := p.hook[call]
@@ -372,7 +382,8 @@
 // Changed implements view.Config.
 func (p *process) Changed() <-chan struct{} { return nil }
 
-// directory sees what the cloud has, and the announcements at once.
+// directory is a view.Directory that returns the cloud's VMs as runners and learns
+// of leaving runners without delay.
 type directory struct{ p *process }
 
 func (d directory) Self() view.Daemon { return view.Daemon{ID: d.p.id, State: view.Live} }
@@ -482,7 +493,7 @@
 	return c.Cloud.Stop(ctx, id, fencing)
 }
 
-// heldLeases lists the responsibilities that anybody holds.
+// heldLeases returns the keys of all leases that are held.
 func (w *cluster) heldLeases() []string {
 	entries, err := w.store.List(context.Background(), "lease/", "", 0)
 	w.NoErr(err)
--- a/daemon/orders/lease_test.go
+++ b/daemon/orders/lease_test.go
@@ -11,12 +11,14 @@
 
 const (
 	shardResponsibility = "rollout/chat/1/0"
-	// reactionTime is on top of the lease's bounds: a tick, a round and calls.
+	// reactionTime is added to the time limits of the lease package for a tick,
+	// a round and the calls.
 	reactionTime = 3 * time.Second
 )
 
-// An operator's change of version stays undone: the daemon that orders the
-// runners died a moment ago. Another must take over within the stated bound.
+// An operator changes a version directly after the daemon that orders the runners
+// crashed. Another daemon must take over and carry out the change within
+// Timing.MaxTakeover.
 func TestHolderDies(t *testing.T) {
 	for _, checksFencing := range []bool{true, false} {
 		timing := lease.DefaultTiming()
@@ -36,9 +38,10 @@
 	}
 }
 
-// A holder has decided on an order and is paused past its lease. Another takes
-// over and orders. Then the first wakes and sends: the runner would go back to
-// what the old holder wanted.
+// testPausedHolder pauses a holder directly before it sends an order, until its
+// lease has expired and another daemon has taken over and sent newer orders. Then
+// the first holder resumes and sends its old order, which must not change what the
+// runners serve in the end.
 func testPausedHolder(t *testing.T, checksFencing bool, timing lease.Timing, check func(w *cluster, late int)) {
 	withCluster(t, baseManifest(2, checksFencing), timing, func(w *cluster) {
 		w.waitSettled(2, "1")
@@ -50,7 +53,7 @@
 		paused.resume()
 		w.waitUntil(10*time.Minute, "version 3 everywhere", func() bool { return w.servingCount("3") == 2 })
 		time.Sleep(time.Minute)
-		w.Equal(w.servingCount("3"), 2) // and it stays
+		w.Equal(w.servingCount("3"), 2) // still version 3 a minute later
 		w.Equal(w.servingCount("2"), 0)
 		late := 0
 		for _, o := range w.deliveredOrders() {
@@ -64,7 +67,7 @@
 
 func TestPausedHolderWithoutFencingChecks(t *testing.T) {
 	testPausedHolder(t, false, lease.DefaultTiming(), func(w *cluster, late int) {
-		w.True(late > 0) // the order did go out late
+		w.True(late > 0) // the old order was sent
 		w.Equal(w.staleOrders(), 0)
 	})
 }
@@ -81,16 +84,18 @@
 	})
 }
 
-// The same without the quarantine must show, or the test above proves nothing.
+// Without the quarantine, the time that a new holder waits before its first order,
+// runners that don't check fencing tokens must carry out a stale order. Otherwise
+// the tests with a paused holder would prove nothing.
 func TestMissingQuarantineIsDetected(t *testing.T) {
 	broken := lease.DefaultTiming()
 	broken.MaxPause = 0
 	testPausedHolder(t, false, broken, func(w *cluster, _ int) { w.True(w.staleOrders() > 0) })
 }
 
-// The answer to the lease's create is lost after it took effect. Nobody would
-// order the runners until the lease lapses, and the candidate that holds it
-// does not know.
+// The response to the creation of a lease is lost after the lease was created. The
+// candidate must find out that it holds the lease; otherwise no daemon would give
+// orders until the lease expires.
 func TestLeaseCreateResponseLost(t *testing.T) {
 	timing := lease.DefaultTiming()
 	withCluster(t, baseManifest(2, true), timing, func(w *cluster) {
@@ -102,9 +107,9 @@
 	})
 }
 
-// The key-value service is down for minutes while an operator's change is in
-// force already. Nobody can know who holds what, so nobody may order anything
-// or start VMs; after the outage the change must be carried out.
+// The key-value service is down for minutes after an operator's change became
+// effective. No daemon can know which leases are held, so none may order anything
+// or start VMs. After the outage the change must be carried out.
 func TestLongStoreOutage(t *testing.T) {
 	timing := lease.DefaultTiming()
 	withCluster(t, baseManifest(2, false), timing, func(w *cluster) {
@@ -126,8 +131,8 @@
 	})
 }
 
-// A service is taken out of the manifest. Its leases must be given back, or the
-// daemons renew them for good.
+// A service is removed from the manifest. Its leases must be released; otherwise
+// the daemons would renew them forever.
 func TestRemovedServiceReleasesLeases(t *testing.T) {
 	m := baseManifest(1, true)
 	m.Services = append(m.Services, manifest.Service{Name: "plain", Kind: manifest.KindPlain, Runners: 1})
@@ -139,8 +144,8 @@
 	})
 }
 
-// A daemon is shut down gracefully. Its successor need not wait for the lease
-// to lapse.
+// A daemon is shut down gracefully. It must release its leases, so that its
+// successor doesn't have to wait until they expire.
 func TestShutdownReleasesLeases(t *testing.T) {
 	withCluster(t, baseManifest(1, true), lease.DefaultTiming(), func(w *cluster) {
 		w.waitSettled(1, "1")
--- a/daemon/orders/ledger.go
+++ b/daemon/orders/ledger.go
@@ -13,63 +13,67 @@
 
 const ledgerPrefix = "fleet/"
 
-// pendingStart is a start that was decided on. It stands in the ledger before the cloud
-// is asked and until the VM shows in the list or the cloud refuses.
+// pendingStart is a planned start of a VM. It is written to the ledger before the
+// cloud is called, and stays there until the VM is in the cloud's list or the
+// cloud refuses the start.
 type pendingStart struct {
 	Token string     `json:"token"`
 	Pool  fleet.Pool `json:"pool"`
-	// VM is the cloud's answer; empty until it is known.
+	// VM is the ID of the started VM; it is empty until the cloud has answered.
 	VM string `json:"vm,omitempty"`
 }
 
-// stop is a graceful stop in progress. Its grace is not written down: a new
-// holder can't know whether the last one announced the stop before it died, and
-// gives the whole grace again.
+// stop is a graceful stop in progress. The end of its grace period is not stored:
+// a new holder can't know whether the previous one announced the stop before it
+// crashed, and starts the whole grace period again.
 type stop struct {
 	VM      string `json:"vm"`
 	Address string `json:"address"`
 }
 
-// ledgerState is the value in the key-value service.
+// ledgerState is the ledger's value in the key-value service, encoded as JSON.
 type ledgerState struct {
-	// Holder is the fencing token of the tenure that wrote last.
+	// Holder is the fencing token of the tenure that last wrote the ledger.
 	Holder        uint64         `json:"holder"`
 	PendingStarts []pendingStart `json:"slots,omitempty"`
 	Stops         []stop         `json:"stops,omitempty"`
 }
 
-// ledger is the holder's copy. Every change is a compare-and-swap against the
-// revision that the copy was read at. A new holder's first act is such a write,
-// so a paused predecessor's next write fails and it starts or stops nothing.
+// ledger is the holder's copy of the record of pending starts and stops. Every
+// change is a compare-and-swap against the copy's revision. A new holder writes
+// the ledger before it does anything else, so that the next write of a paused
+// predecessor fails and the predecessor starts or stops nothing.
 type ledger struct {
 	store    kv.Store
 	key      string
 	state    ledgerState
 	revision kv.Revision
-	// saved is the value at revision.
+	// saved is the encoded value at revision.
 	saved []byte
 }
 
-// LedgerLostError says that another holder has written the ledger, or that it
-// is not known whether a write took effect; it must be read again.
+// LedgerLostError means that another holder has written the ledger, or that it is
+// unknown whether a write took effect. The ledger must be read again.
 type LedgerLostError struct{ Err error }
 
-func (e *LedgerLostError) Error() string { return fmt.Sprintf("ledger lost: %v", e.Err) }
+func (e *LedgerLostError) Error() string {
+	return fmt.Sprintf("local copy of ledger is out of date: %v", e.Err)
+}
 
 // Unwrap returns the cause.
 func (e *LedgerLostError) Unwrap() error { return e.Err }
 
-// openLedger reads the ledger and claims it for a tenure.
+// openLedger reads the ledger and writes the tenure's fencing token to it.
 func openLedger(ctx context.Context, store kv.Store, service string, fencingToken uint64) (*ledger, error) {
 	l := &ledger{store: store, key: ledgerPrefix + service}
 	entry, err := store.Get(ctx, l.key)
 	if err != nil {
-		return nil, fmt.Errorf("read ledger: %w", err)
+		return nil, fmt.Errorf("read ledger of service %s: %w", service, err)
 	}
 	l.revision = entry.Revision
 	if entry.Revision != 0 {
 		if err := json.Unmarshal(entry.Value, &l.state); err != nil {
-			return nil, fmt.Errorf("ledger of %s: %w", service, err)
+			return nil, fmt.Errorf("decode ledger of service %s: %w", service, err)
 		}
 	}
 	if l.state.Holder > fencingToken {
@@ -79,7 +83,7 @@
 	return l, l.save(ctx)
 }
 
-// save writes the ledger if it has changed.
+// save writes the ledger to the key-value service if it has changed.
 func (l *ledger) save(ctx context.Context) error {
 	data, err := json.Marshal(l.state)
 	if err != nil {
@@ -99,8 +103,8 @@
 
 func (l *ledger) addPendingStarts(starts []fleet.Start) {
 	for i, s := range starts {
-		// Unique for all time: a revision is never given twice, and the ledger
-		// is saved at a new one before the next slots are added.
+		// The token is unique: a revision is never reused, and the ledger is
+		// saved at a new revision before further starts are added.
 		token := fmt.Sprintf("%s/%d/%d", l.key, l.revision, i)
 		l.state.PendingStarts = append(l.state.PendingStarts, pendingStart{Token: token, Pool: s.Pool})
 	}
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -1,13 +1,17 @@
-// Package orders gives runners and the cloud their orders. Each service's fleet
-// and each shard of its runners is a responsibility that one daemon at a time
-// holds by lease; the rest of the daemons only stand by.
+// Package orders starts and stops VMs through the cloud API and tells runners
+// which model versions to load. The VMs of each service and each shard of a
+// service's runners are a responsibility. One daemon at a time holds a
+// responsibility by a lease in the key-value service and does its work; the other
+// candidates compete for the lease.
 //
-// The failure story: a holder that dies is replaced when its lease has lapsed;
-// one that is paused stops by its own clock, see package lease. What it had
-// asked the cloud for stands in a ledger in the key-value service, written
-// before each call, so that the next holder repeats the call with the same
-// token instead of making a second VM. While the key-value service is away
-// nobody orders anything and requests go on with the runners that there are.
+// If a holder crashes, another daemon takes over when the lease has expired. If
+// it is paused, its own clock tells it afterwards that the lease no longer allows
+// orders; orders already being sent are rejected by runners that check fencing
+// tokens, and a new holder waits for them before it orders other runners. The
+// holder writes each cloud call to a ledger in the key-value service before it
+// makes the call, so that the next holder repeats the call with the same
+// idempotency token instead of starting a second VM. While the key-value service
+// is down, no orders are given and requests are served by the existing runners.
 package orders
 
 import (
@@ -29,13 +33,14 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Engines reaches the control side of model engines.
+// Engines calls the control API of model engines.
 type Engines interface {
 	Load(ctx context.Context, address string) (engineapi.Load, error)
 	Order(ctx context.Context, address string, o engineapi.Order) error
 }
 
-// Config holds what the driver works with. All fields but Weights are required.
+// Config holds the dependencies and settings of a Driver. All fields but Weights
+// are required.
 type Config struct {
 	Self          ident.Incarnation
 	Configuration view.Config
@@ -43,52 +48,60 @@
 	Store         kv.Store
 	Cloud         cloudapi.Cloud
 	Lister        cloudapi.Lister
-	// Weights is asked before a load; nil is no weight store to ask.
+	// Weights is queried before a load is ordered. If it is nil, there is no
+	// weight store to query.
 	Weights cloudapi.Weights
 	Engines Engines
 	Timing  lease.Timing
 	Metrics metrics.Registry
-	// RoundInterval is the time between two looks at a responsibility.
+	// RoundInterval is the time between two rounds of work on a responsibility.
 	RoundInterval time.Duration
-	// StopGrace is how long a runner that is to be stopped finishes its work.
+	// StopGrace is the time between the announcement of a planned stop and the
+	// stop, in which the runner finishes its work.
 	StopGrace time.Duration
 }
 
-// leaseTickInterval is the time between two looks at what is held.
+// leaseTickInterval is the interval at which leases are acquired or renewed and
+// the set of responsibilities is checked.
 const leaseTickInterval = 250 * time.Millisecond
 
-// roundTimeout bounds one round of a duty, so that one call that hangs does not
-// keep the others of the next round waiting.
+// roundTimeout limits one round of a duty, so that a call that hangs doesn't
+// delay the next round indefinitely.
 const roundTimeout = 10 * time.Second
 
-// settledRecheckInterval is the time between two looks at what is as it should be. A look
-// each round would cost its holder more bytes than all its other control.
+// settledRecheckInterval is the time between two checks of runners or VMs whose
+// last check found nothing to do. Checking in each round would use more network
+// traffic than all other control messages of the holder.
 const settledRecheckInterval = 10 * time.Second
 
-// duty is the work of one responsibility, done while its lease is held.
+// duty does the work of one responsibility while its lease is held.
 type duty interface {
-	// run does one round. held is the fencing token of this tenure.
+	// run does one round of work. fencingToken is that of the current tenure,
+	// the period for which this daemon holds the lease without interruption.
 	run(ctx context.Context, m *manifest.Manifest, fencingToken uint64) error
 }
 
-// Driver holds responsibilities and gives orders. Run it once.
+// Driver competes for responsibilities and does the work of those it holds. Run
+// must be called only once.
 type Driver struct {
 	Config
-	start  time.Time
+	start time.Time
+	// active holds the responsibilities for which this daemon is a candidate,
+	// or which it has not released yet.
 	active map[string]*responsibility
-	// generation and directoryChanged tell when candidacies are to be worked
-	// out again.
+	// generation and directoryChanged show when candidacies must be computed
+	// again.
 	generation       ident.Generation
 	directoryChanged <-chan struct{}
 }
 
-// New makes a driver that holds nothing.
+// New returns a driver that holds no responsibilities.
 func New(c Config) *Driver {
 	return &Driver{Config: c, start: time.Now(), active: map[string]*responsibility{}}
 }
 
-// Run competes for responsibilities and does their work until ctx ends; then it
-// gives them back at once.
+// Run competes for responsibilities and does their work until ctx ends. Then it
+// releases the leases, so that other daemons need not wait for their expiry.
 func (d *Driver) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -104,8 +117,8 @@
 	}
 }
 
-// refresh starts what this daemon newly stands for and gives back the rest,
-// also what the manifest no longer has.
+// refresh starts responsibilities for which this daemon has become a candidate.
+// It makes the others end, including those that the manifest no longer contains.
 func (d *Driver) refresh(ctx context.Context, running *sync.WaitGroup) {
 	m, generation := d.Configuration.Current()
 	if m == nil {
@@ -149,6 +162,7 @@
 	running.Go(func() { r.run(ctx) })
 }
 
+// removeReleased reports whether it removed any responsibility.
 func (d *Driver) removeReleased() bool {
 	removed := false
 	for name, r := range d.active {
@@ -162,9 +176,9 @@
 	return removed
 }
 
-// candidaciesOutdated tells whether the configuration or the directory has changed since
-// candidacies were worked out. Doing so each time would cost a large fleet's
-// daemon more than all its orders.
+// candidaciesOutdated reports whether the configuration or the directory has
+// changed since candidacies were computed. In a large fleet, computing them at
+// each tick would cost a daemon more than all its orders.
 func (d *Driver) candidaciesOutdated(generation ident.Generation) bool {
 	changed := d.directoryChanged == nil || generation != d.generation
 	select {
@@ -176,7 +190,8 @@
 		return false
 	}
 	d.generation = generation
-	// Asked for before the lists are read: a change in between shows next time.
+	// The channel is obtained before the lists are read, so that a change in
+	// between is noticed at the next tick.
 	d.directoryChanged = d.Directory.Changed()
 	return true
 }
@@ -185,20 +200,21 @@
 	metrics.GetOrRegisterCounter(name, d.Metrics).Inc(1)
 }
 
-// recordFailure counts a failure that the next round mends.
+// recordFailure counts and logs an error. The next round tries again.
 func (d *Driver) recordFailure(responsibility string, err error) {
 	d.count("orders.failed." + failureName(err))
-	klog.V(1).InfoS("Orders failed", "responsibility", responsibility, "err", err)
+	klog.V(1).InfoS("Work on responsibility failed, will retry", "responsibility", responsibility, "err", err)
 }
 
-// responsibility is one that this daemon stands for. Its lease is renewed apart
-// from its work, so that slow work can't lose the lease.
+// responsibility is a responsibility for which this daemon is a candidate. Its
+// lease is renewed in another goroutine than its work is done, so that slow work
+// can't cause the loss of the lease.
 type responsibility struct {
 	driver    *Driver
 	holder    *holder.Holder
 	duty      duty
 	candidate atomic.Bool
-	// done is closed when it has been given back.
+	// done is closed after the lease has been released.
 	done chan struct{}
 }
 
@@ -214,7 +230,8 @@
 	r.release()
 }
 
-// keepLease keeps the lease until ctx ends or the responsibility is given back.
+// keepLease acquires and renews the lease until ctx ends, or until this daemon is
+// no longer a candidate and doesn't hold the lease any more.
 func (r *responsibility) keepLease(ctx context.Context) {
 	ticker := time.NewTicker(leaseTickInterval)
 	defer ticker.Stop()
@@ -232,7 +249,8 @@
 	}
 }
 
-// release gives the lease back when no order can be under way any more.
+// release releases the lease. It must be called when no order can be in progress
+// any more.
 func (r *responsibility) release() {
 	ctx, cancel := context.WithTimeout(context.Background(), r.driver.Timing.Retry)
 	defer cancel()
--- a/daemon/orders/rollout.go
+++ b/daemon/orders/rollout.go
@@ -27,7 +27,8 @@
 	orderParallelism  = 8
 )
 
-// rolloutDuty brings one shard of a service's runners to the manifest.
+// rolloutDuty makes the runners in one shard of a service load the model versions
+// and take the role that the manifest specifies.
 type rolloutDuty struct {
 	driver        *Driver
 	service       string
@@ -38,13 +39,13 @@
 	lastRound     shardInputs
 }
 
-// shardInputs is what the last shardInputs at the shard was about.
+// shardInputs is the input of a round, kept to detect changes in later ones.
 type shardInputs struct {
 	at      time.Duration
 	models  []manifest.Model
 	role    string
 	runners []view.Runner
-	// settled says that it found nothing to order and nothing under way.
+	// settled is true if the round found nothing to order and no order pending.
 	settled bool
 }
 
@@ -62,8 +63,8 @@
 		r.planner = rollout.New(rollout.DefaultLimits())
 		r.lastRound = shardInputs{}
 	}
-	// Without a permit the orders would only be planned to be dropped, and the
-	// runners polled for nothing.
+	// Without a permit no order could be sent, so polling the runners and
+	// planning would be useless.
 	if _, ok := r.holder.Permit(service.ChecksFencing); !ok {
 		r.driver.count("orders.waiting")
 		return nil
@@ -77,8 +78,9 @@
 	return nil
 }
 
-// roundNeeded tells whether a look is needed. Of a settled shard, a changed manifest
-// or runner is seen at once, and anything else within settledEvery.
+// roundNeeded reports whether a round must be done now. If the last round found
+// the shard settled, changes of the manifest or of runners are handled at once,
+// and runners are polled only at settledRecheckInterval.
 func (r *rolloutDuty) roundNeeded(l shardInputs) bool {
 	if !r.lastRound.settled || l.at >= r.lastRound.at+settledRecheckInterval {
 		return true
@@ -86,7 +88,8 @@
 	return l.role != r.lastRound.role || !reflect.DeepEqual(l.models, r.lastRound.models) || !slices.Equal(l.runners, r.lastRound.runners)
 }
 
-// reconcile orders what is missing and tells whether the shard is settled.
+// reconcile sends the orders that bring the runners in line with the manifest. It
+// returns true if the shard is settled.
 func (r *rolloutDuty) reconcile(ctx context.Context, checksFencing bool, l shardInputs) bool {
 	addresses, reports := r.reports(ctx, l.runners)
 	r.planner.SetRole(l.role)
@@ -98,7 +101,7 @@
 	return len(orders) == 0 && len(reports) == len(l.runners) && !r.planner.Pending()
 }
 
-// runners lists the shard's live ones.
+// runners returns the live runners in the shard.
 func (r *rolloutDuty) runners() []view.Runner {
 	var out []view.Runner
 	for _, runner := range r.driver.Directory.Runners(r.service) {
@@ -123,8 +126,8 @@
 	return xxhash.Sum64String(string(id))%uint64(r.shards) == uint64(r.shard)
 }
 
-// reports asks runners for what they hold. One that does not answer is left
-// out: it gets no orders this time.
+// reports asks runners for their loaded models and roles. A runner that doesn't
+// answer is left out and gets no orders in this round.
 func (r *rolloutDuty) reports(ctx context.Context, runners []view.Runner) (map[ident.RunnerID]string, []rollout.Runner) {
 	var mu sync.Mutex
 	addresses := map[ident.RunnerID]string{}
@@ -150,8 +153,8 @@
 	return addresses, out
 }
 
-// report asks one runner. One that says itself that it is leaving is passed on
-// to the directory, which may not know yet.
+// report asks one runner. If the runner answers that it is leaving, report passes
+// this on to the directory, which may not know it yet.
 func (r *rolloutDuty) report(ctx context.Context, runner view.Runner) (engineapi.Load, bool) {
 	ctx, cancel := context.WithTimeout(ctx, r.driver.Timing.MaxOrder)
 	defer cancel()
@@ -175,8 +178,8 @@
 	return report
 }
 
-// sendOrders sends orders side by side: a runner that hangs must not hold up the
-// others. The results are in the orders' sequence.
+// sendOrders sends orders in parallel, so that a runner that hangs doesn't delay
+// the others. The results have the same sequence as the orders.
 func (r *rolloutDuty) sendOrders(ctx context.Context, checksFencing bool, addresses map[ident.RunnerID]string, orders []rollout.Order) []error {
 	results := make([]error, len(orders))
 	var g errgroup.Group
@@ -193,8 +196,10 @@
 }
 
 // sendOrder sends one order if the lease still allows it and the runner is not
-// leaving. The lease comes last before sending; see package lease for what a
-// pause after it does.
+// leaving. The lease is checked last, directly before sending. If the process is
+// paused between the check and the sending, a runner that checks fencing tokens
+// rejects the order, and for other runners a new holder waits before it sends its
+// own orders.
 func (r *rolloutDuty) sendOrder(ctx context.Context, checksFencing bool, address string, o rollout.Order) error {
 	if err := r.checkWeights(ctx, o); err != nil {
 		return err
@@ -220,7 +225,7 @@
 	})
 }
 
-// recordResult tells the planner how an order ended.
+// recordResult passes the result of an order to the planner and counts it.
 func (r *rolloutDuty) recordResult(o rollout.Order, err error) {
 	now := r.holder.Now()
 	if err == nil {
@@ -240,8 +245,8 @@
 	}
 }
 
-// checkWeights keeps a version that does not exist from being ordered, and a
-// load from being ordered while the weight store asks for a pause.
+// checkWeights returns an error if the weights of a version to load don't exist
+// or the weight store's rate limit is exceeded. The load is then not ordered.
 func (r *rolloutDuty) checkWeights(ctx context.Context, o rollout.Order) error {
 	if o.Kind != rollout.Load || r.driver.Weights == nil {
 		return nil
@@ -251,7 +256,7 @@
 		name, version = rollout.SplitAdapterID(o.Adapter)
 	}
 	if _, err := r.driver.Weights.Stat(ctx, name, version); err != nil {
-		return fmt.Errorf("weights of %s version %s: %w", name, version, err)
+		return fmt.Errorf("look up weights of %s version %s: %w", name, version, err)
 	}
 	return nil
 }
--- a/daemon/orders/rollout_test.go
+++ b/daemon/orders/rollout_test.go
@@ -10,10 +10,11 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// checkInvariantUntil checks an invariant twice a second until a condition holds.
+// checkInvariantUntil checks an invariant twice a second until a condition is
+// reached, which must happen within bound.
 func (w *cluster) checkInvariantUntil(bound time.Duration, reached func() bool, invariant func()) {
 	for end := time.Now().Add(bound); !reached(); time.Sleep(500 * time.Millisecond) {
-		w.True(time.Now().Before(end)) // reached within the bound
+		w.True(time.Now().Before(end)) // condition not reached in time
 		invariant()
 	}
 }
@@ -30,9 +31,9 @@
 	return slices.ContainsFunc(l.Models, func(m engineapi.Loaded) bool { return m.Loading })
 }
 
-// An operator changes a model's version. Callers must not see capacity fall: at
-// most a quarter of the runners load at once, and each serves the old version
-// until it has the new one; in the end only the new one is there.
+// An operator changes a model's version. Capacity must not drop: at most a quarter
+// of the runners load at the same time, and each serves the old version until the
+// new one is loaded. In the end the runners have only the new version.
 func TestRollingUpdate(t *testing.T) {
 	withCluster(t, baseManifest(8, false), lease.DefaultTiming(), func(w *cluster) {
 		w.waitSettled(8, "1")
@@ -50,8 +51,8 @@
 	})
 }
 
-// A manifest asks for a canary on a quarter of the runners. The others keep the
-// version, and when the canary is withdrawn all are as before.
+// The manifest specifies a canary on a quarter of the runners. The others must
+// keep the old version, and all must have it again after the canary is removed.
 func TestCanary(t *testing.T) {
 	withCluster(t, baseManifest(8, false), lease.DefaultTiming(), func(w *cluster) {
 		w.waitSettled(8, "1")
@@ -65,8 +66,9 @@
 	})
 }
 
-// A manifest gives a service's runners a role. All of them must take it, one that
-// starts later too, and a withdrawn role leaves them as they are.
+// The manifest specifies a role for a service's runners. All of them must take it,
+// including those that start later, and they must keep it after it is removed from
+// the manifest.
 func TestRole(t *testing.T) {
 	withCluster(t, baseManifest(4, false), lease.DefaultTiming(), func(w *cluster) {
 		inRole := func(role string) int {
@@ -89,9 +91,9 @@
 	})
 }
 
-// An operator names a version that the weight store does not have. The runners
-// must go on with the old one, and the store, which all share, must not be
-// asked every second for ever.
+// An operator specifies a version that the weight store doesn't have. The runners
+// must keep serving the old one, and the weight store, which all services share,
+// must not be queried every second forever.
 func TestMissingWeightsBackOff(t *testing.T) {
 	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(w *cluster) {
 		w.waitSettled(2, "1")
@@ -105,8 +107,9 @@
 	})
 }
 
-// A runner has its notice, and the directory does not know yet. It says so
-// itself with its report; an order would make it load weights for nothing.
+// A runner has received its reclaim notice and the directory doesn't know it yet.
+// The runner's report contains the notice. It must get no order, which would make
+// it load weights in vain.
 func TestLeavingRunnerGetsNoOrder(t *testing.T) {
 	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(w *cluster) {
 		w.waitSettled(2, "1")
@@ -121,13 +124,13 @@
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.True(!w.announced[leaving.Address].IsZero()) // and the others are told
+		w.True(!w.announced[leaving.Address].IsZero()) // the notice was passed on to the directory
 	})
 }
 
-// A shard is as it should be for hours. Asking its runners every second for
-// nothing would cost more than all other control; a runner that loses a model
-// must be mended all the same.
+// Nothing changes in a shard for a long time. Polling its runners every second
+// would cost more than all other control traffic, so they must be polled less
+// often. A runner that loses a model must still be repaired within seconds.
 func TestSettledShardIsPolledRarely(t *testing.T) {
 	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(w *cluster) {
 		w.waitSettled(2, "1")
@@ -142,7 +145,7 @@
 	})
 }
 
-// reportCount counts the reports that were asked for.
+// reportCount returns the number of reports that daemons have requested.
 func (w *cluster) reportCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
