--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -84,8 +84,8 @@
 	// TokenCheckInterval is the mean interval between checks of which daemons
 	// issue tokens.
 	TokenCheckInterval time.Duration
-	// TokenRefresh is the longest time after which a fetched token is replaced
-	// by a newly fetched one.
+	// TokenRefresh is the longest time until a fetched token is replaced by a
+	// newly fetched one.
 	TokenRefresh time.Duration
 	// TokenFetch is the timeout for fetching a token from one owner.
 	TokenFetch time.Duration
--- a/daemon/orders/ledger.go
+++ b/daemon/orders/ledger.go
@@ -68,7 +68,7 @@
 	l := &ledger{store: store, key: ledgerPrefix + service}
 	entry, err := store.Get(ctx, l.key)
 	if err != nil {
-		return nil, fmt.Errorf("read ledger of service %s: %w", service, err)
+		return nil, fmt.Errorf("read ledger: %w", err)
 	}
 	l.revision = entry.Revision
 	if entry.Revision != 0 {
