--- a/daemon/orders/fleet_test.go
+++ b/daemon/orders/fleet_test.go
@@ -14,20 +14,20 @@
 
 // expectVMCount checks that the number of VMs never exceeds n, and that it is n at
 // the end of the given time.
-func (w *cluster) expectVMCount(n int, during time.Duration) {
+func (c *cluster) expectVMCount(n int, during time.Duration) {
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		w.True(len(w.runningVMs()) <= n) // no excess VM
+		c.True(len(c.runningVMs()) <= n) // no excess VM
 	}
-	w.Equal(len(w.runningVMs()), n)
+	c.Equal(len(c.runningVMs()), n)
 }
 
 // The cloud starts VMs and its responses are lost. If the holder repeated the
 // calls with new tokens, each lost response would cause a second, unneeded VM.
 func TestStartResponseLost(t *testing.T) {
-	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(w *cluster) {
-		w.cloud.SetFaults(standin.Faults{LoseAnswers: 3})
-		w.expectVMCount(4, 2*time.Minute)
-		w.Equal(w.cloud.Faults().LoseAnswers, 0)
+	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(c *cluster) {
+		c.cloud.SetFaults(standin.Faults{LoseAnswers: 3})
+		c.expectVMCount(4, 2*time.Minute)
+		c.Equal(c.cloud.Faults().LoseAnswers, 0)
 	})
 }
 
@@ -36,12 +36,12 @@
 // The next holder must repeat the same start instead of starting another VM.
 func TestHolderDiesDuringStart(t *testing.T) {
 	for _, call := range []string{"start", "started"} {
-		withClusterAndListLag(t, baseManifest(4, true), lease.DefaultTiming(), longLag, func(w *cluster) {
-			w.waitUntil(time.Second, "a holder", func() bool { return len(w.heldLeases()) == 2 && w.holder(fleetResponsibility) != nil })
-			first := w.holder(fleetResponsibility)
+		withClusterAndListLag(t, baseManifest(4, true), lease.DefaultTiming(), longLag, func(c *cluster) {
+			c.waitUntil(time.Second, "a holder", func() bool { return len(c.heldLeases()) == 2 && c.holder(fleetResponsibility) != nil })
+			first := c.holder(fleetResponsibility)
 			first.beforeNext(call, first.kill)
-			w.expectVMCount(4, 2*time.Minute)
-			w.True(w.holder(fleetResponsibility) != first)
+			c.expectVMCount(4, 2*time.Minute)
+			c.True(c.holder(fleetResponsibility) != first)
 		})
 	}
 }
@@ -50,14 +50,14 @@
 // resumes after another daemon has taken over and repeated the start from the
 // ledger. The late call must not start another VM.
 func TestHolderPausedBeforeStart(t *testing.T) {
-	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(w *cluster) {
-		w.waitUntil(time.Second, "a holder", func() bool { return len(w.heldLeases()) == 2 && w.holder(fleetResponsibility) != nil })
-		first := w.holder(fleetResponsibility)
+	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitUntil(time.Second, "a holder", func() bool { return len(c.heldLeases()) == 2 && c.holder(fleetResponsibility) != nil })
+		first := c.holder(fleetResponsibility)
 		first.beforeNext("start", first.pause)
 		time.Sleep(time.Minute)
-		w.Equal(len(w.runningVMs()), 4)
+		c.Equal(len(c.runningVMs()), 4)
 		first.resume()
-		w.expectVMCount(4, 2*time.Minute)
+		c.expectVMCount(4, 2*time.Minute)
 	})
 }
 
@@ -65,14 +65,14 @@
 // cloud's answer. The cloud can no longer return a VM for the start's token. If
 // the holder repeated the start forever, the service would get no replacement.
 func TestVMGoneBeforeStartResponseIsKnown(t *testing.T) {
-	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(w *cluster) {
-		w.cloud.SetFaults(standin.Faults{LoseAnswers: 1})
-		w.waitUntil(3*time.Second, "a VM", func() bool { return len(w.runningVMs()) > 0 && w.cloud.Faults().LoseAnswers == 0 })
-		for _, vm := range w.runningVMs() {
-			w.cloud.Kill(vm.ID)
+	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
+		c.cloud.SetFaults(standin.Faults{LoseAnswers: 1})
+		c.waitUntil(3*time.Second, "a VM", func() bool { return len(c.runningVMs()) > 0 && c.cloud.Faults().LoseAnswers == 0 })
+		for _, vm := range c.runningVMs() {
+			c.cloud.Kill(vm.ID)
 		}
-		w.waitSettled(2, "1")
-		w.Equal(len(w.runningVMs()), 2)
+		c.waitSettled(2, "1")
+		c.Equal(len(c.runningVMs()), 2)
 	})
 }
 
@@ -82,20 +82,20 @@
 func TestRefusedStartsDuringReclaimWave(t *testing.T) {
 	m := baseManifest(4, true)
 	m.Fleet.SurviveDomainLoss = true
-	withCluster(t, m, lease.DefaultTiming(), func(w *cluster) {
-		w.waitSettled(8, "1")
-		lost := len(w.cloud.ReclaimDomain("a", 30*time.Second))
-		w.True(lost > 0)
-		w.waitUntil(10*time.Second, "replacements", func() bool { return w.runningOutside("a") >= 4 && w.runningOutside("b") >= 4 })
-		w.True(w.counter("fleet.start_refused") > 0)
-		w.True(w.counter("fleet.start_refused") <= 2*int64(lost)) // the pool is not tried again for a while
+	withCluster(t, m, lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(8, "1")
+		lost := len(c.cloud.ReclaimDomain("a", 30*time.Second))
+		c.True(lost > 0)
+		c.waitUntil(10*time.Second, "replacements", func() bool { return c.runningOutside("a") >= 4 && c.runningOutside("b") >= 4 })
+		c.True(c.counter("fleet.start_refused") > 0)
+		c.True(c.counter("fleet.start_refused") <= 2*int64(lost)) // the pool is not tried again for a while
 	})
 }
 
 // runningOutside returns the number of running VMs outside a failure domain.
-func (w *cluster) runningOutside(lost ident.FailureDomain) int {
+func (c *cluster) runningOutside(lost ident.FailureDomain) int {
 	n := 0
-	for _, vm := range w.runningVMs() {
+	for _, vm := range c.runningVMs() {
 		if vm.FailureDomain != lost {
 			n++
 		}
@@ -107,26 +107,26 @@
 // each VM must be announced as leaving to all daemons at least its whole grace
 // period before it is stopped.
 func TestPlannedStopIsGraceful(t *testing.T) {
-	withCluster(t, baseManifest(6, true), lease.DefaultTiming(), func(w *cluster) {
-		w.waitSettled(6, "1")
-		w.setRunners(2)
-		w.waitUntil(10*time.Minute, "stops", func() bool { return len(w.runningVMs()) == 2 })
-		w.expectGracefulStops(4)
+	withCluster(t, baseManifest(6, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(6, "1")
+		c.setRunners(2)
+		c.waitUntil(10*time.Minute, "stops", func() bool { return len(c.runningVMs()) == 2 })
+		c.expectGracefulStops(4)
 	})
 }
 
-func (w *cluster) setRunners(n int) {
-	w.updateManifest(func(m *manifest.Manifest) { m.Services[0].Runners = n })
+func (c *cluster) setRunners(n int) {
+	c.updateManifest(func(m *manifest.Manifest) { m.Services[0].Runners = n })
 }
 
-func (w *cluster) expectGracefulStops(n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.Equal(len(w.removed), n)
-	for id, at := range w.removed {
-		announced, ok := w.announced[id]
-		w.True(ok)
-		w.True(at.Sub(announced) >= stopGrace)
+func (c *cluster) expectGracefulStops(n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.Equal(len(c.removed), n)
+	for id, at := range c.removed {
+		announced, ok := c.announced[id]
+		c.True(ok)
+		c.True(at.Sub(announced) >= stopGrace)
 	}
 }
 
@@ -134,15 +134,15 @@
 // announced them. Its successor takes over when the grace period would have ended
 // and must still give the VMs the whole grace period.
 func TestHolderDiesBeforeAnnouncingStop(t *testing.T) {
-	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(w *cluster) {
-		w.waitSettled(4, "1")
-		first := w.holder(fleetResponsibility)
+	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(4, "1")
+		first := c.holder(fleetResponsibility)
 		// The next write to the key-value service is that of the ledger with the stops.
 		first.beforeNext("swapped", first.kill)
-		w.setRunners(2)
-		w.waitUntil(10*time.Minute, "stops", func() bool { return len(w.runningVMs()) == 2 })
-		w.expectGracefulStops(2)
-		w.True(w.holder(fleetResponsibility) != first)
+		c.setRunners(2)
+		c.waitUntil(10*time.Minute, "stops", func() bool { return len(c.runningVMs()) == 2 })
+		c.expectGracefulStops(2)
+		c.True(c.holder(fleetResponsibility) != first)
 	})
 }
 
@@ -152,12 +152,12 @@
 	m := baseManifest(6, true)
 	m.Services = append(m.Services, manifest.Service{Name: "plain", Kind: manifest.KindPlain, Runners: 2})
 	m.Fleet.MaxCostPerHour = 4
-	withCluster(t, m, lease.DefaultTiming(), func(w *cluster) {
+	withCluster(t, m, lease.DefaultTiming(), func(c *cluster) {
 		time.Sleep(time.Minute)
 		count := map[string]int{}
-		for _, vm := range w.runningVMs() {
+		for _, vm := range c.runningVMs() {
 			count[vm.Service]++
 		}
-		w.Equal(count, map[string]int{service: 3, "plain": 1})
+		c.Equal(count, map[string]int{service: 3, "plain": 1})
 	})
 }
--- a/daemon/orders/harness_test.go
+++ b/daemon/orders/harness_test.go
@@ -81,112 +81,112 @@
 
 // withCluster runs a test with three daemons in virtual time. The cloud's list of
 // VMs lags by listLag.
-func withCluster(t *testing.T, m manifest.Manifest, timing lease.Timing, test func(w *cluster)) {
+func withCluster(t *testing.T, m manifest.Manifest, timing lease.Timing, test func(c *cluster)) {
 	withClusterAndListLag(t, m, timing, listLag, test)
 }
 
-func withClusterAndListLag(t *testing.T, m manifest.Manifest, timing lease.Timing, lag time.Duration, test func(w *cluster)) {
+func withClusterAndListLag(t *testing.T, m manifest.Manifest, timing lease.Timing, lag time.Duration, test func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, m, timing, lag)
-		defer w.close()
+		c := newCluster(t, m, timing, lag)
+		defer c.close()
 		for i := range 3 {
-			w.daemons = append(w.daemons, w.process(ident.DaemonID(fmt.Sprintf("d%d", i))))
+			c.daemons = append(c.daemons, c.process(ident.DaemonID(fmt.Sprintf("d%d", i))))
 		}
-		for _, d := range w.daemons {
+		for _, d := range c.daemons {
 			d.start()
 		}
-		test(w)
+		test(c)
 	})
 }
 
 func newCluster(t *testing.T, m manifest.Manifest, timing lease.Timing, lag time.Duration) *cluster {
-	w := &cluster{
+	c := &cluster{
 		I: is.New(t), store: kvserver.New(), timing: timing, metrics: metrics.NewRegistry(), manifest: m, generation: 1,
 		engines: map[string]*engine.Engine{}, announced: map[string]time.Time{}, removed: map[string]time.Time{},
 	}
-	w.cloud = standin.New(standin.Settings{
+	c.cloud = standin.New(standin.Settings{
 		FailureDomains: m.Fleet.FailureDomains,
 		Classes:        []standin.Class{{Name: "spot", Reclaimable: true, PricePerHour: 1}, {Name: "on-demand", PricePerHour: 3}},
 		StartTime:      startTime, ListLag: lag, RefuseAfterReclaim: 10 * time.Minute,
-		Hooks: standin.Hooks{Launch: w.launch, Noticed: w.notifyLeaving, Removed: w.recordRemoval},
+		Hooks: standin.Hooks{Launch: c.launch, Noticed: c.notifyLeaving, Removed: c.recordRemoval},
 	})
-	w.weights = standin.NewWeights(100, 100)
+	c.weights = standin.NewWeights(100, 100)
 	for _, version := range []string{"1", "2", "3"} {
-		w.weights.Add(cloudapi.Weight{Name: "m", Version: version})
+		c.weights.Add(cloudapi.Weight{Name: "m", Version: version})
 	}
-	return w
+	return c
 }
 
-func (w *cluster) launch(vm cloudapi.VM) (string, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *cluster) launch(vm cloudapi.VM) (string, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	cfg := engine.DefaultConfig(vm.ID, "m", "1")
 	cfg.Models = nil
 	cfg.OrderTime = loadTime
-	cfg.ChecksFencing = w.manifest.Services[0].ChecksFencing
-	w.engines[vm.ID] = engine.New(cfg)
+	cfg.ChecksFencing = c.manifest.Services[0].ChecksFencing
+	c.engines[vm.ID] = engine.New(cfg)
 	return vm.ID, nil
 }
 
 // notifyLeaving passes a reclaim notice to the engine and to the directory. In a
 // real fleet the membership protocol informs the directory.
-func (w *cluster) notifyLeaving(vm cloudapi.VM, left time.Duration) {
-	w.engine(vm.ID).Notice(left)
-	directory{w.daemons[0]}.NoteLeaving(vm.Address, left)
+func (c *cluster) notifyLeaving(vm cloudapi.VM, left time.Duration) {
+	c.engine(vm.ID).Notice(left)
+	directory{c.daemons[0]}.NoteLeaving(vm.Address, left)
 }
 
-func (w *cluster) recordRemoval(vm cloudapi.VM) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.removed[vm.ID] = time.Now()
+func (c *cluster) recordRemoval(vm cloudapi.VM) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.removed[vm.ID] = time.Now()
 }
 
-func (w *cluster) close() {
-	for _, d := range w.daemons {
+func (c *cluster) close() {
+	for _, d := range c.daemons {
 		d.stop()
 	}
-	w.cloud.Close()
-	w.store.Close()
-	for _, e := range w.engines {
+	c.cloud.Close()
+	c.store.Close()
+	for _, e := range c.engines {
 		e.Close()
 	}
 }
 
-func (w *cluster) engine(address string) *engine.Engine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.engines[address]
+func (c *cluster) engine(address string) *engine.Engine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.engines[address]
 }
 
 // updateManifest changes the manifest and makes it the current one.
-func (w *cluster) updateManifest(change func(m *manifest.Manifest)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	m := w.manifest
+func (c *cluster) updateManifest(change func(m *manifest.Manifest)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	m := c.manifest
 	m.Models = slices.Clone(m.Models)
 	m.Services = slices.Clone(m.Services)
 	change(&m)
-	w.manifest = m
-	w.generation++
+	c.manifest = m
+	c.generation++
 }
 
-func (w *cluster) setVersion(v string) {
-	w.updateManifest(func(m *manifest.Manifest) { m.Models[0].Version = v })
+func (c *cluster) setVersion(v string) {
+	c.updateManifest(func(m *manifest.Manifest) { m.Models[0].Version = v })
 }
 
 // runningVMs returns the started VMs that are not leaving.
-func (w *cluster) runningVMs() []cloudapi.VM {
-	return slices.DeleteFunc(w.cloud.VMs(), func(vm cloudapi.VM) bool {
+func (c *cluster) runningVMs() []cloudapi.VM {
+	return slices.DeleteFunc(c.cloud.VMs(), func(vm cloudapi.VM) bool {
 		return vm.State == cloudapi.VMLeaving || vm.Address == ""
 	})
 }
 
 // servingCount returns the number of running VMs that have a version completely
 // loaded.
-func (w *cluster) servingCount(version string) int {
+func (c *cluster) servingCount(version string) int {
 	n := 0
-	for _, vm := range w.runningVMs() {
-		if hasLoaded(w.engine(vm.Address).Load(), version) {
+	for _, vm := range c.runningVMs() {
+		if hasLoaded(c.engine(vm.Address).Load(), version) {
 			n++
 		}
 	}
@@ -197,35 +197,35 @@
 	return slices.ContainsFunc(l.Models, func(m engineapi.Loaded) bool { return m.Version == version && !m.Loading })
 }
 
-func (w *cluster) deliveredOrders() []delivered {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.delivered)
+func (c *cluster) deliveredOrders() []delivered {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.delivered)
 }
 
 // staleOrders returns the number of orders with an old fencing token that runners
 // carried out.
-func (w *cluster) staleOrders() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *cluster) staleOrders() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := 0
-	for _, e := range w.engines {
+	for _, e := range c.engines {
 		n += e.Counters().StaleOrders
 	}
 	return n
 }
 
-func (w *cluster) counter(name string) int64 {
-	return metrics.GetOrRegisterCounter(name, w.metrics).Count()
+func (c *cluster) counter(name string) int64 {
+	return metrics.GetOrRegisterCounter(name, c.metrics).Count()
 }
 
 // waitUntil waits for a condition and returns how long that took. It fails the
 // test if the condition isn't reached within bound.
-func (w *cluster) waitUntil(bound time.Duration, condition string, reached func() bool) time.Duration {
+func (c *cluster) waitUntil(bound time.Duration, condition string, reached func() bool) time.Duration {
 	began := time.Now()
 	for !reached() {
 		if time.Since(began) > bound {
-			w.Equal("not reached in time", condition)
+			c.Equal("not reached in time", condition)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -233,16 +233,16 @@
 }
 
 // waitSettled waits until n runners serve a version, and then another minute.
-func (w *cluster) waitSettled(n int, version string) {
-	w.waitUntil(10*time.Minute, "runners serve version "+version, func() bool { return w.servingCount(version) == n })
+func (c *cluster) waitSettled(n int, version string) {
+	c.waitUntil(10*time.Minute, "runners serve version "+version, func() bool { return c.servingCount(version) == n })
 	time.Sleep(time.Minute)
 }
 
 // holder returns the daemon that holds the responsibility, or nil.
-func (w *cluster) holder(name string) *process {
-	entry, err := w.store.Get(context.Background(), "lease/"+name)
-	w.NoErr(err)
-	for _, d := range w.daemons {
+func (c *cluster) holder(name string) *process {
+	entry, err := c.store.Get(context.Background(), "lease/"+name)
+	c.NoErr(err)
+	for _, d := range c.daemons {
 		if string(d.incarnation) == string(entry.Value) {
 			return d
 		}
@@ -269,9 +269,9 @@
 	hook map[string]func()
 }
 
-func (w *cluster) process(id ident.DaemonID) *process {
+func (c *cluster) process(id ident.DaemonID) *process {
 	return &process{
-		cluster: w, id: id, incarnation: ident.NewIncarnation(id, []byte{1}),
+		cluster: c, id: id, incarnation: ident.NewIncarnation(id, []byte{1}),
 		done: make(chan error, 1), hook: map[string]func(){},
 	}
 }
@@ -279,10 +279,10 @@
 func (p *process) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	w := p.cluster
+	c := p.cluster
 	d := orders.New(orders.Config{
-		Self: p.incarnation, Configuration: p, Directory: directory{p}, Store: store{w.store, p}, Cloud: cloud{w.cloud, p},
-		Lister: w.cloud, Weights: w.weights, Engines: p, Timing: w.timing, Metrics: w.metrics, RoundInterval: time.Second, StopGrace: stopGrace,
+		Self: p.incarnation, Configuration: p, Directory: directory{p}, Store: store{c.store, p}, Cloud: cloud{c.cloud, p},
+		Lister: c.cloud, Weights: c.weights, Engines: p, Timing: c.timing, Metrics: c.metrics, RoundInterval: time.Second, StopGrace: stopGrace,
 	})
 	go func() { p.done <- d.Run(ctx) }()
 }
@@ -364,11 +364,11 @@
 	if err := p.interceptCall("order"); err != nil {
 		return err
 	}
-	w := p.cluster
-	w.mu.Lock()
-	w.delivered = append(w.delivered, delivered{at: time.Now(), daemon: p.id, address: address, order: o})
-	w.mu.Unlock()
-	return w.engine(address).Order(o)
+	c := p.cluster
+	c.mu.Lock()
+	c.delivered = append(c.delivered, delivered{at: time.Now(), daemon: p.id, address: address, order: o})
+	c.mu.Unlock()
+	return c.engine(address).Order(o)
 }
 
 // Current implements view.Config.
@@ -397,17 +397,17 @@
 }
 
 func (d directory) Runners(string) []view.Runner {
-	w := d.p.cluster
-	vms := w.cloud.VMs()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	c := d.p.cluster
+	vms := c.cloud.VMs()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var out []view.Runner
 	for _, vm := range vms {
 		if vm.Address == "" {
 			continue
 		}
 		r := view.Runner{ID: ident.RunnerID(vm.ID), Address: vm.Address, Service: vm.Service, State: view.Live}
-		if _, leaving := w.announced[vm.Address]; leaving {
+		if _, leaving := c.announced[vm.Address]; leaving {
 			r.State = view.Leaving
 		}
 		out = append(out, r)
@@ -418,11 +418,11 @@
 func (d directory) Changed() <-chan struct{} { return nil }
 
 func (d directory) NoteLeaving(address string, _ time.Duration) {
-	w := d.p.cluster
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if _, ok := w.announced[address]; !ok {
-		w.announced[address] = time.Now()
+	c := d.p.cluster
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, ok := c.announced[address]; !ok {
+		c.announced[address] = time.Now()
 	}
 }
 
@@ -494,9 +494,9 @@
 }
 
 // heldLeases returns the keys of all leases that are held.
-func (w *cluster) heldLeases() []string {
-	entries, err := w.store.List(context.Background(), "lease/", "", 0)
-	w.NoErr(err)
+func (c *cluster) heldLeases() []string {
+	entries, err := c.store.List(context.Background(), "lease/", "", 0)
+	c.NoErr(err)
 	held := map[string]bool{}
 	for _, e := range entries {
 		held[e.Key] = true
--- a/daemon/orders/rollout_test.go
+++ b/daemon/orders/rollout_test.go
@@ -12,17 +12,17 @@
 
 // checkInvariantUntil checks an invariant twice a second until a condition is
 // reached, which must happen within bound.
-func (w *cluster) checkInvariantUntil(bound time.Duration, reached func() bool, invariant func()) {
+func (c *cluster) checkInvariantUntil(bound time.Duration, reached func() bool, invariant func()) {
 	for end := time.Now().Add(bound); !reached(); time.Sleep(500 * time.Millisecond) {
-		w.True(time.Now().Before(end)) // condition not reached in time
+		c.True(time.Now().Before(end)) // condition not reached in time
 		invariant()
 	}
 }
 
-func (w *cluster) loads() map[string]engineapi.Load {
+func (c *cluster) loads() map[string]engineapi.Load {
 	out := map[string]engineapi.Load{}
-	for _, vm := range w.runningVMs() {
-		out[vm.ID] = w.engine(vm.Address).Load()
+	for _, vm := range c.runningVMs() {
+		out[vm.ID] = c.engine(vm.Address).Load()
 	}
 	return out
 }
@@ -35,18 +35,18 @@
 // of the runners load at the same time, and each serves the old version until the
 // new one is loaded. In the end the runners have only the new version.
 func TestRollingUpdate(t *testing.T) {
-	withCluster(t, baseManifest(8, false), lease.DefaultTiming(), func(w *cluster) {
-		w.waitSettled(8, "1")
-		w.setVersion("2")
-		w.checkInvariantUntil(10*time.Minute, func() bool { return w.servingCount("2") == 8 && w.servingCount("1") == 0 }, func() {
+	withCluster(t, baseManifest(8, false), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(8, "1")
+		c.setVersion("2")
+		c.checkInvariantUntil(10*time.Minute, func() bool { return c.servingCount("2") == 8 && c.servingCount("1") == 0 }, func() {
 			loadingCount := 0
-			for _, l := range w.loads() {
-				w.True(hasLoaded(l, "1") || hasLoaded(l, "2"))
+			for _, l := range c.loads() {
+				c.True(hasLoaded(l, "1") || hasLoaded(l, "2"))
 				if isLoading(l) {
 					loadingCount++
 				}
 			}
-			w.True(loadingCount <= 2)
+			c.True(loadingCount <= 2)
 		})
 	})
 }
@@ -54,15 +54,15 @@
 // The manifest specifies a canary on a quarter of the runners. The others must
 // keep the old version, and all must have it again after the canary is removed.
 func TestCanary(t *testing.T) {
-	withCluster(t, baseManifest(8, false), lease.DefaultTiming(), func(w *cluster) {
-		w.waitSettled(8, "1")
-		w.updateManifest(func(m *manifest.Manifest) { m.Models[0].Canary = &manifest.Canary{Version: "2", Share: 0.25} })
-		w.waitUntil(2*time.Minute, "the canary", func() bool { return w.servingCount("2") == 2 && w.servingCount("1") == 6 })
+	withCluster(t, baseManifest(8, false), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(8, "1")
+		c.updateManifest(func(m *manifest.Manifest) { m.Models[0].Canary = &manifest.Canary{Version: "2", Share: 0.25} })
+		c.waitUntil(2*time.Minute, "the canary", func() bool { return c.servingCount("2") == 2 && c.servingCount("1") == 6 })
 		time.Sleep(2 * time.Minute)
-		w.Equal(w.servingCount("2"), 2)
-		w.Equal(w.servingCount("1"), 6)
-		w.updateManifest(func(m *manifest.Manifest) { m.Models[0].Canary = nil })
-		w.waitUntil(2*time.Minute, "the canary's end", func() bool { return w.servingCount("1") == 8 && w.servingCount("2") == 0 })
+		c.Equal(c.servingCount("2"), 2)
+		c.Equal(c.servingCount("1"), 6)
+		c.updateManifest(func(m *manifest.Manifest) { m.Models[0].Canary = nil })
+		c.waitUntil(2*time.Minute, "the canary's end", func() bool { return c.servingCount("1") == 8 && c.servingCount("2") == 0 })
 	})
 }
 
@@ -70,24 +70,24 @@
 // including those that start later, and they must keep it after it is removed from
 // the manifest.
 func TestRole(t *testing.T) {
-	withCluster(t, baseManifest(4, false), lease.DefaultTiming(), func(w *cluster) {
+	withCluster(t, baseManifest(4, false), lease.DefaultTiming(), func(c *cluster) {
 		inRole := func(role string) int {
 			n := 0
-			for _, l := range w.loads() {
+			for _, l := range c.loads() {
 				if l.Role == role {
 					n++
 				}
 			}
 			return n
 		}
-		w.waitSettled(4, "1")
-		w.updateManifest(func(m *manifest.Manifest) { m.Services[0].Role = "decode" })
-		w.waitUntil(2*time.Minute, "the role", func() bool { return inRole("decode") == 4 })
-		w.updateManifest(func(m *manifest.Manifest) { m.Services[0].Runners = 6 })
-		w.waitUntil(5*time.Minute, "the role on new runners", func() bool { return inRole("decode") >= 6 })
-		w.updateManifest(func(m *manifest.Manifest) { m.Services[0].Role = "" })
+		c.waitSettled(4, "1")
+		c.updateManifest(func(m *manifest.Manifest) { m.Services[0].Role = "decode" })
+		c.waitUntil(2*time.Minute, "the role", func() bool { return inRole("decode") == 4 })
+		c.updateManifest(func(m *manifest.Manifest) { m.Services[0].Runners = 6 })
+		c.waitUntil(5*time.Minute, "the role on new runners", func() bool { return inRole("decode") >= 6 })
+		c.updateManifest(func(m *manifest.Manifest) { m.Services[0].Role = "" })
 		time.Sleep(2 * time.Minute)
-		w.True(inRole("decode") >= 6)
+		c.True(inRole("decode") >= 6)
 	})
 }
 
@@ -95,15 +95,15 @@
 // must keep serving the old one, and the weight store, which all services share,
 // must not be queried every second forever.
 func TestMissingWeightsBackOff(t *testing.T) {
-	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(w *cluster) {
-		w.waitSettled(2, "1")
-		before, _ := w.weights.Calls()
-		w.setVersion("nowhere")
+	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(2, "1")
+		before, _ := c.weights.Calls()
+		c.setVersion("nowhere")
 		time.Sleep(10 * time.Minute)
-		after, _ := w.weights.Calls()
-		w.True(after-before >= 4)
-		w.True(after-before <= 20)
-		w.Equal(w.servingCount("1"), 2)
+		after, _ := c.weights.Calls()
+		c.True(after-before >= 4)
+		c.True(after-before <= 20)
+		c.Equal(c.servingCount("1"), 2)
 	})
 }
 
@@ -111,20 +111,20 @@
 // The runner's report contains the notice. It must get no order, which would make
 // it load weights in vain.
 func TestLeavingRunnerGetsNoOrder(t *testing.T) {
-	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(w *cluster) {
-		w.waitSettled(2, "1")
-		leaving := w.runningVMs()[0]
-		w.engine(leaving.Address).Notice(time.Minute)
+	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(2, "1")
+		leaving := c.runningVMs()[0]
+		c.engine(leaving.Address).Notice(time.Minute)
 		time.Sleep(time.Second)
 		noticed := time.Now()
-		w.setVersion("2")
+		c.setVersion("2")
 		time.Sleep(30 * time.Second)
-		for _, o := range w.deliveredOrders() {
-			w.True(o.address != leaving.Address || o.at.Before(noticed))
+		for _, o := range c.deliveredOrders() {
+			c.True(o.address != leaving.Address || o.at.Before(noticed))
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.True(!w.announced[leaving.Address].IsZero()) // the notice was passed on to the directory
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.True(!c.announced[leaving.Address].IsZero()) // the notice was passed on to the directory
 	})
 }
 
@@ -132,22 +132,22 @@
 // would cost more than all other control traffic, so they must be polled less
 // often. A runner that loses a model must still be repaired within seconds.
 func TestSettledShardIsPolledRarely(t *testing.T) {
-	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(w *cluster) {
-		w.waitSettled(2, "1")
-		before := w.reportCount()
+	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(2, "1")
+		before := c.reportCount()
 		time.Sleep(5 * time.Minute)
-		w.True(w.reportCount()-before <= 2*31)
-		w.NoErr(w.engine(w.runningVMs()[0].Address).Order(engineapi.Order{
+		c.True(c.reportCount()-before <= 2*31)
+		c.NoErr(c.engine(c.runningVMs()[0].Address).Order(engineapi.Order{
 			Kind: engineapi.OrderUnload, Model: "m", Version: "1", Fencing: 1 << 40,
 		}))
-		w.waitUntil(time.Second, "the loss", func() bool { return w.servingCount("1") == 1 })
-		w.waitUntil(15*time.Second, "an order", func() bool { return w.counter("orders.failed.runner_refused") > 0 })
+		c.waitUntil(time.Second, "the loss", func() bool { return c.servingCount("1") == 1 })
+		c.waitUntil(15*time.Second, "an order", func() bool { return c.counter("orders.failed.runner_refused") > 0 })
 	})
 }
 
 // reportCount returns the number of reports that daemons have requested.
-func (w *cluster) reportCount() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.reports
+func (c *cluster) reportCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.reports
 }
