--- a/daemon/actions/collect.go
+++ b/daemon/actions/collect.go
@@ -39,9 +39,9 @@
 
 // endedDaemon is the state of the collection for a daemon that has ended.
 type endedDaemon struct {
-	// at is when this daemon noticed the end.
-	at     time.Time
-	sealed bool
+	// noticedAt is when this daemon noticed the end.
+	noticedAt time.Time
+	sealed    bool
 }
 
 // collectEndedLogs seals and deletes logs of ended daemons until ctx ends. One
@@ -55,7 +55,7 @@
 		for name, d := range c.ended {
 			if s.isResponsible(name, daemons) {
 				s.sealAndCollect(ctx, c, name, d)
-			} else if s.now().Sub(d.at) > 2*s.allKeysExpireAfter(name) {
+			} else if s.now().Sub(d.noticedAt) > 2*s.allKeysExpireAfter(name) {
 				delete(c.ended, name)
 			}
 		}
@@ -74,7 +74,7 @@
 	}
 	for name := range c.present {
 		if !present[name] {
-			c.ended[name] = &endedDaemon{at: now}
+			c.ended[name] = &endedDaemon{noticedAt: now}
 		}
 	}
 	c.present = present
@@ -109,7 +109,7 @@
 		}
 		d.sealed = true
 	}
-	if s.now().Sub(d.at) < s.allKeysExpireAfter(name) {
+	if s.now().Sub(d.noticedAt) < s.allKeysExpireAfter(name) {
 		return
 	}
 	if err := s.forEachLog(ctx, name, s.collectLog); err != nil {
--- a/daemon/orders/fleet.go
+++ b/daemon/orders/fleet.go
@@ -70,13 +70,13 @@
 	if err := f.openTenure(ctx, fencingToken); err != nil {
 		return err
 	}
-	l := fleetInputs{at: f.holder.Now(), service: *service, fleet: m.Fleet, runners: f.driver.Directory.Runners(f.service)}
-	if !f.roundNeeded(l) {
+	inputs := fleetInputs{at: f.holder.Now(), service: *service, fleet: m.Fleet, runners: f.driver.Directory.Runners(f.service)}
+	if !f.roundNeeded(inputs) {
 		return nil
 	}
-	idle, err := f.round(ctx, m, service, l.runners)
-	l.settled = idle && f.tenure.ledger.empty()
-	f.tenure.lastRound = l
+	idle, err := f.round(ctx, m, service, inputs.runners)
+	inputs.settled = idle && f.tenure.ledger.empty()
+	f.tenure.lastRound = inputs
 	var lost *LedgerLostError
 	if errors.As(err, &lost) {
 		f.tenure = nil
@@ -88,13 +88,13 @@
 // the fleet settled, changes of the manifest or of runners are handled at once,
 // and the cloud's list is read only at settledRecheckInterval, because the list of
 // a large fleet has megabytes.
-func (f *fleetDuty) roundNeeded(l fleetInputs) bool {
+func (f *fleetDuty) roundNeeded(inputs fleetInputs) bool {
 	lastRound := &f.tenure.lastRound
-	if !lastRound.settled || l.at >= lastRound.at+settledRecheckInterval {
+	if !lastRound.settled || inputs.at >= lastRound.at+settledRecheckInterval {
 		return true
 	}
-	return !reflect.DeepEqual(l.service, lastRound.service) || !reflect.DeepEqual(l.fleet, lastRound.fleet) ||
-		!slices.Equal(l.runners, lastRound.runners)
+	return !reflect.DeepEqual(inputs.service, lastRound.service) || !reflect.DeepEqual(inputs.fleet, lastRound.fleet) ||
+		!slices.Equal(inputs.runners, lastRound.runners)
 }
 
 // openTenure reads the ledger and resets the state if the lease was newly acquired.
@@ -130,10 +130,10 @@
 	if err != nil {
 		return false, fmt.Errorf("get price quotes: %w", err)
 	}
-	wanted := fleet.Target{
+	target := fleet.Target{
 		Runners: service.Runners, SurviveLoss: m.Fleet.SurviveDomainLoss, MaxCostPerHour: costShare(m, f.service),
 	}
-	d := f.planner.Decide(f.holder.Now(), wanted, offersFor(m, f.service, quotes), f.plannerVMs(listed, runners))
+	d := f.planner.Decide(f.holder.Now(), target, offersFor(m, f.service, quotes), f.plannerVMs(listed, runners))
 	f.recordDecision(d, listed)
 	idle = len(d.Starts) == 0 && len(d.Stops) == 0 && d.Shortfall == 0
 	return idle, f.executeLedger(ctx, listed)
--- a/daemon/orders/rollout.go
+++ b/daemon/orders/rollout.go
@@ -69,36 +69,36 @@
 		r.driver.count("orders.waiting")
 		return nil
 	}
-	l := shardInputs{at: r.holder.Now(), models: modelsOf(m, r.service), role: service.Role, runners: r.runners()}
-	if !r.roundNeeded(l) {
+	inputs := shardInputs{at: r.holder.Now(), models: modelsOf(m, r.service), role: service.Role, runners: r.runners()}
+	if !r.roundNeeded(inputs) {
 		return nil
 	}
-	l.settled = r.reconcile(ctx, service.ChecksFencing, l)
-	r.lastRound = l
+	inputs.settled = r.reconcile(ctx, service.ChecksFencing, inputs)
+	r.lastRound = inputs
 	return nil
 }
 
 // roundNeeded reports whether a round must be done now. If the last round found
 // the shard settled, changes of the manifest or of runners are handled at once,
 // and runners are polled only at settledRecheckInterval.
-func (r *rolloutDuty) roundNeeded(l shardInputs) bool {
-	if !r.lastRound.settled || l.at >= r.lastRound.at+settledRecheckInterval {
+func (r *rolloutDuty) roundNeeded(inputs shardInputs) bool {
+	if !r.lastRound.settled || inputs.at >= r.lastRound.at+settledRecheckInterval {
 		return true
 	}
-	return l.role != r.lastRound.role || !reflect.DeepEqual(l.models, r.lastRound.models) || !slices.Equal(l.runners, r.lastRound.runners)
+	return inputs.role != r.lastRound.role || !reflect.DeepEqual(inputs.models, r.lastRound.models) || !slices.Equal(inputs.runners, r.lastRound.runners)
 }
 
 // reconcile sends the orders that bring the runners in line with the manifest. It
 // returns true if the shard is settled.
-func (r *rolloutDuty) reconcile(ctx context.Context, checksFencing bool, l shardInputs) bool {
-	addresses, reports := r.reports(ctx, l.runners)
-	r.planner.SetRole(l.role)
-	orders := r.planner.Plan(l.at, l.models, reports)
+func (r *rolloutDuty) reconcile(ctx context.Context, checksFencing bool, inputs shardInputs) bool {
+	addresses, reports := r.reports(ctx, inputs.runners)
+	r.planner.SetRole(inputs.role)
+	orders := r.planner.Plan(inputs.at, inputs.models, reports)
 	results := r.sendOrders(ctx, checksFencing, addresses, orders)
 	for i, o := range orders {
 		r.recordResult(o, results[i])
 	}
-	return len(orders) == 0 && len(reports) == len(l.runners) && !r.planner.Pending()
+	return len(orders) == 0 && len(reports) == len(inputs.runners) && !r.planner.Pending()
 }
 
 // runners returns the live runners in the shard.
