--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -1,6 +1,10 @@
-// Package actions runs the owner of actions in a daemon: it forwards calls to
-// the owners that their keys name, writes the journal, sends to runners, and
-// speaks for owners that have ended.
+// Package actions executes calls with idempotency keys at most once.
+//
+// Each key contains a token that names its owner, the daemon incarnation that
+// records and dispatches the call. A daemon that receives a call forwards it to
+// the owner. The owner writes journal entries to the key-value service and
+// sends the call to a runner. When an owner has ended, any daemon can seal the
+// owner's log, which is the sequence of its journal entries, and answer from it.
 package actions
 
 import (
@@ -30,83 +34,94 @@
 	Send(ctx context.Context, address string, id actionkey.ID, c call.ServiceCall) action.Result
 }
 
-// Config holds what the service works with. Zero times take their defaults.
+// Config holds the dependencies and settings of a Service.
 type Config struct {
 	Self       ident.Incarnation
 	Directory  view.Directory
 	Config     view.Config
 	Store      kv.Store
 	Dispatcher Dispatcher
-	// Peers calls other daemons; nil is a client of its own over TCP.
+	// Peers is the HTTP client for calls to other daemons. If it is nil, the
+	// service creates a client that connects over TCP.
 	Peers   *http.Client
 	Metrics metrics.Registry
-	// Owner returns an owner's bounds; nil is action.DefaultConfig.
+	// Owner returns the limits of an owner; nil means action.DefaultConfig.
 	Owner func(ident.Incarnation) action.Config
+	// Times is replaced by DefaultTimes if all of its fields are zero.
 	Times Times
-	// RequireToken refuses every key without a token instead of claiming it.
+	// RequireToken makes the service refuse keys without a token. Otherwise a
+	// claim in the key-value service assigns an owner to such a key.
 	RequireToken bool
-	// MaxTokenOwners is how many daemons issue tokens, the others hand out
-	// tokens of these; zero is owners.DefaultMax.
+	// MaxTokenOwners is the maximum number of daemons that issue tokens. The
+	// other daemons hand out tokens that they fetch from these. Zero means
+	// owners.DefaultMax.
 	MaxTokenOwners int
 }
 
-// Times bounds how long the parts of an action may take.
+// Times holds the timeouts and intervals of a Service.
 type Times struct {
-	// Store bounds a call of the key-value service.
+	// Store is the timeout of a call to the key-value service.
 	Store time.Duration
-	// Dispatch bounds a runner's answer.
+	// Dispatch is the timeout for sending an action to runners, including
+	// attempts at further runners.
 	Dispatch time.Duration
-	// Poll is how long an owner may keep a forwarded call waiting.
+	// Poll is how long an owner may hold a forwarded call before it answers
+	// that the action is still in progress.
 	Poll time.Duration
-	// Slack is how much later than Poll a connection counts as silent.
-	Slack time.Duration
-	// Call bounds calls without a deadline of their own.
+	// PollGrace is added to Poll to get the timeout of a forwarded call.
+	PollGrace time.Duration
+	// Call is the timeout of calls that have no deadline.
 	Call time.Duration
-	// Settle is how long after its start a daemon doesn't conclude from its
-	// directory that an owner is gone.
-	Settle time.Duration
-	// Seal is how long a drain waits for its seal.
+	// StartupGrace is how long after its start a daemon doesn't treat an owner
+	// that is missing from the directory as ended: the directory may still be
+	// incomplete.
+	StartupGrace time.Duration
+	// Seal is how long a drain waits until the owners' logs are sealed.
 	Seal time.Duration
-	// Retry is the pause before a peer or the service is tried again.
-	Retry time.Duration
-	// Look is the mean pause between looks at which daemons issue tokens.
-	Look time.Duration
-	// Refresh is the longest time until a fetched token is fetched anew.
-	Refresh time.Duration
-	// Fetch bounds the fetch of a token from one owner.
-	Fetch time.Duration
+	// RetryPause is the pause before a failed call to another daemon is
+	// repeated.
+	RetryPause time.Duration
+	// TokenCheckInterval is the mean interval between checks of which daemons
+	// issue tokens.
+	TokenCheckInterval time.Duration
+	// TokenRefresh is the longest time until a fetched token is replaced by a
+	// newly fetched one.
+	TokenRefresh time.Duration
+	// TokenFetch is the timeout for fetching a token from one owner.
+	TokenFetch time.Duration
 }
 
-// DefaultTimes suits failure domains a few milliseconds apart.
+// DefaultTimes returns values for failure domains with a network latency of a
+// few milliseconds between them.
 func DefaultTimes() Times {
 	return Times{
-		Store:    time.Second,
-		Dispatch: 30 * time.Second,
-		Poll:     time.Second,
-		Slack:    500 * time.Millisecond,
-		Call:     30 * time.Second,
-		Settle:   5 * time.Second,
-		Seal:     2 * time.Second,
-		Retry:    200 * time.Millisecond,
-		Look:     400 * time.Millisecond,
-		Refresh:  2 * time.Second,
-		Fetch:    400 * time.Millisecond,
+		Store:              time.Second,
+		Dispatch:           30 * time.Second,
+		Poll:               time.Second,
+		PollGrace:          500 * time.Millisecond,
+		Call:               30 * time.Second,
+		StartupGrace:       5 * time.Second,
+		Seal:               2 * time.Second,
+		RetryPause:         200 * time.Millisecond,
+		TokenCheckInterval: 400 * time.Millisecond,
+		TokenRefresh:       2 * time.Second,
+		TokenFetch:         400 * time.Millisecond,
 	}
 }
 
 // Service implements call.Actions.
 type Service struct {
-	cfg      Config
-	start    time.Time
-	clock    *clock
-	counters *counters
-	logs     logCache
-	sealing  singleflight.Group
-	granting singleflight.Group
-	seals    *rate.Limiter
-	lease    dayLease
-	draining drainOnce
-	tokens   tokenSource
+	cfg         Config
+	start       time.Time
+	clock       *clock
+	counters    *counters
+	logs        logCache
+	sealGroup   singleflight.Group
+	leaseGroup  singleflight.Group
+	sealLimiter *rate.Limiter
+	lease       sharedLease
+	draining    drainOnce
+	tokens      tokenSource
 
 	ctx   context.Context
 	stop  context.CancelFunc
@@ -125,8 +140,8 @@
 
 var _ call.Actions = (*Service)(nil)
 
-// New returns a service that owns actions from now on; Run must be running
-// for it to make progress.
+// New returns a service with a first owner. Actions make progress only while
+// Run is running.
 func New(cfg Config) *Service {
 	if cfg.Times == (Times{}) {
 		cfg.Times = DefaultTimes()
@@ -144,27 +159,28 @@
 		cfg.Peers = &http.Client{Transport: &http.Transport{IdleConnTimeout: time.Minute}}
 	}
 	s := &Service{
-		cfg:      cfg,
-		start:    time.Now(),
-		clock:    newClock(),
-		counters: &counters{registry: cfg.Metrics},
-		seals:    rate.NewLimiter(sealsPerSecond, sealBurst),
-		wake:     make(chan struct{}, 1),
-		owners:   map[ident.Incarnation]*action.Owner{},
-		adopted:  map[ident.Incarnation]*action.AdoptedTable{},
-		waiters:  map[action.Waiter]chan action.Result{},
+		cfg:         cfg,
+		start:       time.Now(),
+		clock:       newClock(),
+		counters:    &counters{registry: cfg.Metrics},
+		sealLimiter: rate.NewLimiter(sealsPerSecond, sealBurst),
+		wake:        make(chan struct{}, 1),
+		owners:      map[ident.Incarnation]*action.Owner{},
+		adopted:     map[ident.Incarnation]*action.AdoptedTable{},
+		waiters:     map[action.Waiter]chan action.Result{},
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	s.open()
+	s.startOwner()
 	return s
 }
 
 func (s *Service) now() time.Time { return s.clock.now() }
 
-// open starts the next owner of this daemon. The first bears the daemon's
-// incarnation; one whose log another daemon sealed by mistake is followed by
-// one with a new name, since a sealed log is over for good.
-func (s *Service) open() {
+// startOwner creates the next owner of this daemon. The first owner has the
+// name of the daemon's incarnation. If another daemon has sealed the log of the
+// current owner by mistake, the next owner gets a new name, because nothing can
+// be appended to a sealed log.
+func (s *Service) startOwner() {
 	name := s.cfg.Self
 	if s.epoch > 0 {
 		name = ident.Incarnation(fmt.Sprintf("%s%s%d", s.cfg.Self, epochSeparator, s.epoch))
@@ -176,18 +192,18 @@
 
 const epochSeparator = "+"
 
-// Run drives the owners until ctx ends, then waits for what it started.
+// Run drives the owners until ctx ends, then waits for the tasks it started.
 func (s *Service) Run(ctx context.Context) error {
 	defer s.tasks.Wait()
 	defer s.stop()
-	s.tasks.Go(func() { s.collectEnded(ctx) })
-	s.tasks.Go(func() { s.keepToken(ctx) })
+	s.tasks.Go(func() { s.collectEndedLogs(ctx) })
+	s.tasks.Go(func() { s.maintainToken(ctx) })
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			s.close()
+			s.stopSpawning()
 			return nil
 		case <-timer.C:
 		case <-s.wake:
@@ -196,14 +212,14 @@
 	}
 }
 
-// close keeps go from starting tasks while Run waits for them.
-func (s *Service) close() {
+// stopSpawning keeps spawn from starting tasks while Run waits for them to end.
+func (s *Service) stopSpawning() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 }
 
-// spawn runs a task that Run waits for; s.mu must be held.
+// spawn starts a task that Run waits for. The caller must hold s.mu.
 func (s *Service) spawn(task func()) {
 	if !s.closed {
 		s.tasks.Go(task)
@@ -215,14 +231,15 @@
 	minTick  = time.Millisecond
 )
 
-// tick lets time pass in all owners and returns how long until the next.
+// tick processes what is due in all owners and returns how long to wait until
+// the next tick.
 func (s *Service) tick() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	wait := idleTick
 	for name, o := range s.owners {
-		s.carryOut(o, o.Tick(now))
+		s.performEffects(o, o.Tick(now))
 		if o.Ended() && o.Len() == 0 && o != s.current {
 			delete(s.owners, name)
 			continue
@@ -239,45 +256,45 @@
 	return wait
 }
 
-func (s *Service) nudge() {
+func (s *Service) requestTick() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// apply carries effects out and lets Run look again at when it is due; s.mu
-// must be held.
-func (s *Service) apply(o *action.Owner, effects []action.Effect) {
-	s.carryOut(o, effects)
-	s.nudge()
+// applyEffects performs effects and requests a tick, because the effects may
+// have changed when the next one is due. The caller must hold s.mu.
+func (s *Service) applyEffects(o *action.Owner, effects []action.Effect) {
+	s.performEffects(o, effects)
+	s.requestTick()
 }
 
-func (s *Service) carryOut(o *action.Owner, effects []action.Effect) {
+func (s *Service) performEffects(o *action.Owner, effects []action.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case *action.Reply:
-			s.deliver(e)
+			s.deliverReply(e)
 		case *action.Dispatch:
 			s.countDispatch(e)
-			s.spawn(func() { s.dispatch(o, e) })
+			s.spawn(func() { s.dispatchAction(o, e) })
 		case *action.Write:
-			s.spawn(func() { s.write(o, e.Write) })
+			s.spawn(func() { s.writeEntry(o, e.Write) })
 		case *action.Collect:
-			s.spawn(func() { s.collect(o, e.Collect) })
+			s.spawn(func() { s.collectEntry(o, e.Collect) })
 		case *action.Ended:
-			s.ended(o)
+			s.onOwnerEnded(o)
 		}
 	}
 }
 
-func (s *Service) deliver(r *action.Reply) {
+func (s *Service) deliverReply(r *action.Reply) {
 	ch, ok := s.waiters[r.Waiter]
 	if !ok {
 		return
 	}
 	delete(s.waiters, r.Waiter)
-	ch <- r.Result // of capacity one, and each waiter gets one reply
+	ch <- r.Result // never blocks: the capacity is one and each waiter gets one reply
 }
 
 func (s *Service) countDispatch(d *action.Dispatch) {
@@ -288,26 +305,27 @@
 	s.counters.inc(dispatchedUnjournaled)
 }
 
-func (s *Service) ended(o *action.Owner) {
+func (s *Service) onOwnerEnded(o *action.Owner) {
 	s.counters.inc(ownerSealed)
-	if o == s.current && !s.draining.begun() {
-		s.open()
+	if o == s.current && !s.draining.started() {
+		s.startOwner()
 	}
 }
 
-// dispatch sends an action and takes its result in.
-func (s *Service) dispatch(o *action.Owner, d *action.Dispatch) {
+// dispatchAction sends an action to a runner and reports the result to the owner.
+func (s *Service) dispatchAction(o *action.Owner, d *action.Dispatch) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Dispatch)
 	defer cancel()
-	result := s.send(ctx, d)
+	result := s.sendToRunners(ctx, d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(o, o.Finished(s.now(), d.ID, result))
+	s.applyEffects(o, o.Finished(s.now(), d.ID, result))
 }
 
-// write creates a journal entry. An error other than a conflict leaves it open
-// whether the entry stands; the writer sends it again under the same index.
-func (s *Service) write(o *action.Owner, w journal.Write) {
+// writeEntry creates a journal entry. After an error other than a conflict it is
+// unknown whether the entry was created; the journal writer then repeats the
+// write at the same index.
+func (s *Service) writeEntry(o *action.Owner, w journal.Write) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Store)
 	defer cancel()
 	key := journal.EntryKey(o.Incarnation(), w.Index)
@@ -315,14 +333,14 @@
 	revision, err := s.cfg.Store.CompareAndSwap(ctx, key, 0, w.Value, 0)
 	written := journal.Written{Index: w.Index, Revision: uint64(revision)}
 	if err != nil {
-		written = s.failedWrite(w, err)
+		written = s.classifyWriteError(w, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(o, o.Written(s.now(), written))
+	s.applyEffects(o, o.Written(s.now(), written))
 }
 
-func (s *Service) collect(o *action.Owner, c journal.Collect) {
+func (s *Service) collectEntry(o *action.Owner, c journal.Collect) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Store)
 	defer cancel()
 	s.counters.inc(journalDeletes)
@@ -330,12 +348,13 @@
 	if err := s.cfg.Store.Delete(ctx, key, kv.Revision(c.Revision)); err != nil {
 		s.counters.inc(journalDeleteFailed)
 	}
-	s.nudge()
+	s.requestTick()
 }
 
-// Execute runs the call at most once for its workspace and key.
+// Execute runs the call at most once for its workspace and key. A repeated call
+// gets the answer of the first one.
 func (s *Service) Execute(ctx context.Context, c call.ServiceCall) (call.Answer, error) {
-	ctx, cancel := s.bound(ctx, c.Deadline)
+	ctx, cancel := s.withDeadline(ctx, c.Deadline)
 	defer cancel()
 	result := s.execute(ctx, c)
 	s.counters.result(result)
@@ -345,7 +364,7 @@
 	return result.Answer, nil
 }
 
-func (s *Service) bound(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
+func (s *Service) withDeadline(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	if deadline.IsZero() {
 		return context.WithTimeout(ctx, s.cfg.Times.Call)
 	}
@@ -368,7 +387,7 @@
 	}
 	id := actionkey.ID{Workspace: c.Workspace, Key: key}
 	if s.owns(parsed.Owner) {
-		result, _ := s.run(ctx, parsed.Owner, id, c, 0)
+		result, _ := s.submitAndWait(ctx, parsed.Owner, id, c, 0)
 		return result
 	}
 	return s.forward(ctx, parsed.Owner, id, c)
@@ -383,9 +402,10 @@
 	return ok
 }
 
-// run submits a call to an owner of this daemon and waits for its result. With
-// a positive poll it waits no longer than that and may return pending.
-func (s *Service) run(ctx context.Context, owner ident.Incarnation, id actionkey.ID, c call.ServiceCall,
+// submitAndWait submits a call to an owner of this daemon and waits for its
+// result. If poll is positive, it waits no longer than poll and returns pending
+// if there is no result by then.
+func (s *Service) submitAndWait(ctx context.Context, owner ident.Incarnation, id actionkey.ID, c call.ServiceCall,
 	poll time.Duration) (r action.Result, pending bool) {
 	o, w, ch := s.submit(owner, id, c)
 	if o == nil {
@@ -410,7 +430,7 @@
 func (s *Service) submit(owner ident.Incarnation, id actionkey.ID, c call.ServiceCall) (
 	*action.Owner, action.Waiter, chan action.Result) {
 	request := action.Request{ID: id, BodyHash: bodyHash(c), Call: c}
-	request.Policy, request.Inadmissible = s.admit(c)
+	request.Policy, request.Inadmissible = s.findRoute(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o, ok := s.owners[owner]
@@ -421,10 +441,11 @@
 	request.Waiter = s.nextWaiter
 	ch := make(chan action.Result, 1)
 	s.waiters[request.Waiter] = ch
-	s.apply(o, o.Submit(s.now(), request))
+	s.applyEffects(o, o.Submit(s.now(), request))
 	return o, request.Waiter, ch
 }
 
+// detach ends a wait without a result; the action goes on.
 func (s *Service) detach(o *action.Owner, id actionkey.ID, w action.Waiter, ch chan action.Result) (
 	action.Result, bool) {
 	s.mu.Lock()
@@ -439,9 +460,10 @@
 	return action.Result{}, true
 }
 
+// abandon ends the wait of a call whose deadline has passed.
 func (s *Service) abandon(o *action.Owner, id actionkey.ID, w action.Waiter, ch chan action.Result) action.Result {
 	s.mu.Lock()
-	s.apply(o, o.AbandonWait(s.now(), id, w))
+	s.applyEffects(o, o.AbandonWait(s.now(), id, w))
 	delete(s.waiters, w)
 	s.mu.Unlock()
 	select {
@@ -452,9 +474,10 @@
 	}
 }
 
-// Outcome tells what is known of an earlier call without running it.
+// Outcome returns the result of an earlier call without running it. The boolean
+// is true if the call is still in progress.
 func (s *Service) Outcome(ctx context.Context, ws ident.Workspace, key string) (call.Answer, bool, error) {
-	ctx, cancel := s.bound(ctx, time.Time{})
+	ctx, cancel := s.withDeadline(ctx, time.Time{})
 	defer cancel()
 	result, pending := s.outcome(ctx, ws, key)
 	if pending {
@@ -476,14 +499,15 @@
 		return refused(refusal.New(refusal.KeyMalformed, "%v", err)), false
 	}
 	id := actionkey.ID{Workspace: ws, Key: key}
-	if result, pending, ok := s.ask(parsed.Owner, id, ""); ok {
+	if result, pending, ok := s.lookUpLocal(parsed.Owner, id, ""); ok {
 		return result, pending
 	}
 	return s.forwardOutcome(ctx, parsed.Owner, id)
 }
 
-// ask answers from the tables of this daemon, if it has one of the owner.
-func (s *Service) ask(owner ident.Incarnation, id actionkey.ID, hash string) (r action.Result, pending, ok bool) {
+// lookUpLocal looks up an action in the owner's table, if this daemon runs the
+// owner or has adopted its table. Otherwise ok is false.
+func (s *Service) lookUpLocal(owner ident.Incarnation, id actionkey.ID, hash string) (r action.Result, pending, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o, found := s.owners[owner]; found {
--- a/daemon/actions/actions_test.go
+++ b/daemon/actions/actions_test.go
@@ -14,13 +14,13 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Story: a finder's phone sends a pledge three times through three gateways,
-// and three bounties are pledged. The copies come at the same time.
+// A client sends the same call through several gateways at the same time. Without
+// a common owner each gateway would run the call.
 func TestDuplicatesThroughSeveralGateways(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
 		for _, r := range f.runners {
-			r.SetFaults(service.Faults{DelayMillis: 4000}) // longer than a poll
+			r.SetFaults(service.Faults{DelayMillis: 4000}) // longer than Times.Poll
 		}
 		answers := make([]string, 6)
 		var wg sync.WaitGroup
@@ -35,16 +35,17 @@
 		for _, a := range answers {
 			f.is.Equal(a, answers[0])
 		}
-		f.is.Equal(f.runs(key), 1)
+		f.is.Equal(f.executionCount(key), 1)
 		_, err := f.post(0, key, "/closures")
-		f.refused(err, refusal.ExecutedUnknown, refusal.KeyReused)
+		f.expectRefusal(err, refusal.ExecutedUnknown, refusal.KeyReused)
 	})
 }
 
-// Story: a pledge gets no answer for minutes. The connection between its
-// gateway and the owner went silent, while a new one would have worked.
+// The connection between a gateway and the owner stops transmitting without being
+// closed. The call must be repeated on a new connection instead of waiting for
+// minutes.
 func TestSilentConnectionBetweenGateways(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		_, err := f.pledge(0, f.key(1, "first"))
 		f.is.NoErr(err)
 		f.is.True(f.network.Silence("entry-1:90") > 0)
@@ -54,64 +55,65 @@
 		_, err = f.pledge(0, key)
 		f.is.NoErr(err)
 		f.is.True(time.Since(start) < 5*time.Second)
-		f.is.Equal(f.runs(key), 1)
+		f.is.Equal(f.executionCount(key), 1)
 	})
 }
 
-// Story: a desk is told that a booking didn't run, books again, and the slot
-// is sold twice. The owner of the first had crashed after it ran.
+// The owner crashes after a call ran. If the caller were told that the call had
+// not run, it would send the call again and the effect would happen twice.
 func TestOwnerCrash(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		done, fresh, open := f.key(1, "done"), f.key(1, "fresh"), f.key(1, "open")
 		want, err := f.pledge(0, done)
 		f.is.NoErr(err)
-		time.Sleep(time.Second) // its outcome is journaled
+		time.Sleep(time.Second) // until the outcome is journaled
 		for _, r := range f.runners {
 			r.SetFaults(service.Faults{HangSilently: 1})
 		}
 		go func() { _, _ = f.pledge(0, open) }()
 		time.Sleep(500 * time.Millisecond)
 		f.nodes[1].crash()
-		f.forget(1)
+		f.removeFromDirectory(1)
 
 		got, err := f.outcome(0, done)
 		f.is.NoErr(err)
 		f.is.Equal(got, want)
 		_, err = f.pledge(2, fresh)
-		f.refused(err, refusal.ExecutedNo, refusal.OwnerGone)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
 		_, err = f.pledge(2, open)
-		f.refused(err, refusal.ExecutedUnknown, refusal.OutcomeUnknown)
-		f.is.Equal(f.runs(open), 1)
-		f.is.Equal(f.runs(fresh), 0)
-		time.Sleep(time.Minute) // the pledge that hangs ends
+		f.expectRefusal(err, refusal.ExecutedUnknown, refusal.OutcomeUnknown)
+		f.is.Equal(f.executionCount(open), 1)
+		f.is.Equal(f.executionCount(fresh), 0)
+		time.Sleep(time.Minute) // until the hanging call ends
 	})
 }
 
-// Story: a pledge is run by a VM that has just been started. It has the
-// address of the owner that was reclaimed, and the directory doesn't know yet.
+// A new VM gets the address of an owner that was reclaimed, before the directory
+// is updated. The new VM must not run calls for the old owner.
 func TestReplacedVMWithTheSameAddress(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
 		f.nodes[1].crash()
 		f.nodes[1] = f.start(1, 2)
 
 		_, err := f.pledge(0, key)
-		f.refused(err, refusal.ExecutedNo, refusal.OwnerGone)
-		f.is.Equal(f.nodes[0].count("actions.forward.not_owner"), int64(1))
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
+		f.is.Equal(f.nodes[0].counter("actions.forward.not_owner"), int64(1))
 		_, err = f.pledge(0, f.key(1, "pledge"))
 		f.is.NoErr(err)
 	})
 }
 
-// Story: nobody can pledge for ten minutes, since the key-value service is
-// down. Pledges are let run without the journal; closures are not.
-func TestLongOutage(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+// The key-value service is down for ten minutes. Calls of a route whose outage
+// policy allows it (/pledges) must run without the journal; others (/closures)
+// are refused.
+func TestLongStoreOutage(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		old := f.key(1, "old")
 		f.store.SetFaults(kvserver.Faults{Outage: true})
 
 		_, err := f.pledge(0, old)
-		f.refused(err, refusal.ExecutedNo, refusal.JournalUnavailable)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.JournalUnavailable)
 		var keys []string
 		for i := range 20 {
 			key := f.key(1, strings.Repeat("x", i+1))
@@ -121,62 +123,62 @@
 			time.Sleep(30 * time.Second)
 		}
 		_, err = f.post(0, f.key(1, "closure"), "/closures")
-		f.refused(err, refusal.ExecutedNo, refusal.JournalUnavailable)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.JournalUnavailable)
 		_, err = f.pledge(0, "without-token")
-		f.refused(err, refusal.ExecutedUnknown, refusal.ClaimUnavailable)
+		f.expectRefusal(err, refusal.ExecutedUnknown, refusal.ClaimUnavailable)
 
 		f.store.SetFaults(kvserver.Faults{})
-		time.Sleep(10 * time.Second) // the outcomes are journaled now
+		time.Sleep(10 * time.Second) // until the outcomes are journaled
 		f.nodes[1].crash()
-		f.forget(1)
+		f.removeFromDirectory(1)
 		_, err = f.outcome(0, keys[19])
 		f.is.NoErr(err)
-		f.is.Equal(f.runs(old), 0)
+		f.is.Equal(f.executionCount(old), 0)
 		f.is.Equal(len(f.log.RunTwice()), 0)
 	})
 }
 
-// Story: a pledge runs after its caller was told that it had not. Its owner
-// was paused, another gateway sealed the owner's log and said "no", and the
-// owner woke up.
-func TestPausedOwnerWakesAfterTheSeal(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+// An owner is paused, another gateway seals the owner's log and answers that a
+// call didn't run, and the owner resumes. The owner must not run the call
+// afterwards.
+func TestPausedOwnerResumesAfterSeal(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
 		self := f.daemons[1]
-		f.forget(1)
+		f.removeFromDirectory(1)
 		_, err := f.pledge(0, key)
-		f.refused(err, refusal.ExecutedNo, refusal.OwnerGone)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
 
 		f.mu.Lock()
 		f.daemons = append(f.daemons, self)
 		f.mu.Unlock()
 		_, err = f.pledge(1, key)
-		f.refused(err, refusal.ExecutedNo, refusal.OwnerGone)
-		f.is.Equal(f.runs(key), 0)
-		// The daemon goes on under another owner's name.
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
+		f.is.Equal(f.executionCount(key), 0)
+		// The daemon continues with a new owner.
 		_, err = f.pledge(0, f.key(1, "pledge"))
 		f.is.NoErr(err)
 	})
 }
 
-// Story: a booking hangs, or runs twice. The service took the journal entry
-// and its answer was lost.
-func TestLostAnswerOfTheJournal(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+// The key-value service stores a journal entry, but its response is lost. The
+// call must neither hang nor run twice.
+func TestJournalWriteResponseLost(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		f.store.SetFaults(kvserver.Faults{LoseAnswers: 2, LosePrefix: "journal/"})
 		key := f.key(1, "pledge")
 		_, err := f.pledge(0, key)
 		f.is.NoErr(err)
-		f.is.Equal(f.runs(key), 1)
-		f.is.Equal(f.nodes[1].count("actions.journal.doubtful"), int64(1))
-		f.is.Equal(f.nodes[1].count("actions.dispatched.journaled"), int64(1))
+		f.is.Equal(f.executionCount(key), 1)
+		f.is.Equal(f.nodes[1].counter("actions.journal.doubtful"), int64(1))
+		f.is.Equal(f.nodes[1].counter("actions.dispatched.journaled"), int64(1))
 	})
 }
 
-// Story: two operators drain the same VM, and a caller that asks for its
-// pledge afterwards is told that nothing is known. The tables went two ways.
-func TestTwoDrainsOneSuccessor(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+// Two operators drain the same VM at the same time. If the table went to two
+// successors, a later query could reach one that doesn't know the call.
+func TestConcurrentDrainsUseOneSuccessor(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		key, late := f.key(1, "pledge"), f.key(1, "late")
 		want, err := f.pledge(0, key)
 		f.is.NoErr(err)
@@ -190,27 +192,28 @@
 		}
 		wg.Wait()
 		f.nodes[1].crash()
-		f.forget(1)
+		f.removeFromDirectory(1)
 
-		adopted := f.nodes[0].count("actions.hand_off.adopted") + f.nodes[2].count("actions.hand_off.adopted")
+		adopted := f.nodes[0].counter("actions.hand_off.adopted") + f.nodes[2].counter("actions.hand_off.adopted")
 		f.is.Equal(adopted, int64(1))
 		for _, gateway := range []int{0, 2} {
 			got, err := f.outcome(gateway, key)
 			f.is.NoErr(err)
 			f.is.Equal(got, want)
 			_, err = f.pledge(gateway, late)
-			f.refused(err, refusal.ExecutedNo, refusal.OwnerGone)
+			f.expectRefusal(err, refusal.ExecutedNo, refusal.OwnerGone)
 		}
 	})
 }
 
-// Story: a VM is drained in an outage of the service, and its callers' answers
-// are lost. The successor seals the log when the service is back.
-func TestDrainInAnOutage(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+// A VM is drained during an outage of the key-value service, when its log can't
+// be sealed. The answers must survive: the successor seals the log when the
+// service is available again.
+func TestDrainDuringStoreOutage(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		f.store.SetFaults(kvserver.Faults{Outage: true})
 		_, err := f.pledge(0, f.key(1, "first"))
-		f.refused(err, refusal.ExecutedNo, refusal.JournalUnavailable)
+		f.expectRefusal(err, refusal.ExecutedNo, refusal.JournalUnavailable)
 		key := f.key(1, "pledge")
 		want, err := f.pledge(0, key)
 		f.is.NoErr(err)
@@ -218,7 +221,7 @@
 		defer cancel()
 		f.is.NoErr(f.nodes[1].Drain(ctx))
 		f.nodes[1].crash()
-		f.forget(1)
+		f.removeFromDirectory(1)
 		f.store.SetFaults(kvserver.Faults{})
 		time.Sleep(10 * time.Second)
 		for _, gateway := range []int{0, 2} {
@@ -229,10 +232,10 @@
 	})
 }
 
-// Story: a caller that knows nothing of tokens repeats its pledge at another
-// gateway, and it runs twice.
+// A caller that doesn't use tokens sends the same call through several gateways.
+// Without a claim each gateway would run the call.
 func TestKeysWithoutTokenAreClaimed(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		var wg sync.WaitGroup
 		answers := make([]string, 3)
 		for i := range answers {
@@ -252,10 +255,11 @@
 	})
 }
 
-// Story: the service fills up with the journals of VMs that were reclaimed
-// long ago; or they are cleared away, and a pledge that ran is "not executed".
+// Logs of reclaimed VMs must be deleted, or they would fill up the key-value
+// service. After the deletion a call that ran must not be reported as not
+// executed.
 func TestLogsOfEndedDaemonsAreCollected(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+	withThreeGateways(t, func(f *fleet) {
 		key := f.key(1, "pledge")
 		_, err := f.pledge(0, key)
 		f.is.NoErr(err)
@@ -263,8 +267,8 @@
 		owner := f.daemons[1].Incarnation
 		prefix := journal.Prefix(owner)
 		f.nodes[1].crash()
-		f.forget(1)
-		time.Sleep(time.Minute) // sealed, though nobody has asked
+		f.removeFromDirectory(1)
+		time.Sleep(time.Minute) // until the log is sealed, without any query
 		entries, err := f.store.List(t.Context(), prefix, "", 0)
 		f.is.NoErr(err)
 		f.is.Equal(len(entries), 3)
@@ -276,21 +280,21 @@
 		f.is.NoErr(err)
 		f.is.Equal(len(entries), 1)
 		_, err = f.outcome(2, key)
-		f.refused(err, refusal.ExecutedUnknown, refusal.KeyExpired)
+		f.expectRefusal(err, refusal.ExecutedUnknown, refusal.KeyExpired)
 		log := journal.NewLog(owner)
 		entry, err := journal.Decode(entries[0].Key, entries[0].Value)
 		f.is.NoErr(err)
 		log.Add(2, entry)
 		slow := time.Now().Add(-time.Hour)
 		verdict := log.Verdict(slow, actionkey.ID{Workspace: "huaman", Key: key}, "")
-		f.is.Equal(verdict.Executed, refusal.ExecutedUnknown) // also by a slow clock
+		f.is.Equal(verdict.Executed, refusal.ExecutedUnknown) // also with a slow clock
 	})
 }
 
-// A runner's own refusal sends the action on to the next; a connection that
-// broke after it was sent does not.
-func TestOnlyWhatDidNotRunGoesToAnotherRunner(t *testing.T) {
-	inBubble(t, func(f *fleet) {
+// An action that a runner refuses is sent to another runner. An action whose
+// connection breaks after it was sent may have run and is not sent again.
+func TestOnlyUnexecutedActionsGoToAnotherRunner(t *testing.T) {
+	withThreeGateways(t, func(f *fleet) {
 		f.runners[0].Notice()
 		for i := range 5 {
 			_, err := f.pledge(0, f.key(1, strings.Repeat("a", i+1)))
@@ -300,11 +304,11 @@
 		key := f.key(1, "broken")
 		for range 2 {
 			_, err := f.pledge(0, key)
-			f.refused(err, refusal.ExecutedUnknown, refusal.RunnerFailed)
+			f.expectRefusal(err, refusal.ExecutedUnknown, refusal.RunnerFailed)
 		}
-		f.is.Equal(f.runs(key), 1)
+		f.is.Equal(f.executionCount(key), 1)
 		for _, e := range f.log.Executions() {
-			f.is.True(e.Action != "") // the runner learns the key
+			f.is.True(e.Action != "") // the key was passed to the runner
 		}
 	})
 }
--- a/daemon/actions/handler.go
+++ b/daemon/actions/handler.go
@@ -16,15 +16,16 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// handler is the side of the service that other daemons call.
+// handler serves the RPCs that other daemons call.
 type handler struct{ s *Service }
 
-// Handler returns the path and the handler for the daemons' listener.
+// Handler returns the path and the HTTP handler for calls from other daemons.
 func (s *Service) Handler() (string, http.Handler) {
 	return actionv1connect.NewActionServiceHandler(&handler{s: s})
 }
 
-// Execute runs a forwarded call if this daemon is its key's owner.
+// Execute runs a forwarded call if this daemon runs the owner that the request
+// names.
 func (h *handler) Execute(ctx context.Context, req *connect.Request[actionv1.ExecuteRequest]) (
 	*connect.Response[actionv1.ExecuteResponse], error) {
 	m := req.Msg
@@ -38,7 +39,7 @@
 		Key:       m.GetKey(),
 		Method:    m.GetMethod(),
 		Path:      m.GetPath(),
-		Headers:   fromHeaders(m.GetHeaders()),
+		Headers:   decodeHeaders(m.GetHeaders()),
 		Body:      m.GetBody(),
 	}
 	poll := max(time.Millisecond, time.Duration(m.GetWaitMs())*time.Millisecond)
@@ -47,34 +48,35 @@
 	if pending {
 		return connect.NewResponse(&actionv1.ExecuteResponse{InProgress: true}), nil
 	}
-	return connect.NewResponse(responseOf(result)), nil
+	return connect.NewResponse(encodeResult(result)), nil
 }
 
-// runForwarded never abandons the action when the connection breaks: its
-// gateway comes back on another.
+// runForwarded ignores the cancellation of ctx: when the connection breaks, the
+// gateway repeats the call on another connection.
 func (s *Service) runForwarded(ctx context.Context, owner ident.Incarnation, id actionkey.ID, c call.ServiceCall,
 	poll time.Duration) (action.Result, bool) {
-	return s.run(context.WithoutCancel(ctx), owner, id, c, poll)
+	return s.submitAndWait(context.WithoutCancel(ctx), owner, id, c, poll)
 }
 
-// Outcome tells what this daemon's tables hold of a key.
+// Outcome looks up a key in the tables of this daemon.
 func (h *handler) Outcome(_ context.Context, req *connect.Request[actionv1.OutcomeRequest]) (
 	*connect.Response[actionv1.OutcomeResponse], error) {
 	m := req.Msg
 	id := actionkey.ID{Workspace: ident.Workspace(m.GetWorkspace()), Key: m.GetKey()}
-	result, pending, ok := h.s.ask(ident.Incarnation(m.GetOwner()), id, m.GetBodyHash())
+	result, pending, ok := h.s.lookUpLocal(ident.Incarnation(m.GetOwner()), id, m.GetBodyHash())
 	if !ok {
 		return connect.NewResponse(&actionv1.OutcomeResponse{Outcome: notOwner()}), nil
 	}
-	return connect.NewResponse(&actionv1.OutcomeResponse{Outcome: responseOf(result), InProgress: pending}), nil
+	return connect.NewResponse(&actionv1.OutcomeResponse{Outcome: encodeResult(result), InProgress: pending}), nil
 }
 
-// Token issues a token of this daemon's own owner, never a fetched one. It
-// does so also while this daemon doesn't count itself among those that issue:
-// directories differ for a while, and any daemon can be an owner.
+// Token issues a token of this daemon's current owner, never a fetched one. It
+// also does so while this daemon isn't among the daemons selected to issue
+// tokens: the directories of daemons differ for a while after a change, and any
+// daemon can be an owner.
 func (h *handler) Token(context.Context, *connect.Request[actionv1.TokenRequest]) (
 	*connect.Response[actionv1.TokenResponse], error) {
-	if h.s.draining.begun() {
+	if h.s.draining.started() {
 		return connect.NewResponse(&actionv1.TokenResponse{Leaving: true}), nil
 	}
 	h.s.counters.inc(tokensServed)
@@ -85,19 +87,19 @@
 	}), nil
 }
 
-// HandOff takes a part of an ended owner's table in.
+// HandOff stores a part of the table of an owner that is being drained.
 func (h *handler) HandOff(_ context.Context, req *connect.Request[actionv1.HandOffRequest]) (
 	*connect.Response[actionv1.HandOffResponse], error) {
-	return connect.NewResponse(&actionv1.HandOffResponse{Accepted: h.s.adopt(req.Msg)}), nil
+	return connect.NewResponse(&actionv1.HandOffResponse{Accepted: h.s.adoptPart(req.Msg)}), nil
 }
 
 func notOwner() *actionv1.ExecuteResponse {
-	resp := responseOf(refused(refusal.New(refusal.OwnerGone, "not the owner").Unknown()))
+	resp := encodeResult(refused(refusal.New(refusal.OwnerGone, "not the owner").Unknown()))
 	resp.NotOwner = true
 	return resp
 }
 
-func responseOf(r action.Result) *actionv1.ExecuteResponse {
+func encodeResult(r action.Result) *actionv1.ExecuteResponse {
 	if refused := r.Refusal; refused != nil {
 		return &actionv1.ExecuteResponse{
 			Executed:     string(refused.Executed),
@@ -109,12 +111,12 @@
 	return &actionv1.ExecuteResponse{
 		Executed: string(refusal.ExecutedYes),
 		Status:   int32(r.Answer.Status),
-		Headers:  toHeaders(r.Answer.Headers),
+		Headers:  encodeHeaders(r.Answer.Headers),
 		Body:     r.Answer.Body,
 	}
 }
 
-func resultOf(m *actionv1.ExecuteResponse) action.Result {
+func decodeResult(m *actionv1.ExecuteResponse) action.Result {
 	if m.GetReason() != "" {
 		return refused(&refusal.Refusal{
 			Reason:     refusal.Reason(m.GetReason()),
@@ -125,12 +127,12 @@
 	}
 	return action.Result{Answer: call.Answer{
 		Status:  int(m.GetStatus()),
-		Headers: fromHeaders(m.GetHeaders()),
+		Headers: decodeHeaders(m.GetHeaders()),
 		Body:    m.GetBody(),
 	}}
 }
 
-func toHeaders(headers []call.Header) []*actionv1.Header {
+func encodeHeaders(headers []call.Header) []*actionv1.Header {
 	out := make([]*actionv1.Header, 0, len(headers))
 	for _, h := range headers {
 		out = append(out, &actionv1.Header{Name: h.Name, Value: h.Value})
@@ -138,7 +140,7 @@
 	return out
 }
 
-func fromHeaders(headers []*actionv1.Header) []call.Header {
+func decodeHeaders(headers []*actionv1.Header) []call.Header {
 	out := make([]call.Header, 0, len(headers))
 	for _, h := range headers {
 		out = append(out, call.Header{Name: h.GetName(), Value: h.GetValue()})
--- a/daemon/actions/history_test.go
+++ b/daemon/actions/history_test.go
@@ -23,12 +23,12 @@
 	"geraniumstack.org/geraniumstack/transport/dispatch"
 )
 
-// The longer run: go test ./daemon/actions -run TestHistories -histories=2000
-var histories = flag.Int("histories", 40, "how many histories TestHistories checks")
+// For a longer run: go test ./daemon/actions -run TestHistories -histories=2000
+var histories = flag.Int("histories", 40, "number of histories that TestHistories checks")
 
-// workload plays callers and faults by one seed against real gateways. The
-// order in which goroutines run is the scheduler's, so a seed repeats the
-// faults but not each history.
+// workload generates calls and faults from one seed and applies them to real
+// gateways. The Go scheduler determines the order in which goroutines run, so a
+// seed reproduces the faults but not the exact history.
 type workload struct {
 	f       *fleet
 	mu      sync.Mutex
@@ -37,34 +37,35 @@
 	wg      sync.WaitGroup
 }
 
-func (w *workload) below(n int) int {
+func (w *workload) intN(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.IntN(n)
 }
 
 func (w *workload) sleep(upTo time.Duration) {
-	time.Sleep(time.Duration(w.below(int(upTo/time.Millisecond))) * time.Millisecond)
+	time.Sleep(time.Duration(w.intN(int(upTo/time.Millisecond))) * time.Millisecond)
 }
 
-// runner executes actions, and now and then refuses, hangs or breaks off.
+// runner returns a handler that executes actions and sometimes refuses, hangs or
+// closes the connection without an answer.
 func (w *workload) runner(string) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
-		what := w.below(20)
-		if what == 0 {
+		behavior := w.intN(20)
+		if behavior == 0 {
 			rw.Header().Set(dispatch.HeaderNotExecuted, "1")
 			rw.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		w.sleep(100 * time.Millisecond)
 		_, key, _ := strings.Cut(r.Header.Get(dispatch.HeaderAction), "/")
-		answer := fmt.Sprintf("%s#%d", body, w.below(1<<30))
+		answer := fmt.Sprintf("%s#%d", body, w.intN(1<<30))
 		w.history.Ran(time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, string(body), answer)
-		switch what {
+		switch behavior {
 		case 1:
 			panic(http.ErrAbortHandler)
 		case 2:
@@ -75,12 +76,12 @@
 	})
 }
 
-// caller sends copies of one call through several gateways and asks for its
+// caller sends copies of one call through random gateways and queries its
 // outcome.
 func (w *workload) caller(name string) {
 	w.sleep(20 * time.Second)
 	key := w.node().key(name)
-	for range 1 + w.below(4) {
+	for range 1 + w.intN(4) {
 		w.wg.Go(func() {
 			w.sleep(5 * time.Second)
 			w.send(key, name)
@@ -88,7 +89,7 @@
 	}
 	w.wg.Go(func() {
 		w.sleep(30 * time.Second)
-		w.ask(key)
+		w.queryOutcome(key)
 	})
 }
 
@@ -98,10 +99,10 @@
 }
 
 func (w *workload) node() *node {
-	place := w.below(len(w.f.nodes))
+	index := w.intN(len(w.f.nodes))
 	w.f.mu.Lock()
 	defer w.f.mu.Unlock()
-	return w.f.nodes[place]
+	return w.f.nodes[index]
 }
 
 func (w *workload) send(key, body string) {
@@ -113,10 +114,10 @@
 	a, err := n.Execute(context.Background(), call.ServiceCall{
 		Workspace: "huaman", Service: "casos", Key: key, Method: http.MethodPost, Path: "/pledges", Body: []byte(body),
 	})
-	w.told(from, key, body, a, err)
+	w.recordAnswer(from, key, body, a, err)
 }
 
-func (w *workload) ask(key string) {
+func (w *workload) queryOutcome(key string) {
 	from := time.Now()
 	n := w.node()
 	if n.ended.Load() {
@@ -124,11 +125,11 @@
 	}
 	a, pending, err := n.Outcome(context.Background(), "huaman", key)
 	if !pending {
-		w.told(from, key, "", a, err)
+		w.recordAnswer(from, key, "", a, err)
 	}
 }
 
-func (w *workload) told(from time.Time, key, body string, a call.Answer, err error) {
+func (w *workload) recordAnswer(from time.Time, key, body string, a call.Answer, err error) {
 	r := action.Result{Answer: a}
 	if err != nil {
 		r.Refusal = refusal.From(err)
@@ -136,37 +137,38 @@
 	w.history.Told(from, time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, body, r)
 }
 
-// fault does one kind of harm.
-func (w *workload) fault(number int) {
+// injectFault injects one random fault.
+func (w *workload) injectFault(number int) {
 	w.sleep(25 * time.Second)
-	place := w.below(len(w.f.nodes))
-	switch w.below(7) {
+	index := w.intN(len(w.f.nodes))
+	switch w.intN(7) {
 	case 0:
-		w.replace(place, number, false)
+		w.replace(index, number, false)
 	case 1:
-		w.replace(place, number, true)
+		w.replace(index, number, true)
 	case 2:
 		w.f.store.SetFaults(kvserver.Faults{Outage: true})
 		w.sleep(15 * time.Second)
 		w.f.store.SetFaults(kvserver.Faults{})
 	case 3:
-		w.f.store.SetFaults(kvserver.Faults{LoseAnswers: w.below(6), DelayMillis: int64(w.below(1500)), LateEffects: true})
+		w.f.store.SetFaults(kvserver.Faults{LoseAnswers: w.intN(6), DelayMillis: int64(w.intN(1500)), LateEffects: true})
 		w.sleep(10 * time.Second)
 		w.f.store.SetFaults(kvserver.Faults{})
 	case 4:
-		w.f.network.Silence(fmt.Sprintf("entry-%d:90", place))
+		w.f.network.Silence(fmt.Sprintf("entry-%d:90", index))
 	case 5:
-		w.f.network.Break(fmt.Sprintf("casos-%d:80", 1+w.below(3)))
+		w.f.network.Break(fmt.Sprintf("casos-%d:80", 1+w.intN(3)))
 	case 6:
-		w.mistake(place)
+		w.hideFromDirectory(index)
 	}
 }
 
-// replace ends an incarnation, by a drain that may be cut half way or by a
-// crash, and boots another at its address. The directory learns of it late.
-func (w *workload) replace(place, number int, drain bool) {
+// replace ends an incarnation by a crash, optionally after a drain that may not
+// complete, and starts another at its address. The old incarnation stays in the
+// directory for a while.
+func (w *workload) replace(index, number int, drain bool) {
 	w.f.mu.Lock()
-	n := w.f.nodes[place]
+	n := w.f.nodes[index]
 	w.f.mu.Unlock()
 	if drain {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -176,34 +178,34 @@
 		w.sleep(4 * time.Second)
 		defer cancel()
 	}
-	if !n.once() {
-		return // another fault has replaced it
+	if !n.markEnded() {
+		return // another fault has ended this incarnation
 	}
 	n.crash()
 	w.sleep(3 * time.Second)
-	next := w.f.start(place, 10+number)
+	next := w.f.start(index, 10+number)
 	w.f.mu.Lock()
-	w.f.nodes[place] = next
+	w.f.nodes[index] = next
 	w.f.mu.Unlock()
 	w.sleep(3 * time.Second)
-	w.f.forget(place)
+	w.f.removeFromDirectory(index)
 }
 
-// mistake takes a live daemon out of the directory for a while.
-func (w *workload) mistake(place int) {
+// hideFromDirectory removes a live daemon from the directory for a while.
+func (w *workload) hideFromDirectory(index int) {
 	w.f.mu.Lock()
-	var hidden []int
+	var matches []int
 	for i, d := range w.f.daemons {
-		if d.ID == ident.DaemonID(fmt.Sprintf("entry-%d", place)) {
-			hidden = append(hidden, i)
+		if d.ID == ident.DaemonID(fmt.Sprintf("entry-%d", index)) {
+			matches = append(matches, i)
 		}
 	}
-	if len(hidden) != 1 {
+	if len(matches) != 1 {
 		w.f.mu.Unlock()
 		return
 	}
-	d := w.f.daemons[hidden[0]]
-	w.f.daemons = append(w.f.daemons[:hidden[0]:hidden[0]], w.f.daemons[hidden[0]+1:]...)
+	d := w.f.daemons[matches[0]]
+	w.f.daemons = append(w.f.daemons[:matches[0]:matches[0]], w.f.daemons[matches[0]+1:]...)
 	w.f.mu.Unlock()
 	w.sleep(5 * time.Second)
 	w.f.mu.Lock()
@@ -211,17 +213,19 @@
 	w.f.daemons = append(w.f.daemons, d)
 }
 
-// Story: as in protocol/action, but with the gateways as they run in a daemon:
-// their goroutines, calls to each other and connections to runners.
+// Checks random histories of calls and faults against the guarantees given to
+// callers: a call runs at most once, and answers about it don't contradict each
+// other. The gateways run as in a daemon, with their goroutines, calls to each
+// other and connections to runners.
 func TestHistories(t *testing.T) {
 	var yes, no, unknown, runs int
 	for seed := range *histories {
 		w := &workload{rng: rand.New(rand.NewPCG(uint64(seed), 3))}
-		// In two of three histories some gateways hand out others' tokens.
-		inFleet(t, smallFleet, 1+seed%smallFleet, w.runner, func(f *fleet) {
+		// In two of three histories some gateways hand out tokens of others.
+		withFleet(t, smallFleetSize, 1+seed%smallFleetSize, w.runner, func(f *fleet) {
 			w.f = f
-			for i := range 2 + w.below(4) {
-				w.wg.Go(func() { w.fault(i) })
+			for i := range 2 + w.intN(4) {
+				w.wg.Go(func() { w.injectFault(i) })
 			}
 			for i := range 12 {
 				w.wg.Go(func() { w.caller(fmt.Sprintf("c%d", i)) })
@@ -231,12 +235,12 @@
 			synctest.Wait()
 		})
 		if !w.history.Legal() {
-			t.Errorf("seed %d: history is not legal", seed)
+			t.Errorf("seed %d: history violates the guarantees", seed)
 		}
 		yes, no, unknown, runs = yes+w.history.Yes, no+w.history.No, unknown+w.history.Unknown, runs+w.history.Runs
 	}
-	t.Logf("%d histories: %d runs; callers were told yes %d, no %d, unknown %d times", *histories, runs, yes, no, unknown)
+	t.Logf("%d histories, %d executions; answers: executed %d, not executed %d, unknown %d", *histories, runs, yes, no, unknown)
 	if yes == 0 || no == 0 || unknown == 0 {
-		t.Error("histories don't reach every kind of answer")
+		t.Error("the histories don't produce every kind of answer")
 	}
 }
--- a/daemon/actions/tokens_test.go
+++ b/daemon/actions/tokens_test.go
@@ -25,27 +25,27 @@
 )
 
 const (
-	largeFleet, largeOwners = 40, 8
-	midFleet, midOwners     = 12, 4
+	largeFleetSize, largeFleetOwners   = 40, 8
+	mediumFleetSize, mediumFleetOwners = 12, 4
 )
 
-func inMidFleet(t *testing.T, test func(f *fleet)) {
+func withMediumFleet(t *testing.T, test func(f *fleet)) {
 	t.Helper()
-	inFleetOf(t, midFleet, midOwners, test)
+	withFleetOfSize(t, mediumFleetSize, mediumFleetOwners, test)
 }
 
-func inFleetOf(t *testing.T, size, maxOwners int, test func(f *fleet)) {
+func withFleetOfSize(t *testing.T, size, maxOwners int, test func(f *fleet)) {
 	t.Helper()
 	log := service.NewLog()
 	runner := func(name string) http.Handler { return service.New(name, log).Handler() }
-	inFleet(t, size, maxOwners, runner, func(f *fleet) {
+	withFleet(t, size, maxOwners, runner, func(f *fleet) {
 		f.log = log
 		test(f)
 	})
 }
 
-// tokenOf reads the token that a gateway hands out.
-func (f *fleet) tokenOf(gateway int) actionkey.Token {
+// tokenAt returns the token that a gateway hands out.
+func (f *fleet) tokenAt(gateway int) actionkey.Token {
 	f.is.Helper()
 	text, lifetime := f.nodes[gateway].Token()
 	token, err := actionkey.ParseToken(text)
@@ -54,51 +54,53 @@
 	return token
 }
 
-// owners returns the gateways whose tokens are handed out.
-func (f *fleet) owners() map[ident.Incarnation]bool {
+// tokenOwners returns the owners whose tokens the gateways hand out.
+func (f *fleet) tokenOwners() map[ident.Incarnation]bool {
 	named := map[ident.Incarnation]bool{}
 	for i := range f.nodes {
-		named[f.tokenOf(i).Owner] = true
+		named[f.tokenAt(i).Owner] = true
 	}
 	return named
 }
 
-// guest returns a gateway that issues no tokens, and the one whose it has.
-func (f *fleet) guest() (gateway, owner int) {
+// gatewayWithFetchedToken returns a gateway that issues no tokens, and the gateway
+// that issued the token it hands out.
+func (f *fleet) gatewayWithFetchedToken() (gateway, owner int) {
 	for i := range f.nodes {
-		if named := f.tokenOf(i).Owner; named != f.daemons[i].Incarnation {
-			return i, f.place(named)
+		if named := f.tokenAt(i).Owner; named != f.daemons[i].Incarnation {
+			return i, f.daemonIndex(named)
 		}
 	}
-	f.is.Fail() // no gateway hands out another's token
+	f.is.Fail() // no gateway hands out a fetched token
 	return 0, 0
 }
 
-func (f *fleet) place(incarnation ident.Incarnation) int {
+func (f *fleet) daemonIndex(incarnation ident.Incarnation) int {
 	for i, d := range f.daemons {
 		if d.Incarnation == incarnation {
 			return i
 		}
 	}
-	f.is.Fail() // a token names nobody
+	f.is.Fail() // a token names an unknown owner
 	return 0
 }
 
-func (f *fleet) setState(place int, state view.State) {
+func (f *fleet) setState(index int, state view.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.daemons[place].State = state
+	f.daemons[index].State = state
 }
 
-// Story: at 1,800 gateways the key-value service refuses most writes, and
-// actions fail everywhere. Each gateway had a journal of its own.
-func TestWritesAreBoundedByTheOwners(t *testing.T) {
-	inFleetOf(t, largeFleet, largeOwners, func(f *fleet) {
-		f.is.Equal(len(f.owners()), largeOwners)
-		served := f.counted("actions.token.served")
+// When each gateway had its own journal, the key-value service refused most
+// writes of 1,800 gateways and actions failed everywhere. The rate of writes must
+// depend on the number of token owners, not on the number of gateways.
+func TestWritesAreBoundedByTokenOwnerCount(t *testing.T) {
+	withFleetOfSize(t, largeFleetSize, largeFleetOwners, func(f *fleet) {
+		f.is.Equal(len(f.tokenOwners()), largeFleetOwners)
+		served := f.counterSum("actions.token.served")
 		const idle = 20
 		time.Sleep(idle * time.Second)
-		fetches := float64(f.counted("actions.token.served")-served) / idle / (largeFleet - largeOwners)
+		fetches := float64(f.counterSum("actions.token.served")-served) / idle / (largeFleetSize - largeFleetOwners)
 		f.store.ResetCalls()
 		start := time.Now()
 		const pledges = 20
@@ -115,33 +117,34 @@
 		wg.Wait()
 		seconds := time.Since(start).Seconds()
 		writes := float64(f.store.Calls().Writes())
-		t.Logf("%.0f writes a second at %d gateways; %.2f fetches a second by each guest",
-			writes/seconds, largeFleet, fetches)
+		t.Logf("%.0f writes per second with %d gateways; %.2f fetches per second by each gateway that issues no tokens",
+			writes/seconds, largeFleetSize, fetches)
 		bounds := journal.DefaultConfig("")
-		f.is.True(writes <= largeOwners*(bounds.WritesPerSecond*seconds+bounds.Burst))
-		f.is.True(fetches > 0.5 && fetches < 0.8) // every 2 s at least
-		f.is.Equal(f.instant.sent.Load(), int64(pledges*largeFleet))
+		f.is.True(writes <= largeFleetOwners*(bounds.WritesPerSecond*seconds+bounds.Burst))
+		f.is.True(fetches > 0.5 && fetches < 0.8) // Times.TokenRefresh is 2 s
+		f.is.Equal(f.instantDispatcher.sent.Load(), int64(pledges*largeFleetSize))
 	})
 }
 
-func (f *fleet) counted(name string) int64 {
+func (f *fleet) counterSum(name string) int64 {
 	var sum int64
 	for _, n := range f.nodes {
-		sum += n.count(name)
+		sum += n.counter(name)
 	}
 	return sum
 }
 
-// Story: callers of a third of the gateways are refused for minutes. The owner
-// whose tokens these hand out was reclaimed, and the directory lags behind.
-func TestTokensOfAnotherAfterTheOwnerDies(t *testing.T) {
-	inMidFleet(t, func(f *fleet) {
-		gateway, owner := f.guest()
+// An owner is reclaimed and the directory still lists it. Gateways that hand out
+// its tokens must switch to another owner, or their callers would be refused for
+// minutes.
+func TestTokenSwitchesAfterOwnerCrash(t *testing.T) {
+	withMediumFleet(t, func(f *fleet) {
+		gateway, owner := f.gatewayWithFetchedToken()
 		dead := f.daemons[owner].Incarnation
 		f.nodes[owner].crash()
 		time.Sleep(3 * time.Second)
-		f.is.True(!f.owners()[dead] || f.tokenOf(owner).Owner == dead)
-		next := f.tokenOf(gateway).Owner
+		f.is.True(!f.tokenOwners()[dead] || f.tokenAt(owner).Owner == dead)
+		next := f.tokenAt(gateway).Owner
 		f.is.True(next != dead)
 		f.is.True(next != f.daemons[gateway].Incarnation)
 		_, err := f.pledge(gateway, f.key(gateway, "pledge"))
@@ -149,49 +152,49 @@
 	})
 }
 
-// Story: as above, but the VM was suspended: its connections are silent instead
-// of refused.
-func TestTokensOfAnotherAfterTheOwnerFallsSilent(t *testing.T) {
-	inMidFleet(t, func(f *fleet) {
-		gateway, owner := f.guest()
+// An owner's VM is suspended, so that its connections hang instead of being
+// refused. Gateways that hand out its tokens must switch to another owner.
+func TestTokenSwitchesWhenOwnerStopsResponding(t *testing.T) {
+	withMediumFleet(t, func(f *fleet) {
+		gateway, owner := f.gatewayWithFetchedToken()
 		silent := f.daemons[owner].Incarnation
 		stop := time.Now().Add(3 * time.Second)
 		for time.Now().Before(stop) {
 			f.network.Silence(f.daemons[owner].PeerAddress)
 			time.Sleep(time.Millisecond)
 		}
-		f.is.True(f.tokenOf(gateway).Owner != silent)
-		f.is.True(f.tokenOf(gateway).Owner != f.daemons[gateway].Incarnation)
+		f.is.True(f.tokenAt(gateway).Owner != silent)
+		f.is.True(f.tokenAt(gateway).Owner != f.daemons[gateway].Incarnation)
 	})
 }
 
-// Story: a gateway that drains tells its callers, which have not noticed, to
-// use its token, and refuses every key made from it.
+// A draining gateway refuses keys with its own token, so it must hand out the
+// token of another owner to callers that still use it.
 func TestDrainingGatewayHandsOutTokensOfOthers(t *testing.T) {
-	inMidFleet(t, func(f *fleet) {
-		_, owner := f.guest()
+	withMediumFleet(t, func(f *fleet) {
+		_, owner := f.gatewayWithFetchedToken()
 		drained := f.daemons[owner].Incarnation
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		f.is.NoErr(f.nodes[owner].Drain(ctx))
 		time.Sleep(3 * time.Second)
-		f.is.True(!f.owners()[drained])
+		f.is.True(!f.tokenOwners()[drained])
 		_, err := f.pledge(0, f.key(owner, "pledge"))
 		f.is.NoErr(err)
 	})
 }
 
-// Story: a pledge is "owner gone", though its owner runs. The owner had left
-// the set of those that issue tokens, since others had joined.
-func TestAnOwnerOutsideTheSetAnswersItsKeys(t *testing.T) {
-	inMidFleet(t, func(f *fleet) {
-		gateway, owner := f.guest()
+// A running daemon is no longer selected to issue tokens. It must still answer for
+// keys with its tokens instead of refusing them because the owner has ended.
+func TestOwnerNoLongerIssuingTokensAnswersItsKeys(t *testing.T) {
+	withMediumFleet(t, func(f *fleet) {
+		gateway, owner := f.gatewayWithFetchedToken()
 		before, after := f.key(gateway, "before"), f.key(gateway, "after")
 		want, err := f.pledge(gateway, before)
 		f.is.NoErr(err)
 		f.setState(owner, view.Suspect)
 		time.Sleep(3 * time.Second)
-		f.is.True(!f.owners()[f.daemons[owner].Incarnation]) // nobody hands its tokens out, itself included
+		f.is.True(!f.tokenOwners()[f.daemons[owner].Incarnation]) // no gateway, including the owner, hands out its tokens
 
 		got, err := f.outcome(gateway, before)
 		f.is.NoErr(err)
@@ -201,40 +204,40 @@
 	})
 }
 
-// Story: a gateway that is cut off from all others refuses every action. It
-// waits for a token of somebody else.
-func TestOwnTokenWhenNobodyAnswers(t *testing.T) {
-	inMidFleet(t, func(f *fleet) {
-		gateway, _ := f.guest()
+// A gateway that can't reach any other must hand out its own token instead of
+// refusing every action because it can't fetch one.
+func TestOwnTokenWhenNoOwnerResponds(t *testing.T) {
+	withMediumFleet(t, func(f *fleet) {
+		gateway, _ := f.gatewayWithFetchedToken()
 		for i, n := range f.nodes {
 			if i != gateway {
 				_ = n.server.Close()
 			}
 		}
 		time.Sleep(3 * time.Second)
-		f.is.Equal(f.tokenOf(gateway).Owner, f.daemons[gateway].Incarnation)
+		f.is.Equal(f.tokenAt(gateway).Owner, f.daemons[gateway].Incarnation)
 		_, err := f.pledge(gateway, f.key(gateway, "pledge"))
 		f.is.NoErr(err)
 	})
 }
 
-// A guest's token says what its owner's journal can do, soon after a caller
-// was refused.
+// After a caller was refused because the owner's journal is unavailable, a
+// gateway soon hands out a newly fetched token that is marked accordingly.
 func TestFetchedTokenFollowsTheJournal(t *testing.T) {
-	inMidFleet(t, func(f *fleet) {
-		gateway, _ := f.guest()
-		f.is.True(f.tokenOf(gateway).Journaled)
+	withMediumFleet(t, func(f *fleet) {
+		gateway, _ := f.gatewayWithFetchedToken()
+		f.is.True(f.tokenAt(gateway).Journaled)
 		f.store.SetFaults(kvserver.Faults{Outage: true})
 		_, err := f.pledge(gateway, f.key(gateway, "first"))
 		f.is.True(err != nil)
 		time.Sleep(time.Second)
-		f.is.True(!f.tokenOf(gateway).Journaled)
+		f.is.True(!f.tokenAt(gateway).Journaled)
 		_, err = f.pledge(gateway, f.key(gateway, "second"))
 		f.is.NoErr(err)
 	})
 }
 
-// BenchmarkToken fetches tokens over TCP, as guests do: client and owner.
+// BenchmarkToken measures client and owner when a token is fetched over TCP.
 func BenchmarkToken(b *testing.B) {
 	is := is.New(b)
 	fleet := &fleet{}
