--- a/daemon/dispatch/dispatch_test.go
+++ b/daemon/dispatch/dispatch_test.go
@@ -148,7 +148,7 @@
 }
 
 func job(r call.ModelRequest, after request.Cause) models.Job {
-	return models.Job{Request: r, Service: "llm", After: after}
+	return models.Job{Request: r, Service: "llm", PreviousCause: after}
 }
 
 // serve makes one whole answer and returns the runner.
@@ -169,7 +169,7 @@
 	time.Sleep(100 * time.Millisecond)
 	j := job(r, "")
 	j.Offset = 10
-	d.Ended(j, models.Attempt{Runner: c.Runner, Address: c.Address, Answered: true, Tokens: 10})
+	d.Ended(j, models.AttemptResult{Runner: c.Runner, Address: c.Address, Answered: true, Tokens: 10})
 	return c.Runner
 }
 
@@ -261,7 +261,7 @@
 			r := ask(fmt.Sprint(i), "chat")
 			c := models.Choice{Runner: "r2", Address: "a2"}
 			d.Started(job(r, ""), c)
-			d.Ended(job(r, ""), models.Attempt{Runner: c.Runner, Address: c.Address, Cause: request.Unreachable})
+			d.Ended(job(r, ""), models.AttemptResult{Runner: c.Runner, Address: c.Address, Cause: request.Unreachable})
 		}
 		is.Equal(d.Ejected("llm"), 1)
 		for i := range 20 {
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -27,7 +27,7 @@
 		return models.Choice{}, refusal.New(refusal.UnknownModel, "no service %q", j.Service)
 	}
 	g := s.grantOf(d, j)
-	if j.After != "" {
+	if j.PreviousCause != "" {
 		if err := s.again(ctx, j, g); err != nil {
 			return models.Choice{}, err
 		}
@@ -54,7 +54,7 @@
 
 // again returns when a failed attempt may be made again, or why not.
 func (s *service) again(ctx context.Context, j models.Job, g *grant) error {
-	reason := reasonOf(j.After)
+	reason := reasonOf(j.PreviousCause)
 	for {
 		s.mu.Lock()
 		decision := s.retry.Decide(time.Now(), retry.Failure{
@@ -79,7 +79,7 @@
 }
 
 func mayHaveRun(j models.Job) bool {
-	return j.Offset > 0 || j.After != request.Unreachable && j.After != request.Refused && j.After != request.NoCapacity
+	return j.Offset > 0 || j.PreviousCause != request.Unreachable && j.PreviousCause != request.Refused && j.PreviousCause != request.NoCapacity
 }
 
 func stopped(j models.Job, decision retry.Decision) error {
@@ -90,7 +90,7 @@
 	case retry.StopAttempts:
 		reason = refusal.RunnerFailed
 	}
-	r := refusal.New(reason, "attempt failed (%s), %s", j.After, decision.Verdict)
+	r := refusal.New(reason, "attempt failed (%s), %s", j.PreviousCause, decision.Verdict)
 	if reason != refusal.DeadlineExceeded {
 		r = r.After(retryAfterNotReady)
 	}
@@ -192,7 +192,7 @@
 }
 
 // Ended implements models.Picker.
-func (d *Dispatcher) Ended(j models.Job, a models.Attempt) {
+func (d *Dispatcher) Ended(j models.Job, a models.AttemptResult) {
 	s := d.service(j.Service)
 	if s == nil {
 		return
@@ -211,7 +211,7 @@
 }
 
 // outcomeOf is what an attempt's end tells of its runner, if anything.
-func outcomeOf(a models.Attempt) (health.Outcome, bool) {
+func outcomeOf(a models.AttemptResult) (health.Outcome, bool) {
 	if a.Answered {
 		return health.Success, true
 	}
@@ -224,7 +224,7 @@
 	return "", false
 }
 
-func (s *service) endAttempt(now time.Time, key attemptKey, j models.Job, a models.Attempt) {
+func (s *service) endAttempt(now time.Time, key attemptKey, j models.Job, a models.AttemptResult) {
 	at := s.attempts[key]
 	if at == nil {
 		return
--- a/daemon/models/config.go
+++ b/daemon/models/config.go
@@ -40,8 +40,8 @@
 	// Emitted are these tokens; shared, not to be changed.
 	Emitted []string
 	Exclude []ident.RunnerID
-	// After is why an earlier attempt ended; empty for the first.
-	After request.Cause
+	// PreviousCause is why an earlier attempt ended; empty for the first.
+	PreviousCause request.Cause
 }
 
 // Choice is a picked runner.
@@ -50,8 +50,8 @@
 	Address string
 }
 
-// Attempt is one attempt's end as the picker learns it.
-type Attempt struct {
+// AttemptResult is one attempt's end as the picker learns it.
+type AttemptResult struct {
 	Runner  ident.RunnerID
 	Address string
 	// Answered attempts ended with the whole answer.
@@ -73,7 +73,7 @@
 	Pick(ctx context.Context, j Job) (Choice, error)
 	// Started and Ended tell of each attempt.
 	Started(j Job, c Choice)
-	Ended(j Job, a Attempt)
+	Ended(j Job, a AttemptResult)
 }
 
 // Config is what Models works with.
@@ -94,26 +94,26 @@
 // Limits bound what Models keeps and waits for; zero fields get defaults.
 type Limits struct {
 	Request request.Limits
-	// Live bounds the requests in progress.
-	Live int
-	// Finished bounds the ended requests kept for late readers, Retention
+	// MaxInProgress bounds the requests in progress.
+	MaxInProgress int
+	// MaxFinished bounds the ended requests kept for late readers, Retention
 	// for how long.
-	Finished  int
-	Retention time.Duration
+	MaxFinished int
+	Retention   time.Duration
 	// MaxTokens applies where a request names no limit of its own.
 	MaxTokens int
-	// Heartbeat is how often an idle stream shows that it is alive; Silence
+	// HeartbeatInterval is how often an idle stream shows that it is alive; SilenceTimeout
 	// is how long a peer's stream may carry nothing.
-	Heartbeat, Silence time.Duration
-	// Renew is how often progress of recorded requests goes to their keepers.
-	Renew time.Duration
-	// OwnerGone is how long an owner must be missing from the directory,
+	HeartbeatInterval, SilenceTimeout time.Duration
+	// RenewInterval is how often progress of recorded requests goes to their keepers.
+	RenewInterval time.Duration
+	// OwnerTimeout is how long an owner must be missing from the directory,
 	// and must not have renewed its records, before they are adopted.
-	OwnerGone time.Duration
-	// Lookup bounds the search for a request's owner.
-	Lookup time.Duration
-	// DrainAccept is how long after a notice new requests are still taken.
-	DrainAccept time.Duration
+	OwnerTimeout time.Duration
+	// LookupTimeout bounds the search for a request's owner.
+	LookupTimeout time.Duration
+	// DrainAcceptPeriod is how long after a notice new requests are still taken.
+	DrainAcceptPeriod time.Duration
 	// ReclaimMargin is kept free before a runner's VM goes.
 	ReclaimMargin time.Duration
 }
@@ -122,16 +122,16 @@
 	if l.Request == (request.Limits{}) {
 		l.Request = request.DefaultLimits()
 	}
-	setDefault(&l.Live, 10_000)
-	setDefault(&l.Finished, 10_000)
+	setDefault(&l.MaxInProgress, 10_000)
+	setDefault(&l.MaxFinished, 10_000)
 	setDefault(&l.MaxTokens, 4096)
 	setDefault(&l.Retention, 10*time.Minute)
-	setDefault(&l.Heartbeat, time.Second)
-	setDefault(&l.Silence, 3*time.Second)
-	setDefault(&l.Renew, 2*time.Second)
-	setDefault(&l.OwnerGone, 5*time.Second)
-	setDefault(&l.Lookup, 30*time.Second)
-	setDefault(&l.DrainAccept, 2*time.Second)
+	setDefault(&l.HeartbeatInterval, time.Second)
+	setDefault(&l.SilenceTimeout, 3*time.Second)
+	setDefault(&l.RenewInterval, 2*time.Second)
+	setDefault(&l.OwnerTimeout, 5*time.Second)
+	setDefault(&l.LookupTimeout, 30*time.Second)
+	setDefault(&l.DrainAcceptPeriod, 2*time.Second)
 	setDefault(&l.ReclaimMargin, 2*time.Second)
 	return l
 }
--- a/daemon/models/diverged_test.go
+++ b/daemon/models/diverged_test.go
@@ -13,8 +13,8 @@
 	"geraniumstack.org/geraniumstack/standin/engine"
 )
 
-// read asks a gateway as a relay would that has tokens of an earlier owner.
-func (c *cluster) read(t *testing.T, g *gateway, id string, known []string) (first *requestv1.ReadResponse) {
+// readFirstResponse asks a gateway as a relay would that has tokens of an earlier owner.
+func (c *cluster) readFirstResponse(t *testing.T, g *gateway, id string, known []string) (first *requestv1.ReadResponse) {
 	t.Helper()
 	client := c.Client()
 	defer client.CloseIdleConnections()
@@ -34,14 +34,14 @@
 // A caller would read half of one answer and half of another: the owner that
 // it read from is gone, and the new one made other tokens at the same offsets.
 // It is refused instead, and others are served.
-func TestReaderOfAnotherAnswerIsRefused(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, c *cluster) {
+func TestReaderWithDivergedTokensIsRefused(t *testing.T) {
+	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		r := g.request("chat", 100)
 		is.NoErr(g.Submit(t.Context(), r))
 		time.Sleep(time.Second)
-		m := c.read(t, g, string(r.ID), []string{"of", "another"})
+		m := c.readFirstResponse(t, g, string(r.ID), []string{"of", "another"})
 		is.Equal(m.Refused, string(models.AnswerDiverged))
 		readAll(t, g, r, 0)
 	})
@@ -49,15 +49,15 @@
 
 // The old owner's readers are ahead of what its keeper knew: the new owner
 // takes their tokens over, and those of its own attempt up to there are dropped.
-func TestOwnerTakesOverWhatAReaderHas(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, c *cluster) {
+func TestNewOwnerAdoptsTokensOfReader(t *testing.T) {
+	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		r := g.request("chat", 100)
 		is.NoErr(g.Submit(t.Context(), r))
 		time.Sleep(time.Second)
 		known := engine.Tokens(r.Model, r.Prompt, 90)
-		m := c.read(t, g, string(r.ID), known)
+		m := c.readFirstResponse(t, g, string(r.ID), known)
 		is.Equal(m.Refused, "")
 		readAll(t, g, r, 0)
 		is.Equal(g.counter("stream.dropped.conflict"), int64(0))
--- a/daemon/models/drain.go
+++ b/daemon/models/drain.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	drainStep    = 100 * time.Millisecond
-	adoptTimeout = 2 * time.Second
+	drainInterval = 100 * time.Millisecond
+	adoptTimeout  = 2 * time.Second
 )
 
 func (m *Models) accepting() bool {
@@ -32,39 +32,39 @@
 func (m *Models) Drain(ctx context.Context) error {
 	m.mu.Lock()
 	if m.drain == nil {
-		m.drain = handoff.NewDrain(m.c.Directory.Self(), time.Now().Add(m.c.Limits.DrainAccept))
+		m.drain = handoff.NewDrain(m.cfg.Directory.Self(), time.Now().Add(m.cfg.Limits.DrainAcceptPeriod))
 	}
 	m.mu.Unlock()
-	step := time.NewTicker(drainStep)
-	defer step.Stop()
+	ticker := time.NewTicker(drainInterval)
+	defer ticker.Stop()
 	for {
-		left := m.passOn(ctx)
-		if left == 0 && !m.accepting() {
+		remaining := m.transferRequests(ctx)
+		if remaining == 0 && !m.accepting() {
 			return nil
 		}
-		if !m.accepting() && m.onlyKept() {
-			return &DrainIncompleteError{Left: left}
+		if !m.accepting() && m.onlyFinishedLeft() {
+			return &DrainIncompleteError{Remaining: remaining}
 		}
 		select {
 		case <-ctx.Done():
-			return &DrainIncompleteError{Left: left}
-		case <-step.C:
+			return &DrainIncompleteError{Remaining: remaining}
+		case <-ticker.C:
 		}
 	}
 }
 
-// onlyKept tells whether all that is left are answers kept for late readers and
+// onlyFinishedLeft tells whether all that is left are answers kept for late readers and
 // there is nobody to take them. Waiting on would only make the shutdown of the
 // last daemon take its whole grace.
-func (m *Models) onlyKept() bool {
-	for _, d := range m.c.Directory.Daemons() {
-		if d.Incarnation != m.c.Self && d.State != view.Leaving && d.State != view.Gone {
+func (m *Models) onlyFinishedLeft() bool {
+	for _, d := range m.cfg.Directory.Daemons() {
+		if d.Incarnation != m.cfg.Self && d.State != view.Leaving && d.State != view.Gone {
 			return false
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, l := range m.live {
+	for _, l := range m.requests {
 		if l.inProgress() {
 			return false
 		}
@@ -73,84 +73,84 @@
 }
 
 // DrainIncompleteError says how many requests could not be passed on.
-type DrainIncompleteError struct{ Left int }
+type DrainIncompleteError struct{ Remaining int }
 
 func (e *DrainIncompleteError) Error() string { return "requests were not passed on in time" }
 
-// passOn starts the passing of what is due and returns what is left. Records of
+// transferRequests starts the passing of what is due and returns what is left. Records of
 // owners that are no longer listed are passed on as well: they would end with
 // this daemon before the time after which it would run them.
-func (m *Models) passOn(ctx context.Context) int {
+func (m *Models) transferRequests(ctx context.Context) int {
 	m.adoptOrphans(0)
-	daemons := m.c.Directory.Daemons()
+	daemons := m.cfg.Directory.Daemons()
 	m.mu.Lock()
-	for id, l := range m.live {
-		if l.passable() {
+	for id, l := range m.requests {
+		if l.transferable() {
 			m.drain.Add(id, l.spec.Epoch)
 		} else {
 			m.drain.Remove(id)
 		}
 	}
 	byPeer := map[ident.Incarnation][]handoff.Transfer{}
-	for _, p := range m.drain.NextTransfers(daemons) {
-		byPeer[p.Peer.Incarnation] = append(byPeer[p.Peer.Incarnation], p)
+	for _, transfer := range m.drain.NextTransfers(daemons) {
+		byPeer[transfer.Peer.Incarnation] = append(byPeer[transfer.Peer.Incarnation], transfer)
 	}
-	left := m.drain.Remaining()
+	remaining := m.drain.Remaining()
 	m.mu.Unlock()
 	for _, all := range byPeer {
-		for batch := range slices.Chunk(all, batchRecords) {
-			m.spawn(func() { m.passBatch(ctx, batch, daemons) })
+		for batch := range slices.Chunk(all, maxBatchRecords) {
+			m.spawn(func() { m.transferBatch(ctx, batch, daemons) })
 		}
 	}
-	return left
+	return remaining
 }
 
-// passable requests are in progress here, or ended here with an answer.
-func (l *live) passable() bool {
+// transferable requests are in progress here, or ended here with an answer.
+func (l *localRequest) transferable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.movedTo == "" && l.machine.Refusal() == nil
 }
 
-// passBatch stops the requests first: what an attempt emits while its record
+// transferBatch stops the requests first: what an attempt emits while its record
 // is under way would reach readers here, and be computed again, perhaps
 // otherwise, at the peer.
-func (m *Models) passBatch(ctx context.Context, batch []handoff.Transfer, daemons []view.Daemon) {
+func (m *Models) transferBatch(ctx context.Context, batch []handoff.Transfer, daemons []view.Daemon) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
-	req := &requestv1.AdoptRequest{From: string(m.c.Self)}
-	for _, p := range batch {
-		l := m.find(p.ID)
+	req := &requestv1.AdoptRequest{From: string(m.cfg.Self)}
+	for _, transfer := range batch {
+		l := m.find(transfer.ID)
 		if l == nil {
 			continue
 		}
 		l.step(request.Suspend{})
 		r := l.record(0)
-		r.Epoch = p.Epoch
+		r.Epoch = transfer.Epoch
 		req.Records = append(req.Records, r)
 	}
-	resp, err := m.c.Peers.Requests(batch[0].Peer.PeerAddress).Adopt(ctx, connect.NewRequest(req))
+	resp, err := m.cfg.Peers.Requests(batch[0].Peer.PeerAddress).Adopt(ctx, connect.NewRequest(req))
 	accepted := map[ident.RequestID]bool{}
 	if err == nil {
 		for _, id := range resp.Msg.AcceptedIds {
 			accepted[ident.RequestID(id)] = true
 		}
 	}
-	for _, p := range batch {
-		m.passed(p, accepted[p.ID], err, daemons)
+	for _, transfer := range batch {
+		m.handleTransferResult(transfer, accepted[transfer.ID], err, daemons)
 	}
 }
 
-func (m *Models) passed(p handoff.Transfer, accepted bool, err error, daemons []view.Daemon) {
-	l := m.find(p.ID)
+func (m *Models) handleTransferResult(transfer handoff.Transfer, accepted bool, err error, daemons []view.Daemon) {
+	l := m.find(transfer.ID)
 	m.mu.Lock()
 	switch {
 	case accepted:
-		m.drain.Remove(p.ID)
+		m.drain.Remove(transfer.ID)
 	case err != nil:
-		m.drain.TransferFailed(p.ID)
+		m.drain.TransferFailed(transfer.ID)
 	default:
-		m.drain.TransferRefused(p.ID, daemons)
+		m.drain.TransferRefused(transfer.ID, daemons)
 	}
 	m.mu.Unlock()
 	if l == nil {
@@ -158,7 +158,7 @@
 	}
 	if accepted {
 		m.count("requests.passed_on")
-		l.moveTo(p.Peer.Incarnation)
+		l.markMoved(transfer.Peer.Incarnation)
 		return
 	}
 	m.count("requests.pass_failed")
--- a/daemon/models/engines.go
+++ b/daemon/models/engines.go
@@ -11,16 +11,16 @@
 // notStarted tells whether no work can have been done for the attempt.
 func notStarted(err error) bool { return err != nil && !engine.MayHaveStarted(err) }
 
-// closedBy names the cause for which an attempt's stream ended.
-func closedBy(err error) request.Cause {
+// closeCause names the cause for which an attempt's stream ended.
+func closeCause(err error) request.Cause {
 	var failed *engine.FailedError
-	var own *EngineFailedError
+	var reported *EngineFailedError
 	var refused *engine.RefusedError
 	var connect *engine.ConnectError
 	var silent *engine.SilentError
 	var malformed *engine.MalformedError
 	switch {
-	case errors.As(err, &failed), errors.As(err, &own):
+	case errors.As(err, &failed), errors.As(err, &reported):
 		return request.EngineError
 	case errors.As(err, &refused):
 		return request.Refused
@@ -34,8 +34,8 @@
 	return request.Truncated
 }
 
-// leaving tells whether the engine refused because its VM is going.
-func leaving(err error) bool {
+// refusedAsLeaving tells whether the engine refused because its VM is going.
+func refusedAsLeaving(err error) bool {
 	var refused *engine.RefusedError
 	return errors.As(err, &refused) && refused.Body.Code == engineapi.CodeLeaving
 }
--- a/daemon/models/harness_test.go
+++ b/daemon/models/harness_test.go
@@ -70,18 +70,18 @@
 		cfg.BytesPerToken = 1 << 20 // so that an export takes a while
 		client := c.Client()
 		e := engine.New(cfg, engine.WithLedger(c.ledger), engine.WithClient(client))
-		c.serve(address(i), e.Handler(), client)
+		c.serve(runnerAddress(i), e.Handler(), client)
 		c.stops = append(c.stops, e.Close)
 		c.engines = append(c.engines, e)
 		c.runners = append(c.runners, view.Runner{
-			ID: id, Address: address(i), Service: model,
-			FailureDomain: domain(i), State: view.Live,
+			ID: id, Address: runnerAddress(i), Service: model,
+			FailureDomain: failureDomain(i), State: view.Live,
 		})
 	}
 	return c
 }
 
-func address(runner int) string { return fmt.Sprintf("runner-%d:80", runner) }
+func runnerAddress(runner int) string { return fmt.Sprintf("runner-%d:80", runner) }
 
 // serve listens until the cluster stops or the address is taken down.
 func (c *cluster) serve(address string, h http.Handler, client *http.Client) *http.Server {
@@ -104,10 +104,10 @@
 	return server
 }
 
-func domain(i int) ident.FailureDomain { return ident.FailureDomain(fmt.Sprintf("d%d", i%4)) }
+func failureDomain(i int) ident.FailureDomain { return ident.FailureDomain(fmt.Sprintf("d%d", i%4)) }
 
-// change edits the directory that all daemons see.
-func (c *cluster) change(edit func()) {
+// updateDirectory edits the directory that all daemons see.
+func (c *cluster) updateDirectory(edit func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	edit()
@@ -123,9 +123,9 @@
 func (d directory) Self() view.Daemon {
 	d.c.mu.Lock()
 	defer d.c.mu.Unlock()
-	for _, x := range d.c.daemons {
-		if x.Incarnation == d.self {
-			return x
+	for _, daemon := range d.c.daemons {
+		if daemon.Incarnation == d.self {
+			return daemon
 		}
 	}
 	return view.Daemon{Incarnation: d.self}
@@ -154,12 +154,12 @@
 // gateway is one daemon's Models with its counters.
 type gateway struct {
 	*models.Models
-	self    ident.Incarnation
-	address string
-	metrics metrics.Registry
-	server  *http.Server
-	end     context.CancelFunc
-	next    int
+	self      ident.Incarnation
+	address   string
+	metrics   metrics.Registry
+	server    *http.Server
+	cancelRun context.CancelFunc
+	lastID    int
 	// isolated daemons can open no connection.
 	isolated atomic.Bool
 }
@@ -168,7 +168,7 @@
 	return metrics.GetOrRegisterCounter(name, g.metrics).Count()
 }
 
-func (c *cluster) start(n int) *gateway {
+func (c *cluster) startGateway(n int) *gateway {
 	id := ident.DaemonID(fmt.Sprintf("gw-%d", n))
 	g := &gateway{
 		self:    ident.NewIncarnation(id, []byte{byte(n)}),
@@ -190,13 +190,13 @@
 	})
 	_, handler := g.Handler()
 	g.server = c.serve(g.address, handler, client)
-	c.change(func() {
+	c.updateDirectory(func() {
 		c.daemons = append(c.daemons, view.Daemon{
-			ID: id, Incarnation: g.self, FailureDomain: domain(n), PeerAddress: g.address, State: view.Live,
+			ID: id, Incarnation: g.self, FailureDomain: failureDomain(n), PeerAddress: g.address, State: view.Live,
 		})
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	g.end = cancel
+	g.cancelRun = cancel
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -232,24 +232,24 @@
 // kill ends a daemon without a word: its connections break, and its process
 // does nothing more.
 func (c *cluster) kill(g *gateway) {
-	g.end()
+	g.cancelRun()
 	c.Break(g.address)
 	g.server.Close()
 }
 
-// gone makes every daemon conclude that a killed one is gone.
-func (c *cluster) gone(g *gateway) {
-	c.change(func() {
+// removeFromDirectory makes every daemon conclude that a killed one is removeFromDirectory.
+func (c *cluster) removeFromDirectory(g *gateway) {
+	c.updateDirectory(func() {
 		c.daemons = slices.DeleteFunc(c.daemons, func(d view.Daemon) bool { return d.Incarnation == g.self })
 	})
 }
 
-// notice tells everyone that runners go in a while, and ends them then.
-func (c *cluster) notice(left time.Duration, runners ...int) {
+// announceReclaim tells everyone that runners go in a while, and ends them then.
+func (c *cluster) announceReclaim(left time.Duration, runners ...int) {
 	for _, i := range runners {
 		c.engines[i].Notice(left)
 	}
-	c.change(func() {
+	c.updateDirectory(func() {
 		for _, i := range runners {
 			c.runners[i].State = view.Leaving
 			c.runners[i].LeavesAt = time.Now().Add(left)
@@ -264,18 +264,18 @@
 }
 
 func (g *gateway) request(class string, tokens int) call.ModelRequest {
-	g.next++
+	g.lastID++
 	return call.ModelRequest{
-		ID:        ident.NewRequestID(g.self, []byte{byte(g.next)}),
+		ID:        ident.NewRequestID(g.self, []byte{byte(g.lastID)}),
 		Workspace: workspace, Class: class, Model: model,
-		Prompt:    fmt.Sprintf("case %s %d ", g.self, g.next) + strings.Repeat("owner file ", 50),
+		Prompt:    fmt.Sprintf("case %s %d ", g.self, g.lastID) + strings.Repeat("owner file ", 50),
 		MaxTokens: tokens,
 	}
 }
 
 // readAll reads from an offset to the end, checks every token on the way and
 // returns the longest time without one.
-func readAll(t *testing.T, g *gateway, r call.ModelRequest, from int) (longest time.Duration) {
+func readAll(t *testing.T, g *gateway, r call.ModelRequest, from int) (longestGap time.Duration) {
 	t.Helper()
 	want := engine.Tokens(r.Model, r.Prompt, r.MaxTokens)
 	next, last := from, time.Now()
@@ -292,17 +292,17 @@
 		default:
 			next++
 		}
-		longest = max(longest, time.Since(last))
+		longestGap = max(longestGap, time.Since(last))
 		last = time.Now()
 		return nil
 	})
 	if err != nil {
 		t.Errorf("read %s: %v", r.ID, err)
 	}
-	return longest
+	return longestGap
 }
 
-func bubble(t *testing.T, runners int, run func(t *testing.T, c *cluster)) {
+func runCluster(t *testing.T, runners int, run func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(runners)
--- a/daemon/models/live.go
+++ b/daemon/models/local_request.go
@@ -25,16 +25,16 @@
 
 // attempt is one open engine stream.
 type attempt struct {
-	cancel  context.CancelFunc
-	choice  Choice
-	from    int
-	cached  int
-	started time.Time
+	cancel       context.CancelFunc
+	choice       Choice
+	startOffset  int
+	cachedTokens int
+	started      time.Time
 }
 
-// live is one request at this daemon, in progress or kept for late readers.
-type live struct {
-	m        *Models
+// localRequest is one request at this daemon, in progress or kept for late readers.
+type localRequest struct {
+	models   *Models
 	req      call.ModelRequest
 	spec     request.Spec
 	service  string
@@ -48,7 +48,7 @@
 	machine  *request.Machine
 	changed  chan struct{}
 	timer    *time.Timer
-	wakes    time.Time // when timer fires; zero if it is not pending
+	timerAt  time.Time // when timer fires; zero if it is not pending
 	attempts map[ident.AttemptID]*attempt
 	choices  map[ident.RunnerID]Choice
 	release  func()
@@ -56,14 +56,14 @@
 	movedTo ident.Incarnation
 	ended   time.Time
 	// plan is what a reclaim's plan decided, follows the timer to do it.
-	plan    planned
-	follows *time.Timer
+	plan      reclaimPlan
+	planTimer *time.Timer
 }
 
-func (m *Models) newLive(r call.ModelRequest, service string, class manifest.Class) *live {
+func (m *Models) newLocalRequest(r call.ModelRequest, service string, class manifest.Class) *localRequest {
 	ctx, cancel := context.WithCancel(m.ctx)
-	l := &live{
-		m:        m,
+	l := &localRequest{
+		models:   m,
 		req:      r,
 		service:  service,
 		priority: class.Priority,
@@ -81,11 +81,11 @@
 			Deferrable: class.Deferrable,
 		},
 	}
-	l.machine = request.New(l.spec, m.c.Limits.Request)
+	l.machine = request.New(l.spec, m.cfg.Limits.Request)
 	return l
 }
 
-func (m *Models) start(l *live) {
+func (m *Models) start(l *localRequest) {
 	if !l.spec.Deferrable || l.release != nil {
 		l.step(request.Start{})
 		return
@@ -95,11 +95,11 @@
 
 // acquireAndStart waits for the request's share of the capacity: accepted
 // deferrable work is not refused for a lack of it.
-func (l *live) acquireAndStart() {
-	backoff := l.m.c.Limits.Request.BackoffMin
+func (l *localRequest) acquireAndStart() {
+	backoff := l.models.cfg.Limits.Request.BackoffMin
 	l.step(request.Tick{}) // so that its deadline ends the wait
 	for {
-		release, err := l.m.c.Picker.Acquire(l.ctx, l.req)
+		release, err := l.models.cfg.Picker.Acquire(l.ctx, l.req)
 		if err == nil {
 			l.mu.Lock()
 			l.release = release
@@ -111,12 +111,12 @@
 		case <-l.ctx.Done():
 			return
 		case <-time.After(backoff):
-			backoff = min(2*backoff, l.m.c.Limits.Request.BackoffMax)
+			backoff = min(2*backoff, l.models.cfg.Limits.Request.BackoffMax)
 		}
 	}
 }
 
-func (l *live) free() {
+func (l *localRequest) releaseCapacity() {
 	l.mu.Lock()
 	release := l.release
 	l.release = nil
@@ -127,107 +127,107 @@
 }
 
 // step feeds the machine and carries out its effects, none of which blocks.
-func (l *live) step(in request.Input) {
-	if l.m.ctx.Err() != nil {
+func (l *localRequest) step(in request.Input) {
+	if l.models.ctx.Err() != nil {
 		return
 	}
 	l.mu.Lock()
 	for _, e := range l.machine.Step(time.Now(), in) {
-		l.carryOut(e)
+		l.applyEffect(e)
 	}
-	over := l.machine.Ended() && l.ended.IsZero()
-	if over {
+	justEnded := l.machine.Ended() && l.ended.IsZero()
+	if justEnded {
 		l.ended = time.Now()
 		l.stopTimers()
 		l.cancel()
 	}
 	l.mu.Unlock()
-	if over {
-		l.free()
-		l.m.retire(l)
+	if justEnded {
+		l.releaseCapacity()
+		l.models.retain(l)
 	}
 }
 
-func (l *live) stopTimers() {
-	for _, t := range []*time.Timer{l.timer, l.follows} {
+func (l *localRequest) stopTimers() {
+	for _, t := range []*time.Timer{l.timer, l.planTimer} {
 		if t != nil {
 			t.Stop()
 		}
 	}
 }
 
-// carryOut runs with l.mu held.
-func (l *live) carryOut(e request.Effect) {
+// applyEffect runs with l.mu held.
+func (l *localRequest) applyEffect(e request.Effect) {
 	switch e := e.(type) {
 	case request.Pick:
-		job := l.job(e)
-		l.m.spawn(func() { l.pick(job) })
+		job := l.pickJob(e)
+		l.models.spawn(func() { l.pick(job) })
 	case request.Generate:
 		l.generate(e)
 	case request.AbandonAttempt:
 		l.abandon(e)
 	case request.ExportCache:
-		l.m.spawn(func() { l.export(e) })
+		l.models.spawn(func() { l.exportCache(e) })
 	case request.Emitted:
-		l.wakeReaders()
+		l.notifyReaders()
 	case request.Dropped:
-		l.m.count("stream.dropped." + string(e.Reason))
+		l.models.count("stream.dropped." + string(e.Reason))
 	case request.Answered:
-		l.m.count("requests.answered." + l.req.Class)
+		l.models.count("requests.answered." + l.req.Class)
 		l.endAttempt(l.answeredAttempt(), true, "")
-		l.wakeReaders()
+		l.notifyReaders()
 	case request.Failed:
-		l.m.count("requests.given_up." + string(e.Refusal.Reason))
-		l.wakeReaders()
+		l.models.count("requests.given_up." + string(e.Refusal.Reason))
+		l.notifyReaders()
 	case request.Yielded:
-		l.m.count("requests.yielded")
-		l.wakeReaders()
+		l.models.count("requests.yielded")
+		l.notifyReaders()
 	case request.WakeAt:
-		l.wakeAt(e.Time)
+		l.scheduleTick(e.Time)
 	}
 }
 
-func (l *live) wakeReaders() {
+func (l *localRequest) notifyReaders() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// wakeAt lets a timer that fires earlier be: the machine takes a tick at any
+// scheduleTick lets a timer that fires earlier be: the machine takes a tick at any
 // time, and every token moves the wish a little further away.
-func (l *live) wakeAt(t time.Time) {
-	if !l.wakes.IsZero() && !l.wakes.After(t) {
+func (l *localRequest) scheduleTick(t time.Time) {
+	if !l.timerAt.IsZero() && !l.timerAt.After(t) {
 		return
 	}
 	if l.timer != nil {
 		l.timer.Stop()
 	}
-	l.wakes = t
-	l.timer = time.AfterFunc(time.Until(t), l.wake)
+	l.timerAt = t
+	l.timer = time.AfterFunc(time.Until(t), l.tick)
 }
 
-func (l *live) wake() {
+func (l *localRequest) tick() {
 	l.mu.Lock()
-	l.wakes = time.Time{}
+	l.timerAt = time.Time{}
 	l.mu.Unlock()
 	l.step(request.Tick{})
 }
 
-func (l *live) job(p request.Pick) Job {
+func (l *localRequest) pickJob(p request.Pick) Job {
 	return Job{
-		Request: l.req,
-		Service: l.service,
-		Offset:  l.machine.Answer().Offset(),
-		Emitted: l.machine.Answer().TokensFrom(0),
-		Exclude: p.Exclude,
-		After:   p.After,
+		Request:       l.req,
+		Service:       l.service,
+		Offset:        l.machine.Answer().Offset(),
+		Emitted:       l.machine.Answer().TokensFrom(0),
+		Exclude:       p.Exclude,
+		PreviousCause: p.After,
 	}
 }
 
-func (l *live) pick(j Job) {
-	if j.After != "" {
-		l.m.count("requests.retry." + string(j.After))
+func (l *localRequest) pick(j Job) {
+	if j.PreviousCause != "" {
+		l.models.count("requests.retry." + string(j.PreviousCause))
 	}
-	choice, err := l.m.c.Picker.Pick(l.ctx, j)
+	choice, err := l.models.cfg.Picker.Pick(l.ctx, j)
 	if err != nil {
 		l.step(request.PickRefused{Refusal: refusal.From(err)})
 		return
@@ -238,11 +238,11 @@
 	l.step(request.Picked{Runner: choice.Runner})
 }
 
-func (l *live) generate(g request.Generate) {
+func (l *localRequest) generate(g request.Generate) {
 	ctx, cancel := context.WithCancel(l.ctx)
 	choice := l.choice(g.Runner)
 	answer := l.machine.Answer()
-	l.attempts[g.Attempt] = &attempt{cancel: cancel, choice: choice, from: answer.Offset(), started: time.Now()}
+	l.attempts[g.Attempt] = &attempt{cancel: cancel, choice: choice, startOffset: answer.Offset(), started: time.Now()}
 	req := engineapi.GenerateRequest{
 		RequestID:      string(l.req.ID),
 		AttemptID:      string(g.Attempt),
@@ -254,16 +254,16 @@
 		Priority:       l.priority,
 		ImportedHandle: g.Handle,
 	}
-	l.m.c.Picker.Started(l.job(request.Pick{}), choice)
-	l.m.spawn(func() { l.run(ctx, g.Attempt, choice, req) })
+	l.models.cfg.Picker.Started(l.pickJob(request.Pick{}), choice)
+	l.models.spawn(func() { l.runAttempt(ctx, g.Attempt, choice, req) })
 }
 
 // choice finds a runner's address; it is empty for a runner that is gone.
-func (l *live) choice(id ident.RunnerID) Choice {
+func (l *localRequest) choice(id ident.RunnerID) Choice {
 	if c, ok := l.choices[id]; ok {
 		return c
 	}
-	for _, r := range l.m.c.Directory.Runners(l.service) {
+	for _, r := range l.models.cfg.Directory.Runners(l.service) {
 		if r.ID == id {
 			return Choice{Runner: id, Address: r.Address}
 		}
@@ -284,27 +284,27 @@
 // MayHaveStarted tells that nothing was sent.
 func (e *UnknownAddressError) MayHaveStarted() bool { return false }
 
-func (l *live) run(ctx context.Context, id ident.AttemptID, choice Choice, req engineapi.GenerateRequest) {
+func (l *localRequest) runAttempt(ctx context.Context, id ident.AttemptID, choice Choice, req engineapi.GenerateRequest) {
 	err := error(&UnknownAddressError{Runner: choice.Runner})
 	if choice.Address != "" {
-		err = l.m.c.Engines.Generate(ctx, choice.Address, req, func(e engineapi.GenerateEvent) error {
-			return l.take(id, e)
+		err = l.models.cfg.Engines.Generate(ctx, choice.Address, req, func(e engineapi.GenerateEvent) error {
+			return l.handleEvent(id, e)
 		})
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	if leaving(err) {
-		l.m.c.Directory.NoteLeaving(choice.Address, 0)
+	if refusedAsLeaving(err) {
+		l.models.cfg.Directory.NoteLeaving(choice.Address, 0)
 	}
-	in := request.StreamClosed{Attempt: id, Cause: closedBy(err), NotStarted: notStarted(err)}
+	in := request.StreamClosed{Attempt: id, Cause: closeCause(err), NotStarted: notStarted(err)}
 	l.mu.Lock()
 	l.endAttempt(id, false, in.Cause)
 	l.mu.Unlock()
 	l.step(in)
 }
 
-func (l *live) take(id ident.AttemptID, e engineapi.GenerateEvent) error {
+func (l *localRequest) handleEvent(id ident.AttemptID, e engineapi.GenerateEvent) error {
 	if e.Error != "" {
 		return &EngineFailedError{Detail: e.Error}
 	}
@@ -316,7 +316,7 @@
 	if e.CachedTokens > 0 {
 		l.mu.Lock()
 		if a := l.attempts[id]; a != nil {
-			a.cached = e.CachedTokens
+			a.cachedTokens = e.CachedTokens
 		}
 		l.mu.Unlock()
 	}
@@ -332,66 +332,66 @@
 	return nil
 }
 
-func (l *live) answeredAttempt() ident.AttemptID {
+func (l *localRequest) answeredAttempt() ident.AttemptID {
 	return l.machine.Answer().Attempt()
 }
 
 // endAttempt runs with l.mu held.
-func (l *live) endAttempt(id ident.AttemptID, answered bool, cause request.Cause) {
+func (l *localRequest) endAttempt(id ident.AttemptID, answered bool, cause request.Cause) {
 	a, ok := l.attempts[id]
 	if !ok {
 		return
 	}
 	delete(l.attempts, id)
 	a.cancel()
-	l.m.c.Picker.Ended(l.job(request.Pick{}), Attempt{
+	l.models.cfg.Picker.Ended(l.pickJob(request.Pick{}), AttemptResult{
 		Runner:       a.choice.Runner,
 		Address:      a.choice.Address,
 		Answered:     answered,
 		Cause:        cause,
-		Tokens:       l.machine.Answer().Offset() - a.from,
-		CachedTokens: a.cached,
+		Tokens:       l.machine.Answer().Offset() - a.startOffset,
+		CachedTokens: a.cachedTokens,
 	})
 }
 
 // abandon closes the attempt's connection and tells the runner, which would
 // otherwise go on computing for no one.
-func (l *live) abandon(e request.AbandonAttempt) {
+func (l *localRequest) abandon(e request.AbandonAttempt) {
 	if e.Cause != "" {
-		l.m.count("attempts.abandoned." + string(e.Cause))
+		l.models.count("attempts.abandoned." + string(e.Cause))
 	}
 	choice := l.choice(e.Runner)
 	l.endAttempt(e.Attempt, false, e.Cause)
 	if choice.Address == "" {
 		return
 	}
-	l.m.spawn(func() {
-		ctx, cancel := context.WithTimeout(l.m.ctx, cancelTimeout)
+	l.models.spawn(func() {
+		ctx, cancel := context.WithTimeout(l.models.ctx, cancelTimeout)
 		defer cancel()
-		err := l.m.c.Engines.Cancel(ctx, choice.Address, engineapi.CancelRequest{AttemptID: string(e.Attempt)})
+		err := l.models.cfg.Engines.Cancel(ctx, choice.Address, engineapi.CancelRequest{AttemptID: string(e.Attempt)})
 		if err != nil {
-			l.m.count("attempts.cancel_failed")
+			l.models.count("attempts.cancel_failed")
 		}
 	})
 }
 
-func (l *live) export(e request.ExportCache) {
-	handle, err := l.moveCache(e)
+func (l *localRequest) exportCache(e request.ExportCache) {
+	handle, err := l.transferCache(e)
 	if err != nil {
-		l.m.count("attempts.export_failed")
+		l.models.count("attempts.export_failed")
 	}
 	l.step(request.CacheExported{Attempt: e.Attempt, Target: e.To, Handle: handle})
 }
 
-func (l *live) moveCache(e request.ExportCache) (string, error) {
+func (l *localRequest) transferCache(e request.ExportCache) (string, error) {
 	l.mu.Lock()
 	from, to := l.choice(e.From), l.choice(e.To)
 	l.mu.Unlock()
-	exported, err := l.m.c.Engines.Export(l.ctx, from.Address, engineapi.ExportRequest{AttemptID: string(e.Attempt)})
+	exported, err := l.models.cfg.Engines.Export(l.ctx, from.Address, engineapi.ExportRequest{AttemptID: string(e.Attempt)})
 	if err != nil {
 		return "", fmt.Errorf("export from %s: %w", e.From, err)
 	}
-	imported, err := l.m.c.Engines.Import(l.ctx, to.Address, engineapi.ImportRequest{Source: from.Address, Handle: exported.Handle})
+	imported, err := l.models.cfg.Engines.Import(l.ctx, to.Address, engineapi.ImportRequest{Source: from.Address, Handle: exported.Handle})
 	if err != nil {
 		return "", fmt.Errorf("import at %s: %w", e.To, err)
 	}
--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -19,32 +19,32 @@
 )
 
 const (
-	recordLimit      = 50_000
-	overloadedRetry  = time.Second
-	drainingRetry    = time.Second
-	notReadyRetry    = time.Second
-	putTimeout       = 500 * time.Millisecond
-	housekeepingStep = 500 * time.Millisecond
+	recordLimit          = 50_000
+	overloadedRetryAfter = time.Second
+	drainingRetryAfter   = time.Second
+	notReadyRetryAfter   = time.Second
+	putTimeout           = 500 * time.Millisecond
+	housekeepingInterval = 500 * time.Millisecond
 )
 
 // Models implements call.Models. It is safe for concurrent use.
 type Models struct {
-	c      Config
+	cfg    Config
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// spawning orders the start of goroutines before the wait for their end.
-	spawning sync.Mutex
-
-	mu     sync.Mutex
-	live   map[ident.RequestID]*live
-	ended  []*live // oldest first
-	keeper *handoff.Keeper
-	outbox *handoff.Outbox
-	drain  *handoff.Drain
+	// spawnMu orders the start of goroutines before the wait for their end.
+	spawnMu sync.Mutex
+
+	mu       sync.Mutex
+	requests map[ident.RequestID]*localRequest
+	ended    []*localRequest // oldest first
+	keeper   *handoff.Keeper
+	outbox   *handoff.Outbox
+	drain    *handoff.Drain
 	// renewing has the keepers that a renewal is under way to.
-	renewing map[ident.Incarnation]bool
-	renewed  time.Time
+	renewing    map[ident.Incarnation]bool
+	lastRenewal time.Time
 }
 
 var _ call.Models = (*Models)(nil)
@@ -62,12 +62,12 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Models{
-		c:      c,
-		ctx:    ctx,
-		cancel: cancel,
-		live:   map[ident.RequestID]*live{},
-		keeper: handoff.NewKeeper(recordLimit),
-		outbox: handoff.NewOutbox(),
+		cfg:      c,
+		ctx:      ctx,
+		cancel:   cancel,
+		requests: map[ident.RequestID]*localRequest{},
+		keeper:   handoff.NewKeeper(recordLimit),
+		outbox:   handoff.NewOutbox(),
 
 		renewing: map[ident.Incarnation]bool{},
 	}
@@ -76,12 +76,12 @@
 // Run watches the directory, renews records and adopts those whose owner is
 // gone, until ctx is done. Then it ends all that it started.
 func (m *Models) Run(ctx context.Context) error {
-	defer m.stop()
-	tick := time.NewTicker(housekeepingStep)
+	defer m.shutdown()
+	tick := time.NewTicker(housekeepingInterval)
 	defer tick.Stop()
 	for {
-		changed := m.c.Directory.Changed()
-		m.reclaim()
+		changed := m.cfg.Directory.Changed()
+		m.planReclaims()
 		select {
 		case <-ctx.Done():
 			return nil
@@ -94,22 +94,22 @@
 
 // spawn runs f unless Models has ended: timers may still fire then.
 func (m *Models) spawn(f func()) {
-	m.spawning.Lock()
-	defer m.spawning.Unlock()
+	m.spawnMu.Lock()
+	defer m.spawnMu.Unlock()
 	if m.ctx.Err() == nil {
 		m.wg.Go(f)
 	}
 }
 
-func (m *Models) stop() {
-	m.spawning.Lock()
+func (m *Models) shutdown() {
+	m.spawnMu.Lock()
 	m.cancel()
-	m.spawning.Unlock()
+	m.spawnMu.Unlock()
 	m.wg.Wait()
 }
 
 func (m *Models) count(name string) {
-	metrics.GetOrRegisterCounter(name, m.c.Metrics).Inc(1)
+	metrics.GetOrRegisterCounter(name, m.cfg.Metrics).Inc(1)
 }
 
 // Submit implements call.Models. Submitting the same ID again is accepted and
@@ -117,45 +117,45 @@
 func (m *Models) Submit(ctx context.Context, r call.ModelRequest) error {
 	l, err := m.prepare(r)
 	if err != nil {
-		return m.refused(err)
+		return m.countRefusal(err)
 	}
 	if existing := m.find(r.ID); existing != nil {
-		return m.repeated(existing, r)
+		return m.handleDuplicate(existing, r)
 	}
 	if !l.spec.Deferrable {
-		if l.release, err = m.c.Picker.Acquire(ctx, l.req); err != nil {
-			return m.refused(err)
+		if l.release, err = m.cfg.Picker.Acquire(ctx, l.req); err != nil {
+			return m.countRefusal(err)
 		}
 	}
 	if err := m.accept(ctx, l); err != nil {
-		l.free()
-		return m.refused(err)
+		l.releaseCapacity()
+		return m.countRefusal(err)
 	}
 	m.count("requests.accepted." + l.req.Class)
 	m.start(l)
 	return nil
 }
 
-func (m *Models) refused(err error) error {
+func (m *Models) countRefusal(err error) error {
 	m.count("requests.refused." + string(refusal.From(err).Reason))
 	return err
 }
 
-func (m *Models) repeated(l *live, r call.ModelRequest) error {
+func (m *Models) handleDuplicate(l *localRequest, r call.ModelRequest) error {
 	if l.req.Workspace != r.Workspace {
-		return m.refused(refusal.New(refusal.BadRequest, "request ID is in use"))
+		return m.countRefusal(refusal.New(refusal.BadRequest, "request ID is in use"))
 	}
 	return nil
 }
 
 // prepare checks the request against the configuration in force.
-func (m *Models) prepare(r call.ModelRequest) (*live, error) {
+func (m *Models) prepare(r call.ModelRequest) (*localRequest, error) {
 	if !m.accepting() {
-		return nil, refusal.New(refusal.Draining, "this gateway is leaving").After(drainingRetry)
+		return nil, refusal.New(refusal.Draining, "this gateway is leaving").After(drainingRetryAfter)
 	}
-	conf, _ := m.c.Config.Current()
+	conf, _ := m.cfg.Config.Current()
 	if conf == nil {
-		return nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(notReadyRetry)
+		return nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(notReadyRetryAfter)
 	}
 	if r.ID == "" {
 		return nil, refusal.New(refusal.BadRequest, "request without ID")
@@ -168,13 +168,13 @@
 	if !ok {
 		return nil, refusal.New(refusal.BadRequest, "no class %q", r.Class)
 	}
-	if r.MaxTokens <= 0 || r.MaxTokens > m.c.Limits.MaxTokens {
-		r.MaxTokens = m.c.Limits.MaxTokens
+	if r.MaxTokens <= 0 || r.MaxTokens > m.cfg.Limits.MaxTokens {
+		r.MaxTokens = m.cfg.Limits.MaxTokens
 	}
 	if r.Deadline.IsZero() && class.DeadlineMillis > 0 {
 		r.Deadline = time.Now().Add(time.Duration(class.DeadlineMillis) * time.Millisecond)
 	}
-	return m.newLive(r, model.Service, class), nil
+	return m.newLocalRequest(r, model.Service, class), nil
 }
 
 func findModel(conf *manifest.Manifest, name string) (manifest.Model, bool) {
@@ -195,42 +195,42 @@
 	return manifest.Class{}, false
 }
 
-func (m *Models) find(id ident.RequestID) *live {
+func (m *Models) find(id ident.RequestID) *localRequest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.live[id]
+	return m.requests[id]
 }
 
 // accept enters the request, and its record at a second daemon if it is of a
 // long class: from then on no single process that dies takes it along.
-func (m *Models) accept(ctx context.Context, l *live) error {
+func (m *Models) accept(ctx context.Context, l *localRequest) error {
 	m.mu.Lock()
-	if len(m.live)-len(m.ended) >= m.c.Limits.Live {
+	if len(m.requests)-len(m.ended) >= m.cfg.Limits.MaxInProgress {
 		m.mu.Unlock()
-		return refusal.New(refusal.Overloaded, "too many requests in progress").After(overloadedRetry)
+		return refusal.New(refusal.Overloaded, "too many requests in progress").After(overloadedRetryAfter)
 	}
-	m.live[l.req.ID] = l
+	m.requests[l.req.ID] = l
 	if l.recorded {
 		m.outbox.Track(l.req.ID)
-		m.keeper.Claim(l.req.ID, handoff.Claim{Owner: m.c.Self, Epoch: l.spec.Epoch})
+		m.keeper.Claim(l.req.ID, handoff.Claim{Owner: m.cfg.Self, Epoch: l.spec.Epoch})
 	}
 	m.mu.Unlock()
 	if !l.recorded {
 		return nil
 	}
-	if err := m.putFirst(ctx, l); err != nil {
+	if err := m.storeFirstRecord(ctx, l); err != nil {
 		m.remove(l)
 		return err
 	}
 	return nil
 }
 
-func (m *Models) remove(l *live) {
+func (m *Models) remove(l *localRequest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.live[l.req.ID] == l {
-		delete(m.live, l.req.ID)
-		m.keeper.ReleaseClaim(l.req.ID, m.c.Self)
+	if m.requests[l.req.ID] == l {
+		delete(m.requests, l.req.ID)
+		m.keeper.ReleaseClaim(l.req.ID, m.cfg.Self)
 	}
 	m.outbox.Untrack(l.req.ID)
 }
--- a/daemon/models/models_test.go
+++ b/daemon/models/models_test.go
@@ -12,10 +12,10 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-func TestAnyGatewayReadsARequest(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestRequestIsReadableAtAnyGateway(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second := c.start(0), c.start(1)
+		first, second := c.startGateway(0), c.startGateway(1)
 		r := first.request("chat", 40)
 		is.NoErr(first.Submit(t.Context(), r))
 		readAll(t, second, r, 7)
@@ -24,10 +24,10 @@
 	})
 }
 
-func TestAnotherWorkspaceSeesNothing(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, c *cluster) {
+func TestRequestIsHiddenFromOtherWorkspaces(t *testing.T) {
+	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second := c.start(0), c.start(1)
+		first, second := c.startGateway(0), c.startGateway(1)
 		r := first.request("chat", 4)
 		is.NoErr(first.Submit(t.Context(), r))
 		for _, g := range []*gateway{first, second} {
@@ -44,9 +44,9 @@
 // two tokens and then nothing, because something between the two ends has lost
 // track of it. The runner is well, so it is asked again and keeps the request.
 func TestSilentEngineConnectionIsReopenedAtTheSameRunner(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		c.engines[0].SetFaults(engine.Faults{Stream: engine.StreamStall, Streams: 1, AfterTokens: 2})
 		r := g.request("chat", 10)
 		is.NoErr(g.Submit(t.Context(), r))
@@ -60,10 +60,10 @@
 
 // The caller would lose a half-read answer: its runner dies after some tokens.
 // Another runner goes on after the tokens that the caller has.
-func TestDeadRunnersRequestGoesOnElsewhere(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestRequestContinuesAfterRunnerDeath(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		r := g.request("chat", 20)
 		is.NoErr(g.Submit(t.Context(), r))
 		time.Sleep(10*tokenTime + tokenTime/2)
@@ -75,10 +75,10 @@
 
 // A caller would be told that nothing ran while an attempt may have: only
 // refusals before the first line count as not run.
-func TestRefusedEverywhereMeansNotRun(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestRefusalByAllRunnersIsReportedAsNotExecuted(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		c.engines[0].SetFaults(engine.Faults{Refuse: true})
 		c.engines[1].SetFaults(engine.Faults{Refuse: true})
 		r := g.request("chat", 5)
@@ -93,14 +93,14 @@
 
 // An accepted bulletin would be lost: its gateway's process dies at once after
 // it was accepted, with no hand-off. The daemon that has its record runs it.
-func TestKilledGatewayLosesNoLongRequest(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestRecordedRequestSurvivesGatewayDeath(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second, _ := c.start(0), c.start(1), c.start(2)
+		first, second, _ := c.startGateway(0), c.startGateway(1), c.startGateway(2)
 		r := first.request("bulletin", 200)
 		is.NoErr(first.Submit(t.Context(), r))
 		c.kill(first)
-		c.gone(first)
+		c.removeFromDirectory(first)
 		readAll(t, second, r, 30)
 	})
 }
@@ -108,10 +108,10 @@
 // Readers would see an answer stop for good when their gateway's VM is
 // reclaimed: live requests of every class go to peers, and the readers there
 // follow.
-func TestDrainPassesRequestsOn(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestDrainTransfersRequests(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second, _ := c.start(0), c.start(1), c.start(2)
+		first, second, _ := c.startGateway(0), c.startGateway(1), c.startGateway(2)
 		chat, bulletin := first.request("chat", 300), first.request("bulletin", 300)
 		is.NoErr(first.Submit(t.Context(), chat))
 		is.NoErr(first.Submit(t.Context(), bulletin))
@@ -132,10 +132,10 @@
 	})
 }
 
-func TestAnyGatewayCancels(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, c *cluster) {
+func TestCancelAtAnyGateway(t *testing.T) {
+	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second := c.start(0), c.start(1)
+		first, second := c.startGateway(0), c.startGateway(1)
 		r := first.request("bulletin", 3000)
 		is.NoErr(first.Submit(t.Context(), r))
 		time.Sleep(time.Second)
--- a/daemon/models/reclaim.go
+++ b/daemon/models/reclaim.go
@@ -38,7 +38,7 @@
 	defaultSlots         = 16
 	defaultFreeTokens    = 64 << 10
 	defaultPrefillRate   = 8000
-	leastRoom            = 16 << 10
+	minFreeTokens        = 16 << 10
 )
 
 func (t Transfer) withDefaults() Transfer {
@@ -50,30 +50,30 @@
 	return t
 }
 
-// planned is what was decided for a live request's attempt.
-type planned struct {
+// reclaimPlan is what was decided for a live request's attempt.
+type reclaimPlan struct {
 	attempt ident.AttemptID
 	kind    reclaim.Kind
 	target  ident.RunnerID
-	ends    time.Time
+	endsAt  time.Time
 }
 
-// reclaim plans for the streams at leaving runners that have no plan, or whose
+// planReclaims plans for the streams at leaving runners that have no plan, or whose
 // plan a further notice has spoilt.
-func (m *Models) reclaim() {
-	byService := map[string][]*live{}
+func (m *Models) planReclaims() {
+	byService := map[string][]*localRequest{}
 	for _, l := range m.inProgress() {
 		byService[l.service] = append(byService[l.service], l)
 	}
-	for service, lives := range byService {
-		m.reclaimService(service, lives)
+	for service, requests := range byService {
+		m.planServiceReclaims(service, requests)
 	}
 }
 
-func (m *Models) reclaimService(service string, lives []*live) {
+func (m *Models) planServiceReclaims(service string, requests []*localRequest) {
 	listed := map[ident.RunnerID]view.Runner{}
 	var leaving []view.Runner
-	for _, r := range m.c.Directory.Runners(service) {
+	for _, r := range m.cfg.Directory.Runners(service) {
 		listed[r.ID] = r
 		if r.State == view.Leaving {
 			leaving = append(leaving, r)
@@ -83,52 +83,52 @@
 		return
 	}
 	now := time.Now()
-	todo, streams, link := m.unplanned(lives, listed, leaving)
+	pending, streams, linkBusyUntil := m.unplanned(requests, listed, leaving)
 	if len(streams) == 0 {
 		return
 	}
 	b := reclaim.Batch{
 		Streams:      streams,
-		Targets:      m.targets(service, lives),
-		Link:         m.link(now, link),
-		SafetyMargin: m.c.Limits.ReclaimMargin,
+		Targets:      m.targetShares(service, requests),
+		Link:         m.linkShare(now, linkBusyUntil),
+		SafetyMargin: m.cfg.Limits.ReclaimMargin,
 	}
 	for _, r := range leaving {
-		b.Sources = append(b.Sources, m.source(r, now))
+		b.Sources = append(b.Sources, m.newSource(r, now))
 	}
 	for _, d := range reclaim.Plan(b) {
 		m.count("reclaim.planned." + string(d.Kind))
-		todo[d.Request].follow(d, now, sourceOf(b.Sources, d.Runner).TimeLeft-b.SafetyMargin)
+		pending[d.Request].schedulePlan(d, now, findSource(b.Sources, d.Runner).TimeLeft-b.SafetyMargin)
 	}
 }
 
 // unplanned lists the streams to plan for, and until when moves that were
 // planned before use the link.
-func (m *Models) unplanned(lives []*live, listed map[ident.RunnerID]view.Runner, leaving []view.Runner) (map[ident.RequestID]*live, []reclaim.Stream, time.Time) {
-	todo := map[ident.RequestID]*live{}
+func (m *Models) unplanned(requests []*localRequest, listed map[ident.RunnerID]view.Runner, leaving []view.Runner) (map[ident.RequestID]*localRequest, []reclaim.Stream, time.Time) {
+	pending := map[ident.RequestID]*localRequest{}
 	var streams []reclaim.Stream
-	var link time.Time
-	for _, l := range lives {
+	var linkBusyUntil time.Time
+	for _, l := range requests {
 		for _, r := range leaving {
 			l.step(request.RunnerLeaving{Runner: r.ID})
 		}
-		s, plan, ok := l.reclaimStream(m.c.Transfer.BytesPerToken)
+		s, plan, ok := l.reclaimStream(m.cfg.Transfer.BytesPerToken)
 		if !ok || listed[s.Runner].State != view.Leaving {
 			continue
 		}
-		if plan.holds(listed) {
-			link = plan.busy(link)
+		if plan.isValid(listed) {
+			linkBusyUntil = plan.busyUntil(linkBusyUntil)
 			continue
 		}
-		todo[l.req.ID] = l
+		pending[l.req.ID] = l
 		streams = append(streams, s)
 	}
-	return todo, streams, link
+	return pending, streams, linkBusyUntil
 }
 
-// holds tells whether a plan is still good: a further notice may have hit its
+// isValid tells whether a plan is still good: a further notice may have hit its
 // target.
-func (p planned) holds(listed map[ident.RunnerID]view.Runner) bool {
+func (p reclaimPlan) isValid(listed map[ident.RunnerID]view.Runner) bool {
 	if p.kind == "" || p.target == "" {
 		return p.kind != ""
 	}
@@ -136,15 +136,15 @@
 	return ok && r.State != view.Leaving
 }
 
-// busy is until when the link is taken, this plan's move included.
-func (p planned) busy(link time.Time) time.Time {
-	if p.kind == reclaim.Move && p.ends.After(link) {
-		return p.ends
+// busyUntil is until when the link is taken, this plan's move included.
+func (p reclaimPlan) busyUntil(link time.Time) time.Time {
+	if p.kind == reclaim.Move && p.endsAt.After(link) {
+		return p.endsAt
 	}
 	return link
 }
 
-func sourceOf(sources []reclaim.Source, id ident.RunnerID) reclaim.Source {
+func findSource(sources []reclaim.Source, id ident.RunnerID) reclaim.Source {
 	for _, s := range sources {
 		if s.Runner == id {
 			return s
@@ -153,69 +153,69 @@
 	return reclaim.Source{}
 }
 
-func (m *Models) source(r view.Runner, now time.Time) reclaim.Source {
-	left := m.c.Transfer.Notice
+func (m *Models) newSource(r view.Runner, now time.Time) reclaim.Source {
+	timeLeft := m.cfg.Transfer.Notice
 	if !r.LeavesAt.IsZero() {
-		left = r.LeavesAt.Sub(now)
+		timeLeft = r.LeavesAt.Sub(now)
 	}
-	return reclaim.Source{Runner: r.ID, TimeLeft: left, DecodeRate: m.c.Transfer.DecodeRate}
+	return reclaim.Source{Runner: r.ID, TimeLeft: timeLeft, DecodeRate: m.cfg.Transfer.DecodeRate}
 }
 
-// sharers is the gateways that may plan for the same wave at the same time.
+// gatewayCount is the gateways that may plan for the same wave at the same time.
 // They plan without asking each other, since a notice leaves no time for it:
 // each takes its part of the link and of the room.
-func (m *Models) sharers() int {
+func (m *Models) gatewayCount() int {
 	n := 0
-	for _, d := range m.c.Directory.Daemons() {
-		if d.State == view.Live || d.Incarnation == m.c.Self {
+	for _, d := range m.cfg.Directory.Daemons() {
+		if d.State == view.Live || d.Incarnation == m.cfg.Self {
 			n++
 		}
 	}
 	return max(n, 1)
 }
 
-func (m *Models) link(now, busyUntil time.Time) reclaim.Link {
+func (m *Models) linkShare(now, busyUntil time.Time) reclaim.Link {
 	return reclaim.Link{
-		BytesPerSecond: m.c.Transfer.LinkBytesPerSecond / float64(m.sharers()),
-		Setup:          m.c.Transfer.Setup,
+		BytesPerSecond: m.cfg.Transfer.LinkBytesPerSecond / float64(m.gatewayCount()),
+		Setup:          m.cfg.Transfer.Setup,
 		BusyFor:        max(busyUntil.Sub(now), 0),
 	}
 }
 
-// targets lists this gateway's part of the room that is left, but at least what
+// targetShares lists this gateway's part of the room that is left, but at least what
 // one long stream takes: engines queue what is too much, and streams that wait
 // with their KV cache at hand cost less than those that lose it.
-func (m *Models) targets(service string, lives []*live) []reclaim.Target {
+func (m *Models) targetShares(service string, requests []*localRequest) []reclaim.Target {
 	var targets []reclaim.Target
-	if c, ok := m.c.Picker.(CapacitySource); ok {
+	if c, ok := m.cfg.Picker.(CapacitySource); ok {
 		targets = c.Targets(service)
 	} else {
-		targets = m.ownTargets(service, lives)
+		targets = m.estimateTargets(service, requests)
 	}
-	n := m.sharers()
+	n := m.gatewayCount()
 	for i := range targets {
 		targets[i].Slots = (targets[i].Slots + n - 1) / n
-		targets[i].FreeTokens = max(targets[i].FreeTokens/n, min(targets[i].FreeTokens, leastRoom))
+		targets[i].FreeTokens = max(targets[i].FreeTokens/n, min(targets[i].FreeTokens, minFreeTokens))
 	}
 	return targets
 }
 
-// ownTargets counts nothing but this gateway's own streams.
-func (m *Models) ownTargets(service string, lives []*live) []reclaim.Target {
-	own := map[ident.RunnerID]int{}
-	for _, l := range lives {
+// estimateTargets counts nothing but this gateway's own streams.
+func (m *Models) estimateTargets(service string, requests []*localRequest) []reclaim.Target {
+	ownStreams := map[ident.RunnerID]int{}
+	for _, l := range requests {
 		l.mu.Lock()
-		own[l.machine.Runner()]++
+		ownStreams[l.machine.Runner()]++
 		l.mu.Unlock()
 	}
 	var targets []reclaim.Target
-	for _, r := range m.c.Directory.Runners(service) {
+	for _, r := range m.cfg.Directory.Runners(service) {
 		if r.State != view.Live {
 			continue
 		}
 		targets = append(targets, reclaim.Target{
 			Runner:      r.ID,
-			Slots:       max(defaultSlots-own[r.ID], 0),
+			Slots:       max(defaultSlots-ownStreams[r.ID], 0),
 			FreeTokens:  defaultFreeTokens,
 			PrefillRate: defaultPrefillRate,
 		})
@@ -225,26 +225,26 @@
 
 // reclaimStream describes the current attempt to the plan; false if there is
 // none.
-func (l *live) reclaimStream(bytesPerToken int64) (reclaim.Stream, planned, bool) {
+func (l *localRequest) reclaimStream(bytesPerToken int64) (reclaim.Stream, reclaimPlan, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	runner := l.machine.Runner()
 	if runner == "" {
-		return reclaim.Stream{}, planned{}, false
+		return reclaim.Stream{}, reclaimPlan{}, false
 	}
 	emitted := l.machine.Answer().Offset()
-	context := promptTokens(l.req.Prompt) + emitted
+	contextTokens := promptTokens(l.req.Prompt) + emitted
 	plan := l.plan
 	if plan.attempt != l.machine.Attempt() {
-		plan = planned{}
+		plan = reclaimPlan{}
 	}
 	return reclaim.Stream{
 		Request:    l.req.ID,
 		Runner:     runner,
 		Urgent:     !l.spec.Deferrable,
-		Context:    context,
+		Context:    contextTokens,
 		Remaining:  l.req.MaxTokens - emitted,
-		CacheBytes: int64(context) * bytesPerToken,
+		CacheBytes: int64(contextTokens) * bytesPerToken,
 	}, plan, true
 }
 
@@ -262,38 +262,38 @@
 	return n
 }
 
-// follow carries a decision out at its time. What was to finish or to wait is
+// schedulePlan carries a decision out at its time. What was to finish or to wait is
 // taken off the runner at the limit: there it would break without a word.
-func (l *live) follow(d reclaim.Decision, now time.Time, limit time.Duration) {
+func (l *localRequest) schedulePlan(d reclaim.Decision, now time.Time, evictAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	attempt := l.machine.Attempt()
-	l.plan = planned{attempt: attempt, kind: d.Kind, target: d.Target, ends: now.Add(d.End)}
-	at := d.Start
-	in := request.Input(request.Relocate{Attempt: attempt, Target: d.Target, Export: d.Kind == reclaim.Move})
+	l.plan = reclaimPlan{attempt: attempt, kind: d.Kind, target: d.Target, endsAt: now.Add(d.End)}
+	delay := d.Start
+	input := request.Input(request.Relocate{Attempt: attempt, Target: d.Target, Export: d.Kind == reclaim.Move})
 	if d.Target == "" {
-		at = limit
-		in = request.Evict{Attempt: attempt}
+		delay = evictAfter
+		input = request.Evict{Attempt: attempt}
 	}
-	if l.follows != nil {
-		l.follows.Stop()
+	if l.planTimer != nil {
+		l.planTimer.Stop()
 	}
-	l.follows = time.AfterFunc(max(at, 0), func() { l.step(in) })
+	l.planTimer = time.AfterFunc(max(delay, 0), func() { l.step(input) })
 }
 
-func (m *Models) inProgress() []*live {
+func (m *Models) inProgress() []*localRequest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var lives []*live
-	for _, l := range m.live {
+	var requests []*localRequest
+	for _, l := range m.requests {
 		if l.inProgress() {
-			lives = append(lives, l)
+			requests = append(requests, l)
 		}
 	}
-	return lives
+	return requests
 }
 
-func (l *live) inProgress() bool {
+func (l *localRequest) inProgress() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ended.IsZero()
--- a/daemon/models/reclaim_test.go
+++ b/daemon/models/reclaim_test.go
@@ -13,8 +13,8 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// begin submits a bulletin that runs at runner 0 and lets it emit some tokens.
-func begin(t *testing.T, g *gateway, tokens int) call.ModelRequest {
+// submitAndRun submits a bulletin that runs at runner 0 and lets it emit some tokens.
+func submitAndRun(t *testing.T, g *gateway, tokens int) call.ModelRequest {
 	t.Helper()
 	r := g.request("bulletin", tokens)
 	if err := g.Submit(t.Context(), r); err != nil {
@@ -24,12 +24,12 @@
 	return r
 }
 
-func TestNoticeMovesTheCache(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestReclaimNoticeMovesKVCache(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
-		r := begin(t, g, 2000)
-		c.notice(20*time.Second, 0)
+		g := c.startGateway(0)
+		r := submitAndRun(t, g, 2000)
+		c.announceReclaim(20*time.Second, 0)
 		is.True(readAll(t, g, r, 0) < time.Second)
 		is.Equal(g.counter("reclaim.planned.move"), int64(1))
 		is.True(c.ledger.Totals().Recomputed < 20) // what was emitted during the transfer
@@ -37,11 +37,11 @@
 }
 
 func TestShortAnswerFinishesInPlace(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
-		r := begin(t, g, 150)
-		c.notice(20*time.Second, 0)
+		g := c.startGateway(0)
+		r := submitAndRun(t, g, 150)
+		c.announceReclaim(20*time.Second, 0)
 		readAll(t, g, r, 0)
 		is.Equal(g.counter("reclaim.planned.finish"), int64(1))
 		is.Equal(c.ledger.Totals().Recomputed, 0)
@@ -50,13 +50,13 @@
 
 // The move of a KV cache breaks half way. The caller sees the answer go on at
 // the target all the same, computed anew.
-func TestExportThatFailsHalfWay(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestFailedCacheExportFallsBackToRecomputation(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		c.engines[0].SetFaults(engine.Faults{FailExports: 1})
-		r := begin(t, g, 2000)
-		c.notice(20*time.Second, 0)
+		r := submitAndRun(t, g, 2000)
+		c.announceReclaim(20*time.Second, 0)
 		is.True(readAll(t, g, r, 0) < time.Second)
 		is.Equal(g.counter("attempts.abandoned.export_failed"), int64(1))
 	})
@@ -64,32 +64,32 @@
 
 // A second notice takes the target of a move under way. The stream goes to a
 // third runner instead; nothing is lost.
-func TestSecondNoticeHitsTheTargetOfAMove(t *testing.T) {
-	bubble(t, 3, func(t *testing.T, c *cluster) {
+func TestSecondNoticeForMoveTarget(t *testing.T) {
+	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
-		r := begin(t, g, 3000)
-		c.notice(30*time.Second, 0)
+		g := c.startGateway(0)
+		r := submitAndRun(t, g, 3000)
+		c.announceReclaim(30*time.Second, 0)
 		time.Sleep(20 * time.Millisecond)
-		first := 1
+		firstTarget := 1
 		if c.engines[2].Load().Running > 0 {
-			first = 2
+			firstTarget = 2
 		}
-		c.notice(10*time.Second, first)
+		c.announceReclaim(10*time.Second, firstTarget)
 		readAll(t, g, r, 0)
 		is.True(g.counter("reclaim.planned.move") >= 2)
-		is.True(c.engines[3-first].Counters().Accepted > 0)
+		is.True(c.engines[3-firstTarget].Counters().Accepted > 0)
 	})
 }
 
 // The VM goes long before its notice is over, in the middle of a move. The
 // answer goes on at the target by its tokens.
-func TestRunnerDiesBeforeItsNoticeIsOver(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestRunnerDiesBeforeNoticeExpires(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
-		r := begin(t, g, 2000)
-		c.notice(20*time.Second, 0)
+		g := c.startGateway(0)
+		r := submitAndRun(t, g, 2000)
+		c.announceReclaim(20*time.Second, 0)
 		time.Sleep(50 * time.Millisecond)
 		c.engines[0].Die()
 		is.True(readAll(t, g, r, 0) < time.Second)
@@ -99,18 +99,18 @@
 
 // A wave takes every runner. The accepted bulletin would be dropped; it waits
 // until there is a runner again, minutes later.
-func TestBulletinOutlastsAWaveThatTakesAll(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
-		g := c.start(0)
-		r := begin(t, g, 3000)
-		c.notice(5*time.Second, 0, 1)
+func TestDeferrableRequestWaitsForNewRunner(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
+		g := c.startGateway(0)
+		r := submitAndRun(t, g, 3000)
+		c.announceReclaim(5*time.Second, 0, 1)
 		time.Sleep(5 * time.Minute)
 		cfg := engine.DefaultConfig("runner-9", model, "1")
 		client := c.Client()
 		e := engine.New(cfg, engine.WithLedger(c.ledger), engine.WithClient(client))
 		c.stops = append(c.stops, e.Close)
 		c.serve("runner-9:80", e.Handler(), client)
-		c.change(func() {
+		c.updateDirectory(func() {
 			c.runners = []view.Runner{{ID: "runner-9", Address: "runner-9:80", Service: model, State: view.Live}}
 		})
 		readAll(t, g, r, 0)
@@ -120,10 +120,10 @@
 // A gateway gets its notice, begins to pass its requests on and dies in the
 // middle: its adopters may have got some, and nobody heard of the rest. The
 // keepers of the records run those; no accepted bulletin is lost.
-func TestGatewayDiesInTheMiddleOfTheHandOff(t *testing.T) {
-	bubble(t, 4, func(t *testing.T, c *cluster) {
+func TestGatewayDiesDuringHandOff(t *testing.T) {
+	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second, _ := c.start(0), c.start(1), c.start(2)
+		first, second, _ := c.startGateway(0), c.startGateway(1), c.startGateway(2)
 		var all []call.ModelRequest
 		for range 12 {
 			r := first.request("bulletin", 400)
@@ -135,7 +135,7 @@
 		time.Sleep(time.Microsecond)
 		c.kill(first)
 		time.Sleep(3 * time.Second)
-		c.gone(first)
+		c.removeFromDirectory(first)
 		for _, r := range all {
 			readAll(t, second, r, 10)
 		}
@@ -146,32 +146,32 @@
 // Two daemons would both run a request, and its readers get one's words here
 // and the other's there: its owner is only cut off, is taken for gone, and
 // comes back. On its next renewal it learns of the higher epoch and stops.
-func TestCutOffOwnerYieldsToItsAdopter(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestIsolatedOwnerYieldsToAdopter(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second, third := c.start(0), c.start(1), c.start(2)
+		first, second, third := c.startGateway(0), c.startGateway(1), c.startGateway(2)
 		r := first.request("bulletin", 3000)
 		is.NoErr(first.Submit(t.Context(), r))
 		time.Sleep(3 * time.Second)
 		first.isolated.Store(true)
-		c.gone(first) // wrongly
-		d := view.Daemon{ID: "gw-0", Incarnation: first.self, FailureDomain: domain(0), PeerAddress: first.address, State: view.Live}
-		for _, a := range []*gateway{first, second, third} {
-			c.Silence(a.address)
+		c.removeFromDirectory(first) // wrongly
+		d := view.Daemon{ID: "gw-0", Incarnation: first.self, FailureDomain: failureDomain(0), PeerAddress: first.address, State: view.Live}
+		for _, g := range []*gateway{first, second, third} {
+			c.Silence(g.address)
 		}
 		time.Sleep(20 * time.Second)
 		first.isolated.Store(false)
-		c.change(func() { c.daemons = append(c.daemons, d) })
+		c.updateDirectory(func() { c.daemons = append(c.daemons, d) })
 		readAll(t, first, r, 0)
 		is.Equal(first.counter("requests.superseded")+second.counter("requests.superseded")+third.counter("requests.superseded"), int64(1))
 	})
 }
 
 // A daemon that never existed, or forgot the request, is not waited for.
-func TestUnknownRequestIsToldAtOnce(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, c *cluster) {
+func TestUnknownRequestIsRefusedImmediately(t *testing.T) {
+	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second := c.start(0), c.start(1)
+		first, second := c.startGateway(0), c.startGateway(1)
 		r := first.request("chat", 10)
 		began := time.Now()
 		err := second.Read(t.Context(), workspace, r.ID, 0, func(call.Event) error { return nil })
@@ -183,10 +183,10 @@
 // A bulletin would run twice after its gateway left in good order: the daemon
 // that kept its record from acceptance on takes the owner for gone, since the
 // request was passed to a third one, which had joined meanwhile.
-func TestPassedOnRequestIsNotAdoptedAgain(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestTransferredRequestIsNotAdoptedAgain(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		all := []*gateway{c.start(0), c.start(1)}
+		all := []*gateway{c.startGateway(0), c.startGateway(1)}
 		first := all[0]
 		var requests []call.ModelRequest
 		for range 6 {
@@ -194,11 +194,11 @@
 			is.NoErr(first.Submit(t.Context(), r))
 			requests = append(requests, r)
 		}
-		all = append(all, c.start(2), c.start(3), c.start(5))
+		all = append(all, c.startGateway(2), c.startGateway(3), c.startGateway(5))
 		is.NoErr(first.Drain(t.Context()))
 		time.Sleep(4 * time.Second)
 		c.kill(first)
-		c.gone(first)
+		c.removeFromDirectory(first)
 		time.Sleep(10 * time.Second)
 		for _, g := range all {
 			is.Equal(g.counter("requests.adopted.owner_gone"), int64(0))
@@ -211,10 +211,10 @@
 
 // Bulletins would be lost to two events in a row: their gateway dies, and the
 // keeper of their records gets its notice before it has run them.
-func TestKeeperDrainsRightAfterTheOwnerDied(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestKeeperDrainsRightAfterOwnerDeath(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second, third := c.start(0), c.start(1), c.start(2)
+		first, second, third := c.startGateway(0), c.startGateway(1), c.startGateway(2)
 		var requests []call.ModelRequest
 		for range 6 {
 			r := first.request("bulletin", 100)
@@ -222,10 +222,10 @@
 			requests = append(requests, r)
 		}
 		c.kill(first)
-		c.gone(first)
+		c.removeFromDirectory(first)
 		is.NoErr(second.Drain(t.Context()))
 		c.kill(second)
-		c.gone(second)
+		c.removeFromDirectory(second)
 		for _, r := range requests {
 			readAll(t, third, r, 0)
 		}
@@ -234,9 +234,9 @@
 
 // A gateway with many requests keeps its notice: they go in several messages.
 func TestDrainOfManyRequests(t *testing.T) {
-	bubble(t, 4, func(t *testing.T, c *cluster) {
+	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second := c.start(0), c.start(1)
+		first, second := c.startGateway(0), c.startGateway(1)
 		for range 150 {
 			is.NoErr(first.Submit(t.Context(), first.request("bulletin", 200)))
 		}
--- a/daemon/models/records.go
+++ b/daemon/models/request_records.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// putCandidates bounds the daemons that are asked to keep a new record.
-	putCandidates = 3
+	// maxPutKeepers bounds the daemons that are asked to keep a new record.
+	maxPutKeepers = 3
 	putRounds     = 2
-	// batchRecords bounds the records in one message: whole ones have prompts,
+	// maxBatchRecords bounds the records in one message: whole ones have prompts,
 	// and a keeper that leaves has them all due at once.
-	batchRecords = 64
-	// lookupCandidates bounds the daemons that are asked for a request.
-	lookupCandidates = 8
-	// minDeadlineLeft keeps a deadline that has passed from reading as none.
-	minDeadlineLeft = time.Millisecond
+	maxBatchRecords = 64
+	// maxLookupCandidates bounds the daemons that are asked for a request.
+	maxLookupCandidates = 8
+	// minDeadlineRemaining keeps a deadline that has passed from reading as none.
+	minDeadlineRemaining = time.Millisecond
 )
 
-func (m *Models) daemon(i ident.Incarnation) (view.Daemon, bool) {
-	for _, d := range m.c.Directory.Daemons() {
+func (m *Models) findDaemon(i ident.Incarnation) (view.Daemon, bool) {
+	for _, d := range m.cfg.Directory.Daemons() {
 		if d.Incarnation == i {
 			return d, true
 		}
@@ -49,24 +49,24 @@
 	return l.movedTo
 }
 
-// candidates lists who may run a request: the owner last heard of, the one
+// lookupCandidates lists who may run a request: the owner last heard of, the one
 // that accepted it, and those that may keep its record.
-func (m *Models) candidates(id ident.RequestID, hint ident.Incarnation) []view.Daemon {
+func (m *Models) lookupCandidates(id ident.RequestID, hint ident.Incarnation) []view.Daemon {
 	var list []view.Daemon
-	seen := map[ident.Incarnation]bool{m.c.Self: true}
+	seen := map[ident.Incarnation]bool{m.cfg.Self: true}
 	add := func(d view.Daemon) {
-		if !seen[d.Incarnation] && len(list) < lookupCandidates {
+		if !seen[d.Incarnation] && len(list) < maxLookupCandidates {
 			seen[d.Incarnation] = true
 			list = append(list, d)
 		}
 	}
 	owner, _ := id.Owner()
 	for _, i := range []ident.Incarnation{hint, owner} {
-		if d, ok := m.daemon(i); ok {
+		if d, ok := m.findDaemon(i); ok {
 			add(d)
 		}
 	}
-	for _, d := range handoff.RankKeepers(id, view.Daemon{}, m.c.Directory.Daemons()) {
+	for _, d := range handoff.RankKeepers(id, view.Daemon{}, m.cfg.Directory.Daemons()) {
 		add(d)
 	}
 	return list
@@ -74,13 +74,13 @@
 
 // record returns what a second daemon must know, with the tokens from an
 // offset on; from zero on it is whole.
-func (l *live) record(from int) *requestv1.Record {
+func (l *localRequest) record(from int) *requestv1.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answer := l.machine.Answer()
 	r := &requestv1.Record{
 		RequestId:    string(l.req.ID),
-		Owner:        string(l.m.c.Self),
+		Owner:        string(l.models.cfg.Self),
 		Epoch:        l.spec.Epoch,
 		EmittedFrom:  int32(from),
 		Emitted:      answer.TokensFrom(from),
@@ -100,23 +100,23 @@
 	r.MaxTokens = int32(l.req.MaxTokens)
 	r.Async = l.req.Async
 	if d := l.req.Deadline; !d.IsZero() {
-		r.DeadlineLeftMs = max(time.Until(d), minDeadlineLeft).Milliseconds()
+		r.DeadlineLeftMs = max(time.Until(d), minDeadlineRemaining).Milliseconds()
 	}
 	return r
 }
 
-func (l *live) progress() handoff.Progress {
+func (l *localRequest) progress() handoff.Progress {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answer := l.machine.Answer()
 	return handoff.Progress{Offset: answer.Offset(), Done: answer.Done()}
 }
 
-// putFirst stores the record of a request that is being accepted. With no
+// storeFirstRecord stores the record of a request that is being accepted. With no
 // other live daemon there is nobody to keep it, and it is accepted without.
-func (m *Models) putFirst(ctx context.Context, l *live) error {
-	self := m.c.Directory.Self()
-	keepers := handoff.RankKeepers(l.req.ID, self, m.c.Directory.Daemons())
+func (m *Models) storeFirstRecord(ctx context.Context, l *localRequest) error {
+	self := m.cfg.Directory.Self()
+	keepers := handoff.RankKeepers(l.req.ID, self, m.cfg.Directory.Daemons())
 	if len(keepers) == 0 {
 		m.count("records.no_keeper")
 		return nil
@@ -124,18 +124,18 @@
 	// The second round is for kept connections that have gone silent: they cost
 	// a timeout each and are then closed, and new ones work.
 	for range putRounds {
-		for _, k := range keepers[:min(putCandidates, len(keepers))] {
-			if m.put(ctx, k, []handoff.Renewal{{ID: l.req.ID, Keeper: k}}) == nil {
+		for _, k := range keepers[:min(maxPutKeepers, len(keepers))] {
+			if m.putRecords(ctx, k, []handoff.Renewal{{ID: l.req.ID, Keeper: k}}) == nil {
 				return nil
 			}
 			m.count("records.put_failed")
 		}
 	}
-	return refusal.New(refusal.NotReady, "no other gateway could be reached to keep the request's record").After(notReadyRetry)
+	return refusal.New(refusal.NotReady, "no other gateway could be reached to keep the request's record").After(notReadyRetryAfter)
 }
 
-// put sends renewals to one keeper and notes its answer.
-func (m *Models) put(ctx context.Context, keeper view.Daemon, renewals []handoff.Renewal) error {
+// putRecords sends renewals to one keeper and notes its answer.
+func (m *Models) putRecords(ctx context.Context, keeper view.Daemon, renewals []handoff.Renewal) error {
 	ctx, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
 	req := &requestv1.PutRequest{}
@@ -149,15 +149,15 @@
 		sent[r.ID] = handoff.Progress{Offset: r.From + len(p.Emitted), Done: p.Done}
 		req.Records = append(req.Records, p)
 	}
-	resp, err := m.c.Peers.Requests(keeper.PeerAddress).Put(ctx, connect.NewRequest(req))
+	resp, err := m.cfg.Peers.Requests(keeper.PeerAddress).Put(ctx, connect.NewRequest(req))
 	if err != nil {
 		return err
 	}
-	m.noteStored(keeper.Incarnation, sent, resp.Msg)
+	m.handlePutResponse(keeper.Incarnation, sent, resp.Msg)
 	return nil
 }
 
-func (m *Models) noteStored(keeper ident.Incarnation, sent map[ident.RequestID]handoff.Progress, resp *requestv1.PutResponse) {
+func (m *Models) handlePutResponse(keeper ident.Incarnation, sent map[ident.RequestID]handoff.Progress, resp *requestv1.PutResponse) {
 	m.mu.Lock()
 	for id, p := range sent {
 		m.outbox.Stored(id, keeper, p)
@@ -169,36 +169,36 @@
 	for _, s := range resp.Superseded {
 		if l := m.find(ident.RequestID(s.RequestId)); l != nil {
 			m.count("requests.superseded")
-			l.moveTo(ident.Incarnation(s.Owner))
+			l.markMoved(ident.Incarnation(s.Owner))
 		}
 	}
 }
 
-// moveTo ends the request here in favour of another daemon.
-func (l *live) moveTo(owner ident.Incarnation) {
+// markMoved ends the request here in favour of another daemon.
+func (l *localRequest) markMoved(owner ident.Incarnation) {
 	l.mu.Lock()
 	l.movedTo = owner
-	l.wakeReaders()
+	l.notifyReaders()
 	l.mu.Unlock()
 	l.step(request.Superseded{})
 }
 
 // housekeep renews records, adopts orphans and forgets what is old.
 func (m *Models) housekeep() {
-	m.renew()
-	m.adoptOrphans(m.c.Limits.OwnerGone)
-	m.forgetOld()
+	m.renewRecords()
+	m.adoptOrphans(m.cfg.Limits.OwnerTimeout)
+	m.forgetExpired()
 }
 
-func (m *Models) renew() {
+func (m *Models) renewRecords() {
 	m.mu.Lock()
-	if time.Since(m.renewed) < m.c.Limits.Renew {
+	if time.Since(m.lastRenewal) < m.cfg.Limits.RenewInterval {
 		m.mu.Unlock()
 		return
 	}
-	m.renewed = time.Now()
-	due := m.outbox.DueRenewals(m.c.Directory.Self(), m.c.Directory.Daemons(), func(id ident.RequestID) handoff.Progress {
-		if l := m.live[id]; l != nil {
+	m.lastRenewal = time.Now()
+	due := m.outbox.DueRenewals(m.cfg.Directory.Self(), m.cfg.Directory.Daemons(), func(id ident.RequestID) handoff.Progress {
+		if l := m.requests[id]; l != nil {
 			return l.progress()
 		}
 		return handoff.Progress{}
@@ -214,13 +214,13 @@
 	}
 	m.mu.Unlock()
 	for _, batch := range batches {
-		m.spawn(func() { m.renewAt(batch[0].Keeper, batch) })
+		m.spawn(func() { m.renewRecordsAt(batch[0].Keeper, batch) })
 	}
 }
 
-func (m *Models) renewAt(keeper view.Daemon, all []handoff.Renewal) {
-	for batch := range slices.Chunk(all, batchRecords) {
-		if err := m.put(m.ctx, keeper, batch); err != nil {
+func (m *Models) renewRecordsAt(keeper view.Daemon, all []handoff.Renewal) {
+	for batch := range slices.Chunk(all, maxBatchRecords) {
+		if err := m.putRecords(m.ctx, keeper, batch); err != nil {
 			m.count("records.renewal_failed")
 			break
 		}
@@ -232,16 +232,16 @@
 
 // adoptOrphans runs the requests whose owner has not been heard of for quiet.
 // Without a configuration they stay records.
-func (m *Models) adoptOrphans(quiet time.Duration) {
-	if conf, _ := m.c.Config.Current(); conf == nil {
+func (m *Models) adoptOrphans(ownerTimeout time.Duration) {
+	if conf, _ := m.cfg.Config.Current(); conf == nil {
 		return
 	}
 	listed := map[ident.Incarnation]bool{}
-	for _, d := range m.c.Directory.Daemons() {
+	for _, d := range m.cfg.Directory.Daemons() {
 		listed[d.Incarnation] = true
 	}
 	m.mu.Lock()
-	orphans := m.keeper.Adopt(time.Now(), m.c.Self, quiet, func(i ident.Incarnation) bool {
+	orphans := m.keeper.Adopt(time.Now(), m.cfg.Self, ownerTimeout, func(i ident.Incarnation) bool {
 		return listed[i]
 	})
 	m.mu.Unlock()
@@ -254,36 +254,36 @@
 // adopt runs another daemon's request from now on. It reports false where this
 // daemon can't.
 func (m *Models) adopt(r handoff.Record) bool {
-	conf, _ := m.c.Config.Current()
+	conf, _ := m.cfg.Config.Current()
 	if conf == nil {
 		return false
 	}
-	l := m.liveFrom(conf, r)
+	l := m.requestFromRecord(conf, r)
 	m.mu.Lock()
-	if old := m.live[r.ID]; old != nil && old.spec.Epoch >= r.Epoch {
+	if old := m.requests[r.ID]; old != nil && old.spec.Epoch >= r.Epoch {
 		m.mu.Unlock()
 		return old.spec.Epoch == r.Epoch
 	}
-	m.live[r.ID] = l
+	m.requests[r.ID] = l
 	m.keeper.Forget(r.ID)
-	m.keeper.Claim(r.ID, handoff.Claim{Owner: m.c.Self, Epoch: r.Epoch})
+	m.keeper.Claim(r.ID, handoff.Claim{Owner: m.cfg.Self, Epoch: r.Epoch})
 	m.outbox.Untrack(r.ID)
 	m.outbox.Track(r.ID)
-	m.renewed = time.Time{} // so that the next step puts it at a keeper
+	m.lastRenewal = time.Time{} // so that the next step puts it at a keeper
 	m.mu.Unlock()
 	if r.Done {
 		l.ended = time.Now()
-		m.retire(l)
+		m.retain(l)
 		return true
 	}
 	m.start(l)
 	return true
 }
 
-func (m *Models) liveFrom(conf *manifest.Manifest, r handoff.Record) *live {
+func (m *Models) requestFromRecord(conf *manifest.Manifest, r handoff.Record) *localRequest {
 	model, _ := findModel(conf, r.Model)
 	class, _ := findClass(conf, r.Class)
-	l := m.newLive(call.ModelRequest{
+	l := m.newLocalRequest(call.ModelRequest{
 		ID:        r.ID,
 		Workspace: r.Workspace,
 		Class:     r.Class,
@@ -299,86 +299,86 @@
 	l.spec.Emitted = r.Emitted
 	l.spec.MayHaveRun = r.MayHaveRun
 	l.spec.Runner = r.Runner
-	l.machine = request.New(l.spec, m.c.Limits.Request)
+	l.machine = request.New(l.spec, m.cfg.Limits.Request)
 	if r.Done {
 		l.machine = request.NewFinished(l.spec, r.FinishReason)
 	}
 	return l
 }
 
-// retire keeps an ended request for late readers, as long as there is room.
-func (m *Models) retire(l *live) {
+// retain keeps an ended request for late readers, as long as there is room.
+func (m *Models) retain(l *localRequest) {
 	l.mu.Lock()
 	refused, moved := l.machine.Refusal() != nil, l.movedTo != ""
 	l.mu.Unlock()
 	m.mu.Lock()
 	m.ended = append(m.ended, l)
-	var drop []*live
-	for len(m.ended) > m.c.Limits.Finished {
-		drop = append(drop, m.ended[0])
+	var evicted []*localRequest
+	for len(m.ended) > m.cfg.Limits.MaxFinished {
+		evicted = append(evicted, m.ended[0])
 		m.ended = m.ended[1:]
 	}
 	m.mu.Unlock()
 	if moved {
-		m.spawn(func() { m.dropLater(l) })
+		m.spawn(func() { m.deleteRecordLater(l) })
 	}
 	if refused {
 		m.dropRecord(l, true)
 	}
-	for _, old := range drop {
-		m.forget(old)
+	for _, evictedRequest := range evicted {
+		m.forget(evictedRequest)
 	}
 }
 
-// dropLater removes the record of a request that another daemon runs, once that
+// deleteRecordLater removes the record of a request that another daemon runs, once that
 // one has had the time to put its own: a keeper that still had the old one when
 // this daemon is gone would run the request a second time.
-func (m *Models) dropLater(l *live) {
+func (m *Models) deleteRecordLater(l *localRequest) {
 	select {
 	case <-m.ctx.Done():
-	case <-time.After(m.c.Limits.Renew):
+	case <-time.After(m.cfg.Limits.RenewInterval):
 		m.dropRecord(l, true)
 	}
 }
 
-func (m *Models) forgetOld() {
-	var old []*live
+func (m *Models) forgetExpired() {
+	var expired []*localRequest
 	m.mu.Lock()
-	for len(m.ended) > 0 && time.Since(m.ended[0].ended) > m.c.Limits.Retention {
-		old = append(old, m.ended[0])
+	for len(m.ended) > 0 && time.Since(m.ended[0].ended) > m.cfg.Limits.Retention {
+		expired = append(expired, m.ended[0])
 		m.ended = m.ended[1:]
 	}
 	m.mu.Unlock()
-	for _, l := range old {
+	for _, l := range expired {
 		m.forget(l)
 	}
 }
 
-func (m *Models) forget(l *live) {
+func (m *Models) forget(l *localRequest) {
 	m.dropRecord(l, true)
 	m.remove(l)
 }
 
 // dropRecord stops renewing a request's record; with remove its keeper forgets
 // it too, so that nobody adopts a request that has its final answer.
-func (m *Models) dropRecord(l *live, remove bool) {
+func (m *Models) dropRecord(l *localRequest, deleteAtKeeper bool) {
 	m.mu.Lock()
-	if m.live[l.req.ID] != l {
+	if m.requests[l.req.ID] != l {
 		m.mu.Unlock()
 		return
 	}
 	keeper := m.outbox.Untrack(l.req.ID)
 	m.mu.Unlock()
-	d, ok := m.daemon(keeper)
-	if !ok || !remove {
+	d, ok := m.findDaemon(keeper)
+	if !ok || !deleteAtKeeper {
 		return
 	}
 	m.spawn(func() {
 		ctx, cancel := context.WithTimeout(m.ctx, putTimeout)
 		defer cancel()
-		_, err := m.c.Peers.Requests(d.PeerAddress).Delete(ctx, connect.NewRequest(&requestv1.DeleteRequest{
+		_, err := m.cfg.Peers.Requests(d.PeerAddress).Delete(ctx, connect.NewRequest(&requestv1.DeleteRequest{
 			RequestIds: []string{string(l.req.ID)},
-			Owner:      string(m.c.Self),
+			Owner:      string(m.cfg.Self),
 		}))
 		if err != nil {
 			m.count("records.delete_failed")
--- a/daemon/models/roundrobin.go
+++ b/daemon/models/roundrobin.go
@@ -27,23 +27,23 @@
 
 // Pick takes the next live runner; excluded ones only if there is no other.
 func (r *RoundRobin) Pick(_ context.Context, j Job) (Choice, error) {
-	var live, rest []view.Runner
+	var preferred, fallback []view.Runner
 	for _, runner := range r.Directory.Runners(j.Service) {
 		switch {
 		case runner.State == view.Leaving || runner.State == view.Gone:
 		case slices.Contains(j.Exclude, runner.ID) || runner.State == view.Suspect:
-			rest = append(rest, runner)
+			fallback = append(fallback, runner)
 		default:
-			live = append(live, runner)
+			preferred = append(preferred, runner)
 		}
 	}
-	if len(live) == 0 {
-		live = rest
+	if len(preferred) == 0 {
+		preferred = fallback
 	}
-	if len(live) == 0 {
+	if len(preferred) == 0 {
 		return Choice{}, refusal.New(refusal.NoRunner, "no live runner of %s", j.Service).After(roundRobinRetryAfter)
 	}
-	chosen := live[(r.next.Add(1)-1)%uint64(len(live))]
+	chosen := preferred[(r.next.Add(1)-1)%uint64(len(preferred))]
 	return Choice{Runner: chosen.ID, Address: chosen.Address}, nil
 }
 
@@ -51,4 +51,4 @@
 func (r *RoundRobin) Started(Job, Choice) {}
 
 // Ended is not used.
-func (r *RoundRobin) Ended(Job, Attempt) {}
+func (r *RoundRobin) Ended(Job, AttemptResult) {}
--- a/daemon/models/service.go
+++ b/daemon/models/rpc_handler.go
@@ -19,39 +19,39 @@
 // not those of the owner that answers now.
 const AnswerDiverged refusal.Reason = "answer_diverged"
 
-// service is the connect side of Models.
-type service struct{ m *Models }
+// rpcHandler is the connect side of Models.
+type rpcHandler struct{ m *Models }
 
 // Handler returns the path and the handler of the peers' service.
 func (m *Models) Handler() (string, http.Handler) {
-	path, h := requestv1connect.NewRequestServiceHandler(service{m})
-	return path, writeDeadlines(h, m.c.Limits.Silence)
+	path, h := requestv1connect.NewRequestServiceHandler(rpcHandler{m})
+	return path, writeDeadlines(h, m.cfg.Limits.SilenceTimeout)
 }
 
-func (s service) Put(_ context.Context, req *connect.Request[requestv1.PutRequest]) (*connect.Response[requestv1.PutResponse], error) {
+func (h rpcHandler) Put(_ context.Context, req *connect.Request[requestv1.PutRequest]) (*connect.Response[requestv1.PutResponse], error) {
 	resp := &requestv1.PutResponse{}
-	lost := map[*live]ident.Incarnation{}
-	defer func() { s.m.yield(lost) }()
-	s.m.mu.Lock()
-	defer s.m.mu.Unlock()
-	for _, p := range req.Msg.Records {
-		r := recordFrom(p)
-		outcome, claim := s.m.keeper.Put(time.Now(), r)
+	newOwners := map[*localRequest]ident.Incarnation{}
+	defer func() { h.m.yieldToOwners(newOwners) }()
+	h.m.mu.Lock()
+	defer h.m.mu.Unlock()
+	for _, record := range req.Msg.Records {
+		r := recordFromProto(record)
+		outcome, claim := h.m.keeper.Put(time.Now(), r)
 		switch outcome {
 		case handoff.Stored:
 			// The keeper knows this daemon's own claims: one that it stores
 			// all the same beats them.
-			if l := s.m.live[r.ID]; l != nil && l.inProgress() {
-				lost[l] = r.Owner
+			if l := h.m.requests[r.ID]; l != nil && l.inProgress() {
+				newOwners[l] = r.Owner
 			}
 		case handoff.Superseded:
 			resp.Superseded = append(resp.Superseded, &requestv1.Superseded{
-				RequestId: p.RequestId,
+				RequestId: record.RequestId,
 				Epoch:     claim.Epoch,
 				Owner:     string(claim.Owner),
 			})
 		case handoff.Incomplete:
-			resp.IncompleteIds = append(resp.IncompleteIds, p.RequestId)
+			resp.IncompleteIds = append(resp.IncompleteIds, record.RequestId)
 		case handoff.Full:
 			return nil, connect.NewError(connect.CodeResourceExhausted, &RecordsFullError{Limit: recordLimit})
 		}
@@ -59,30 +59,30 @@
 	return connect.NewResponse(resp), nil
 }
 
-func (s service) Delete(_ context.Context, req *connect.Request[requestv1.DeleteRequest]) (*connect.Response[requestv1.DeleteResponse], error) {
-	s.m.mu.Lock()
-	defer s.m.mu.Unlock()
+func (h rpcHandler) Delete(_ context.Context, req *connect.Request[requestv1.DeleteRequest]) (*connect.Response[requestv1.DeleteResponse], error) {
+	h.m.mu.Lock()
+	defer h.m.mu.Unlock()
 	for _, id := range req.Msg.RequestIds {
-		s.m.keeper.Delete(ident.Incarnation(req.Msg.Owner), ident.RequestID(id))
+		h.m.keeper.Delete(ident.Incarnation(req.Msg.Owner), ident.RequestID(id))
 	}
 	return connect.NewResponse(&requestv1.DeleteResponse{}), nil
 }
 
-func (s service) Adopt(_ context.Context, req *connect.Request[requestv1.AdoptRequest]) (*connect.Response[requestv1.AdoptResponse], error) {
+func (h rpcHandler) Adopt(_ context.Context, req *connect.Request[requestv1.AdoptRequest]) (*connect.Response[requestv1.AdoptResponse], error) {
 	resp := &requestv1.AdoptResponse{}
-	if !s.m.accepting() {
+	if !h.m.accepting() {
 		return connect.NewResponse(resp), nil
 	}
-	for _, p := range req.Msg.Records {
-		if s.m.adopt(recordFrom(p)) {
-			resp.AcceptedIds = append(resp.AcceptedIds, p.RequestId)
+	for _, record := range req.Msg.Records {
+		if h.m.adopt(recordFromProto(record)) {
+			resp.AcceptedIds = append(resp.AcceptedIds, record.RequestId)
 		}
 	}
 	return connect.NewResponse(resp), nil
 }
 
-func (s service) Cancel(_ context.Context, req *connect.Request[requestv1.CancelRequest]) (*connect.Response[requestv1.CancelResponse], error) {
-	err := s.m.cancelLocal(ident.Workspace(req.Msg.Workspace), ident.RequestID(req.Msg.RequestId))
+func (h rpcHandler) Cancel(_ context.Context, req *connect.Request[requestv1.CancelRequest]) (*connect.Response[requestv1.CancelResponse], error) {
+	err := h.m.cancelLocal(ident.Workspace(req.Msg.Workspace), ident.RequestID(req.Msg.RequestId))
 	if err != nil {
 		return nil, connect.NewError(connect.CodeNotFound, err)
 	}
@@ -90,17 +90,17 @@
 }
 
 // Read serves only requests of this daemon; a relay of a relay could circle.
-func (s service) Read(ctx context.Context, req *connect.Request[requestv1.ReadRequest], out *connect.ServerStream[requestv1.ReadResponse]) error {
+func (h rpcHandler) Read(ctx context.Context, req *connect.Request[requestv1.ReadRequest], out *connect.ServerStream[requestv1.ReadResponse]) error {
 	id := ident.RequestID(req.Msg.RequestId)
-	l := s.m.find(id)
+	l := h.m.find(id)
 	if l == nil || string(l.req.Workspace) != req.Msg.Workspace {
-		return connect.NewError(connect.CodeNotFound, &NotHereError{ID: id})
+		return connect.NewError(connect.CodeNotFound, &RequestNotFoundError{ID: id})
 	}
-	if !l.extend(int(req.Msg.KnownFrom), req.Msg.Known) {
-		s.m.count("requests.refused." + string(AnswerDiverged))
-		return out.Send(responseOf(refusal.New(AnswerDiverged, "the answer was begun by a gateway that is gone; ask anew").Unknown()))
+	if !l.extendAnswer(int(req.Msg.KnownFrom), req.Msg.Known) {
+		h.m.count("requests.refused." + string(AnswerDiverged))
+		return out.Send(refusalResponse(refusal.New(AnswerDiverged, "the answer was begun by a gateway that is gone; ask anew").Unknown()))
 	}
-	r := &reading{m: s.m, id: id, offset: int(req.Msg.Offset), sink: func(e call.Event) error {
+	r := &reader{m: h.m, id: id, offset: int(req.Msg.Offset), sink: func(e call.Event) error {
 		return out.Send(&requestv1.ReadResponse{
 			Offset:       int32(e.Offset),
 			Token:        e.Token,
@@ -109,32 +109,32 @@
 			FinishReason: e.FinishReason,
 		})
 	}}
-	return s.finish(ctx, out, r.local(ctx, l))
+	return h.sendOutcome(ctx, out, r.readLocal(ctx, l))
 }
 
-func (s service) finish(ctx context.Context, out *connect.ServerStream[requestv1.ReadResponse], err error) error {
+func (h rpcHandler) sendOutcome(ctx context.Context, out *connect.ServerStream[requestv1.ReadResponse], err error) error {
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
 	switch e := err.(type) {
 	case *refusal.Refusal:
-		return out.Send(responseOf(e))
+		return out.Send(refusalResponse(e))
 	case *MovedError:
 		return out.Send(&requestv1.ReadResponse{MovedTo: string(e.Owner)})
 	}
 	return err
 }
 
-// yield ends requests here that another daemon turned out to own.
-func (m *Models) yield(lost map[*live]ident.Incarnation) {
+// yieldToOwners ends requests here that another daemon turned out to own.
+func (m *Models) yieldToOwners(lost map[*localRequest]ident.Incarnation) {
 	for l, owner := range lost {
 		m.count("requests.superseded")
-		l.moveTo(owner)
+		l.markMoved(owner)
 	}
 }
 
-// extend takes what a reader has over, unless another daemon runs the request.
-func (l *live) extend(from int, known []string) bool {
+// extendAnswer takes what a reader has over, unless another daemon runs the request.
+func (l *localRequest) extendAnswer(from int, known []string) bool {
 	if len(known) == 0 {
 		return true
 	}
@@ -149,7 +149,7 @@
 		return false
 	}
 	if answer.Offset() > before {
-		l.wakeReaders()
+		l.notifyReaders()
 	}
 	return true
 }
@@ -159,7 +159,7 @@
 
 func (e *RecordsFullError) Error() string { return "keeper of records is full" }
 
-func responseOf(r *refusal.Refusal) *requestv1.ReadResponse {
+func refusalResponse(r *refusal.Refusal) *requestv1.ReadResponse {
 	return &requestv1.ReadResponse{
 		Refused:      string(r.Reason),
 		Detail:       r.Detail,
@@ -168,7 +168,7 @@
 	}
 }
 
-func refusalOf(m *requestv1.ReadResponse) *refusal.Refusal {
+func refusalFromResponse(m *requestv1.ReadResponse) *refusal.Refusal {
 	return &refusal.Refusal{
 		Reason:     refusal.Reason(m.Refused),
 		Executed:   refusal.Executed(m.Executed),
@@ -177,7 +177,7 @@
 	}
 }
 
-func recordFrom(p *requestv1.Record) handoff.Record {
+func recordFromProto(p *requestv1.Record) handoff.Record {
 	r := handoff.Record{
 		ID:           ident.RequestID(p.RequestId),
 		Workspace:    ident.Workspace(p.Workspace),
--- a/daemon/models/streams_test.go
+++ b/daemon/models/streams_test.go
@@ -27,9 +27,9 @@
 		{engine.StreamStall, "attempts.abandoned.silent"},
 	} {
 		t.Run(string(f.fault), func(t *testing.T) {
-			bubble(t, 1, func(t *testing.T, c *cluster) {
+			runCluster(t, 1, func(t *testing.T, c *cluster) {
 				is := is.New(t)
-				g := c.start(0)
+				g := c.startGateway(0)
 				c.engines[0].SetFaults(engine.Faults{Stream: f.fault, Streams: 2, AfterTokens: 5})
 				requests := []call.ModelRequest{g.request("chat", 40), g.request("chat", 40)}
 				for _, r := range requests {
@@ -47,15 +47,15 @@
 // A caller would read the end of its answer twice: the first runner's
 // connection goes silent, a second attempt begins, and the first goes on
 // sending after it was cancelled.
-func TestLateLinesOfACancelledAttempt(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestLateLinesOfCancelledAttemptAreDropped(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		c.engines[0].SetFaults(engine.Faults{LateLines: 20})
 		r := g.request("chat", 200)
 		is.NoErr(g.Submit(t.Context(), r))
 		time.Sleep(10 * tokenTime)
-		c.notice(time.Second, 0)
+		c.announceReclaim(time.Second, 0)
 		readAll(t, g, r, 0)
 		is.True(c.engines[1].Counters().Accepted > 0)
 	})
@@ -65,9 +65,9 @@
 // two daemons goes silent. The reader's gateway opens a new one; the request's
 // owner is well and goes on.
 func TestSilentPeerConnectionIsReopened(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, c *cluster) {
+	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		owner, other := c.start(0), c.start(1)
+		owner, other := c.startGateway(0), c.startGateway(1)
 		r := owner.request("chat", 300)
 		is.NoErr(owner.Submit(t.Context(), r))
 		go func() {
@@ -82,14 +82,14 @@
 
 // Every request at a runner would fail: all its connections go silent at once,
 // while new ones work. The requests stay there and keep their KV cache.
-func TestSilentEngineConnectionsKeepTheirRunner(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestRequestStaysAtRunnerWhenConnectionsGoSilent(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		r := g.request("chat", 300)
 		is.NoErr(g.Submit(t.Context(), r))
 		time.Sleep(time.Second)
-		is.True(c.Silence(address(0)) > 0)
+		is.True(c.Silence(runnerAddress(0)) > 0)
 		is.True(readAll(t, g, r, 0) <= silence+time.Second)
 		is.Equal(c.engines[1].Counters().Accepted, 0)
 		is.True(c.engines[0].Counters().CachedTokens > 0)
@@ -98,10 +98,10 @@
 
 // A caller would read half an answer as a whole one: someone else cancels its
 // attempt at the engine, whose stream then ends in good order.
-func TestAttemptCancelledByOthersIsNoEnd(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestAttemptCancelledAtEngineIsRetried(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		r := g.request("chat", 100)
 		is.NoErr(g.Submit(t.Context(), r))
 		time.Sleep(time.Second)
@@ -113,10 +113,10 @@
 
 // A bulletin would be refused although every gateway is well: the kept
 // connections to all keepers of its record have gone silent. New ones work.
-func TestSilentConnectionsToAllKeepers(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, c *cluster) {
+func TestRecordIsStoredDespiteSilentConnections(t *testing.T) {
+	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second, third := c.start(0), c.start(1), c.start(2)
+		first, second, third := c.startGateway(0), c.startGateway(1), c.startGateway(2)
 		for range 12 { // so that there is a connection to each
 			is.NoErr(first.Submit(t.Context(), first.request("bulletin", 5)))
 		}
--- a/daemon/models/throughput_test.go
+++ b/daemon/models/throughput_test.go
@@ -13,11 +13,11 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// instant is an engine that emits without a wait or a connection, so that only
+// instantEngine is an engine that emits without a wait or a connection, so that only
 // the gateway's own work is measured.
-type instant struct{ engineClients }
+type instantEngine struct{ engineClients }
 
-func (instant) Generate(_ context.Context, _ string, r engineapi.GenerateRequest, sink func(engineapi.GenerateEvent) error) error {
+func (instantEngine) Generate(_ context.Context, _ string, r engineapi.GenerateRequest, sink func(engineapi.GenerateEvent) error) error {
 	e := engineapi.GenerateEvent{RequestID: r.RequestID, AttemptID: r.AttemptID, Token: "token"}
 	for ; e.Offset < r.MaxTokens; e.Offset++ {
 		if err := sink(e); err != nil {
@@ -32,11 +32,11 @@
 // without sockets.
 func BenchmarkRequest(b *testing.B) {
 	c := &cluster{changed: make(chan struct{})}
-	c.runners = []view.Runner{{ID: "runner-0", Address: address(0), Service: model, State: view.Live}}
+	c.runners = []view.Runner{{ID: "runner-0", Address: runnerAddress(0), Service: model, State: view.Live}}
 	self := ident.NewIncarnation("gw-0", []byte{0})
 	m := models.New(models.Config{
 		Self: self, Directory: directory{c, self}, Config: fixedConfig{},
-		Engines: instant{}, Metrics: metrics.NewRegistry(), Limits: models.Limits{Finished: 100},
+		Engines: instantEngine{}, Metrics: metrics.NewRegistry(), Limits: models.Limits{MaxFinished: 100},
 	})
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
--- a/daemon/models/deadline_test.go
+++ b/daemon/models/write_deadline_test.go
@@ -13,24 +13,24 @@
 	"geraniumstack.org/geraniumstack/gen/geranium/request/v1/requestv1connect"
 )
 
-// roundTrip posts over one connection and never reads what comes back.
-type roundTrip struct{ conn net.Conn }
+// writeOnlyTransport posts over one connection and never reads what comes back.
+type writeOnlyTransport struct{ conn net.Conn }
 
-func (r roundTrip) RoundTrip(req *http.Request) (*http.Response, error) {
+func (r writeOnlyTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	return nil, req.Write(r.conn)
 }
 
 // A gateway would run out of memory: each reader's gateway that went away
 // without closing its connection leaves a stream behind whose writes block.
 // They end within the bound on silence.
-func TestStreamToASilentReaderEnds(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, c *cluster) {
+func TestStreamToStalledReaderTimesOut(t *testing.T) {
+	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		r := g.request("chat", 3000)
 		is.NoErr(g.Submit(t.Context(), r))
-		near, far := net.Pipe()
-		defer near.Close()
+		clientConn, serverConn := net.Pipe()
+		defer clientConn.Close()
 		closed := make(chan struct{})
 		_, handler := g.Handler()
 		server := &http.Server{Handler: handler, ConnState: func(_ net.Conn, s http.ConnState) {
@@ -38,10 +38,10 @@
 				close(closed)
 			}
 		}}
-		l := &oneConn{conns: make(chan net.Conn, 1)}
-		l.conns <- far
+		l := &connListener{conns: make(chan net.Conn, 1)}
+		l.conns <- serverConn
 		go func() { _ = server.Serve(l) }()
-		client := requestv1connect.NewRequestServiceClient(&http.Client{Transport: roundTrip{near}}, "http://"+g.address)
+		client := requestv1connect.NewRequestServiceClient(&http.Client{Transport: writeOnlyTransport{clientConn}}, "http://"+g.address)
 		stream, err := client.Read(t.Context(), connect.NewRequest(&requestv1.ReadRequest{
 			RequestId: string(r.ID), Workspace: string(workspace),
 		}))
@@ -52,21 +52,21 @@
 		case <-closed:
 		case <-time.After(3 * silence):
 			t.Error("the stream goes on")
-			near.Close()
+			clientConn.Close()
 		}
 		close(l.conns)
 		server.Close()
 	})
 }
 
-// oneConn is a listener of the connections that are put into it.
-type oneConn struct{ conns chan net.Conn }
+// connListener is a listener of the connections that are put into it.
+type connListener struct{ conns chan net.Conn }
 
-func (l *oneConn) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	if conn, ok := <-l.conns; ok {
 		return conn, nil
 	}
 	return nil, net.ErrClosed
 }
-func (l *oneConn) Close() error   { return nil }
-func (l *oneConn) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *connListener) Close() error   { return nil }
+func (l *connListener) Addr() net.Addr { return &net.TCPAddr{} }
