--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -171,7 +171,7 @@
 	})
 	d.dispatch = modeldispatch.New(modeldispatch.Config{
 		Directory: d.control, Config: configuration, Engines: engines,
-		Prober: modeldispatch.FreshProber{Dial: n.Dial}, Metrics: d.metrics,
+		Prober: modeldispatch.FreshConnProber{Dial: n.Dial}, Metrics: d.metrics,
 		Policy: modeldispatch.DefaultPolicy(), Timing: modeldispatch.DefaultTiming(), Seed: seed(),
 	})
 	d.models = models.New(models.Config{
--- a/daemon/dispatch/config.go
+++ b/daemon/dispatch/config.go
@@ -55,10 +55,10 @@
 	Health    health.Config
 }
 
-// streamsBurst is the retries that a model service saves up: about as many as
+// retryBurst is the retries that a model service saves up: about as many as
 // one gateway has streams in a failure domain that goes without a word. Each of
 // them is made once more, not each call again and again.
-const streamsBurst = 32
+const retryBurst = 32
 
 // DefaultPolicy is the policy in use.
 func DefaultPolicy() Policy {
@@ -67,47 +67,47 @@
 		Retry:     retry.Default(),
 		Health:    health.Default(),
 	}
-	p.Retry.Burst = streamsBurst
+	p.Retry.Burst = retryBurst
 	return p
 }
 
 // Timing says how often things are looked at.
 type Timing struct {
-	// Tick is the precision of waits in the queue and of ejections.
-	Tick time.Duration
-	// IdleTick is the time between two looks while nobody waits and no runner
+	// TickInterval is the precision of waits in the queue and of ejections.
+	TickInterval time.Duration
+	// IdleTickInterval is the time between two looks while nobody waits and no runner
 	// is left out.
-	IdleTick time.Duration
-	// Reads says how reads of load reports and cache events are spread;
+	IdleTickInterval time.Duration
+	// Polling says how reads of load reports and cache events are spread;
 	// PollTimeout bounds one read.
-	Reads       polling.Config
+	Polling     polling.Config
 	PollTimeout time.Duration
-	// ReadBytes is the bytes a second, both directions and headers included,
+	// FleetBytesPerSecond is the bytes a second, both directions and headers included,
 	// that the reads of all daemons together may take, and MostReadBytes those
 	// of one daemon. Their bound does not grow with services and runners.
-	ReadBytes     float64
-	MostReadBytes float64
+	FleetBytesPerSecond  float64
+	DaemonBytesPerSecond float64
 	// EventLimit bounds the cache events of one read.
 	EventLimit int
-	// Refresh is the least time between two looks at a changed directory.
-	Refresh time.Duration
+	// RefreshInterval is the least time between two looks at a changed directory.
+	RefreshInterval time.Duration
 }
 
 // DefaultTiming is the timing in use.
 func DefaultTiming() Timing {
 	return Timing{
-		Tick:          20 * time.Millisecond,
-		IdleTick:      500 * time.Millisecond,
-		Reads:         polling.Default(),
-		PollTimeout:   time.Second,
-		ReadBytes:     4_320_000, // 2.4 KB/s each with 1,800 daemons
-		MostReadBytes: 256_000,
-		EventLimit:    512,
-		Refresh:       50 * time.Millisecond,
+		TickInterval:         20 * time.Millisecond,
+		IdleTickInterval:     500 * time.Millisecond,
+		Polling:              polling.Default(),
+		PollTimeout:          time.Second,
+		FleetBytesPerSecond:  4_320_000, // 2.4 KB/s each with 1,800 daemons
+		DaemonBytesPerSecond: 256_000,
+		EventLimit:           512,
+		RefreshInterval:      50 * time.Millisecond,
 	}
 }
 
-// budget is the bytes a second of one of so many daemons.
-func (t Timing) budget(daemons int) float64 {
-	return min(t.MostReadBytes, t.ReadBytes/float64(daemons))
+// pollBudget is the bytes a second of one of so many daemons.
+func (t Timing) pollBudget(daemons int) float64 {
+	return min(t.DaemonBytesPerSecond, t.FleetBytesPerSecond/float64(daemons))
 }
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -18,9 +18,9 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// retryAfterNotReady is asked of callers that come before there is a
+// defaultRetryAfter is asked of callers that come before there is a
 // configuration or a runner.
-const retryAfterNotReady = time.Second
+const defaultRetryAfter = time.Second
 
 // Dispatcher decides for all model services of a daemon. It is safe for
 // concurrent use.
@@ -37,25 +37,25 @@
 	// pollMu guards planner; it is taken last.
 	pollMu  sync.Mutex
 	planner *polling.Planner
-	// pollWake ends the reading loop's wait.
-	pollWake chan struct{}
+	// pollWakeup ends the reading loop's wait.
+	pollWakeup chan struct{}
 
-	// queued wakes the tick when a request has to wait.
-	queued chan struct{}
+	// tickWakeup wakes the tick when a request has to wait.
+	tickWakeup chan struct{}
 
 	// ctx ends the goroutines; it is set by Run.
 	ctx context.Context
 	wg  sync.WaitGroup
 
-	// refreshing keeps Run and catchUp from refreshing at once.
-	refreshing sync.Mutex
+	// refreshMu keeps Run and catchUp from refreshMu at once.
+	refreshMu sync.Mutex
 }
 
 // New returns a dispatcher; it refuses work until Run has seen a configuration.
 func New(cfg Config) *Dispatcher {
 	return &Dispatcher{
 		cfg: cfg, services: map[string]*service{},
-		planner: polling.New(cfg.Timing.Reads), pollWake: make(chan struct{}, 1),
+		planner: polling.New(cfg.Timing.Polling), pollWakeup: make(chan struct{}, 1),
 	}
 }
 
@@ -67,48 +67,48 @@
 	d.mu.Lock()
 	d.ctx = ctx
 	d.mu.Unlock()
-	d.wg.Go(func() { d.tick(ctx) })
-	d.wg.Go(func() { d.poll(ctx) })
+	d.wg.Go(func() { d.runTicks(ctx) })
+	d.wg.Go(func() { d.runPolls(ctx) })
 	for {
-		listed, configured := d.cfg.Directory.Changed(), d.cfg.Config.Changed()
+		directoryChanged, configChanged := d.cfg.Directory.Changed(), d.cfg.Config.Changed()
 		d.refresh(time.Now())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-listed:
-		case <-configured:
+		case <-directoryChanged:
+		case <-configChanged:
 		}
-		if !pause.For(ctx, d.cfg.Timing.Refresh) {
+		if !pause.For(ctx, d.cfg.Timing.RefreshInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// catchUp takes in a configuration that Run has not seen yet. Without it a
+// refreshIfStale takes in a configuration that Run has not seen yet. Without it a
 // request that comes right after an apply was reported in force is refused as
 // not ready, or served by the former configuration, for as long as Run rests.
-func (d *Dispatcher) catchUp() {
+func (d *Dispatcher) refreshIfStale() {
 	current, _ := d.cfg.Config.Current()
 	d.mu.Lock()
-	behind := d.ctx != nil && current != nil && d.manifest != current
+	stale := d.ctx != nil && current != nil && d.manifest != current
 	d.mu.Unlock()
-	if behind {
+	if stale {
 		d.refresh(time.Now())
 	}
 }
 
 // refresh brings services and runners up to date.
 func (d *Dispatcher) refresh(now time.Time) {
-	d.refreshing.Lock()
-	defer d.refreshing.Unlock()
+	d.refreshMu.Lock()
+	defer d.refreshMu.Unlock()
 	current, _ := d.cfg.Config.Current()
 	if current == nil {
 		return
 	}
 	d.mu.Lock()
-	configured := d.manifest != current
+	configChanged := d.manifest != current
 	d.manifest = current
-	if configured {
+	if configChanged {
 		d.setServices()
 	}
 	services := make([]*service, 0, len(d.services))
@@ -118,11 +118,11 @@
 	d.mu.Unlock()
 	gateways := d.countGateways()
 	for _, s := range services {
-		if configured {
+		if configChanged {
 			s.configure(current)
 		}
 		s.setRunners(now, d.cfg.Directory.Runners(s.name), gateways)
-		d.follow(s)
+		d.startPolling(s)
 	}
 }
 
@@ -141,7 +141,7 @@
 	}
 	for name, s := range d.services {
 		if !listed[name] {
-			d.unfollow(s)
+			d.stopPolling(s)
 			delete(d.services, name)
 		}
 	}
@@ -165,28 +165,28 @@
 	return d.services[name]
 }
 
-// tick passes the time on to the services: often while somebody waits or a
+// runTicks passes the time on to the services: often while somebody waits or a
 // runner is left out, seldom otherwise, since fifty looks a second at nothing
 // cost a daemon more than its heartbeats.
-func (d *Dispatcher) tick(ctx context.Context) {
+func (d *Dispatcher) runTicks(ctx context.Context) {
 	busy := true
-	for d.rest(ctx, busy) {
+	for d.waitForTick(ctx, busy) {
 		busy = d.tickServices(time.Now())
 	}
 }
 
-// rest waits for the next look and reports whether ctx is still good.
-func (d *Dispatcher) rest(ctx context.Context, busy bool) bool {
+// waitForTick waits for the next look and reports whether ctx is still good.
+func (d *Dispatcher) waitForTick(ctx context.Context, busy bool) bool {
 	if busy {
-		return pause.For(ctx, d.cfg.Timing.Tick)
+		return pause.For(ctx, d.cfg.Timing.TickInterval)
 	}
-	timer := time.NewTimer(d.cfg.Timing.IdleTick)
+	timer := time.NewTimer(d.cfg.Timing.IdleTickInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
 	case <-timer.C:
-	case <-d.queued:
+	case <-d.tickWakeup:
 	}
 	return true
 }
@@ -201,25 +201,25 @@
 	d.mu.Unlock()
 	busy := false
 	for _, s := range services {
-		d.probe(s, s.tick(now))
-		busy = busy || s.busy()
+		d.startProbes(s, s.tick(now))
+		busy = busy || s.needsTick()
 	}
 	return busy
 }
 
-// noteQueued ends the rest of an idle tick.
-func (d *Dispatcher) noteQueued(s *service) {
-	if !s.busy() {
+// wakeTick ends the rest of an idle tick.
+func (d *Dispatcher) wakeTick(s *service) {
+	if !s.needsTick() {
 		return
 	}
 	select {
-	case d.queued <- struct{}{}:
+	case d.tickWakeup <- struct{}{}:
 	default:
 	}
 }
 
-// probe carries the probes out that health asks for.
-func (d *Dispatcher) probe(s *service, effects []health.Effect) {
+// startProbes carries the probes out that health asks for.
+func (d *Dispatcher) startProbes(s *service, effects []health.Effect) {
 	for _, e := range effects {
 		if e.Kind != health.Probe {
 			continue
@@ -230,7 +230,7 @@
 			defer cancel()
 			err := d.cfg.Prober.Probe(ctx, address)
 			klog.V(1).InfoS("Runner probed", "service", s.name, "runner", e.Runner, "err", err)
-			s.probed(time.Now(), e.Runner, err == nil)
+			s.handleProbe(time.Now(), e.Runner, err == nil)
 		})
 	}
 }
@@ -248,11 +248,11 @@
 
 // resolve finds the service and class of a request.
 func (d *Dispatcher) resolve(model, class string) (*service, *manifest.Class, error) {
-	d.catchUp()
+	d.refreshIfStale()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.manifest == nil {
-		return nil, nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(retryAfterNotReady)
+		return nil, nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(defaultRetryAfter)
 	}
 	m := d.manifest.ModelNamed(model)
 	if m == nil || d.services[m.Service] == nil {
@@ -266,21 +266,21 @@
 }
 
 // counters are kept by name: a service's, and one for each reason.
-func (c *Config) count(service, what string) {
+func (c *Config) incCounter(service, name string) {
 	if c.Metrics != nil {
-		metrics.GetOrRegisterCounter("dispatch."+service+"."+what, c.Metrics).Inc(1)
+		metrics.GetOrRegisterCounter("dispatch."+service+"."+name, c.Metrics).Inc(1)
 	}
 }
 
-func (c *Config) countBy(service, what string, n int) {
+func (c *Config) addToCounter(service, name string, n int) {
 	if c.Metrics != nil {
-		metrics.GetOrRegisterCounter("dispatch."+service+"."+what, c.Metrics).Inc(int64(n))
+		metrics.GetOrRegisterCounter("dispatch."+service+"."+name, c.Metrics).Inc(int64(n))
 	}
 }
 
-func (c *Config) gauge(service, what string, value float64) {
+func (c *Config) setGauge(service, name string, value float64) {
 	if c.Metrics != nil {
-		metrics.GetOrRegisterGaugeFloat64("dispatch."+service+"."+what, c.Metrics).Update(value)
+		metrics.GetOrRegisterGaugeFloat64("dispatch."+service+"."+name, c.Metrics).Update(value)
 	}
 }
 
--- a/daemon/dispatch/dispatch_test.go
+++ b/daemon/dispatch/dispatch_test.go
@@ -24,55 +24,57 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// world fakes everything around a dispatcher.
-type world struct {
-	mu      sync.Mutex
-	runners []view.Runner
-	changed chan struct{}
-	left    []string
-	down    map[string]bool
-	probes  int
-	metrics metrics.Registry
-	config  *config
+// fakeEnvironment fakes everything around a dispatcher.
+type fakeEnvironment struct {
+	mu            sync.Mutex
+	runners       []view.Runner
+	changed       chan struct{}
+	leavingNoted  []string
+	failingProbes map[string]bool
+	probes        int
+	metrics       metrics.Registry
+	fakeConfig    *fakeConfig
 }
 
-func (w *world) Self() view.Daemon      { return view.Daemon{ID: "g1", FailureDomain: "d0"} }
-func (w *world) Daemons() []view.Daemon { return []view.Daemon{{ID: "g1", State: view.Live}} }
+func (env *fakeEnvironment) Self() view.Daemon { return view.Daemon{ID: "g1", FailureDomain: "d0"} }
+func (env *fakeEnvironment) Daemons() []view.Daemon {
+	return []view.Daemon{{ID: "g1", State: view.Live}}
+}
 
-func (w *world) Runners(string) []view.Runner {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.runners)
+func (env *fakeEnvironment) Runners(string) []view.Runner {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return slices.Clone(env.runners)
 }
 
-func (w *world) Changed() <-chan struct{} {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.changed
+func (env *fakeEnvironment) Changed() <-chan struct{} {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.changed
 }
 
-func (w *world) NoteLeaving(address string, _ time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.left = append(w.left, address)
+func (env *fakeEnvironment) NoteLeaving(address string, _ time.Duration) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.leavingNoted = append(env.leavingNoted, address)
 }
 
-func (w *world) setState(i int, s view.State) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.runners[i].State = s
-	close(w.changed)
-	w.changed = make(chan struct{})
+func (env *fakeEnvironment) setState(i int, s view.State) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.runners[i].State = s
+	close(env.changed)
+	env.changed = make(chan struct{})
 }
 
-func (w *world) Load(_ context.Context, address string) (engineapi.Load, error) {
+func (env *fakeEnvironment) Load(_ context.Context, address string) (engineapi.Load, error) {
 	return engineapi.Load{
 		MaxRunning: 2, KVBlocksTotal: 1000, KVBlocksFree: 1000, PrefillRate: 1000, DecodeRate: 50,
 		Models: []engineapi.Loaded{{Model: "m", Version: "1"}},
 	}, nil
 }
 
-func (w *world) CacheEvents(_ context.Context, _ string, from uint64, _ int) (engineapi.CacheEvents, error) {
+func (env *fakeEnvironment) CacheEvents(_ context.Context, _ string, from uint64, _ int) (engineapi.CacheEvents, error) {
 	return engineapi.CacheEvents{First: from, Next: from}, nil
 }
 
@@ -81,32 +83,32 @@
 
 func (e *probeFailedError) Error() string { return "probe of " + e.address + " failed" }
 
-func (w *world) Probe(_ context.Context, address string) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.probes++
-	if w.down[address] {
+func (env *fakeEnvironment) Probe(_ context.Context, address string) error {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.probes++
+	if env.failingProbes[address] {
 		return &probeFailedError{address}
 	}
 	return nil
 }
 
-// config never tells of a change: whoever does not look works on with what it
+// fakeConfig never tells of a change: whoever does not look works on with what it
 // has.
-type config struct {
+type fakeConfig struct {
 	m atomic.Pointer[manifest.Manifest]
 }
 
-func holding(m *manifest.Manifest) *config {
-	c := &config{}
+func newFakeConfig(m *manifest.Manifest) *fakeConfig {
+	c := &fakeConfig{}
 	c.m.Store(m)
 	return c
 }
 
-func (c *config) Current() (*manifest.Manifest, ident.Generation) { return c.m.Load(), 1 }
-func (c *config) Changed() <-chan struct{}                        { return nil }
+func (c *fakeConfig) Current() (*manifest.Manifest, ident.Generation) { return c.m.Load(), 1 }
+func (c *fakeConfig) Changed() <-chan struct{}                        { return nil }
 
-var configured = manifest.Manifest{
+var testManifest = manifest.Manifest{
 	Models:     []manifest.Model{{Name: "m", Version: "1", Service: "llm"}},
 	Services:   []manifest.Service{{Name: "llm", Kind: manifest.KindModel, Runners: 4}},
 	Workspaces: []manifest.Workspace{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
@@ -116,133 +118,133 @@
 	},
 }
 
-// within runs the test in a bubble with a dispatcher over n runners.
-func within(t *testing.T, n int, test func(t *testing.T, w *world, d *Dispatcher)) {
+// runDispatcher runs the test in a bubble with a dispatcher over n runners.
+func runDispatcher(t *testing.T, n int, test func(t *testing.T, env *fakeEnvironment, d *Dispatcher)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{changed: make(chan struct{}), down: map[string]bool{}, metrics: metrics.NewRegistry(), config: holding(&configured)}
+		env := &fakeEnvironment{changed: make(chan struct{}), failingProbes: map[string]bool{}, metrics: metrics.NewRegistry(), fakeConfig: newFakeConfig(&testManifest)}
 		for i := range n {
-			w.runners = append(w.runners, view.Runner{
+			env.runners = append(env.runners, view.Runner{
 				ID: ident.RunnerID(fmt.Sprint("r", i)), Address: fmt.Sprint("a", i), Service: "llm",
 				FailureDomain: ident.FailureDomain(fmt.Sprint("d", i)), State: view.Live,
 			})
 		}
 		d := New(Config{
-			Directory: w, Config: w.config, Engines: w, Prober: w, Metrics: w.metrics,
+			Directory: env, Config: env.fakeConfig, Engines: env, Prober: env, Metrics: env.metrics,
 			Policy: DefaultPolicy(), Timing: DefaultTiming(), Seed: 1,
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() { done <- d.Run(ctx) }()
 		time.Sleep(time.Second)
-		test(t, w, d)
+		test(t, env, d)
 		cancel()
 		<-done
 	})
 }
 
-func ask(id, class string) call.ModelRequest {
+func testRequest(id, class string) call.ModelRequest {
 	return call.ModelRequest{
 		ID: ident.RequestID(id), Workspace: "a", Class: class, Model: "m", MaxTokens: 10,
 		Prompt: strings.Repeat("word ", 100),
 	}
 }
 
-func job(r call.ModelRequest, after request.Cause) models.Job {
+func testJob(r call.ModelRequest, after request.Cause) models.Job {
 	return models.Job{Request: r, Service: "llm", PreviousCause: after}
 }
 
-// serve makes one whole answer and returns the runner.
-func serve(t *testing.T, d *Dispatcher, id string) ident.RunnerID {
+// serveRequest makes one whole answer and returns the runner.
+func serveRequest(t *testing.T, d *Dispatcher, id string) ident.RunnerID {
 	t.Helper()
-	r := ask(id, "chat")
+	r := testRequest(id, "chat")
 	release, err := d.Acquire(t.Context(), r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer release()
-	c, err := d.Pick(t.Context(), job(r, ""))
+	c, err := d.Pick(t.Context(), testJob(r, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Started(job(r, ""), c)
+	d.Started(testJob(r, ""), c)
 	d.firstToken(attemptKey{r.ID, c.Address}, engineapi.GenerateRequest{Model: "m"}, 0)
 	time.Sleep(100 * time.Millisecond)
-	j := job(r, "")
+	j := testJob(r, "")
 	j.Offset = 10
 	d.Ended(j, models.AttemptResult{Runner: c.Runner, Address: c.Address, Answered: true, Tokens: 10})
 	return c.Runner
 }
 
-func TestFollowUpsGoWhereTheirPrefixIs(t *testing.T) {
-	within(t, 4, func(t *testing.T, _ *world, d *Dispatcher) {
+func TestFollowUpsAreRoutedToCachedPrefix(t *testing.T) {
+	runDispatcher(t, 4, func(t *testing.T, _ *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
-		first := serve(t, d, "1")
+		firstRunner := serveRequest(t, d, "1")
 		for i := range 5 {
-			is.Equal(serve(t, d, fmt.Sprint("f", i)), first)
+			is.Equal(serveRequest(t, d, fmt.Sprint("f", i)), firstRunner)
 		}
 	})
 }
 
 // Requests are cut off one after the other although other runners are free: the
 // VM had its notice, and the directory knew.
-func TestLeavingRunnerGetsNothing(t *testing.T) {
-	within(t, 2, func(t *testing.T, w *world, d *Dispatcher) {
+func TestLeavingRunnerIsNotPicked(t *testing.T) {
+	runDispatcher(t, 2, func(t *testing.T, env *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
-		first := serve(t, d, "1")
-		w.setState(int(first[1]-'0'), view.Leaving)
+		firstRunner := serveRequest(t, d, "1")
+		env.setState(int(firstRunner[1]-'0'), view.Leaving)
 		time.Sleep(100 * time.Millisecond)
 		for i := range 20 {
-			is.True(serve(t, d, fmt.Sprint("l", i)) != first)
+			is.True(serveRequest(t, d, fmt.Sprint("l", i)) != firstRunner)
 		}
 	})
 }
 
 // A caller hangs up while it waits for its turn. The next one in the queue must
 // not wait for an answer that nobody reads.
-func TestGivenUpRequestHoldsNothing(t *testing.T) {
-	within(t, 1, func(t *testing.T, _ *world, d *Dispatcher) {
+func TestCancelledWaiterLeavesTheQueue(t *testing.T) {
+	runDispatcher(t, 1, func(t *testing.T, _ *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
 		var releases []func()
 		for i := range 2 {
-			release, err := d.Acquire(t.Context(), ask(fmt.Sprint(i), "chat"))
+			release, err := d.Acquire(t.Context(), testRequest(fmt.Sprint(i), "chat"))
 			is.NoErr(err)
 			releases = append(releases, release)
 		}
 		ctx, hangUp := context.WithCancel(t.Context())
-		gone := make(chan error)
+		cancelledErr := make(chan error)
 		go func() {
-			_, err := d.Acquire(ctx, ask("gone", "bulletin"))
-			gone <- err
+			_, err := d.Acquire(ctx, testRequest("gone", "bulletin"))
+			cancelledErr <- err
 		}()
 		synctest.Wait()
 		is.Equal(d.Waiting("llm"), 1)
 		hangUp()
-		is.Equal(refusal.From(<-gone).Reason, refusal.Cancelled)
+		is.Equal(refusal.From(<-cancelledErr).Reason, refusal.Cancelled)
 		is.Equal(d.Waiting("llm"), 0)
 		for _, release := range releases {
 			release()
 			release() // twice changes nothing
 		}
-		release, err := d.Acquire(t.Context(), ask("next", "bulletin"))
+		release, err := d.Acquire(t.Context(), testRequest("next", "bulletin"))
 		is.NoErr(err)
 		release()
 	})
 }
 
 func TestRefusalsAreTypedAndCounted(t *testing.T) {
-	within(t, 1, func(t *testing.T, w *world, d *Dispatcher) {
+	runDispatcher(t, 1, func(t *testing.T, env *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
 		for i := range 2 {
-			_, err := d.Acquire(t.Context(), ask(fmt.Sprint(i), "chat"))
+			_, err := d.Acquire(t.Context(), testRequest(fmt.Sprint(i), "chat"))
 			is.NoErr(err)
 		}
-		_, err := d.Acquire(t.Context(), ask("late", "chat"))
+		_, err := d.Acquire(t.Context(), testRequest("late", "chat"))
 		r := refusal.From(err)
 		is.Equal(r.Reason, refusal.Overloaded)
 		is.Equal(r.Executed, refusal.ExecutedNo)
 		is.True(r.RetryAfter > 0)
-		is.Equal(metrics.GetOrRegisterCounter("dispatch.llm.refused.overloaded.chat", w.metrics).Count(), int64(1))
-		unknown := ask("x", "chat")
+		is.Equal(metrics.GetOrRegisterCounter("dispatch.llm.refused.overloaded.chat", env.metrics).Count(), int64(1))
+		unknown := testRequest("x", "chat")
 		unknown.Model = "other"
 		_, err = d.Acquire(t.Context(), unknown)
 		is.Equal(refusal.From(err).Reason, refusal.UnknownModel)
@@ -251,28 +253,28 @@
 
 // One runner fails every call at once and so looks idle: it draws the work of
 // all others. It has to be left out, tried on a new connection, and taken back.
-func TestFailingRunnerIsLeftOutAndComesBack(t *testing.T) {
-	within(t, 4, func(t *testing.T, w *world, d *Dispatcher) {
+func TestFailingRunnerIsEjectedAndReadmitted(t *testing.T) {
+	runDispatcher(t, 4, func(t *testing.T, env *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
-		w.mu.Lock()
-		w.down["a2"] = true
-		w.mu.Unlock()
+		env.mu.Lock()
+		env.failingProbes["a2"] = true
+		env.mu.Unlock()
 		for i := range 3 {
-			r := ask(fmt.Sprint(i), "chat")
+			r := testRequest(fmt.Sprint(i), "chat")
 			c := models.Choice{Runner: "r2", Address: "a2"}
-			d.Started(job(r, ""), c)
-			d.Ended(job(r, ""), models.AttemptResult{Runner: c.Runner, Address: c.Address, Cause: request.Unreachable})
+			d.Started(testJob(r, ""), c)
+			d.Ended(testJob(r, ""), models.AttemptResult{Runner: c.Runner, Address: c.Address, Cause: request.Unreachable})
 		}
 		is.Equal(d.Ejected("llm"), 1)
 		for i := range 20 {
-			is.True(serve(t, d, fmt.Sprint("s", i)) != "r2")
+			is.True(serveRequest(t, d, fmt.Sprint("s", i)) != "r2")
 		}
 		time.Sleep(5 * time.Second)
 		is.Equal(d.Ejected("llm"), 1) // probes fail
-		w.mu.Lock()
-		is.True(w.probes > 0)
-		w.down["a2"] = false
-		w.mu.Unlock()
+		env.mu.Lock()
+		is.True(env.probes > 0)
+		env.failingProbes["a2"] = false
+		env.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		is.Equal(d.Ejected("llm"), 0)
 	})
@@ -280,12 +282,12 @@
 
 // Chats fail in a row after a failure domain went. Each may be tried again only
 // as far as the budget goes; an announced reclaim must not be refused for it.
-func TestRetriesKeepTheBudget(t *testing.T) {
-	within(t, 4, func(t *testing.T, _ *world, d *Dispatcher) {
+func TestRetriesStayWithinBudget(t *testing.T) {
+	runDispatcher(t, 4, func(t *testing.T, _ *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
 		refused := 0
 		for i := range 60 {
-			_, err := d.Pick(t.Context(), job(ask(fmt.Sprint(i), "chat"), request.Unreachable))
+			_, err := d.Pick(t.Context(), testJob(testRequest(fmt.Sprint(i), "chat"), request.Unreachable))
 			if err == nil {
 				continue
 			}
@@ -295,11 +297,11 @@
 			is.Equal(r.Executed, refusal.ExecutedNo) // no connection was made
 		}
 		is.True(refused >= 20)
-		_, err := d.Pick(t.Context(), job(ask("moved", "chat"), request.Preempted))
+		_, err := d.Pick(t.Context(), testJob(testRequest("moved", "chat"), request.Preempted))
 		is.NoErr(err)
 		begun := time.Now()
 		for i := range 3 {
-			_, err = d.Pick(t.Context(), job(ask(fmt.Sprint("b", i), "bulletin"), request.Truncated))
+			_, err = d.Pick(t.Context(), testJob(testRequest(fmt.Sprint("b", i), "bulletin"), request.Truncated))
 			is.NoErr(err) // accepted work waits for the budget
 		}
 		is.True(time.Since(begun) > time.Second)
--- a/daemon/dispatch/grant.go
+++ b/daemon/dispatch/grant.go
@@ -13,22 +13,22 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// length is the mean number of output tokens of a class and the mean time
+// outputStats is the mean number of output tokens of a class and the mean time
 // between them.
-type length struct {
-	tokens  float64
-	between time.Duration
+type outputStats struct {
+	tokens        float64
+	tokenInterval time.Duration
 }
 
-// lengthGain is the weight of the latest answer.
-const lengthGain = 0.05
+// outputStatsWeight is the weight of the latest answer.
+const outputStatsWeight = 0.05
 
-// slackShare is the part of its class's target that long work may lose at the
+// slackDivisor is the part of its class's target that long work may lose at the
 // first token to run where a reclaim is less likely.
-const slackShare = 4
+const slackDivisor = 4
 
-// longOutput is the expected output from which work counts as long.
-const longOutput = 400
+// longOutputTokens is the expected output from which work counts as long.
+const longOutputTokens = 400
 
 // grant is a request's share of the capacity.
 type grant struct {
@@ -36,14 +36,14 @@
 	class   string
 	request routing.Request
 	// accepted work has been promised an answer whatever it takes.
-	accepted bool
-	deadline time.Time
-	outcome  chan admission.Effect
-	attempts int
-	tokens   int
-	cached   int
-	between  time.Duration
-	released bool
+	accepted      bool
+	deadline      time.Time
+	outcome       chan admission.Effect
+	attempts      int
+	outputTokens  int
+	cachedTokens  int
+	tokenInterval time.Duration
+	released      bool
 }
 
 // newGrant works out what the decisions need of a request.
@@ -61,30 +61,30 @@
 			PromptTokens: tokens,
 			OutputTokens: r.MaxTokens,
 			Long:         class.Deferrable,
-			Slack:        time.Duration(class.TTFTMillis) * time.Millisecond / slackShare,
+			Slack:        time.Duration(class.TTFTMillis) * time.Millisecond / slackDivisor,
 		},
 	}
 }
 
-// expect sets what is known of the class's answers. It runs with s.mu held.
-func (s *service) expect(g *grant, class *manifest.Class) time.Duration {
-	l, ok := s.lengths[class.Name]
+// estimateOutput sets what is known of the class's answers. It runs with s.mu held.
+func (s *service) estimateOutput(g *grant, class *manifest.Class) time.Duration {
+	l, ok := s.outputStats[class.Name]
 	if !ok {
 		return time.Duration(g.request.OutputTokens) * time.Duration(class.TBTMillis) * time.Millisecond
 	}
 	g.request.OutputTokens = min(g.request.OutputTokens, int(l.tokens)+1)
-	g.request.Long = g.request.Long || g.request.OutputTokens >= longOutput
-	return time.Duration(g.request.OutputTokens) * l.between
+	g.request.Long = g.request.Long || g.request.OutputTokens >= longOutputTokens
+	return time.Duration(g.request.OutputTokens) * l.tokenInterval
 }
 
-func (s *service) learn(class string, tokens int, between time.Duration) {
-	l, ok := s.lengths[class]
+func (s *service) recordOutput(class string, tokens int, tokenInterval time.Duration) {
+	l, ok := s.outputStats[class]
 	if !ok {
-		s.lengths[class] = &length{float64(tokens), between}
+		s.outputStats[class] = &outputStats{float64(tokens), tokenInterval}
 		return
 	}
-	l.tokens += lengthGain * (float64(tokens) - l.tokens)
-	l.between += time.Duration(lengthGain * float64(between-l.between))
+	l.tokens += outputStatsWeight * (float64(tokens) - l.tokens)
+	l.tokenInterval += time.Duration(outputStatsWeight * float64(tokenInterval-l.tokenInterval))
 }
 
 // Acquire implements models.Picker: it returns when the request may go to a
@@ -98,59 +98,59 @@
 	if err := s.offer(time.Now(), r, g, class); err != nil {
 		return nil, err
 	}
-	d.noteQueued(s)
+	d.wakeTick(s)
 	select {
 	case e := <-g.outcome:
-		return s.granted(r, g, e)
+		return s.finishAcquire(r, g, e)
 	case <-ctx.Done():
 	}
 	select {
 	case e := <-g.outcome:
-		return s.granted(r, g, e)
+		return s.finishAcquire(r, g, e)
 	default:
 	}
-	s.giveUp(time.Now(), g)
+	s.cancelWaiting(time.Now(), g)
 	return nil, refusal.New(refusal.Cancelled, "the caller went away while it waited")
 }
 
 func (s *service) offer(now time.Time, r call.ModelRequest, g *grant, class *manifest.Class) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	service := s.expect(g, class)
+	serviceTime := s.estimateOutput(g, class)
 	choice, err := s.table.Pick(now, &g.request)
 	if err != nil && !g.accepted {
-		return s.noRunner(err)
+		return s.noRunnerRefusal(err)
 	}
 	s.lastID++
 	g.id = s.lastID
 	s.waiting[g.id] = g
-	s.deliver(s.admission.Offer(now, admission.Item{
+	s.deliverOutcomes(s.admission.Offer(now, admission.Item{
 		ID:         g.id,
 		Workspace:  r.Workspace,
 		Class:      r.Class,
-		Cost:       s.cost(choice.Uncached, g.request.OutputTokens),
+		Cost:       s.tokenCost(choice.Uncached, g.request.OutputTokens),
 		Bytes:      len(r.Prompt),
 		FirstToken: choice.Estimate,
-		Service:    choice.Estimate + service,
+		Service:    choice.Estimate + serviceTime,
 		Deadline:   r.Deadline,
 	}, s.effects[:0]))
 	return nil
 }
 
-func (s *service) cost(uncached, output int) float64 {
+func (s *service) tokenCost(uncached, output int) float64 {
 	return float64(output) + float64(uncached)*s.table.Capacity().PromptCost
 }
 
-func (s *service) noRunner(err error) error {
+func (s *service) noRunnerRefusal(err error) error {
 	var none *routing.NoRunnerError
 	if errors.As(err, &none) {
-		s.cfg.count(s.name, "no_runner."+string(none.Cause))
+		s.cfg.incCounter(s.name, "no_runner."+string(none.Cause))
 	}
-	return refusal.New(refusal.NoRunner, "service %s: %v", s.name, err).After(retryAfterNotReady)
+	return refusal.New(refusal.NoRunner, "service %s: %v", s.name, err).After(defaultRetryAfter)
 }
 
-// granted returns the release of an admitted request.
-func (s *service) granted(r call.ModelRequest, g *grant, e admission.Effect) (func(), error) {
+// finishAcquire returns the release of an admitted request.
+func (s *service) finishAcquire(r call.ModelRequest, g *grant, e admission.Effect) (func(), error) {
 	if e.Kind == admission.Refuse {
 		return nil, e.Refusal
 	}
@@ -161,14 +161,14 @@
 	return func() { s.release(r, g) }, nil
 }
 
-// giveUp takes a request out whose caller went away. It may have been admitted
+// cancelWaiting takes a request out whose caller went away. It may have been admitted
 // in the meantime; its place goes to the next one at once either way.
-func (s *service) giveUp(now time.Time, g *grant) {
+func (s *service) cancelWaiting(now time.Time, g *grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.waiting, g.id)
-	s.deliver(s.admission.Cancel(now, g.id, s.effects[:0]))
-	s.cfg.count(s.name, "given_up."+g.class)
+	s.deliverOutcomes(s.admission.Cancel(now, g.id, s.effects[:0]))
+	s.cfg.incCounter(s.name, "given_up."+g.class)
 }
 
 func (s *service) release(r call.ModelRequest, g *grant) {
@@ -182,9 +182,9 @@
 		delete(s.grants, r.ID)
 	}
 	now := time.Now()
-	if g.between > 0 {
-		s.admission.BetweenTokens(now, g.id, g.between)
+	if g.tokenInterval > 0 {
+		s.admission.BetweenTokens(now, g.id, g.tokenInterval)
 	}
-	cost := s.cost(max(0, g.request.PromptTokens-g.cached), g.tokens)
-	s.deliver(s.admission.Finish(now, g.id, cost, s.effects[:0]))
+	cost := s.tokenCost(max(0, g.request.PromptTokens-g.cachedTokens), g.outputTokens)
+	s.deliverOutcomes(s.admission.Finish(now, g.id, cost, s.effects[:0]))
 }
--- a/daemon/dispatch/observe.go
+++ b/daemon/dispatch/observe.go
@@ -13,18 +13,18 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// observed passes calls on and tells the dispatcher of first tokens.
-type observed struct {
+// observedEngines passes calls on and tells the dispatcher of first tokens.
+type observedEngines struct {
 	models.Engines
 	d *Dispatcher
 }
 
 // Observe returns engines whose attempts the dispatcher hears of. Without it
 // prompts count as waiting until their answers end.
-func (d *Dispatcher) Observe(e models.Engines) models.Engines { return &observed{e, d} }
+func (d *Dispatcher) Observe(e models.Engines) models.Engines { return &observedEngines{e, d} }
 
 // Generate implements models.Engines.
-func (o *observed) Generate(ctx context.Context, address string, r engineapi.GenerateRequest, sink func(engineapi.GenerateEvent) error) error {
+func (o *observedEngines) Generate(ctx context.Context, address string, r engineapi.GenerateRequest, sink func(engineapi.GenerateEvent) error) error {
 	seen := false
 	err := o.Engines.Generate(ctx, address, r, func(e engineapi.GenerateEvent) error {
 		if !seen && !e.Heartbeat && e.AttemptID == r.AttemptID {
@@ -53,13 +53,13 @@
 	}
 }
 
-// FreshProber reads an engine's load, each time on a connection of its own.
-type FreshProber struct {
+// FreshConnProber reads an engine's load, each time on a connection of its own.
+type FreshConnProber struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // Probe implements Prober.
-func (p FreshProber) Probe(ctx context.Context, address string) error {
+func (p FreshConnProber) Probe(ctx context.Context, address string) error {
 	transport := &http.Transport{DialContext: p.Dial, DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
 	if _, err := engine.New(address, &http.Client{Transport: transport}).Load(ctx); err != nil {
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -26,19 +26,19 @@
 	if s == nil {
 		return models.Choice{}, refusal.New(refusal.UnknownModel, "no service %q", j.Service)
 	}
-	g := s.grantOf(d, j)
+	g := s.grantFor(d, j)
 	if j.PreviousCause != "" {
-		if err := s.again(ctx, j, g); err != nil {
+		if err := s.waitForRetry(ctx, j, g); err != nil {
 			return models.Choice{}, err
 		}
 	}
 	return s.pick(time.Now(), j, g)
 }
 
-// grantOf finds the request's grant. A request that this daemon adopted from
+// grantFor finds the request's grant. A request that this daemon adopted from
 // another has none and is routed without admission: its place was taken when
 // it was accepted.
-func (s *service) grantOf(d *Dispatcher, j models.Job) *grant {
+func (s *service) grantFor(d *Dispatcher, j models.Job) *grant {
 	s.mu.Lock()
 	g, ok := s.grants[j.Request.ID]
 	s.mu.Unlock()
@@ -46,15 +46,15 @@
 		return g
 	}
 	class := &manifest.Class{Name: j.Request.Class, Deferrable: true}
-	if _, known, err := d.resolve(j.Request.Model, j.Request.Class); err == nil {
-		class = known
+	if _, configuredClass, err := d.resolve(j.Request.Model, j.Request.Class); err == nil {
+		class = configuredClass
 	}
 	return newGrant(j.Request, class)
 }
 
-// again returns when a failed attempt may be made again, or why not.
-func (s *service) again(ctx context.Context, j models.Job, g *grant) error {
-	reason := reasonOf(j.PreviousCause)
+// waitForRetry returns when a failed attempt may be made waitForRetry, or why not.
+func (s *service) waitForRetry(ctx context.Context, j models.Job, g *grant) error {
+	reason := retryReason(j.PreviousCause)
 	for {
 		s.mu.Lock()
 		decision := s.retry.Decide(time.Now(), retry.Failure{
@@ -67,7 +67,7 @@
 		})
 		s.mu.Unlock()
 		if decision.Verdict != retry.Again && decision.Verdict != retry.Postpone {
-			return stopped(j, decision)
+			return retryRefusal(j, decision)
 		}
 		if !pause.For(ctx, decision.Wait) {
 			return refusal.New(refusal.Cancelled, "given up").Unknown()
@@ -82,7 +82,7 @@
 	return j.Offset > 0 || j.PreviousCause != request.Unreachable && j.PreviousCause != request.Refused && j.PreviousCause != request.NoCapacity
 }
 
-func stopped(j models.Job, decision retry.Decision) error {
+func retryRefusal(j models.Job, decision retry.Decision) error {
 	reason := refusal.RetryBudgetExhausted
 	switch decision.Verdict {
 	case retry.StopDeadline:
@@ -92,7 +92,7 @@
 	}
 	r := refusal.New(reason, "attempt failed (%s), %s", j.PreviousCause, decision.Verdict)
 	if reason != refusal.DeadlineExceeded {
-		r = r.After(retryAfterNotReady)
+		r = r.After(defaultRetryAfter)
 	}
 	if mayHaveRun(j) {
 		return r.Unknown()
@@ -100,8 +100,8 @@
 	return r
 }
 
-// reasonOf translates the cause of a failed attempt.
-func reasonOf(c request.Cause) retry.Reason {
+// retryReason translates the cause of a failed attempt.
+func retryReason(c request.Cause) retry.Reason {
 	switch c {
 	case request.Unreachable:
 		return retry.ConnectFailed
@@ -120,7 +120,7 @@
 func (s *service) pick(now time.Time, j models.Job, g *grant) (models.Choice, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.routed(j, g)
+	r := s.routingRequest(j, g)
 	c, err := s.table.Pick(now, &r)
 	var none *routing.NoRunnerError
 	if errors.As(err, &none) && none.Cause == routing.AllTried {
@@ -129,15 +129,15 @@
 		c, err = s.table.Pick(now, &r)
 	}
 	if err != nil {
-		return models.Choice{}, s.noRunner(err)
+		return models.Choice{}, s.noRunnerRefusal(err)
 	}
-	s.cfg.count(s.name, "picked")
+	s.cfg.incCounter(s.name, "picked")
 	return models.Choice{Runner: c.Runner, Address: c.Address}, nil
 }
 
-// routed is the request as it is now: with what was emitted as a part of what
+// routingRequest is the request as it is now: with what was emitted as a part of what
 // has to be computed.
-func (s *service) routed(j models.Job, g *grant) routing.Request {
+func (s *service) routingRequest(j models.Job, g *grant) routing.Request {
 	r := g.request
 	r.PromptTokens += j.Offset
 	r.OutputTokens = max(1, r.OutputTokens-j.Offset)
@@ -151,12 +151,12 @@
 	if s == nil {
 		return
 	}
-	g := s.grantOf(d, j)
-	defer d.used(s, c.Runner)
+	g := s.grantFor(d, j)
+	defer d.recordUse(s, c.Runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	r := s.routed(j, g)
+	r := s.routingRequest(j, g)
 	choice, ok := s.table.ChoiceFor(c.Runner, &r)
 	if !ok {
 		return
@@ -167,11 +167,11 @@
 		s.table.Finished(now, &old.ticket)
 	}
 	s.attempts[key] = &attempt{
-		ticket:   s.table.Dispatch(now, choice, &r),
-		grant:    g,
-		started:  now,
-		chain:    r.Prefix,
-		expected: choice.CachedBlocks * prefixhash.BlockTokens,
+		ticket:         s.table.Dispatch(now, choice, &r),
+		grant:          g,
+		started:        now,
+		prefix:         r.Prefix,
+		expectedCached: choice.CachedBlocks * prefixhash.BlockTokens,
 	}
 }
 
@@ -180,15 +180,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.attempts[key]
-	if a == nil || !a.first.IsZero() {
+	if a == nil || !a.firstTokenAt.IsZero() {
 		return
 	}
-	a.first = now
+	a.firstTokenAt = now
 	s.table.FirstToken(now, &a.ticket)
 	s.admission.FirstToken(now, a.grant.id, now.Sub(a.started))
-	a.grant.cached = cached
-	s.cfg.countBy(s.name, "prefix.cached_tokens", cached)
-	s.cfg.countBy(s.name, "prefix.overestimated_tokens", max(0, a.expected-cached))
+	a.grant.cachedTokens = cached
+	s.cfg.addToCounter(s.name, "prefix.cached_tokens", cached)
+	s.cfg.addToCounter(s.name, "prefix.overestimated_tokens", max(0, a.expectedCached-cached))
 }
 
 // Ended implements models.Picker.
@@ -201,17 +201,17 @@
 	s.mu.Lock()
 	s.endAttempt(now, attemptKey{j.Request.ID, a.Address}, j, a)
 	var effects []health.Effect
-	if outcome, tells := outcomeOf(a); tells {
+	if outcome, known := healthOutcome(a); known {
 		effects = s.health.HandleOutcome(now, a.Runner, outcome, nil)
-		s.apply(effects)
+		s.applyHealthEffects(effects)
 	}
 	s.mu.Unlock()
-	d.used(s, a.Runner)
-	d.probe(s, effects)
+	d.recordUse(s, a.Runner)
+	d.startProbes(s, effects)
 }
 
-// outcomeOf is what an attempt's end tells of its runner, if anything.
-func outcomeOf(a models.AttemptResult) (health.Outcome, bool) {
+// healthOutcome is what an attempt's end tells of its runner, if anything.
+func healthOutcome(a models.AttemptResult) (health.Outcome, bool) {
 	if a.Answered {
 		return health.Success, true
 	}
@@ -225,22 +225,22 @@
 }
 
 func (s *service) endAttempt(now time.Time, key attemptKey, j models.Job, a models.AttemptResult) {
-	at := s.attempts[key]
-	if at == nil {
+	ended := s.attempts[key]
+	if ended == nil {
 		return
 	}
 	delete(s.attempts, key)
 	if a.Cause == request.Unreachable || a.Cause == request.Refused {
-		s.table.NotStarted(now, &at.ticket, at.chain)
+		s.table.NotStarted(now, &ended.ticket, ended.prefix)
 		return
 	}
-	s.table.Finished(now, &at.ticket)
-	at.grant.tokens += a.Tokens
-	if a.Tokens > 1 && !at.first.IsZero() {
-		at.grant.between = now.Sub(at.first) / time.Duration(a.Tokens-1)
+	s.table.Finished(now, &ended.ticket)
+	ended.grant.outputTokens += a.Tokens
+	if a.Tokens > 1 && !ended.firstTokenAt.IsZero() {
+		ended.grant.tokenInterval = now.Sub(ended.firstTokenAt) / time.Duration(a.Tokens-1)
 	}
 	if a.Answered {
 		s.table.RecordOutputLength(j.Offset)
-		s.learn(at.grant.class, j.Offset, at.grant.between)
+		s.recordOutput(ended.grant.class, j.Offset, ended.grant.tokenInterval)
 	}
 }
--- a/daemon/dispatch/poll.go
+++ b/daemon/dispatch/poll.go
@@ -12,74 +12,74 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// follow makes the planner read the runners of the service's table.
-func (d *Dispatcher) follow(s *service) {
-	ids := s.followed()
+// startPolling makes the planner read the runners of the service's table.
+func (d *Dispatcher) startPolling(s *service) {
+	ids := s.polledRunners()
 	d.pollMu.Lock()
 	defer d.pollMu.Unlock()
 	d.planner.SetTargets(s.name, ids)
-	d.planner.SetBudget(time.Now(), d.cfg.Timing.budget(int(d.gateways.Load())))
+	d.planner.SetBudget(time.Now(), d.cfg.Timing.pollBudget(int(d.gateways.Load())))
 	select {
-	case d.pollWake <- struct{}{}:
+	case d.pollWakeup <- struct{}{}:
 	default:
 	}
 }
 
-// unfollow ends the reading of a service's runners.
-func (d *Dispatcher) unfollow(s *service) {
+// stopPolling ends the reading of a service's runners.
+func (d *Dispatcher) stopPolling(s *service) {
 	d.pollMu.Lock()
 	defer d.pollMu.Unlock()
 	d.planner.SetTargets(s.name, nil)
 }
 
-// used tells the planner that what is known of a runner's load has aged.
-func (d *Dispatcher) used(s *service, id ident.RunnerID) {
+// recordUse tells the planner that what is known of a runner's load has aged.
+func (d *Dispatcher) recordUse(s *service, id ident.RunnerID) {
 	d.pollMu.Lock()
 	defer d.pollMu.Unlock()
 	d.planner.RecordUse(polling.Target{Service: s.name, Runner: id})
 }
 
-// poll makes the planner's reads until ctx ends. A slow read holds up no other.
-func (d *Dispatcher) poll(ctx context.Context) {
+// runPolls makes the planner's reads until ctx ends. A slow read holds up no other.
+func (d *Dispatcher) runPolls(ctx context.Context) {
 	for {
 		d.pollMu.Lock()
 		read, wait, ok := d.planner.Next(time.Now())
 		d.pollMu.Unlock()
 		if ok {
-			d.spawn(func(ctx context.Context) { d.carryOut(ctx, read) })
+			d.spawn(func(ctx context.Context) { d.executeRead(ctx, read) })
 			continue
 		}
-		timer := time.NewTimer(max(wait, leastWait))
+		timer := time.NewTimer(max(wait, minPollWait))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-timer.C:
-		case <-d.pollWake: // there may be a runner that was never read
+		case <-d.pollWakeup: // there may be a runner that was never read
 		}
 		timer.Stop()
 	}
 }
 
-// leastWait keeps reads that are due by turns from waking the loop for each.
-const leastWait = 5 * time.Millisecond
+// minPollWait keeps reads that are due by turns from waking the loop for each.
+const minPollWait = 5 * time.Millisecond
 
-func (d *Dispatcher) carryOut(ctx context.Context, read polling.Read) {
+func (d *Dispatcher) executeRead(ctx context.Context, read polling.Read) {
 	var result polling.Result
 	if s := d.service(read.Target.Service); s != nil {
-		result = d.read(ctx, s, read)
+		result = d.pollRunner(ctx, s, read)
 	}
-	d.cfg.countBy(read.Target.Service, "polls.load_bytes", result.LoadBytes)
-	d.cfg.countBy(read.Target.Service, "polls.event_bytes", result.EventBytes)
+	d.cfg.addToCounter(read.Target.Service, "polls.load_bytes", result.LoadBytes)
+	d.cfg.addToCounter(read.Target.Service, "polls.event_bytes", result.EventBytes)
 	d.pollMu.Lock()
 	defer d.pollMu.Unlock()
 	d.planner.HandleResult(time.Now(), read, result)
 }
 
-// read reads a runner's load, and its cache events if the budget has room for
-// them. A read that fails changes nothing: only calls with work in them tell
+// pollRunner reads a runner's load, and its cache events if the budget has room for
+// them. A pollRunner that fails changes nothing: only calls with work in them tell
 // that a runner fails.
-func (d *Dispatcher) read(ctx context.Context, s *service, read polling.Read) (result polling.Result) {
+func (d *Dispatcher) pollRunner(ctx context.Context, s *service, read polling.Read) (result polling.Result) {
 	id := read.Target.Runner
 	address := s.address(id)
 	if address == "" {
@@ -92,31 +92,31 @@
 	l, err := d.cfg.Engines.Load(ctx, address)
 	result.LoadBytes = traffic.Bytes()
 	if err != nil {
-		d.cfg.count(s.name, "polls.failed")
+		d.cfg.incCounter(s.name, "polls.failed")
 		return result
 	}
 	now := time.Now()
 	if l.Leaving {
 		d.cfg.Directory.NoteLeaving(address, time.Duration(l.DeadlineMillis)*time.Millisecond)
 	}
-	s.reported(now, id, reportOf(now, l), int(d.gateways.Load()))
+	s.handleReport(now, id, loadReport(now, l), int(d.gateways.Load()))
 	if !read.Events {
 		return result
 	}
-	events, err := d.cfg.Engines.CacheEvents(ctx, address, s.cursor(id), d.cfg.Timing.EventLimit)
+	events, err := d.cfg.Engines.CacheEvents(ctx, address, s.eventCursor(id), d.cfg.Timing.EventLimit)
 	result.EventBytes = traffic.Bytes() - result.LoadBytes
 	if err != nil {
-		d.cfg.count(s.name, "polls.failed")
+		d.cfg.incCounter(s.name, "polls.failed")
 		return result
 	}
-	if err := s.cacheEvents(id, pageOf(events)); err != nil {
-		d.cfg.count(s.name, "prefix.resyncs")
+	if err := s.applyCacheEvents(id, eventPage(events)); err != nil {
+		d.cfg.incCounter(s.name, "prefix.resyncs")
 		result.Gap = true
 	}
 	return result
 }
 
-func reportOf(now time.Time, l engineapi.Load) load.Report {
+func loadReport(now time.Time, l engineapi.Load) load.Report {
 	r := load.Report{
 		AsOf:          now.Add(-time.Duration(l.AgeMillis) * time.Millisecond),
 		Running:       l.Running,
@@ -137,7 +137,7 @@
 	return r
 }
 
-func pageOf(events engineapi.CacheEvents) prefix.Page {
+func eventPage(events engineapi.CacheEvents) prefix.Page {
 	p := prefix.Page{First: events.First, Next: events.Next, Events: make([]prefix.Event, len(events.Events))}
 	for i, e := range events.Events {
 		p.Events[i] = prefix.Event{Sequence: e.Sequence, Block: e.Block, Stored: e.Stored}
@@ -145,8 +145,8 @@
 	return p
 }
 
-// followed lists the runners of the table.
-func (s *service) followed() []ident.RunnerID {
+// polledRunners lists the runners of the table.
+func (s *service) polledRunners() []ident.RunnerID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return runnerIDs(s.table.Runners(nil))
--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -24,13 +24,13 @@
 
 // attempt is one dispatch in progress.
 type attempt struct {
-	ticket  routing.Ticket
-	grant   *grant
-	started time.Time
-	first   time.Time
-	chain   []prefix.Hash
-	// expected is the cached tokens that the index promised.
-	expected int
+	ticket       routing.Ticket
+	grant        *grant
+	started      time.Time
+	firstTokenAt time.Time
+	prefix       []prefix.Hash
+	// expectedCached is the cached tokens that the index promised.
+	expectedCached int
 }
 
 // service is one model service's decisions behind one lock. No call under the
@@ -39,32 +39,32 @@
 	name string
 	cfg  Config
 
-	mu        sync.Mutex
-	table     *routing.Table
-	admission *admission.Controller
-	retry     *retry.Policy
-	health    *health.Tracker
-	lengths   map[string]*length
-	attempts  map[attemptKey]*attempt
-	grants    map[ident.RequestID]*grant
-	waiting   map[admission.ID]*grant
-	lastID    admission.ID
-	gauged    time.Time
-	effects   []admission.Effect
+	mu          sync.Mutex
+	table       *routing.Table
+	admission   *admission.Controller
+	retry       *retry.Policy
+	health      *health.Tracker
+	outputStats map[string]*outputStats
+	attempts    map[attemptKey]*attempt
+	grants      map[ident.RequestID]*grant
+	waiting     map[admission.ID]*grant
+	lastID      admission.ID
+	gaugesSetAt time.Time
+	effects     []admission.Effect
 }
 
-// gaugeEvery is how often a service's gauges are set.
-const gaugeEvery = time.Second
+// gaugeInterval is how often a service's gauges are set.
+const gaugeInterval = time.Second
 
 func newService(cfg Config, name string) *service {
 	s := &service{
-		name:     name,
-		cfg:      cfg,
-		health:   health.New(cfg.Policy.Health),
-		lengths:  map[string]*length{},
-		attempts: map[attemptKey]*attempt{},
-		grants:   map[ident.RequestID]*grant{},
-		waiting:  map[admission.ID]*grant{},
+		name:        name,
+		cfg:         cfg,
+		health:      health.New(cfg.Policy.Health),
+		outputStats: map[string]*outputStats{},
+		attempts:    map[attemptKey]*attempt{},
+		grants:      map[ident.RequestID]*grant{},
+		waiting:     map[admission.ID]*grant{},
 	}
 	self := cfg.Directory.Self()
 	r := routing.Default(self.ID, self.FailureDomain)
@@ -75,14 +75,14 @@
 	s.table = routing.New(r)
 	a := cfg.Policy.Admission
 	a.Count = func(reason refusal.Reason, ws ident.Workspace, class string) {
-		cfg.count(name, "refused."+string(reason)+"."+class)
-		cfg.count(name, "refused_by_workspace."+string(ws))
+		cfg.incCounter(name, "refused."+string(reason)+"."+class)
+		cfg.incCounter(name, "refused_by_workspace."+string(ws))
 	}
 	s.admission = admission.New(a)
 	t := cfg.Policy.Retry
 	t.Seed = cfg.Seed
 	t.Count = func(reason retry.Reason, v retry.Verdict) {
-		cfg.count(name, "retry."+string(reason)+"."+string(v))
+		cfg.incCounter(name, "retry."+string(reason)+"."+string(v))
 	}
 	s.retry = retry.New(t)
 	return s
@@ -108,30 +108,30 @@
 	defer s.mu.Unlock()
 	s.table.SetRunners(now, runners)
 	s.health.SetRunners(runnerIDs(s.table.Runners(nil)))
-	s.share(gateways)
+	s.updateCapacity(gateways)
 }
 
-// reported takes a runner's load report in.
-func (s *service) reported(now time.Time, id ident.RunnerID, r load.Report, gateways int) {
+// handleReport takes a runner's load report in.
+func (s *service) handleReport(now time.Time, id ident.RunnerID, r load.Report, gateways int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Report(now, id, r)
-	s.share(gateways)
-	s.deliver(s.admission.Tick(now, s.effects[:0]))
+	s.updateCapacity(gateways)
+	s.deliverOutcomes(s.admission.Tick(now, s.effects[:0]))
 }
 
-// share tells admission what this gateway may use.
-func (s *service) share(gateways int) {
+// updateCapacity tells admission what this gateway may use.
+func (s *service) updateCapacity(gateways int) {
 	s.admission.SetCapacity(s.table.Capacity().Share(gateways, s.admission.Running()))
 }
 
-func (s *service) cursor(id ident.RunnerID) uint64 {
+func (s *service) eventCursor(id ident.RunnerID) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Cursor(id)
 }
 
-func (s *service) cacheEvents(id ident.RunnerID, p prefix.Page) error {
+func (s *service) applyCacheEvents(id ident.RunnerID, p prefix.Page) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.CacheEvents(id, p)
@@ -148,57 +148,57 @@
 func (s *service) tick(now time.Time) []health.Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deliver(s.admission.Tick(now, s.effects[:0]))
+	s.deliverOutcomes(s.admission.Tick(now, s.effects[:0]))
 	effects := s.health.Tick(now, nil)
-	s.apply(effects)
+	s.applyHealthEffects(effects)
 	s.setGauges(now)
 	return effects
 }
 
-// busy tells whether time decides something soon: for a request in the queue, or
+// needsTick tells whether time decides something soon: for a request in the queue, or
 // for a runner that is left out.
-func (s *service) busy() bool {
+func (s *service) needsTick() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiting) > 0 || s.health.Ejected() > 0
 }
 
 func (s *service) setGauges(now time.Time) {
-	if now.Sub(s.gauged) < gaugeEvery {
+	if now.Sub(s.gaugesSetAt) < gaugeInterval {
 		return
 	}
-	s.gauged = now
-	s.cfg.gauge(s.name, "limit", float64(s.admission.Limit()))
-	s.cfg.gauge(s.name, "running", float64(s.admission.Running()))
-	s.cfg.gauge(s.name, "queued", float64(s.admission.Queued()))
-	s.cfg.gauge(s.name, "ejected", float64(s.health.Ejected()))
-	s.cfg.gauge(s.name, "retry_budget", s.retry.Balance())
-	s.cfg.gauge(s.name, "prefix.blocks", float64(s.table.PrefixBlocks()))
-	s.cfg.gauge(s.name, "runners", float64(s.table.Capacity().Runners))
-}
-
-// apply carries ejections out in the table.
-func (s *service) apply(effects []health.Effect) {
+	s.gaugesSetAt = now
+	s.cfg.setGauge(s.name, "limit", float64(s.admission.Limit()))
+	s.cfg.setGauge(s.name, "running", float64(s.admission.Running()))
+	s.cfg.setGauge(s.name, "queued", float64(s.admission.Queued()))
+	s.cfg.setGauge(s.name, "ejected", float64(s.health.Ejected()))
+	s.cfg.setGauge(s.name, "retry_budget", s.retry.Balance())
+	s.cfg.setGauge(s.name, "prefix.blocks", float64(s.table.PrefixBlocks()))
+	s.cfg.setGauge(s.name, "runners", float64(s.table.Capacity().Runners))
+}
+
+// applyHealthEffects carries ejections out in the table.
+func (s *service) applyHealthEffects(effects []health.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
 		case health.Eject:
 			s.table.SetEjected(e.Runner, true)
-			s.cfg.count(s.name, "ejections")
+			s.cfg.incCounter(s.name, "ejections")
 		case health.Readmit:
 			s.table.SetEjected(e.Runner, false)
-			s.cfg.count(s.name, "readmissions")
+			s.cfg.incCounter(s.name, "readmissions")
 		}
 	}
 }
 
-func (s *service) probed(now time.Time, id ident.RunnerID, ok bool) {
+func (s *service) handleProbe(now time.Time, id ident.RunnerID, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(s.health.HandleProbe(now, id, ok, nil))
+	s.applyHealthEffects(s.health.HandleProbe(now, id, ok, nil))
 }
 
-// deliver tells waiting grants what became of them.
-func (s *service) deliver(effects []admission.Effect) {
+// deliverOutcomes tells waiting grants what became of them.
+func (s *service) deliverOutcomes(effects []admission.Effect) {
 	for _, e := range effects {
 		g, ok := s.waiting[e.ID]
 		if !ok {
