--- a/daemon/models/config.go
+++ b/daemon/models/config.go
@@ -15,68 +15,72 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// Engines reaches model engines by their address.
+// Engines calls model engines by their network address.
 type Engines interface {
-	// Generate runs an attempt until its stream ends, passing each line on. An
-	// error with a method MayHaveStarted() bool returning false promises that
-	// the attempt did not start.
+	// Generate runs an attempt until its stream ends and passes each event to
+	// sink. If the error has a method MayHaveStarted() bool that returns false,
+	// the engine did not start the attempt.
 	Generate(ctx context.Context, address string, r engineapi.GenerateRequest, sink func(engineapi.GenerateEvent) error) error
 	Cancel(ctx context.Context, address string, r engineapi.CancelRequest) error
 	Export(ctx context.Context, address string, r engineapi.ExportRequest) (engineapi.ExportResponse, error)
 	Import(ctx context.Context, address string, r engineapi.ImportRequest) (engineapi.ImportResponse, error)
 }
 
-// Peers reaches other daemons by their peer address.
+// Peers returns clients for other daemons by their peer address.
 type Peers interface {
 	Requests(address string) requestv1connect.RequestServiceClient
 }
 
-// Job is what a runner is to be picked for.
+// Job describes the work for which a Picker selects a runner.
 type Job struct {
 	Request call.ModelRequest
 	Service string
 	// Offset is the number of tokens emitted so far.
 	Offset int
-	// Emitted are these tokens; shared, not to be changed.
+	// Emitted holds the tokens emitted so far. The slice is shared and must not
+	// be modified.
 	Emitted []string
 	Exclude []ident.RunnerID
-	// PreviousCause is why an earlier attempt ended; empty for the first.
+	// PreviousCause is the reason why the previous attempt ended; it is empty
+	// for the first attempt.
 	PreviousCause request.Cause
 }
 
-// Choice is a picked runner.
+// Choice identifies the runner that a Picker selected.
 type Choice struct {
 	Runner  ident.RunnerID
 	Address string
 }
 
-// AttemptResult is one attempt's end as the picker learns it.
+// AttemptResult reports to the Picker how an attempt ended.
 type AttemptResult struct {
 	Runner  ident.RunnerID
 	Address string
-	// Answered attempts ended with the whole answer.
+	// Answered is true if the attempt ended with a complete answer.
 	Answered bool
-	// Cause is why it ended otherwise; empty if nothing is wrong with the
-	// runner.
+	// Cause is the reason why the attempt ended without a complete answer. It
+	// is empty if the runner is not at fault.
 	Cause request.Cause
-	// Tokens were emitted by this attempt; CachedTokens of the prompt were
-	// not computed anew.
+	// Tokens is the number of tokens that the attempt emitted. CachedTokens is
+	// the number of prompt tokens that the engine took from its cache instead
+	// of computing them.
 	Tokens, CachedTokens int
 }
 
-// Picker admits requests and picks runners. Errors are or wrap
-// *refusal.Refusal.
+// Picker admits requests and selects runners for them. Every error that it
+// returns is or wraps a *refusal.Refusal.
 type Picker interface {
-	// Acquire admits a request, or refuses it; release ends its share.
+	// Acquire admits the request or returns a refusal. The caller calls release
+	// when the request no longer needs its share of the capacity.
 	Acquire(ctx context.Context, r call.ModelRequest) (release func(), err error)
-	// Pick chooses a runner for an attempt.
+	// Pick selects a runner for an attempt.
 	Pick(ctx context.Context, j Job) (Choice, error)
-	// Started and Ended tell of each attempt.
+	// Started and Ended report the start and the end of each attempt.
 	Started(j Job, c Choice)
 	Ended(j Job, a AttemptResult)
 }
 
-// Config is what Models works with.
+// Config holds the dependencies and settings of Models.
 type Config struct {
 	Self      ident.Incarnation
 	Directory view.Directory
@@ -87,34 +91,41 @@
 	Picker  Picker
 	Metrics metrics.Registry
 	Limits  Limits
-	// Transfer is what moving KV caches costs.
+	// Transfer describes the cost of moving KV caches between runners.
 	Transfer Transfer
 }
 
-// Limits bound what Models keeps and waits for; zero fields get defaults.
+// Limits bounds the resources and the waiting times of Models. Zero fields get
+// defaults.
 type Limits struct {
 	Request request.Limits
-	// MaxInProgress bounds the requests in progress.
+	// MaxInProgress bounds the number of requests in progress.
 	MaxInProgress int
-	// MaxFinished bounds the ended requests kept for late readers, Retention
-	// for how long.
+	// MaxFinished bounds the number of ended requests that are kept for late
+	// readers; Retention is how long each of them is kept.
 	MaxFinished int
 	Retention   time.Duration
-	// MaxTokens applies where a request names no limit of its own.
+	// MaxTokens is the limit on output tokens for requests that set none or a
+	// higher one.
 	MaxTokens int
-	// HeartbeatInterval is how often an idle stream shows that it is alive; SilenceTimeout
-	// is how long a peer's stream may carry nothing.
+	// HeartbeatInterval is the time between heartbeats on an idle stream.
+	// SilenceTimeout is how long the stream from a peer may carry no message
+	// before it counts as broken, and the time limit for each write to a peer.
 	HeartbeatInterval, SilenceTimeout time.Duration
-	// RenewInterval is how often progress of recorded requests goes to their keepers.
+	// RenewInterval is the time between two updates of the records of this
+	// daemon's requests at their keepers.
 	RenewInterval time.Duration
-	// OwnerTimeout is how long an owner must be missing from the directory,
-	// and must not have renewed its records, before they are adopted.
+	// OwnerTimeout is how long an owner must have been missing from the
+	// directory, without renewing its records, before its requests are adopted.
 	OwnerTimeout time.Duration
-	// LookupTimeout bounds the search for a request's owner.
+	// LookupTimeout bounds the search for the daemon that runs a request.
 	LookupTimeout time.Duration
-	// DrainAcceptPeriod is how long after a notice new requests are still taken.
+	// DrainAcceptPeriod is how long new requests are still accepted after Drain
+	// was called, because callers go on using their list of gateways for a
+	// while.
 	DrainAcceptPeriod time.Duration
-	// ReclaimMargin is kept free before a runner's VM goes.
+	// ReclaimMargin is the safety margin before a runner's VM ends: reclaim
+	// plans must be complete that much earlier.
 	ReclaimMargin time.Duration
 }
 
@@ -143,10 +154,11 @@
 	}
 }
 
-// HTTPPeers reaches peers over plain HTTP.
+// HTTPPeers implements Peers over unencrypted HTTP.
 type HTTPPeers struct{ Client *http.Client }
 
-// Requests returns a client for the daemon at the address (host:port).
+// Requests returns a client for the daemon at address, which has the form
+// host:port.
 func (p HTTPPeers) Requests(address string) requestv1connect.RequestServiceClient {
 	return requestv1connect.NewRequestServiceClient(p.Client, "http://"+address)
 }
--- a/daemon/models/diverged_test.go
+++ b/daemon/models/diverged_test.go
@@ -13,7 +13,8 @@
 	"geraniumstack.org/geraniumstack/standin/engine"
 )
 
-// readFirstResponse asks a gateway as a relay would that has tokens of an earlier owner.
+// readFirstResponse reads from a gateway like a relay that has received tokens
+// from an earlier owner, and returns the first message.
 func (c *cluster) readFirstResponse(t *testing.T, g *gateway, id string, known []string) (first *requestv1.ReadResponse) {
 	t.Helper()
 	client := c.Client()
@@ -31,9 +32,10 @@
 	return s.Msg()
 }
 
-// A caller would read half of one answer and half of another: the owner that
-// it read from is gone, and the new one made other tokens at the same offsets.
-// It is refused instead, and others are served.
+// Guards against a caller that reads parts of two different answers: the owner
+// from which it read is gone, and the new owner generated different tokens at
+// the same offsets. This caller must be refused, while other readers are
+// served.
 func TestReaderWithDivergedTokensIsRefused(t *testing.T) {
 	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -47,8 +49,9 @@
 	})
 }
 
-// The old owner's readers are ahead of what its keeper knew: the new owner
-// takes their tokens over, and those of its own attempt up to there are dropped.
+// Readers of the old owner have received more tokens than its record keeper
+// knew. The new owner must adopt their tokens and drop the tokens that its own
+// attempt generates for the same offsets.
 func TestNewOwnerAdoptsTokensOfReader(t *testing.T) {
 	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
--- a/daemon/models/drain.go
+++ b/daemon/models/drain.go
@@ -25,10 +25,11 @@
 	return m.drain == nil || m.drain.Accepting(time.Now())
 }
 
-// Drain passes every request on to peers in other failure domains, and returns
-// when none is left or ctx is done. New requests are taken for a few seconds
-// more, as long as callers keep the gateways' list. Readers are sent on by
-// their stream until Run ends.
+// Drain transfers every request to other daemons in other failure domains. It
+// returns when none is left or ctx is done. New requests are still accepted for
+// DrainAcceptPeriod, because callers go on using their list of gateways for a
+// while. Until Run ends, open streams tell readers where their requests have
+// moved.
 func (m *Models) Drain(ctx context.Context) error {
 	m.mu.Lock()
 	if m.drain == nil {
@@ -53,9 +54,10 @@
 	}
 }
 
-// onlyFinishedLeft tells whether all that is left are answers kept for late readers and
-// there is nobody to take them. Waiting on would only make the shutdown of the
-// last daemon take its whole grace.
+// onlyFinishedLeft reports whether only ended requests, kept for late readers,
+// are left, and no other daemon could take them. Drain then stops waiting:
+// otherwise the shutdown of the last daemon would always last its whole grace
+// period.
 func (m *Models) onlyFinishedLeft() bool {
 	for _, d := range m.cfg.Directory.Daemons() {
 		if d.Incarnation != m.cfg.Self && d.State != view.Leaving && d.State != view.Gone {
@@ -72,14 +74,17 @@
 	return true
 }
 
-// DrainIncompleteError says how many requests could not be passed on.
+// DrainIncompleteError is returned when Drain could not transfer all requests.
 type DrainIncompleteError struct{ Remaining int }
 
-func (e *DrainIncompleteError) Error() string { return "requests were not passed on in time" }
+func (e *DrainIncompleteError) Error() string {
+	return "some requests were not transferred to other daemons"
+}
 
-// transferRequests starts the passing of what is due and returns what is left. Records of
-// owners that are no longer listed are passed on as well: they would end with
-// this daemon before the time after which it would run them.
+// transferRequests starts the transfers that are due and returns the number of
+// requests that are left. It first adopts the requests of owners that are
+// missing from the directory, so that they are transferred as well: this daemon
+// would end before OwnerTimeout has passed, after which it would run them.
 func (m *Models) transferRequests(ctx context.Context) int {
 	m.adoptOrphans(0)
 	daemons := m.cfg.Directory.Daemons()
@@ -105,16 +110,18 @@
 	return remaining
 }
 
-// transferable requests are in progress here, or ended here with an answer.
+// transferable reports whether this daemon owns the request and the request is
+// in progress or has an answer.
 func (l *localRequest) transferable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.movedTo == "" && l.machine.Refusal() == nil
 }
 
-// transferBatch stops the requests first: what an attempt emits while its record
-// is under way would reach readers here, and be computed again, perhaps
-// otherwise, at the peer.
+// transferBatch sends the records of the requests to one peer. It suspends the
+// requests first: tokens that an attempt emits while its record is being sent
+// would reach readers at this daemon, and the peer would compute these tokens
+// again, possibly with a different result.
 func (m *Models) transferBatch(ctx context.Context, batch []handoff.Transfer, daemons []view.Daemon) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
--- a/daemon/models/drain_test.go
+++ b/daemon/models/drain_test.go
@@ -11,9 +11,9 @@
 	"geraniumstack.org/geraniumstack/daemon/models"
 )
 
-// The last daemon is stopped when all requests have been answered. What it still
-// has are answers for readers that come late, and nobody to give them to. The
-// operator's stop must not take its whole grace for that.
+// Guards against a shutdown that lasts its whole grace period although all
+// requests have been answered. The only daemon that is left keeps finished
+// answers for late readers, and no other daemon can take them.
 func TestDrainOfLastDaemonReturnsEarly(t *testing.T) {
 	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
--- a/daemon/models/engines.go
+++ b/daemon/models/engines.go
@@ -8,10 +8,11 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// notStarted tells whether no work can have been done for the attempt.
+// notStarted reports whether err proves that the engine did no work for the
+// attempt.
 func notStarted(err error) bool { return err != nil && !engine.MayHaveStarted(err) }
 
-// closeCause names the cause for which an attempt's stream ended.
+// closeCause returns the reason why an attempt's stream ended.
 func closeCause(err error) request.Cause {
 	var failed *engine.FailedError
 	var reported *EngineFailedError
@@ -34,7 +35,8 @@
 	return request.Truncated
 }
 
-// refusedAsLeaving tells whether the engine refused because its VM is going.
+// refusedAsLeaving reports whether the engine refused the attempt because its
+// VM is being reclaimed.
 func refusedAsLeaving(err error) bool {
 	var refused *engine.RefusedError
 	return errors.As(err, &refused) && refused.Body.Code == engineapi.CodeLeaving
--- a/daemon/models/harness_test.go
+++ b/daemon/models/harness_test.go
@@ -29,7 +29,7 @@
 const (
 	workspace = ident.Workspace("huaman")
 	model     = "asistente"
-	// tokenTime is one decode step of the stand-in engine.
+	// tokenTime is the duration of one decode step of the stand-in engine.
 	tokenTime = 20 * time.Millisecond
 	silence   = 3 * time.Second
 )
@@ -49,7 +49,7 @@
 func (fixedConfig) Current() (*manifest.Manifest, ident.Generation) { return testManifest(), 1 }
 func (fixedConfig) Changed() <-chan struct{}                        { return nil }
 
-// cluster is a set of daemons and engines on a network in memory.
+// cluster is a set of daemons and engines on an in-memory network.
 type cluster struct {
 	*pipe.Network
 	ledger  *engine.Ledger
@@ -67,7 +67,7 @@
 	for i := range runners {
 		id := ident.RunnerID(fmt.Sprintf("runner-%d", i))
 		cfg := engine.DefaultConfig(string(id), model, "1")
-		cfg.BytesPerToken = 1 << 20 // so that an export takes a while
+		cfg.BytesPerToken = 1 << 20 // large, so that the export of a KV cache takes a noticeable time
 		client := c.Client()
 		e := engine.New(cfg, engine.WithLedger(c.ledger), engine.WithClient(client))
 		c.serve(runnerAddress(i), e.Handler(), client)
@@ -83,7 +83,7 @@
 
 func runnerAddress(runner int) string { return fmt.Sprintf("runner-%d:80", runner) }
 
-// serve listens until the cluster stops or the address is taken down.
+// serve serves HTTP at an address until the cluster stops.
 func (c *cluster) serve(address string, h http.Handler, client *http.Client) *http.Server {
 	l, err := c.Listen(address)
 	if err != nil {
@@ -106,7 +106,8 @@
 
 func failureDomain(i int) ident.FailureDomain { return ident.FailureDomain(fmt.Sprintf("d%d", i%4)) }
 
-// updateDirectory edits the directory that all daemons see.
+// updateDirectory applies an edit to the directory that all daemons share and
+// notifies them.
 func (c *cluster) updateDirectory(edit func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +152,7 @@
 
 func (directory) NoteLeaving(string, time.Duration) {}
 
-// gateway is one daemon's Models with its counters.
+// gateway is the Models of one daemon, with its metrics.
 type gateway struct {
 	*models.Models
 	self      ident.Incarnation
@@ -160,7 +161,7 @@
 	server    *http.Server
 	cancelRun context.CancelFunc
 	lastID    int
-	// isolated daemons can open no connection.
+	// isolated makes every attempt of this daemon to open a connection fail.
 	isolated atomic.Bool
 }
 
@@ -229,22 +230,23 @@
 	return transport.New(address, e.client).Import(ctx, r)
 }
 
-// kill ends a daemon without a word: its connections break, and its process
-// does nothing more.
+// kill simulates the death of a daemon process: its connections break, and it
+// does not hand off its requests.
 func (c *cluster) kill(g *gateway) {
 	g.cancelRun()
 	c.Break(g.address)
 	g.server.Close()
 }
 
-// removeFromDirectory makes every daemon conclude that a killed one is removeFromDirectory.
+// removeFromDirectory makes every daemon consider the gateway gone.
 func (c *cluster) removeFromDirectory(g *gateway) {
 	c.updateDirectory(func() {
 		c.daemons = slices.DeleteFunc(c.daemons, func(d view.Daemon) bool { return d.Incarnation == g.self })
 	})
 }
 
-// announceReclaim tells everyone that runners go in a while, and ends them then.
+// announceReclaim announces to the engines and in the directory that runners
+// will be reclaimed after a while; the engines stop then.
 func (c *cluster) announceReclaim(left time.Duration, runners ...int) {
 	for _, i := range runners {
 		c.engines[i].Notice(left)
@@ -273,8 +275,8 @@
 	}
 }
 
-// readAll reads from an offset to the end, checks every token on the way and
-// returns the longest time without one.
+// readAll reads a request from an offset to the end, checks every token, and
+// returns the longest time between two events other than heartbeats.
 func readAll(t *testing.T, g *gateway, r call.ModelRequest, from int) (longestGap time.Duration) {
 	t.Helper()
 	want := engine.Tokens(r.Model, r.Prompt, r.MaxTokens)
@@ -285,10 +287,10 @@
 			return nil
 		case e.Done:
 			if e.Offset != r.MaxTokens || next != r.MaxTokens {
-				t.Errorf("ended at %d with %d read, want %d", e.Offset, next, r.MaxTokens)
+				t.Errorf("answer ended at offset %d after %d tokens were read, want %d", e.Offset, next, r.MaxTokens)
 			}
 		case e.Offset != next || e.Token != want[next]:
-			t.Errorf("got offset %d %q, want %d %q", e.Offset, e.Token, next, want[next])
+			t.Errorf("got offset %d with token %q, want offset %d with token %q", e.Offset, e.Token, next, want[next])
 		default:
 			next++
 		}
@@ -297,7 +299,7 @@
 		return nil
 	})
 	if err != nil {
-		t.Errorf("read %s: %v", r.ID, err)
+		t.Errorf("read request %s: %v", r.ID, err)
 	}
 	return longestGap
 }
--- a/daemon/models/local_request.go
+++ b/daemon/models/local_request.go
@@ -19,11 +19,12 @@
 
 const (
 	cancelTimeout = 2 * time.Second
-	// finishCancelled is the engines' finish reason of a cancelled attempt.
+	// finishCancelled is the finish reason that engines send for a cancelled
+	// attempt.
 	finishCancelled = "cancelled"
 )
 
-// attempt is one open engine stream.
+// attempt is an open engine stream.
 type attempt struct {
 	cancel       context.CancelFunc
 	choice       Choice
@@ -32,14 +33,15 @@
 	started      time.Time
 }
 
-// localRequest is one request at this daemon, in progress or kept for late readers.
+// localRequest is a request that this daemon runs, or that has ended and is
+// kept for late readers.
 type localRequest struct {
 	models   *Models
 	req      call.ModelRequest
 	spec     request.Spec
 	service  string
 	priority int
-	// recorded requests have a record at a second daemon.
+	// recorded is true if a second daemon stores a record of the request.
 	recorded bool
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -48,14 +50,16 @@
 	machine  *request.Machine
 	changed  chan struct{}
 	timer    *time.Timer
-	timerAt  time.Time // when timer fires; zero if it is not pending
+	timerAt  time.Time // when timer fires; zero if the timer is not running
 	attempts map[ident.AttemptID]*attempt
 	choices  map[ident.RunnerID]Choice
 	release  func()
-	// movedTo runs the request instead of this daemon.
+	// movedTo is the daemon that now runs the request; it is empty while this
+	// daemon runs the request.
 	movedTo ident.Incarnation
 	ended   time.Time
-	// plan is what a reclaim's plan decided, follows the timer to do it.
+	// plan is the decision for the current attempt when its runner is
+	// reclaimed; planTimer carries the decision out.
 	plan      reclaimPlan
 	planTimer *time.Timer
 }
@@ -93,11 +97,12 @@
 	m.spawn(func() { l.acquireAndStart() })
 }
 
-// acquireAndStart waits for the request's share of the capacity: accepted
-// deferrable work is not refused for a lack of it.
+// acquireAndStart acquires capacity for an accepted deferrable request and
+// starts it. It retries with backoff until it succeeds, because an accepted
+// deferrable request must not be refused for lack of capacity.
 func (l *localRequest) acquireAndStart() {
 	backoff := l.models.cfg.Limits.Request.BackoffMin
-	l.step(request.Tick{}) // so that its deadline ends the wait
+	l.step(request.Tick{}) // schedules the timer for the deadline, which ends the wait
 	for {
 		release, err := l.models.cfg.Picker.Acquire(l.ctx, l.req)
 		if err == nil {
@@ -126,7 +131,8 @@
 	}
 }
 
-// step feeds the machine and carries out its effects, none of which blocks.
+// step passes an input to the state machine and applies the resulting effects.
+// None of the effects blocks.
 func (l *localRequest) step(in request.Input) {
 	if l.models.ctx.Err() != nil {
 		return
@@ -156,7 +162,7 @@
 	}
 }
 
-// applyEffect runs with l.mu held.
+// applyEffect executes an effect of the state machine. The caller holds l.mu.
 func (l *localRequest) applyEffect(e request.Effect) {
 	switch e := e.(type) {
 	case request.Pick:
@@ -192,8 +198,10 @@
 	l.changed = make(chan struct{})
 }
 
-// scheduleTick lets a timer that fires earlier be: the machine takes a tick at any
-// time, and every token moves the wish a little further away.
+// scheduleTick makes sure that the state machine gets a tick at time t at the
+// latest. A timer that fires earlier is left running: the machine accepts a
+// tick at any time, and stopping the timer for every token, each of which moves
+// t a little later, would be wasted work.
 func (l *localRequest) scheduleTick(t time.Time) {
 	if !l.timerAt.IsZero() && !l.timerAt.After(t) {
 		return
@@ -258,7 +266,8 @@
 	l.models.spawn(func() { l.runAttempt(ctx, g.Attempt, choice, req) })
 }
 
-// choice finds a runner's address; it is empty for a runner that is gone.
+// choice returns the runner with its address. The address is empty if the
+// runner is no longer known.
 func (l *localRequest) choice(id ident.RunnerID) Choice {
 	if c, ok := l.choices[id]; ok {
 		return c
@@ -271,17 +280,20 @@
 	return Choice{Runner: id}
 }
 
-// EngineFailedError is an engine's own word that an attempt failed.
+// EngineFailedError is a failure of an attempt that the engine itself reported
+// in its stream.
 type EngineFailedError struct{ Detail string }
 
-func (e *EngineFailedError) Error() string { return "engine: " + e.Detail }
+func (e *EngineFailedError) Error() string { return "engine reported a failure: " + e.Detail }
 
-// UnknownAddressError says that a runner is no longer listed.
+// UnknownAddressError is returned when a runner is no longer in the directory.
 type UnknownAddressError struct{ Runner ident.RunnerID }
 
-func (e *UnknownAddressError) Error() string { return fmt.Sprintf("no address of runner %q", e.Runner) }
+func (e *UnknownAddressError) Error() string {
+	return fmt.Sprintf("no address known for runner %q", e.Runner)
+}
 
-// MayHaveStarted tells that nothing was sent.
+// MayHaveStarted returns false: no request was sent to the runner.
 func (e *UnknownAddressError) MayHaveStarted() bool { return false }
 
 func (l *localRequest) runAttempt(ctx context.Context, id ident.AttemptID, choice Choice, req engineapi.GenerateRequest) {
@@ -309,8 +321,9 @@
 		return &EngineFailedError{Detail: e.Error}
 	}
 	if e.Done && e.FinishReason == finishCancelled {
-		// A runner that cancels an attempt by itself ends its stream in good
-		// order; the answer up to there would pass for a whole one.
+		// A runner that cancels an attempt on its own ends the stream without
+		// an error. Without this check the partial answer would count as
+		// complete.
 		return &EngineFailedError{Detail: "attempt cancelled"}
 	}
 	if e.CachedTokens > 0 {
@@ -336,7 +349,8 @@
 	return l.machine.Answer().Attempt()
 }
 
-// endAttempt runs with l.mu held.
+// endAttempt removes the attempt, closes its stream and reports its end to the
+// Picker. The caller holds l.mu.
 func (l *localRequest) endAttempt(id ident.AttemptID, answered bool, cause request.Cause) {
 	a, ok := l.attempts[id]
 	if !ok {
@@ -354,8 +368,8 @@
 	})
 }
 
-// abandon closes the attempt's connection and tells the runner, which would
-// otherwise go on computing for no one.
+// abandon closes the attempt's connection and cancels the attempt at the
+// runner, which would otherwise go on computing tokens that nobody reads.
 func (l *localRequest) abandon(e request.AbandonAttempt) {
 	if e.Cause != "" {
 		l.models.count("attempts.abandoned." + string(e.Cause))
@@ -389,11 +403,11 @@
 	l.mu.Unlock()
 	exported, err := l.models.cfg.Engines.Export(l.ctx, from.Address, engineapi.ExportRequest{AttemptID: string(e.Attempt)})
 	if err != nil {
-		return "", fmt.Errorf("export from %s: %w", e.From, err)
+		return "", fmt.Errorf("export KV cache from runner %s: %w", e.From, err)
 	}
 	imported, err := l.models.cfg.Engines.Import(l.ctx, to.Address, engineapi.ImportRequest{Source: from.Address, Handle: exported.Handle})
 	if err != nil {
-		return "", fmt.Errorf("import at %s: %w", e.To, err)
+		return "", fmt.Errorf("import KV cache at runner %s: %w", e.To, err)
 	}
 	return imported.Handle, nil
 }
--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -1,7 +1,8 @@
-// Package models serves model requests: it drives each request's state machine
-// with engine streams and timers, serves readers here and at other gateways,
-// keeps records of other daemons' requests, and carries requests over the
-// reclaim of runners and of this VM.
+// Package models executes model requests. It drives the state machine of each
+// request with engine streams and timers, serves the answer to readers at this
+// daemon and at other gateways, stores copies of the records of requests that
+// other daemons run, and keeps requests going when a runner's VM or this
+// daemon's VM is reclaimed.
 package models
 
 import (
@@ -27,30 +28,34 @@
 	housekeepingInterval = 500 * time.Millisecond
 )
 
-// Models implements call.Models. It is safe for concurrent use.
+// Models accepts and runs model requests; it implements call.Models. It is safe
+// for concurrent use.
 type Models struct {
 	cfg    Config
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// spawnMu orders the start of goroutines before the wait for their end.
+	// spawnMu makes sure that no goroutine is added to wg after shutdown has
+	// begun to wait for it.
 	spawnMu sync.Mutex
 
 	mu       sync.Mutex
 	requests map[ident.RequestID]*localRequest
-	ended    []*localRequest // oldest first
+	ended    []*localRequest // requests kept for late readers after they ended, oldest first
 	keeper   *handoff.Keeper
 	outbox   *handoff.Outbox
 	drain    *handoff.Drain
-	// renewing has the keepers that a renewal is under way to.
+	// renewing holds the keepers to which a renewal of records is in progress.
+	// A keeper is a daemon that stores the records of another daemon's
+	// requests.
 	renewing    map[ident.Incarnation]bool
 	lastRenewal time.Time
 }
 
 var _ call.Models = (*Models)(nil)
 
-// New returns Models; requests can be submitted at once, but reclaims and
-// records are only looked after while Run runs.
+// New returns a Models that accepts requests at once. Reclaim notices are
+// handled and records are renewed only while Run is running.
 func New(c Config) *Models {
 	c.Limits = c.Limits.withDefaults()
 	c.Transfer = c.Transfer.withDefaults()
@@ -73,8 +78,9 @@
 	}
 }
 
-// Run watches the directory, renews records and adopts those whose owner is
-// gone, until ctx is done. Then it ends all that it started.
+// Run watches the directory for reclaims, renews the records of this daemon's
+// requests and adopts requests whose owner is gone, until ctx is done. It then
+// stops every goroutine of Models and waits for them.
 func (m *Models) Run(ctx context.Context) error {
 	defer m.shutdown()
 	tick := time.NewTicker(housekeepingInterval)
@@ -92,7 +98,8 @@
 	}
 }
 
-// spawn runs f unless Models has ended: timers may still fire then.
+// spawn runs f in a goroutine. It does nothing after shutdown, because timers
+// may still fire then.
 func (m *Models) spawn(f func()) {
 	m.spawnMu.Lock()
 	defer m.spawnMu.Unlock()
@@ -112,8 +119,9 @@
 	metrics.GetOrRegisterCounter(name, m.cfg.Metrics).Inc(1)
 }
 
-// Submit implements call.Models. Submitting the same ID again is accepted and
-// changes nothing, so that a caller whose answer was lost may repeat it.
+// Submit implements call.Models. Submitting an ID again in the same workspace
+// succeeds and has no effect, so that a caller that did not receive the
+// response may retry.
 func (m *Models) Submit(ctx context.Context, r call.ModelRequest) error {
 	l, err := m.prepare(r)
 	if err != nil {
@@ -148,7 +156,8 @@
 	return nil
 }
 
-// prepare checks the request against the configuration in force.
+// prepare validates the request against the current configuration, applies the
+// default limits, and builds its state.
 func (m *Models) prepare(r call.ModelRequest) (*localRequest, error) {
 	if !m.accepting() {
 		return nil, refusal.New(refusal.Draining, "this gateway is leaving").After(drainingRetryAfter)
@@ -201,8 +210,9 @@
 	return m.requests[id]
 }
 
-// accept enters the request, and its record at a second daemon if it is of a
-// long class: from then on no single process that dies takes it along.
+// accept registers the request. If the request is recorded (deferrable or
+// asynchronous), accept also stores its record at a second daemon, so that the
+// death of a single process cannot lose it.
 func (m *Models) accept(ctx context.Context, l *localRequest) error {
 	m.mu.Lock()
 	if len(m.requests)-len(m.ended) >= m.cfg.Limits.MaxInProgress {
--- a/daemon/models/models_test.go
+++ b/daemon/models/models_test.go
@@ -32,7 +32,7 @@
 		is.NoErr(first.Submit(t.Context(), r))
 		for _, g := range []*gateway{first, second} {
 			err := g.Read(t.Context(), "other", r.ID, 0, func(call.Event) error {
-				t.Error("event of another workspace's request")
+				t.Error("received an event of a request that belongs to another workspace")
 				return nil
 			})
 			is.Equal(refusal.From(err).Reason, refusal.UnknownRequest)
@@ -40,9 +40,9 @@
 	})
 }
 
-// The caller's connection would hang for good: an engine's connection carries
-// two tokens and then nothing, because something between the two ends has lost
-// track of it. The runner is well, so it is asked again and keeps the request.
+// Guards against a caller that waits forever: the connection to an engine
+// carries two tokens and then nothing, as if a network device had lost track of
+// it. The runner is healthy, so the gateway must reconnect to the same runner.
 func TestSilentEngineConnectionIsReopenedAtTheSameRunner(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -58,8 +58,9 @@
 	})
 }
 
-// The caller would lose a half-read answer: its runner dies after some tokens.
-// Another runner goes on after the tokens that the caller has.
+// Guards against the loss of a partly read answer: its runner dies after some
+// tokens. Another runner must continue after the tokens that the caller has
+// received.
 func TestRequestContinuesAfterRunnerDeath(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -73,8 +74,9 @@
 	})
 }
 
-// A caller would be told that nothing ran while an attempt may have: only
-// refusals before the first line count as not run.
+// Guards against reporting a request as not executed although an attempt may
+// have run: only refusals before the first line of a stream count as not
+// executed.
 func TestRefusalByAllRunnersIsReportedAsNotExecuted(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -91,8 +93,9 @@
 	})
 }
 
-// An accepted bulletin would be lost: its gateway's process dies at once after
-// it was accepted, with no hand-off. The daemon that has its record runs it.
+// Guards against the loss of an accepted bulletin: the process of its gateway
+// dies right after accepting it, without a hand-off. The daemon that stores its
+// record must run it.
 func TestRecordedRequestSurvivesGatewayDeath(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -105,9 +108,9 @@
 	})
 }
 
-// Readers would see an answer stop for good when their gateway's VM is
-// reclaimed: live requests of every class go to peers, and the readers there
-// follow.
+// Guards against answers that stop when their gateway's VM is reclaimed:
+// requests of every class must move to other daemons, and readers at the old
+// gateway must follow them.
 func TestDrainTransfersRequests(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
--- a/daemon/models/random_faults_test.go
+++ b/daemon/models/random_faults_test.go
@@ -14,10 +14,10 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-var chaosSeeds = flag.Int("chaos", 1, "seeds of TestRandomFaults")
+var chaosSeeds = flag.Int("chaos", 1, "number of random seeds that TestRandomFaults runs")
 
-// faultInjector brings about faults at random, one gateway at a time, so that there is
-// time for a renewal between two of them.
+// faultInjector injects random faults, into at most one gateway at a time, and
+// leaves time for a renewal of records between two gateway losses.
 type faultInjector struct {
 	t        *testing.T
 	c        *cluster
@@ -29,7 +29,8 @@
 
 func (f *faultInjector) gateway() *gateway { return f.gateways[f.rng.IntN(len(f.gateways))] }
 
-// liveRunners lists the indexes of the engines that have had no notice.
+// liveRunners returns the indexes of the runners that have not received a
+// reclaim notice.
 func (f *faultInjector) liveRunners() []int {
 	f.c.mu.Lock()
 	defer f.c.mu.Unlock()
@@ -47,7 +48,7 @@
 	f.started++
 }
 
-// startRunner starts a replacement.
+// startRunner starts a replacement runner and adds it to the directory.
 func (f *faultInjector) startRunner() {
 	i := len(f.c.engines)
 	id := ident.RunnerID(fmt.Sprintf("runner-%d", i))
@@ -134,10 +135,10 @@
 	}
 }
 
-// Accepted bulletins would be lost, cut short or mixed up when several things
-// go wrong together or twice: connections go silent or break, streams are
-// faulty, runners get notice or die, gateways drain or die. Each bulletin is
-// read whole at any gateway in the end.
+// Guards against lost, truncated or mixed-up answers to accepted bulletins when
+// several faults coincide or repeat: connections go silent or break, streams
+// are faulty, runners are reclaimed or die, gateways drain or die. In the end
+// each bulletin must be readable completely at any gateway.
 func TestRandomFaults(t *testing.T) {
 	for seed := range *chaosSeeds {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/daemon/models/reader.go
+++ b/daemon/models/reader.go
@@ -14,49 +14,58 @@
 )
 
 const (
-	// lookupInterval is between two searches for a request's owner.
+	// lookupInterval is the pause between two searches for the owner of a
+	// request.
 	lookupInterval = 250 * time.Millisecond
-	// maxReopens is how often a peer's stream is opened anew without progress
-	// before other peers are asked.
+	// maxReopens is how often the stream from a peer is reopened without any
+	// progress before other peers are asked.
 	maxReopens = 2
 )
 
-// MovedError says that another daemon runs the request.
+// MovedError is returned when another daemon runs the request.
 type MovedError struct{ Owner ident.Incarnation }
 
 func (e *MovedError) Error() string { return "request moved to " + string(e.Owner) }
 
-// RequestNotFoundError says that a daemon does not know the request.
+// RequestNotFoundError is returned when a daemon does not know the request.
 type RequestNotFoundError struct{ ID ident.RequestID }
 
-func (e *RequestNotFoundError) Error() string { return "request is not here: " + string(e.ID) }
+func (e *RequestNotFoundError) Error() string {
+	return "this daemon does not know request " + string(e.ID)
+}
 
-// StreamBrokenError says that a peer's stream ended before the answer did.
+// StreamBrokenError is returned when the stream from a peer ended before the
+// answer was complete.
 type StreamBrokenError struct{ Cause string }
 
-func (e *StreamBrokenError) Error() string { return "peer's stream broke: " + e.Cause }
+func (e *StreamBrokenError) Error() string {
+	return "stream from peer ended before the answer was complete: " + e.Cause
+}
 
-// SinkError says that the reader itself failed.
+// SinkError wraps an error that the reader's sink returned.
 type SinkError struct{ Err error }
 
-func (e *SinkError) Error() string { return "reader: " + e.Err.Error() }
+func (e *SinkError) Error() string { return "pass event to the reader: " + e.Err.Error() }
 
-// Unwrap returns the reader's error.
+// Unwrap returns the error of the sink.
 func (e *SinkError) Unwrap() error { return e.Err }
 
-// reader is one reader's way through the answer, wherever it is.
+// reader delivers the answer of one request to one sink, wherever the request
+// runs, and follows the request when it moves to another daemon.
 type reader struct {
 	m         *Models
 	workspace ident.Workspace
 	id        ident.RequestID
 	offset    int
 	sink      func(call.Event) error
-	// startOffset is where the reading began and known what it has passed on since.
-	// A new owner that lacks these tokens takes them over, or says that it
-	// has others, so that no answer is spliced of two different ones.
+	// startOffset is the offset at which the reader began, and received holds
+	// the tokens that it has delivered since. They are sent to a new owner: if
+	// the new owner lacks these tokens, it adopts them; if it has different
+	// tokens at the same offsets, it refuses the reader. Without this check the
+	// answer could be a mix of two different answers.
 	startOffset int
 	received    []string
-	// ownerHint is the owner that was last heard of.
+	// ownerHint is the most recent owner that a daemon reported.
 	ownerHint    ident.Incarnation
 	lastProgress time.Time
 }
@@ -90,8 +99,8 @@
 	}
 }
 
-// isFinal errors are the reader's last; after the others its owner is looked for
-// again.
+// isFinal reports whether err ends the read. After any other error the reader
+// searches for the owner again.
 func isFinal(err error) bool {
 	var s *SinkError
 	var ref *refusal.Refusal
@@ -122,8 +131,9 @@
 	return nil
 }
 
-// ownerListed tells whether the daemon that accepted the request is still
-// there, so that its "not here" is final.
+// ownerListed reports whether the daemon that accepted the request is still in
+// the directory. If it is, its answer that it does not know the request is
+// final.
 func (r *reader) ownerListed() bool {
 	owner, err := r.id.Owner()
 	if err != nil || owner == r.m.cfg.Self {
@@ -149,7 +159,7 @@
 	return r.readRemote(ctx)
 }
 
-// readRemote asks those who may have the request in turn.
+// readRemote asks the daemons that may run the request, one after the other.
 func (r *reader) readRemote(ctx context.Context) error {
 	var last error = &RequestNotFoundError{ID: r.id}
 	for _, d := range r.m.lookupCandidates(r.id, r.ownerHint) {
@@ -168,9 +178,10 @@
 	return last
 }
 
-// relayWithReopen opens a stream that broke or went silent anew at the same
-// peer before others are asked: a connection that something between the two
-// ends lost track of says nothing of the peer.
+// relayWithReopen relays the answer from one peer and reopens the stream at the
+// same peer if it breaks or goes silent, before other peers are asked. A
+// connection can fail because a network device between the two daemons lost its
+// state, which does not mean that the peer has failed.
 func (r *reader) relayWithReopen(ctx context.Context, address string) error {
 	for tries := 0; ; tries++ {
 		before := r.offset
@@ -207,7 +218,7 @@
 		}
 	}
 	if stream.Err() == nil {
-		return &StreamBrokenError{Cause: "ended early"}
+		return &StreamBrokenError{Cause: "the stream ended without a final message"}
 	}
 	return peerError(r.id, stream.Err())
 }
@@ -229,8 +240,9 @@
 	return &StreamBrokenError{Cause: err.Error()}
 }
 
-// handleMessage passes a peer's message on; each offset reaches the reader once, in
-// order, however often the peer is changed or asked again.
+// handleMessage delivers a message from a peer to the reader. Each offset
+// reaches the reader once and in order, even when the stream is reopened or
+// another peer takes over.
 func (r *reader) handleMessage(m *requestv1.ReadResponse) (done bool, err error) {
 	switch {
 	case m.MovedTo != "":
@@ -240,7 +252,7 @@
 	case m.Heartbeat:
 		return false, r.send(call.Event{Offset: r.offset, Heartbeat: true})
 	case m.Done && int(m.Offset) > r.offset, !m.Done && int(m.Offset) > r.offset:
-		return false, &StreamBrokenError{Cause: "gap"}
+		return false, &StreamBrokenError{Cause: "offsets are missing"}
 	case m.Done:
 		return true, r.send(call.Event{Offset: int(m.Offset), Done: true, FinishReason: m.FinishReason})
 	case int(m.Offset) < r.offset:
@@ -269,7 +281,8 @@
 	return nil
 }
 
-// snapshot is what a reader needs of a live request at one time.
+// snapshot is the state of a local request that a reader needs, taken at one
+// point in time.
 type snapshot struct {
 	tokens  []string
 	count   int
@@ -318,7 +331,7 @@
 		case <-ctx.Done():
 			return refusal.New(refusal.Cancelled, "reader went away").Unknown()
 		case <-r.m.ctx.Done():
-			return &StreamBrokenError{Cause: "daemon ends"}
+			return &StreamBrokenError{Cause: "this daemon is shutting down"}
 		case <-s.changed:
 		case <-heartbeat.C:
 			if err := r.send(call.Event{Offset: r.offset, Heartbeat: true}); err != nil {
--- a/daemon/models/reclaim.go
+++ b/daemon/models/reclaim.go
@@ -9,26 +9,33 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// CapacitySource is implemented by pickers that know what runners have left;
-// for others Models counts its own streams.
+// CapacitySource is implemented by pickers that know the free capacity of
+// runners. For other pickers, Models estimates it from the streams of this
+// daemon.
 type CapacitySource interface {
 	Targets(service string) []reclaim.Target
 }
 
-// Transfer says what moving KV caches costs; zero fields get defaults.
+// Transfer describes the cost of moving KV caches and the speed of streams, for
+// planning reclaims. Zero fields get defaults.
 type Transfer struct {
 	BytesPerToken int64
-	// LinkBytesPerSecond is the rate that a batch of transfers gets in all.
-	// The gateways plan apart, so each takes its share of it.
+	// LinkBytesPerSecond is the total rate of all transfers that run at the
+	// same time. The gateways plan independently of each other, so each gateway
+	// uses an equal share of it.
 	LinkBytesPerSecond float64
-	Setup              time.Duration
-	// DecodeRate is the tokens that one stream surely gets a second.
+	// Setup is the fixed time that each transfer takes besides sending bytes.
+	Setup time.Duration
+	// DecodeRate is the number of tokens per second that a single stream gets
+	// at least.
 	DecodeRate float64
-	// Notice is assumed where a leaving VM's end is not known.
+	// Notice is the assumed time until a leaving VM ends, if its end is not
+	// known.
 	Notice time.Duration
 }
 
-// Rates and sizes that hold until a picker knows better.
+// These defaults apply where neither the configuration nor the picker gives a
+// value.
 const (
 	defaultBytesPerToken = 128 << 10
 	defaultLinkRate      = 1.25e9
@@ -50,7 +57,8 @@
 	return t
 }
 
-// reclaimPlan is what was decided for a live request's attempt.
+// reclaimPlan is the decision that was made for an attempt whose runner is
+// leaving.
 type reclaimPlan struct {
 	attempt ident.AttemptID
 	kind    reclaim.Kind
@@ -58,8 +66,8 @@
 	endsAt  time.Time
 }
 
-// planReclaims plans for the streams at leaving runners that have no plan, or whose
-// plan a further notice has spoilt.
+// planReclaims makes a plan for each stream that runs at a leaving runner and
+// has no plan yet, or whose planned target has received a reclaim notice since.
 func (m *Models) planReclaims() {
 	byService := map[string][]*localRequest{}
 	for _, l := range m.inProgress() {
@@ -102,8 +110,8 @@
 	}
 }
 
-// unplanned lists the streams to plan for, and until when moves that were
-// planned before use the link.
+// unplanned returns the requests and streams that need a plan, and the time
+// until which the moves of earlier plans occupy the link.
 func (m *Models) unplanned(requests []*localRequest, listed map[ident.RunnerID]view.Runner, leaving []view.Runner) (map[ident.RequestID]*localRequest, []reclaim.Stream, time.Time) {
 	pending := map[ident.RequestID]*localRequest{}
 	var streams []reclaim.Stream
@@ -126,8 +134,8 @@
 	return pending, streams, linkBusyUntil
 }
 
-// isValid tells whether a plan is still good: a further notice may have hit its
-// target.
+// isValid reports whether the plan can still be carried out: a later reclaim
+// notice may concern its target.
 func (p reclaimPlan) isValid(listed map[ident.RunnerID]view.Runner) bool {
 	if p.kind == "" || p.target == "" {
 		return p.kind != ""
@@ -136,7 +144,7 @@
 	return ok && r.State != view.Leaving
 }
 
-// busyUntil is until when the link is taken, this plan's move included.
+// busyUntil returns the later of linkBusyUntil and the end of this plan's move.
 func (p reclaimPlan) busyUntil(link time.Time) time.Time {
 	if p.kind == reclaim.Move && p.endsAt.After(link) {
 		return p.endsAt
@@ -161,9 +169,10 @@
 	return reclaim.Source{Runner: r.ID, TimeLeft: timeLeft, DecodeRate: m.cfg.Transfer.DecodeRate}
 }
 
-// gatewayCount is the gateways that may plan for the same wave at the same time.
-// They plan without asking each other, since a notice leaves no time for it:
-// each takes its part of the link and of the room.
+// gatewayCount returns the number of gateways that may plan for the same
+// reclaim at the same time, at least one. The gateways plan without
+// coordination, because a reclaim notice leaves no time for it; each uses an
+// equal share of the link and of the free capacity.
 func (m *Models) gatewayCount() int {
 	n := 0
 	for _, d := range m.cfg.Directory.Daemons() {
@@ -182,9 +191,11 @@
 	}
 }
 
-// targetShares lists this gateway's part of the room that is left, but at least what
-// one long stream takes: engines queue what is too much, and streams that wait
-// with their KV cache at hand cost less than those that lose it.
+// targetShares returns this gateway's share of the free capacity of each live
+// runner. The share of free tokens covers at least one long stream
+// (minFreeTokens), even if the shares of all gateways then add up to more than
+// what is free: engines queue the excess, and a queued stream whose KV cache
+// was moved costs less than a stream that loses its KV cache.
 func (m *Models) targetShares(service string, requests []*localRequest) []reclaim.Target {
 	var targets []reclaim.Target
 	if c, ok := m.cfg.Picker.(CapacitySource); ok {
@@ -200,7 +211,8 @@
 	return targets
 }
 
-// estimateTargets counts nothing but this gateway's own streams.
+// estimateTargets estimates the free capacity of live runners from the default
+// values and the streams of this gateway only.
 func (m *Models) estimateTargets(service string, requests []*localRequest) []reclaim.Target {
 	ownStreams := map[ident.RunnerID]int{}
 	for _, l := range requests {
@@ -223,8 +235,8 @@
 	return targets
 }
 
-// reclaimStream describes the current attempt to the plan; false if there is
-// none.
+// reclaimStream describes the current attempt for planning, with its present
+// plan. It returns false if no attempt is running.
 func (l *localRequest) reclaimStream(bytesPerToken int64) (reclaim.Stream, reclaimPlan, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -248,7 +260,8 @@
 	}, plan, true
 }
 
-// promptTokens counts words, as the engines' interface does.
+// promptTokens counts whitespace-separated words, which is how the engine API
+// counts tokens.
 func promptTokens(prompt string) int {
 	n := 0
 	inWord := false
@@ -262,8 +275,10 @@
 	return n
 }
 
-// schedulePlan carries a decision out at its time. What was to finish or to wait is
-// taken off the runner at the limit: there it would break without a word.
+// schedulePlan carries out a decision at its start time. A stream that is to
+// finish in place, or to wait, is evicted from the runner after evictAfter if
+// it is still running then: when the VM ends, the stream would break without
+// any notification.
 func (l *localRequest) schedulePlan(d reclaim.Decision, now time.Time, evictAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/models/reclaim_test.go
+++ b/daemon/models/reclaim_test.go
@@ -13,7 +13,8 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// submitAndRun submits a bulletin that runs at runner 0 and lets it emit some tokens.
+// submitAndRun submits a bulletin that runs at runner 0 and waits until it has
+// emitted some tokens.
 func submitAndRun(t *testing.T, g *gateway, tokens int) call.ModelRequest {
 	t.Helper()
 	r := g.request("bulletin", tokens)
@@ -32,7 +33,7 @@
 		c.announceReclaim(20*time.Second, 0)
 		is.True(readAll(t, g, r, 0) < time.Second)
 		is.Equal(g.counter("reclaim.planned.move"), int64(1))
-		is.True(c.ledger.Totals().Recomputed < 20) // what was emitted during the transfer
+		is.True(c.ledger.Totals().Recomputed < 20) // the tokens emitted during the transfer
 	})
 }
 
@@ -48,8 +49,8 @@
 	})
 }
 
-// The move of a KV cache breaks half way. The caller sees the answer go on at
-// the target all the same, computed anew.
+// The transfer of a KV cache fails. The answer must continue at the target
+// runner all the same, which recomputes the KV cache.
 func TestFailedCacheExportFallsBackToRecomputation(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -62,8 +63,8 @@
 	})
 }
 
-// A second notice takes the target of a move under way. The stream goes to a
-// third runner instead; nothing is lost.
+// A second reclaim notice concerns the target of a move that is in progress.
+// The stream must continue at a third runner without losing tokens.
 func TestSecondNoticeForMoveTarget(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -82,8 +83,8 @@
 	})
 }
 
-// The VM goes long before its notice is over, in the middle of a move. The
-// answer goes on at the target by its tokens.
+// The VM ends long before the announced time, during a move. The target must
+// continue the answer from the tokens that the gateway has received.
 func TestRunnerDiesBeforeNoticeExpires(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -97,8 +98,8 @@
 	})
 }
 
-// A wave takes every runner. The accepted bulletin would be dropped; it waits
-// until there is a runner again, minutes later.
+// Guards against dropping an accepted bulletin when all runners are reclaimed
+// at once. It must wait until there is a runner again, minutes later.
 func TestDeferrableRequestWaitsForNewRunner(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		g := c.startGateway(0)
@@ -117,9 +118,9 @@
 	})
 }
 
-// A gateway gets its notice, begins to pass its requests on and dies in the
-// middle: its adopters may have got some, and nobody heard of the rest. The
-// keepers of the records run those; no accepted bulletin is lost.
+// Guards against the loss of accepted bulletins when a gateway dies during its
+// hand-off. Some requests may have reached their new owners and the others not.
+// The keepers of the records must run the others.
 func TestGatewayDiesDuringHandOff(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -143,9 +144,9 @@
 	})
 }
 
-// Two daemons would both run a request, and its readers get one's words here
-// and the other's there: its owner is only cut off, is taken for gone, and
-// comes back. On its next renewal it learns of the higher epoch and stops.
+// Guards against two daemons that run the same request and serve different
+// answers: the owner is only cut off from the network, is considered gone, and
+// comes back. On its next renewal it must learn of the higher epoch and stop.
 func TestIsolatedOwnerYieldsToAdopter(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -154,7 +155,7 @@
 		is.NoErr(first.Submit(t.Context(), r))
 		time.Sleep(3 * time.Second)
 		first.isolated.Store(true)
-		c.removeFromDirectory(first) // wrongly
+		c.removeFromDirectory(first) // although it still runs
 		d := view.Daemon{ID: "gw-0", Incarnation: first.self, FailureDomain: failureDomain(0), PeerAddress: first.address, State: view.Live}
 		for _, g := range []*gateway{first, second, third} {
 			c.Silence(g.address)
@@ -167,7 +168,7 @@
 	})
 }
 
-// A daemon that never existed, or forgot the request, is not waited for.
+// A read of a request that no daemon knows must be refused without waiting.
 func TestUnknownRequestIsRefusedImmediately(t *testing.T) {
 	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -180,9 +181,10 @@
 	})
 }
 
-// A bulletin would run twice after its gateway left in good order: the daemon
-// that kept its record from acceptance on takes the owner for gone, since the
-// request was passed to a third one, which had joined meanwhile.
+// Guards against a bulletin that runs twice after its gateway shut down in an
+// orderly way. The request was transferred to a daemon that joined later; the
+// daemon that stored the record since acceptance sees that the old owner is
+// gone and must not adopt the request.
 func TestTransferredRequestIsNotAdoptedAgain(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -209,8 +211,9 @@
 	})
 }
 
-// Bulletins would be lost to two events in a row: their gateway dies, and the
-// keeper of their records gets its notice before it has run them.
+// Guards against the loss of bulletins after two events in a row: their gateway
+// dies, and the keeper of their records receives its reclaim notice before it
+// has run them.
 func TestKeeperDrainsRightAfterOwnerDeath(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -232,7 +235,8 @@
 	})
 }
 
-// A gateway with many requests keeps its notice: they go in several messages.
+// A gateway with many requests must complete its drain in time, so the requests
+// are sent in several messages.
 func TestDrainOfManyRequests(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		is := is.New(t)
--- a/daemon/models/record_test.go
+++ b/daemon/models/record_test.go
@@ -10,8 +10,9 @@
 	requestv1 "geraniumstack.org/geraniumstack/gen/geranium/request/v1"
 )
 
-// BenchmarkRecord gives what a long request's record costs on the wire: whole
-// at its acceptance, and for each token afterwards.
+// BenchmarkRecord reports the size on the wire of the record of a long request:
+// the complete record at acceptance without its prompt, and the renewals per
+// token.
 func BenchmarkRecord(b *testing.B) {
 	prompt := strings.Repeat("manifest ", 7500)
 	whole := &requestv1.PutRequest{Records: []*requestv1.Record{{
--- a/daemon/models/request_records.go
+++ b/daemon/models/request_records.go
@@ -18,15 +18,19 @@
 )
 
 const (
-	// maxPutKeepers bounds the daemons that are asked to keep a new record.
+	// maxPutKeepers bounds the number of daemons that are asked to store the
+	// record of a new request.
 	maxPutKeepers = 3
 	putRounds     = 2
-	// maxBatchRecords bounds the records in one message: whole ones have prompts,
-	// and a keeper that leaves has them all due at once.
+	// maxBatchRecords bounds the number of records in one message. Complete
+	// records contain prompts and are large, and when a keeper leaves, all of
+	// its records must be stored elsewhere at once.
 	maxBatchRecords = 64
-	// maxLookupCandidates bounds the daemons that are asked for a request.
+	// maxLookupCandidates bounds the number of daemons that are asked for a
+	// request.
 	maxLookupCandidates = 8
-	// minDeadlineRemaining keeps a deadline that has passed from reading as none.
+	// minDeadlineRemaining is the remaining time that is sent for a deadline
+	// that has passed: zero would mean that the request has no deadline.
 	minDeadlineRemaining = time.Millisecond
 )
 
@@ -49,8 +53,9 @@
 	return l.movedTo
 }
 
-// lookupCandidates lists who may run a request: the owner last heard of, the one
-// that accepted it, and those that may keep its record.
+// lookupCandidates returns the daemons that may run a request, most likely
+// first: the most recently reported owner, the daemon that accepted the
+// request, and the daemons that may store its record.
 func (m *Models) lookupCandidates(id ident.RequestID, hint ident.Incarnation) []view.Daemon {
 	var list []view.Daemon
 	seen := map[ident.Incarnation]bool{m.cfg.Self: true}
@@ -72,8 +77,9 @@
 	return list
 }
 
-// record returns what a second daemon must know, with the tokens from an
-// offset on; from zero on it is whole.
+// record returns the record of the request with the tokens from an offset on.
+// With offset zero the record is complete; otherwise it leaves out the fields
+// that do not change.
 func (l *localRequest) record(from int) *requestv1.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,8 +118,8 @@
 	return handoff.Progress{Offset: answer.Offset(), Done: answer.Done()}
 }
 
-// storeFirstRecord stores the record of a request that is being accepted. With no
-// other live daemon there is nobody to keep it, and it is accepted without.
+// storeFirstRecord stores the record of a request that is being accepted. If no
+// other daemon is live, the request is accepted without a stored record.
 func (m *Models) storeFirstRecord(ctx context.Context, l *localRequest) error {
 	self := m.cfg.Directory.Self()
 	keepers := handoff.RankKeepers(l.req.ID, self, m.cfg.Directory.Daemons())
@@ -121,8 +127,9 @@
 		m.count("records.no_keeper")
 		return nil
 	}
-	// The second round is for kept connections that have gone silent: they cost
-	// a timeout each and are then closed, and new ones work.
+	// The second round covers connections from the pool that have gone silent:
+	// each of them costs one timeout and is then closed, so the second round
+	// uses new connections.
 	for range putRounds {
 		for _, k := range keepers[:min(maxPutKeepers, len(keepers))] {
 			if m.putRecords(ctx, k, []handoff.Renewal{{ID: l.req.ID, Keeper: k}}) == nil {
@@ -134,7 +141,7 @@
 	return refusal.New(refusal.NotReady, "no other gateway could be reached to keep the request's record").After(notReadyRetryAfter)
 }
 
-// putRecords sends renewals to one keeper and notes its answer.
+// putRecords sends renewals to one keeper and processes its response.
 func (m *Models) putRecords(ctx context.Context, keeper view.Daemon, renewals []handoff.Renewal) error {
 	ctx, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
@@ -174,7 +181,7 @@
 	}
 }
 
-// markMoved ends the request here in favour of another daemon.
+// markMoved ends the request at this daemon because owner now runs it.
 func (l *localRequest) markMoved(owner ident.Incarnation) {
 	l.mu.Lock()
 	l.movedTo = owner
@@ -183,7 +190,8 @@
 	l.step(request.Superseded{})
 }
 
-// housekeep renews records, adopts orphans and forgets what is old.
+// housekeep renews records, adopts requests whose owner is gone, and removes
+// expired requests.
 func (m *Models) housekeep() {
 	m.renewRecords()
 	m.adoptOrphans(m.cfg.Limits.OwnerTimeout)
@@ -230,8 +238,9 @@
 	m.mu.Unlock()
 }
 
-// adoptOrphans runs the requests whose owner has not been heard of for quiet.
-// Without a configuration they stay records.
+// adoptOrphans starts running the requests whose owner is missing from the
+// directory and has not renewed its records for ownerTimeout. Without a
+// configuration the requests cannot run, and their records are kept.
 func (m *Models) adoptOrphans(ownerTimeout time.Duration) {
 	if conf, _ := m.cfg.Config.Current(); conf == nil {
 		return
@@ -251,8 +260,8 @@
 	}
 }
 
-// adopt runs another daemon's request from now on. It reports false where this
-// daemon can't.
+// adopt makes this daemon the owner of a request of another daemon. It returns
+// false if this daemon cannot run the request.
 func (m *Models) adopt(r handoff.Record) bool {
 	conf, _ := m.cfg.Config.Current()
 	if conf == nil {
@@ -269,7 +278,7 @@
 	m.keeper.Claim(r.ID, handoff.Claim{Owner: m.cfg.Self, Epoch: r.Epoch})
 	m.outbox.Untrack(r.ID)
 	m.outbox.Track(r.ID)
-	m.lastRenewal = time.Time{} // so that the next step puts it at a keeper
+	m.lastRenewal = time.Time{} // the next housekeeping then stores the record at a keeper
 	m.mu.Unlock()
 	if r.Done {
 		l.ended = time.Now()
@@ -306,7 +315,8 @@
 	return l
 }
 
-// retain keeps an ended request for late readers, as long as there is room.
+// retain keeps an ended request for late readers and removes the oldest ended
+// requests beyond the limit.
 func (m *Models) retain(l *localRequest) {
 	l.mu.Lock()
 	refused, moved := l.machine.Refusal() != nil, l.movedTo != ""
@@ -330,9 +340,10 @@
 	}
 }
 
-// deleteRecordLater removes the record of a request that another daemon runs, once that
-// one has had the time to put its own: a keeper that still had the old one when
-// this daemon is gone would run the request a second time.
+// deleteRecordLater deletes the record of a request that moved to another
+// daemon, after the new owner has had time to store its own record. If a keeper
+// still had the old record when this daemon is gone, the keeper would run the
+// request a second time.
 func (m *Models) deleteRecordLater(l *localRequest) {
 	select {
 	case <-m.ctx.Done():
@@ -359,8 +370,9 @@
 	m.remove(l)
 }
 
-// dropRecord stops renewing a request's record; with remove its keeper forgets
-// it too, so that nobody adopts a request that has its final answer.
+// dropRecord stops renewing the record of a request. With deleteAtKeeper it
+// also deletes the record at its keeper, so that no daemon adopts a request
+// that has its final answer.
 func (m *Models) dropRecord(l *localRequest, deleteAtKeeper bool) {
 	m.mu.Lock()
 	if m.requests[l.req.ID] != l {
--- a/daemon/models/roundrobin.go
+++ b/daemon/models/roundrobin.go
@@ -11,8 +11,9 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// RoundRobin admits everything and takes live runners in turn. It is what
-// daemons without a routing policy use, and the baseline of measurements.
+// RoundRobin is a Picker that admits every request and uses live runners in
+// turn. Daemons without a routing policy use it, and it is the baseline of the
+// benchmarks.
 type RoundRobin struct {
 	Directory view.Directory
 	next      atomic.Uint64
@@ -20,12 +21,13 @@
 
 const roundRobinRetryAfter = time.Second
 
-// Acquire admits the request.
+// Acquire admits every request.
 func (r *RoundRobin) Acquire(context.Context, call.ModelRequest) (func(), error) {
 	return func() {}, nil
 }
 
-// Pick takes the next live runner; excluded ones only if there is no other.
+// Pick returns the next live runner. It returns an excluded or suspect runner
+// only if there is no other.
 func (r *RoundRobin) Pick(_ context.Context, j Job) (Choice, error) {
 	var preferred, fallback []view.Runner
 	for _, runner := range r.Directory.Runners(j.Service) {
@@ -47,8 +49,8 @@
 	return Choice{Runner: chosen.ID, Address: chosen.Address}, nil
 }
 
-// Started is not used.
+// Started does nothing.
 func (r *RoundRobin) Started(Job, Choice) {}
 
-// Ended is not used.
+// Ended does nothing.
 func (r *RoundRobin) Ended(Job, AttemptResult) {}
--- a/daemon/models/rpc_handler.go
+++ b/daemon/models/rpc_handler.go
@@ -15,14 +15,15 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// AnswerDiverged refuses a reader whose tokens, got from an earlier owner, are
-// not those of the owner that answers now.
+// AnswerDiverged is the reason for refusing a reader that received tokens from
+// an earlier owner that differ from the tokens of the current owner.
 const AnswerDiverged refusal.Reason = "answer_diverged"
 
-// rpcHandler is the connect side of Models.
+// rpcHandler implements the RequestService that other daemons call.
 type rpcHandler struct{ m *Models }
 
-// Handler returns the path and the handler of the peers' service.
+// Handler returns the path and the HTTP handler of the service for other
+// daemons.
 func (m *Models) Handler() (string, http.Handler) {
 	path, h := requestv1connect.NewRequestServiceHandler(rpcHandler{m})
 	return path, writeDeadlines(h, m.cfg.Limits.SilenceTimeout)
@@ -39,8 +40,9 @@
 		outcome, claim := h.m.keeper.Put(time.Now(), r)
 		switch outcome {
 		case handoff.Stored:
-			// The keeper knows this daemon's own claims: one that it stores
-			// all the same beats them.
+			// The keeper knows the requests that this daemon owns. If it stores
+			// the record of one of them nevertheless, the record has a higher
+			// epoch and its owner takes precedence.
 			if l := h.m.requests[r.ID]; l != nil && l.inProgress() {
 				newOwners[l] = r.Owner
 			}
@@ -89,7 +91,8 @@
 	return connect.NewResponse(&requestv1.CancelResponse{}), nil
 }
 
-// Read serves only requests of this daemon; a relay of a relay could circle.
+// Read serves only requests that this daemon runs. It does not relay from other
+// daemons, because relays could form a cycle.
 func (h rpcHandler) Read(ctx context.Context, req *connect.Request[requestv1.ReadRequest], out *connect.ServerStream[requestv1.ReadResponse]) error {
 	id := ident.RequestID(req.Msg.RequestId)
 	l := h.m.find(id)
@@ -125,7 +128,8 @@
 	return err
 }
 
-// yieldToOwners ends requests here that another daemon turned out to own.
+// yieldToOwners ends the requests that this daemon runs but that, according to
+// newer records, other daemons own.
 func (m *Models) yieldToOwners(lost map[*localRequest]ident.Incarnation) {
 	for l, owner := range lost {
 		m.count("requests.superseded")
@@ -133,7 +137,10 @@
 	}
 }
 
-// extendAnswer takes what a reader has over, unless another daemon runs the request.
+// extendAnswer adds the tokens that a reader received from an earlier owner to
+// the answer. It returns false if they differ from the tokens of the answer. It
+// ignores them if another daemon runs the request, or if they begin beyond the
+// end of the answer.
 func (l *localRequest) extendAnswer(from int, known []string) bool {
 	if len(known) == 0 {
 		return true
@@ -154,10 +161,11 @@
 	return true
 }
 
-// RecordsFullError says that a keeper takes no further record.
+// RecordsFullError is returned when a daemon already stores the maximum number
+// of records of other daemons' requests.
 type RecordsFullError struct{ Limit int }
 
-func (e *RecordsFullError) Error() string { return "keeper of records is full" }
+func (e *RecordsFullError) Error() string { return "this daemon cannot store more request records" }
 
 func refusalResponse(r *refusal.Refusal) *requestv1.ReadResponse {
 	return &requestv1.ReadResponse{
--- a/daemon/models/streams_test.go
+++ b/daemon/models/streams_test.go
@@ -10,10 +10,10 @@
 	"geraniumstack.org/geraniumstack/standin/engine"
 )
 
-// A caller would read words twice, words of another caller, or an answer with
-// a hole or without its end. An engine's stream repeats lines, carries a line
-// of the other request, leaves a token out, ends early or breaks, in turn, and
-// the cause lies with the runner or the way there each time.
+// Guards against duplicate tokens, tokens of another request, missing tokens
+// and truncated answers. An engine's stream repeats lines, carries a line of
+// the other request, omits a token, ends early, breaks or stalls, in turn. The
+// metrics must name the cause each time.
 func TestFaultyStreamsDoNotReachTheCaller(t *testing.T) {
 	for _, f := range []struct {
 		fault   engine.StreamFault
@@ -44,9 +44,9 @@
 	}
 }
 
-// A caller would read the end of its answer twice: the first runner's
-// connection goes silent, a second attempt begins, and the first goes on
-// sending after it was cancelled.
+// Guards against tokens that are delivered twice: the runner receives a reclaim
+// notice, a second attempt begins at another runner, and the first runner goes
+// on sending lines after its attempt was cancelled.
 func TestLateLinesOfCancelledAttemptAreDropped(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -61,9 +61,9 @@
 	})
 }
 
-// Readers at another gateway would wait for good: the connection between the
-// two daemons goes silent. The reader's gateway opens a new one; the request's
-// owner is well and goes on.
+// Guards against readers at another gateway that wait forever because the
+// connection between the two daemons has gone silent. The reader's gateway must
+// open a new connection, while the request's owner, which is healthy, goes on.
 func TestSilentPeerConnectionIsReopened(t *testing.T) {
 	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -80,8 +80,9 @@
 	})
 }
 
-// Every request at a runner would fail: all its connections go silent at once,
-// while new ones work. The requests stay there and keep their KV cache.
+// Guards against the failure of all requests at a runner when all connections
+// to it go silent at once, while new connections work. The requests must stay
+// at the runner and reuse their KV cache.
 func TestRequestStaysAtRunnerWhenConnectionsGoSilent(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -96,8 +97,9 @@
 	})
 }
 
-// A caller would read half an answer as a whole one: someone else cancels its
-// attempt at the engine, whose stream then ends in good order.
+// Guards against a partial answer that is taken for complete: the attempt is
+// cancelled at the engine, but not by its gateway, and the engine's stream then
+// ends without an error.
 func TestAttemptCancelledAtEngineIsRetried(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -111,13 +113,14 @@
 	})
 }
 
-// A bulletin would be refused although every gateway is well: the kept
-// connections to all keepers of its record have gone silent. New ones work.
+// Guards against the refusal of a bulletin although every gateway is healthy:
+// the pooled connections to all keepers of its record have gone silent, but new
+// connections work.
 func TestRecordIsStoredDespiteSilentConnections(t *testing.T) {
 	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
 		first, second, third := c.startGateway(0), c.startGateway(1), c.startGateway(2)
-		for range 12 { // so that there is a connection to each
+		for range 12 { // enough for a pooled connection to each keeper
 			is.NoErr(first.Submit(t.Context(), first.request("bulletin", 5)))
 		}
 		time.Sleep(time.Second)
--- a/daemon/models/throughput_test.go
+++ b/daemon/models/throughput_test.go
@@ -13,8 +13,8 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// instantEngine is an engine that emits without a wait or a connection, so that only
-// the gateway's own work is measured.
+// instantEngine is an engine client that emits tokens without delay or
+// connection, so that only the work of the gateway is measured.
 type instantEngine struct{ engineClients }
 
 func (instantEngine) Generate(_ context.Context, _ string, r engineapi.GenerateRequest, sink func(engineapi.GenerateEvent) error) error {
@@ -28,8 +28,8 @@
 	return sink(e)
 }
 
-// BenchmarkRequest is one request of 500 tokens from acceptance to its reader,
-// without sockets.
+// BenchmarkRequest measures a request of 500 tokens from acceptance to its
+// reader, without network connections.
 func BenchmarkRequest(b *testing.B) {
 	c := &cluster{changed: make(chan struct{})}
 	c.runners = []view.Runner{{ID: "runner-0", Address: runnerAddress(0), Service: model, State: view.Live}}
--- a/daemon/models/write_deadline.go
+++ b/daemon/models/write_deadline.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// writeDeadlines bounds each write of a handler's answer. Without it, a stream
-// to a peer that went away without a word, or behind a device that lost track
-// of the connection, keeps its goroutine until the kernel gives up, which takes
-// a quarter of an hour.
+// writeDeadlines limits the time of each write of a handler's response. Without
+// a limit, a stream to a peer that disappeared without closing its connection,
+// or to which a network device lost track of the connection, keeps its
+// goroutine until the kernel gives up, which takes 15 minutes.
 func writeDeadlines(next http.Handler, timeout time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(&deadlineWriter{ResponseWriter: w, timeout: timeout}, r)
@@ -21,7 +21,7 @@
 	timeout time.Duration
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer with a deadline for each write.
 func (d *deadlineWriter) Write(p []byte) (int, error) {
 	if err := d.extendDeadline(); err != nil {
 		return 0, err
@@ -29,14 +29,14 @@
 	return d.ResponseWriter.Write(p)
 }
 
-// Flush implements http.Flusher; an error shows in the next Write.
+// Flush implements http.Flusher. The next Write returns any error.
 func (d *deadlineWriter) Flush() {
 	if d.extendDeadline() == nil {
 		_ = http.NewResponseController(d.ResponseWriter).Flush()
 	}
 }
 
-// Unwrap lets http.ResponseController reach the writer beneath.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (d *deadlineWriter) Unwrap() http.ResponseWriter { return d.ResponseWriter }
 
 func (d *deadlineWriter) extendDeadline() error {
--- a/daemon/models/write_deadline_test.go
+++ b/daemon/models/write_deadline_test.go
@@ -13,16 +13,17 @@
 	"geraniumstack.org/geraniumstack/gen/geranium/request/v1/requestv1connect"
 )
 
-// writeOnlyTransport posts over one connection and never reads what comes back.
+// writeOnlyTransport writes each request to one connection and never reads a
+// response.
 type writeOnlyTransport struct{ conn net.Conn }
 
 func (r writeOnlyTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	return nil, req.Write(r.conn)
 }
 
-// A gateway would run out of memory: each reader's gateway that went away
-// without closing its connection leaves a stream behind whose writes block.
-// They end within the bound on silence.
+// Guards against a memory leak: when a reader's gateway disappears without
+// closing its connection, the stream to it stays open and its writes block.
+// Each write must fail within SilenceTimeout.
 func TestStreamToStalledReaderTimesOut(t *testing.T) {
 	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -51,7 +52,7 @@
 		select {
 		case <-closed:
 		case <-time.After(3 * silence):
-			t.Error("the stream goes on")
+			t.Error("the stream is still open although its reader does not read")
 			clientConn.Close()
 		}
 		close(l.conns)
@@ -59,7 +60,8 @@
 	})
 }
 
-// connListener is a listener of the connections that are put into it.
+// connListener is a net.Listener that accepts the connections sent to its
+// channel.
 type connListener struct{ conns chan net.Conn }
 
 func (l *connListener) Accept() (net.Conn, error) {
