--- a/daemon/dispatch/dispatch_test.go
+++ b/daemon/dispatch/dispatch_test.go
@@ -150,7 +150,7 @@
 }
 
 func testJob(r call.ModelRequest, after request.Cause) models.Job {
-	return models.Job{Request: r, Service: "llm", PreviousCause: after}
+	return models.Job{Request: r, Service: "llm", After: after}
 }
 
 // serveRequest makes one whole answer and returns the runner.
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -27,7 +27,7 @@
 		return models.Choice{}, refusal.New(refusal.UnknownModel, "no service %q", j.Service)
 	}
 	g := s.grantFor(d, j)
-	if j.PreviousCause != "" {
+	if j.After != "" {
 		if err := s.waitForRetry(ctx, j, g); err != nil {
 			return models.Choice{}, err
 		}
@@ -54,7 +54,7 @@
 
 // waitForRetry returns when a failed attempt may be made waitForRetry, or why not.
 func (s *service) waitForRetry(ctx context.Context, j models.Job, g *grant) error {
-	reason := retryReason(j.PreviousCause)
+	reason := retryReason(j.After)
 	for {
 		s.mu.Lock()
 		decision := s.retry.Decide(time.Now(), retry.Failure{
@@ -79,7 +79,7 @@
 }
 
 func mayHaveRun(j models.Job) bool {
-	return j.Offset > 0 || j.PreviousCause != request.Unreachable && j.PreviousCause != request.Refused && j.PreviousCause != request.NoCapacity
+	return j.Offset > 0 || j.After != request.Unreachable && j.After != request.Refused && j.After != request.NoCapacity
 }
 
 func retryRefusal(j models.Job, decision retry.Decision) error {
@@ -90,7 +90,7 @@
 	case retry.StopAttempts:
 		reason = refusal.RunnerFailed
 	}
-	r := refusal.New(reason, "attempt failed (%s), %s", j.PreviousCause, decision.Verdict)
+	r := refusal.New(reason, "attempt failed (%s), %s", j.After, decision.Verdict)
 	if reason != refusal.DeadlineExceeded {
 		r = r.After(defaultRetryAfter)
 	}
--- a/daemon/models/config.go
+++ b/daemon/models/config.go
@@ -41,9 +41,9 @@
 	// be modified.
 	Emitted []string
 	Exclude []ident.RunnerID
-	// PreviousCause is the reason why the previous attempt ended; it is empty
+	// After is the reason why the previous attempt ended; it is empty
 	// for the first attempt.
-	PreviousCause request.Cause
+	After request.Cause
 }
 
 // Choice identifies the runner that a Picker selected.
@@ -108,10 +108,10 @@
 	// MaxTokens is the limit on output tokens for requests that set none or a
 	// higher one.
 	MaxTokens int
-	// HeartbeatInterval is the time between heartbeats on an idle stream.
+	// Heartbeat is the time between heartbeats on an idle stream.
 	// SilenceTimeout is how long the stream from a peer may carry no message
 	// before it counts as broken, and the time limit for each write to a peer.
-	HeartbeatInterval, SilenceTimeout time.Duration
+	Heartbeat, SilenceTimeout time.Duration
 	// RenewInterval is the time between two updates of the records of this
 	// daemon's requests at their keepers.
 	RenewInterval time.Duration
@@ -137,7 +137,7 @@
 	setDefault(&l.MaxFinished, 10_000)
 	setDefault(&l.MaxTokens, 4096)
 	setDefault(&l.Retention, 10*time.Minute)
-	setDefault(&l.HeartbeatInterval, time.Second)
+	setDefault(&l.Heartbeat, time.Second)
 	setDefault(&l.SilenceTimeout, 3*time.Second)
 	setDefault(&l.RenewInterval, 2*time.Second)
 	setDefault(&l.OwnerTimeout, 5*time.Second)
--- a/daemon/models/drain.go
+++ b/daemon/models/drain.go
@@ -33,7 +33,7 @@
 func (m *Models) Drain(ctx context.Context) error {
 	m.mu.Lock()
 	if m.drain == nil {
-		m.drain = handoff.NewDrain(m.cfg.Directory.Self(), time.Now().Add(m.cfg.Limits.DrainAcceptPeriod))
+		m.drain = handoff.NewDrain(m.c.Directory.Self(), time.Now().Add(m.c.Limits.DrainAcceptPeriod))
 	}
 	m.mu.Unlock()
 	ticker := time.NewTicker(drainInterval)
@@ -59,14 +59,14 @@
 // otherwise the shutdown of the last daemon would always last its whole grace
 // period.
 func (m *Models) onlyFinishedLeft() bool {
-	for _, d := range m.cfg.Directory.Daemons() {
-		if d.Incarnation != m.cfg.Self && d.State != view.Leaving && d.State != view.Gone {
+	for _, d := range m.c.Directory.Daemons() {
+		if d.Incarnation != m.c.Self && d.State != view.Leaving && d.State != view.Gone {
 			return false
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, l := range m.requests {
+	for _, l := range m.requestState {
 		if l.inProgress() {
 			return false
 		}
@@ -87,9 +87,9 @@
 // would end before OwnerTimeout has passed, after which it would run them.
 func (m *Models) transferRequests(ctx context.Context) int {
 	m.adoptOrphans(0)
-	daemons := m.cfg.Directory.Daemons()
+	daemons := m.c.Directory.Daemons()
 	m.mu.Lock()
-	for id, l := range m.requests {
+	for id, l := range m.requestState {
 		if l.transferable() {
 			m.drain.Add(id, l.spec.Epoch)
 		} else {
@@ -112,7 +112,7 @@
 
 // transferable reports whether this daemon owns the request and the request is
 // in progress or has an answer.
-func (l *localRequest) transferable() bool {
+func (l *requestState) transferable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.movedTo == "" && l.machine.Refusal() == nil
@@ -125,7 +125,7 @@
 func (m *Models) transferBatch(ctx context.Context, batch []handoff.Transfer, daemons []view.Daemon) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
-	req := &requestv1.AdoptRequest{From: string(m.cfg.Self)}
+	req := &requestv1.AdoptRequest{From: string(m.c.Self)}
 	for _, transfer := range batch {
 		l := m.find(transfer.ID)
 		if l == nil {
@@ -136,7 +136,7 @@
 		r.Epoch = transfer.Epoch
 		req.Records = append(req.Records, r)
 	}
-	resp, err := m.cfg.Peers.Requests(batch[0].Peer.PeerAddress).Adopt(ctx, connect.NewRequest(req))
+	resp, err := m.c.Peers.Requests(batch[0].Peer.PeerAddress).Adopt(ctx, connect.NewRequest(req))
 	accepted := map[ident.RequestID]bool{}
 	if err == nil {
 		for _, id := range resp.Msg.AcceptedIds {
--- a/daemon/models/harness_test.go
+++ b/daemon/models/harness_test.go
@@ -70,18 +70,18 @@
 		cfg.BytesPerToken = 1 << 20 // large, so that the export of a KV cache takes a noticeable time
 		client := c.Client()
 		e := engine.New(cfg, engine.WithLedger(c.ledger), engine.WithClient(client))
-		c.serve(runnerAddress(i), e.Handler(), client)
+		c.serve(address(i), e.Handler(), client)
 		c.stops = append(c.stops, e.Close)
 		c.engines = append(c.engines, e)
 		c.runners = append(c.runners, view.Runner{
-			ID: id, Address: runnerAddress(i), Service: model,
+			ID: id, Address: address(i), Service: model,
 			FailureDomain: failureDomain(i), State: view.Live,
 		})
 	}
 	return c
 }
 
-func runnerAddress(runner int) string { return fmt.Sprintf("runner-%d:80", runner) }
+func address(runner int) string { return fmt.Sprintf("runner-%d:80", runner) }
 
 // serve serves HTTP at an address until the cluster stops.
 func (c *cluster) serve(address string, h http.Handler, client *http.Client) *http.Server {
--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -31,7 +31,7 @@
 // Models accepts and runs model requests; it implements call.Models. It is safe
 // for concurrent use.
 type Models struct {
-	cfg    Config
+	c      Config
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
@@ -39,12 +39,12 @@
 	// begun to wait for it.
 	spawnMu sync.Mutex
 
-	mu       sync.Mutex
-	requests map[ident.RequestID]*localRequest
-	ended    []*localRequest // requests kept for late readers after they ended, oldest first
-	keeper   *handoff.Keeper
-	outbox   *handoff.Outbox
-	drain    *handoff.Drain
+	mu           sync.Mutex
+	requestState map[ident.RequestID]*requestState
+	ended        []*requestState // requests kept for late readers after they ended, oldest first
+	keeper       *handoff.Keeper
+	outbox       *handoff.Outbox
+	drain        *handoff.Drain
 	// renewing holds the keepers to which a renewal of records is in progress.
 	// A keeper is a daemon that stores the records of another daemon's
 	// requests.
@@ -67,12 +67,12 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Models{
-		cfg:      c,
-		ctx:      ctx,
-		cancel:   cancel,
-		requests: map[ident.RequestID]*localRequest{},
-		keeper:   handoff.NewKeeper(recordLimit),
-		outbox:   handoff.NewOutbox(),
+		c:            c,
+		ctx:          ctx,
+		cancel:       cancel,
+		requestState: map[ident.RequestID]*requestState{},
+		keeper:       handoff.NewKeeper(recordLimit),
+		outbox:       handoff.NewOutbox(),
 
 		renewing: map[ident.Incarnation]bool{},
 	}
@@ -86,7 +86,7 @@
 	tick := time.NewTicker(housekeepingInterval)
 	defer tick.Stop()
 	for {
-		changed := m.cfg.Directory.Changed()
+		changed := m.c.Directory.Changed()
 		m.planReclaims()
 		select {
 		case <-ctx.Done():
@@ -116,7 +116,7 @@
 }
 
 func (m *Models) count(name string) {
-	metrics.GetOrRegisterCounter(name, m.cfg.Metrics).Inc(1)
+	metrics.GetOrRegisterCounter(name, m.c.Metrics).Inc(1)
 }
 
 // Submit implements call.Models. Submitting an ID again in the same workspace
@@ -131,7 +131,7 @@
 		return m.handleDuplicate(existing, r)
 	}
 	if !l.spec.Deferrable {
-		if l.release, err = m.cfg.Picker.Acquire(ctx, l.req); err != nil {
+		if l.release, err = m.c.Picker.Acquire(ctx, l.req); err != nil {
 			return m.countRefusal(err)
 		}
 	}
@@ -149,7 +149,7 @@
 	return err
 }
 
-func (m *Models) handleDuplicate(l *localRequest, r call.ModelRequest) error {
+func (m *Models) handleDuplicate(l *requestState, r call.ModelRequest) error {
 	if l.req.Workspace != r.Workspace {
 		return m.countRefusal(refusal.New(refusal.BadRequest, "request ID is in use"))
 	}
@@ -158,11 +158,11 @@
 
 // prepare validates the request against the current configuration, applies the
 // default limits, and builds its state.
-func (m *Models) prepare(r call.ModelRequest) (*localRequest, error) {
+func (m *Models) prepare(r call.ModelRequest) (*requestState, error) {
 	if !m.accepting() {
 		return nil, refusal.New(refusal.Draining, "this gateway is leaving").After(drainingRetryAfter)
 	}
-	conf, _ := m.cfg.Config.Current()
+	conf, _ := m.c.Config.Current()
 	if conf == nil {
 		return nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(notReadyRetryAfter)
 	}
@@ -177,13 +177,13 @@
 	if !ok {
 		return nil, refusal.New(refusal.BadRequest, "no class %q", r.Class)
 	}
-	if r.MaxTokens <= 0 || r.MaxTokens > m.cfg.Limits.MaxTokens {
-		r.MaxTokens = m.cfg.Limits.MaxTokens
+	if r.MaxTokens <= 0 || r.MaxTokens > m.c.Limits.MaxTokens {
+		r.MaxTokens = m.c.Limits.MaxTokens
 	}
 	if r.Deadline.IsZero() && class.DeadlineMillis > 0 {
 		r.Deadline = time.Now().Add(time.Duration(class.DeadlineMillis) * time.Millisecond)
 	}
-	return m.newLocalRequest(r, model.Service, class), nil
+	return m.newRequestState(r, model.Service, class), nil
 }
 
 func findModel(conf *manifest.Manifest, name string) (manifest.Model, bool) {
@@ -204,25 +204,25 @@
 	return manifest.Class{}, false
 }
 
-func (m *Models) find(id ident.RequestID) *localRequest {
+func (m *Models) find(id ident.RequestID) *requestState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.requests[id]
+	return m.requestState[id]
 }
 
 // accept registers the request. If the request is recorded (deferrable or
 // asynchronous), accept also stores its record at a second daemon, so that the
 // death of a single process cannot lose it.
-func (m *Models) accept(ctx context.Context, l *localRequest) error {
+func (m *Models) accept(ctx context.Context, l *requestState) error {
 	m.mu.Lock()
-	if len(m.requests)-len(m.ended) >= m.cfg.Limits.MaxInProgress {
+	if len(m.requestState)-len(m.ended) >= m.c.Limits.MaxInProgress {
 		m.mu.Unlock()
 		return refusal.New(refusal.Overloaded, "too many requests in progress").After(overloadedRetryAfter)
 	}
-	m.requests[l.req.ID] = l
+	m.requestState[l.req.ID] = l
 	if l.recorded {
 		m.outbox.Track(l.req.ID)
-		m.keeper.Claim(l.req.ID, handoff.Claim{Owner: m.cfg.Self, Epoch: l.spec.Epoch})
+		m.keeper.Claim(l.req.ID, handoff.Claim{Owner: m.c.Self, Epoch: l.spec.Epoch})
 	}
 	m.mu.Unlock()
 	if !l.recorded {
@@ -235,12 +235,12 @@
 	return nil
 }
 
-func (m *Models) remove(l *localRequest) {
+func (m *Models) remove(l *requestState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.requests[l.req.ID] == l {
-		delete(m.requests, l.req.ID)
-		m.keeper.ReleaseClaim(l.req.ID, m.cfg.Self)
+	if m.requestState[l.req.ID] == l {
+		delete(m.requestState, l.req.ID)
+		m.keeper.ReleaseClaim(l.req.ID, m.c.Self)
 	}
 	m.outbox.Untrack(l.req.ID)
 }
--- a/daemon/models/random_faults_test.go
+++ b/daemon/models/random_faults_test.go
@@ -43,7 +43,7 @@
 	return live
 }
 
-func (f *faultInjector) startGateway() {
+func (f *faultInjector) addGateway() {
 	f.gateways = append(f.gateways, f.c.startGateway(f.started))
 	f.started++
 }
@@ -55,11 +55,11 @@
 	client := f.c.Client()
 	e := engine.New(engine.DefaultConfig(string(id), model, "1"), engine.WithLedger(f.c.ledger), engine.WithClient(client))
 	f.c.stops = append(f.c.stops, e.Close)
-	f.c.serve(runnerAddress(i), e.Handler(), client)
+	f.c.serve(address(i), e.Handler(), client)
 	f.c.engines = append(f.c.engines, e)
 	f.c.updateDirectory(func() {
 		f.c.runners = append(f.c.runners, view.Runner{
-			ID: id, Address: runnerAddress(i), Service: model, FailureDomain: failureDomain(i), State: view.Live,
+			ID: id, Address: address(i), Service: model, FailureDomain: failureDomain(i), State: view.Live,
 		})
 	})
 }
@@ -98,7 +98,7 @@
 	f.c.kill(g)
 	time.Sleep(time.Duration(f.rng.IntN(3000)) * time.Millisecond)
 	f.c.removeFromDirectory(g)
-	f.startGateway()
+	f.addGateway()
 	time.Sleep(10 * time.Second)
 }
 
@@ -107,7 +107,7 @@
 	runner := live[f.rng.IntN(len(live))]
 	switch f.rng.IntN(8) {
 	case 0:
-		f.c.Silence(runnerAddress(runner))
+		f.c.Silence(address(runner))
 	case 1:
 		f.c.Silence(f.gateway().address)
 	case 2:
@@ -145,7 +145,7 @@
 			runCluster(t, 3, func(t *testing.T, c *cluster) {
 				f := &faultInjector{t: t, c: c, rng: rand.New(rand.NewPCG(uint64(seed), 1))}
 				for range 3 {
-					f.startGateway()
+					f.addGateway()
 				}
 				for range 12 {
 					f.submit()
--- a/daemon/models/reader.go
+++ b/daemon/models/reader.go
@@ -71,11 +71,11 @@
 }
 
 // Read implements call.Models.
-func (m *Models) Read(ctx context.Context, ws ident.Workspace, id ident.RequestID, offset int, sink func(call.Event) error) error {
+func (m *Models) Read(ctx context.Context, workspace ident.Workspace, id ident.RequestID, offset int, sink func(call.Event) error) error {
 	if offset < 0 {
 		return refusal.New(refusal.BadRequest, "negative offset")
 	}
-	r := &reader{m: m, workspace: ws, id: id, offset: offset, startOffset: offset, sink: sink, lastProgress: time.Now()}
+	r := &reader{m: m, workspace: workspace, id: id, offset: offset, startOffset: offset, sink: sink, lastProgress: time.Now()}
 	err := r.run(ctx)
 	var s *SinkError
 	if errors.As(err, &s) {
@@ -117,9 +117,9 @@
 	if errors.As(err, &notFound) && r.ownerListed() {
 		return refusal.New(refusal.UnknownRequest, "no such request").Unknown()
 	}
-	if time.Since(r.lastProgress) > r.m.cfg.Limits.LookupTimeout {
+	if time.Since(r.lastProgress) > r.m.c.Limits.LookupTimeout {
 		return refusal.New(refusal.OwnerUnreachable, "the request's gateway cannot be reached").
-			Unknown().After(r.m.cfg.Limits.Request.RetryAfter)
+			Unknown().After(r.m.c.Limits.Request.RetryAfter)
 	}
 	if err := r.send(call.Event{Offset: r.offset, Heartbeat: true}); err != nil {
 		return err
@@ -136,7 +136,7 @@
 // final.
 func (r *reader) ownerListed() bool {
 	owner, err := r.id.Owner()
-	if err != nil || owner == r.m.cfg.Self {
+	if err != nil || owner == r.m.c.Self {
 		return true
 	}
 	_, ok := r.m.findDaemon(owner)
@@ -203,15 +203,15 @@
 func (r *reader) relay(parent context.Context, address string) error {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	watchdog := time.AfterFunc(r.m.cfg.Limits.SilenceTimeout, cancel)
+	watchdog := time.AfterFunc(r.m.c.Limits.SilenceTimeout, cancel)
 	defer watchdog.Stop()
-	stream, err := r.m.cfg.Peers.Requests(address).Read(ctx, connect.NewRequest(r.readRequest()))
+	stream, err := r.m.c.Peers.Requests(address).Read(ctx, connect.NewRequest(r.readRequest()))
 	if err != nil {
 		return peerError(r.id, err)
 	}
 	defer stream.Close()
 	for stream.Receive() {
-		watchdog.Reset(r.m.cfg.Limits.SilenceTimeout)
+		watchdog.Reset(r.m.c.Limits.SilenceTimeout)
 		done, err := r.handleMessage(stream.Msg())
 		if err != nil || done {
 			return err
@@ -293,7 +293,7 @@
 	changed <-chan struct{}
 }
 
-func (l *localRequest) snapshot(offset int) snapshot {
+func (l *requestState) snapshot(offset int) snapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.machine.Answer()
@@ -309,8 +309,8 @@
 }
 
 // readLocal serves the reader from a request of this daemon.
-func (r *reader) readLocal(ctx context.Context, l *localRequest) error {
-	heartbeat := time.NewTicker(r.m.cfg.Limits.HeartbeatInterval)
+func (r *reader) readLocal(ctx context.Context, l *requestState) error {
+	heartbeat := time.NewTicker(r.m.c.Limits.Heartbeat)
 	defer heartbeat.Stop()
 	for {
 		s := l.snapshot(r.offset)
@@ -347,7 +347,7 @@
 		return err
 	}
 	for _, d := range m.lookupCandidates(id, m.movedTo(id)) {
-		_, err := m.cfg.Peers.Requests(d.PeerAddress).Cancel(ctx, connect.NewRequest(&requestv1.CancelRequest{
+		_, err := m.c.Peers.Requests(d.PeerAddress).Cancel(ctx, connect.NewRequest(&requestv1.CancelRequest{
 			RequestId: string(id),
 			Workspace: string(ws),
 		}))
--- a/daemon/models/reclaim.go
+++ b/daemon/models/reclaim.go
@@ -69,7 +69,7 @@
 // planReclaims makes a plan for each stream that runs at a leaving runner and
 // has no plan yet, or whose planned target has received a reclaim notice since.
 func (m *Models) planReclaims() {
-	byService := map[string][]*localRequest{}
+	byService := map[string][]*requestState{}
 	for _, l := range m.inProgress() {
 		byService[l.service] = append(byService[l.service], l)
 	}
@@ -78,10 +78,10 @@
 	}
 }
 
-func (m *Models) planServiceReclaims(service string, requests []*localRequest) {
+func (m *Models) planServiceReclaims(service string, requests []*requestState) {
 	listed := map[ident.RunnerID]view.Runner{}
 	var leaving []view.Runner
-	for _, r := range m.cfg.Directory.Runners(service) {
+	for _, r := range m.c.Directory.Runners(service) {
 		listed[r.ID] = r
 		if r.State == view.Leaving {
 			leaving = append(leaving, r)
@@ -91,15 +91,15 @@
 		return
 	}
 	now := time.Now()
-	pending, streams, linkBusyUntil := m.unplanned(requests, listed, leaving)
+	pending, streams, link := m.unplanned(requests, listed, leaving)
 	if len(streams) == 0 {
 		return
 	}
 	b := reclaim.Batch{
 		Streams:      streams,
 		Targets:      m.targetShares(service, requests),
-		Link:         m.linkShare(now, linkBusyUntil),
-		SafetyMargin: m.cfg.Limits.ReclaimMargin,
+		Link:         m.link(now, link),
+		SafetyMargin: m.c.Limits.ReclaimMargin,
 	}
 	for _, r := range leaving {
 		b.Sources = append(b.Sources, m.newSource(r, now))
@@ -112,15 +112,15 @@
 
 // unplanned returns the requests and streams that need a plan, and the time
 // until which the moves of earlier plans occupy the link.
-func (m *Models) unplanned(requests []*localRequest, listed map[ident.RunnerID]view.Runner, leaving []view.Runner) (map[ident.RequestID]*localRequest, []reclaim.Stream, time.Time) {
-	pending := map[ident.RequestID]*localRequest{}
+func (m *Models) unplanned(requests []*requestState, listed map[ident.RunnerID]view.Runner, leaving []view.Runner) (map[ident.RequestID]*requestState, []reclaim.Stream, time.Time) {
+	pending := map[ident.RequestID]*requestState{}
 	var streams []reclaim.Stream
 	var linkBusyUntil time.Time
 	for _, l := range requests {
 		for _, r := range leaving {
 			l.step(request.RunnerLeaving{Runner: r.ID})
 		}
-		s, plan, ok := l.reclaimStream(m.cfg.Transfer.BytesPerToken)
+		s, plan, ok := l.reclaimStream(m.c.Transfer.BytesPerToken)
 		if !ok || listed[s.Runner].State != view.Leaving {
 			continue
 		}
@@ -145,11 +145,11 @@
 }
 
 // busyUntil returns the later of linkBusyUntil and the end of this plan's move.
-func (p reclaimPlan) busyUntil(link time.Time) time.Time {
-	if p.kind == reclaim.Move && p.endsAt.After(link) {
+func (p reclaimPlan) busyUntil(earlier time.Time) time.Time {
+	if p.kind == reclaim.Move && p.endsAt.After(earlier) {
 		return p.endsAt
 	}
-	return link
+	return earlier
 }
 
 func findSource(sources []reclaim.Source, id ident.RunnerID) reclaim.Source {
@@ -162,11 +162,11 @@
 }
 
 func (m *Models) newSource(r view.Runner, now time.Time) reclaim.Source {
-	timeLeft := m.cfg.Transfer.Notice
+	timeLeft := m.c.Transfer.Notice
 	if !r.LeavesAt.IsZero() {
 		timeLeft = r.LeavesAt.Sub(now)
 	}
-	return reclaim.Source{Runner: r.ID, TimeLeft: timeLeft, DecodeRate: m.cfg.Transfer.DecodeRate}
+	return reclaim.Source{Runner: r.ID, TimeLeft: timeLeft, DecodeRate: m.c.Transfer.DecodeRate}
 }
 
 // gatewayCount returns the number of gateways that may plan for the same
@@ -175,18 +175,18 @@
 // equal share of the link and of the free capacity.
 func (m *Models) gatewayCount() int {
 	n := 0
-	for _, d := range m.cfg.Directory.Daemons() {
-		if d.State == view.Live || d.Incarnation == m.cfg.Self {
+	for _, d := range m.c.Directory.Daemons() {
+		if d.State == view.Live || d.Incarnation == m.c.Self {
 			n++
 		}
 	}
 	return max(n, 1)
 }
 
-func (m *Models) linkShare(now, busyUntil time.Time) reclaim.Link {
+func (m *Models) link(now, busyUntil time.Time) reclaim.Link {
 	return reclaim.Link{
-		BytesPerSecond: m.cfg.Transfer.LinkBytesPerSecond / float64(m.gatewayCount()),
-		Setup:          m.cfg.Transfer.Setup,
+		BytesPerSecond: m.c.Transfer.LinkBytesPerSecond / float64(m.gatewayCount()),
+		Setup:          m.c.Transfer.Setup,
 		BusyFor:        max(busyUntil.Sub(now), 0),
 	}
 }
@@ -196,24 +196,24 @@
 // (minFreeTokens), even if the shares of all gateways then add up to more than
 // what is free: engines queue the excess, and a queued stream whose KV cache
 // was moved costs less than a stream that loses its KV cache.
-func (m *Models) targetShares(service string, requests []*localRequest) []reclaim.Target {
-	var targets []reclaim.Target
-	if c, ok := m.cfg.Picker.(CapacitySource); ok {
-		targets = c.Targets(service)
+func (m *Models) targetShares(service string, requests []*requestState) []reclaim.Target {
+	var targetShares []reclaim.Target
+	if c, ok := m.c.Picker.(CapacitySource); ok {
+		targetShares = c.Targets(service)
 	} else {
-		targets = m.estimateTargets(service, requests)
+		targetShares = m.estimateTargets(service, requests)
 	}
 	n := m.gatewayCount()
-	for i := range targets {
-		targets[i].Slots = (targets[i].Slots + n - 1) / n
-		targets[i].FreeTokens = max(targets[i].FreeTokens/n, min(targets[i].FreeTokens, minFreeTokens))
+	for i := range targetShares {
+		targetShares[i].Slots = (targetShares[i].Slots + n - 1) / n
+		targetShares[i].FreeTokens = max(targetShares[i].FreeTokens/n, min(targetShares[i].FreeTokens, minFreeTokens))
 	}
-	return targets
+	return targetShares
 }
 
 // estimateTargets estimates the free capacity of live runners from the default
 // values and the streams of this gateway only.
-func (m *Models) estimateTargets(service string, requests []*localRequest) []reclaim.Target {
+func (m *Models) estimateTargets(service string, requests []*requestState) []reclaim.Target {
 	ownStreams := map[ident.RunnerID]int{}
 	for _, l := range requests {
 		l.mu.Lock()
@@ -221,7 +221,7 @@
 		l.mu.Unlock()
 	}
 	var targets []reclaim.Target
-	for _, r := range m.cfg.Directory.Runners(service) {
+	for _, r := range m.c.Directory.Runners(service) {
 		if r.State != view.Live {
 			continue
 		}
@@ -237,7 +237,7 @@
 
 // reclaimStream describes the current attempt for planning, with its present
 // plan. It returns false if no attempt is running.
-func (l *localRequest) reclaimStream(bytesPerToken int64) (reclaim.Stream, reclaimPlan, bool) {
+func (l *requestState) reclaimStream(bytesPerToken int64) (reclaim.Stream, reclaimPlan, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	runner := l.machine.Runner()
@@ -279,7 +279,7 @@
 // finish in place, or to wait, is evicted from the runner after evictAfter if
 // it is still running then: when the VM ends, the stream would break without
 // any notification.
-func (l *localRequest) schedulePlan(d reclaim.Decision, now time.Time, evictAfter time.Duration) {
+func (l *requestState) schedulePlan(d reclaim.Decision, now time.Time, evictAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	attempt := l.machine.Attempt()
@@ -296,11 +296,11 @@
 	l.planTimer = time.AfterFunc(max(delay, 0), func() { l.step(input) })
 }
 
-func (m *Models) inProgress() []*localRequest {
+func (m *Models) inProgress() []*requestState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var requests []*localRequest
-	for _, l := range m.requests {
+	var requests []*requestState
+	for _, l := range m.requestState {
 		if l.inProgress() {
 			requests = append(requests, l)
 		}
@@ -308,7 +308,7 @@
 	return requests
 }
 
-func (l *localRequest) inProgress() bool {
+func (l *requestState) inProgress() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ended.IsZero()
--- a/daemon/models/request_records.go
+++ b/daemon/models/request_records.go
@@ -35,7 +35,7 @@
 )
 
 func (m *Models) findDaemon(i ident.Incarnation) (view.Daemon, bool) {
-	for _, d := range m.cfg.Directory.Daemons() {
+	for _, d := range m.c.Directory.Daemons() {
 		if d.Incarnation == i {
 			return d, true
 		}
@@ -58,7 +58,7 @@
 // request, and the daemons that may store its record.
 func (m *Models) lookupCandidates(id ident.RequestID, hint ident.Incarnation) []view.Daemon {
 	var list []view.Daemon
-	seen := map[ident.Incarnation]bool{m.cfg.Self: true}
+	seen := map[ident.Incarnation]bool{m.c.Self: true}
 	add := func(d view.Daemon) {
 		if !seen[d.Incarnation] && len(list) < maxLookupCandidates {
 			seen[d.Incarnation] = true
@@ -71,7 +71,7 @@
 			add(d)
 		}
 	}
-	for _, d := range handoff.RankKeepers(id, view.Daemon{}, m.cfg.Directory.Daemons()) {
+	for _, d := range handoff.RankKeepers(id, view.Daemon{}, m.c.Directory.Daemons()) {
 		add(d)
 	}
 	return list
@@ -80,13 +80,13 @@
 // record returns the record of the request with the tokens from an offset on.
 // With offset zero the record is complete; otherwise it leaves out the fields
 // that do not change.
-func (l *localRequest) record(from int) *requestv1.Record {
+func (l *requestState) record(from int) *requestv1.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answer := l.machine.Answer()
 	r := &requestv1.Record{
 		RequestId:    string(l.req.ID),
-		Owner:        string(l.models.cfg.Self),
+		Owner:        string(l.m.c.Self),
 		Epoch:        l.spec.Epoch,
 		EmittedFrom:  int32(from),
 		Emitted:      answer.TokensFrom(from),
@@ -111,7 +111,7 @@
 	return r
 }
 
-func (l *localRequest) progress() handoff.Progress {
+func (l *requestState) progress() handoff.Progress {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answer := l.machine.Answer()
@@ -120,9 +120,9 @@
 
 // storeFirstRecord stores the record of a request that is being accepted. If no
 // other daemon is live, the request is accepted without a stored record.
-func (m *Models) storeFirstRecord(ctx context.Context, l *localRequest) error {
-	self := m.cfg.Directory.Self()
-	keepers := handoff.RankKeepers(l.req.ID, self, m.cfg.Directory.Daemons())
+func (m *Models) storeFirstRecord(ctx context.Context, l *requestState) error {
+	self := m.c.Directory.Self()
+	keepers := handoff.RankKeepers(l.req.ID, self, m.c.Directory.Daemons())
 	if len(keepers) == 0 {
 		m.count("records.no_keeper")
 		return nil
@@ -156,7 +156,7 @@
 		sent[r.ID] = handoff.Progress{Offset: r.From + len(p.Emitted), Done: p.Done}
 		req.Records = append(req.Records, p)
 	}
-	resp, err := m.cfg.Peers.Requests(keeper.PeerAddress).Put(ctx, connect.NewRequest(req))
+	resp, err := m.c.Peers.Requests(keeper.PeerAddress).Put(ctx, connect.NewRequest(req))
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 }
 
 // markMoved ends the request at this daemon because owner now runs it.
-func (l *localRequest) markMoved(owner ident.Incarnation) {
+func (l *requestState) markMoved(owner ident.Incarnation) {
 	l.mu.Lock()
 	l.movedTo = owner
 	l.notifyReaders()
@@ -194,19 +194,19 @@
 // expired requests.
 func (m *Models) housekeep() {
 	m.renewRecords()
-	m.adoptOrphans(m.cfg.Limits.OwnerTimeout)
+	m.adoptOrphans(m.c.Limits.OwnerTimeout)
 	m.forgetExpired()
 }
 
 func (m *Models) renewRecords() {
 	m.mu.Lock()
-	if time.Since(m.lastRenewal) < m.cfg.Limits.RenewInterval {
+	if time.Since(m.lastRenewal) < m.c.Limits.RenewInterval {
 		m.mu.Unlock()
 		return
 	}
 	m.lastRenewal = time.Now()
-	due := m.outbox.DueRenewals(m.cfg.Directory.Self(), m.cfg.Directory.Daemons(), func(id ident.RequestID) handoff.Progress {
-		if l := m.requests[id]; l != nil {
+	due := m.outbox.DueRenewals(m.c.Directory.Self(), m.c.Directory.Daemons(), func(id ident.RequestID) handoff.Progress {
+		if l := m.requestState[id]; l != nil {
 			return l.progress()
 		}
 		return handoff.Progress{}
@@ -242,15 +242,15 @@
 // directory and has not renewed its records for ownerTimeout. Without a
 // configuration the requests cannot run, and their records are kept.
 func (m *Models) adoptOrphans(ownerTimeout time.Duration) {
-	if conf, _ := m.cfg.Config.Current(); conf == nil {
+	if conf, _ := m.c.Config.Current(); conf == nil {
 		return
 	}
 	listed := map[ident.Incarnation]bool{}
-	for _, d := range m.cfg.Directory.Daemons() {
+	for _, d := range m.c.Directory.Daemons() {
 		listed[d.Incarnation] = true
 	}
 	m.mu.Lock()
-	orphans := m.keeper.Adopt(time.Now(), m.cfg.Self, ownerTimeout, func(i ident.Incarnation) bool {
+	orphans := m.keeper.Adopt(time.Now(), m.c.Self, ownerTimeout, func(i ident.Incarnation) bool {
 		return listed[i]
 	})
 	m.mu.Unlock()
@@ -263,19 +263,19 @@
 // adopt makes this daemon the owner of a request of another daemon. It returns
 // false if this daemon cannot run the request.
 func (m *Models) adopt(r handoff.Record) bool {
-	conf, _ := m.cfg.Config.Current()
+	conf, _ := m.c.Config.Current()
 	if conf == nil {
 		return false
 	}
-	l := m.requestFromRecord(conf, r)
+	l := m.requestStateFromRecord(conf, r)
 	m.mu.Lock()
-	if old := m.requests[r.ID]; old != nil && old.spec.Epoch >= r.Epoch {
+	if old := m.requestState[r.ID]; old != nil && old.spec.Epoch >= r.Epoch {
 		m.mu.Unlock()
 		return old.spec.Epoch == r.Epoch
 	}
-	m.requests[r.ID] = l
+	m.requestState[r.ID] = l
 	m.keeper.Forget(r.ID)
-	m.keeper.Claim(r.ID, handoff.Claim{Owner: m.cfg.Self, Epoch: r.Epoch})
+	m.keeper.Claim(r.ID, handoff.Claim{Owner: m.c.Self, Epoch: r.Epoch})
 	m.outbox.Untrack(r.ID)
 	m.outbox.Track(r.ID)
 	m.lastRenewal = time.Time{} // the next housekeeping then stores the record at a keeper
@@ -289,10 +289,10 @@
 	return true
 }
 
-func (m *Models) requestFromRecord(conf *manifest.Manifest, r handoff.Record) *localRequest {
+func (m *Models) requestStateFromRecord(conf *manifest.Manifest, r handoff.Record) *requestState {
 	model, _ := findModel(conf, r.Model)
 	class, _ := findClass(conf, r.Class)
-	l := m.newLocalRequest(call.ModelRequest{
+	l := m.newRequestState(call.ModelRequest{
 		ID:        r.ID,
 		Workspace: r.Workspace,
 		Class:     r.Class,
@@ -308,7 +308,7 @@
 	l.spec.Emitted = r.Emitted
 	l.spec.MayHaveRun = r.MayHaveRun
 	l.spec.Runner = r.Runner
-	l.machine = request.New(l.spec, m.cfg.Limits.Request)
+	l.machine = request.New(l.spec, m.c.Limits.Request)
 	if r.Done {
 		l.machine = request.NewFinished(l.spec, r.FinishReason)
 	}
@@ -317,14 +317,14 @@
 
 // retain keeps an ended request for late readers and removes the oldest ended
 // requests beyond the limit.
-func (m *Models) retain(l *localRequest) {
+func (m *Models) retain(l *requestState) {
 	l.mu.Lock()
 	refused, moved := l.machine.Refusal() != nil, l.movedTo != ""
 	l.mu.Unlock()
 	m.mu.Lock()
 	m.ended = append(m.ended, l)
-	var evicted []*localRequest
-	for len(m.ended) > m.cfg.Limits.MaxFinished {
+	var evicted []*requestState
+	for len(m.ended) > m.c.Limits.MaxFinished {
 		evicted = append(evicted, m.ended[0])
 		m.ended = m.ended[1:]
 	}
@@ -344,18 +344,18 @@
 // daemon, after the new owner has had time to store its own record. If a keeper
 // still had the old record when this daemon is gone, the keeper would run the
 // request a second time.
-func (m *Models) deleteRecordLater(l *localRequest) {
+func (m *Models) deleteRecordLater(l *requestState) {
 	select {
 	case <-m.ctx.Done():
-	case <-time.After(m.cfg.Limits.RenewInterval):
+	case <-time.After(m.c.Limits.RenewInterval):
 		m.dropRecord(l, true)
 	}
 }
 
 func (m *Models) forgetExpired() {
-	var expired []*localRequest
+	var expired []*requestState
 	m.mu.Lock()
-	for len(m.ended) > 0 && time.Since(m.ended[0].ended) > m.cfg.Limits.Retention {
+	for len(m.ended) > 0 && time.Since(m.ended[0].ended) > m.c.Limits.Retention {
 		expired = append(expired, m.ended[0])
 		m.ended = m.ended[1:]
 	}
@@ -365,7 +365,7 @@
 	}
 }
 
-func (m *Models) forget(l *localRequest) {
+func (m *Models) forget(l *requestState) {
 	m.dropRecord(l, true)
 	m.remove(l)
 }
@@ -373,9 +373,9 @@
 // dropRecord stops renewing the record of a request. With deleteAtKeeper it
 // also deletes the record at its keeper, so that no daemon adopts a request
 // that has its final answer.
-func (m *Models) dropRecord(l *localRequest, deleteAtKeeper bool) {
+func (m *Models) dropRecord(l *requestState, deleteAtKeeper bool) {
 	m.mu.Lock()
-	if m.requests[l.req.ID] != l {
+	if m.requestState[l.req.ID] != l {
 		m.mu.Unlock()
 		return
 	}
@@ -388,9 +388,9 @@
 	m.spawn(func() {
 		ctx, cancel := context.WithTimeout(m.ctx, putTimeout)
 		defer cancel()
-		_, err := m.cfg.Peers.Requests(d.PeerAddress).Delete(ctx, connect.NewRequest(&requestv1.DeleteRequest{
+		_, err := m.c.Peers.Requests(d.PeerAddress).Delete(ctx, connect.NewRequest(&requestv1.DeleteRequest{
 			RequestIds: []string{string(l.req.ID)},
-			Owner:      string(m.cfg.Self),
+			Owner:      string(m.c.Self),
 		}))
 		if err != nil {
 			m.count("records.delete_failed")
--- a/daemon/models/local_request.go
+++ b/daemon/models/request_state.go
@@ -33,10 +33,10 @@
 	started      time.Time
 }
 
-// localRequest is a request that this daemon runs, or that has ended and is
+// requestState is a request that this daemon runs, or that has ended and is
 // kept for late readers.
-type localRequest struct {
-	models   *Models
+type requestState struct {
+	m        *Models
 	req      call.ModelRequest
 	spec     request.Spec
 	service  string
@@ -64,10 +64,10 @@
 	planTimer *time.Timer
 }
 
-func (m *Models) newLocalRequest(r call.ModelRequest, service string, class manifest.Class) *localRequest {
+func (m *Models) newRequestState(r call.ModelRequest, service string, class manifest.Class) *requestState {
 	ctx, cancel := context.WithCancel(m.ctx)
-	l := &localRequest{
-		models:   m,
+	l := &requestState{
+		m:        m,
 		req:      r,
 		service:  service,
 		priority: class.Priority,
@@ -85,11 +85,11 @@
 			Deferrable: class.Deferrable,
 		},
 	}
-	l.machine = request.New(l.spec, m.cfg.Limits.Request)
+	l.machine = request.New(l.spec, m.c.Limits.Request)
 	return l
 }
 
-func (m *Models) start(l *localRequest) {
+func (m *Models) start(l *requestState) {
 	if !l.spec.Deferrable || l.release != nil {
 		l.step(request.Start{})
 		return
@@ -100,11 +100,11 @@
 // acquireAndStart acquires capacity for an accepted deferrable request and
 // starts it. It retries with backoff until it succeeds, because an accepted
 // deferrable request must not be refused for lack of capacity.
-func (l *localRequest) acquireAndStart() {
-	backoff := l.models.cfg.Limits.Request.BackoffMin
+func (l *requestState) acquireAndStart() {
+	backoff := l.m.c.Limits.Request.BackoffMin
 	l.step(request.Tick{}) // schedules the timer for the deadline, which ends the wait
 	for {
-		release, err := l.models.cfg.Picker.Acquire(l.ctx, l.req)
+		release, err := l.m.c.Picker.Acquire(l.ctx, l.req)
 		if err == nil {
 			l.mu.Lock()
 			l.release = release
@@ -116,12 +116,12 @@
 		case <-l.ctx.Done():
 			return
 		case <-time.After(backoff):
-			backoff = min(2*backoff, l.models.cfg.Limits.Request.BackoffMax)
+			backoff = min(2*backoff, l.m.c.Limits.Request.BackoffMax)
 		}
 	}
 }
 
-func (l *localRequest) releaseCapacity() {
+func (l *requestState) releaseCapacity() {
 	l.mu.Lock()
 	release := l.release
 	l.release = nil
@@ -133,8 +133,8 @@
 
 // step passes an input to the state machine and applies the resulting effects.
 // None of the effects blocks.
-func (l *localRequest) step(in request.Input) {
-	if l.models.ctx.Err() != nil {
+func (l *requestState) step(in request.Input) {
+	if l.m.ctx.Err() != nil {
 		return
 	}
 	l.mu.Lock()
@@ -150,11 +150,11 @@
 	l.mu.Unlock()
 	if justEnded {
 		l.releaseCapacity()
-		l.models.retain(l)
+		l.m.retain(l)
 	}
 }
 
-func (l *localRequest) stopTimers() {
+func (l *requestState) stopTimers() {
 	for _, t := range []*time.Timer{l.timer, l.planTimer} {
 		if t != nil {
 			t.Stop()
@@ -163,37 +163,37 @@
 }
 
 // applyEffect executes an effect of the state machine. The caller holds l.mu.
-func (l *localRequest) applyEffect(e request.Effect) {
+func (l *requestState) applyEffect(e request.Effect) {
 	switch e := e.(type) {
 	case request.Pick:
-		job := l.pickJob(e)
-		l.models.spawn(func() { l.pick(job) })
+		pickJob := l.pickJob(e)
+		l.m.spawn(func() { l.pick(pickJob) })
 	case request.Generate:
 		l.generate(e)
 	case request.AbandonAttempt:
 		l.abandon(e)
 	case request.ExportCache:
-		l.models.spawn(func() { l.exportCache(e) })
+		l.m.spawn(func() { l.exportCache(e) })
 	case request.Emitted:
 		l.notifyReaders()
 	case request.Dropped:
-		l.models.count("stream.dropped." + string(e.Reason))
+		l.m.count("stream.dropped." + string(e.Reason))
 	case request.Answered:
-		l.models.count("requests.answered." + l.req.Class)
+		l.m.count("requests.answered." + l.req.Class)
 		l.endAttempt(l.answeredAttempt(), true, "")
 		l.notifyReaders()
 	case request.Failed:
-		l.models.count("requests.given_up." + string(e.Refusal.Reason))
+		l.m.count("requests.given_up." + string(e.Refusal.Reason))
 		l.notifyReaders()
 	case request.Yielded:
-		l.models.count("requests.yielded")
+		l.m.count("requests.yielded")
 		l.notifyReaders()
 	case request.WakeAt:
 		l.scheduleTick(e.Time)
 	}
 }
 
-func (l *localRequest) notifyReaders() {
+func (l *requestState) notifyReaders() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -202,7 +202,7 @@
 // latest. A timer that fires earlier is left running: the machine accepts a
 // tick at any time, and stopping the timer for every token, each of which moves
 // t a little later, would be wasted work.
-func (l *localRequest) scheduleTick(t time.Time) {
+func (l *requestState) scheduleTick(t time.Time) {
 	if !l.timerAt.IsZero() && !l.timerAt.After(t) {
 		return
 	}
@@ -213,29 +213,29 @@
 	l.timer = time.AfterFunc(time.Until(t), l.tick)
 }
 
-func (l *localRequest) tick() {
+func (l *requestState) tick() {
 	l.mu.Lock()
 	l.timerAt = time.Time{}
 	l.mu.Unlock()
 	l.step(request.Tick{})
 }
 
-func (l *localRequest) pickJob(p request.Pick) Job {
+func (l *requestState) pickJob(p request.Pick) Job {
 	return Job{
-		Request:       l.req,
-		Service:       l.service,
-		Offset:        l.machine.Answer().Offset(),
-		Emitted:       l.machine.Answer().TokensFrom(0),
-		Exclude:       p.Exclude,
-		PreviousCause: p.After,
+		Request: l.req,
+		Service: l.service,
+		Offset:  l.machine.Answer().Offset(),
+		Emitted: l.machine.Answer().TokensFrom(0),
+		Exclude: p.Exclude,
+		After:   p.After,
 	}
 }
 
-func (l *localRequest) pick(j Job) {
-	if j.PreviousCause != "" {
-		l.models.count("requests.retry." + string(j.PreviousCause))
+func (l *requestState) pick(j Job) {
+	if j.After != "" {
+		l.m.count("requests.retry." + string(j.After))
 	}
-	choice, err := l.models.cfg.Picker.Pick(l.ctx, j)
+	choice, err := l.m.c.Picker.Pick(l.ctx, j)
 	if err != nil {
 		l.step(request.PickRefused{Refusal: refusal.From(err)})
 		return
@@ -246,7 +246,7 @@
 	l.step(request.Picked{Runner: choice.Runner})
 }
 
-func (l *localRequest) generate(g request.Generate) {
+func (l *requestState) generate(g request.Generate) {
 	ctx, cancel := context.WithCancel(l.ctx)
 	choice := l.choice(g.Runner)
 	answer := l.machine.Answer()
@@ -262,17 +262,17 @@
 		Priority:       l.priority,
 		ImportedHandle: g.Handle,
 	}
-	l.models.cfg.Picker.Started(l.pickJob(request.Pick{}), choice)
-	l.models.spawn(func() { l.runAttempt(ctx, g.Attempt, choice, req) })
+	l.m.c.Picker.Started(l.pickJob(request.Pick{}), choice)
+	l.m.spawn(func() { l.runAttempt(ctx, g.Attempt, choice, req) })
 }
 
 // choice returns the runner with its address. The address is empty if the
 // runner is no longer known.
-func (l *localRequest) choice(id ident.RunnerID) Choice {
+func (l *requestState) choice(id ident.RunnerID) Choice {
 	if c, ok := l.choices[id]; ok {
 		return c
 	}
-	for _, r := range l.models.cfg.Directory.Runners(l.service) {
+	for _, r := range l.m.c.Directory.Runners(l.service) {
 		if r.ID == id {
 			return Choice{Runner: id, Address: r.Address}
 		}
@@ -296,10 +296,10 @@
 // MayHaveStarted returns false: no request was sent to the runner.
 func (e *UnknownAddressError) MayHaveStarted() bool { return false }
 
-func (l *localRequest) runAttempt(ctx context.Context, id ident.AttemptID, choice Choice, req engineapi.GenerateRequest) {
+func (l *requestState) runAttempt(ctx context.Context, id ident.AttemptID, choice Choice, req engineapi.GenerateRequest) {
 	err := error(&UnknownAddressError{Runner: choice.Runner})
 	if choice.Address != "" {
-		err = l.models.cfg.Engines.Generate(ctx, choice.Address, req, func(e engineapi.GenerateEvent) error {
+		err = l.m.c.Engines.Generate(ctx, choice.Address, req, func(e engineapi.GenerateEvent) error {
 			return l.handleEvent(id, e)
 		})
 	}
@@ -307,7 +307,7 @@
 		return
 	}
 	if refusedAsLeaving(err) {
-		l.models.cfg.Directory.NoteLeaving(choice.Address, 0)
+		l.m.c.Directory.NoteLeaving(choice.Address, 0)
 	}
 	in := request.StreamClosed{Attempt: id, Cause: closeCause(err), NotStarted: notStarted(err)}
 	l.mu.Lock()
@@ -316,7 +316,7 @@
 	l.step(in)
 }
 
-func (l *localRequest) handleEvent(id ident.AttemptID, e engineapi.GenerateEvent) error {
+func (l *requestState) handleEvent(id ident.AttemptID, e engineapi.GenerateEvent) error {
 	if e.Error != "" {
 		return &EngineFailedError{Detail: e.Error}
 	}
@@ -345,20 +345,20 @@
 	return nil
 }
 
-func (l *localRequest) answeredAttempt() ident.AttemptID {
+func (l *requestState) answeredAttempt() ident.AttemptID {
 	return l.machine.Answer().Attempt()
 }
 
 // endAttempt removes the attempt, closes its stream and reports its end to the
 // Picker. The caller holds l.mu.
-func (l *localRequest) endAttempt(id ident.AttemptID, answered bool, cause request.Cause) {
+func (l *requestState) endAttempt(id ident.AttemptID, answered bool, cause request.Cause) {
 	a, ok := l.attempts[id]
 	if !ok {
 		return
 	}
 	delete(l.attempts, id)
 	a.cancel()
-	l.models.cfg.Picker.Ended(l.pickJob(request.Pick{}), AttemptResult{
+	l.m.c.Picker.Ended(l.pickJob(request.Pick{}), AttemptResult{
 		Runner:       a.choice.Runner,
 		Address:      a.choice.Address,
 		Answered:     answered,
@@ -370,42 +370,42 @@
 
 // abandon closes the attempt's connection and cancels the attempt at the
 // runner, which would otherwise go on computing tokens that nobody reads.
-func (l *localRequest) abandon(e request.AbandonAttempt) {
+func (l *requestState) abandon(e request.AbandonAttempt) {
 	if e.Cause != "" {
-		l.models.count("attempts.abandoned." + string(e.Cause))
+		l.m.count("attempts.abandoned." + string(e.Cause))
 	}
 	choice := l.choice(e.Runner)
 	l.endAttempt(e.Attempt, false, e.Cause)
 	if choice.Address == "" {
 		return
 	}
-	l.models.spawn(func() {
-		ctx, cancel := context.WithTimeout(l.models.ctx, cancelTimeout)
+	l.m.spawn(func() {
+		ctx, cancel := context.WithTimeout(l.m.ctx, cancelTimeout)
 		defer cancel()
-		err := l.models.cfg.Engines.Cancel(ctx, choice.Address, engineapi.CancelRequest{AttemptID: string(e.Attempt)})
+		err := l.m.c.Engines.Cancel(ctx, choice.Address, engineapi.CancelRequest{AttemptID: string(e.Attempt)})
 		if err != nil {
-			l.models.count("attempts.cancel_failed")
+			l.m.count("attempts.cancel_failed")
 		}
 	})
 }
 
-func (l *localRequest) exportCache(e request.ExportCache) {
+func (l *requestState) exportCache(e request.ExportCache) {
 	handle, err := l.transferCache(e)
 	if err != nil {
-		l.models.count("attempts.export_failed")
+		l.m.count("attempts.export_failed")
 	}
 	l.step(request.CacheExported{Attempt: e.Attempt, Target: e.To, Handle: handle})
 }
 
-func (l *localRequest) transferCache(e request.ExportCache) (string, error) {
+func (l *requestState) transferCache(e request.ExportCache) (string, error) {
 	l.mu.Lock()
 	from, to := l.choice(e.From), l.choice(e.To)
 	l.mu.Unlock()
-	exported, err := l.models.cfg.Engines.Export(l.ctx, from.Address, engineapi.ExportRequest{AttemptID: string(e.Attempt)})
+	exported, err := l.m.c.Engines.Export(l.ctx, from.Address, engineapi.ExportRequest{AttemptID: string(e.Attempt)})
 	if err != nil {
 		return "", fmt.Errorf("export KV cache from runner %s: %w", e.From, err)
 	}
-	imported, err := l.models.cfg.Engines.Import(l.ctx, to.Address, engineapi.ImportRequest{Source: from.Address, Handle: exported.Handle})
+	imported, err := l.m.c.Engines.Import(l.ctx, to.Address, engineapi.ImportRequest{Source: from.Address, Handle: exported.Handle})
 	if err != nil {
 		return "", fmt.Errorf("import KV cache at runner %s: %w", e.To, err)
 	}
--- a/daemon/models/rpc_handler.go
+++ b/daemon/models/rpc_handler.go
@@ -26,12 +26,12 @@
 // daemons.
 func (m *Models) Handler() (string, http.Handler) {
 	path, h := requestv1connect.NewRequestServiceHandler(rpcHandler{m})
-	return path, writeDeadlines(h, m.cfg.Limits.SilenceTimeout)
+	return path, writeDeadlines(h, m.c.Limits.SilenceTimeout)
 }
 
 func (h rpcHandler) Put(_ context.Context, req *connect.Request[requestv1.PutRequest]) (*connect.Response[requestv1.PutResponse], error) {
 	resp := &requestv1.PutResponse{}
-	newOwners := map[*localRequest]ident.Incarnation{}
+	newOwners := map[*requestState]ident.Incarnation{}
 	defer func() { h.m.yieldToOwners(newOwners) }()
 	h.m.mu.Lock()
 	defer h.m.mu.Unlock()
@@ -43,7 +43,7 @@
 			// The keeper knows the requests that this daemon owns. If it stores
 			// the record of one of them nevertheless, the record has a higher
 			// epoch and its owner takes precedence.
-			if l := h.m.requests[r.ID]; l != nil && l.inProgress() {
+			if l := h.m.requestState[r.ID]; l != nil && l.inProgress() {
 				newOwners[l] = r.Owner
 			}
 		case handoff.Superseded:
@@ -130,7 +130,7 @@
 
 // yieldToOwners ends the requests that this daemon runs but that, according to
 // newer records, other daemons own.
-func (m *Models) yieldToOwners(lost map[*localRequest]ident.Incarnation) {
+func (m *Models) yieldToOwners(lost map[*requestState]ident.Incarnation) {
 	for l, owner := range lost {
 		m.count("requests.superseded")
 		l.markMoved(owner)
@@ -141,7 +141,7 @@
 // the answer. It returns false if they differ from the tokens of the answer. It
 // ignores them if another daemon runs the request, or if they begin beyond the
 // end of the answer.
-func (l *localRequest) extendAnswer(from int, known []string) bool {
+func (l *requestState) extendAnswer(from int, known []string) bool {
 	if len(known) == 0 {
 		return true
 	}
--- a/daemon/models/streams_test.go
+++ b/daemon/models/streams_test.go
@@ -90,7 +90,7 @@
 		r := g.request("chat", 300)
 		is.NoErr(g.Submit(t.Context(), r))
 		time.Sleep(time.Second)
-		is.True(c.Silence(runnerAddress(0)) > 0)
+		is.True(c.Silence(address(0)) > 0)
 		is.True(readAll(t, g, r, 0) <= silence+time.Second)
 		is.Equal(c.engines[1].Counters().Accepted, 0)
 		is.True(c.engines[0].Counters().CachedTokens > 0)
--- a/daemon/models/throughput_test.go
+++ b/daemon/models/throughput_test.go
@@ -32,7 +32,7 @@
 // reader, without network connections.
 func BenchmarkRequest(b *testing.B) {
 	c := &cluster{changed: make(chan struct{})}
-	c.runners = []view.Runner{{ID: "runner-0", Address: runnerAddress(0), Service: model, State: view.Live}}
+	c.runners = []view.Runner{{ID: "runner-0", Address: address(0), Service: model, State: view.Live}}
 	self := ident.NewIncarnation("gw-0", []byte{0})
 	m := models.New(models.Config{
 		Self: self, Directory: directory{c, self}, Config: fixedConfig{},
