--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -199,12 +199,12 @@
 		services = append(services, s)
 	}
 	d.mu.Unlock()
-	busy := false
+	needsTick := false
 	for _, s := range services {
 		d.startProbes(s, s.tick(now))
-		busy = busy || s.needsTick()
+		needsTick = needsTick || s.needsTick()
 	}
-	return busy
+	return needsTick
 }
 
 // wakeTick ends the rest of an idle tick.
@@ -284,8 +284,8 @@
 	}
 }
 
-// Waiting is the number of requests that wait for admission at a service.
-func (d *Dispatcher) Waiting(name string) int {
+// WaitingRequests is the number of requests that wait for admission at a service.
+func (d *Dispatcher) WaitingRequests(name string) int {
 	s := d.service(name)
 	if s == nil {
 		return 0
@@ -295,8 +295,8 @@
 	return s.admission.Queued()
 }
 
-// Ejected is the number of a service's runners that are left out for failures.
-func (d *Dispatcher) Ejected(name string) int {
+// EjectedRunners is the number of a service's runners that are left out for failures.
+func (d *Dispatcher) EjectedRunners(name string) int {
 	s := d.service(name)
 	if s == nil {
 		return 0
--- a/daemon/dispatch/dispatch_test.go
+++ b/daemon/dispatch/dispatch_test.go
@@ -217,10 +217,10 @@
 			cancelledErr <- err
 		}()
 		synctest.Wait()
-		is.Equal(d.Waiting("llm"), 1)
+		is.Equal(d.WaitingRequests("llm"), 1)
 		hangUp()
 		is.Equal(refusal.From(<-cancelledErr).Reason, refusal.Cancelled)
-		is.Equal(d.Waiting("llm"), 0)
+		is.Equal(d.WaitingRequests("llm"), 0)
 		for _, release := range releases {
 			release()
 			release() // twice changes nothing
@@ -265,18 +265,18 @@
 			d.Started(testJob(r, ""), c)
 			d.Ended(testJob(r, ""), models.AttemptResult{Runner: c.Runner, Address: c.Address, Cause: request.Unreachable})
 		}
-		is.Equal(d.Ejected("llm"), 1)
+		is.Equal(d.EjectedRunners("llm"), 1)
 		for i := range 20 {
 			is.True(serveRequest(t, d, fmt.Sprint("s", i)) != "r2")
 		}
 		time.Sleep(5 * time.Second)
-		is.Equal(d.Ejected("llm"), 1) // probes fail
+		is.Equal(d.EjectedRunners("llm"), 1) // probes fail
 		env.mu.Lock()
 		is.True(env.probes > 0)
 		env.failingProbes["a2"] = false
 		env.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		is.Equal(d.Ejected("llm"), 0)
+		is.Equal(d.EjectedRunners("llm"), 0)
 	})
 }
 
--- a/daemon/dispatch/grant.go
+++ b/daemon/dispatch/grant.go
@@ -68,7 +68,7 @@
 
 // estimateOutput sets what is known of the class's answers. It runs with s.mu held.
 func (s *service) estimateOutput(g *grant, class *manifest.Class) time.Duration {
-	l, ok := s.outputStats[class.Name]
+	l, ok := s.outputStatsByClass[class.Name]
 	if !ok {
 		return time.Duration(g.request.OutputTokens) * time.Duration(class.TBTMillis) * time.Millisecond
 	}
@@ -78,9 +78,9 @@
 }
 
 func (s *service) recordOutput(class string, tokens int, tokenInterval time.Duration) {
-	l, ok := s.outputStats[class]
+	l, ok := s.outputStatsByClass[class]
 	if !ok {
-		s.outputStats[class] = &outputStats{float64(tokens), tokenInterval}
+		s.outputStatsByClass[class] = &outputStats{float64(tokens), tokenInterval}
 		return
 	}
 	l.tokens += outputStatsWeight * (float64(tokens) - l.tokens)
@@ -116,7 +116,7 @@
 func (s *service) offer(now time.Time, r call.ModelRequest, g *grant, class *manifest.Class) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	serviceTime := s.estimateOutput(g, class)
+	service := s.estimateOutput(g, class)
 	choice, err := s.table.Pick(now, &g.request)
 	if err != nil && !g.accepted {
 		return s.noRunnerRefusal(err)
@@ -131,7 +131,7 @@
 		Cost:       s.tokenCost(choice.Uncached, g.request.OutputTokens),
 		Bytes:      len(r.Prompt),
 		FirstToken: choice.Estimate,
-		Service:    choice.Estimate + serviceTime,
+		Service:    choice.Estimate + service,
 		Deadline:   r.Deadline,
 	}, s.effects[:0]))
 	return nil
@@ -185,6 +185,6 @@
 	if g.tokenInterval > 0 {
 		s.admission.BetweenTokens(now, g.id, g.tokenInterval)
 	}
-	cost := s.tokenCost(max(0, g.request.PromptTokens-g.cachedTokens), g.outputTokens)
-	s.deliverOutcomes(s.admission.Finish(now, g.id, cost, s.effects[:0]))
+	tokenCost := s.tokenCost(max(0, g.request.PromptTokens-g.cachedTokens), g.outputTokens)
+	s.deliverOutcomes(s.admission.Finish(now, g.id, tokenCost, s.effects[:0]))
 }
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -170,13 +170,13 @@
 		ticket:         s.table.Dispatch(now, choice, &r),
 		grant:          g,
 		started:        now,
-		prefix:         r.Prefix,
+		prefixHashes:   r.Prefix,
 		expectedCached: choice.CachedBlocks * prefixhash.BlockTokens,
 	}
 }
 
 // firstToken takes in that an attempt's first token came.
-func (s *service) firstToken(now time.Time, key attemptKey, cached int) {
+func (s *service) firstToken(now time.Time, key attemptKey, cachedTokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.attempts[key]
@@ -186,9 +186,9 @@
 	a.firstTokenAt = now
 	s.table.FirstToken(now, &a.ticket)
 	s.admission.FirstToken(now, a.grant.id, now.Sub(a.started))
-	a.grant.cachedTokens = cached
-	s.cfg.addToCounter(s.name, "prefix.cached_tokens", cached)
-	s.cfg.addToCounter(s.name, "prefix.overestimated_tokens", max(0, a.expectedCached-cached))
+	a.grant.cachedTokens = cachedTokens
+	s.cfg.addToCounter(s.name, "prefix.cached_tokens", cachedTokens)
+	s.cfg.addToCounter(s.name, "prefix.overestimated_tokens", max(0, a.expectedCached-cachedTokens))
 }
 
 // Ended implements models.Picker.
@@ -231,7 +231,7 @@
 	}
 	delete(s.attempts, key)
 	if a.Cause == request.Unreachable || a.Cause == request.Refused {
-		s.table.NotStarted(now, &ended.ticket, ended.prefix)
+		s.table.NotStarted(now, &ended.ticket, ended.prefixHashes)
 		return
 	}
 	s.table.Finished(now, &ended.ticket)
--- a/daemon/dispatch/poll.go
+++ b/daemon/dispatch/poll.go
@@ -67,7 +67,7 @@
 func (d *Dispatcher) executeRead(ctx context.Context, read polling.Read) {
 	var result polling.Result
 	if s := d.service(read.Target.Service); s != nil {
-		result = d.pollRunner(ctx, s, read)
+		result = d.read(ctx, s, read)
 	}
 	d.cfg.addToCounter(read.Target.Service, "polls.load_bytes", result.LoadBytes)
 	d.cfg.addToCounter(read.Target.Service, "polls.event_bytes", result.EventBytes)
@@ -76,10 +76,10 @@
 	d.planner.HandleResult(time.Now(), read, result)
 }
 
-// pollRunner reads a runner's load, and its cache events if the budget has room for
-// them. A pollRunner that fails changes nothing: only calls with work in them tell
+// read reads a runner's load, and its cache events if the budget has room for
+// them. A read that fails changes nothing: only calls with work in them tell
 // that a runner fails.
-func (d *Dispatcher) pollRunner(ctx context.Context, s *service, read polling.Read) (result polling.Result) {
+func (d *Dispatcher) read(ctx context.Context, s *service, read polling.Read) (result polling.Result) {
 	id := read.Target.Runner
 	address := s.address(id)
 	if address == "" {
--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -28,7 +28,7 @@
 	grant        *grant
 	started      time.Time
 	firstTokenAt time.Time
-	prefix       []prefix.Hash
+	prefixHashes []prefix.Hash
 	// expectedCached is the cached tokens that the index promised.
 	expectedCached int
 }
@@ -39,18 +39,18 @@
 	name string
 	cfg  Config
 
-	mu          sync.Mutex
-	table       *routing.Table
-	admission   *admission.Controller
-	retry       *retry.Policy
-	health      *health.Tracker
-	outputStats map[string]*outputStats
-	attempts    map[attemptKey]*attempt
-	grants      map[ident.RequestID]*grant
-	waiting     map[admission.ID]*grant
-	lastID      admission.ID
-	gaugesSetAt time.Time
-	effects     []admission.Effect
+	mu                 sync.Mutex
+	table              *routing.Table
+	admission          *admission.Controller
+	retry              *retry.Policy
+	health             *health.Tracker
+	outputStatsByClass map[string]*outputStats
+	attempts           map[attemptKey]*attempt
+	grants             map[ident.RequestID]*grant
+	waiting            map[admission.ID]*grant
+	lastID             admission.ID
+	gaugesSetAt        time.Time
+	effects            []admission.Effect
 }
 
 // gaugeInterval is how often a service's gauges are set.
@@ -58,13 +58,13 @@
 
 func newService(cfg Config, name string) *service {
 	s := &service{
-		name:        name,
-		cfg:         cfg,
-		health:      health.New(cfg.Policy.Health),
-		outputStats: map[string]*outputStats{},
-		attempts:    map[attemptKey]*attempt{},
-		grants:      map[ident.RequestID]*grant{},
-		waiting:     map[admission.ID]*grant{},
+		name:               name,
+		cfg:                cfg,
+		health:             health.New(cfg.Policy.Health),
+		outputStatsByClass: map[string]*outputStats{},
+		attempts:           map[attemptKey]*attempt{},
+		grants:             map[ident.RequestID]*grant{},
+		waiting:            map[admission.ID]*grant{},
 	}
 	self := cfg.Directory.Self()
 	r := routing.Default(self.ID, self.FailureDomain)
