--- a/daemon/dispatch/config.go
+++ b/daemon/dispatch/config.go
@@ -1,9 +1,11 @@
-// Package dispatch drives the decisions on model requests of one daemon: which
-// are admitted (protocol/admission), where they go (coordination/routing),
-// whether they are tried again (protocol/retry) and which runners are left out
-// (coordination/health). It feeds them with the directory, the configuration in
-// force, polled load reports and cache events, and with what it hears of the
-// daemon's own attempts. It implements models.Picker.
+// Package dispatch schedules the model requests of one daemon. It decides which
+// requests are admitted (protocol/admission), to which runner each one is
+// routed (coordination/routing), whether a failed attempt is retried
+// (protocol/retry), and which runners are ejected because they fail
+// (coordination/health). The inputs of these decisions are the directory of
+// daemons and runners, the current configuration, the load reports and cache
+// events that the daemon polls from the engines, and the results of the
+// daemon's own attempts. Dispatcher implements models.Picker.
 package dispatch
 
 import (
@@ -21,24 +23,24 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// Engines reads what engines publish.
+// Engines reads load reports and cache events from engines.
 type Engines interface {
 	Load(ctx context.Context, address string) (engineapi.Load, error)
 	CacheEvents(ctx context.Context, address string, from uint64, limit int) (engineapi.CacheEvents, error)
 }
 
-// Prober makes a small call to an engine on a connection of its own.
+// Prober checks an engine with a small call on a new connection.
 type Prober interface {
 	Probe(ctx context.Context, address string) error
 }
 
-// Config is what a Dispatcher works with.
+// Config holds the dependencies and settings of a Dispatcher.
 type Config struct {
 	Directory view.Directory
 	Config    view.Config
 	Engines   Engines
-	// Prober tells a runner's failure from that of a connection, so it must
-	// not reuse one.
+	// Prober must not reuse connections, because it distinguishes the failure
+	// of a runner from the failure of a connection.
 	Prober  Prober
 	Metrics metrics.Registry
 	Policy  Policy
@@ -46,21 +48,22 @@
 	Seed    uint64
 }
 
-// Policy holds the settings of the decisions.
+// Policy holds the settings of routing, admission, retries and health checks.
 type Policy struct {
-	// Routing is applied to the default policy; nil keeps it.
+	// Routing modifies the default routing settings; nil keeps the defaults.
 	Routing   func(*routing.Config)
 	Admission admission.Config
 	Retry     retry.Config
 	Health    health.Config
 }
 
-// retryBurst is the retries that a model service saves up: about as many as
-// one gateway has streams in a failure domain that goes without a word. Each of
-// them is made once more, not each call again and again.
+// retryBurst is the number of retries that the retry budget of a model service
+// can accumulate. It is about the number of streams that one gateway has in one
+// failure domain, so that each of them can be retried once when the failure
+// domain goes down without notice, but no request can be retried over and over.
 const retryBurst = 32
 
-// DefaultPolicy is the policy in use.
+// DefaultPolicy returns the policy that daemons use.
 func DefaultPolicy() Policy {
 	p := Policy{
 		Admission: admission.Default(),
@@ -71,43 +74,48 @@
 	return p
 }
 
-// Timing says how often things are looked at.
+// Timing holds the intervals and limits of periodic work.
 type Timing struct {
-	// TickInterval is the precision of waits in the queue and of ejections.
+	// TickInterval is the time between two ticks while a request waits or a
+	// runner is ejected. It is the precision of queue deadlines and of ejection
+	// times.
 	TickInterval time.Duration
-	// IdleTickInterval is the time between two looks while nobody waits and no runner
-	// is left out.
+	// IdleTickInterval is the time between two ticks while no request waits and
+	// no runner is ejected.
 	IdleTickInterval time.Duration
-	// Polling says how reads of load reports and cache events are spread;
-	// PollTimeout bounds one read.
+	// Polling configures how polls of load reports and cache events are
+	// distributed over time; PollTimeout bounds one poll.
 	Polling     polling.Config
 	PollTimeout time.Duration
-	// FleetBytesPerSecond is the bytes a second, both directions and headers included,
-	// that the reads of all daemons together may take, and MostReadBytes those
-	// of one daemon. Their bound does not grow with services and runners.
+	// FleetBytesPerSecond bounds the traffic of the polls of all daemons
+	// together, and DaemonBytesPerSecond that of one daemon, in bytes per
+	// second including headers and both directions. The bounds do not grow with
+	// the number of services and runners.
 	FleetBytesPerSecond  float64
 	DaemonBytesPerSecond float64
-	// EventLimit bounds the cache events of one read.
+	// EventLimit bounds the number of cache events in one poll.
 	EventLimit int
-	// RefreshInterval is the least time between two looks at a changed directory.
+	// RefreshInterval is the minimum time between two refreshes after changes
+	// of the directory or the configuration.
 	RefreshInterval time.Duration
 }
 
-// DefaultTiming is the timing in use.
+// DefaultTiming returns the timing that daemons use.
 func DefaultTiming() Timing {
 	return Timing{
 		TickInterval:         20 * time.Millisecond,
 		IdleTickInterval:     500 * time.Millisecond,
 		Polling:              polling.Default(),
 		PollTimeout:          time.Second,
-		FleetBytesPerSecond:  4_320_000, // 2.4 KB/s each with 1,800 daemons
+		FleetBytesPerSecond:  4_320_000, // 2.4 KB/s per daemon with 1,800 daemons
 		DaemonBytesPerSecond: 256_000,
 		EventLimit:           512,
 		RefreshInterval:      50 * time.Millisecond,
 	}
 }
 
-// pollBudget is the bytes a second of one of so many daemons.
+// pollBudget returns the polling budget of one daemon in bytes per second,
+// given the number of daemons.
 func (t Timing) pollBudget(daemons int) float64 {
 	return min(t.DaemonBytesPerSecond, t.FleetBytesPerSecond/float64(daemons))
 }
--- a/daemon/dispatch/config_refresh_test.go
+++ b/daemon/dispatch/config_refresh_test.go
@@ -9,9 +9,9 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// An operator's apply returns: a new class is in force. A caller uses it at once
-// and is told that there is no such class, since the dispatcher looks at the
-// configuration only now and then.
+// Guards against the refusal of a request that uses a new class right after the
+// operator's apply has returned. The dispatcher must not wait for its next
+// periodic refresh to apply the configuration.
 func TestRequestRightAfterApplyIsServed(t *testing.T) {
 	runDispatcher(t, 2, func(t *testing.T, env *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -18,12 +18,12 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// defaultRetryAfter is asked of callers that come before there is a
-// configuration or a runner.
+// defaultRetryAfter is the retry delay that is sent to callers when there is no
+// configuration or no suitable runner, or when a retry was refused.
 const defaultRetryAfter = time.Second
 
-// Dispatcher decides for all model services of a daemon. It is safe for
-// concurrent use.
+// Dispatcher makes the scheduling decisions for all model services of a daemon.
+// It is safe for concurrent use.
 type Dispatcher struct {
 	cfg Config
 
@@ -34,24 +34,26 @@
 	manifest *manifest.Manifest
 	services map[string]*service
 
-	// pollMu guards planner; it is taken last.
+	// pollMu guards planner. It is the last lock to be acquired when several
+	// are held.
 	pollMu  sync.Mutex
 	planner *polling.Planner
-	// pollWakeup ends the reading loop's wait.
+	// pollWakeup wakes the polling loop before its timer fires.
 	pollWakeup chan struct{}
 
-	// tickWakeup wakes the tick when a request has to wait.
+	// tickWakeup wakes the tick loop when a request is queued.
 	tickWakeup chan struct{}
 
-	// ctx ends the goroutines; it is set by Run.
+	// ctx stops the goroutines of the dispatcher; Run sets it.
 	ctx context.Context
 	wg  sync.WaitGroup
 
-	// refreshMu keeps Run and catchUp from refreshMu at once.
+	// refreshMu serializes the refreshes of Run and refreshIfStale.
 	refreshMu sync.Mutex
 }
 
-// New returns a dispatcher; it refuses work until Run has seen a configuration.
+// New returns a Dispatcher. It refuses requests until Run has seen a
+// configuration.
 func New(cfg Config) *Dispatcher {
 	return &Dispatcher{
 		cfg: cfg, services: map[string]*service{},
@@ -59,7 +61,8 @@
 	}
 }
 
-// Run follows the directory, the configuration and the runners until ctx ends.
+// Run processes changes of the directory and the configuration and polls the
+// runners until ctx is done.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer d.wg.Wait()
@@ -84,9 +87,10 @@
 	}
 }
 
-// refreshIfStale takes in a configuration that Run has not seen yet. Without it a
-// request that comes right after an apply was reported in force is refused as
-// not ready, or served by the former configuration, for as long as Run rests.
+// refreshIfStale applies a configuration that Run has not seen yet. Without it,
+// a request that arrives right after an apply was reported as in force could be
+// refused as not ready, or served with the previous configuration, until
+// RefreshInterval has passed.
 func (d *Dispatcher) refreshIfStale() {
 	current, _ := d.cfg.Config.Current()
 	d.mu.Lock()
@@ -97,7 +101,8 @@
 	}
 }
 
-// refresh brings services and runners up to date.
+// refresh updates the services and their runners from the configuration and the
+// directory.
 func (d *Dispatcher) refresh(now time.Time) {
 	d.refreshMu.Lock()
 	defer d.refreshMu.Unlock()
@@ -126,8 +131,9 @@
 	}
 }
 
-// setServices runs with d.mu held. What is in progress at a service that is no
-// longer listed ends as it began.
+// setServices adds and removes services according to the configuration. The
+// caller holds d.mu. Requests that are in progress at a removed service still
+// finish.
 func (d *Dispatcher) setServices() {
 	listed := map[string]bool{}
 	for _, s := range d.manifest.Services {
@@ -165,9 +171,9 @@
 	return d.services[name]
 }
 
-// runTicks passes the time on to the services: often while somebody waits or a
-// runner is left out, seldom otherwise, since fifty looks a second at nothing
-// cost a daemon more than its heartbeats.
+// runTicks advances the time of the services. It ticks often while a request
+// waits or a runner is ejected, and rarely otherwise: fifty ticks per second
+// without any work cost a daemon more than its heartbeats.
 func (d *Dispatcher) runTicks(ctx context.Context) {
 	busy := true
 	for d.waitForTick(ctx, busy) {
@@ -175,7 +181,8 @@
 	}
 }
 
-// waitForTick waits for the next look and reports whether ctx is still good.
+// waitForTick waits until the next tick is due. It returns false if ctx is
+// done.
 func (d *Dispatcher) waitForTick(ctx context.Context, busy bool) bool {
 	if busy {
 		return pause.For(ctx, d.cfg.Timing.TickInterval)
@@ -191,7 +198,8 @@
 	return true
 }
 
-// tickServices tells whether any service needs the next look soon.
+// tickServices ticks every service and reports whether any of them needs the
+// next tick soon.
 func (d *Dispatcher) tickServices(now time.Time) bool {
 	d.mu.Lock()
 	services := make([]*service, 0, len(d.services))
@@ -207,7 +215,7 @@
 	return needsTick
 }
 
-// wakeTick ends the rest of an idle tick.
+// wakeTick ends the wait for an idle tick if the service needs a tick soon.
 func (d *Dispatcher) wakeTick(s *service) {
 	if !s.needsTick() {
 		return
@@ -218,7 +226,7 @@
 	}
 }
 
-// startProbes carries the probes out that health asks for.
+// startProbes starts the probes that the health tracker requested.
 func (d *Dispatcher) startProbes(s *service, effects []health.Effect) {
 	for _, e := range effects {
 		if e.Kind != health.Probe {
@@ -235,7 +243,7 @@
 	}
 }
 
-// spawn runs f unless the dispatcher has ended or not begun.
+// spawn runs f in a goroutine, unless Run has not started yet or has ended.
 func (d *Dispatcher) spawn(f func(context.Context)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -246,7 +254,7 @@
 	d.wg.Go(func() { f(ctx) })
 }
 
-// resolve finds the service and class of a request.
+// resolve returns the service of a model and the class with the given names.
 func (d *Dispatcher) resolve(model, class string) (*service, *manifest.Class, error) {
 	d.refreshIfStale()
 	d.mu.Lock()
@@ -265,7 +273,7 @@
 	return d.services[m.Service], c, nil
 }
 
-// counters are kept by name: a service's, and one for each reason.
+// incCounter increments the counter called name of a service.
 func (c *Config) incCounter(service, name string) {
 	if c.Metrics != nil {
 		metrics.GetOrRegisterCounter("dispatch."+service+"."+name, c.Metrics).Inc(1)
@@ -284,7 +292,8 @@
 	}
 }
 
-// WaitingRequests is the number of requests that wait for admission at a service.
+// WaitingRequests returns the number of requests that wait for admission at a
+// service.
 func (d *Dispatcher) WaitingRequests(name string) int {
 	s := d.service(name)
 	if s == nil {
@@ -295,7 +304,8 @@
 	return s.admission.Queued()
 }
 
-// EjectedRunners is the number of a service's runners that are left out for failures.
+// EjectedRunners returns the number of runners of a service that are ejected
+// because of failures.
 func (d *Dispatcher) EjectedRunners(name string) int {
 	s := d.service(name)
 	if s == nil {
@@ -306,7 +316,7 @@
 	return s.health.Ejected()
 }
 
-// runnerIDs lists the runners' names.
+// runnerIDs returns the IDs of runners.
 func runnerIDs(runners []view.Runner) []ident.RunnerID {
 	ids := make([]ident.RunnerID, len(runners))
 	for i := range runners {
--- a/daemon/dispatch/dispatch_test.go
+++ b/daemon/dispatch/dispatch_test.go
@@ -24,7 +24,8 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// fakeEnvironment fakes everything around a dispatcher.
+// fakeEnvironment fakes the directory, the engines and the prober of a
+// dispatcher.
 type fakeEnvironment struct {
 	mu            sync.Mutex
 	runners       []view.Runner
@@ -78,7 +79,7 @@
 	return engineapi.CacheEvents{First: from, Next: from}, nil
 }
 
-// ProbeFailedError is the fake's.
+// probeFailedError is the error of a failed fake probe.
 type probeFailedError struct{ address string }
 
 func (e *probeFailedError) Error() string { return "probe of " + e.address + " failed" }
@@ -93,8 +94,8 @@
 	return nil
 }
 
-// fakeConfig never tells of a change: whoever does not look works on with what it
-// has.
+// fakeConfig never announces changes, so the dispatcher keeps an old
+// configuration until it reads the current one by itself.
 type fakeConfig struct {
 	m atomic.Pointer[manifest.Manifest]
 }
@@ -118,7 +119,8 @@
 	},
 }
 
-// runDispatcher runs the test in a bubble with a dispatcher over n runners.
+// runDispatcher runs the test in a synctest bubble with a dispatcher and n
+// runners.
 func runDispatcher(t *testing.T, n int, test func(t *testing.T, env *fakeEnvironment, d *Dispatcher)) {
 	synctest.Test(t, func(t *testing.T) {
 		env := &fakeEnvironment{changed: make(chan struct{}), failingProbes: map[string]bool{}, metrics: metrics.NewRegistry(), fakeConfig: newFakeConfig(&testManifest)}
@@ -153,7 +155,8 @@
 	return models.Job{Request: r, Service: "llm", After: after}
 }
 
-// serveRequest makes one whole answer and returns the runner.
+// serveRequest serves a request to its end and returns the runner that was
+// picked.
 func serveRequest(t *testing.T, d *Dispatcher, id string) ident.RunnerID {
 	t.Helper()
 	r := testRequest(id, "chat")
@@ -185,8 +188,8 @@
 	})
 }
 
-// Requests are cut off one after the other although other runners are free: the
-// VM had its notice, and the directory knew.
+// Guards against requests that are sent to a runner whose VM received a reclaim
+// notice, although the directory shows this and other runners are free.
 func TestLeavingRunnerIsNotPicked(t *testing.T) {
 	runDispatcher(t, 2, func(t *testing.T, env *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
@@ -199,8 +202,8 @@
 	})
 }
 
-// A caller hangs up while it waits for its turn. The next one in the queue must
-// not wait for an answer that nobody reads.
+// A caller disconnects while its request waits in the queue. The next request
+// must not wait for an answer that nobody reads.
 func TestCancelledWaiterLeavesTheQueue(t *testing.T) {
 	runDispatcher(t, 1, func(t *testing.T, _ *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
@@ -223,7 +226,7 @@
 		is.Equal(d.WaitingRequests("llm"), 0)
 		for _, release := range releases {
 			release()
-			release() // twice changes nothing
+			release() // a second call must have no effect
 		}
 		release, err := d.Acquire(t.Context(), testRequest("next", "bulletin"))
 		is.NoErr(err)
@@ -251,8 +254,9 @@
 	})
 }
 
-// One runner fails every call at once and so looks idle: it draws the work of
-// all others. It has to be left out, tried on a new connection, and taken back.
+// A runner that fails every call immediately appears idle and attracts the
+// requests of all others. It must be ejected, probed on new connections, and
+// readmitted when it works again.
 func TestFailingRunnerIsEjectedAndReadmitted(t *testing.T) {
 	runDispatcher(t, 4, func(t *testing.T, env *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
@@ -280,8 +284,9 @@
 	})
 }
 
-// Chats fail in a row after a failure domain went. Each may be tried again only
-// as far as the budget goes; an announced reclaim must not be refused for it.
+// Many chat requests fail after the loss of a failure domain. They may be
+// retried only within the retry budget, while a retry after an announced
+// reclaim must not be refused for lack of budget.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	runDispatcher(t, 4, func(t *testing.T, _ *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
@@ -302,7 +307,7 @@
 		begun := time.Now()
 		for i := range 3 {
 			_, err = d.Pick(t.Context(), testJob(testRequest(fmt.Sprint("b", i), "bulletin"), request.Truncated))
-			is.NoErr(err) // accepted work waits for the budget
+			is.NoErr(err) // an accepted request waits until the budget allows the retry
 		}
 		is.True(time.Since(begun) > time.Second)
 	})
--- a/daemon/dispatch/grant.go
+++ b/daemon/dispatch/grant.go
@@ -13,29 +13,33 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// outputStats is the mean number of output tokens of a class and the mean time
-// between them.
+// outputStats holds the mean number of output tokens of a class and the mean
+// time between two tokens.
 type outputStats struct {
 	tokens        float64
 	tokenInterval time.Duration
 }
 
-// outputStatsWeight is the weight of the latest answer.
+// outputStatsWeight is the weight of the latest answer in the moving averages
+// of outputStats.
 const outputStatsWeight = 0.05
 
-// slackDivisor is the part of its class's target that long work may lose at the
-// first token to run where a reclaim is less likely.
+// slackDivisor sets the slack of a request: a long request may lose
+// 1/slackDivisor of its target for the time to first token in order to run on a
+// runner that is less likely to be reclaimed.
 const slackDivisor = 4
 
-// longOutputTokens is the expected output from which work counts as long.
+// longOutputTokens is the expected number of output tokens from which a request
+// counts as long.
 const longOutputTokens = 400
 
-// grant is a request's share of the capacity.
+// grant is the share of the capacity that a request holds or waits for.
 type grant struct {
 	id      admission.ID
 	class   string
 	request routing.Request
-	// accepted work has been promised an answer whatever it takes.
+	// accepted is true if the caller was promised an answer, so that the
+	// request must not be refused later.
 	accepted      bool
 	deadline      time.Time
 	outcome       chan admission.Effect
@@ -46,7 +50,7 @@
 	released      bool
 }
 
-// newGrant works out what the decisions need of a request.
+// newGrant derives the inputs of admission and routing from a request.
 func newGrant(r call.ModelRequest, class *manifest.Class) *grant {
 	hashes, tokens := prefixhash.Prompt(r.Model, r.Adapter, r.Prompt)
 	return &grant{
@@ -66,7 +70,8 @@
 	}
 }
 
-// estimateOutput sets what is known of the class's answers. It runs with s.mu held.
+// estimateOutput sets the expected number of output tokens from the statistics
+// of the class and returns the expected decode time. The caller holds s.mu.
 func (s *service) estimateOutput(g *grant, class *manifest.Class) time.Duration {
 	l, ok := s.outputStatsByClass[class.Name]
 	if !ok {
@@ -87,8 +92,8 @@
 	l.tokenInterval += time.Duration(outputStatsWeight * float64(tokenInterval-l.tokenInterval))
 }
 
-// Acquire implements models.Picker: it returns when the request may go to a
-// runner. A caller that goes away gives its place in the queue up.
+// Acquire implements models.Picker. It returns when the request may be sent to
+// a runner. If ctx is done first, the request leaves the queue.
 func (d *Dispatcher) Acquire(ctx context.Context, r call.ModelRequest) (release func(), err error) {
 	s, class, err := d.resolve(r.Model, r.Class)
 	if err != nil {
@@ -149,7 +154,8 @@
 	return refusal.New(refusal.NoRunner, "service %s: %v", s.name, err).After(defaultRetryAfter)
 }
 
-// finishAcquire returns the release of an admitted request.
+// finishAcquire returns the release function of an admitted request, or the
+// refusal.
 func (s *service) finishAcquire(r call.ModelRequest, g *grant, e admission.Effect) (func(), error) {
 	if e.Kind == admission.Refuse {
 		return nil, e.Refusal
@@ -161,8 +167,9 @@
 	return func() { s.release(r, g) }, nil
 }
 
-// cancelWaiting takes a request out whose caller went away. It may have been admitted
-// in the meantime; its place goes to the next one at once either way.
+// cancelWaiting removes a request whose caller went away. The request may have
+// been admitted in the meantime. In both cases its place is given to the next
+// request at once.
 func (s *service) cancelWaiting(now time.Time, g *grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/dispatch/observe.go
+++ b/daemon/dispatch/observe.go
@@ -13,14 +13,16 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// observedEngines passes calls on and tells the dispatcher of first tokens.
+// observedEngines forwards calls to the engines and reports first tokens to the
+// dispatcher.
 type observedEngines struct {
 	models.Engines
 	d *Dispatcher
 }
 
-// Observe returns engines whose attempts the dispatcher hears of. Without it
-// prompts count as waiting until their answers end.
+// Observe wraps engines so that the dispatcher learns when the first token of
+// each attempt arrives. Without it, the dispatcher counts the prompt of an
+// attempt as waiting until the answer ends.
 func (d *Dispatcher) Observe(e models.Engines) models.Engines { return &observedEngines{e, d} }
 
 // Generate implements models.Engines.
@@ -53,7 +55,8 @@
 	}
 }
 
-// FreshConnProber reads an engine's load, each time on a connection of its own.
+// FreshConnProber probes an engine by reading its load report on a new
+// connection.
 type FreshConnProber struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -19,8 +19,8 @@
 
 var _ models.Picker = (*Dispatcher)(nil)
 
-// Pick implements models.Picker. After a failed attempt it first asks for the
-// retry budget and waits out the backoff.
+// Pick implements models.Picker. After a failed attempt it first waits for the
+// retry budget and the backoff.
 func (d *Dispatcher) Pick(ctx context.Context, j models.Job) (models.Choice, error) {
 	s := d.service(j.Service)
 	if s == nil {
@@ -35,9 +35,9 @@
 	return s.pick(time.Now(), j, g)
 }
 
-// grantFor finds the request's grant. A request that this daemon adopted from
-// another has none and is routed without admission: its place was taken when
-// it was accepted.
+// grantFor returns the request's grant. A request that this daemon adopted from
+// another daemon has no grant and is routed without admission, because it was
+// admitted when it was accepted.
 func (s *service) grantFor(d *Dispatcher, j models.Job) *grant {
 	s.mu.Lock()
 	g, ok := s.grants[j.Request.ID]
@@ -52,7 +52,8 @@
 	return newGrant(j.Request, class)
 }
 
-// waitForRetry returns when a failed attempt may be made waitForRetry, or why not.
+// waitForRetry waits until a failed attempt may be retried, or returns why it
+// may not.
 func (s *service) waitForRetry(ctx context.Context, j models.Job, g *grant) error {
 	reason := retryReason(j.After)
 	for {
@@ -60,7 +61,7 @@
 		decision := s.retry.Decide(time.Now(), retry.Failure{
 			Reason:     reason,
 			MayHaveRun: mayHaveRun(j),
-			Repeatable: true, // each offset is passed on once, however often it is computed
+			Repeatable: true, // a reader receives each offset only once, even if it is computed repeatedly
 			Accepted:   g.accepted || reason == retry.Reclaimed,
 			Attempts:   max(1, g.attempts),
 			Deadline:   g.deadline,
@@ -100,7 +101,8 @@
 	return r
 }
 
-// retryReason translates the cause of a failed attempt.
+// retryReason maps the cause of a failed attempt to a reason of the retry
+// policy.
 func retryReason(c request.Cause) retry.Reason {
 	switch c {
 	case request.Unreachable:
@@ -124,7 +126,8 @@
 	c, err := s.table.Pick(now, &r)
 	var none *routing.NoRunnerError
 	if errors.As(err, &none) && none.Cause == routing.AllTried {
-		// One that failed before may have recovered; there is no other.
+		// Every runner has already failed for this request. One of them may
+		// have recovered, so all of them are allowed again.
 		r.Exclude = prefix.Set{}
 		c, err = s.table.Pick(now, &r)
 	}
@@ -135,8 +138,9 @@
 	return models.Choice{Runner: c.Runner, Address: c.Address}, nil
 }
 
-// routingRequest is the request as it is now: with what was emitted as a part of what
-// has to be computed.
+// routingRequest returns the request in its current state: the tokens emitted
+// so far count as part of the prompt, because the next runner has to compute
+// them too.
 func (s *service) routingRequest(j models.Job, g *grant) routing.Request {
 	r := g.request
 	r.PromptTokens += j.Offset
@@ -175,7 +179,7 @@
 	}
 }
 
-// firstToken takes in that an attempt's first token came.
+// firstToken records the arrival of the first token of an attempt.
 func (s *service) firstToken(now time.Time, key attemptKey, cachedTokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,7 +214,8 @@
 	d.startProbes(s, effects)
 }
 
-// healthOutcome is what an attempt's end tells of its runner, if anything.
+// healthOutcome returns what the result of an attempt implies for the health of
+// its runner. It returns false if it implies nothing.
 func healthOutcome(a models.AttemptResult) (health.Outcome, bool) {
 	if a.Answered {
 		return health.Success, true
--- a/daemon/dispatch/poll.go
+++ b/daemon/dispatch/poll.go
@@ -12,7 +12,8 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// startPolling makes the planner read the runners of the service's table.
+// startPolling adds the runners of the service to the poll planner and updates
+// the polling budget.
 func (d *Dispatcher) startPolling(s *service) {
 	ids := s.polledRunners()
 	d.pollMu.Lock()
@@ -25,21 +26,23 @@
 	}
 }
 
-// stopPolling ends the reading of a service's runners.
+// stopPolling removes the runners of a service from the poll planner.
 func (d *Dispatcher) stopPolling(s *service) {
 	d.pollMu.Lock()
 	defer d.pollMu.Unlock()
 	d.planner.SetTargets(s.name, nil)
 }
 
-// recordUse tells the planner that what is known of a runner's load has aged.
+// recordUse reports to the poll planner that an attempt started or ended at a
+// runner, which makes the last load report of the runner less accurate.
 func (d *Dispatcher) recordUse(s *service, id ident.RunnerID) {
 	d.pollMu.Lock()
 	defer d.pollMu.Unlock()
 	d.planner.RecordUse(polling.Target{Service: s.name, Runner: id})
 }
 
-// runPolls makes the planner's reads until ctx ends. A slow read holds up no other.
+// runPolls executes the polls that the planner schedules until ctx is done.
+// Each poll has its own goroutine, so a slow poll does not delay the others.
 func (d *Dispatcher) runPolls(ctx context.Context) {
 	for {
 		d.pollMu.Lock()
@@ -55,13 +58,14 @@
 			timer.Stop()
 			return
 		case <-timer.C:
-		case <-d.pollWakeup: // there may be a runner that was never read
+		case <-d.pollWakeup: // a new runner may have to be polled for the first time
 		}
 		timer.Stop()
 	}
 }
 
-// minPollWait keeps reads that are due by turns from waking the loop for each.
+// minPollWait is the minimum wait of the polling loop, so that polls that are
+// due shortly after each other share one wakeup.
 const minPollWait = 5 * time.Millisecond
 
 func (d *Dispatcher) executeRead(ctx context.Context, read polling.Read) {
@@ -76,9 +80,9 @@
 	d.planner.HandleResult(time.Now(), read, result)
 }
 
-// read reads a runner's load, and its cache events if the budget has room for
-// them. A read that fails changes nothing: only calls with work in them tell
-// that a runner fails.
+// read polls the load report of a runner, and its cache events if the planner's
+// budget allows it. A failed poll does not affect the health of the runner,
+// which depends only on attempts and probes.
 func (d *Dispatcher) read(ctx context.Context, s *service, read polling.Read) (result polling.Result) {
 	id := read.Target.Runner
 	address := s.address(id)
@@ -145,7 +149,7 @@
 	return p
 }
 
-// polledRunners lists the runners of the table.
+// polledRunners returns the runners in the routing table of the service.
 func (s *service) polledRunners() []ident.RunnerID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/dispatch/poll_budget_test.go
+++ b/daemon/dispatch/poll_budget_test.go
@@ -17,14 +17,15 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// Sizes on the network of a load report and of a full page of cache events, as
-// bench/overload has them.
+// Sizes of a load report and of a full page of cache events on the network, as
+// used in bench/overload.
 const (
 	loadReportBytes = 650
 	eventPageBytes  = 30_000
 )
 
-// largeFleet is a fleet of the two-year size.
+// largeFleet is a fake environment with many daemons and runners, of the size
+// that is planned for two years ahead.
 type largeFleet struct {
 	*fakeEnvironment
 	daemons []view.Daemon
@@ -37,8 +38,8 @@
 	return fleet.fakeEnvironment.Load(ctx, address)
 }
 
-// CacheEvents has a full page each time, and more events than one page between
-// two of them.
+// CacheEvents returns a full page on each call. Between two calls, more events
+// occur than fit into one page.
 func (fleet *largeFleet) CacheEvents(ctx context.Context, _ string, from uint64, limit int) (engineapi.CacheEvents, error) {
 	engine.TrafficOf(ctx).Add(eventPageBytes)
 	first := from + 10_000
@@ -64,9 +65,9 @@
 	return fleet, &m
 }
 
-// The fleet grows to 1,800 daemons and 10,000 runners. Each daemon's reads of
-// runners would use up what its share of the network has for control, and
-// notices of leaving VMs would come late.
+// Guards against polls that use up the share of the network that each daemon
+// has for control traffic, so that notices of leaving VMs arrive late, in a
+// fleet of 1,800 daemons and 10,000 runners.
 func TestReadBytesAtTheTwoYearSize(t *testing.T) {
 	for _, services := range []int{1, 8} {
 		synctest.Test(t, func(t *testing.T) {
@@ -89,9 +90,9 @@
 				events += metrics.GetOrRegisterCounter("dispatch."+s.Name+".polls.event_bytes", fleet.metrics).Count()
 			}
 			perSecond := float64(loads+events) / duration.Seconds()
-			t.Logf("%d services of 64 runners: %.0f bytes/s, of it %.0f for cache events",
+			t.Logf("%d services of 64 runners each: %.0f bytes/s in total, of which %.0f bytes/s for cache events",
 				services, perSecond, float64(events)/duration.Seconds())
-			is.True(perSecond <= 2400*1.02) // the savings at the beginning
+			is.True(perSecond <= 2400*1.02) // 2% tolerance for the budget that is saved up at the start
 			is.True(loads > 0)
 		})
 	}
--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -16,25 +16,27 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// attemptKey names an attempt as the engine's client knows it.
+// attemptKey identifies an attempt by the data that the client of the engine
+// knows.
 type attemptKey struct {
 	request ident.RequestID
 	address string
 }
 
-// attempt is one dispatch in progress.
+// attempt is an attempt in progress at a runner.
 type attempt struct {
 	ticket       routing.Ticket
 	grant        *grant
 	started      time.Time
 	firstTokenAt time.Time
 	prefixHashes []prefix.Hash
-	// expectedCached is the cached tokens that the index promised.
+	// expectedCached is the number of prompt tokens that the prefix index
+	// expected to be cached at the runner.
 	expectedCached int
 }
 
-// service is one model service's decisions behind one lock. No call under the
-// lock blocks.
+// service holds the scheduling state of one model service, guarded by one lock.
+// No call that is made with the lock held blocks.
 type service struct {
 	name string
 	cfg  Config
@@ -53,7 +55,8 @@
 	effects            []admission.Effect
 }
 
-// gaugeInterval is how often a service's gauges are set.
+// gaugeInterval is the minimum time between two updates of the gauges of a
+// service.
 const gaugeInterval = time.Second
 
 func newService(cfg Config, name string) *service {
@@ -88,7 +91,7 @@
 	return s
 }
 
-// configure takes a new configuration in.
+// configure applies a new configuration.
 func (s *service) configure(m *manifest.Manifest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +105,7 @@
 	s.admission.SetLimits(m.Workspaces, m.Classes)
 }
 
-// setRunners takes a new list of runners in.
+// setRunners applies a new list of runners.
 func (s *service) setRunners(now time.Time, runners []view.Runner, gateways int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +114,7 @@
 	s.updateCapacity(gateways)
 }
 
-// handleReport takes a runner's load report in.
+// handleReport processes the load report of a runner.
 func (s *service) handleReport(now time.Time, id ident.RunnerID, r load.Report, gateways int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +123,8 @@
 	s.deliverOutcomes(s.admission.Tick(now, s.effects[:0]))
 }
 
-// updateCapacity tells admission what this gateway may use.
+// updateCapacity sets the capacity that admission may use to the share of this
+// gateway.
 func (s *service) updateCapacity(gateways int) {
 	s.admission.SetCapacity(s.table.Capacity().Share(gateways, s.admission.Running()))
 }
@@ -144,7 +148,8 @@
 	return c.Address
 }
 
-// tick passes the time on and returns what health asks for.
+// tick advances the time of admission and health tracking and returns the
+// effects that the health tracker requested.
 func (s *service) tick(now time.Time) []health.Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,8 +160,8 @@
 	return effects
 }
 
-// needsTick tells whether time decides something soon: for a request in the queue, or
-// for a runner that is left out.
+// needsTick reports whether the passage of time may soon change a decision: for
+// a queued request or for an ejected runner.
 func (s *service) needsTick() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +182,8 @@
 	s.cfg.setGauge(s.name, "runners", float64(s.table.Capacity().Runners))
 }
 
-// applyHealthEffects carries ejections out in the table.
+// applyHealthEffects updates the routing table with ejections and readmissions.
+// The caller holds s.mu.
 func (s *service) applyHealthEffects(effects []health.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
@@ -197,7 +203,8 @@
 	s.applyHealthEffects(s.health.HandleProbe(now, id, ok, nil))
 }
 
-// deliverOutcomes tells waiting grants what became of them.
+// deliverOutcomes sends the decisions of admission to the requests that wait
+// for them. The caller holds s.mu.
 func (s *service) deliverOutcomes(effects []admission.Effect) {
 	for _, e := range effects {
 		g, ok := s.waiting[e.ID]
