--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -16,55 +16,58 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// attemptKey names an attempt as the engine's client knows it.
+// attemptKey identifies an attempt by the data that the client of the engine
+// knows.
 type attemptKey struct {
 	request ident.RequestID
 	address string
 }
 
-// attempt is one dispatch in progress.
+// attempt is an attempt in progress at a runner.
 type attempt struct {
-	ticket  routing.Ticket
-	grant   *grant
-	started time.Time
-	first   time.Time
-	chain   []prefix.Hash
-	// expected is the cached tokens that the index promised.
-	expected int
-}
-
-// service is one model service's decisions behind one lock. No call under the
-// lock blocks.
+	ticket       routing.Ticket
+	grant        *grant
+	started      time.Time
+	firstTokenAt time.Time
+	prefixHashes []prefix.Hash
+	// expectedCached is the number of prompt tokens that the prefix index
+	// expected to be cached at the runner.
+	expectedCached int
+}
+
+// service holds the scheduling state of one model service, guarded by one lock.
+// No call that is made with the lock held blocks.
 type service struct {
 	name string
 	cfg  Config
 
-	mu        sync.Mutex
-	table     *routing.Table
-	admission *admission.Controller
-	retry     *retry.Policy
-	health    *health.Tracker
-	lengths   map[string]*length
-	attempts  map[attemptKey]*attempt
-	grants    map[ident.RequestID]*grant
-	waiting   map[admission.ID]*grant
-	lastID    admission.ID
-	gauged    time.Time
-	effects   []admission.Effect
+	mu                 sync.Mutex
+	table              *routing.Table
+	admission          *admission.Controller
+	retry              *retry.Policy
+	health             *health.Tracker
+	outputStatsByClass map[string]*outputStats
+	attempts           map[attemptKey]*attempt
+	grants             map[ident.RequestID]*grant
+	waiting            map[admission.ID]*grant
+	lastID             admission.ID
+	gaugesSetAt        time.Time
+	effects            []admission.Effect
 }
 
-// gaugeEvery is how often a service's gauges are set.
-const gaugeEvery = time.Second
+// gaugeInterval is the minimum time between two updates of the gauges of a
+// service.
+const gaugeInterval = time.Second
 
 func newService(cfg Config, name string) *service {
 	s := &service{
-		name:     name,
-		cfg:      cfg,
-		health:   health.New(cfg.Policy.Health),
-		lengths:  map[string]*length{},
-		attempts: map[attemptKey]*attempt{},
-		grants:   map[ident.RequestID]*grant{},
-		waiting:  map[admission.ID]*grant{},
+		name:               name,
+		cfg:                cfg,
+		health:             health.New(cfg.Policy.Health),
+		outputStatsByClass: map[string]*outputStats{},
+		attempts:           map[attemptKey]*attempt{},
+		grants:             map[ident.RequestID]*grant{},
+		waiting:            map[admission.ID]*grant{},
 	}
 	self := cfg.Directory.Self()
 	r := routing.Default(self.ID, self.FailureDomain)
@@ -75,20 +78,20 @@
 	s.table = routing.New(r)
 	a := cfg.Policy.Admission
 	a.Count = func(reason refusal.Reason, ws ident.Workspace, class string) {
-		cfg.count(name, "refused."+string(reason)+"."+class)
-		cfg.count(name, "refused_by_workspace."+string(ws))
+		cfg.incCounter(name, "refused."+string(reason)+"."+class)
+		cfg.incCounter(name, "refused_by_workspace."+string(ws))
 	}
 	s.admission = admission.New(a)
 	t := cfg.Policy.Retry
 	t.Seed = cfg.Seed
 	t.Count = func(reason retry.Reason, v retry.Verdict) {
-		cfg.count(name, "retry."+string(reason)+"."+string(v))
+		cfg.incCounter(name, "retry."+string(reason)+"."+string(v))
 	}
 	s.retry = retry.New(t)
 	return s
 }
 
-// configure takes a new configuration in.
+// configure applies a new configuration.
 func (s *service) configure(m *manifest.Manifest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,36 +105,37 @@
 	s.admission.SetLimits(m.Workspaces, m.Classes)
 }
 
-// setRunners takes a new list of runners in.
+// setRunners applies a new list of runners.
 func (s *service) setRunners(now time.Time, runners []view.Runner, gateways int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.SetRunners(now, runners)
 	s.health.SetRunners(runnerIDs(s.table.Runners(nil)))
-	s.share(gateways)
+	s.updateCapacity(gateways)
 }
 
-// reported takes a runner's load report in.
-func (s *service) reported(now time.Time, id ident.RunnerID, r load.Report, gateways int) {
+// handleReport processes the load report of a runner.
+func (s *service) handleReport(now time.Time, id ident.RunnerID, r load.Report, gateways int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Report(now, id, r)
-	s.share(gateways)
-	s.deliver(s.admission.Tick(now, s.effects[:0]))
+	s.updateCapacity(gateways)
+	s.deliverOutcomes(s.admission.Tick(now, s.effects[:0]))
 }
 
-// share tells admission what this gateway may use.
-func (s *service) share(gateways int) {
+// updateCapacity sets the capacity that admission may use to the share of this
+// gateway.
+func (s *service) updateCapacity(gateways int) {
 	s.admission.SetCapacity(s.table.Capacity().Share(gateways, s.admission.Running()))
 }
 
-func (s *service) cursor(id ident.RunnerID) uint64 {
+func (s *service) eventCursor(id ident.RunnerID) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Cursor(id)
 }
 
-func (s *service) cacheEvents(id ident.RunnerID, p prefix.Page) error {
+func (s *service) applyCacheEvents(id ident.RunnerID, p prefix.Page) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.CacheEvents(id, p)
@@ -144,61 +148,64 @@
 	return c.Address
 }
 
-// tick passes the time on and returns what health asks for.
+// tick advances the time of admission and health tracking and returns the
+// effects that the health tracker requested.
 func (s *service) tick(now time.Time) []health.Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deliver(s.admission.Tick(now, s.effects[:0]))
+	s.deliverOutcomes(s.admission.Tick(now, s.effects[:0]))
 	effects := s.health.Tick(now, nil)
-	s.apply(effects)
+	s.applyHealthEffects(effects)
 	s.setGauges(now)
 	return effects
 }
 
-// busy tells whether time decides something soon: for a request in the queue, or
-// for a runner that is left out.
-func (s *service) busy() bool {
+// needsTick reports whether the passage of time may soon change a decision: for
+// a queued request or for an ejected runner.
+func (s *service) needsTick() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiting) > 0 || s.health.Ejected() > 0
 }
 
 func (s *service) setGauges(now time.Time) {
-	if now.Sub(s.gauged) < gaugeEvery {
+	if now.Sub(s.gaugesSetAt) < gaugeInterval {
 		return
 	}
-	s.gauged = now
-	s.cfg.gauge(s.name, "limit", float64(s.admission.Limit()))
-	s.cfg.gauge(s.name, "running", float64(s.admission.Running()))
-	s.cfg.gauge(s.name, "queued", float64(s.admission.Queued()))
-	s.cfg.gauge(s.name, "ejected", float64(s.health.Ejected()))
-	s.cfg.gauge(s.name, "retry_budget", s.retry.Balance())
-	s.cfg.gauge(s.name, "prefix.blocks", float64(s.table.PrefixBlocks()))
-	s.cfg.gauge(s.name, "runners", float64(s.table.Capacity().Runners))
-}
-
-// apply carries ejections out in the table.
-func (s *service) apply(effects []health.Effect) {
+	s.gaugesSetAt = now
+	s.cfg.setGauge(s.name, "limit", float64(s.admission.Limit()))
+	s.cfg.setGauge(s.name, "running", float64(s.admission.Running()))
+	s.cfg.setGauge(s.name, "queued", float64(s.admission.Queued()))
+	s.cfg.setGauge(s.name, "ejected", float64(s.health.Ejected()))
+	s.cfg.setGauge(s.name, "retry_budget", s.retry.Balance())
+	s.cfg.setGauge(s.name, "prefix.blocks", float64(s.table.PrefixBlocks()))
+	s.cfg.setGauge(s.name, "runners", float64(s.table.Capacity().Runners))
+}
+
+// applyHealthEffects updates the routing table with ejections and readmissions.
+// The caller holds s.mu.
+func (s *service) applyHealthEffects(effects []health.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
 		case health.Eject:
 			s.table.SetEjected(e.Runner, true)
-			s.cfg.count(s.name, "ejections")
+			s.cfg.incCounter(s.name, "ejections")
 		case health.Readmit:
 			s.table.SetEjected(e.Runner, false)
-			s.cfg.count(s.name, "readmissions")
+			s.cfg.incCounter(s.name, "readmissions")
 		}
 	}
 }
 
-func (s *service) probed(now time.Time, id ident.RunnerID, ok bool) {
+func (s *service) handleProbe(now time.Time, id ident.RunnerID, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(s.health.HandleProbe(now, id, ok, nil))
+	s.applyHealthEffects(s.health.HandleProbe(now, id, ok, nil))
 }
 
-// deliver tells waiting grants what became of them.
-func (s *service) deliver(effects []admission.Effect) {
+// deliverOutcomes sends the decisions of admission to the requests that wait
+// for them. The caller holds s.mu.
+func (s *service) deliverOutcomes(effects []admission.Effect) {
 	for _, e := range effects {
 		g, ok := s.waiting[e.ID]
 		if !ok {
--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -1,7 +1,8 @@
-// Package models serves model requests: it drives each request's state machine
-// with engine streams and timers, serves readers here and at other gateways,
-// keeps records of other daemons' requests, and carries requests over the
-// reclaim of runners and of this VM.
+// Package models executes model requests. It drives the state machine of each
+// request with engine streams and timers, serves the answer to readers at this
+// daemon and at other gateways, stores copies of the records of requests that
+// other daemons run, and keeps requests going when a runner's VM or this
+// daemon's VM is reclaimed.
 package models
 
 import (
@@ -19,38 +20,42 @@
 )
 
 const (
-	recordLimit      = 50_000
-	overloadedRetry  = time.Second
-	drainingRetry    = time.Second
-	notReadyRetry    = time.Second
-	putTimeout       = 500 * time.Millisecond
-	housekeepingStep = 500 * time.Millisecond
+	recordLimit          = 50_000
+	overloadedRetryAfter = time.Second
+	drainingRetryAfter   = time.Second
+	notReadyRetryAfter   = time.Second
+	putTimeout           = 500 * time.Millisecond
+	housekeepingInterval = 500 * time.Millisecond
 )
 
-// Models implements call.Models. It is safe for concurrent use.
+// Models accepts and runs model requests; it implements call.Models. It is safe
+// for concurrent use.
 type Models struct {
 	c      Config
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// spawning orders the start of goroutines before the wait for their end.
-	spawning sync.Mutex
-
-	mu     sync.Mutex
-	live   map[ident.RequestID]*live
-	ended  []*live // oldest first
-	keeper *handoff.Keeper
-	outbox *handoff.Outbox
-	drain  *handoff.Drain
-	// renewing has the keepers that a renewal is under way to.
-	renewing map[ident.Incarnation]bool
-	renewed  time.Time
+	// spawnMu makes sure that no goroutine is added to wg after shutdown has
+	// begun to wait for it.
+	spawnMu sync.Mutex
+
+	mu           sync.Mutex
+	requestState map[ident.RequestID]*requestState
+	ended        []*requestState // requests kept for late readers after they ended, oldest first
+	keeper       *handoff.Keeper
+	outbox       *handoff.Outbox
+	drain        *handoff.Drain
+	// renewing holds the keepers to which a renewal of records is in progress.
+	// A keeper is a daemon that stores the records of another daemon's
+	// requests.
+	renewing    map[ident.Incarnation]bool
+	lastRenewal time.Time
 }
 
 var _ call.Models = (*Models)(nil)
 
-// New returns Models; requests can be submitted at once, but reclaims and
-// records are only looked after while Run runs.
+// New returns a Models that accepts requests at once. Reclaim notices are
+// handled and records are renewed only while Run is running.
 func New(c Config) *Models {
 	c.Limits = c.Limits.withDefaults()
 	c.Transfer = c.Transfer.withDefaults()
@@ -62,26 +67,27 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Models{
-		c:      c,
-		ctx:    ctx,
-		cancel: cancel,
-		live:   map[ident.RequestID]*live{},
-		keeper: handoff.NewKeeper(recordLimit),
-		outbox: handoff.NewOutbox(),
+		c:            c,
+		ctx:          ctx,
+		cancel:       cancel,
+		requestState: map[ident.RequestID]*requestState{},
+		keeper:       handoff.NewKeeper(recordLimit),
+		outbox:       handoff.NewOutbox(),
 
 		renewing: map[ident.Incarnation]bool{},
 	}
 }
 
-// Run watches the directory, renews records and adopts those whose owner is
-// gone, until ctx is done. Then it ends all that it started.
+// Run watches the directory for reclaims, renews the records of this daemon's
+// requests and adopts requests whose owner is gone, until ctx is done. It then
+// stops every goroutine of Models and waits for them.
 func (m *Models) Run(ctx context.Context) error {
-	defer m.stop()
-	tick := time.NewTicker(housekeepingStep)
+	defer m.shutdown()
+	tick := time.NewTicker(housekeepingInterval)
 	defer tick.Stop()
 	for {
 		changed := m.c.Directory.Changed()
-		m.reclaim()
+		m.planReclaims()
 		select {
 		case <-ctx.Done():
 			return nil
@@ -92,19 +98,20 @@
 	}
 }
 
-// spawn runs f unless Models has ended: timers may still fire then.
+// spawn runs f in a goroutine. It does nothing after shutdown, because timers
+// may still fire then.
 func (m *Models) spawn(f func()) {
-	m.spawning.Lock()
-	defer m.spawning.Unlock()
+	m.spawnMu.Lock()
+	defer m.spawnMu.Unlock()
 	if m.ctx.Err() == nil {
 		m.wg.Go(f)
 	}
 }
 
-func (m *Models) stop() {
-	m.spawning.Lock()
+func (m *Models) shutdown() {
+	m.spawnMu.Lock()
 	m.cancel()
-	m.spawning.Unlock()
+	m.spawnMu.Unlock()
 	m.wg.Wait()
 }
 
@@ -112,50 +119,52 @@
 	metrics.GetOrRegisterCounter(name, m.c.Metrics).Inc(1)
 }
 
-// Submit implements call.Models. Submitting the same ID again is accepted and
-// changes nothing, so that a caller whose answer was lost may repeat it.
+// Submit implements call.Models. Submitting an ID again in the same workspace
+// succeeds and has no effect, so that a caller that did not receive the
+// response may retry.
 func (m *Models) Submit(ctx context.Context, r call.ModelRequest) error {
 	l, err := m.prepare(r)
 	if err != nil {
-		return m.refused(err)
+		return m.countRefusal(err)
 	}
 	if existing := m.find(r.ID); existing != nil {
-		return m.repeated(existing, r)
+		return m.handleDuplicate(existing, r)
 	}
 	if !l.spec.Deferrable {
 		if l.release, err = m.c.Picker.Acquire(ctx, l.req); err != nil {
-			return m.refused(err)
+			return m.countRefusal(err)
 		}
 	}
 	if err := m.accept(ctx, l); err != nil {
-		l.free()
-		return m.refused(err)
+		l.releaseCapacity()
+		return m.countRefusal(err)
 	}
 	m.count("requests.accepted." + l.req.Class)
 	m.start(l)
 	return nil
 }
 
-func (m *Models) refused(err error) error {
+func (m *Models) countRefusal(err error) error {
 	m.count("requests.refused." + string(refusal.From(err).Reason))
 	return err
 }
 
-func (m *Models) repeated(l *live, r call.ModelRequest) error {
+func (m *Models) handleDuplicate(l *requestState, r call.ModelRequest) error {
 	if l.req.Workspace != r.Workspace {
-		return m.refused(refusal.New(refusal.BadRequest, "request ID is in use"))
+		return m.countRefusal(refusal.New(refusal.BadRequest, "request ID is in use"))
 	}
 	return nil
 }
 
-// prepare checks the request against the configuration in force.
-func (m *Models) prepare(r call.ModelRequest) (*live, error) {
+// prepare validates the request against the current configuration, applies the
+// default limits, and builds its state.
+func (m *Models) prepare(r call.ModelRequest) (*requestState, error) {
 	if !m.accepting() {
-		return nil, refusal.New(refusal.Draining, "this gateway is leaving").After(drainingRetry)
+		return nil, refusal.New(refusal.Draining, "this gateway is leaving").After(drainingRetryAfter)
 	}
 	conf, _ := m.c.Config.Current()
 	if conf == nil {
-		return nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(notReadyRetry)
+		return nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(notReadyRetryAfter)
 	}
 	if r.ID == "" {
 		return nil, refusal.New(refusal.BadRequest, "request without ID")
@@ -174,7 +183,7 @@
 	if r.Deadline.IsZero() && class.DeadlineMillis > 0 {
 		r.Deadline = time.Now().Add(time.Duration(class.DeadlineMillis) * time.Millisecond)
 	}
-	return m.newLive(r, model.Service, class), nil
+	return m.newRequestState(r, model.Service, class), nil
 }
 
 func findModel(conf *manifest.Manifest, name string) (manifest.Model, bool) {
@@ -195,21 +204,22 @@
 	return manifest.Class{}, false
 }
 
-func (m *Models) find(id ident.RequestID) *live {
+func (m *Models) find(id ident.RequestID) *requestState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.live[id]
+	return m.requestState[id]
 }
 
-// accept enters the request, and its record at a second daemon if it is of a
-// long class: from then on no single process that dies takes it along.
-func (m *Models) accept(ctx context.Context, l *live) error {
+// accept registers the request. If the request is recorded (deferrable or
+// asynchronous), accept also stores its record at a second daemon, so that the
+// death of a single process cannot lose it.
+func (m *Models) accept(ctx context.Context, l *requestState) error {
 	m.mu.Lock()
-	if len(m.live)-len(m.ended) >= m.c.Limits.Live {
+	if len(m.requestState)-len(m.ended) >= m.c.Limits.MaxInProgress {
 		m.mu.Unlock()
-		return refusal.New(refusal.Overloaded, "too many requests in progress").After(overloadedRetry)
+		return refusal.New(refusal.Overloaded, "too many requests in progress").After(overloadedRetryAfter)
 	}
-	m.live[l.req.ID] = l
+	m.requestState[l.req.ID] = l
 	if l.recorded {
 		m.outbox.Track(l.req.ID)
 		m.keeper.Claim(l.req.ID, handoff.Claim{Owner: m.c.Self, Epoch: l.spec.Epoch})
@@ -218,18 +228,18 @@
 	if !l.recorded {
 		return nil
 	}
-	if err := m.putFirst(ctx, l); err != nil {
+	if err := m.storeFirstRecord(ctx, l); err != nil {
 		m.remove(l)
 		return err
 	}
 	return nil
 }
 
-func (m *Models) remove(l *live) {
+func (m *Models) remove(l *requestState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.live[l.req.ID] == l {
-		delete(m.live, l.req.ID)
+	if m.requestState[l.req.ID] == l {
+		delete(m.requestState, l.req.ID)
 		m.keeper.ReleaseClaim(l.req.ID, m.c.Self)
 	}
 	m.outbox.Untrack(l.req.ID)
