--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -213,7 +213,7 @@
 		ReadTimeout:       settings.Millis(l.ReadTimeoutMillis),
 		WriteTimeout:      settings.Millis(l.WriteTimeoutMillis),
 		Heartbeat:         settings.Millis(l.CallerHeartbeatMillis),
-		GatewaysLifetime:  settings.Millis(l.GatewaysLifetimeMillis),
+		GatewayListTTL:    settings.Millis(l.GatewaysLifetimeMillis),
 		MaxServiceTimeout: settings.Millis(l.MaxServiceTimeoutMillis),
 	}
 }
--- a/transport/gateway/auth.go
+++ b/transport/gateway/auth.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	bearerPrefix    = "Bearer "
-	workspaceKey    = "workspace"
-	notReadyRetry   = 500 * time.Millisecond
-	authorization   = "Authorization"
-	timeoutHeader   = "X-Timeout-Ms"
-	requestIDHeader = "X-Request-Id"
+	bearerPrefix       = "Bearer "
+	workspaceKey       = "workspace"
+	notReadyRetryAfter = 500 * time.Millisecond
+	authorization      = "Authorization"
+	timeoutHeader      = "X-Timeout-Ms"
+	requestIDHeader    = "X-Request-Id"
 )
 
 // credentials maps key hashes to workspaces for one generation at a time.
@@ -54,7 +54,7 @@
 
 // authenticate returns the manifest in force and the caller's workspace.
 func (g *Gateway) authenticate(c *echo.Context) (*manifest.Manifest, ident.Workspace, error) {
-	m, err := inForce(g.Configuration)
+	m, err := currentManifest(g.Configuration)
 	if err != nil {
 		return nil, "", err
 	}
@@ -72,10 +72,10 @@
 	return m, ws, nil
 }
 
-func inForce(c view.Config) (*manifest.Manifest, error) {
+func currentManifest(c view.Config) (*manifest.Manifest, error) {
 	m, _ := c.Current()
 	if m == nil {
-		return nil, refusal.New(refusal.NotReady, "no configuration is in force here yet").After(notReadyRetry)
+		return nil, refusal.New(refusal.NotReady, "no configuration is in force here yet").After(notReadyRetryAfter)
 	}
 	return m, nil
 }
--- a/transport/gateway/errors.go
+++ b/transport/gateway/errors.go
@@ -33,7 +33,7 @@
 
 const errorType = "refusal"
 
-var statuses = map[refusal.Reason]int{
+var statusByReason = map[refusal.Reason]int{
 	refusal.BadRequest:           http.StatusBadRequest,
 	refusal.BodyTooLarge:         http.StatusRequestEntityTooLarge,
 	refusal.UnsupportedMethod:    http.StatusMethodNotAllowed,
@@ -55,13 +55,13 @@
 }
 
 func statusOf(reason refusal.Reason) int {
-	if s, ok := statuses[reason]; ok {
+	if s, ok := statusByReason[reason]; ok {
 		return s
 	}
 	return http.StatusServiceUnavailable
 }
 
-func bodyOf(r *refusal.Refusal) ErrorBody {
+func errorBody(r *refusal.Refusal) ErrorBody {
 	return ErrorBody{Error: ErrorDetail{
 		Code:             r.Reason,
 		Message:          r.Detail,
@@ -74,7 +74,7 @@
 // writeError is the one place where a refusal leaves the gateway; it counts
 // each by its reason.
 func (g *Gateway) writeError(c *echo.Context, err error) {
-	r := refusalOf(err)
+	r := toRefusal(err)
 	g.countRefusal(c, r)
 	if r.Reason == refusal.Internal {
 		klog.ErrorS(err, "Request failed", "method", c.Request().Method, "path", c.Request().URL.Path)
@@ -86,11 +86,11 @@
 		c.Response().Header().Set("Retry-After", retryAfterSeconds(r.RetryAfter))
 	}
 	// The caller has gone when this fails; there is nobody to tell.
-	_ = c.JSON(statusOf(r.Reason), bodyOf(r))
+	_ = c.JSON(statusOf(r.Reason), errorBody(r))
 }
 
 func (g *Gateway) countRefusal(c *echo.Context, r *refusal.Refusal) {
-	g.count("refused." + string(r.Reason))
+	g.incrementCounter("refused." + string(r.Reason))
 	if ws, ok := c.Get(workspaceKey).(ident.Workspace); ok {
 		g.Usage.Refused(ws, r.Reason)
 	}
@@ -100,9 +100,9 @@
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// refusalOf maps the router's and the body reader's errors; all of these come
+// toRefusal maps the router's and the body reader's errors; all of these come
 // before anything was dispatched.
-func refusalOf(err error) *refusal.Refusal {
+func toRefusal(err error) *refusal.Refusal {
 	var known *refusal.Refusal
 	if errors.As(err, &known) {
 		return known
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -39,7 +39,7 @@
 	ReadTimeout       time.Duration
 	WriteTimeout      time.Duration
 	Heartbeat         time.Duration
-	GatewaysLifetime  time.Duration
+	GatewayListTTL    time.Duration
 	MaxServiceTimeout time.Duration
 }
 
@@ -56,7 +56,7 @@
 func New(c Config) *Gateway {
 	g := &Gateway{Config: c, echo: echo.New()}
 	g.echo.HTTPErrorHandler = g.writeError
-	g.routes()
+	g.registerRoutes()
 	return g
 }
 
@@ -67,20 +67,20 @@
 // can still be read.
 func (g *Gateway) StopAccepting() { g.draining.Store(true) }
 
-func (g *Gateway) routes() {
+func (g *Gateway) registerRoutes() {
 	g.echo.GET("/v1/gateways", g.listGateways)
 	g.echo.GET("/v1/models", g.listModels)
-	g.echo.POST("/v1/chat/completions", g.chatCompletions, g.bounded)
-	g.echo.POST("/v1/completions", g.completions, g.bounded)
+	g.echo.POST("/v1/chat/completions", g.chatCompletions, g.limitConcurrency)
+	g.echo.POST("/v1/completions", g.completions, g.limitConcurrency)
 	g.echo.GET("/v1/requests/:id", g.readRequest)
 	g.echo.DELETE("/v1/requests/:id", g.cancelRequest)
 	g.echo.GET("/v1/actions/:key", g.readOutcome)
-	g.echo.Any("/v1/services/:service/*", g.callService, g.doubtKeyed, g.bounded)
+	g.echo.Any("/v1/services/:service/*", g.callService, g.markKeyedRefusalsUnknown, g.limitConcurrency)
 }
 
-// bounded refuses new work at the bound of concurrent requests or while
+// limitConcurrency refuses new work at the bound of concurrent requests or while
 // draining, and limits the body that a handler can read.
-func (g *Gateway) bounded(next echo.HandlerFunc) echo.HandlerFunc {
+func (g *Gateway) limitConcurrency(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		if g.draining.Load() {
 			return refusal.New(refusal.Draining, "this gateway takes no new work; ask /v1/gateways of another").After(time.Second)
@@ -96,6 +96,6 @@
 	}
 }
 
-func (g *Gateway) count(name string) {
+func (g *Gateway) incrementCounter(name string) {
 	metrics.GetOrRegisterCounter(name, g.Metrics).Inc(1)
 }
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -29,23 +29,23 @@
 
 const callerKey = "key-a"
 
-// fake stands for everything behind the gateway.
-type fake struct {
-	manifest  *manifest.Manifest
-	tokens    []string
-	readError error
-	submitted []call.ModelRequest
-	executed  []call.ServiceCall
-	repeated  []call.ServiceCall
-	block     chan struct{}
+// fakeBackend stands for everything behind the gateway.
+type fakeBackend struct {
+	manifest   *manifest.Manifest
+	tokens     []string
+	readError  error
+	submitted  []call.ModelRequest
+	executed   []call.ServiceCall
+	repeatable []call.ServiceCall
+	block      chan struct{}
 }
 
-func (f *fake) Current() (*manifest.Manifest, ident.Generation) { return f.manifest, 1 }
-func (f *fake) Changed() <-chan struct{}                        { return nil }
-func (f *fake) Self() view.Daemon                               { return f.Daemons()[0] }
-func (f *fake) Runners(string) []view.Runner                    { return nil }
-func (f *fake) NoteLeaving(string, time.Duration)               {}
-func (f *fake) Daemons() []view.Daemon {
+func (f *fakeBackend) Current() (*manifest.Manifest, ident.Generation) { return f.manifest, 1 }
+func (f *fakeBackend) Changed() <-chan struct{}                        { return nil }
+func (f *fakeBackend) Self() view.Daemon                               { return f.Daemons()[0] }
+func (f *fakeBackend) Runners(string) []view.Runner                    { return nil }
+func (f *fakeBackend) NoteLeaving(string, time.Duration)               {}
+func (f *fakeBackend) Daemons() []view.Daemon {
 	return []view.Daemon{
 		{ID: "a", FailureDomain: "x", CallerAddress: "10.0.0.1:1", State: view.Live},
 		{ID: "b", FailureDomain: "y", CallerAddress: "10.0.0.2:1", State: view.Live},
@@ -54,12 +54,12 @@
 	}
 }
 
-func (f *fake) Submit(_ context.Context, r call.ModelRequest) error {
+func (f *fakeBackend) Submit(_ context.Context, r call.ModelRequest) error {
 	f.submitted = append(f.submitted, r)
 	return nil
 }
 
-func (f *fake) Read(ctx context.Context, _ ident.Workspace, _ ident.RequestID, offset int, sink func(call.Event) error) error {
+func (f *fakeBackend) Read(ctx context.Context, _ ident.Workspace, _ ident.RequestID, offset int, sink func(call.Event) error) error {
 	for i := offset; i < len(f.tokens); i++ {
 		if err := sink(call.Event{Offset: i, Token: f.tokens[i]}); err != nil {
 			return err
@@ -78,20 +78,20 @@
 	return sink(call.Event{Offset: len(f.tokens), Done: true, FinishReason: "length"})
 }
 
-func (f *fake) Cancel(context.Context, ident.Workspace, ident.RequestID) error { return nil }
+func (f *fakeBackend) Cancel(context.Context, ident.Workspace, ident.RequestID) error { return nil }
 
-func (f *fake) Execute(_ context.Context, c call.ServiceCall) (call.Answer, error) {
+func (f *fakeBackend) Execute(_ context.Context, c call.ServiceCall) (call.Answer, error) {
 	f.executed = append(f.executed, c)
 	return call.Answer{Status: http.StatusConflict, Body: []byte("taken")}, nil
 }
 
-func (f *fake) Outcome(context.Context, ident.Workspace, string) (call.Answer, bool, error) {
+func (f *fakeBackend) Outcome(context.Context, ident.Workspace, string) (call.Answer, bool, error) {
 	return call.Answer{}, true, nil
 }
-func (f *fake) Token() (string, time.Duration) { return "token:", time.Minute }
+func (f *fakeBackend) Token() (string, time.Duration) { return "token:", time.Minute }
 
-func (f *fake) Call(_ context.Context, c call.ServiceCall) (call.Answer, error) {
-	f.repeated = append(f.repeated, c)
+func (f *fakeBackend) Call(_ context.Context, c call.ServiceCall) (call.Answer, error) {
+	f.repeatable = append(f.repeatable, c)
 	return call.Answer{Status: http.StatusOK, Body: []byte("open")}, nil
 }
 
@@ -100,8 +100,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func newFake() *fake {
-	return &fake{
+func newFakeBackend() *fakeBackend {
+	return &fakeBackend{
 		tokens: []string{"a ", "b ", "c "},
 		manifest: &manifest.Manifest{
 			Models:     []manifest.Model{{Name: "m", Service: "s"}},
@@ -118,7 +118,7 @@
 	}
 }
 
-func newGateway(f *fake) (*gateway.Gateway, metrics.Registry) {
+func newGateway(f *fakeBackend) (*gateway.Gateway, metrics.Registry) {
 	registry := metrics.NewRegistry()
 	n := 0
 	return gateway.New(gateway.Config{
@@ -127,7 +127,7 @@
 		Usage:        usage.NewTable(), Metrics: registry,
 		Limits: gateway.Limits{
 			MaxBodyBytes: 1000, MaxConcurrent: 2, ReadTimeout: time.Second, WriteTimeout: time.Second,
-			Heartbeat: time.Second, GatewaysLifetime: time.Second, MaxServiceTimeout: time.Second,
+			Heartbeat: time.Second, GatewayListTTL: time.Second, MaxServiceTimeout: time.Second,
 		},
 	}), registry
 }
@@ -153,7 +153,7 @@
 // A caller sends what the system can't use. It must be told what is wrong, that
 // nothing ran, and an operator must see each cause counted.
 func TestBadInputIsRefusedWithReasonAndCounter(t *testing.T) {
-	good := `{"model":"m","messages":[{"role":"user","content":"hi"}]}`
+	validBody := `{"model":"m","messages":[{"role":"user","content":"hi"}]}`
 	tests := []struct {
 		name, method, path, body string
 		headers                  []string
@@ -166,10 +166,10 @@
 		{"unknown model", "POST", "/v1/completions", `{"model":"z","prompt":"p"}`, nil, 404, refusal.UnknownModel},
 		{"unknown class", "POST", "/v1/completions", `{"model":"m","prompt":"p","service_tier":"z"}`, nil, 400, refusal.BadRequest},
 		{"negative bound", "POST", "/v1/completions", `{"model":"m","prompt":"p","max_tokens":-1}`, nil, 400, refusal.BadRequest},
-		{"bad timeout", "POST", "/v1/chat/completions", good, []string{"X-Timeout-Ms", "soon"}, 400, refusal.BadRequest},
-		{"no such workspace", "POST", "/v1/chat/completions", good, []string{"Authorization", "Bearer other"}, 401, refusal.Unauthenticated},
+		{"bad timeout", "POST", "/v1/chat/completions", validBody, []string{"X-Timeout-Ms", "soon"}, 400, refusal.BadRequest},
+		{"no such workspace", "POST", "/v1/chat/completions", validBody, []string{"Authorization", "Bearer other"}, 401, refusal.Unauthenticated},
 		{"no key", "GET", "/v1/models", "", []string{"Authorization", "Basic x"}, 401, refusal.Unauthenticated},
-		{"wrong method", "PUT", "/v1/chat/completions", good, nil, 405, refusal.UnsupportedMethod},
+		{"wrong method", "PUT", "/v1/chat/completions", validBody, nil, 405, refusal.UnsupportedMethod},
 		{"no such path", "GET", "/v2/chat", "", nil, 404, refusal.UnknownRoute},
 		{"unknown service", "GET", "/v1/services/z/cases", "", nil, 404, refusal.UnknownService},
 		{"unknown route", "DELETE", "/v1/services/casos/cases", "", nil, 404, refusal.UnknownRoute},
@@ -180,7 +180,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newFake()
+			f := newFakeBackend()
 			g, registry := newGateway(f)
 			resp := send(g, tt.method, tt.path, tt.body, tt.headers...)
 			is.Equal(resp.StatusCode, tt.status)
@@ -189,14 +189,14 @@
 			is.Equal(body.Error.Code, tt.reason)
 			is.Equal(body.Error.Executed, refusal.ExecutedNo)
 			is.Equal(metrics.GetOrRegisterCounter("refused."+string(tt.reason), registry).Count(), int64(1))
-			is.Equal(len(f.submitted)+len(f.executed)+len(f.repeated), 0)
+			is.Equal(len(f.submitted)+len(f.executed)+len(f.repeatable), 0)
 		})
 	}
 }
 
-func TestStreamCarriesOffsetsAndResumes(t *testing.T) {
+func TestStreamHasOffsetsAndResumes(t *testing.T) {
 	is := is.New(t)
-	f := newFake()
+	f := newFakeBackend()
 	g, _ := newGateway(f)
 	resp := send(g, "POST", "/v1/chat/completions", `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`)
 	text, _ := io.ReadAll(resp.Body)
@@ -213,9 +213,9 @@
 
 // A caller comes back for a request that nobody knows any more. It must get a
 // status and a typed refusal, not a stream that looks accepted.
-func TestUnknownRequestIsNoStream(t *testing.T) {
+func TestUnknownRequestStartsNoStream(t *testing.T) {
 	is := is.New(t)
-	f := newFake()
+	f := newFakeBackend()
 	f.tokens, f.readError = nil, refusal.New(refusal.UnknownRequest, "no such request").Unknown()
 	g, _ := newGateway(f)
 	is.Equal(send(g, "GET", "/v1/requests/r9", "", "Last-Event-ID", "2").StatusCode, 404)
@@ -225,7 +225,7 @@
 // know the request's id by then, or it could only ask anew.
 func TestAcceptedStreamShowsItsIDBeforeTheFirstToken(t *testing.T) {
 	is := is.New(t)
-	f := newFake()
+	f := newFakeBackend()
 	f.tokens, f.block = nil, make(chan struct{})
 	g, _ := newGateway(f)
 	server := httptest.NewServer(g)
@@ -242,9 +242,9 @@
 
 // A request is refused after its first tokens went out. The caller must see a
 // typed end and no [DONE], or it would take half an answer for a whole one.
-func TestRefusalInStreamIsNoWholeAnswer(t *testing.T) {
+func TestRefusalInStreamOmitsDone(t *testing.T) {
 	is := is.New(t)
-	f := newFake()
+	f := newFakeBackend()
 	f.readError = refusal.New(refusal.DeadlineExceeded, "too late").Unknown()
 	g, registry := newGateway(f)
 	resp := send(g, "POST", "/v1/chat/completions", `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`)
@@ -254,13 +254,13 @@
 	is.Equal(metrics.GetOrRegisterCounter("answered_whole.model", registry).Count(), int64(0))
 }
 
-func TestServiceCallsTakeTheManifestsWay(t *testing.T) {
+func TestServiceCallsFollowTheManifest(t *testing.T) {
 	is := is.New(t)
-	f := newFake()
+	f := newFakeBackend()
 	g, _ := newGateway(f)
 	resp := send(g, "GET", "/v1/services/casos/cases/7?full=1", "", "X-Case", "7", "Connection", "close")
 	is.Equal(resp.StatusCode, 200)
-	is.Equal(f.repeated[0].Path, "/cases/7?full=1")
+	is.Equal(f.repeatable[0].Path, "/cases/7?full=1")
 	resp = send(g, "POST", "/v1/services/casos/pledges", "{}", "Idempotency-Key", "k")
 	is.Equal(resp.StatusCode, 409) // the runner's own answer
 	is.Equal(resp.Header.Get("X-Executed"), "yes")
@@ -273,9 +273,9 @@
 // Story: a pledge runs and its answer is lost. Its caller repeats it at a
 // gateway that drains, is told "not executed", and pledges again under a new
 // key: two bounties. The draining gateway can't know that the key has run.
-func TestRefusedRepetitionIsNotDenied(t *testing.T) {
+func TestRefusedRetryWithKeyIsUnknown(t *testing.T) {
 	is := is.New(t)
-	g, _ := newGateway(newFake())
+	g, _ := newGateway(newFakeBackend())
 	g.StopAccepting()
 	for _, key := range []string{"", "k"} {
 		resp := send(g, "POST", "/v1/services/casos/pledges", "{}", "Idempotency-Key", key)
@@ -295,18 +295,18 @@
 // the gateway's bound for any call.
 func TestServiceCallHasTheDeadlineOfItsClass(t *testing.T) {
 	is := is.New(t)
-	f := newFake()
+	f := newFakeBackend()
 	g, _ := newGateway(f)
-	began := time.Now()
+	start := time.Now()
 	send(g, "POST", "/v1/services/casos/pledges", "{}", "Idempotency-Key", "k")
 	send(g, "POST", "/v1/services/casos/pledges", "{}", "Idempotency-Key", "k", "X-Timeout-Ms", "90000")
-	is.True(f.executed[0].Deadline.Before(began.Add(900 * time.Millisecond)))
-	is.True(f.executed[1].Deadline.After(began.Add(time.Minute)))
+	is.True(f.executed[0].Deadline.Before(start.Add(900 * time.Millisecond)))
+	is.True(f.executed[1].Deadline.After(start.Add(time.Minute)))
 }
 
 func TestGatewayListLeavesOutDraining(t *testing.T) {
 	is := is.New(t)
-	g, _ := newGateway(newFake())
+	g, _ := newGateway(newFakeBackend())
 	var list gateway.GatewayList
 	is.NoErr(json.NewDecoder(send(g, "GET", "/v1/gateways?failure_domain=y", "").Body).Decode(&list))
 	ids := []ident.DaemonID{}
@@ -317,9 +317,9 @@
 	is.Equal(list.KeyToken, "token:")
 }
 
-func TestNothingIsTakenBeforeConfigurationOrWhileDraining(t *testing.T) {
+func TestNewWorkIsRefusedBeforeConfigurationAndWhileDraining(t *testing.T) {
 	is := is.New(t)
-	f := newFake()
+	f := newFakeBackend()
 	g, _ := newGateway(f)
 	m := f.manifest
 	f.manifest = nil
@@ -333,13 +333,13 @@
 // A caller opens a stream and never reads. Its socket fills, and without a bound
 // the handler would hold memory and a place among the concurrent requests for
 // good.
-func TestCallerThatStopsReadingIsCutOff(t *testing.T) {
+func TestCallerThatStopsReadingIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFake()
+		f := newFakeBackend()
 		g, _ := newGateway(f)
 		client, server := net.Pipe()
-		listener := &oneConn{conn: make(chan net.Conn, 1), done: make(chan struct{})}
+		listener := &singleConnListener{conn: make(chan net.Conn, 1), done: make(chan struct{})}
 		listener.conn <- server
 		s := &http.Server{Handler: g}
 		go s.Serve(listener)
@@ -354,12 +354,12 @@
 	})
 }
 
-type oneConn struct {
+type singleConnListener struct {
 	conn chan net.Conn
 	done chan struct{}
 }
 
-func (l *oneConn) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conn:
 		return c, nil
@@ -368,7 +368,7 @@
 	}
 }
 
-func (l *oneConn) Close() error {
+func (l *singleConnListener) Close() error {
 	select {
 	case <-l.done:
 	default:
@@ -377,4 +377,4 @@
 	return nil
 }
 
-func (l *oneConn) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/transport/gateway/gateways.go
+++ b/transport/gateway/gateways.go
@@ -29,20 +29,20 @@
 }
 
 func (g *Gateway) listGateways(c *echo.Context) error {
-	near := ident.FailureDomain(c.QueryParam("failure_domain"))
-	if near == "" {
-		near = g.Directory.Self().FailureDomain
+	preferredDomain := ident.FailureDomain(c.QueryParam("failure_domain"))
+	if preferredDomain == "" {
+		preferredDomain = g.Directory.Self().FailureDomain
 	}
-	token, lifetime := g.Actions.Token()
+	token, tokenLifetime := g.Actions.Token()
 	return c.JSON(http.StatusOK, GatewayList{
-		Gateways:               entries(membership.Gateways(g.Directory.Daemons(), near, rand.Uint64())),
-		LifetimeMillis:         g.Limits.GatewaysLifetime.Milliseconds(),
+		Gateways:               gatewayEntries(membership.Gateways(g.Directory.Daemons(), preferredDomain, rand.Uint64())),
+		LifetimeMillis:         g.Limits.GatewayListTTL.Milliseconds(),
 		KeyToken:               token,
-		KeyTokenLifetimeMillis: lifetime.Milliseconds(),
+		KeyTokenLifetimeMillis: tokenLifetime.Milliseconds(),
 	})
 }
 
-func entries(gateways []membership.Gateway) []GatewayEntry {
+func gatewayEntries(gateways []membership.Gateway) []GatewayEntry {
 	out := make([]GatewayEntry, 0, len(gateways))
 	for _, g := range gateways {
 		out = append(out, GatewayEntry{ID: g.ID, Address: g.Address, FailureDomain: g.FailureDomain, Weight: g.Weight})
--- a/transport/gateway/models.go
+++ b/transport/gateway/models.go
@@ -17,7 +17,7 @@
 
 const (
 	defaultMaxTokens = 256
-	maxMaxTokens     = 1 << 17
+	maxTokensLimit   = 1 << 17
 	preferAsync      = "respond-async"
 	objectChat       = "chat.completion"
 	objectText       = "text_completion"
@@ -70,11 +70,11 @@
 	Data   []modelInfo `json:"data"`
 }
 
-func (g *Gateway) chatCompletions(c *echo.Context) error { return g.complete(c, objectChat) }
+func (g *Gateway) chatCompletions(c *echo.Context) error { return g.submitCompletion(c, objectChat) }
 
-func (g *Gateway) completions(c *echo.Context) error { return g.complete(c, objectText) }
+func (g *Gateway) completions(c *echo.Context) error { return g.submitCompletion(c, objectText) }
 
-func (g *Gateway) complete(c *echo.Context, object string) error {
+func (g *Gateway) submitCompletion(c *echo.Context, object string) error {
 	m, ws, err := g.authenticate(c)
 	if err != nil {
 		return err
@@ -83,25 +83,25 @@
 	if err != nil {
 		return err
 	}
-	request, err := g.modelRequest(c, m, ws, body)
+	request, err := g.buildModelRequest(c, m, ws, body)
 	if err != nil {
 		return err
 	}
 	if err := g.Models.Submit(c.Request().Context(), request); err != nil {
 		return err
 	}
-	g.count("accepted.model")
+	g.incrementCounter("accepted.model")
 	g.Usage.Accepted(ws)
 	c.Response().Header().Set(requestIDHeader, string(request.ID))
 	c.Response().Header().Set("Location", requestPath(request.ID))
-	a := answer{object: object, model: request.Model, id: request.ID, workspace: ws, fresh: true}
+	a := completionResponse{object: object, model: request.Model, id: request.ID, workspace: ws, acceptedHere: true}
 	if request.Async {
 		return c.JSON(http.StatusAccepted, acceptedBody{ID: request.ID, Status: "accepted"})
 	}
 	if body.Stream {
-		return g.stream(c, a, 0)
+		return g.writeStream(c, a, 0)
 	}
-	return g.whole(c, a)
+	return g.writeCompletion(c, a)
 }
 
 type acceptedBody struct {
@@ -137,7 +137,7 @@
 	return strings.Join(parts, "\n")
 }
 
-func (g *Gateway) modelRequest(c *echo.Context, m *manifest.Manifest, ws ident.Workspace, body CompletionRequest) (call.ModelRequest, error) {
+func (g *Gateway) buildModelRequest(c *echo.Context, m *manifest.Manifest, ws ident.Workspace, body CompletionRequest) (call.ModelRequest, error) {
 	model := m.ModelNamed(body.Model)
 	if model == nil {
 		return call.ModelRequest{}, refusal.New(refusal.UnknownModel, "no model %q", body.Model)
@@ -152,11 +152,11 @@
 	if class == nil {
 		return call.ModelRequest{}, refusal.New(refusal.BadRequest, "no class %q", body.ServiceTier)
 	}
-	maxTokens, err := outputBound(body)
+	maxTokens, err := maxOutputTokens(body)
 	if err != nil {
 		return call.ModelRequest{}, err
 	}
-	deadline, err := deadlineOf(c, time.Duration(class.DeadlineMillis)*time.Millisecond)
+	deadline, err := requestDeadline(c, time.Duration(class.DeadlineMillis)*time.Millisecond)
 	if err != nil {
 		return call.ModelRequest{}, err
 	}
@@ -198,7 +198,7 @@
 	return false
 }
 
-func outputBound(body CompletionRequest) (int, error) {
+func maxOutputTokens(body CompletionRequest) (int, error) {
 	n := body.MaxTokens
 	if n == 0 {
 		n = body.MaxCompletionTokens
@@ -206,22 +206,22 @@
 	if n == 0 {
 		n = defaultMaxTokens
 	}
-	if n < 0 || n > maxMaxTokens {
-		return 0, refusal.New(refusal.BadRequest, "max_tokens must be from 1 to %d", maxMaxTokens)
+	if n < 0 || n > maxTokensLimit {
+		return 0, refusal.New(refusal.BadRequest, "max_tokens must be from 1 to %d", maxTokensLimit)
 	}
 	return n, nil
 }
 
-// deadlineOf reads the time that the caller gives; zero time is none.
-func deadlineOf(c *echo.Context, fallback time.Duration) (time.Time, error) {
-	text := c.Request().Header.Get(timeoutHeader)
-	if text == "" {
+// requestDeadline reads the time that the caller gives; zero time is none.
+func requestDeadline(c *echo.Context, fallback time.Duration) (time.Time, error) {
+	header := c.Request().Header.Get(timeoutHeader)
+	if header == "" {
 		if fallback == 0 {
 			return time.Time{}, nil
 		}
 		return time.Now().Add(fallback), nil
 	}
-	ms, err := strconv.ParseInt(text, 10, 64)
+	ms, err := strconv.ParseInt(header, 10, 64)
 	if err != nil || ms <= 0 || ms > int64(24*time.Hour/time.Millisecond) {
 		return time.Time{}, refusal.New(refusal.BadRequest, "%s must be a number of milliseconds, at most a day", timeoutHeader)
 	}
--- a/transport/gateway/requests.go
+++ b/transport/gateway/requests.go
@@ -20,15 +20,15 @@
 	if err != nil {
 		return err
 	}
-	a := answer{object: objectChat, id: ident.RequestID(c.Param("id")), workspace: ws}
+	a := completionResponse{object: objectChat, id: ident.RequestID(c.Param("id")), workspace: ws}
 	offset, resumed, err := resumeOffset(c)
 	if err != nil {
 		return err
 	}
 	if resumed || strings.Contains(c.Request().Header.Get("Accept"), "text/event-stream") {
-		return g.stream(c, a, offset)
+		return g.writeStream(c, a, offset)
 	}
-	return g.whole(c, a)
+	return g.writeCompletion(c, a)
 }
 
 func resumeOffset(c *echo.Context) (offset int, resumed bool, err error) {
--- a/transport/gateway/services.go
+++ b/transport/gateway/services.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	idempotencyKey = "Idempotency-Key"
-	executedHeader = "X-Executed"
-	pendingRetry   = 200 * time.Millisecond
+	idempotencyKey    = "Idempotency-Key"
+	executedHeader    = "X-Executed"
+	pendingRetryAfter = 200 * time.Millisecond
 )
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1) or are ours.
-var hopHeaders = map[string]bool{
+// excludedHeaders concern one connection only (RFC 9110, section 7.6.1) or are ours.
+var excludedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
@@ -36,47 +36,47 @@
 	if err != nil {
 		return err
 	}
-	sc, route, err := g.serviceCall(c, m, ws)
+	sc, route, err := g.parseServiceCall(c, m, ws)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithDeadline(c.Request().Context(), sc.Deadline)
 	defer cancel()
-	c.Set(judgedKey, true)
+	c.Set(outcomeKnownKey, true)
 	answer, err := g.dispatchService(ctx, sc, route)
 	if err != nil {
 		return err
 	}
-	g.count("answered_whole.service")
+	g.incrementCounter("answered_whole.service")
 	g.Usage.Answered(ws, 0)
 	return writeAnswer(c, answer)
 }
 
-// judgedKey marks a call that reached its key's owner, or needs none.
-const judgedKey = "judged"
+// outcomeKnownKey marks a call that reached its key's owner, or needs none.
+const outcomeKnownKey = "judged"
 
-// doubtKeyed takes back the "not executed" of a call with an idempotency key
+// markKeyedRefusalsUnknown takes back the "not executed" of a call with an idempotency key
 // that this gateway refused by itself, because it drains or has no place left.
 // The call may be the repetition of one that ran: told "no", its caller would
 // book again under a new key, and the slot would be sold twice. Only the key's
 // owner, or who speaks for it, knows.
-func (g *Gateway) doubtKeyed(next echo.HandlerFunc) echo.HandlerFunc {
+func (g *Gateway) markKeyedRefusalsUnknown(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		err := next(c)
-		if err == nil || c.Request().Header.Get(idempotencyKey) == "" || c.Get(judgedKey) != nil {
+		if err == nil || c.Request().Header.Get(idempotencyKey) == "" || c.Get(outcomeKnownKey) != nil {
 			return err
 		}
-		r := refusalOf(err)
+		r := toRefusal(err)
 		if r.Executed != refusal.ExecutedNo {
 			return err
 		}
-		doubtful := *r
-		return doubtful.Unknown()
+		unknown := *r
+		return unknown.Unknown()
 	}
 }
 
 func (g *Gateway) dispatchService(ctx context.Context, sc call.ServiceCall, route *manifest.Route) (call.Answer, error) {
-	g.count("accepted.service")
+	g.incrementCounter("accepted.service")
 	g.Usage.Accepted(sc.Workspace)
 	if route.Repeatable {
 		return g.Services.Call(ctx, sc)
@@ -88,7 +88,7 @@
 	return g.Actions.Execute(ctx, sc)
 }
 
-func (g *Gateway) serviceCall(c *echo.Context, m *manifest.Manifest, ws ident.Workspace) (call.ServiceCall, *manifest.Route, error) {
+func (g *Gateway) parseServiceCall(c *echo.Context, m *manifest.Manifest, ws ident.Workspace) (call.ServiceCall, *manifest.Route, error) {
 	var none call.ServiceCall
 	service := m.ServiceNamed(c.Param("service"))
 	if service == nil || service.Kind != manifest.KindPlain {
@@ -104,14 +104,14 @@
 	if err != nil {
 		return none, nil, err
 	}
-	deadline, err := deadlineOf(c, g.serviceTimeout(m, route))
+	deadline, err := requestDeadline(c, g.serviceTimeout(m, route))
 	if err != nil {
 		return none, nil, err
 	}
 	return call.ServiceCall{
 		Workspace: ws, Service: service.Name,
 		Key: r.Header.Get(idempotencyKey), Method: r.Method, Path: withQuery(path, r.URL),
-		Headers: endToEnd(r.Header), Body: body, Deadline: deadline,
+		Headers: endToEndHeaders(r.Header), Body: body, Deadline: deadline,
 	}, route, nil
 }
 
@@ -132,11 +132,11 @@
 	return path + "?" + u.RawQuery
 }
 
-func endToEnd(h http.Header) []call.Header {
+func endToEndHeaders(h http.Header) []call.Header {
 	out := []call.Header{}
-	dropped := strings.ToLower(h.Get("Connection"))
+	connectionOptions := strings.ToLower(h.Get("Connection"))
 	for name, values := range h {
-		if hopHeaders[name] || strings.Contains(dropped, strings.ToLower(name)) {
+		if excludedHeaders[name] || strings.Contains(connectionOptions, strings.ToLower(name)) {
 			continue
 		}
 		for _, v := range values {
@@ -151,7 +151,7 @@
 	contentType := ""
 	for _, f := range a.Headers {
 		name := http.CanonicalHeaderKey(f.Name)
-		if hopHeaders[name] {
+		if excludedHeaders[name] {
 			continue
 		}
 		if name == "Content-Type" {
@@ -179,7 +179,7 @@
 		return err
 	}
 	if pending {
-		c.Response().Header().Set("Retry-After", retryAfterSeconds(pendingRetry))
+		c.Response().Header().Set("Retry-After", retryAfterSeconds(pendingRetryAfter))
 		return c.NoContent(http.StatusAccepted)
 	}
 	return writeAnswer(c, answer)
--- a/transport/gateway/stream.go
+++ b/transport/gateway/stream.go
@@ -16,14 +16,14 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// answer is what the forms of one request's output share.
-type answer struct {
+// completionResponse is what the forms of one request's output share.
+type completionResponse struct {
 	object    string
 	model     string
 	id        ident.RequestID
 	workspace ident.Workspace
-	// fresh requests were accepted on this connection.
-	fresh bool
+	// acceptedHere requests were accepted on this connection.
+	acceptedHere bool
 }
 
 // CompletionChoice is the one choice of an answer or of a chunk.
@@ -49,7 +49,7 @@
 	Usage   *CompletionUsage   `json:"usage,omitempty"`
 }
 
-func (a answer) whole(text, finish string, tokens int) Completion {
+func (a completionResponse) completion(text, finish string, tokens int) Completion {
 	choice := CompletionChoice{FinishReason: &finish}
 	if a.object == objectText {
 		choice.Text = text
@@ -63,7 +63,7 @@
 	}
 }
 
-func (a answer) chunk(e call.Event) Completion {
+func (a completionResponse) chunk(e call.Event) Completion {
 	choice := CompletionChoice{}
 	if e.Done {
 		choice.FinishReason = &e.FinishReason
@@ -76,8 +76,8 @@
 	return Completion{ID: a.id, Object: a.object + ".chunk", Model: a.model, Choices: []CompletionChoice{choice}}
 }
 
-// whole collects the output and answers with one JSON body.
-func (g *Gateway) whole(c *echo.Context, a answer) error {
+// writeCompletion collects the output and answers with one JSON body.
+func (g *Gateway) writeCompletion(c *echo.Context, a completionResponse) error {
 	var text strings.Builder
 	tokens := 0
 	finish := ""
@@ -96,93 +96,93 @@
 	if err != nil {
 		return err
 	}
-	if err := c.JSON(http.StatusOK, a.whole(text.String(), finish, tokens)); err != nil {
+	if err := c.JSON(http.StatusOK, a.completion(text.String(), finish, tokens)); err != nil {
 		return fmt.Errorf("write answer: %w", err)
 	}
-	g.answered(a.workspace, tokens)
+	g.countAnswered(a.workspace, tokens)
 	return nil
 }
 
-func (g *Gateway) answered(ws ident.Workspace, tokens int) {
-	g.count("answered_whole.model")
+func (g *Gateway) countAnswered(ws ident.Workspace, tokens int) {
+	g.incrementCounter("answered_whole.model")
 	g.Usage.Answered(ws, tokens)
 }
 
-// stream passes the output on as server-sent events. Each event's id holds the
+// writeStream passes the output on as server-sent events. Each event's id holds the
 // offset after it, so that a caller whose connection is lost can go on with
 // Last-Event-ID at any gateway.
-func (g *Gateway) stream(c *echo.Context, a answer, offset int) error {
+func (g *Gateway) writeStream(c *echo.Context, a completionResponse, offset int) error {
 	w := newEventWriter(c.Response(), g.Limits.WriteTimeout, g.Limits.Heartbeat)
 	defer w.stop()
-	if a.fresh {
+	if a.acceptedHere {
 		// The caller gets the request's id before its first token: if this
 		// gateway dies while the request waits, it goes on elsewhere instead of
 		// asking anew.
-		if err := w.comment(); err != nil {
+		if err := w.writeHeartbeat(); err != nil {
 			return err
 		}
 	}
 	tokens := 0
 	err := g.Models.Read(c.Request().Context(), a.workspace, a.id, offset, func(e call.Event) error {
 		if e.Heartbeat {
-			return w.comment()
+			return w.writeHeartbeat()
 		}
 		next := e.Offset
 		if !e.Done {
 			next++
 			tokens++
 		}
-		return w.event(strconv.Itoa(next), a.chunk(e))
+		return w.writeEvent(strconv.Itoa(next), a.chunk(e))
 	})
 	if err != nil {
-		return g.endStream(c, w, err)
+		return g.writeStreamError(c, w, err)
 	}
-	if err := w.raw("data: [DONE]\n\n"); err != nil {
+	if err := w.write("data: [DONE]\n\n"); err != nil {
 		return err
 	}
-	g.answered(a.workspace, tokens)
+	g.countAnswered(a.workspace, tokens)
 	return nil
 }
 
-// endStream tells a refusal in the stream if that has begun, since the status
+// writeStreamError tells a refusal in the stream if that has begun, since the status
 // line has gone out; a stream without [DONE] is not whole.
-func (g *Gateway) endStream(c *echo.Context, w *eventWriter, err error) error {
-	if !w.begun() {
+func (g *Gateway) writeStreamError(c *echo.Context, w *eventWriter, err error) error {
+	if !w.hasStarted() {
 		return err
 	}
 	r := refusal.From(err)
 	g.countRefusal(c, r)
-	return w.named("error", bodyOf(r))
+	return w.writeNamedEvent("error", errorBody(r))
 }
 
 // eventWriter writes server-sent events with a deadline on each write, and a
 // comment when nothing else was written for a while, so that both ends find a
 // connection that has gone silent. It is safe for concurrent use.
 type eventWriter struct {
-	mu           sync.Mutex
-	w            http.ResponseWriter
-	controller   *http.ResponseController
-	writeTimeout time.Duration
-	interval     time.Duration
-	timer        *time.Timer
-	started      bool
-	stopped      bool
+	mu                sync.Mutex
+	w                 http.ResponseWriter
+	controller        *http.ResponseController
+	writeTimeout      time.Duration
+	heartbeatInterval time.Duration
+	timer             *time.Timer
+	started           bool
+	stopped           bool
 }
 
-func newEventWriter(w http.ResponseWriter, writeTimeout, interval time.Duration) *eventWriter {
+func newEventWriter(w http.ResponseWriter, writeTimeout, heartbeatInterval time.Duration) *eventWriter {
 	ew := &eventWriter{
 		w: w, controller: http.NewResponseController(w),
-		writeTimeout: writeTimeout, interval: interval,
+		writeTimeout: writeTimeout, heartbeatInterval: heartbeatInterval,
 	}
 	ew.mu.Lock()
 	defer ew.mu.Unlock()
-	ew.timer = time.AfterFunc(interval, ew.idle)
+	ew.timer = time.AfterFunc(heartbeatInterval, ew.onIdle)
 	return ew
 }
 
-func (ew *eventWriter) idle() {
+func (ew *eventWriter) onIdle() {
 	// The next event finds a broken connection by itself.
-	_ = ew.comment()
+	_ = ew.writeHeartbeat()
 }
 
 func (ew *eventWriter) stop() {
@@ -192,53 +192,53 @@
 	ew.timer.Stop()
 }
 
-func (ew *eventWriter) begun() bool {
+func (ew *eventWriter) hasStarted() bool {
 	ew.mu.Lock()
 	defer ew.mu.Unlock()
 	return ew.started
 }
 
-func (ew *eventWriter) comment() error { return ew.raw(": heartbeat\n\n") }
+func (ew *eventWriter) writeHeartbeat() error { return ew.write(": heartbeat\n\n") }
 
-func (ew *eventWriter) event(id string, v any) error {
+func (ew *eventWriter) writeEvent(id string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("marshal event: %w", err)
 	}
-	return ew.raw("id: " + id + "\ndata: " + string(data) + "\n\n")
+	return ew.write("id: " + id + "\ndata: " + string(data) + "\n\n")
 }
 
-func (ew *eventWriter) named(name string, v any) error {
+func (ew *eventWriter) writeNamedEvent(name string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("marshal event: %w", err)
 	}
-	return ew.raw("event: " + name + "\ndata: " + string(data) + "\n\n")
+	return ew.write("event: " + name + "\ndata: " + string(data) + "\n\n")
 }
 
-func (ew *eventWriter) raw(text string) error {
+func (ew *eventWriter) write(text string) error {
 	ew.mu.Lock()
 	defer ew.mu.Unlock()
 	if ew.stopped {
 		return nil
 	}
-	ew.begin()
+	ew.writeHeader()
 	// A caller that no longer reads would hold the request's goroutine for
 	// good: its socket buffer fills and writes block. The deadline ends that.
 	if err := ew.controller.SetWriteDeadline(time.Now().Add(ew.writeTimeout)); err != nil {
 		return fmt.Errorf("set write deadline: %w", err)
 	}
 	if _, err := ew.w.Write([]byte(text)); err != nil {
-		return &CallerGoneError{Err: err}
+		return &CallerDisconnectedError{Err: err}
 	}
 	if err := ew.controller.Flush(); err != nil {
-		return &CallerGoneError{Err: err}
+		return &CallerDisconnectedError{Err: err}
 	}
-	ew.timer.Reset(ew.interval)
+	ew.timer.Reset(ew.heartbeatInterval)
 	return nil
 }
 
-func (ew *eventWriter) begin() {
+func (ew *eventWriter) writeHeader() {
 	if ew.started {
 		return
 	}
@@ -249,10 +249,10 @@
 	ew.w.WriteHeader(http.StatusOK)
 }
 
-// CallerGoneError says that the caller's connection takes no more.
-type CallerGoneError struct{ Err error }
+// CallerDisconnectedError says that the caller's connection takes no more.
+type CallerDisconnectedError struct{ Err error }
 
-func (e *CallerGoneError) Error() string { return fmt.Sprintf("caller gone: %v", e.Err) }
+func (e *CallerDisconnectedError) Error() string { return fmt.Sprintf("caller gone: %v", e.Err) }
 
 // Unwrap returns the cause.
-func (e *CallerGoneError) Unwrap() error { return e.Err }
+func (e *CallerDisconnectedError) Unwrap() error { return e.Err }
