--- a/transport/gateway/models.go
+++ b/transport/gateway/models.go
@@ -101,7 +101,7 @@
 	if body.Stream {
 		return g.writeStream(c, a, 0)
 	}
-	return g.writeCompletion(c, a)
+	return g.fullResponse(c, a)
 }
 
 type acceptedBody struct {
--- a/transport/gateway/requests.go
+++ b/transport/gateway/requests.go
@@ -28,7 +28,7 @@
 	if resumed || strings.Contains(c.Request().Header.Get("Accept"), "text/event-stream") {
 		return g.writeStream(c, a, offset)
 	}
-	return g.writeCompletion(c, a)
+	return g.fullResponse(c, a)
 }
 
 func resumeOffset(c *echo.Context) (offset int, resumed bool, err error) {
--- a/transport/gateway/stream.go
+++ b/transport/gateway/stream.go
@@ -49,7 +49,7 @@
 	Usage   *CompletionUsage   `json:"usage,omitempty"`
 }
 
-func (a completionResponse) completion(text, finish string, tokens int) Completion {
+func (a completionResponse) fullResponse(text, finish string, tokens int) Completion {
 	choice := CompletionChoice{FinishReason: &finish}
 	if a.object == objectText {
 		choice.Text = text
@@ -76,8 +76,8 @@
 	return Completion{ID: a.id, Object: a.object + ".chunk", Model: a.model, Choices: []CompletionChoice{choice}}
 }
 
-// writeCompletion collects the output and answers with one JSON body.
-func (g *Gateway) writeCompletion(c *echo.Context, a completionResponse) error {
+// fullResponse collects the output and answers with one JSON body.
+func (g *Gateway) fullResponse(c *echo.Context, a completionResponse) error {
 	var text strings.Builder
 	tokens := 0
 	finish := ""
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.JSON(http.StatusOK, a.completion(text.String(), finish, tokens)); err != nil {
+	if err := c.JSON(http.StatusOK, a.fullResponse(text.String(), finish, tokens)); err != nil {
 		return fmt.Errorf("write answer: %w", err)
 	}
 	g.countAnswered(a.workspace, tokens)
