--- a/daemon/dispatch/budget_test.go
+++ b/daemon/dispatch/budget_test.go
@@ -33,14 +33,14 @@
 func (w *bigWorld) Daemons() []view.Daemon { return w.daemons }
 
 func (w *bigWorld) Load(ctx context.Context, address string) (engineapi.Load, error) {
-	engine.TrafficOf(ctx).Add(loadSize)
+	engine.TrafficFromContext(ctx).Add(loadSize)
 	return w.world.Load(ctx, address)
 }
 
 // CacheEvents has a full page each time, and more events than one page between
 // two of them.
 func (w *bigWorld) CacheEvents(ctx context.Context, _ string, from uint64, limit int) (engineapi.CacheEvents, error) {
-	engine.TrafficOf(ctx).Add(pageSize)
+	engine.TrafficFromContext(ctx).Add(pageSize)
 	first := from + 10_000
 	return engineapi.CacheEvents{First: first, Next: first + uint64(limit)}, nil
 }
--- a/daemon/models/engines.go
+++ b/daemon/models/engines.go
@@ -13,12 +13,12 @@
 
 // closedBy names the cause for which an attempt's stream ended.
 func closedBy(err error) request.Cause {
-	var failed *engine.FailedError
+	var failed *engine.AttemptFailedError
 	var own *EngineFailedError
 	var refused *engine.RefusedError
 	var connect *engine.ConnectError
-	var silent *engine.SilentError
-	var malformed *engine.MalformedError
+	var silent *engine.StreamIdleError
+	var malformed *engine.MalformedAnswerError
 	switch {
 	case errors.As(err, &failed), errors.As(err, &own):
 		return request.EngineError
--- a/standin/engine/server_test.go
+++ b/standin/engine/server_test.go
@@ -99,7 +99,7 @@
 		e, c := w.serve(DefaultConfig("r", "m", "1"))
 		e.SetFaults(Faults{Stream: StreamStall, Streams: 1, AfterTokens: 2})
 		events, err := collect(c, request("x", "a b", 16000), silence)
-		var silent *client.SilentError
+		var silent *client.StreamIdleError
 		is.True(errors.As(err, &silent))
 		is.True(client.MayHaveStarted(err))
 		is.Equal(len(events), 2)
@@ -117,11 +117,11 @@
 			return collect(c, request(id, "a b", 4), silence)
 		}
 		events, err := run("truncate", StreamTruncate)
-		var truncated *client.TruncatedError
+		var truncated *client.TruncatedStreamError
 		is.True(errors.As(err, &truncated))
 		is.Equal(len(events), 2)
 		events, err = run("break", StreamBreak)
-		var broken *client.BrokenError
+		var broken *client.ConnectionLostError
 		is.True(errors.As(err, &broken))
 		is.Equal(len(events), 2)
 		events, err = run("duplicate", StreamDuplicate)
@@ -194,7 +194,7 @@
 
 		source.Die()
 		err = <-ended
-		var broken *client.BrokenError
+		var broken *client.ConnectionLostError
 		is.True(errors.As(err, &broken))
 		_, err = from.Load(ctx)
 		is.True(err != nil)
--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -64,45 +64,45 @@
 // StartErrors. An error of sink or of ctx comes back as it is, and the
 // connection is closed, on which the engine cancels the attempt if it hears of
 // it.
-func (c *Client) Generate(ctx context.Context, r engineapi.GenerateRequest, silence time.Duration, sink func(engineapi.GenerateEvent) error) error {
+func (c *Client) Generate(ctx context.Context, r engineapi.GenerateRequest, idleTimeout time.Duration, sink func(engineapi.GenerateEvent) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// The deadline guards against a connection that has gone silent for good:
+	// The idleTimer guards against a connection that has gone silent for good:
 	// it shows in nothing but missing lines, and heartbeats come at least once
 	// a second on one that works.
-	deadline := time.AfterFunc(silence, func() { cancel(&SilentError{After: silence}) })
-	defer deadline.Stop()
+	idleTimer := time.AfterFunc(idleTimeout, func() { cancel(&StreamIdleError{After: idleTimeout}) })
+	defer idleTimer.Stop()
 	response, err := c.send(ctx, http.MethodPost, engineapi.PathGenerate, r)
 	if err != nil {
-		return cause(ctx, err)
+		return cancellationCause(ctx, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return cause(ctx, refused(response))
+		return cancellationCause(ctx, refusalError(response))
 	}
-	heard := func() { deadline.Reset(silence) }
-	err = readLines(response.Body, heard, sink)
-	c.forget(ctx)
-	return cause(ctx, err)
+	onLine := func() { idleTimer.Reset(idleTimeout) }
+	err = readLines(response.Body, onLine, sink)
+	c.dropIdleConnections(ctx)
+	return cancellationCause(ctx, err)
 }
 
-// forget closes the idle connections after a call that ran out of time.
+// dropIdleConnections closes the idle connections after a call that ran out of time.
 // Open connections can go silent for good while new ones work, often all of
 // them at once; it shows in nothing but calls that get no answer. The call's
 // own connection is closed by its context, and this closes those that the next
 // calls would wait on in vain.
-func (c *Client) forget(ctx context.Context) {
-	silent := (*SilentError)(nil)
-	if errors.As(context.Cause(ctx), &silent) || errors.Is(ctx.Err(), context.DeadlineExceeded) {
+func (c *Client) dropIdleConnections(ctx context.Context) {
+	idle := (*StreamIdleError)(nil)
+	if errors.As(context.Cause(ctx), &idle) || errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		c.http.CloseIdleConnections()
 	}
 }
 
-// cause returns why the call was ended on this side, if it was.
-func cause(ctx context.Context, err error) error {
-	var caller *sinkError
-	if errors.As(err, &caller) {
-		return caller.err
+// cancellationCause returns why the call was ended on this side, if it was.
+func cancellationCause(ctx context.Context, err error) error {
+	var sinkErr *sinkError
+	if errors.As(err, &sinkErr) {
+		return sinkErr.err
 	}
 	if err != nil && ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -115,17 +115,17 @@
 
 func (e *sinkError) Error() string { return e.err.Error() }
 
-func readLines(body io.Reader, heard func(), sink func(engineapi.GenerateEvent) error) error {
+func readLines(body io.Reader, onLine func(), sink func(engineapi.GenerateEvent) error) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		heard()
+		onLine()
 		var event engineapi.GenerateEvent
 		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
-			return &MalformedError{Err: err}
+			return &MalformedAnswerError{Err: err}
 		}
 		if event.Error != "" {
-			return &FailedError{Reason: event.Error}
+			return &AttemptFailedError{Reason: event.Error}
 		}
 		if err := sink(event); err != nil {
 			return &sinkError{err: err}
@@ -135,11 +135,11 @@
 		}
 	}
 	if err := lines.Err(); errors.Is(err, bufio.ErrTooLong) {
-		return &MalformedError{Err: err}
+		return &MalformedAnswerError{Err: err}
 	} else if err != nil {
-		return &BrokenError{Err: err}
+		return &ConnectionLostError{Err: err}
 	}
-	return &TruncatedError{}
+	return &TruncatedStreamError{}
 }
 
 // Cancel ends an attempt; an engine without it refuses with
@@ -177,7 +177,7 @@
 // transfer takes its time; ctx alone bounds it.
 func (c *Client) Import(ctx context.Context, r engineapi.ImportRequest) (engineapi.ImportResponse, error) {
 	var imported engineapi.ImportResponse
-	err := c.exchange(ctx, http.MethodPost, engineapi.PathImport, r, &imported)
+	err := c.roundTrip(ctx, http.MethodPost, engineapi.PathImport, r, &imported)
 	return imported, err
 }
 
@@ -190,34 +190,34 @@
 func (c *Client) call(ctx context.Context, path string, request, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	return c.exchange(ctx, http.MethodPost, path, request, answer)
+	return c.roundTrip(ctx, http.MethodPost, path, request, answer)
 }
 
 func (c *Client) get(ctx context.Context, path string, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	return c.exchange(ctx, http.MethodGet, path, nil, answer)
+	return c.roundTrip(ctx, http.MethodGet, path, nil, answer)
 }
 
-func (c *Client) exchange(ctx context.Context, method, path string, request, answer any) error {
+func (c *Client) roundTrip(ctx context.Context, method, path string, request, answer any) error {
 	response, err := c.send(ctx, method, path, request)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return refused(response)
+		return refusalError(response)
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
-	TrafficOf(ctx).add(response, len(data))
+	TrafficFromContext(ctx).addExchange(response, len(data))
 	if err != nil {
-		return &BrokenError{Err: err}
+		return &ConnectionLostError{Err: err}
 	}
 	if answer == nil {
 		return nil
 	}
 	if err := json.Unmarshal(data, answer); err != nil {
-		return &MalformedError{Err: err}
+		return &MalformedAnswerError{Err: err}
 	}
 	return nil
 }
@@ -242,30 +242,30 @@
 	}
 	response, err := c.http.Do(r)
 	if err != nil {
-		c.forget(ctx)
+		c.dropIdleConnections(ctx)
 		return nil, sendError(err)
 	}
 	return response, nil
 }
 
 func sendError(err error) error {
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return &ConnectError{Err: err}
 	}
-	return &BrokenError{Err: err}
+	return &ConnectionLostError{Err: err}
 }
 
-// refused reads the refusal; a status without the protocol's body may come
+// refusalError reads the refusal; a status without the protocol's body may come
 // from anything between, so the attempt can have started.
-func refused(response *http.Response) error {
+func refusalError(response *http.Response) error {
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxLineBytes))
 	if err != nil {
-		return &BrokenError{Err: err}
+		return &ConnectionLostError{Err: err}
 	}
 	var body engineapi.ErrorBody
 	if err := json.Unmarshal(data, &body); err != nil {
-		return &MalformedError{Err: fmt.Errorf("status %d: %w", response.StatusCode, err)}
+		return &MalformedAnswerError{Err: fmt.Errorf("status %d: %w", response.StatusCode, err)}
 	}
 	return &RefusedError{Status: response.StatusCode, Body: body}
 }
--- a/transport/engine/client_test.go
+++ b/transport/engine/client_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	address = "10.0.0.1:80"
-	silence = 2 * time.Second
+	address     = "10.0.0.1:80"
+	idleTimeout = 2 * time.Second
 )
 
-// bubble runs a test in virtual time with a client of a handler.
-func bubble(t *testing.T, handler http.Handler, test func(is *is.I, n *pipe.Network, c *engine.Client)) {
+// withClient runs a test in virtual time with a client of a handler.
+func withClient(t *testing.T, handler http.Handler, test func(is *is.I, n *pipe.Network, c *engine.Client)) {
 	is := is.New(t)
 	n := pipe.NewNetwork()
 	l, err := n.Listen(address)
@@ -39,18 +39,18 @@
 
 func generate(c *engine.Client, maxTokens int, sink func(engineapi.GenerateEvent) error) error {
 	r := engineapi.GenerateRequest{RequestID: "r", AttemptID: "a", Model: "m", Prompt: "p", MaxTokens: maxTokens}
-	return c.Generate(context.Background(), r, silence, sink)
+	return c.Generate(context.Background(), r, idleTimeout, sink)
 }
 
-func ignore(engineapi.GenerateEvent) error { return nil }
+func discardEvent(engineapi.GenerateEvent) error { return nil }
 
 // A caller's answer stops in the middle. The connection to the engine went
 // silent for good while the engine is well: the client ends the stream after
 // its bound, and the next attempt goes through on a new connection at once.
-func TestSilentConnectionEndsStream(t *testing.T) {
+func TestSilentConnectionTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := standin.New(standin.DefaultConfig("r", "m", "1"))
-		bubble(t, e.Handler(), func(is *is.I, n *pipe.Network, c *engine.Client) {
+		withClient(t, e.Handler(), func(is *is.I, n *pipe.Network, c *engine.Client) {
 			var last time.Time
 			err := generate(c, 1000, func(ev engineapi.GenerateEvent) error {
 				last = time.Now()
@@ -59,24 +59,24 @@
 				}
 				return nil
 			})
-			var silent *engine.SilentError
-			is.True(errors.As(err, &silent))
-			is.Equal(time.Since(last), silence)
+			var idle *engine.StreamIdleError
+			is.True(errors.As(err, &idle))
+			is.Equal(time.Since(last), idleTimeout)
 			is.True(engine.MayHaveStarted(err))
 			start := time.Now()
 			is.NoErr(c.Cancel(context.Background(), "a"))
-			is.NoErr(generate(c, 1, ignore))
-			is.True(time.Since(start) < silence)
+			is.NoErr(generate(c, 1, discardEvent))
+			is.True(time.Since(start) < idleTimeout)
 			is.Equal(e.Counters().Cancelled, 1)
 		})
 		e.Close()
 	})
 }
 
-func TestNothingListensMeansNotStarted(t *testing.T) {
+func TestDialFailureMeansNotStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		err := generate(engine.New("10.0.0.2:80", pipe.NewNetwork().Client()), 1, ignore)
+		err := generate(engine.New("10.0.0.2:80", pipe.NewNetwork().Client()), 1, discardEvent)
 		var connect *engine.ConnectError
 		is.True(errors.As(err, &connect))
 		is.True(!engine.MayHaveStarted(err))
@@ -86,7 +86,7 @@
 // A gateway must not tell a caller that nothing ran because something answered
 // with an error: here the engine's VM is gone in the middle, and a proxy's
 // page, which is none of the protocol's refusals, comes in place of the stream.
-func TestOpenOutcomesMayHaveStarted(t *testing.T) {
+func TestUnknownOutcomesMayHaveStarted(t *testing.T) {
 	handlers := map[string]http.HandlerFunc{
 		"page":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(502); io.WriteString(w, "<html>") },
 		"broken":  func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
@@ -98,8 +98,8 @@
 	for name, handler := range handlers {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bubble(t, handler, func(is *is.I, _ *pipe.Network, c *engine.Client) {
-					err := generate(c, 1, ignore)
+				withClient(t, handler, func(is *is.I, _ *pipe.Network, c *engine.Client) {
+					err := generate(c, 1, discardEvent)
 					is.True(err != nil)
 					is.True(engine.MayHaveStarted(err))
 				})
@@ -108,17 +108,17 @@
 	}
 }
 
-// stop is what a sink returns to end a stream.
-type stop struct{}
+// stopError is what a sink returns to end a stream.
+type stopError struct{}
 
-func (*stop) Error() string { return "stop" }
+func (*stopError) Error() string { return "stop" }
 
-func TestSinkErrorComesBack(t *testing.T) {
+func TestSinkErrorIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := standin.New(standin.DefaultConfig("r", "m", "1"))
-		bubble(t, e.Handler(), func(is *is.I, _ *pipe.Network, c *engine.Client) {
-			err := generate(c, 100, func(engineapi.GenerateEvent) error { return &stop{} })
-			is.Equal(err, &stop{})
+		withClient(t, e.Handler(), func(is *is.I, _ *pipe.Network, c *engine.Client) {
+			err := generate(c, 100, func(engineapi.GenerateEvent) error { return &stopError{} })
+			is.Equal(err, &stopError{})
 			time.Sleep(time.Second)
 			is.Equal(e.Counters().Cancelled, 1) // the engine hears of it
 		})
--- a/transport/engine/errors.go
+++ b/transport/engine/errors.go
@@ -8,9 +8,9 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// StartError is an error of Generate that says whether the engine can have
+// AttemptError is an error of Generate that says whether the engine can have
 // started the attempt.
-type StartError interface {
+type AttemptError interface {
 	error
 	// MayHaveStarted is false only where no work can have been done.
 	MayHaveStarted() bool
@@ -19,9 +19,9 @@
 // MayHaveStarted reports whether the attempt that ended with err can have
 // started. It is true where the error does not tell.
 func MayHaveStarted(err error) bool {
-	var start StartError
-	if errors.As(err, &start) {
-		return start.MayHaveStarted()
+	var attemptErr AttemptError
+	if errors.As(err, &attemptErr) {
+		return attemptErr.MayHaveStarted()
 	}
 	return true
 }
@@ -51,49 +51,53 @@
 // MayHaveStarted implements StartError.
 func (*ConnectError) MayHaveStarted() bool { return false }
 
-// BrokenError says that a connection ended before the answer was whole.
-type BrokenError struct{ Err error }
+// ConnectionLostError says that a connection ended before the answer was whole.
+type ConnectionLostError struct{ Err error }
 
-func (e *BrokenError) Error() string { return fmt.Sprintf("answer of engine broken off: %v", e.Err) }
+func (e *ConnectionLostError) Error() string {
+	return fmt.Sprintf("answer of engine broken off: %v", e.Err)
+}
 
 // Unwrap returns the cause.
-func (e *BrokenError) Unwrap() error { return e.Err }
+func (e *ConnectionLostError) Unwrap() error { return e.Err }
 
 // MayHaveStarted implements StartError.
-func (*BrokenError) MayHaveStarted() bool { return true }
+func (*ConnectionLostError) MayHaveStarted() bool { return true }
 
-// TruncatedError says that a stream ended in good order without its last line.
-type TruncatedError struct{}
+// TruncatedStreamError says that a stream ended in good order without its last line.
+type TruncatedStreamError struct{}
 
-func (*TruncatedError) Error() string { return "stream ended before its last line" }
+func (*TruncatedStreamError) Error() string { return "stream ended before its last line" }
 
 // MayHaveStarted implements StartError.
-func (*TruncatedError) MayHaveStarted() bool { return true }
+func (*TruncatedStreamError) MayHaveStarted() bool { return true }
 
-// SilentError says that no line came for as long as After. The connection is
+// StreamIdleError says that no line came for as long as After. The connection is
 // dead; the engine need not be.
-type SilentError struct{ After time.Duration }
+type StreamIdleError struct{ After time.Duration }
 
-func (e *SilentError) Error() string { return fmt.Sprintf("no line from engine for %s", e.After) }
+func (e *StreamIdleError) Error() string { return fmt.Sprintf("no line from engine for %s", e.After) }
 
 // MayHaveStarted implements StartError.
-func (*SilentError) MayHaveStarted() bool { return true }
+func (*StreamIdleError) MayHaveStarted() bool { return true }
 
-// MalformedError says that an answer is not of the protocol.
-type MalformedError struct{ Err error }
+// MalformedAnswerError says that an answer is not of the protocol.
+type MalformedAnswerError struct{ Err error }
 
-func (e *MalformedError) Error() string { return fmt.Sprintf("malformed answer of engine: %v", e.Err) }
+func (e *MalformedAnswerError) Error() string {
+	return fmt.Sprintf("malformed answer of engine: %v", e.Err)
+}
 
 // Unwrap returns the cause.
-func (e *MalformedError) Unwrap() error { return e.Err }
+func (e *MalformedAnswerError) Unwrap() error { return e.Err }
 
 // MayHaveStarted implements StartError.
-func (*MalformedError) MayHaveStarted() bool { return true }
+func (*MalformedAnswerError) MayHaveStarted() bool { return true }
 
-// FailedError says that the engine gave an attempt up after it had started.
-type FailedError struct{ Reason string }
+// AttemptFailedError says that the engine gave an attempt up after it had started.
+type AttemptFailedError struct{ Reason string }
 
-func (e *FailedError) Error() string { return fmt.Sprintf("engine failed: %s", e.Reason) }
+func (e *AttemptFailedError) Error() string { return fmt.Sprintf("engine failed: %s", e.Reason) }
 
 // MayHaveStarted implements StartError.
-func (*FailedError) MayHaveStarted() bool { return true }
+func (*AttemptFailedError) MayHaveStarted() bool { return true }
--- a/transport/engine/traffic.go
+++ b/transport/engine/traffic.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// requestBytes is the request line without its path, and the headers that
+	// requestOverheadBytes is the request line without its path, and the headers that
 	// net/http sends with a GET, on average.
-	requestBytes = 110
-	// packetBytes is the IP and TCP headers of a request, an answer and their
+	requestOverheadBytes = 110
+	// packetOverheadBytes is the IP and TCP headers of a request, an answer and their
 	// acknowledgements on a connection that stays open.
-	packetBytes = 4 * 52
+	packetOverheadBytes = 4 * 52
 	// segmentBytes is the data of one TCP segment; each further one takes a
 	// packet of its own, and half an acknowledgement.
 	segmentBytes       = 1400
-	furtherSegment     = 52 + 26
+	extraSegmentBytes  = 52 + 26
 	statusLineBytes    = 17
 	headerLineOverhead = 4
 )
@@ -34,7 +34,7 @@
 	}
 }
 
-func (t *Traffic) add(response *http.Response, body int) {
+func (t *Traffic) addExchange(response *http.Response, body int) {
 	if t == nil {
 		return
 	}
@@ -44,8 +44,8 @@
 			answer += len(name) + len(value) + headerLineOverhead
 		}
 	}
-	request := requestBytes + len(response.Request.URL.RequestURI())
-	t.Add(request + answer + packetBytes + answer/segmentBytes*furtherSegment)
+	request := requestOverheadBytes + len(response.Request.URL.RequestURI())
+	t.Add(request + answer + packetOverheadBytes + answer/segmentBytes*extraSegmentBytes)
 }
 
 type trafficKey struct{}
@@ -55,8 +55,8 @@
 	return context.WithValue(ctx, trafficKey{}, t)
 }
 
-// TrafficOf returns the context's Traffic; nil if there is none.
-func TrafficOf(ctx context.Context) *Traffic {
+// TrafficFromContext returns the context's Traffic; nil if there is none.
+func TrafficFromContext(ctx context.Context) *Traffic {
 	t, _ := ctx.Value(trafficKey{}).(*Traffic)
 	return t
 }
--- a/transport/engine/traffic_test.go
+++ b/transport/engine/traffic_test.go
@@ -14,19 +14,19 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// counted is a connection whose bytes of both directions are counted.
-type counted struct {
+// countingConn is a connection whose bytes of both directions are countingConn.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -34,7 +34,7 @@
 
 // The estimate must be near what the connection carries, or a budget of bytes
 // would be kept on paper only.
-func TestTrafficIsNearTheConnections(t *testing.T) {
+func TestTrafficEstimateIsAccurate(t *testing.T) {
 	is := is.New(t)
 	load := engineapi.Load{RunnerID: "vm-1", MaxRunning: 16, PrefillRate: 8000, Models: []engineapi.Loaded{{Model: "m", Version: "1"}}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -44,11 +44,11 @@
 		}
 	}))
 	defer server.Close()
-	var carried atomic.Int64
+	var transferred atomic.Int64
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		var d net.Dialer
 		conn, err := d.DialContext(ctx, network, address)
-		return counted{conn, &carried}, err
+		return countingConn{conn, &transferred}, err
 	}
 	client := New(server.URL, &http.Client{Transport: &http.Transport{DialContext: dial}})
 	traffic := &Traffic{}
@@ -57,7 +57,7 @@
 		_, err := client.Load(WithTraffic(t.Context(), traffic))
 		is.NoErr(err)
 	}
-	estimate, real := float64(traffic.Bytes()-calls*packetBytes), float64(carried.Load())
-	t.Logf("%.0f bytes estimated, %.0f carried, %d calls", estimate, real, calls)
-	is.True(estimate > 0.9*real && estimate < 1.1*real)
+	estimate, actual := float64(traffic.Bytes()-calls*packetOverheadBytes), float64(transferred.Load())
+	t.Logf("%.0f bytes estimated, %.0f carried, %d calls", estimate, actual, calls)
+	is.True(estimate > 0.9*actual && estimate < 1.1*actual)
 }
