--- a/daemon/dispatch/dispatch_test.go
+++ b/daemon/dispatch/dispatch_test.go
@@ -68,7 +68,7 @@
 func (w *world) Load(_ context.Context, address string) (engineapi.Load, error) {
 	return engineapi.Load{
 		MaxRunning: 2, KVBlocksTotal: 1000, KVBlocksFree: 1000, PrefillRate: 1000, DecodeRate: 50,
-		Models: []engineapi.Loaded{{Model: "m", Version: "1"}},
+		Models: []engineapi.LoadedModel{{Model: "m", Version: "1"}},
 	}, nil
 }
 
--- a/daemon/orders/rollout_test.go
+++ b/daemon/orders/rollout_test.go
@@ -27,7 +27,7 @@
 }
 
 func loading(l engineapi.Load) bool {
-	return slices.ContainsFunc(l.Models, func(m engineapi.Loaded) bool { return m.Loading })
+	return slices.ContainsFunc(l.Models, func(m engineapi.LoadedModel) bool { return m.Loading })
 }
 
 // An operator changes a model's version. Callers must not see capacity fall: at
--- a/daemon/orders/world_test.go
+++ b/daemon/orders/world_test.go
@@ -189,7 +189,7 @@
 }
 
 func holds(l engineapi.Load, version string) bool {
-	return slices.ContainsFunc(l.Models, func(m engineapi.Loaded) bool { return m.Version == version && !m.Loading })
+	return slices.ContainsFunc(l.Models, func(m engineapi.LoadedModel) bool { return m.Version == version && !m.Loading })
 }
 
 func (w *world) orders() []given {
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -14,7 +14,7 @@
 
 // control is what orders and notices change.
 type control struct {
-	models   []engineapi.Loaded
+	models   []engineapi.LoadedModel
 	loads    []load
 	role     string
 	fencing  uint64
@@ -77,7 +77,7 @@
 // Dead reports whether the engine is gone.
 func (c *Core) Dead() bool { return c.control.dead }
 
-func (c *control) find(model, version string) *engineapi.Loaded {
+func (c *control) find(model, version string) *engineapi.LoadedModel {
 	for i := range c.models {
 		if c.models[i].Model == model && (version == "" || c.models[i].Version == version) {
 			return &c.models[i]
@@ -115,7 +115,7 @@
 		ready = ready.Add(c.cfg.Transfer(now, o))
 	}
 	if c.control.find(o.Model, o.Version) == nil {
-		c.control.models = append(c.control.models, engineapi.Loaded{Model: o.Model, Version: o.Version, Loading: true})
+		c.control.models = append(c.control.models, engineapi.LoadedModel{Model: o.Model, Version: o.Version, Loading: true})
 	}
 	c.control.loads = append(c.control.loads, load{model: o.Model, version: o.Version, adapter: o.Adapter, ready: ready})
 }
@@ -138,7 +138,7 @@
 			loaded.Adapters = slices.DeleteFunc(slices.Clone(loaded.Adapters), func(a string) bool { return a == o.Adapter })
 		}
 	} else {
-		c.models = slices.DeleteFunc(c.models, func(m engineapi.Loaded) bool {
+		c.models = slices.DeleteFunc(c.models, func(m engineapi.LoadedModel) bool {
 			return m.Model == o.Model && m.Version == o.Version
 		})
 	}
--- a/standin/engine/core.go
+++ b/standin/engine/core.go
@@ -14,7 +14,7 @@
 type Config struct {
 	RunnerID string
 	// Models are loaded at the start.
-	Models []engineapi.Loaded
+	Models []engineapi.LoadedModel
 	// PrefillRate is in tokens per second.
 	PrefillRate float64
 	// StepTime is one decode step of the whole batch.
@@ -59,7 +59,7 @@
 func DefaultConfig(runnerID, model, version string) Config {
 	return Config{
 		RunnerID:        runnerID,
-		Models:          []engineapi.Loaded{{Model: model, Version: version}},
+		Models:          []engineapi.LoadedModel{{Model: model, Version: version}},
 		PrefillRate:     8000,
 		StepTime:        20 * time.Millisecond,
 		ChunkTokens:     512,
--- a/standin/fleet/settings.go
+++ b/standin/fleet/settings.go
@@ -210,7 +210,7 @@
 	cfg := engine.DefaultConfig(runnerID, "", "")
 	cfg.Models = nil
 	for _, m := range models {
-		cfg.Models = append(cfg.Models, engineapi.Loaded{Model: m.Name, Version: m.Version, Adapters: m.Adapters})
+		cfg.Models = append(cfg.Models, engineapi.LoadedModel{Model: m.Name, Version: m.Version, Adapters: m.Adapters})
 	}
 	e := s.Engine
 	set(&cfg.PrefillRate, e.PrefillTokensPerSecond)
--- a/transport/engine/traffic_test.go
+++ b/transport/engine/traffic_test.go
@@ -36,7 +36,7 @@
 // would be kept on paper only.
 func TestTrafficEstimateIsAccurate(t *testing.T) {
 	is := is.New(t)
-	load := engineapi.Load{RunnerID: "vm-1", MaxRunning: 16, PrefillRate: 8000, Models: []engineapi.Loaded{{Model: "m", Version: "1"}}}
+	load := engineapi.Load{RunnerID: "vm-1", MaxRunning: 16, PrefillRate: 8000, Models: []engineapi.LoadedModel{{Model: "m", Version: "1"}}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", contentType)
 		if err := json.NewEncoder(w).Encode(load); err != nil {
--- a/transport/engineapi/engineapi.go
+++ b/transport/engineapi/engineapi.go
@@ -78,17 +78,17 @@
 	KVBlocksFree  int     `json:"kv_blocks_free"`
 	PrefillRate   float64 `json:"prefill_tokens_per_second"`
 	// DecodeRate is of one sequence.
-	DecodeRate float64  `json:"decode_tokens_per_second"`
-	Models     []Loaded `json:"models"`
-	Role       string   `json:"role,omitempty"`
+	DecodeRate float64       `json:"decode_tokens_per_second"`
+	Models     []LoadedModel `json:"models"`
+	Role       string        `json:"role,omitempty"`
 	// Leaving says that the VM has been told to go.
 	Leaving bool `json:"leaving,omitempty"`
 	// DeadlineMillis is the time left until then; meaningless unless Leaving.
 	DeadlineMillis int64 `json:"deadline_ms,omitempty"`
 }
 
-// Loaded is one model or adapter in an engine's memory.
-type Loaded struct {
+// LoadedModel is one model or adapter in an engine's memory.
+type LoadedModel struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
