--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -29,7 +29,7 @@
 	// HeaderNotExecuted set to "1" is a runner's word that it did not run the
 	// call.
 	HeaderNotExecuted = "X-Not-Executed"
-	notExecuted       = "1"
+	notExecutedValue  = "1"
 	idempotencyKey    = "Idempotency-Key"
 )
 
@@ -61,8 +61,8 @@
 
 // Sender sends actions. It is safe for concurrent use.
 type Sender struct {
-	cfg    Config
-	shared *http.Transport
+	cfg             Config
+	sharedTransport *http.Transport
 }
 
 // New returns a sender.
@@ -70,7 +70,7 @@
 	if cfg.Dial == nil {
 		cfg.Dial = DefaultConfig().Dial
 	}
-	return &Sender{cfg: cfg, shared: &http.Transport{DialContext: cfg.Dial}}
+	return &Sender{cfg: cfg, sharedTransport: &http.Transport{DialContext: cfg.Dial}}
 }
 
 // AnswerTooLargeError says that a runner's answer was over the bound.
@@ -88,25 +88,25 @@
 // the action runs twice. A transport of its own without keep-alive never
 // reuses a connection, and the header stays behind; each guard is enough alone.
 func (s *Sender) Send(ctx context.Context, address string, id actionkey.ID, c call.ServiceCall) action.Result {
-	req, err := request(ctx, address, id, c)
+	req, err := newRequest(ctx, address, id, c)
 	if err != nil {
-		return refused(refusal.New(refusal.BadRequest, "%v", err))
+		return refusedResult(refusal.New(refusal.BadRequest, "%v", err))
 	}
 	if s.cfg.ReuseConnections {
 		req.Header.Set(idempotencyKey, id.Key)
-		return s.roundTrip(s.shared, req, new(atomic.Bool))
+		return s.roundTrip(s.sharedTransport, req, new(atomic.Bool))
 	}
 	var connected atomic.Bool
 	transport := &http.Transport{
 		DisableKeepAlives: true,
-		DialContext:       s.dialOnce(&connected),
+		DialContext:       s.singleDialer(&connected),
 	}
 	return s.roundTrip(transport, req, &connected)
 }
 
-// dialOnce dials at most once, so that the transport can't open a second
+// singleDialer dials at most once, so that the transport can't open a second
 // connection for the same action.
-func (s *Sender) dialOnce(connected *atomic.Bool) DialFunc {
+func (s *Sender) singleDialer(connected *atomic.Bool) DialFunc {
 	var dialed atomic.Bool
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if dialed.Swap(true) {
@@ -134,17 +134,17 @@
 		if !connected.Load() && !s.cfg.ReuseConnections {
 			// Without a connection no byte can have reached the runner. A dial
 			// that succeeds after RoundTrip gave up is closed unused.
-			return refused(refusal.New(refusal.NoRunner, "connect: %v", err))
+			return refusedResult(refusal.New(refusal.NoRunner, "connect: %v", err))
 		}
-		return refused(refusal.New(refusal.RunnerFailed, "no answer: %v", err).Unknown())
+		return refusedResult(refusal.New(refusal.RunnerFailed, "no answer: %v", err).Unknown())
 	}
 	defer resp.Body.Close()
-	if resp.Header.Get(HeaderNotExecuted) == notExecuted {
-		return refused(refusal.New(refusal.RunnerRefused, "runner answered %d and did not run it", resp.StatusCode))
+	if resp.Header.Get(HeaderNotExecuted) == notExecutedValue {
+		return refusedResult(refusal.New(refusal.RunnerRefused, "runner answered %d and did not run it", resp.StatusCode))
 	}
 	body, err := s.readBody(resp.Body)
 	if err != nil {
-		return refused(refusal.New(refusal.RunnerFailed, "answer broke off: %v", err).Unknown())
+		return refusedResult(refusal.New(refusal.RunnerFailed, "answer broke off: %v", err).Unknown())
 	}
 	return action.Result{Answer: call.Answer{
 		Status:  resp.StatusCode,
@@ -164,16 +164,16 @@
 	return body, nil
 }
 
-func refused(r *refusal.Refusal) action.Result { return action.Result{Refusal: r} }
+func refusedResult(r *refusal.Refusal) action.Result { return action.Result{Refusal: r} }
 
-// TargetError says that a call's path doesn't name a resource of the runner.
-type TargetError struct{ Path string }
+// InvalidPathError says that a call's path doesn't name a resource of the runner.
+type InvalidPathError struct{ Path string }
 
-func (e *TargetError) Error() string { return fmt.Sprintf("path %q is not absolute", e.Path) }
+func (e *InvalidPathError) Error() string { return fmt.Sprintf("path %q is not absolute", e.Path) }
 
-func request(ctx context.Context, address string, id actionkey.ID, c call.ServiceCall) (*http.Request, error) {
+func newRequest(ctx context.Context, address string, id actionkey.ID, c call.ServiceCall) (*http.Request, error) {
 	if !strings.HasPrefix(c.Path, "/") {
-		return nil, &TargetError{Path: c.Path}
+		return nil, &InvalidPathError{Path: c.Path}
 	}
 	target, err := url.Parse("http://" + address + c.Path)
 	if err != nil {
@@ -188,7 +188,7 @@
 		return nil, fmt.Errorf("make request: %w", err)
 	}
 	for _, h := range c.Headers {
-		if !hopByHop(h.Name) && !strings.EqualFold(h.Name, idempotencyKey) {
+		if !isHopByHop(h.Name) && !strings.EqualFold(h.Name, idempotencyKey) {
 			req.Header.Add(h.Name, h.Value)
 		}
 	}
@@ -199,8 +199,8 @@
 	return req, nil
 }
 
-// hopByHop tells headers that concern one connection only (RFC 9110, 7.6.1).
-func hopByHop(name string) bool {
+// isHopByHop tells headers that concern one connection only (RFC 9110, 7.6.1).
+func isHopByHop(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 		"Content-Length", "Host", "Expect":
@@ -212,7 +212,7 @@
 func answerHeaders(h http.Header) []call.Header {
 	var out []call.Header
 	for _, name := range slices.Sorted(maps.Keys(h)) {
-		if hopByHop(name) {
+		if isHopByHop(name) {
 			continue
 		}
 		for _, v := range h[name] {
--- a/transport/dispatch/dispatch_test.go
+++ b/transport/dispatch/dispatch_test.go
@@ -21,8 +21,8 @@
 // breakingRunner counts the requests that it has read whole; the first on each
 // connection is answered, the second breaks the connection.
 type breakingRunner struct {
-	listener net.Listener
-	read     atomic.Int32
+	listener     net.Listener
+	requestsRead atomic.Int32
 	// breakFirst breaks the connection at the first request already.
 	breakFirst bool
 }
@@ -62,7 +62,7 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		r.read.Add(1)
+		r.requestsRead.Add(1)
 		if !first || r.breakFirst {
 			return
 		}
@@ -70,11 +70,11 @@
 	}
 }
 
-func id(suffix string) actionkey.ID { return actionkey.ID{Workspace: "huaman", Key: suffix} }
+func actionID(suffix string) actionkey.ID { return actionkey.ID{Workspace: "huaman", Key: suffix} }
 
 func send(s *dispatch.Sender, address, key string, body []byte) action.Result {
 	c := call.ServiceCall{Service: "casos", Method: http.MethodPost, Path: "/pledges", Body: body}
-	return s.Send(context.Background(), address, id(key), c)
+	return s.Send(context.Background(), address, actionID(key), c)
 }
 
 // Story: a finder pledges a bounty once and is charged twice. The runner read
@@ -92,7 +92,7 @@
 
 		is.Equal(first.Executed(), refusal.ExecutedYes)
 		is.Equal(second.Executed(), refusal.ExecutedYes) // a connection of its own
-		is.Equal(runner.read.Load(), int32(2))
+		is.Equal(runner.requestsRead.Load(), int32(2))
 	}
 }
 
@@ -105,7 +105,7 @@
 	got := send(dispatch.New(dispatch.DefaultConfig()), runner.address(), "one", nil)
 
 	is.Equal(got.Executed(), refusal.ExecutedUnknown)
-	is.Equal(runner.read.Load(), int32(1))
+	is.Equal(runner.requestsRead.Load(), int32(1))
 }
 
 // With the guard broken on purpose, the same runner reads the action twice:
@@ -120,7 +120,7 @@
 	send(s, runner.address(), "one", nil)
 	send(s, runner.address(), "two", nil)
 
-	is.Equal(runner.read.Load(), int32(3)) // "two" was read on the old connection and on a new one
+	is.Equal(runner.requestsRead.Load(), int32(3)) // "two" was read on the old connection and on a new one
 }
 
 // Story: a caller is told "unknown" and rings the desk, though its booking
@@ -166,7 +166,7 @@
 	is.Equal(calls.Load(), int32(1))
 }
 
-func TestRunnersOwnRefusalIsNotExecuted(t *testing.T) {
+func TestRunnerRefusalIsNotExecuted(t *testing.T) {
 	is := is.New(t)
 	address := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(dispatch.HeaderNotExecuted, "1")
@@ -181,7 +181,7 @@
 
 // Story: a caller gets half an answer as if it were whole. The runner's
 // connection broke in the middle of the body.
-func TestHalfAnswerIsUnknown(t *testing.T) {
+func TestTruncatedAnswerIsUnknown(t *testing.T) {
 	is := is.New(t)
 	address := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
