--- a/standin/kvserver/http.go
+++ b/standin/kvserver/http.go
@@ -133,7 +133,7 @@
 	case errors.As(err, &tooLarge):
 		return http.StatusRequestEntityTooLarge, kv.ErrorBody{Code: kv.CodeTooLarge, Size: tooLarge.Size, Limit: tooLarge.Limit}
 	case errors.As(err, &compacted):
-		return http.StatusGone, kv.ErrorBody{Code: kv.CodeCompacted, Old: compacted.Oldest, Now: compacted.Current}
+		return http.StatusGone, kv.ErrorBody{Code: kv.CodeCompacted, OldestRevision: compacted.Oldest, CurrentRevision: compacted.Current}
 	default:
 		return http.StatusServiceUnavailable, kv.ErrorBody{Code: kv.CodeUnavailable}
 	}
--- a/transport/kv/client.go
+++ b/transport/kv/client.go
@@ -87,11 +87,11 @@
 func (c *httpClient) call(ctx context.Context, timeout time.Duration, path string, request, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return failure(c.json.Do(ctx, http.MethodPost, path, request, answer))
+	return typedError(c.json.Do(ctx, http.MethodPost, path, request, answer))
 }
 
-// failure finds the protocol's error in an answer; what is none of it, or no
+// typedError finds the protocol's error in an answer; what is none of it, or no
 // answer at all, leaves the outcome open.
-func failure(err error) error {
+func typedError(err error) error {
 	return jsoncall.Failure[ErrorBody](err, func(err error) error { return &UnavailableError{Err: err} })
 }
--- a/transport/kv/client_test.go
+++ b/transport/kv/client_test.go
@@ -18,8 +18,8 @@
 
 const address = "10.0.0.1:2379"
 
-// bubble runs a test in virtual time with a client of a service.
-func bubble(t *testing.T, test func(is *is.I, n *pipe.Network, s *kvserver.Store, c kv.Store)) {
+// withStore runs a test in virtual time with a client of a service.
+func withStore(t *testing.T, test func(is *is.I, n *pipe.Network, s *kvserver.Store, c kv.Store)) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := pipe.NewNetwork()
@@ -40,8 +40,8 @@
 // service is well. All its idle connections went silent at once and each call
 // picked another of them. After the first timeout the client drops them all,
 // and the next call goes through on a new one.
-func TestIdleConnectionsGoneSilent(t *testing.T) {
-	bubble(t, func(is *is.I, n *pipe.Network, s *kvserver.Store, c kv.Store) {
+func TestSilentIdleConnectionsAreDropped(t *testing.T) {
+	withStore(t, func(is *is.I, n *pipe.Network, s *kvserver.Store, c kv.Store) {
 		ctx := context.Background()
 		s.SetFaults(kvserver.Faults{DelayMillis: 10})
 		var calls sync.WaitGroup
@@ -65,7 +65,7 @@
 // failed. The service was slow and carried it out later; a write whose outcome
 // is open may take effect even after the caller reads back.
 func TestWriteTakesEffectAfterTimeout(t *testing.T) {
-	bubble(t, func(is *is.I, n *pipe.Network, s *kvserver.Store, c kv.Store) {
+	withStore(t, func(is *is.I, n *pipe.Network, s *kvserver.Store, c kv.Store) {
 		ctx := context.Background()
 		s.SetFaults(kvserver.Faults{DelayMillis: 5000, LateEffects: true})
 		_, err := c.CompareAndSwap(ctx, "head", 0, []byte("x"), 0)
--- a/transport/kv/history_test.go
+++ b/transport/kv/history_test.go
@@ -19,14 +19,14 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// swap is one call on a key: from and to are values, each written once.
+// operation is one call on a key: from and to are values, each written once.
 // A read has an empty to.
-type swap struct{ key, from, to string }
+type operation struct{ key, from, to string }
 
-// result is what the caller was told.
-type result struct {
-	value string
-	open  bool
+// outcome is what the caller was told.
+type outcome struct {
+	value   string
+	unknown bool
 }
 
 // register is a key with compare-and-swap. An open outcome that never took
@@ -36,7 +36,7 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
 		for _, op := range history {
-			key := op.Input.(swap).key
+			key := op.Input.(operation).key
 			byKey[key] = append(byKey[key], op)
 		}
 		var parts [][]porcupine.Operation
@@ -47,24 +47,24 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		stands, call, told := state.(string), input.(swap), output.(result)
-		after := stands
-		if call.to != "" && call.from == stands {
+		current, call, observed := state.(string), input.(operation), output.(outcome)
+		after := current
+		if call.to != "" && call.from == current {
 			after = call.to
 		}
-		return told.open || told.value == after, after
+		return observed.unknown || observed.value == after, after
 	},
 }
 
 // history records calls with the order in which they began and ended.
 type history struct {
-	clock atomic.Int64
-	mu    sync.Mutex
-	ops   []porcupine.Operation
-	open  int
+	clock   atomic.Int64
+	mu      sync.Mutex
+	ops     []porcupine.Operation
+	unknown int
 }
 
-func (h *history) do(client int, call swap, run func() (string, error)) {
+func (h *history) record(client int, call operation, run func() (string, error)) {
 	op := porcupine.Operation{ClientId: client, Input: call, Call: h.clock.Add(1)}
 	value, err := run()
 	op.Return = h.clock.Add(1)
@@ -74,16 +74,16 @@
 		if call.to == "" {
 			return
 		}
-		h.open++
+		h.unknown++
 		op.Return = math.MaxInt64
 	}
-	op.Output = result{value: value, open: err != nil}
+	op.Output = outcome{value: value, unknown: err != nil}
 	h.ops = append(h.ops, op)
 }
 
-// write swaps what a client last read for a value of its own.
-func write(ctx context.Context, c kv.Store, stands kv.Entry, value string) (string, error) {
-	_, err := c.CompareAndSwap(ctx, stands.Key, stands.Revision, []byte(value), 0)
+// compareAndSwap swaps what a client last read for a value of its own.
+func compareAndSwap(ctx context.Context, c kv.Store, current kv.Entry, value string) (string, error) {
+	_, err := c.CompareAndSwap(ctx, current.Key, current.Revision, []byte(value), 0)
 	var conflict *kv.ConflictError
 	if errors.As(err, &conflict) {
 		return string(conflict.Current.Value), nil
@@ -91,30 +91,30 @@
 	return value, err
 }
 
-func work(h *history, c kv.Store, client int, seed uint64) {
+func runClient(h *history, c kv.Store, client int, seed uint64) {
 	ctx := context.Background()
 	random := rand.New(rand.NewPCG(seed, uint64(client)))
 	for i := range 40 {
 		key := fmt.Sprint("k", random.IntN(2))
-		var stands kv.Entry
-		h.do(client, swap{key: key}, func() (string, error) {
+		var current kv.Entry
+		h.record(client, operation{key: key}, func() (string, error) {
 			var err error
-			stands, err = c.Get(ctx, key)
-			return string(stands.Value), err
+			current, err = c.Get(ctx, key)
+			return string(current.Value), err
 		})
 		time.Sleep(time.Duration(random.IntN(50)) * time.Millisecond)
-		if stands.Key == "" {
+		if current.Key == "" {
 			continue
 		}
 		value := fmt.Sprintf("%d.%d", client, i)
-		h.do(client, swap{key: key, from: string(stands.Value), to: value}, func() (string, error) {
-			return write(ctx, c, stands, value)
+		h.record(client, operation{key: key, from: string(current.Value), to: value}, func() (string, error) {
+			return compareAndSwap(ctx, c, current, value)
 		})
 	}
 }
 
-// disturb switches faults on and off while clients work.
-func disturb(s *kvserver.Store, n *pipe.Network, seed uint64) {
+// injectFaults switches faults on and off while clients work.
+func injectFaults(s *kvserver.Store, n *pipe.Network, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, math.MaxUint64))
 	for range 30 {
 		time.Sleep(200 * time.Millisecond)
@@ -137,22 +137,22 @@
 // Clients that race for two keys through outages, slowness, lost answers and
 // silent connections are told nothing that a single register could not tell.
 func TestHistoriesAreLinearizable(t *testing.T) {
-	open := 0
+	unknown := 0
 	for seed := range uint64(8) {
-		bubble(t, func(is *is.I, n *pipe.Network, s *kvserver.Store, c kv.Store) {
+		withStore(t, func(is *is.I, n *pipe.Network, s *kvserver.Store, c kv.Store) {
 			h := &history{}
 			var all sync.WaitGroup
-			all.Go(func() { disturb(s, n, seed) })
+			all.Go(func() { injectFaults(s, n, seed) })
 			for client := range 4 {
-				all.Go(func() { work(h, c, client, seed) })
+				all.Go(func() { runClient(h, c, client, seed) })
 			}
 			all.Wait()
 			time.Sleep(10 * time.Second)
 			is.True(porcupine.CheckOperations(register, h.ops))
-			open += h.open
+			unknown += h.unknown
 		})
 	}
-	if open == 0 {
+	if unknown == 0 {
 		t.Fatal("no write had an open outcome: the faults were not met")
 	}
 }
--- a/transport/kv/wire.go
+++ b/transport/kv/wire.go
@@ -92,12 +92,12 @@
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
 	// Entry stands where a conflicting write wanted to go.
-	Entry *Entry   `json:"entry,omitempty"`
-	Lease LeaseID  `json:"lease,omitempty"`
-	Size  int      `json:"size,omitempty"`
-	Limit int      `json:"limit,omitempty"`
-	Old   Revision `json:"oldest_revision,omitempty"`
-	Now   Revision `json:"current_revision,omitempty"`
+	Entry           *Entry   `json:"entry,omitempty"`
+	Lease           LeaseID  `json:"lease,omitempty"`
+	Size            int      `json:"size,omitempty"`
+	Limit           int      `json:"limit,omitempty"`
+	OldestRevision  Revision `json:"oldest_revision,omitempty"`
+	CurrentRevision Revision `json:"current_revision,omitempty"`
 }
 
 // Err returns the typed error that the body stands for, nil if its code is not
@@ -114,7 +114,7 @@
 	case CodeTooLarge:
 		return &TooLargeError{Size: b.Size, Limit: b.Limit}
 	case CodeCompacted:
-		return &CompactedError{Oldest: b.Old, Current: b.Now}
+		return &CompactedError{Oldest: b.OldestRevision, Current: b.CurrentRevision}
 	default:
 		return nil
 	}
