--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -36,7 +36,7 @@
 	Seeds []string
 	Store kv.Store
 	// Lister and Cloud may be nil: no list, no notices.
-	Lister cloudapi.Lister
+	Lister cloudapi.VMLister
 	Cloud  cloudapi.Cloud
 	// HTTPClient reaches the peers; nil is http.DefaultClient.
 	HTTPClient connect.HTTPClient
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -198,7 +198,7 @@
 	})
 }
 
-func weights(base string, client *http.Client) cloudapi.Weights {
+func weights(base string, client *http.Client) cloudapi.WeightStore {
 	if base == "" {
 		return nil
 	}
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -42,9 +42,9 @@
 	Directory     view.Directory
 	Store         kv.Store
 	Cloud         cloudapi.Cloud
-	Lister        cloudapi.Lister
+	Lister        cloudapi.VMLister
 	// Weights is asked before a load; nil is no weight store to ask.
-	Weights cloudapi.Weights
+	Weights cloudapi.WeightStore
 	Engines Engines
 	Timing  lease.Timing
 	Metrics metrics.Registry
--- a/standin/cloudapi/cloud.go
+++ b/standin/cloudapi/cloud.go
@@ -93,8 +93,8 @@
 }
 
 var (
-	_ cloudapi.Cloud  = (*Cloud)(nil)
-	_ cloudapi.Lister = (*Cloud)(nil)
+	_ cloudapi.Cloud    = (*Cloud)(nil)
+	_ cloudapi.VMLister = (*Cloud)(nil)
 )
 
 // New returns a cloud without VMs.
@@ -141,7 +141,7 @@
 	}
 	class, ok := c.class(r.Class)
 	if !ok || !c.has(r.FailureDomain) {
-		return nil, false, &cloudapi.NotFoundError{What: fmt.Sprintf("class %q in %q", r.Class, r.FailureDomain)}
+		return nil, false, &cloudapi.NotFoundError{Resource: fmt.Sprintf("class %q in %q", r.Class, r.FailureDomain)}
 	}
 	if reason := c.refuses(r, class); reason != "" {
 		c.refused++
@@ -220,7 +220,7 @@
 		return err
 	}
 	if c.vms[id] == nil {
-		return &cloudapi.NotFoundError{What: id}
+		return &cloudapi.NotFoundError{Resource: id}
 	}
 	return nil
 }
@@ -413,7 +413,7 @@
 			return described, nil
 		}
 	}
-	return cloudapi.VM{}, &cloudapi.NotFoundError{What: id}
+	return cloudapi.VM{}, &cloudapi.NotFoundError{Resource: id}
 }
 
 // at is the VM as it was at t, with an empty state if it was not there.
--- a/standin/cloudapi/http.go
+++ b/standin/cloudapi/http.go
@@ -117,7 +117,7 @@
 		return
 	}
 	if !c.Kill(request.VM) {
-		write(w, nil, &cloudapi.NotFoundError{What: request.VM})
+		write(w, nil, &cloudapi.NotFoundError{Resource: request.VM})
 		return
 	}
 	write(w, jsonhttp.Empty{}, nil)
@@ -170,7 +170,7 @@
 	case errors.As(err, &refused):
 		return http.StatusConflict, cloudapi.ErrorBody{Code: cloudapi.CodeStartRefused, Message: refused.Reason}
 	case errors.As(err, &absent):
-		return http.StatusNotFound, cloudapi.ErrorBody{Code: cloudapi.CodeNotFound, Message: absent.What}
+		return http.StatusNotFound, cloudapi.ErrorBody{Code: cloudapi.CodeNotFound, Message: absent.Resource}
 	case errors.As(err, &limited):
 		return http.StatusTooManyRequests, cloudapi.ErrorBody{Code: cloudapi.CodeRateLimited, Message: err.Error(), RetryAfterMillis: ceilMillis(limited.RetryAfter)}
 	case errors.As(err, &stale):
--- a/standin/cloudapi/weights.go
+++ b/standin/cloudapi/weights.go
@@ -34,7 +34,7 @@
 	limited   int
 }
 
-var _ cloudapi.Weights = (*Weights)(nil)
+var _ cloudapi.WeightStore = (*Weights)(nil)
 
 // NewWeights returns a store that answers perSecond calls a second and burst
 // at once.
@@ -71,7 +71,7 @@
 	}
 	weight, ok := w.weights[weightKey(name, version)]
 	if !ok {
-		return cloudapi.Weight{}, &cloudapi.NotFoundError{What: fmt.Sprintf("%s version %s", name, version)}
+		return cloudapi.Weight{}, &cloudapi.NotFoundError{Resource: fmt.Sprintf("%s version %s", name, version)}
 	}
 	return weight, nil
 }
--- a/transport/cloudapi/client.go
+++ b/transport/cloudapi/client.go
@@ -22,9 +22,9 @@
 }
 
 var (
-	_ Cloud   = (*Client)(nil)
-	_ Lister  = (*Client)(nil)
-	_ Weights = (*Client)(nil)
+	_ Cloud       = (*Client)(nil)
+	_ VMLister    = (*Client)(nil)
+	_ WeightStore = (*Client)(nil)
 )
 
 // NewClient returns a client of the service at base, for example
@@ -83,11 +83,11 @@
 func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, request, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return failure(c.json.Do(ctx, method, path, request, answer))
+	return typedError(c.json.Do(ctx, method, path, request, answer))
 }
 
-// failure finds the protocol's error in an answer; what is none of it, or no
+// typedError finds the protocol's error in an answer; what is none of it, or no
 // answer at all, leaves the outcome open.
-func failure(err error) error {
+func typedError(err error) error {
 	return jsoncall.Failure[ErrorBody](err, func(err error) error { return &UnavailableError{Err: err} })
 }
--- a/transport/cloudapi/cloudapi.go
+++ b/transport/cloudapi/cloudapi.go
@@ -69,8 +69,8 @@
 	Notices(ctx context.Context, after uint64, wait time.Duration) ([]Notice, error)
 }
 
-// Lister is the lagging list of live and leaving VMs.
-type Lister interface {
+// VMLister is the lagging list of live and leaving VMs.
+type VMLister interface {
 	List(ctx context.Context) ([]VM, error)
 }
 
@@ -81,9 +81,9 @@
 	Bytes   int64  `json:"bytes"`
 }
 
-// Weights is the rate-limited weight store, as far as the control side needs
+// WeightStore is the rate-limited weight store, as far as the control side needs
 // it: whether a version is there and how large it is.
-type Weights interface {
+type WeightStore interface {
 	Stat(ctx context.Context, name, version string) (Weight, error)
 }
 
@@ -93,9 +93,9 @@
 func (e *StartRefusedError) Error() string { return fmt.Sprintf("start refused: %s", e.Reason) }
 
 // NotFoundError says that a VM or weight is not there.
-type NotFoundError struct{ What string }
+type NotFoundError struct{ Resource string }
 
-func (e *NotFoundError) Error() string { return fmt.Sprintf("not found: %s", e.What) }
+func (e *NotFoundError) Error() string { return fmt.Sprintf("not found: %s", e.Resource) }
 
 // RateLimitedError says that the weight store wants calls to wait.
 type RateLimitedError struct{ RetryAfter time.Duration }
--- a/transport/cloudapi/wire.go
+++ b/transport/cloudapi/wire.go
@@ -79,7 +79,7 @@
 	case CodeStartRefused:
 		return &StartRefusedError{Reason: b.Message}
 	case CodeNotFound:
-		return &NotFoundError{What: b.Message}
+		return &NotFoundError{Resource: b.Message}
 	case CodeRateLimited:
 		return &RateLimitedError{RetryAfter: time.Duration(b.RetryAfterMillis) * time.Millisecond}
 	case CodeStaleFencing:
