--- a/transport/cloudapi/client.go
+++ b/transport/cloudapi/client.go
@@ -89,5 +89,5 @@
 // typedError finds the protocol's error in an answer; what is none of it, or no
 // answer at all, leaves the outcome open.
 func typedError(err error) error {
-	return jsoncall.Failure[ErrorBody](err, func(err error) error { return &UnavailableError{Err: err} })
+	return jsoncall.DecodeTypedError[ErrorBody](err, func(err error) error { return &UnavailableError{Err: err} })
 }
--- a/transport/jsoncall/jsoncall.go
+++ b/transport/jsoncall/jsoncall.go
@@ -28,14 +28,14 @@
 	return fmt.Sprintf("%s: status %d: %s", e.Path, e.Status, e.Body)
 }
 
-// UnansweredError says that no answer came, or none that can be read. The call
+// NoAnswerError says that no answer came, or none that can be read. The call
 // may have taken effect.
-type UnansweredError struct{ Err error }
+type NoAnswerError struct{ Err error }
 
-func (e *UnansweredError) Error() string { return fmt.Sprintf("no answer: %v", e.Err) }
+func (e *NoAnswerError) Error() string { return fmt.Sprintf("no answer: %v", e.Err) }
 
 // Unwrap returns the cause.
-func (e *UnansweredError) Unwrap() error { return e.Err }
+func (e *NoAnswerError) Unwrap() error { return e.Err }
 
 // Client calls one service. It is safe for concurrent use.
 type Client struct {
@@ -52,11 +52,11 @@
 // idempotency header again only if none of it was written. Errors of the call
 // are *StatusError and *UnansweredError.
 func (c *Client) Do(ctx context.Context, method, path string, request, answer any) error {
-	return c.DoWith(ctx, nil, method, path, request, answer)
+	return c.DoWithHeader(ctx, nil, method, path, request, answer)
 }
 
-// DoWith is Do with header fields of the call's own.
-func (c *Client) DoWith(ctx context.Context, header http.Header, method, path string, request, answer any) error {
+// DoWithHeader is Do with header fields of the call's own.
+func (c *Client) DoWithHeader(ctx context.Context, header http.Header, method, path string, request, answer any) error {
 	r, err := c.request(ctx, method, path, request)
 	if err != nil {
 		return err
@@ -66,14 +66,14 @@
 	}
 	response, err := c.http.Do(r)
 	if err != nil {
-		c.forget(ctx)
-		return &UnansweredError{Err: err}
+		c.dropIdleConnections(ctx)
+		return &NoAnswerError{Err: err}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		c.forget(ctx)
-		return &UnansweredError{Err: err}
+		c.dropIdleConnections(ctx)
+		return &NoAnswerError{Err: err}
 	}
 	if response.StatusCode != http.StatusOK {
 		return &StatusError{Path: path, Status: response.StatusCode, Body: data}
@@ -82,7 +82,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, answer); err != nil {
-		return &UnansweredError{Err: fmt.Errorf("decode %s: %w", path, err)}
+		return &NoAnswerError{Err: fmt.Errorf("decode %s: %w", path, err)}
 	}
 	return nil
 }
@@ -106,38 +106,38 @@
 	return r, nil
 }
 
-// forget closes the idle connections after a call that ran out of time. Open
+// dropIdleConnections closes the idle connections after a call that ran out of time. Open
 // connections can go silent for good while new ones work, often all of them at
 // once; it shows in nothing but calls that get no answer. The call's own
 // connection is closed by its context, and this closes those that the next
 // calls would wait on in vain.
-func (c *Client) forget(ctx context.Context) {
+func (c *Client) dropIdleConnections(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		c.http.CloseIdleConnections()
 	}
 }
 
-// TypedBody is the body of a protocol's answer other than 200.
-type TypedBody interface {
+// TypedErrorBody is the body of a protocol's answer other than 200.
+type TypedErrorBody interface {
 	// Err is the error that the body stands for, nil if it is none that is known.
 	Err() error
 }
 
-// Failure finds the protocol's error of type B in what a call returned. Anything else,
+// DecodeTypedError finds the protocol's error of type B in what a call returned. Anything else,
 // and no answer at all, is what unknown makes of it.
-func Failure[B TypedBody](err error, unknown func(error) error) error {
+func DecodeTypedError[B TypedErrorBody](err error, wrapUnknown func(error) error) error {
 	if err == nil {
 		return nil
 	}
 	var status *StatusError
 	if !errors.As(err, &status) {
-		return unknown(err)
+		return wrapUnknown(err)
 	}
 	var body B
 	if json.Unmarshal(status.Body, &body) == nil {
-		if known := body.Err(); known != nil {
-			return known
+		if typed := body.Err(); typed != nil {
+			return typed
 		}
 	}
-	return unknown(status)
+	return wrapUnknown(status)
 }
--- a/transport/kv/client.go
+++ b/transport/kv/client.go
@@ -93,5 +93,5 @@
 // typedError finds the protocol's error in an answer; what is none of it, or no
 // answer at all, leaves the outcome open.
 func typedError(err error) error {
-	return jsoncall.Failure[ErrorBody](err, func(err error) error { return &UnavailableError{Err: err} })
+	return jsoncall.DecodeTypedError[ErrorBody](err, func(err error) error { return &UnavailableError{Err: err} })
 }
