--- a/transport/tlsreload/tlsreload.go
+++ b/transport/tlsreload/tlsreload.go
@@ -33,11 +33,11 @@
 
 // SourceError says that a certificate or key can't be used.
 type SourceError struct {
-	What string
+	Part string
 	Err  error
 }
 
-func (e *SourceError) Error() string { return fmt.Sprintf("TLS %s: %v", e.What, e.Err) }
+func (e *SourceError) Error() string { return fmt.Sprintf("TLS %s: %v", e.Part, e.Err) }
 
 // Unwrap returns the cause; nil where there is nothing to read.
 func (e *SourceError) Unwrap() error { return e.Err }
@@ -46,10 +46,10 @@
 type Reloader struct {
 	source      Source
 	authorities *x509.CertPool
-	current     atomic.Pointer[loaded]
+	current     atomic.Pointer[loadedCertificate]
 }
 
-type loaded struct {
+type loadedCertificate struct {
 	certificatePEM []byte
 	keyPEM         []byte
 	certificate    tls.Certificate
@@ -61,7 +61,7 @@
 	if source.AuthoritiesPEM != "" {
 		r.authorities = x509.NewCertPool()
 		if !r.authorities.AppendCertsFromPEM([]byte(source.AuthoritiesPEM)) {
-			return nil, &SourceError{What: "authorities: no certificate in the PEM"}
+			return nil, &SourceError{Part: "authorities: no certificate in the PEM"}
 		}
 	}
 	if _, err := r.Reload(); err != nil {
@@ -75,33 +75,33 @@
 // that are replaced one after the other: a certificate without its key is
 // refused here and read again at the next look.
 func (r *Reloader) Reload() (bool, error) {
-	certificatePEM, err := read(r.source.CertificateFile, r.source.CertificatePEM, "certificate")
+	certificatePEM, err := readPEM(r.source.CertificateFile, r.source.CertificatePEM, "certificate")
 	if err != nil {
 		return false, err
 	}
-	keyPEM, err := read(r.source.KeyFile, r.source.KeyPEM, "key")
+	keyPEM, err := readPEM(r.source.KeyFile, r.source.KeyPEM, "key")
 	if err != nil {
 		return false, err
 	}
-	former := r.current.Load()
-	if former != nil && bytes.Equal(former.certificatePEM, certificatePEM) && bytes.Equal(former.keyPEM, keyPEM) {
+	previous := r.current.Load()
+	if previous != nil && bytes.Equal(previous.certificatePEM, certificatePEM) && bytes.Equal(previous.keyPEM, keyPEM) {
 		return false, nil
 	}
 	certificate, err := tls.X509KeyPair(certificatePEM, keyPEM)
 	if err != nil {
-		return false, &SourceError{What: "key pair", Err: err}
+		return false, &SourceError{Part: "key pair", Err: err}
 	}
-	r.current.Store(&loaded{certificatePEM, keyPEM, certificate})
+	r.current.Store(&loadedCertificate{certificatePEM, keyPEM, certificate})
 	return true, nil
 }
 
-func read(file, inline, what string) ([]byte, error) {
+func readPEM(file, inline, what string) ([]byte, error) {
 	if file == "" {
 		return []byte(inline), nil
 	}
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &SourceError{What: what, Err: err}
+		return nil, &SourceError{Part: what, Err: err}
 	}
 	return data, nil
 }
--- a/transport/tlsreload/tlsreload_test.go
+++ b/transport/tlsreload/tlsreload_test.go
@@ -23,8 +23,8 @@
 	"geraniumstack.org/geraniumstack/transport/tlsreload"
 )
 
-// pair makes a self-signed certificate with its own serial number.
-func pair(t *testing.T, serial int64) (certificate, key string) {
+// newCertificate makes a self-signed certificate with its own serial number.
+func newCertificate(t *testing.T, serial int64) (certificate, key string) {
 	t.Helper()
 	is := is.New(t)
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -42,13 +42,13 @@
 	return certificate, string(pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: encoded}))
 }
 
-// served returns the serial number that a new connection is shown.
-func served(t *testing.T, server, client *tls.Config) int64 {
+// presentedSerial returns the serial number that a new connection is shown.
+func presentedSerial(t *testing.T, server, client *tls.Config) int64 {
 	t.Helper()
 	is := is.New(t)
-	near, far := net.Pipe()
-	go func() { _ = tls.Server(far, server).Handshake() }()
-	connection := tls.Client(near, client)
+	clientConn, serverConn := net.Pipe()
+	go func() { _ = tls.Server(serverConn, server).Handshake() }()
+	connection := tls.Client(clientConn, client)
 	is.NoErr(connection.Handshake())
 	return connection.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
 }
@@ -63,7 +63,7 @@
 		source := tlsreload.Source{
 			CertificateFile: filepath.Join(dir, "tls.crt"), KeyFile: filepath.Join(dir, "tls.key"),
 		}
-		certificate, key := pair(t, 1)
+		certificate, key := newCertificate(t, 1)
 		is.NoErr(os.WriteFile(source.CertificateFile, []byte(certificate), 0o600))
 		is.NoErr(os.WriteFile(source.KeyFile, []byte(key), 0o600))
 		r, err := tlsreload.New(source)
@@ -72,38 +72,38 @@
 		defer cancel()
 		go r.Run(ctx, tlsreload.DefaultInterval)
 		server, client := r.ServerConfig(), &tls.Config{InsecureSkipVerify: true}
-		is.Equal(served(t, server, client), int64(1))
+		is.Equal(presentedSerial(t, server, client), int64(1))
 
-		certificate, key = pair(t, 2)
+		certificate, key = newCertificate(t, 2)
 		is.NoErr(os.WriteFile(source.CertificateFile, []byte(certificate), 0o600))
 		time.Sleep(tlsreload.DefaultInterval + time.Second)
-		is.Equal(served(t, server, client), int64(1)) // the key is still the former one's
+		is.Equal(presentedSerial(t, server, client), int64(1)) // the key is still the former one's
 		is.NoErr(os.WriteFile(source.KeyFile, []byte(key), 0o600))
 		time.Sleep(tlsreload.DefaultInterval + time.Second)
-		is.Equal(served(t, server, client), int64(2))
+		is.Equal(presentedSerial(t, server, client), int64(2))
 	})
 }
 
 func TestDaemonsVerifyEachOther(t *testing.T) {
 	is := is.New(t)
-	certificate, key := pair(t, 7)
+	certificate, key := newCertificate(t, 7)
 	r, err := tlsreload.New(tlsreload.Source{CertificatePEM: certificate, KeyPEM: key, AuthoritiesPEM: certificate})
 	is.NoErr(err)
 	client := r.ClientConfig()
 	client.ServerName = "127.0.0.1"
-	is.Equal(served(t, r.ServerConfig(), client), int64(7))
+	is.Equal(presentedSerial(t, r.ServerConfig(), client), int64(7))
 }
 
-func TestUnusableSource(t *testing.T) {
+func TestInvalidSource(t *testing.T) {
 	is := is.New(t)
-	certificate, _ := pair(t, 1)
-	_, key := pair(t, 2)
+	certificate, _ := newCertificate(t, 1)
+	_, key := newCertificate(t, 2)
 	for _, source := range []tlsreload.Source{
 		{}, {CertificatePEM: certificate, KeyPEM: key},
 		{CertificateFile: "absent"}, {AuthoritiesPEM: "none"},
 	} {
 		_, err := tlsreload.New(source)
-		var unusable *tlsreload.SourceError
-		is.True(errors.As(err, &unusable))
+		var sourceErr *tlsreload.SourceError
+		is.True(errors.As(err, &sourceErr))
 	}
 }
