--- a/daemon/dispatch/dispatch_test.go
+++ b/daemon/dispatch/dispatch_test.go
@@ -71,7 +71,7 @@
 func (env *fakeEnvironment) Load(_ context.Context, address string) (engineapi.Load, error) {
 	return engineapi.Load{
 		MaxRunning: 2, KVBlocksTotal: 1000, KVBlocksFree: 1000, PrefillRate: 1000, DecodeRate: 50,
-		Models: []engineapi.Loaded{{Model: "m", Version: "1"}},
+		Models: []engineapi.LoadedModel{{Model: "m", Version: "1"}},
 	}, nil
 }
 
--- a/daemon/dispatch/poll_budget_test.go
+++ b/daemon/dispatch/poll_budget_test.go
@@ -34,14 +34,14 @@
 func (fleet *largeFleet) Daemons() []view.Daemon { return fleet.daemons }
 
 func (fleet *largeFleet) Load(ctx context.Context, address string) (engineapi.Load, error) {
-	engine.TrafficOf(ctx).Add(loadReportBytes)
+	engine.TrafficFromContext(ctx).Add(loadReportBytes)
 	return fleet.fakeEnvironment.Load(ctx, address)
 }
 
 // CacheEvents returns a full page on each call. Between two calls, more events
 // occur than fit into one page.
 func (fleet *largeFleet) CacheEvents(ctx context.Context, _ string, from uint64, limit int) (engineapi.CacheEvents, error) {
-	engine.TrafficOf(ctx).Add(eventPageBytes)
+	engine.TrafficFromContext(ctx).Add(eventPageBytes)
 	first := from + 10_000
 	return engineapi.CacheEvents{First: first, Next: first + uint64(limit)}, nil
 }
--- a/daemon/models/engines.go
+++ b/daemon/models/engines.go
@@ -14,12 +14,12 @@
 
 // closeCause returns the reason why an attempt's stream ended.
 func closeCause(err error) request.Cause {
-	var failed *engine.FailedError
+	var failed *engine.AttemptFailedError
 	var reported *EngineFailedError
 	var refused *engine.RefusedError
 	var connect *engine.ConnectError
-	var silent *engine.SilentError
-	var malformed *engine.MalformedError
+	var silent *engine.StreamIdleError
+	var malformed *engine.MalformedAnswerError
 	switch {
 	case errors.As(err, &failed), errors.As(err, &reported):
 		return request.EngineError
--- a/daemon/orders/harness_test.go
+++ b/daemon/orders/harness_test.go
@@ -194,7 +194,7 @@
 }
 
 func hasLoaded(l engineapi.Load, version string) bool {
-	return slices.ContainsFunc(l.Models, func(m engineapi.Loaded) bool { return m.Version == version && !m.Loading })
+	return slices.ContainsFunc(l.Models, func(m engineapi.LoadedModel) bool { return m.Version == version && !m.Loading })
 }
 
 func (c *cluster) deliveredOrders() []delivered {
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -47,10 +47,10 @@
 	Directory     view.Directory
 	Store         kv.Store
 	Cloud         cloudapi.Cloud
-	Lister        cloudapi.Lister
+	Lister        cloudapi.VMLister
 	// Weights is queried before a load is ordered. If it is nil, there is no
 	// weight store to query.
-	Weights cloudapi.Weights
+	Weights cloudapi.WeightStore
 	Engines Engines
 	Timing  lease.Timing
 	Metrics metrics.Registry
--- a/daemon/orders/rollout_test.go
+++ b/daemon/orders/rollout_test.go
@@ -28,7 +28,7 @@
 }
 
 func isLoading(l engineapi.Load) bool {
-	return slices.ContainsFunc(l.Models, func(m engineapi.Loaded) bool { return m.Loading })
+	return slices.ContainsFunc(l.Models, func(m engineapi.LoadedModel) bool { return m.Loading })
 }
 
 // An operator changes a model's version. Capacity must not drop: at most a quarter
