--- a/daemon/dispatch/grant.go
+++ b/daemon/dispatch/grant.go
@@ -73,23 +73,23 @@
 // estimateOutput sets the expected number of output tokens from the statistics
 // of the class and returns the expected decode time. The caller holds s.mu.
 func (s *service) estimateOutput(g *grant, class *manifest.Class) time.Duration {
-	l, ok := s.outputStatsByClass[class.Name]
+	stats, ok := s.outputStatsByClass[class.Name]
 	if !ok {
 		return time.Duration(g.request.OutputTokens) * time.Duration(class.TBTMillis) * time.Millisecond
 	}
-	g.request.OutputTokens = min(g.request.OutputTokens, int(l.tokens)+1)
+	g.request.OutputTokens = min(g.request.OutputTokens, int(stats.tokens)+1)
 	g.request.Long = g.request.Long || g.request.OutputTokens >= longOutputTokens
-	return time.Duration(g.request.OutputTokens) * l.tokenInterval
+	return time.Duration(g.request.OutputTokens) * stats.tokenInterval
 }
 
 func (s *service) recordOutput(class string, tokens int, tokenInterval time.Duration) {
-	l, ok := s.outputStatsByClass[class]
+	stats, ok := s.outputStatsByClass[class]
 	if !ok {
 		s.outputStatsByClass[class] = &outputStats{float64(tokens), tokenInterval}
 		return
 	}
-	l.tokens += outputStatsWeight * (float64(tokens) - l.tokens)
-	l.tokenInterval += time.Duration(outputStatsWeight * float64(tokenInterval-l.tokenInterval))
+	stats.tokens += outputStatsWeight * (float64(tokens) - stats.tokens)
+	stats.tokenInterval += time.Duration(outputStatsWeight * float64(tokenInterval-stats.tokenInterval))
 }
 
 // Acquire implements models.Picker. It returns when the request may be sent to
--- a/daemon/models/drain.go
+++ b/daemon/models/drain.go
@@ -66,8 +66,8 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, l := range m.requestState {
-		if l.inProgress() {
+	for _, rs := range m.requestState {
+		if rs.inProgress() {
 			return false
 		}
 	}
@@ -89,9 +89,9 @@
 	m.adoptOrphans(0)
 	daemons := m.c.Directory.Daemons()
 	m.mu.Lock()
-	for id, l := range m.requestState {
-		if l.transferable() {
-			m.drain.Add(id, l.spec.Epoch)
+	for id, rs := range m.requestState {
+		if rs.transferable() {
+			m.drain.Add(id, rs.spec.Epoch)
 		} else {
 			m.drain.Remove(id)
 		}
@@ -112,10 +112,10 @@
 
 // transferable reports whether this daemon owns the request and the request is
 // in progress or has an answer.
-func (l *requestState) transferable() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.movedTo == "" && l.machine.Refusal() == nil
+func (rs *requestState) transferable() bool {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	return rs.movedTo == "" && rs.machine.Refusal() == nil
 }
 
 // transferBatch sends the records of the requests to one peer. It suspends the
@@ -127,12 +127,12 @@
 	defer cancel()
 	req := &requestv1.AdoptRequest{From: string(m.c.Self)}
 	for _, transfer := range batch {
-		l := m.find(transfer.ID)
-		if l == nil {
+		rs := m.find(transfer.ID)
+		if rs == nil {
 			continue
 		}
-		l.step(request.Suspend{})
-		r := l.record(0)
+		rs.step(request.Suspend{})
+		r := rs.record(0)
 		r.Epoch = transfer.Epoch
 		req.Records = append(req.Records, r)
 	}
@@ -149,7 +149,7 @@
 }
 
 func (m *Models) handleTransferResult(transfer handoff.Transfer, accepted bool, err error, daemons []view.Daemon) {
-	l := m.find(transfer.ID)
+	rs := m.find(transfer.ID)
 	m.mu.Lock()
 	switch {
 	case accepted:
@@ -160,14 +160,14 @@
 		m.drain.TransferRefused(transfer.ID, daemons)
 	}
 	m.mu.Unlock()
-	if l == nil {
+	if rs == nil {
 		return
 	}
 	if accepted {
 		m.count("requests.passed_on")
-		l.markMoved(transfer.Peer.Incarnation)
+		rs.markMoved(transfer.Peer.Incarnation)
 		return
 	}
 	m.count("requests.pass_failed")
-	l.step(request.Resume{})
+	rs.step(request.Resume{})
 }
--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -123,24 +123,24 @@
 // succeeds and has no effect, so that a caller that did not receive the
 // response may retry.
 func (m *Models) Submit(ctx context.Context, r call.ModelRequest) error {
-	l, err := m.prepare(r)
+	rs, err := m.prepare(r)
 	if err != nil {
 		return m.countRefusal(err)
 	}
 	if existing := m.find(r.ID); existing != nil {
 		return m.handleDuplicate(existing, r)
 	}
-	if !l.spec.Deferrable {
-		if l.release, err = m.c.Picker.Acquire(ctx, l.req); err != nil {
+	if !rs.spec.Deferrable {
+		if rs.release, err = m.c.Picker.Acquire(ctx, rs.req); err != nil {
 			return m.countRefusal(err)
 		}
 	}
-	if err := m.accept(ctx, l); err != nil {
-		l.releaseCapacity()
+	if err := m.accept(ctx, rs); err != nil {
+		rs.releaseCapacity()
 		return m.countRefusal(err)
 	}
-	m.count("requests.accepted." + l.req.Class)
-	m.start(l)
+	m.count("requests.accepted." + rs.req.Class)
+	m.start(rs)
 	return nil
 }
 
@@ -149,8 +149,8 @@
 	return err
 }
 
-func (m *Models) handleDuplicate(l *requestState, r call.ModelRequest) error {
-	if l.req.Workspace != r.Workspace {
+func (m *Models) handleDuplicate(rs *requestState, r call.ModelRequest) error {
+	if rs.req.Workspace != r.Workspace {
 		return m.countRefusal(refusal.New(refusal.BadRequest, "request ID is in use"))
 	}
 	return nil
@@ -213,34 +213,34 @@
 // accept registers the request. If the request is recorded (deferrable or
 // asynchronous), accept also stores its record at a second daemon, so that the
 // death of a single process cannot lose it.
-func (m *Models) accept(ctx context.Context, l *requestState) error {
+func (m *Models) accept(ctx context.Context, rs *requestState) error {
 	m.mu.Lock()
 	if len(m.requestState)-len(m.ended) >= m.c.Limits.MaxInProgress {
 		m.mu.Unlock()
 		return refusal.New(refusal.Overloaded, "too many requests in progress").After(overloadedRetryAfter)
 	}
-	m.requestState[l.req.ID] = l
-	if l.recorded {
-		m.outbox.Track(l.req.ID)
-		m.keeper.Claim(l.req.ID, handoff.Claim{Owner: m.c.Self, Epoch: l.spec.Epoch})
+	m.requestState[rs.req.ID] = rs
+	if rs.recorded {
+		m.outbox.Track(rs.req.ID)
+		m.keeper.Claim(rs.req.ID, handoff.Claim{Owner: m.c.Self, Epoch: rs.spec.Epoch})
 	}
 	m.mu.Unlock()
-	if !l.recorded {
+	if !rs.recorded {
 		return nil
 	}
-	if err := m.storeFirstRecord(ctx, l); err != nil {
-		m.remove(l)
+	if err := m.storeFirstRecord(ctx, rs); err != nil {
+		m.remove(rs)
 		return err
 	}
 	return nil
 }
 
-func (m *Models) remove(l *requestState) {
+func (m *Models) remove(rs *requestState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.requestState[l.req.ID] == l {
-		delete(m.requestState, l.req.ID)
-		m.keeper.ReleaseClaim(l.req.ID, m.c.Self)
+	if m.requestState[rs.req.ID] == rs {
+		delete(m.requestState, rs.req.ID)
+		m.keeper.ReleaseClaim(rs.req.ID, m.c.Self)
 	}
-	m.outbox.Untrack(l.req.ID)
+	m.outbox.Untrack(rs.req.ID)
 }
--- a/daemon/models/reader.go
+++ b/daemon/models/reader.go
@@ -144,12 +144,12 @@
 }
 
 func (r *reader) readOnce(ctx context.Context) error {
-	l := r.m.find(r.id)
-	if l != nil {
-		if l.req.Workspace != r.workspace {
+	rs := r.m.find(r.id)
+	if rs != nil {
+		if rs.req.Workspace != r.workspace {
 			return refusal.New(refusal.UnknownRequest, "no such request").Unknown()
 		}
-		err := r.readLocal(ctx, l)
+		err := r.readLocal(ctx, rs)
 		var moved *MovedError
 		if !errors.As(err, &moved) {
 			return err
@@ -293,27 +293,27 @@
 	changed <-chan struct{}
 }
 
-func (l *requestState) snapshot(offset int) snapshot {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.machine.Answer()
+func (rs *requestState) snapshot(offset int) snapshot {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	a := rs.machine.Answer()
 	return snapshot{
 		tokens:  a.TokensFrom(offset),
 		count:   a.Offset(),
 		done:    a.Done(),
 		finish:  a.FinishReason(),
-		refused: l.machine.Refusal(),
-		movedTo: l.movedTo,
-		changed: l.changed,
+		refused: rs.machine.Refusal(),
+		movedTo: rs.movedTo,
+		changed: rs.changed,
 	}
 }
 
 // readLocal serves the reader from a request of this daemon.
-func (r *reader) readLocal(ctx context.Context, l *requestState) error {
+func (r *reader) readLocal(ctx context.Context, rs *requestState) error {
 	heartbeat := time.NewTicker(r.m.c.Limits.Heartbeat)
 	defer heartbeat.Stop()
 	for {
-		s := l.snapshot(r.offset)
+		s := rs.snapshot(r.offset)
 		for _, t := range s.tokens {
 			if err := r.emitToken(t); err != nil {
 				return err
@@ -359,16 +359,16 @@
 }
 
 func (m *Models) cancelLocal(ws ident.Workspace, id ident.RequestID) error {
-	l := m.find(id)
-	if l == nil {
+	rs := m.find(id)
+	if rs == nil {
 		return &RequestNotFoundError{ID: id}
 	}
-	if l.req.Workspace != ws {
+	if rs.req.Workspace != ws {
 		return refusal.New(refusal.UnknownRequest, "no such request").Unknown()
 	}
 	if to := m.movedTo(id); to != "" {
 		return &MovedError{Owner: to}
 	}
-	l.step(cancelInput)
+	rs.step(cancelInput)
 	return nil
 }
--- a/daemon/models/reclaim.go
+++ b/daemon/models/reclaim.go
@@ -70,8 +70,8 @@
 // has no plan yet, or whose planned target has received a reclaim notice since.
 func (m *Models) planReclaims() {
 	byService := map[string][]*requestState{}
-	for _, l := range m.inProgress() {
-		byService[l.service] = append(byService[l.service], l)
+	for _, rs := range m.inProgress() {
+		byService[rs.service] = append(byService[rs.service], rs)
 	}
 	for service, requests := range byService {
 		m.planServiceReclaims(service, requests)
@@ -116,11 +116,11 @@
 	pending := map[ident.RequestID]*requestState{}
 	var streams []reclaim.Stream
 	var linkBusyUntil time.Time
-	for _, l := range requests {
+	for _, rs := range requests {
 		for _, r := range leaving {
-			l.step(request.RunnerLeaving{Runner: r.ID})
+			rs.step(request.RunnerLeaving{Runner: r.ID})
 		}
-		s, plan, ok := l.reclaimStream(m.c.Transfer.BytesPerToken)
+		s, plan, ok := rs.reclaimStream(m.c.Transfer.BytesPerToken)
 		if !ok || listed[s.Runner].State != view.Leaving {
 			continue
 		}
@@ -128,7 +128,7 @@
 			linkBusyUntil = plan.busyUntil(linkBusyUntil)
 			continue
 		}
-		pending[l.req.ID] = l
+		pending[rs.req.ID] = rs
 		streams = append(streams, s)
 	}
 	return pending, streams, linkBusyUntil
@@ -215,10 +215,10 @@
 // values and the streams of this gateway only.
 func (m *Models) estimateTargets(service string, requests []*requestState) []reclaim.Target {
 	ownStreams := map[ident.RunnerID]int{}
-	for _, l := range requests {
-		l.mu.Lock()
-		ownStreams[l.machine.Runner()]++
-		l.mu.Unlock()
+	for _, rs := range requests {
+		rs.mu.Lock()
+		ownStreams[rs.machine.Runner()]++
+		rs.mu.Unlock()
 	}
 	var targets []reclaim.Target
 	for _, r := range m.c.Directory.Runners(service) {
@@ -237,25 +237,25 @@
 
 // reclaimStream describes the current attempt for planning, with its present
 // plan. It returns false if no attempt is running.
-func (l *requestState) reclaimStream(bytesPerToken int64) (reclaim.Stream, reclaimPlan, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	runner := l.machine.Runner()
+func (rs *requestState) reclaimStream(bytesPerToken int64) (reclaim.Stream, reclaimPlan, bool) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	runner := rs.machine.Runner()
 	if runner == "" {
 		return reclaim.Stream{}, reclaimPlan{}, false
 	}
-	emitted := l.machine.Answer().Offset()
-	contextTokens := promptTokens(l.req.Prompt) + emitted
-	plan := l.plan
-	if plan.attempt != l.machine.Attempt() {
+	emitted := rs.machine.Answer().Offset()
+	contextTokens := promptTokens(rs.req.Prompt) + emitted
+	plan := rs.plan
+	if plan.attempt != rs.machine.Attempt() {
 		plan = reclaimPlan{}
 	}
 	return reclaim.Stream{
-		Request:    l.req.ID,
+		Request:    rs.req.ID,
 		Runner:     runner,
-		Urgent:     !l.spec.Deferrable,
+		Urgent:     !rs.spec.Deferrable,
 		Context:    contextTokens,
-		Remaining:  l.req.MaxTokens - emitted,
+		Remaining:  rs.req.MaxTokens - emitted,
 		CacheBytes: int64(contextTokens) * bytesPerToken,
 	}, plan, true
 }
@@ -279,37 +279,37 @@
 // finish in place, or to wait, is evicted from the runner after evictAfter if
 // it is still running then: when the VM ends, the stream would break without
 // any notification.
-func (l *requestState) schedulePlan(d reclaim.Decision, now time.Time, evictAfter time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	attempt := l.machine.Attempt()
-	l.plan = reclaimPlan{attempt: attempt, kind: d.Kind, target: d.Target, endsAt: now.Add(d.End)}
+func (rs *requestState) schedulePlan(d reclaim.Decision, now time.Time, evictAfter time.Duration) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	attempt := rs.machine.Attempt()
+	rs.plan = reclaimPlan{attempt: attempt, kind: d.Kind, target: d.Target, endsAt: now.Add(d.End)}
 	delay := d.Start
 	input := request.Input(request.Relocate{Attempt: attempt, Target: d.Target, Export: d.Kind == reclaim.Move})
 	if d.Target == "" {
 		delay = evictAfter
 		input = request.Evict{Attempt: attempt}
 	}
-	if l.planTimer != nil {
-		l.planTimer.Stop()
+	if rs.planTimer != nil {
+		rs.planTimer.Stop()
 	}
-	l.planTimer = time.AfterFunc(max(delay, 0), func() { l.step(input) })
+	rs.planTimer = time.AfterFunc(max(delay, 0), func() { rs.step(input) })
 }
 
 func (m *Models) inProgress() []*requestState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var requests []*requestState
-	for _, l := range m.requestState {
-		if l.inProgress() {
-			requests = append(requests, l)
+	for _, rs := range m.requestState {
+		if rs.inProgress() {
+			requests = append(requests, rs)
 		}
 	}
 	return requests
 }
 
-func (l *requestState) inProgress() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.ended.IsZero()
+func (rs *requestState) inProgress() bool {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	return rs.ended.IsZero()
 }
--- a/daemon/models/request_records.go
+++ b/daemon/models/request_records.go
@@ -44,13 +44,13 @@
 }
 
 func (m *Models) movedTo(id ident.RequestID) ident.Incarnation {
-	l := m.find(id)
-	if l == nil {
+	rs := m.find(id)
+	if rs == nil {
 		return ""
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.movedTo
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	return rs.movedTo
 }
 
 // lookupCandidates returns the daemons that may run a request, most likely
@@ -80,49 +80,49 @@
 // record returns the record of the request with the tokens from an offset on.
 // With offset zero the record is complete; otherwise it leaves out the fields
 // that do not change.
-func (l *requestState) record(from int) *requestv1.Record {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	answer := l.machine.Answer()
+func (rs *requestState) record(from int) *requestv1.Record {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	answer := rs.machine.Answer()
 	r := &requestv1.Record{
-		RequestId:    string(l.req.ID),
-		Owner:        string(l.m.c.Self),
-		Epoch:        l.spec.Epoch,
+		RequestId:    string(rs.req.ID),
+		Owner:        string(rs.m.c.Self),
+		Epoch:        rs.spec.Epoch,
 		EmittedFrom:  int32(from),
 		Emitted:      answer.TokensFrom(from),
-		Runner:       string(l.machine.LastRunner()),
-		MayHaveRun:   l.machine.MayHaveRun(),
+		Runner:       string(rs.machine.LastRunner()),
+		MayHaveRun:   rs.machine.MayHaveRun(),
 		Done:         answer.Done(),
 		FinishReason: answer.FinishReason(),
 	}
 	if from > 0 {
 		return r
 	}
-	r.Workspace = string(l.req.Workspace)
-	r.Class = l.req.Class
-	r.Model = l.req.Model
-	r.Adapter = l.req.Adapter
-	r.Prompt = l.req.Prompt
-	r.MaxTokens = int32(l.req.MaxTokens)
-	r.Async = l.req.Async
-	if d := l.req.Deadline; !d.IsZero() {
+	r.Workspace = string(rs.req.Workspace)
+	r.Class = rs.req.Class
+	r.Model = rs.req.Model
+	r.Adapter = rs.req.Adapter
+	r.Prompt = rs.req.Prompt
+	r.MaxTokens = int32(rs.req.MaxTokens)
+	r.Async = rs.req.Async
+	if d := rs.req.Deadline; !d.IsZero() {
 		r.DeadlineLeftMs = max(time.Until(d), minDeadlineRemaining).Milliseconds()
 	}
 	return r
 }
 
-func (l *requestState) progress() handoff.Progress {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	answer := l.machine.Answer()
+func (rs *requestState) progress() handoff.Progress {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	answer := rs.machine.Answer()
 	return handoff.Progress{Offset: answer.Offset(), Done: answer.Done()}
 }
 
 // storeFirstRecord stores the record of a request that is being accepted. If no
 // other daemon is live, the request is accepted without a stored record.
-func (m *Models) storeFirstRecord(ctx context.Context, l *requestState) error {
+func (m *Models) storeFirstRecord(ctx context.Context, rs *requestState) error {
 	self := m.c.Directory.Self()
-	keepers := handoff.RankKeepers(l.req.ID, self, m.c.Directory.Daemons())
+	keepers := handoff.RankKeepers(rs.req.ID, self, m.c.Directory.Daemons())
 	if len(keepers) == 0 {
 		m.count("records.no_keeper")
 		return nil
@@ -132,7 +132,7 @@
 	// uses new connections.
 	for range putRounds {
 		for _, k := range keepers[:min(maxPutKeepers, len(keepers))] {
-			if m.putRecords(ctx, k, []handoff.Renewal{{ID: l.req.ID, Keeper: k}}) == nil {
+			if m.putRecords(ctx, k, []handoff.Renewal{{ID: rs.req.ID, Keeper: k}}) == nil {
 				return nil
 			}
 			m.count("records.put_failed")
@@ -148,11 +148,11 @@
 	req := &requestv1.PutRequest{}
 	sent := map[ident.RequestID]handoff.Progress{}
 	for _, r := range renewals {
-		l := m.find(r.ID)
-		if l == nil {
+		rs := m.find(r.ID)
+		if rs == nil {
 			continue
 		}
-		p := l.record(r.From)
+		p := rs.record(r.From)
 		sent[r.ID] = handoff.Progress{Offset: r.From + len(p.Emitted), Done: p.Done}
 		req.Records = append(req.Records, p)
 	}
@@ -174,20 +174,20 @@
 	}
 	m.mu.Unlock()
 	for _, s := range resp.Superseded {
-		if l := m.find(ident.RequestID(s.RequestId)); l != nil {
+		if rs := m.find(ident.RequestID(s.RequestId)); rs != nil {
 			m.count("requests.superseded")
-			l.markMoved(ident.Incarnation(s.Owner))
+			rs.markMoved(ident.Incarnation(s.Owner))
 		}
 	}
 }
 
 // markMoved ends the request at this daemon because owner now runs it.
-func (l *requestState) markMoved(owner ident.Incarnation) {
-	l.mu.Lock()
-	l.movedTo = owner
-	l.notifyReaders()
-	l.mu.Unlock()
-	l.step(request.Superseded{})
+func (rs *requestState) markMoved(owner ident.Incarnation) {
+	rs.mu.Lock()
+	rs.movedTo = owner
+	rs.notifyReaders()
+	rs.mu.Unlock()
+	rs.step(request.Superseded{})
 }
 
 // housekeep renews records, adopts requests whose owner is gone, and removes
@@ -206,8 +206,8 @@
 	}
 	m.lastRenewal = time.Now()
 	due := m.outbox.DueRenewals(m.c.Directory.Self(), m.c.Directory.Daemons(), func(id ident.RequestID) handoff.Progress {
-		if l := m.requestState[id]; l != nil {
-			return l.progress()
+		if rs := m.requestState[id]; rs != nil {
+			return rs.progress()
 		}
 		return handoff.Progress{}
 	})
@@ -267,13 +267,13 @@
 	if conf == nil {
 		return false
 	}
-	l := m.requestStateFromRecord(conf, r)
+	rs := m.requestStateFromRecord(conf, r)
 	m.mu.Lock()
 	if old := m.requestState[r.ID]; old != nil && old.spec.Epoch >= r.Epoch {
 		m.mu.Unlock()
 		return old.spec.Epoch == r.Epoch
 	}
-	m.requestState[r.ID] = l
+	m.requestState[r.ID] = rs
 	m.keeper.Forget(r.ID)
 	m.keeper.Claim(r.ID, handoff.Claim{Owner: m.c.Self, Epoch: r.Epoch})
 	m.outbox.Untrack(r.ID)
@@ -281,18 +281,18 @@
 	m.lastRenewal = time.Time{} // the next housekeeping then stores the record at a keeper
 	m.mu.Unlock()
 	if r.Done {
-		l.ended = time.Now()
-		m.retain(l)
+		rs.ended = time.Now()
+		m.retain(rs)
 		return true
 	}
-	m.start(l)
+	m.start(rs)
 	return true
 }
 
 func (m *Models) requestStateFromRecord(conf *manifest.Manifest, r handoff.Record) *requestState {
 	model, _ := findModel(conf, r.Model)
 	class, _ := findClass(conf, r.Class)
-	l := m.newRequestState(call.ModelRequest{
+	rs := m.newRequestState(call.ModelRequest{
 		ID:        r.ID,
 		Workspace: r.Workspace,
 		Class:     r.Class,
@@ -303,26 +303,26 @@
 		Deadline:  r.Deadline,
 		Async:     r.Async,
 	}, model.Service, class)
-	l.recorded = true
-	l.spec.Epoch = r.Epoch
-	l.spec.Emitted = r.Emitted
-	l.spec.MayHaveRun = r.MayHaveRun
-	l.spec.Runner = r.Runner
-	l.machine = request.New(l.spec, m.c.Limits.Request)
+	rs.recorded = true
+	rs.spec.Epoch = r.Epoch
+	rs.spec.Emitted = r.Emitted
+	rs.spec.MayHaveRun = r.MayHaveRun
+	rs.spec.Runner = r.Runner
+	rs.machine = request.New(rs.spec, m.c.Limits.Request)
 	if r.Done {
-		l.machine = request.NewFinished(l.spec, r.FinishReason)
+		rs.machine = request.NewFinished(rs.spec, r.FinishReason)
 	}
-	return l
+	return rs
 }
 
 // retain keeps an ended request for late readers and removes the oldest ended
 // requests beyond the limit.
-func (m *Models) retain(l *requestState) {
-	l.mu.Lock()
-	refused, moved := l.machine.Refusal() != nil, l.movedTo != ""
-	l.mu.Unlock()
+func (m *Models) retain(rs *requestState) {
+	rs.mu.Lock()
+	refused, moved := rs.machine.Refusal() != nil, rs.movedTo != ""
+	rs.mu.Unlock()
 	m.mu.Lock()
-	m.ended = append(m.ended, l)
+	m.ended = append(m.ended, rs)
 	var evicted []*requestState
 	for len(m.ended) > m.c.Limits.MaxFinished {
 		evicted = append(evicted, m.ended[0])
@@ -330,10 +330,10 @@
 	}
 	m.mu.Unlock()
 	if moved {
-		m.spawn(func() { m.deleteRecordLater(l) })
+		m.spawn(func() { m.deleteRecordLater(rs) })
 	}
 	if refused {
-		m.dropRecord(l, true)
+		m.dropRecord(rs, true)
 	}
 	for _, evictedRequest := range evicted {
 		m.forget(evictedRequest)
@@ -344,11 +344,11 @@
 // daemon, after the new owner has had time to store its own record. If a keeper
 // still had the old record when this daemon is gone, the keeper would run the
 // request a second time.
-func (m *Models) deleteRecordLater(l *requestState) {
+func (m *Models) deleteRecordLater(rs *requestState) {
 	select {
 	case <-m.ctx.Done():
 	case <-time.After(m.c.Limits.RenewInterval):
-		m.dropRecord(l, true)
+		m.dropRecord(rs, true)
 	}
 }
 
@@ -360,26 +360,26 @@
 		m.ended = m.ended[1:]
 	}
 	m.mu.Unlock()
-	for _, l := range expired {
-		m.forget(l)
+	for _, rs := range expired {
+		m.forget(rs)
 	}
 }
 
-func (m *Models) forget(l *requestState) {
-	m.dropRecord(l, true)
-	m.remove(l)
+func (m *Models) forget(rs *requestState) {
+	m.dropRecord(rs, true)
+	m.remove(rs)
 }
 
 // dropRecord stops renewing the record of a request. With deleteAtKeeper it
 // also deletes the record at its keeper, so that no daemon adopts a request
 // that has its final answer.
-func (m *Models) dropRecord(l *requestState, deleteAtKeeper bool) {
+func (m *Models) dropRecord(rs *requestState, deleteAtKeeper bool) {
 	m.mu.Lock()
-	if m.requestState[l.req.ID] != l {
+	if m.requestState[rs.req.ID] != rs {
 		m.mu.Unlock()
 		return
 	}
-	keeper := m.outbox.Untrack(l.req.ID)
+	keeper := m.outbox.Untrack(rs.req.ID)
 	m.mu.Unlock()
 	d, ok := m.findDaemon(keeper)
 	if !ok || !deleteAtKeeper {
@@ -389,7 +389,7 @@
 		ctx, cancel := context.WithTimeout(m.ctx, putTimeout)
 		defer cancel()
 		_, err := m.c.Peers.Requests(d.PeerAddress).Delete(ctx, connect.NewRequest(&requestv1.DeleteRequest{
-			RequestIds: []string{string(l.req.ID)},
+			RequestIds: []string{string(rs.req.ID)},
 			Owner:      string(m.c.Self),
 		}))
 		if err != nil {
--- a/daemon/models/request_state.go
+++ b/daemon/models/request_state.go
@@ -66,7 +66,7 @@
 
 func (m *Models) newRequestState(r call.ModelRequest, service string, class manifest.Class) *requestState {
 	ctx, cancel := context.WithCancel(m.ctx)
-	l := &requestState{
+	rs := &requestState{
 		m:        m,
 		req:      r,
 		service:  service,
@@ -85,47 +85,47 @@
 			Deferrable: class.Deferrable,
 		},
 	}
-	l.machine = request.New(l.spec, m.c.Limits.Request)
-	return l
+	rs.machine = request.New(rs.spec, m.c.Limits.Request)
+	return rs
 }
 
-func (m *Models) start(l *requestState) {
-	if !l.spec.Deferrable || l.release != nil {
-		l.step(request.Start{})
+func (m *Models) start(rs *requestState) {
+	if !rs.spec.Deferrable || rs.release != nil {
+		rs.step(request.Start{})
 		return
 	}
-	m.spawn(func() { l.acquireAndStart() })
+	m.spawn(func() { rs.acquireAndStart() })
 }
 
 // acquireAndStart acquires capacity for an accepted deferrable request and
 // starts it. It retries with backoff until it succeeds, because an accepted
 // deferrable request must not be refused for lack of capacity.
-func (l *requestState) acquireAndStart() {
-	backoff := l.m.c.Limits.Request.BackoffMin
-	l.step(request.Tick{}) // schedules the timer for the deadline, which ends the wait
+func (rs *requestState) acquireAndStart() {
+	backoff := rs.m.c.Limits.Request.BackoffMin
+	rs.step(request.Tick{}) // schedules the timer for the deadline, which ends the wait
 	for {
-		release, err := l.m.c.Picker.Acquire(l.ctx, l.req)
+		release, err := rs.m.c.Picker.Acquire(rs.ctx, rs.req)
 		if err == nil {
-			l.mu.Lock()
-			l.release = release
-			l.mu.Unlock()
-			l.step(request.Start{})
+			rs.mu.Lock()
+			rs.release = release
+			rs.mu.Unlock()
+			rs.step(request.Start{})
 			return
 		}
 		select {
-		case <-l.ctx.Done():
+		case <-rs.ctx.Done():
 			return
 		case <-time.After(backoff):
-			backoff = min(2*backoff, l.m.c.Limits.Request.BackoffMax)
+			backoff = min(2*backoff, rs.m.c.Limits.Request.BackoffMax)
 		}
 	}
 }
 
-func (l *requestState) releaseCapacity() {
-	l.mu.Lock()
-	release := l.release
-	l.release = nil
-	l.mu.Unlock()
+func (rs *requestState) releaseCapacity() {
+	rs.mu.Lock()
+	release := rs.release
+	rs.release = nil
+	rs.mu.Unlock()
 	if release != nil {
 		release()
 	}
@@ -133,29 +133,29 @@
 
 // step passes an input to the state machine and applies the resulting effects.
 // None of the effects blocks.
-func (l *requestState) step(in request.Input) {
-	if l.m.ctx.Err() != nil {
+func (rs *requestState) step(in request.Input) {
+	if rs.m.ctx.Err() != nil {
 		return
 	}
-	l.mu.Lock()
-	for _, e := range l.machine.Step(time.Now(), in) {
-		l.applyEffect(e)
+	rs.mu.Lock()
+	for _, e := range rs.machine.Step(time.Now(), in) {
+		rs.applyEffect(e)
 	}
-	justEnded := l.machine.Ended() && l.ended.IsZero()
+	justEnded := rs.machine.Ended() && rs.ended.IsZero()
 	if justEnded {
-		l.ended = time.Now()
-		l.stopTimers()
-		l.cancel()
+		rs.ended = time.Now()
+		rs.stopTimers()
+		rs.cancel()
 	}
-	l.mu.Unlock()
+	rs.mu.Unlock()
 	if justEnded {
-		l.releaseCapacity()
-		l.m.retain(l)
+		rs.releaseCapacity()
+		rs.m.retain(rs)
 	}
 }
 
-func (l *requestState) stopTimers() {
-	for _, t := range []*time.Timer{l.timer, l.planTimer} {
+func (rs *requestState) stopTimers() {
+	for _, t := range []*time.Timer{rs.timer, rs.planTimer} {
 		if t != nil {
 			t.Stop()
 		}
@@ -163,116 +163,116 @@
 }
 
 // applyEffect executes an effect of the state machine. The caller holds l.mu.
-func (l *requestState) applyEffect(e request.Effect) {
+func (rs *requestState) applyEffect(e request.Effect) {
 	switch e := e.(type) {
 	case request.Pick:
-		pickJob := l.pickJob(e)
-		l.m.spawn(func() { l.pick(pickJob) })
+		pickJob := rs.pickJob(e)
+		rs.m.spawn(func() { rs.pick(pickJob) })
 	case request.Generate:
-		l.generate(e)
+		rs.generate(e)
 	case request.AbandonAttempt:
-		l.abandon(e)
+		rs.abandon(e)
 	case request.ExportCache:
-		l.m.spawn(func() { l.exportCache(e) })
+		rs.m.spawn(func() { rs.exportCache(e) })
 	case request.Emitted:
-		l.notifyReaders()
+		rs.notifyReaders()
 	case request.Dropped:
-		l.m.count("stream.dropped." + string(e.Reason))
+		rs.m.count("stream.dropped." + string(e.Reason))
 	case request.Answered:
-		l.m.count("requests.answered." + l.req.Class)
-		l.endAttempt(l.answeredAttempt(), true, "")
-		l.notifyReaders()
+		rs.m.count("requests.answered." + rs.req.Class)
+		rs.endAttempt(rs.answeredAttempt(), true, "")
+		rs.notifyReaders()
 	case request.Failed:
-		l.m.count("requests.given_up." + string(e.Refusal.Reason))
-		l.notifyReaders()
+		rs.m.count("requests.given_up." + string(e.Refusal.Reason))
+		rs.notifyReaders()
 	case request.Yielded:
-		l.m.count("requests.yielded")
-		l.notifyReaders()
+		rs.m.count("requests.yielded")
+		rs.notifyReaders()
 	case request.WakeAt:
-		l.scheduleTick(e.Time)
+		rs.scheduleTick(e.Time)
 	}
 }
 
-func (l *requestState) notifyReaders() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+func (rs *requestState) notifyReaders() {
+	close(rs.changed)
+	rs.changed = make(chan struct{})
 }
 
 // scheduleTick makes sure that the state machine gets a tick at time t at the
 // latest. A timer that fires earlier is left running: the machine accepts a
 // tick at any time, and stopping the timer for every token, each of which moves
 // t a little later, would be wasted work.
-func (l *requestState) scheduleTick(t time.Time) {
-	if !l.timerAt.IsZero() && !l.timerAt.After(t) {
+func (rs *requestState) scheduleTick(t time.Time) {
+	if !rs.timerAt.IsZero() && !rs.timerAt.After(t) {
 		return
 	}
-	if l.timer != nil {
-		l.timer.Stop()
+	if rs.timer != nil {
+		rs.timer.Stop()
 	}
-	l.timerAt = t
-	l.timer = time.AfterFunc(time.Until(t), l.tick)
+	rs.timerAt = t
+	rs.timer = time.AfterFunc(time.Until(t), rs.tick)
 }
 
-func (l *requestState) tick() {
-	l.mu.Lock()
-	l.timerAt = time.Time{}
-	l.mu.Unlock()
-	l.step(request.Tick{})
+func (rs *requestState) tick() {
+	rs.mu.Lock()
+	rs.timerAt = time.Time{}
+	rs.mu.Unlock()
+	rs.step(request.Tick{})
 }
 
-func (l *requestState) pickJob(p request.Pick) Job {
+func (rs *requestState) pickJob(p request.Pick) Job {
 	return Job{
-		Request: l.req,
-		Service: l.service,
-		Offset:  l.machine.Answer().Offset(),
-		Emitted: l.machine.Answer().TokensFrom(0),
+		Request: rs.req,
+		Service: rs.service,
+		Offset:  rs.machine.Answer().Offset(),
+		Emitted: rs.machine.Answer().TokensFrom(0),
 		Exclude: p.Exclude,
 		After:   p.After,
 	}
 }
 
-func (l *requestState) pick(j Job) {
+func (rs *requestState) pick(j Job) {
 	if j.After != "" {
-		l.m.count("requests.retry." + string(j.After))
+		rs.m.count("requests.retry." + string(j.After))
 	}
-	choice, err := l.m.c.Picker.Pick(l.ctx, j)
+	choice, err := rs.m.c.Picker.Pick(rs.ctx, j)
 	if err != nil {
-		l.step(request.PickRefused{Refusal: refusal.From(err)})
+		rs.step(request.PickRefused{Refusal: refusal.From(err)})
 		return
 	}
-	l.mu.Lock()
-	l.choices[choice.Runner] = choice
-	l.mu.Unlock()
-	l.step(request.Picked{Runner: choice.Runner})
+	rs.mu.Lock()
+	rs.choices[choice.Runner] = choice
+	rs.mu.Unlock()
+	rs.step(request.Picked{Runner: choice.Runner})
 }
 
-func (l *requestState) generate(g request.Generate) {
-	ctx, cancel := context.WithCancel(l.ctx)
-	choice := l.choice(g.Runner)
-	answer := l.machine.Answer()
-	l.attempts[g.Attempt] = &attempt{cancel: cancel, choice: choice, startOffset: answer.Offset(), started: time.Now()}
+func (rs *requestState) generate(g request.Generate) {
+	ctx, cancel := context.WithCancel(rs.ctx)
+	choice := rs.choice(g.Runner)
+	answer := rs.machine.Answer()
+	rs.attempts[g.Attempt] = &attempt{cancel: cancel, choice: choice, startOffset: answer.Offset(), started: time.Now()}
 	req := engineapi.GenerateRequest{
-		RequestID:      string(l.req.ID),
+		RequestID:      string(rs.req.ID),
 		AttemptID:      string(g.Attempt),
-		Model:          l.req.Model,
-		Adapter:        l.req.Adapter,
-		Prompt:         l.req.Prompt,
+		Model:          rs.req.Model,
+		Adapter:        rs.req.Adapter,
+		Prompt:         rs.req.Prompt,
 		Emitted:        answer.TokensFrom(0),
-		MaxTokens:      l.req.MaxTokens,
-		Priority:       l.priority,
+		MaxTokens:      rs.req.MaxTokens,
+		Priority:       rs.priority,
 		ImportedHandle: g.Handle,
 	}
-	l.m.c.Picker.Started(l.pickJob(request.Pick{}), choice)
-	l.m.spawn(func() { l.runAttempt(ctx, g.Attempt, choice, req) })
+	rs.m.c.Picker.Started(rs.pickJob(request.Pick{}), choice)
+	rs.m.spawn(func() { rs.runAttempt(ctx, g.Attempt, choice, req) })
 }
 
 // choice returns the runner with its address. The address is empty if the
 // runner is no longer known.
-func (l *requestState) choice(id ident.RunnerID) Choice {
-	if c, ok := l.choices[id]; ok {
+func (rs *requestState) choice(id ident.RunnerID) Choice {
+	if c, ok := rs.choices[id]; ok {
 		return c
 	}
-	for _, r := range l.m.c.Directory.Runners(l.service) {
+	for _, r := range rs.m.c.Directory.Runners(rs.service) {
 		if r.ID == id {
 			return Choice{Runner: id, Address: r.Address}
 		}
@@ -296,27 +296,27 @@
 // MayHaveStarted returns false: no request was sent to the runner.
 func (e *UnknownAddressError) MayHaveStarted() bool { return false }
 
-func (l *requestState) runAttempt(ctx context.Context, id ident.AttemptID, choice Choice, req engineapi.GenerateRequest) {
+func (rs *requestState) runAttempt(ctx context.Context, id ident.AttemptID, choice Choice, req engineapi.GenerateRequest) {
 	err := error(&UnknownAddressError{Runner: choice.Runner})
 	if choice.Address != "" {
-		err = l.m.c.Engines.Generate(ctx, choice.Address, req, func(e engineapi.GenerateEvent) error {
-			return l.handleEvent(id, e)
+		err = rs.m.c.Engines.Generate(ctx, choice.Address, req, func(e engineapi.GenerateEvent) error {
+			return rs.handleEvent(id, e)
 		})
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	if refusedAsLeaving(err) {
-		l.m.c.Directory.NoteLeaving(choice.Address, 0)
+		rs.m.c.Directory.NoteLeaving(choice.Address, 0)
 	}
 	in := request.StreamClosed{Attempt: id, Cause: closeCause(err), NotStarted: notStarted(err)}
-	l.mu.Lock()
-	l.endAttempt(id, false, in.Cause)
-	l.mu.Unlock()
-	l.step(in)
+	rs.mu.Lock()
+	rs.endAttempt(id, false, in.Cause)
+	rs.mu.Unlock()
+	rs.step(in)
 }
 
-func (l *requestState) handleEvent(id ident.AttemptID, e engineapi.GenerateEvent) error {
+func (rs *requestState) handleEvent(id ident.AttemptID, e engineapi.GenerateEvent) error {
 	if e.Error != "" {
 		return &EngineFailedError{Detail: e.Error}
 	}
@@ -327,13 +327,13 @@
 		return &EngineFailedError{Detail: "attempt cancelled"}
 	}
 	if e.CachedTokens > 0 {
-		l.mu.Lock()
-		if a := l.attempts[id]; a != nil {
+		rs.mu.Lock()
+		if a := rs.attempts[id]; a != nil {
 			a.cachedTokens = e.CachedTokens
 		}
-		l.mu.Unlock()
+		rs.mu.Unlock()
 	}
-	l.step(request.EventArrived{Event: stream.Event{
+	rs.step(request.EventArrived{Event: stream.Event{
 		Request:      ident.RequestID(e.RequestID),
 		Attempt:      ident.AttemptID(e.AttemptID),
 		Offset:       e.Offset,
@@ -345,67 +345,67 @@
 	return nil
 }
 
-func (l *requestState) answeredAttempt() ident.AttemptID {
-	return l.machine.Answer().Attempt()
+func (rs *requestState) answeredAttempt() ident.AttemptID {
+	return rs.machine.Answer().Attempt()
 }
 
 // endAttempt removes the attempt, closes its stream and reports its end to the
 // Picker. The caller holds l.mu.
-func (l *requestState) endAttempt(id ident.AttemptID, answered bool, cause request.Cause) {
-	a, ok := l.attempts[id]
+func (rs *requestState) endAttempt(id ident.AttemptID, answered bool, cause request.Cause) {
+	a, ok := rs.attempts[id]
 	if !ok {
 		return
 	}
-	delete(l.attempts, id)
+	delete(rs.attempts, id)
 	a.cancel()
-	l.m.c.Picker.Ended(l.pickJob(request.Pick{}), AttemptResult{
+	rs.m.c.Picker.Ended(rs.pickJob(request.Pick{}), AttemptResult{
 		Runner:       a.choice.Runner,
 		Address:      a.choice.Address,
 		Answered:     answered,
 		Cause:        cause,
-		Tokens:       l.machine.Answer().Offset() - a.startOffset,
+		Tokens:       rs.machine.Answer().Offset() - a.startOffset,
 		CachedTokens: a.cachedTokens,
 	})
 }
 
 // abandon closes the attempt's connection and cancels the attempt at the
 // runner, which would otherwise go on computing tokens that nobody reads.
-func (l *requestState) abandon(e request.AbandonAttempt) {
+func (rs *requestState) abandon(e request.AbandonAttempt) {
 	if e.Cause != "" {
-		l.m.count("attempts.abandoned." + string(e.Cause))
+		rs.m.count("attempts.abandoned." + string(e.Cause))
 	}
-	choice := l.choice(e.Runner)
-	l.endAttempt(e.Attempt, false, e.Cause)
+	choice := rs.choice(e.Runner)
+	rs.endAttempt(e.Attempt, false, e.Cause)
 	if choice.Address == "" {
 		return
 	}
-	l.m.spawn(func() {
-		ctx, cancel := context.WithTimeout(l.m.ctx, cancelTimeout)
+	rs.m.spawn(func() {
+		ctx, cancel := context.WithTimeout(rs.m.ctx, cancelTimeout)
 		defer cancel()
-		err := l.m.c.Engines.Cancel(ctx, choice.Address, engineapi.CancelRequest{AttemptID: string(e.Attempt)})
+		err := rs.m.c.Engines.Cancel(ctx, choice.Address, engineapi.CancelRequest{AttemptID: string(e.Attempt)})
 		if err != nil {
-			l.m.count("attempts.cancel_failed")
+			rs.m.count("attempts.cancel_failed")
 		}
 	})
 }
 
-func (l *requestState) exportCache(e request.ExportCache) {
-	handle, err := l.transferCache(e)
+func (rs *requestState) exportCache(e request.ExportCache) {
+	handle, err := rs.transferCache(e)
 	if err != nil {
-		l.m.count("attempts.export_failed")
+		rs.m.count("attempts.export_failed")
 	}
-	l.step(request.CacheExported{Attempt: e.Attempt, Target: e.To, Handle: handle})
+	rs.step(request.CacheExported{Attempt: e.Attempt, Target: e.To, Handle: handle})
 }
 
-func (l *requestState) transferCache(e request.ExportCache) (string, error) {
-	l.mu.Lock()
-	from, to := l.choice(e.From), l.choice(e.To)
-	l.mu.Unlock()
-	exported, err := l.m.c.Engines.Export(l.ctx, from.Address, engineapi.ExportRequest{AttemptID: string(e.Attempt)})
+func (rs *requestState) transferCache(e request.ExportCache) (string, error) {
+	rs.mu.Lock()
+	from, to := rs.choice(e.From), rs.choice(e.To)
+	rs.mu.Unlock()
+	exported, err := rs.m.c.Engines.Export(rs.ctx, from.Address, engineapi.ExportRequest{AttemptID: string(e.Attempt)})
 	if err != nil {
 		return "", fmt.Errorf("export KV cache from runner %s: %w", e.From, err)
 	}
-	imported, err := l.m.c.Engines.Import(l.ctx, to.Address, engineapi.ImportRequest{Source: from.Address, Handle: exported.Handle})
+	imported, err := rs.m.c.Engines.Import(rs.ctx, to.Address, engineapi.ImportRequest{Source: from.Address, Handle: exported.Handle})
 	if err != nil {
 		return "", fmt.Errorf("import KV cache at runner %s: %w", e.To, err)
 	}
--- a/daemon/models/rpc_handler.go
+++ b/daemon/models/rpc_handler.go
@@ -43,8 +43,8 @@
 			// The keeper knows the requests that this daemon owns. If it stores
 			// the record of one of them nevertheless, the record has a higher
 			// epoch and its owner takes precedence.
-			if l := h.m.requestState[r.ID]; l != nil && l.inProgress() {
-				newOwners[l] = r.Owner
+			if rs := h.m.requestState[r.ID]; rs != nil && rs.inProgress() {
+				newOwners[rs] = r.Owner
 			}
 		case handoff.Superseded:
 			resp.Superseded = append(resp.Superseded, &requestv1.Superseded{
@@ -95,11 +95,11 @@
 // daemons, because relays could form a cycle.
 func (h rpcHandler) Read(ctx context.Context, req *connect.Request[requestv1.ReadRequest], out *connect.ServerStream[requestv1.ReadResponse]) error {
 	id := ident.RequestID(req.Msg.RequestId)
-	l := h.m.find(id)
-	if l == nil || string(l.req.Workspace) != req.Msg.Workspace {
+	rs := h.m.find(id)
+	if rs == nil || string(rs.req.Workspace) != req.Msg.Workspace {
 		return connect.NewError(connect.CodeNotFound, &RequestNotFoundError{ID: id})
 	}
-	if !l.extendAnswer(int(req.Msg.KnownFrom), req.Msg.Known) {
+	if !rs.extendAnswer(int(req.Msg.KnownFrom), req.Msg.Known) {
 		h.m.count("requests.refused." + string(AnswerDiverged))
 		return out.Send(refusalResponse(refusal.New(AnswerDiverged, "the answer was begun by a gateway that is gone; ask anew").Unknown()))
 	}
@@ -112,7 +112,7 @@
 			FinishReason: e.FinishReason,
 		})
 	}}
-	return h.sendOutcome(ctx, out, r.readLocal(ctx, l))
+	return h.sendOutcome(ctx, out, r.readLocal(ctx, rs))
 }
 
 func (h rpcHandler) sendOutcome(ctx context.Context, out *connect.ServerStream[requestv1.ReadResponse], err error) error {
@@ -130,10 +130,10 @@
 
 // yieldToOwners ends the requests that this daemon runs but that, according to
 // newer records, other daemons own.
-func (m *Models) yieldToOwners(lost map[*requestState]ident.Incarnation) {
-	for l, owner := range lost {
+func (m *Models) yieldToOwners(newOwners map[*requestState]ident.Incarnation) {
+	for rs, owner := range newOwners {
 		m.count("requests.superseded")
-		l.markMoved(owner)
+		rs.markMoved(owner)
 	}
 }
 
@@ -141,14 +141,14 @@
 // the answer. It returns false if they differ from the tokens of the answer. It
 // ignores them if another daemon runs the request, or if they begin beyond the
 // end of the answer.
-func (l *requestState) extendAnswer(from int, known []string) bool {
+func (rs *requestState) extendAnswer(from int, known []string) bool {
 	if len(known) == 0 {
 		return true
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	answer := l.machine.Answer()
-	if l.movedTo != "" || from > answer.Offset() {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	answer := rs.machine.Answer()
+	if rs.movedTo != "" || from > answer.Offset() {
 		return true
 	}
 	before := answer.Offset()
@@ -156,7 +156,7 @@
 		return false
 	}
 	if answer.Offset() > before {
-		l.notifyReaders()
+		rs.notifyReaders()
 	}
 	return true
 }
