--- a/daemon/dispatch/config_refresh_test.go
+++ b/daemon/dispatch/config_refresh_test.go
@@ -10,8 +10,8 @@
 )
 
 // Guards against the refusal of a request that uses a new class right after the
-// operator's apply has returned. The dispatcher must not wait for its next
-// periodic refresh to apply the configuration.
+// operator was told that it is in force. The dispatcher must apply the
+// configuration at once instead of at its next refresh.
 func TestRequestRightAfterApplyIsServed(t *testing.T) {
 	runDispatcher(t, 2, func(t *testing.T, env *fakeEnvironment, d *Dispatcher) {
 		is := is.New(t)
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -88,9 +88,9 @@
 }
 
 // refreshIfStale applies a configuration that Run has not seen yet. Without it,
-// a request that arrives right after an apply was reported as in force could be
-// refused as not ready, or served with the previous configuration, until
-// RefreshInterval has passed.
+// a request that arrives right after the operator was told that a new
+// configuration is in force could be refused as not ready, or served with the
+// previous configuration, until RefreshInterval has passed.
 func (d *Dispatcher) refreshIfStale() {
 	current, _ := d.cfg.Config.Current()
 	d.mu.Lock()
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -126,7 +126,7 @@
 	c, err := s.table.Pick(now, &r)
 	var none *routing.NoRunnerError
 	if errors.As(err, &none) && none.Cause == routing.AllTried {
-		// Every runner has already failed for this request. One of them may
+		// Every runner has already been tried for this request. One of them may
 		// have recovered, so all of them are allowed again.
 		r.Exclude = prefix.Set{}
 		c, err = s.table.Pick(now, &r)
--- a/daemon/models/config.go
+++ b/daemon/models/config.go
@@ -41,8 +41,8 @@
 	// be modified.
 	Emitted []string
 	Exclude []ident.RunnerID
-	// After is the reason why the previous attempt ended; it is empty
-	// for the first attempt.
+	// After is the reason why the previous attempt ended; it is empty for the
+	// first attempt.
 	After request.Cause
 }
 
--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -1,8 +1,13 @@
 // Package models executes model requests. It drives the state machine of each
 // request with engine streams and timers, serves the answer to readers at this
-// daemon and at other gateways, stores copies of the records of requests that
-// other daemons run, and keeps requests going when a runner's VM or this
-// daemon's VM is reclaimed.
+// daemon and at other gateways, and keeps requests going when a runner's VM or
+// this daemon's VM is reclaimed.
+//
+// The daemon that runs a request is its owner. Deferrable and asynchronous
+// requests also have a record, which the owner stores at a second daemon, the
+// keeper of the record. When the owner is gone, the keeper adopts the request
+// and runs it. Each new owner has a higher epoch than the one before, so that
+// an owner that comes back learns that it has been replaced.
 package models
 
 import (
@@ -20,6 +25,8 @@
 )
 
 const (
+	// recordLimit bounds the records of other daemons' requests that this
+	// daemon stores.
 	recordLimit          = 50_000
 	overloadedRetryAfter = time.Second
 	drainingRetryAfter   = time.Second
@@ -39,15 +46,18 @@
 	// begun to wait for it.
 	spawnMu sync.Mutex
 
-	mu           sync.Mutex
+	mu sync.Mutex
+	// requestState holds, by ID, the requests that this daemon runs and those
+	// that it keeps for late readers after they ended.
 	requestState map[ident.RequestID]*requestState
-	ended        []*requestState // requests kept for late readers after they ended, oldest first
-	keeper       *handoff.Keeper
-	outbox       *handoff.Outbox
-	drain        *handoff.Drain
+	ended        []*requestState // oldest first
+	// keeper stores the records of other daemons' requests.
+	keeper *handoff.Keeper
+	// outbox tracks where the records of this daemon's requests are stored.
+	outbox *handoff.Outbox
+	// drain is nil until Drain is called.
+	drain *handoff.Drain
 	// renewing holds the keepers to which a renewal of records is in progress.
-	// A keeper is a daemon that stores the records of another daemon's
-	// requests.
 	renewing    map[ident.Incarnation]bool
 	lastRenewal time.Time
 }
--- a/daemon/models/reader.go
+++ b/daemon/models/reader.go
@@ -107,6 +107,10 @@
 	return err == nil || errors.As(err, &s) || errors.As(err, &ref)
 }
 
+// waitBeforeRetry prepares the next search for the owner after a failed one. It
+// returns at once if another daemon was named as the owner; otherwise it sends
+// a heartbeat to the reader and waits. It returns an error if the read ends
+// because the request does not exist or its owner cannot be reached.
 func (r *reader) waitBeforeRetry(ctx context.Context, err error) error {
 	var moved *MovedError
 	if errors.As(err, &moved) && r.ownerHint != moved.Owner {
@@ -281,7 +285,7 @@
 	return nil
 }
 
-// snapshot is the state of a local request that a reader needs, taken at one
+// snapshot is the part of a requestState that a reader needs, taken at one
 // point in time.
 type snapshot struct {
 	tokens  []string
--- a/daemon/models/reclaim.go
+++ b/daemon/models/reclaim.go
@@ -45,7 +45,8 @@
 	defaultSlots         = 16
 	defaultFreeTokens    = 64 << 10
 	defaultPrefillRate   = 8000
-	minFreeTokens        = 16 << 10
+	// minFreeTokens is the share of free tokens that covers one long stream.
+	minFreeTokens = 16 << 10
 )
 
 func (t Transfer) withDefaults() Transfer {
--- a/daemon/models/request_records.go
+++ b/daemon/models/request_records.go
@@ -127,9 +127,8 @@
 		m.count("records.no_keeper")
 		return nil
 	}
-	// The second round covers connections from the pool that have gone silent:
-	// each of them costs one timeout and is then closed, so the second round
-	// uses new connections.
+	// Pooled connections may have gone silent. Each of them costs one timeout
+	// and is then closed, so the second round uses new connections.
 	for range putRounds {
 		for _, k := range keepers[:min(maxPutKeepers, len(keepers))] {
 			if m.putRecords(ctx, k, []handoff.Renewal{{ID: rs.req.ID, Keeper: k}}) == nil {
--- a/daemon/models/request_state.go
+++ b/daemon/models/request_state.go
@@ -33,15 +33,16 @@
 	started      time.Time
 }
 
-// requestState is a request that this daemon runs, or that has ended and is
-// kept for late readers.
+// requestState is the state of a request that this daemon runs, or that has
+// ended and is kept for late readers.
 type requestState struct {
 	m        *Models
 	req      call.ModelRequest
 	spec     request.Spec
 	service  string
 	priority int
-	// recorded is true if a second daemon stores a record of the request.
+	// recorded is true if the record of the request is stored at a second
+	// daemon.
 	recorded bool
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -162,7 +163,7 @@
 	}
 }
 
-// applyEffect executes an effect of the state machine. The caller holds l.mu.
+// applyEffect executes an effect of the state machine. The caller holds rs.mu.
 func (rs *requestState) applyEffect(e request.Effect) {
 	switch e := e.(type) {
 	case request.Pick:
@@ -220,6 +221,7 @@
 	rs.step(request.Tick{})
 }
 
+// pickJob returns the input of the Picker. The caller holds rs.mu.
 func (rs *requestState) pickJob(p request.Pick) Job {
 	return Job{
 		Request: rs.req,
@@ -350,7 +352,7 @@
 }
 
 // endAttempt removes the attempt, closes its stream and reports its end to the
-// Picker. The caller holds l.mu.
+// Picker. The caller holds rs.mu.
 func (rs *requestState) endAttempt(id ident.AttemptID, answered bool, cause request.Cause) {
 	a, ok := rs.attempts[id]
 	if !ok {
--- a/daemon/models/write_deadline.go
+++ b/daemon/models/write_deadline.go
@@ -7,9 +7,9 @@
 )
 
 // writeDeadlines limits the time of each write of a handler's response. Without
-// a limit, a stream to a peer that disappeared without closing its connection,
-// or to which a network device lost track of the connection, keeps its
-// goroutine until the kernel gives up, which takes 15 minutes.
+// a limit, a stream keeps its goroutine until the kernel gives up, which takes
+// 15 minutes, if the peer disappeared without closing the connection or if a
+// network device dropped the connection silently.
 func writeDeadlines(next http.Handler, timeout time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(&deadlineWriter{ResponseWriter: w, timeout: timeout}, r)
