--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -1,8 +1,13 @@
 // Package models executes model requests. It drives the state machine of each
 // request with engine streams and timers, serves the answer to readers at this
-// daemon and at other gateways, stores copies of the records of requests that
-// other daemons run, and keeps requests going when a runner's VM or this
-// daemon's VM is reclaimed.
+// daemon and at other gateways, and keeps requests going when a runner's VM or
+// this daemon's VM is reclaimed.
+//
+// The daemon that runs a request is its owner. Deferrable and asynchronous
+// requests also have a record, which the owner stores at a second daemon, the
+// keeper of the record. When the owner is gone, the keeper adopts the request
+// and runs it. Each new owner has a higher epoch than the one before, so that
+// an owner that comes back learns that it has been replaced.
 package models
 
 import (
@@ -20,6 +25,8 @@
 )
 
 const (
+	// recordLimit bounds the records of other daemons' requests that this
+	// daemon stores.
 	recordLimit          = 50_000
 	overloadedRetryAfter = time.Second
 	drainingRetryAfter   = time.Second
@@ -39,15 +46,18 @@
 	// begun to wait for it.
 	spawnMu sync.Mutex
 
-	mu           sync.Mutex
+	mu sync.Mutex
+	// requestState holds, by ID, the requests that this daemon runs and those
+	// that it keeps for late readers after they ended.
 	requestState map[ident.RequestID]*requestState
-	ended        []*requestState // requests kept for late readers after they ended, oldest first
-	keeper       *handoff.Keeper
-	outbox       *handoff.Outbox
-	drain        *handoff.Drain
+	ended        []*requestState // oldest first
+	// keeper stores the records of other daemons' requests.
+	keeper *handoff.Keeper
+	// outbox tracks where the records of this daemon's requests are stored.
+	outbox *handoff.Outbox
+	// drain is nil until Drain is called.
+	drain *handoff.Drain
 	// renewing holds the keepers to which a renewal of records is in progress.
-	// A keeper is a daemon that stores the records of another daemon's
-	// requests.
 	renewing    map[ident.Incarnation]bool
 	lastRenewal time.Time
 }
@@ -123,24 +133,24 @@
 // succeeds and has no effect, so that a caller that did not receive the
 // response may retry.
 func (m *Models) Submit(ctx context.Context, r call.ModelRequest) error {
-	l, err := m.prepare(r)
+	rs, err := m.prepare(r)
 	if err != nil {
 		return m.countRefusal(err)
 	}
 	if existing := m.find(r.ID); existing != nil {
 		return m.handleDuplicate(existing, r)
 	}
-	if !l.spec.Deferrable {
-		if l.release, err = m.c.Picker.Acquire(ctx, l.req); err != nil {
+	if !rs.spec.Deferrable {
+		if rs.release, err = m.c.Picker.Acquire(ctx, rs.req); err != nil {
 			return m.countRefusal(err)
 		}
 	}
-	if err := m.accept(ctx, l); err != nil {
-		l.releaseCapacity()
+	if err := m.accept(ctx, rs); err != nil {
+		rs.releaseCapacity()
 		return m.countRefusal(err)
 	}
-	m.count("requests.accepted." + l.req.Class)
-	m.start(l)
+	m.count("requests.accepted." + rs.req.Class)
+	m.start(rs)
 	return nil
 }
 
@@ -149,8 +159,8 @@
 	return err
 }
 
-func (m *Models) handleDuplicate(l *requestState, r call.ModelRequest) error {
-	if l.req.Workspace != r.Workspace {
+func (m *Models) handleDuplicate(rs *requestState, r call.ModelRequest) error {
+	if rs.req.Workspace != r.Workspace {
 		return m.countRefusal(refusal.New(refusal.BadRequest, "request ID is in use"))
 	}
 	return nil
@@ -213,34 +223,34 @@
 // accept registers the request. If the request is recorded (deferrable or
 // asynchronous), accept also stores its record at a second daemon, so that the
 // death of a single process cannot lose it.
-func (m *Models) accept(ctx context.Context, l *requestState) error {
+func (m *Models) accept(ctx context.Context, rs *requestState) error {
 	m.mu.Lock()
 	if len(m.requestState)-len(m.ended) >= m.c.Limits.MaxInProgress {
 		m.mu.Unlock()
 		return refusal.New(refusal.Overloaded, "too many requests in progress").After(overloadedRetryAfter)
 	}
-	m.requestState[l.req.ID] = l
-	if l.recorded {
-		m.outbox.Track(l.req.ID)
-		m.keeper.Claim(l.req.ID, handoff.Claim{Owner: m.c.Self, Epoch: l.spec.Epoch})
+	m.requestState[rs.req.ID] = rs
+	if rs.recorded {
+		m.outbox.Track(rs.req.ID)
+		m.keeper.Claim(rs.req.ID, handoff.Claim{Owner: m.c.Self, Epoch: rs.spec.Epoch})
 	}
 	m.mu.Unlock()
-	if !l.recorded {
+	if !rs.recorded {
 		return nil
 	}
-	if err := m.storeFirstRecord(ctx, l); err != nil {
-		m.remove(l)
+	if err := m.storeFirstRecord(ctx, rs); err != nil {
+		m.remove(rs)
 		return err
 	}
 	return nil
 }
 
-func (m *Models) remove(l *requestState) {
+func (m *Models) remove(rs *requestState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.requestState[l.req.ID] == l {
-		delete(m.requestState, l.req.ID)
-		m.keeper.ReleaseClaim(l.req.ID, m.c.Self)
+	if m.requestState[rs.req.ID] == rs {
+		delete(m.requestState, rs.req.ID)
+		m.keeper.ReleaseClaim(rs.req.ID, m.c.Self)
 	}
-	m.outbox.Untrack(l.req.ID)
+	m.outbox.Untrack(rs.req.ID)
 }
