--- a/daemon/actions/collect.go
+++ b/daemon/actions/collect.go
@@ -39,7 +39,6 @@
 
 // endedDaemon is the state of the collection for a daemon that has ended.
 type endedDaemon struct {
-	// noticedAt is when this daemon noticed the end.
 	noticedAt time.Time
 	sealed    bool
 }
--- a/daemon/actions/seal.go
+++ b/daemon/actions/seal.go
@@ -176,8 +176,9 @@
 	if err != nil {
 		return err
 	}
-	// The seal may be deleted when its lease expires: by then the owner refuses
-	// all keys that were answered from the sealed log as expired.
+	// The seal may be deleted when its lease expires. A paused owner that
+	// resumes later could then append to the log, but refuses as expired
+	// all keys about which answers were given from the sealed log.
 	lease, err := s.currentLease(ctx)
 	if err != nil {
 		return err
--- a/daemon/orders/fleet.go
+++ b/daemon/orders/fleet.go
@@ -54,7 +54,8 @@
 	service manifest.Service
 	fleet   manifest.Fleet
 	runners []view.Runner
-	// settled is true if the round found nothing to change and no call pending.
+	// settled is true if the round found nothing to change and no start or stop
+	// pending.
 	settled bool
 }
 
@@ -115,7 +116,7 @@
 
 // round completes the calls that an earlier round or holder left pending, plans
 // starts and stops, writes them to the ledger and executes them. It returns idle
-// as true if there was nothing to start or stop.
+// as true if the plan has no starts or stops and no runners are lacking.
 func (f *fleetDuty) round(ctx context.Context, m *manifest.Manifest, service *manifest.Service, runners []view.Runner) (idle bool, err error) {
 	listed, err := f.listVMs(ctx)
 	if err != nil {
--- a/daemon/orders/ledger.go
+++ b/daemon/orders/ledger.go
@@ -57,7 +57,7 @@
 type LedgerLostError struct{ Err error }
 
 func (e *LedgerLostError) Error() string {
-	return fmt.Sprintf("local copy of ledger is out of date: %v", e.Err)
+	return fmt.Sprintf("local copy of ledger may be out of date: %v", e.Err)
 }
 
 // Unwrap returns the cause.
