--- a/daemon/actions/drain.go
+++ b/daemon/actions/drain.go
@@ -21,9 +21,9 @@
 	recordsPerPart    = 256
 	maxAdoptedBytes   = 16 << 20
 	drainPollInterval = 20 * time.Millisecond
-	// idleWaitDivisor is the divisor by which the time of a drain yields the
-	// time to wait for actions in progress. The rest is left for sealing the
-	// logs and the hand-off.
+	// idleWaitDivisor limits the wait for actions in progress: the time that a
+	// drain has is divided by it. The rest is left for sealing the logs and for
+	// the hand-off.
 	idleWaitDivisor = 3
 )
 
--- a/daemon/actions/history_test.go
+++ b/daemon/actions/history_test.go
@@ -213,10 +213,10 @@
 	w.f.daemons = append(w.f.daemons, d)
 }
 
-// Checks random histories of calls and faults against the guarantees given to
-// callers: a call runs at most once, and answers about it don't contradict each
-// other. The gateways run as in a daemon, with their goroutines, calls to each
-// other and connections to runners.
+// TestHistories checks random histories of calls and faults against the
+// guarantees given to callers: a call runs at most once, and answers about it
+// don't contradict each other. The gateways run as in a daemon, with their
+// goroutines, calls to each other and connections to runners.
 func TestHistories(t *testing.T) {
 	var yes, no, unknown, runs int
 	for seed := range *histories {
--- a/daemon/orders/harness_test.go
+++ b/daemon/orders/harness_test.go
@@ -37,8 +37,8 @@
 	loadTime = 10 * time.Second
 )
 
-// cluster holds simulated cloud, key-value service, weight store and engines, and
-// daemons that run a Driver.
+// cluster holds a simulated cloud, key-value service and weight store, simulated
+// engines, and daemons that run a Driver.
 type cluster struct {
 	*is.I
 	store   *kvserver.Store
