--- a/daemon/control/apply.go
+++ b/daemon/control/apply.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// submissionBound is when a submission is given up.
-	submissionBound = 15 * time.Second
-	// stepRetry is the pause before a step that failed is tried again.
-	stepRetry = 100 * time.Millisecond
-	// settleBound is how long Apply waits, once every failure domain has the
+	// submissionTimeout is when a submission is given up.
+	submissionTimeout = 15 * time.Second
+	// stepRetryDelay is the pause before a step that failed is tried again.
+	stepRetryDelay = 100 * time.Millisecond
+	// confirmationTimeout is how long Apply waits, once every failure domain has the
 	// generation, for the single daemons' own word.
-	settleBound = 250 * time.Millisecond
+	confirmationTimeout = 250 * time.Millisecond
 )
 
 // Submission asks for a manifest to be accepted.
@@ -76,8 +76,8 @@
 		return Outcome{}, err
 	}
 	klog.InfoS("Configuration accepted", "generation", accepted.Generation, "author", accepted.Author, "submission", accepted.SubmissionID)
-	c.adopt(accepted, s.Manifest)
-	c.noteCollection(accepted.Generation)
+	c.activateAccepted(accepted, s.Manifest)
+	c.scheduleCollection(accepted.Generation)
 	return c.waitInForce(ctx, accepted, s.Wait), nil
 }
 
@@ -93,63 +93,63 @@
 }
 
 func (c *Control) submit(ctx context.Context, s Submission) (config.Accepted, error) {
-	ctx, cancel := context.WithTimeout(ctx, submissionBound)
+	ctx, cancel := context.WithTimeout(ctx, submissionTimeout)
 	defer cancel()
-	_, floor := c.Current()
-	machine, err := config.NewSubmission(s.Manifest, s.Author, s.ID, s.Expected, floor)
+	_, minGeneration := c.Current()
+	submission, err := config.NewSubmission(s.Manifest, s.Author, s.ID, s.Expected, minGeneration)
 	if err != nil {
 		return config.Accepted{}, err
 	}
 	for {
-		switch step := machine.Step().(type) {
+		switch step := submission.Step().(type) {
 		case *config.Done:
 			return step.Accepted, nil
 		case *config.Failed:
 			return config.Accepted{}, step.Err
 		default:
-			err = c.takeStep(ctx, machine, step)
+			err = c.executeStep(ctx, submission, step)
 		}
-		if permanent(err) {
+		if isPermanent(err) {
 			return config.Accepted{}, err
 		}
-		if err != nil && !pause.For(ctx, c.jittered(stepRetry)) {
-			return config.Accepted{}, machine.AbortError(err)
+		if err != nil && !pause.For(ctx, c.jittered(stepRetryDelay)) {
+			return config.Accepted{}, submission.AbortError(err)
 		}
 	}
 }
 
-// permanent tells the errors that trying again cannot mend. None of them comes
+// isPermanent tells the errors that trying again cannot mend. None of them comes
 // from a swap that may have taken effect.
-func permanent(err error) bool {
+func isPermanent(err error) bool {
 	var large *kv.TooLargeError
 	var malformed *config.MalformedHeadError
 	return errors.As(err, &large) || errors.As(err, &malformed)
 }
 
-// takeStep carries out one step; after an error the machine is still at it, or
+// executeStep carries out one step; after an error the machine is still at it, or
 // reads the head again.
-func (c *Control) takeStep(ctx context.Context, machine *config.Submission, step config.Step) error {
+func (c *Control) executeStep(ctx context.Context, submission *config.Submission, step config.Step) error {
 	switch step := step.(type) {
 	case *config.ReadHead:
 		head, revision, err := c.readHead(ctx)
 		if err != nil {
 			return err
 		}
-		machine.HeadRead(time.Now(), head, uint64(revision))
+		submission.HeadRead(time.Now(), head, uint64(revision))
 	case *config.StoreSections:
 		for _, section := range step.Sections {
 			if err := c.storeSection(ctx, section); err != nil {
 				return err
 			}
 		}
-		machine.SectionsStored()
+		submission.SectionsStored()
 	case *config.SwapHead:
-		return c.swapHead(ctx, machine, step)
+		return c.swapHead(ctx, submission, step)
 	}
 	return nil
 }
 
-func (c *Control) swapHead(ctx context.Context, machine *config.Submission, step *config.SwapHead) error {
+func (c *Control) swapHead(ctx context.Context, submission *config.Submission, step *config.SwapHead) error {
 	value, err := config.EncodeHead(step.Head)
 	if err != nil {
 		return err
@@ -159,15 +159,15 @@
 	var large *kv.TooLargeError
 	switch {
 	case err == nil:
-		machine.Swapped()
+		submission.Swapped()
 		return nil
 	case errors.As(err, &conflict):
-		machine.SwapConflict()
+		submission.SwapConflict()
 		return nil
 	case errors.As(err, &large):
 		return err
 	}
-	machine.SwapLost()
+	submission.SwapLost()
 	return err
 }
 
@@ -203,8 +203,8 @@
 	return err
 }
 
-// adopt brings an accepted configuration into force here without a fetch.
-func (c *Control) adopt(accepted config.Accepted, m *manifest.Manifest) {
+// activateAccepted brings an accepted configuration into force here without a fetch.
+func (c *Control) activateAccepted(accepted config.Accepted, m *manifest.Manifest) {
 	sections, err := manifest.Split(m)
 	if err != nil {
 		return
@@ -215,24 +215,24 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOutLocked(c.follower.Adopt(time.Now(), accepted, data))
-	c.afterLocked()
+	c.executeEffectsLocked(c.follower.Adopt(time.Now(), accepted, data))
+	c.publishChangesLocked()
 }
 
 // waitInForce waits until every failure domain has the generation.
 func (c *Control) waitInForce(ctx context.Context, accepted config.Accepted, wait time.Duration) Outcome {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	var settle *time.Timer
+	var confirmationTimer *time.Timer
 	for {
 		changed := c.Changed()
 		outcome := c.outcome(accepted)
-		if outcome.settled() || ctx.Err() != nil {
+		if outcome.confirmedByAllDaemons() || ctx.Err() != nil {
 			return outcome
 		}
-		if outcome.InForceEverywhere && settle == nil {
-			settle = time.AfterFunc(settleBound, cancel)
-			defer settle.Stop()
+		if outcome.InForceEverywhere && confirmationTimer == nil {
+			confirmationTimer = time.AfterFunc(confirmationTimeout, cancel)
+			defer confirmationTimer.Stop()
 		}
 		select {
 		case <-changed:
@@ -251,8 +251,8 @@
 	return o
 }
 
-// settled tells whether it is in force and every daemon has said so.
-func (o Outcome) settled() bool {
+// confirmedByAllDaemons tells whether it is in force and every daemon has said so.
+func (o Outcome) confirmedByAllDaemons() bool {
 	for _, d := range o.Domains {
 		if d.DaemonsBehind+d.DaemonsUnheard > 0 {
 			return false
@@ -277,12 +277,12 @@
 			status(domain)
 		}
 	}
-	since := c.inForceSince()
+	since := c.activationTime()
 	for _, member := range c.MembersNow() {
-		status(member.FailureDomain).count(member, generation, since)
+		status(member.FailureDomain).countDaemon(member, generation, since)
 	}
 	for domain, g := range c.InForce() {
-		status(domain).reached(g, generation)
+		status(domain).recordHighest(g, generation)
 	}
 	all := make([]DomainStatus, 0, len(byDomain))
 	for _, d := range byDomain {
@@ -292,7 +292,7 @@
 	return all
 }
 
-func (d *DomainStatus) count(m membership.Member, generation ident.Generation, since time.Time) {
+func (d *DomainStatus) countDaemon(m membership.Member, generation ident.Generation, since time.Time) {
 	d.Daemons++
 	switch {
 	case m.Generation >= generation || m.State == view.Leaving:
@@ -303,10 +303,10 @@
 	}
 }
 
-// reached notes the domain's highest generation. It may be known before the word
+// recordHighest notes the domain's highest generation. It may be known before the word
 // of the daemon that has it comes, by way of a third one. Without taking that one
 // out, all daemons of a domain that has the generation would be shown as behind.
-func (d *DomainStatus) reached(highest, wanted ident.Generation) {
+func (d *DomainStatus) recordHighest(highest, wanted ident.Generation) {
 	d.Generation = highest
 	if highest < wanted || d.DaemonsBehind+d.DaemonsUnheard < d.Daemons {
 		return
--- a/daemon/control/collect.go
+++ b/daemon/control/collect.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// collectEvery is the number of generations between two collections of
+	// collectionInterval is the number of generations between two collections of
 	// unreferenced sections.
-	collectEvery = 64
-	collectPage  = 16
-	// collectRetry is the pause after a collection that failed.
-	collectRetry = 5 * time.Second
+	collectionInterval = 64
+	collectionPageSize = 16
+	// collectionRetryDelay is the pause after a collection that failed.
+	collectionRetryDelay = 5 * time.Second
 )
 
-// noteCollection makes a collection due if it is a generation's turn. Guards
+// scheduleCollection makes a collection due if it is a generation's turn. Guards
 // against a collection that nobody makes: one that was only started at the
 // acceptance was lost when Run had not begun or the key-value service went down,
 // and showed as sections that stayed for 64 more changes. The note waits in the
 // channel for collectLoop, which tries until it has succeeded. A crash in
 // between still leaves the sections to the next turn.
-func (c *Control) noteCollection(generation ident.Generation) {
-	if generation%collectEvery != 0 {
+func (c *Control) scheduleCollection(generation ident.Generation) {
+	if generation%collectionInterval != 0 {
 		return
 	}
 	select {
@@ -52,7 +52,7 @@
 				break
 			}
 			klog.V(1).InfoS("Collection of sections ended early", "err", err)
-			if !pause.For(ctx, c.jittered(collectRetry)) {
+			if !pause.For(ctx, c.jittered(collectionRetryDelay)) {
 				return
 			}
 		}
@@ -63,7 +63,7 @@
 func (c *Control) collect(ctx context.Context) error {
 	after := sectionPrefix
 	for {
-		page, err := c.listPage(ctx, sectionPrefix, after, collectPage)
+		page, err := c.listPage(ctx, sectionPrefix, after, collectionPageSize)
 		if err != nil || len(page) == 0 {
 			return err
 		}
@@ -81,15 +81,15 @@
 }
 
 func (c *Control) deleteUnreferenced(ctx context.Context, page []kv.Entry, head config.Head) error {
-	named := map[string]bool{}
+	referenced := map[string]bool{}
 	for _, accepted := range head.History() {
 		for _, hash := range accepted.Sections {
-			named[sectionKey(hash)] = true
+			referenced[sectionKey(hash)] = true
 		}
 	}
 	for _, entry := range page {
 		written, _, err := decodeSection(entry.Key, entry.Value)
-		if named[entry.Key] || (err == nil && time.Since(written) < sectionKeepAtLeast) {
+		if referenced[entry.Key] || (err == nil && time.Since(written) < minSectionAge) {
 			continue
 		}
 		err = c.write(func() error { return c.cfg.Store.Delete(ctx, entry.Key, entry.Revision) })
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -59,13 +59,13 @@
 	links    map[ident.Incarnation]*link
 	// newest is the newest head known with its past; zero if read from peers.
 	newest config.Head
-	// enforced is when the configuration in force came into force here.
-	enforced time.Time
-	// storeOK is when the key-value service last answered.
-	storeOK time.Time
-	// seen is the revision of the table that was last acted on.
-	seen       membership.Revision
-	seenDigest uint64
+	// activatedAt is when the configuration in force came into force here.
+	activatedAt time.Time
+	// lastStoreResponse is when the key-value service last answered.
+	lastStoreResponse time.Time
+	// publishedRevision is the revision of the table that was last acted on.
+	publishedRevision membership.Revision
+	publishedDigest   uint64
 
 	// collectionDue holds at most one note for collectLoop.
 	collectionDue chan struct{}
@@ -76,9 +76,9 @@
 	daemons          cached[[]view.Daemon]
 	vms              cached[map[string][]view.Runner]
 
-	// run is the context of Run; work started by handlers ends with it.
-	run   context.Context
-	tasks sync.WaitGroup
+	// runCtx is the context of Run; work started by handlers ends with it.
+	runCtx context.Context
+	tasks  sync.WaitGroup
 }
 
 // cached is a value with the revision of the table that it was made from.
@@ -144,14 +144,14 @@
 	}
 	err := group.Wait()
 	c.waitForTasks()
-	c.leave()
+	c.announceDeparture()
 	return err
 }
 
 func (c *Control) start(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.run = ctx
+	c.runCtx = ctx
 	c.relinkLocked()
 }
 
@@ -178,12 +178,12 @@
 	return m, head.Generation
 }
 
-// configWatch gives Control's two Changed methods apart: the one of
+// configView gives Control's two Changed methods apart: the one of
 // view.Directory is its own, the one of view.Config is this type's.
-type configWatch struct{ *Control }
+type configView struct{ *Control }
 
 // Changed implements view.Config.
-func (c configWatch) Changed() <-chan struct{} {
+func (c configView) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.configChanged
@@ -191,7 +191,7 @@
 
 // ConfigView returns the configuration alone, with its own Changed: it is not
 // woken by changes of the directory.
-func (c *Control) ConfigView() view.Config { return configWatch{c} }
+func (c *Control) ConfigView() view.Config { return configView{c} }
 
 // Changed implements view.Directory; it is closed at changes of the
 // configuration in force too.
@@ -232,11 +232,11 @@
 	return members
 }
 
-// inForceSince is when the configuration in force came into force here.
-func (c *Control) inForceSince() time.Time {
+// activationTime is when the configuration in force came into force here.
+func (c *Control) activationTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.enforced
+	return c.activatedAt
 }
 
 func (c *Control) membersLocked() []membership.Member {
@@ -282,7 +282,7 @@
 
 // NoteLeaving implements view.Directory.
 func (c *Control) NoteLeaving(address string, left time.Duration) {
-	c.noticed([]membership.Notice{{Address: address, Left: left}})
+	c.applyNotices([]membership.Notice{{Address: address, Left: left}})
 }
 
 // Drain makes this daemon leaving for good and tells the others at once. The
@@ -291,7 +291,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.table.Drain(time.Now(), leavesAt)
-	c.afterLocked()
+	c.publishChangesLocked()
 }
 
 // DrainTarget makes a daemon or the runner of a VM leaving for good, wherever it
@@ -300,7 +300,7 @@
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.afterLocked()
+	defer c.publishChangesLocked()
 	found := c.table.MarkVMLeaving(now, target)
 	for _, m := range c.membersLocked() {
 		if string(m.ID) == target || string(m.Incarnation) == target {
@@ -332,19 +332,19 @@
 func (c *Control) StoreUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.storeOK) < storeUpFor
+	return time.Since(c.lastStoreResponse) < storeUpWindow
 }
 
-// afterLocked acts on what changed in the table: it rebuilds the links, wakes
+// publishChangesLocked acts on what changed in the table: it rebuilds the links, wakes
 // readers and pushes news.
-func (c *Control) afterLocked() {
+func (c *Control) publishChangesLocked() {
 	revision := c.table.Revision()
-	if revision == c.seen {
+	if revision == c.publishedRevision {
 		return
 	}
-	c.seen = revision
-	if digest := c.table.Digest(); digest != c.seenDigest {
-		c.seenDigest = digest
+	c.publishedRevision = revision
+	if digest := c.table.Digest(); digest != c.publishedDigest {
+		c.publishedDigest = digest
 		c.relinkLocked()
 	}
 	close(c.directoryChanged)
@@ -354,13 +354,13 @@
 	}
 }
 
-func (c *Control) noticed(notices []membership.Notice) {
+func (c *Control) applyNotices(notices []membership.Notice) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range notices {
 		c.table.ApplyNotice(time.Now(), n)
 	}
-	c.afterLocked()
+	c.publishChangesLocked()
 }
 
 func (c *Control) tickLoop(ctx context.Context) {
@@ -381,14 +381,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.table.Tick(now)
-	c.carryOutLocked(c.follower.Tick(now))
-	c.afterLocked()
+	c.executeEffectsLocked(c.follower.Tick(now))
+	c.publishChangesLocked()
 }
 
 // spawn runs work that ends with Run; it is dropped before Run and after.
 // The lock must be held.
 func (c *Control) spawnLocked(work func(context.Context)) {
-	ctx := c.run
+	ctx := c.runCtx
 	if ctx == nil || ctx.Err() != nil {
 		return
 	}
--- a/daemon/control/counters.go
+++ b/daemon/control/counters.go
@@ -9,12 +9,12 @@
 	probes           metrics.Counter
 	fetches          metrics.Counter
 	fetchesFailed    metrics.Counter
-	enforced         metrics.Counter
+	activated        metrics.Counter
 	rejected         metrics.Counter
 	storeReads       metrics.Counter
 	storeWrites      metrics.Counter
-	storeFailed      metrics.Counter
-	watchesSilent    metrics.Counter
+	storeFailures    metrics.Counter
+	watchTimeouts    metrics.Counter
 	lists            metrics.Counter
 	notices          metrics.Counter
 	submissions      metrics.Counter
@@ -32,12 +32,12 @@
 		probes:           counter("probes_asked"),
 		fetches:          counter("config_fetches"),
 		fetchesFailed:    counter("config_fetches_failed"),
-		enforced:         counter("config_enforced"),
+		activated:        counter("config_enforced"),
 		rejected:         counter("config_rejected"),
 		storeReads:       counter("store_reads"),
 		storeWrites:      counter("store_writes"),
-		storeFailed:      counter("store_failed"),
-		watchesSilent:    counter("store_watches_silent"),
+		storeFailures:    counter("store_failed"),
+		watchTimeouts:    counter("store_watches_silent"),
 		lists:            counter("vm_lists"),
 		notices:          counter("notices"),
 		submissions:      counter("submissions"),
--- a/daemon/control/follow.go
+++ b/daemon/control/follow.go
@@ -16,34 +16,34 @@
 const (
 	// watchWait is how long one watch waits in the service.
 	watchWait = 20 * time.Second
-	// watchSlack is how much later than watchWait an answer may come before the
+	// watchTimeoutMargin is how much later than watchWait an answer may come before the
 	// watch counts as silent.
-	watchSlack = 3 * time.Second
+	watchTimeoutMargin = 3 * time.Second
 	// storeTimeout bounds every other call to the service.
 	storeTimeout = 2 * time.Second
-	// storeRetry is the pause after a failed call, up to twice that.
-	storeRetry = time.Second
-	// storeUpFor is how long one answer counts as a sign of life; every daemon
+	// storeRetryDelay is the pause after a failed call, up to twice that.
+	storeRetryDelay = time.Second
+	// storeUpWindow is how long one answer counts as a sign of life; every daemon
 	// reads the head at least that often.
-	storeUpFor = rereadFar + rereadNear
-	// rereadNear is the time between two reads of the head on a watching
+	storeUpWindow = longRereadInterval + shortRereadInterval
+	// shortRereadInterval is the time between two reads of the head on a watching
 	// daemon, or on one that has no configuration yet or no peer.
-	rereadNear = 10 * time.Second
-	// rereadFar is the same on the others, which learn from their peers.
-	rereadFar = 5 * time.Minute
-	// dutyRecheck is how often a daemon without a duty looks whether it has one.
-	dutyRecheck = 5 * time.Second
-	fetchBound  = 2 * time.Second
+	shortRereadInterval = 10 * time.Second
+	// longRereadInterval is the same on the others, which learn from their peers.
+	longRereadInterval = 5 * time.Minute
+	// designationRecheck is how often a daemon without a duty looks whether it has one.
+	designationRecheck = 5 * time.Second
+	fetchTimeout       = 2 * time.Second
 )
 
-// carryOutLocked starts the follower's effects.
-func (c *Control) carryOutLocked(effects []config.Effect) {
+// executeEffectsLocked starts the follower's effects.
+func (c *Control) executeEffectsLocked(effects []config.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case *config.Fetch:
 			c.spawnLocked(func(ctx context.Context) { c.fetch(ctx, e) })
 		case *config.Activate:
-			c.enforceLocked(e)
+			c.activateLocked(e)
 		case *config.Reject:
 			c.counters.rejected.Inc(1)
 			klog.ErrorS(e.Err, "Accepted configuration can't be read; the former stays in force", "generation", e.Head.Generation)
@@ -51,18 +51,18 @@
 	}
 }
 
-func (c *Control) enforceLocked(e *config.Activate) {
-	c.counters.enforced.Inc(1)
+func (c *Control) activateLocked(e *config.Activate) {
+	c.counters.activated.Inc(1)
 	klog.InfoS("Configuration in force", "generation", e.Head.Generation, "author", e.Head.Author)
 	c.table.SetGeneration(e.Head.Generation)
-	c.enforced = time.Now()
+	c.activatedAt = time.Now()
 	close(c.configChanged)
 	c.configChanged = make(chan struct{})
 }
 
 func (c *Control) fetch(ctx context.Context, f *config.Fetch) {
 	c.counters.fetches.Inc(1)
-	ctx, cancel := context.WithTimeout(ctx, fetchBound)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	var sections map[manifest.Hash][]byte
 	var err error
@@ -77,8 +77,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOutLocked(c.follower.Supply(time.Now(), sections))
-	c.afterLocked()
+	c.executeEffectsLocked(c.follower.Supply(time.Now(), sections))
+	c.publishChangesLocked()
 }
 
 // readHead reads the register; revision zero says that there is none.
@@ -87,7 +87,7 @@
 	defer cancel()
 	c.counters.storeReads.Inc(1)
 	entry, err := c.cfg.Store.Get(ctx, headKey)
-	c.noteStore(err)
+	c.recordStoreResult(err)
 	if err != nil || entry.Revision == 0 {
 		return config.Head{}, 0, err
 	}
@@ -95,17 +95,17 @@
 	return head, entry.Revision, err
 }
 
-func (c *Control) noteStore(err error) {
+func (c *Control) recordStoreResult(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var conflict *kv.ConflictError
 	var expired *kv.LeaseExpiredError
 	var compacted *kv.CompactedError
 	if err == nil || errors.As(err, &conflict) || errors.As(err, &expired) || errors.As(err, &compacted) {
-		c.storeOK = time.Now()
+		c.lastStoreResponse = time.Now()
 		return
 	}
-	c.counters.storeFailed.Inc(1)
+	c.counters.storeFailures.Inc(1)
 }
 
 // learnHead takes in a head as it stands in the service.
@@ -118,19 +118,19 @@
 	if head.Generation > c.newest.Generation {
 		c.newest = head
 	}
-	c.carryOutLocked(c.follower.Learn(time.Now(), head.Accepted, config.StoreSource))
-	c.afterLocked()
+	c.executeEffectsLocked(c.follower.Learn(time.Now(), head.Accepted, config.StoreSource))
+	c.publishChangesLocked()
 }
 
 // watchLoop waits for changes of the head while the daemon has that duty.
 func (c *Control) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !c.onDuty(fixedSlot) {
-			pause.For(ctx, dutyRecheck)
+		if !c.isDesignated(fixedSlot) {
+			pause.For(ctx, designationRecheck)
 			continue
 		}
 		if err := c.watchHead(ctx); err != nil {
-			pause.For(ctx, c.jittered(storeRetry))
+			pause.For(ctx, c.jittered(storeRetryDelay))
 		}
 	}
 }
@@ -144,7 +144,7 @@
 		return err
 	}
 	c.learnHead(head)
-	for ctx.Err() == nil && c.onDuty(fixedSlot) {
+	for ctx.Err() == nil && c.isDesignated(fixedSlot) {
 		events, next, err := c.watchOnce(ctx, after)
 		if err != nil {
 			return err
@@ -158,14 +158,14 @@
 }
 
 func (c *Control) watchOnce(ctx context.Context, after kv.Revision) ([]kv.Event, kv.Revision, error) {
-	bounded, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
+	watchCtx, cancel := context.WithTimeout(ctx, watchWait+watchTimeoutMargin)
 	defer cancel()
 	c.counters.storeReads.Inc(1)
-	events, next, err := c.cfg.Store.Watch(bounded, headKey, after, watchWait)
-	if bounded.Err() != nil && ctx.Err() == nil {
-		c.counters.watchesSilent.Inc(1)
+	events, next, err := c.cfg.Store.Watch(watchCtx, headKey, after, watchWait)
+	if watchCtx.Err() != nil && ctx.Err() == nil {
+		c.counters.watchTimeouts.Inc(1)
 	}
-	c.noteStore(err)
+	c.recordStoreResult(err)
 	return events, next, err
 }
 
@@ -195,12 +195,12 @@
 
 func (c *Control) rereadInterval() time.Duration {
 	_, generation := c.Current()
-	alone := len(c.Members()) < 2
+	withoutPeers := len(c.Members()) < 2
 	switch {
-	case generation == 0 && alone:
-		return storeRetry
-	case generation == 0 || alone || c.onDuty(fixedSlot):
-		return rereadNear
+	case generation == 0 && withoutPeers:
+		return storeRetryDelay
+	case generation == 0 || withoutPeers || c.isDesignated(fixedSlot):
+		return shortRereadInterval
 	}
-	return rereadFar
+	return longRereadInterval
 }
--- a/daemon/control/history_test.go
+++ b/daemon/control/history_test.go
@@ -24,10 +24,10 @@
 // trials is the number of seeds; more of them are a longer run.
 var trials = flag.Uint64("trials", 3, "seeds of TestHistoriesOfTheRegister")
 
-// submitted is one operator's call and what it was told.
-type submitted struct{ expected int64 }
+// submitCall is one operator's call and what it was told.
+type submitCall struct{ expected int64 }
 
-type told struct {
+type submitResult struct {
 	outcome    string
 	generation int64
 }
@@ -45,7 +45,7 @@
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{int64(0)} },
 		Step: func(state, input, output any) []any {
-			generation, call, answer := state.(int64), input.(submitted), output.(told)
+			generation, call, answer := state.(int64), input.(submitCall), output.(submitResult)
 			fits := call.expected == config.AnyGeneration || call.expected == generation
 			switch {
 			case answer.outcome == accepted && fits && answer.generation == generation+1:
@@ -65,9 +65,9 @@
 	return model.ToModel()
 }
 
-// seen is a read of the generation in force at one incarnation, or the report
+// observation is a read of the generation in force at one incarnation, or the report
 // that one is in force in every failure domain.
-type seen struct {
+type observation struct {
 	incarnation ident.Incarnation
 	report      bool
 }
@@ -79,7 +79,7 @@
 		Init: func() any { return int64(0) },
 		Step: func(state, input, output any) (bool, any) {
 			highest, generation := state.(int64), output.(int64)
-			return input.(seen).report || generation >= highest, max(highest, generation)
+			return input.(observation).report || generation >= highest, max(highest, generation)
 		},
 	}
 }
@@ -102,25 +102,25 @@
 	h.all = append(h.all, op)
 }
 
-// trial is a fleet under random faults with operators and readers.
-type trial struct {
+// historyRun is a fleet under random faults with operators and readers.
+type historyRun struct {
 	*fleet
 	random   *rand.Rand
 	register history
 	reads    map[ident.Incarnation]*history
 	starts   history
-	over     chan struct{}
+	done     chan struct{}
 	// operators and reader are the trial's clients.
 	operators sync.WaitGroup
 	reader    sync.WaitGroup
-	// careless breaks the guard that tells a lost answer from a lost call.
-	careless bool
+	// newIDOnRetry breaks the guard that tells a lost answer from a lost call.
+	newIDOnRetry bool
 }
 
-func (r *trial) operate(client, calls int, random *rand.Rand) {
+func (r *historyRun) runOperator(client, calls int, random *rand.Rand) {
 	defer r.operators.Done()
 	for n := range calls {
-		time.Sleep(rand1(random, 3*time.Second))
+		time.Sleep(randomDuration(random, 3*time.Second))
 		d := r.daemonAt(random.IntN(5))
 		expected := config.AnyGeneration
 		if random.IntN(2) == 0 {
@@ -128,67 +128,67 @@
 			expected = int64(g)
 		}
 		call := time.Now()
-		answer := r.submitOnce(d, fmt.Sprintf("%d-%d", client, n), expected)
-		r.register.add(client, call, submitted{expected}, answer, answer.outcome == unknown)
+		answer := r.submit(d, fmt.Sprintf("%d-%d", client, n), expected)
+		r.register.add(client, call, submitCall{expected}, answer, answer.outcome == unknown)
 	}
 }
 
-func rand1(random *rand.Rand, d time.Duration) time.Duration {
+func randomDuration(random *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(random.Int64N(int64(d)))
 }
 
-func (r *trial) daemonAt(i int) *daemon {
+func (r *historyRun) daemonAt(i int) *daemon {
 	r.mu().Lock()
 	defer r.mu().Unlock()
 	return r.daemons[i]
 }
 
-func (r *trial) mu() *sync.Mutex { return &r.network.mu }
+func (r *historyRun) mu() *sync.Mutex { return &r.network.mu }
 
-func (r *trial) submitOnce(d *daemon, id string, expected int64) told {
-	s := control.Submission{Manifest: sample(3), Author: "pipeline", ID: id, Expected: expected, Wait: time.Second}
+func (r *historyRun) submit(d *daemon, id string, expected int64) submitResult {
+	s := control.Submission{Manifest: testManifest(3), Author: "pipeline", ID: id, Expected: expected, Wait: time.Second}
 	outcome, err := d.Apply(r.t.Context(), s)
-	if r.careless {
+	if r.newIDOnRetry {
 		s.ID += "-again"
 		outcome, err = d.Apply(r.t.Context(), s)
 	}
 	if err == nil && outcome.InForceEverywhere {
 		now := time.Now()
-		r.starts.add(0, now, seen{report: true}, int64(outcome.Accepted.Generation), false)
+		r.starts.add(0, now, observation{report: true}, int64(outcome.Accepted.Generation), false)
 	}
-	return tellOf(outcome, err)
+	return submitResultOf(outcome, err)
 }
 
-func tellOf(outcome control.Outcome, err error) told {
+func submitResultOf(outcome control.Outcome, err error) submitResult {
 	var c *config.ConflictError
 	var n *config.NotAcceptedError
 	switch {
 	case err == nil:
-		return told{accepted, int64(outcome.Accepted.Generation)}
+		return submitResult{accepted, int64(outcome.Accepted.Generation)}
 	case errors.As(err, &c):
-		return told{conflict, int64(c.Current.Generation)}
+		return submitResult{conflict, int64(c.Current.Generation)}
 	case errors.As(err, &n):
-		return told{outcome: notAccepted}
+		return submitResult{outcome: notAccepted}
 	}
-	return told{outcome: unknown}
+	return submitResult{outcome: unknown}
 }
 
-// read records what every daemon shows, and what a new incarnation shows first.
-func (r *trial) read() {
+// readLoop records what every daemon shows, and what a new incarnation shows first.
+func (r *historyRun) readLoop() {
 	defer r.reader.Done()
 	for {
 		select {
-		case <-r.over:
+		case <-r.done:
 			return
 		case <-time.After(50 * time.Millisecond):
 		}
 		for i := range 5 {
-			r.readAt(r.daemonAt(i))
+			r.recordRead(r.daemonAt(i))
 		}
 	}
 }
 
-func (r *trial) readAt(d *daemon) {
+func (r *historyRun) recordRead(d *daemon) {
 	call := time.Now()
 	m, generation := d.Current()
 	if m == nil {
@@ -197,13 +197,13 @@
 	incarnation := d.Self().Incarnation
 	if r.reads[incarnation] == nil {
 		r.reads[incarnation] = &history{}
-		r.starts.add(1, d.started, seen{incarnation: incarnation}, int64(generation), false)
+		r.starts.add(1, d.started, observation{incarnation: incarnation}, int64(generation), false)
 	}
-	r.reads[incarnation].add(0, call, seen{incarnation: incarnation}, int64(generation), false)
+	r.reads[incarnation].add(0, call, observation{incarnation: incarnation}, int64(generation), false)
 }
 
-// harm switches faults and restarts one daemon at a time.
-func (r *trial) harm(rounds int) {
+// injectFaults switches faults and restarts one daemon at a time.
+func (r *historyRun) injectFaults(rounds int) {
 	faults := []kvserver.Faults{
 		{}, {}, {Outage: true}, {DelayMillis: 700}, {SilentWatches: true},
 		{LoseAnswers: 2, LosePrefix: "config/head"}, {LoseAnswers: 1, LoseSilently: true, LosePrefix: "config/"},
@@ -211,7 +211,7 @@
 	}
 	for range rounds {
 		r.store.SetFaults(faults[r.random.IntN(len(faults))])
-		time.Sleep(rand1(r.random, 6*time.Second))
+		time.Sleep(randomDuration(r.random, 6*time.Second))
 		if r.random.IntN(4) == 0 {
 			time.Sleep(20 * time.Second)
 		}
@@ -223,9 +223,9 @@
 }
 
 // replace crashes a daemon that has what its peers have, and starts another.
-func (r *trial) replace(i int) {
+func (r *historyRun) replace(i int) {
 	r.crash(i)
-	time.Sleep(rand1(r.random, 3*time.Second))
+	time.Sleep(randomDuration(r.random, 3*time.Second))
 	r.reconnect(i)
 	d := r.start(i)
 	r.mu().Lock()
@@ -234,32 +234,32 @@
 	time.Sleep(3 * time.Second)
 }
 
-func runTrial(t *testing.T, seed uint64, careless bool) (r *trial) {
+func runHistory(t *testing.T, seed uint64, careless bool) (r *historyRun) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
-		r = &trial{
-			fleet: f, random: rand.New(rand.NewPCG(seed, 1)), careless: careless,
-			reads: map[ident.Incarnation]*history{}, over: make(chan struct{}),
+		r = &historyRun{
+			fleet: f, random: rand.New(rand.NewPCG(seed, 1)), newIDOnRetry: careless,
+			reads: map[ident.Incarnation]*history{}, done: make(chan struct{}),
 		}
-		f.until(5*time.Second, "all know each other", f.acquainted)
+		f.waitUntil(5*time.Second, "all know each other", f.allLive)
 		r.operators.Add(3)
 		r.reader.Add(1)
-		go r.read()
+		go r.readLoop()
 		for client := range 3 {
-			go r.operate(client, 6, rand.New(rand.NewPCG(seed, uint64(client)+2)))
+			go r.runOperator(client, 6, rand.New(rand.NewPCG(seed, uint64(client)+2)))
 		}
-		r.harm(8)
+		r.injectFaults(8)
 		r.operators.Wait()
-		close(r.over)
+		close(r.done)
 		r.reader.Wait()
-		r.converged()
+		r.waitForConvergence()
 	})
 	return r
 }
 
-// converged waits until every daemon has what the register holds.
-func (r *trial) converged() {
+// waitForConvergence waits until every daemon has what the register holds.
+func (r *historyRun) waitForConvergence() {
 	entry, err := r.store.Get(context.Background(), "config/head")
 	if err != nil || entry.Revision == 0 {
 		return
@@ -268,7 +268,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.until(30*time.Second, "every daemon has the register's head", r.inForce(head.Generation))
+	r.waitUntil(30*time.Second, "every daemon has the register's head", r.inForce(head.Generation))
 }
 
 // Operators race over five daemons while the key-value service is down, slow,
@@ -277,27 +277,27 @@
 // show an older generation after a newer one.
 func TestHistoriesOfTheRegister(t *testing.T) {
 	t.Parallel()
-	accepts, unknowns := 0, 0
+	acceptedCount, unknownCount := 0, 0
 	for seed := uint64(1); seed <= *trials; seed++ {
 		is := is.New(t)
-		r := runTrial(t, seed, false)
+		r := runHistory(t, seed, false)
 		is.True(porcupine.CheckOperations(registerModel(), r.register.all))
 		is.True(porcupine.CheckOperations(inForceModel(), r.starts.all))
 		for _, h := range r.reads {
 			is.True(porcupine.CheckOperations(inForceModel(), h.all))
 		}
 		for _, op := range r.register.all {
-			switch op.Output.(told).outcome {
+			switch op.Output.(submitResult).outcome {
 			case accepted:
-				accepts++
+				acceptedCount++
 			case unknown:
-				unknowns++
+				unknownCount++
 			}
 		}
 	}
-	t.Logf("%d accepted, %d unknown", accepts, unknowns)
-	if accepts < int(*trials)*8 {
-		t.Errorf("only %d submissions were accepted: the trials prove little", accepts)
+	t.Logf("%d accepted, %d unknown", acceptedCount, unknownCount)
+	if acceptedCount < int(*trials)*8 {
+		t.Errorf("only %d submissions were accepted: the trials prove little", acceptedCount)
 	}
 }
 
@@ -306,6 +306,6 @@
 func TestCheckerSeesRepetitionUnderNewID(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	r := runTrial(t, 1, true)
+	r := runHistory(t, 1, true)
 	is.True(!porcupine.CheckOperations(registerModel(), r.register.all))
 }
--- a/daemon/control/leaving_test.go
+++ b/daemon/control/leaving_test.go
@@ -30,26 +30,26 @@
 
 // lastNewRequest lets 50 callers send for a while and returns how long after the
 // first word of its leaving an entry VM got its last new request.
-func lastNewRequest(t *testing.T, harm func(f *fleet), word func(f *fleet)) (last time.Duration) {
-	inBubble(t, func(_ *is.I, f *fleet) {
-		f.network.set(func(n *network) { n.delay = 20 * time.Millisecond })
+func lastNewRequest(t *testing.T, injectFaults func(f *fleet), announce func(f *fleet)) (last time.Duration) {
+	runWithFleet(t, func(_ *is.I, f *fleet) {
+		f.network.update(func(n *network) { n.delay = 20 * time.Millisecond })
 		random := rand.New(rand.NewPCG(7, 7))
 		callers := make([]caller, 50)
 		for i := range callers {
 			callers[i].pick(f, random)
-			callers[i].until = time.Now().Add(rand1(random, membership.GatewayTTL))
+			callers[i].until = time.Now().Add(randomDuration(random, membership.GatewayTTL))
 		}
-		var noticed time.Time
+		var announcedAt time.Time
 		for step := range 400 {
 			if step == 100 {
-				harm(f)
-				noticed = time.Now()
-				word(f)
+				injectFaults(f)
+				announcedAt = time.Now()
+				announce(f)
 			}
 			for i := range callers {
 				address := callers[i].pick(f, random)
-				if !noticed.IsZero() && address == f.daemons[2].Self().CallerAddress {
-					last = time.Since(noticed)
+				if !announcedAt.IsZero() && address == f.daemons[2].Self().CallerAddress {
+					last = time.Since(announcedAt)
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -65,12 +65,12 @@
 func TestLastNewRequestOnLeavingVM(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	told := func(f *fleet) { f.daemons[1].NoteLeaving("10.0.0.3", time.Minute) }
-	noticed := func(f *fleet) { f.cloud.notice("vm-2", "10.0.0.3", time.Minute) }
+	viaDaemon := func(f *fleet) { f.daemons[1].NoteLeaving("10.0.0.3", time.Minute) }
+	viaCloud := func(f *fleet) { f.cloud.notice("vm-2", "10.0.0.3", time.Minute) }
 	outage := func(f *fleet) { f.store.SetFaults(kvserver.Faults{Outage: true}) }
 	cut := func(f *fleet) {
 		outage(f)
-		f.network.set(func(n *network) {
+		f.network.update(func(n *network) {
 			for _, i := range []int{0, 4} {
 				n.cut[[2]string{address(1), address(i)}] = true
 				n.cut[[2]string{address(i), address(1)}] = true
@@ -78,10 +78,10 @@
 		})
 	}
 	for name, run := range map[string][2]func(*fleet){
-		"cloud":              {func(*fleet) {}, noticed},
-		"one daemon":         {func(*fleet) {}, told},
-		"one daemon, outage": {outage, told},
-		"one daemon, outage, cut from a failure domain": {cut, told},
+		"cloud":              {func(*fleet) {}, viaCloud},
+		"one daemon":         {func(*fleet) {}, viaDaemon},
+		"one daemon, outage": {outage, viaDaemon},
+		"one daemon, outage, cut from a failure domain": {cut, viaDaemon},
 	} {
 		last := lastNewRequest(t, run[0], run[1])
 		t.Logf("%s: last new request %s after the first word", name, last)
--- a/daemon/control/mesh.go
+++ b/daemon/control/mesh.go
@@ -26,9 +26,9 @@
 	// probeTimeout bounds the wait for others' tries; they take heartbeatTimeout
 	// and the way there and back.
 	probeTimeout = heartbeatTimeout + 500*time.Millisecond
-	// pushGap is the least time between two exchanges over one link; news that
+	// minExchangeInterval is the least time between two exchanges over one link; news that
 	// comes closer together shares a message.
-	pushGap = 100 * time.Millisecond
+	minExchangeInterval = 100 * time.Millisecond
 	// maxMessageBytes bounds a peer's message.
 	maxMessageBytes = 32 << 20
 	// compressAbove is the size from which a message is compressed; below it
@@ -36,8 +36,8 @@
 	compressAbove = 1024
 	// seedInterval is the time between two tries of a seed.
 	seedInterval = time.Second
-	// seedsPerTurn bounds the seeds tried at a time.
-	seedsPerTurn = 4
+	// seedsPerRound bounds the seeds tried at a time.
+	seedsPerRound = 4
 )
 
 // meshService is the peers' side of a Control.
@@ -64,7 +64,7 @@
 	c.table.Receive(now, m)
 	c.learnFromPeerLocked(now, exchange)
 	reply := c.composeLocked(now, m.From.Incarnation, m.From.Generation)
-	c.afterLocked()
+	c.publishChangesLocked()
 	return connect.NewResponse(&meshv1.HeartbeatResponse{Exchange: reply}), nil
 }
 
@@ -93,9 +93,9 @@
 	return connect.NewResponse(response), nil
 }
 
-func (c *Control) composeLocked(now time.Time, to ident.Incarnation, theirs ident.Generation) *meshv1.Exchange {
+func (c *Control) composeLocked(now time.Time, to ident.Incarnation, peerGeneration ident.Generation) *meshv1.Exchange {
 	var head *config.Accepted
-	if inForce, _ := c.follower.InForce(); inForce.Generation > theirs {
+	if inForce, _ := c.follower.InForce(); inForce.Generation > peerGeneration {
 		head = &inForce
 	}
 	return encodeExchange(now, c.table.Compose(to), head)
@@ -105,7 +105,7 @@
 	if x.GetHead() == nil {
 		return
 	}
-	c.carryOutLocked(c.follower.Learn(now, decodeHead(x.GetHead()), x.GetFrom().GetPeerAddress()))
+	c.executeEffectsLocked(c.follower.Learn(now, decodeHead(x.GetHead()), x.GetFrom().GetPeerAddress()))
 }
 
 func (c *Control) client(address string) meshv1connect.MeshServiceClient {
@@ -115,10 +115,10 @@
 
 // exchange calls one peer; to is NoPeer where only the address is known. It
 // returns the incarnation that answered.
-func (c *Control) exchange(ctx context.Context, address string, to ident.Incarnation, theirs ident.Generation) (ident.Incarnation, error) {
-	asked := time.Now()
+func (c *Control) exchange(ctx context.Context, address string, to ident.Incarnation, peerGeneration ident.Generation) (ident.Incarnation, error) {
+	sentAt := time.Now()
 	c.mu.Lock()
-	request := &meshv1.HeartbeatRequest{Exchange: c.composeLocked(asked, to, theirs)}
+	request := &meshv1.HeartbeatRequest{Exchange: c.composeLocked(sentAt, to, peerGeneration)}
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -132,9 +132,9 @@
 	answer := response.Msg.GetExchange()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.ReceiveAnswer(now, asked, decodeExchange(now, answer))
+	c.table.ReceiveAnswer(now, sentAt, decodeExchange(now, answer))
 	c.learnFromPeerLocked(now, answer)
-	c.afterLocked()
+	c.publishChangesLocked()
 	return ident.Incarnation(answer.GetFrom().GetIncarnation()), nil
 }
 
@@ -145,12 +145,12 @@
 		return
 	}
 	c.mu.Lock()
-	askOthers := c.table.ProbeFailed(m.Incarnation)
+	needsIndirectProbe := c.table.ProbeFailed(m.Incarnation)
 	c.mu.Unlock()
-	if !askOthers {
+	if !needsIndirectProbe {
 		return
 	}
-	reached := c.reachedByOthers(ctx, m)
+	reached := c.probeIndirectly(ctx, m)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if reached {
@@ -158,25 +158,25 @@
 		return
 	}
 	c.table.MarkUnreachable(time.Now(), m.Incarnation)
-	c.afterLocked()
+	c.publishChangesLocked()
 }
 
-// reachedByOthers asks the other links to call a peer; one success is enough.
-func (c *Control) reachedByOthers(ctx context.Context, m membership.Member) bool {
+// probeIndirectly asks the other links to call a peer; one success is enough.
+func (c *Control) probeIndirectly(ctx context.Context, m membership.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	helpers := c.linkedPeers(m.Incarnation)
-	answers := make(chan bool, len(helpers))
+	proxies := c.linkedPeers(m.Incarnation)
+	answers := make(chan bool, len(proxies))
 	request := &meshv1.ProbeRequest{Address: m.PeerAddress, Incarnation: string(m.Incarnation)}
-	for _, helper := range helpers {
+	for _, proxy := range proxies {
 		go func() {
 			c.counters.probes.Inc(1)
-			response, err := c.client(helper.PeerAddress).Probe(ctx, connect.NewRequest(request))
+			response, err := c.client(proxy.PeerAddress).Probe(ctx, connect.NewRequest(request))
 			answers <- err == nil && response.Msg.GetReached()
 		}()
 	}
 	reached := false
-	for range helpers {
+	for range proxies {
 		reached = <-answers || reached
 	}
 	return reached
@@ -196,15 +196,15 @@
 
 // link is one neighbour that this daemon calls by itself.
 type link struct {
-	peer membership.Member
-	kick chan struct{}
-	stop context.CancelFunc
+	peer   membership.Member
+	wakeUp chan struct{}
+	stop   context.CancelFunc
 }
 
 // wake asks for an exchange soon; it never blocks.
 func (l *link) wake() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wakeUp <- struct{}{}:
 	default:
 	}
 }
@@ -238,11 +238,11 @@
 }
 
 func (c *Control) linkLocked(m membership.Member) {
-	if _, ok := c.links[m.Incarnation]; ok || c.run == nil {
+	if _, ok := c.links[m.Incarnation]; ok || c.runCtx == nil {
 		return
 	}
-	ctx, cancel := context.WithCancel(c.run)
-	l := &link{peer: m, kick: make(chan struct{}, 1), stop: cancel}
+	ctx, cancel := context.WithCancel(c.runCtx)
+	l := &link{peer: m, wakeUp: make(chan struct{}, 1), stop: cancel}
 	c.links[m.Incarnation] = l
 	c.spawnLocked(func(context.Context) {
 		defer cancel()
@@ -253,15 +253,15 @@
 func (c *Control) linkLoop(ctx context.Context, l *link) {
 	for ctx.Err() == nil {
 		c.heartbeat(ctx, l.peer)
-		if !pause.For(ctx, pushGap) {
+		if !pause.For(ctx, minExchangeInterval) {
 			return
 		}
-		rest := c.interval() - pushGap
-		timer := time.NewTimer(rest*9/10 + c.jitter.below(rest/5))
+		remaining := c.interval() - minExchangeInterval
+		timer := time.NewTimer(remaining*9/10 + c.jitter.below(remaining/5))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-l.kick:
+		case <-l.wakeUp:
 		}
 		timer.Stop()
 	}
@@ -283,23 +283,23 @@
 // seedLoop tries the addresses of the settings that no daemon known as live
 // has, and one suspect at a time.
 func (c *Control) seedLoop(ctx context.Context) {
-	turn := 0
+	round := 0
 	for {
-		for _, address := range c.seedTargets(turn) {
-			c.spawn(func(ctx context.Context) { c.try(ctx, address, membership.NoPeer) })
+		for _, address := range c.seedTargets(round) {
+			c.spawn(func(ctx context.Context) { c.exchangeBestEffort(ctx, address, membership.NoPeer) })
 		}
-		for _, m := range c.suspectTarget(turn) {
-			c.spawn(func(ctx context.Context) { c.try(ctx, m.PeerAddress, m.Incarnation) })
+		for _, m := range c.suspectTarget(round) {
+			c.spawn(func(ctx context.Context) { c.exchangeBestEffort(ctx, m.PeerAddress, m.Incarnation) })
 		}
-		turn++
+		round++
 		if !pause.For(ctx, seedInterval) {
 			return
 		}
 	}
 }
 
-// try exchanges with an address of which nothing is concluded if it fails.
-func (c *Control) try(ctx context.Context, address string, to ident.Incarnation) {
+// exchangeBestEffort exchanges with an address of which nothing is concluded if it fails.
+func (c *Control) exchangeBestEffort(ctx context.Context, address string, to ident.Incarnation) {
 	if _, err := c.exchange(ctx, address, to, 0); err != nil {
 		klog.V(2).InfoS("Nobody answers", "address", address, "err", err)
 	}
@@ -311,7 +311,7 @@
 	c.spawnLocked(work)
 }
 
-func (c *Control) seedTargets(turn int) []string {
+func (c *Control) seedTargets(round int) []string {
 	known := map[string]bool{c.cfg.Self.PeerAddress: true}
 	for _, m := range c.Members() {
 		if m.State != view.Suspect {
@@ -324,15 +324,15 @@
 			unknown = append(unknown, address)
 		}
 	}
-	if len(unknown) <= seedsPerTurn {
+	if len(unknown) <= seedsPerRound {
 		return unknown
 	}
-	start := turn * seedsPerTurn % len(unknown)
+	start := round * seedsPerRound % len(unknown)
 	doubled := append(unknown, unknown...)
-	return doubled[start : start+seedsPerTurn]
+	return doubled[start : start+seedsPerRound]
 }
 
-func (c *Control) suspectTarget(turn int) []membership.Member {
+func (c *Control) suspectTarget(round int) []membership.Member {
 	var suspects []membership.Member
 	for _, m := range c.Members() {
 		if m.State == view.Suspect {
@@ -342,11 +342,11 @@
 	if len(suspects) == 0 {
 		return nil
 	}
-	return suspects[turn%len(suspects):][:1]
+	return suspects[round%len(suspects):][:1]
 }
 
-// leave tells the linked peers, after Run, that this incarnation is over.
-func (c *Control) leave() {
+// announceDeparture tells the linked peers, after Run, that this incarnation is over.
+func (c *Control) announceDeparture() {
 	c.mu.Lock()
 	c.table.MarkGone(time.Now())
 	c.mu.Unlock()
@@ -356,7 +356,7 @@
 	done := make(chan struct{})
 	for _, m := range peers {
 		go func() {
-			c.try(ctx, m.PeerAddress, m.Incarnation)
+			c.exchangeBestEffort(ctx, m.PeerAddress, m.Incarnation)
 			done <- struct{}{}
 		}()
 	}
--- a/daemon/control/network_test.go
+++ b/daemon/control/network_test.go
@@ -43,16 +43,16 @@
 func (e *unreachableError) Error() string { return "unreachable: " + e.address }
 
 // from returns the transport of the daemon at an address.
-func (n *network) from(address string) http.RoundTripper { return &edge{n, address} }
+func (n *network) from(address string) http.RoundTripper { return &endpoint{n, address} }
 
-type edge struct {
+type endpoint struct {
 	network *network
 	from    string
 }
 
 // RoundTrip waits out the delay and any pause of either end, then calls the
 // other end's handler.
-func (e *edge) RoundTrip(r *http.Request) (*http.Response, error) {
+func (e *endpoint) RoundTrip(r *http.Request) (*http.Response, error) {
 	n := e.network
 	for {
 		if !wait(r.Context(), n.oneWay()) {
@@ -60,13 +60,13 @@
 		}
 		n.mu.Lock()
 		handler, ok := n.handlers[r.URL.Host]
-		held := n.paused[r.URL.Host] || n.paused[e.from]
+		isPaused := n.paused[r.URL.Host] || n.paused[e.from]
 		cut := n.cut[[2]string{e.from, r.URL.Host}]
 		n.mu.Unlock()
 		if !ok || cut {
 			return nil, &unreachableError{r.URL.Host}
 		}
-		if held {
+		if isPaused {
 			wait(r.Context(), 10*time.Millisecond)
 			continue
 		}
@@ -96,7 +96,7 @@
 	return n.delay
 }
 
-func (n *network) set(change func(*network)) {
+func (n *network) update(change func(*network)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(n)
@@ -170,24 +170,24 @@
 	afterSwap func()
 }
 
-// tripwire lets a fault begin in the moment of acceptance.
-type tripwire struct {
+// hookedStore lets a fault begin in the moment of acceptance.
+type hookedStore struct {
 	*kvserver.Store
 	fleet *fleet
 }
 
 // CompareAndSwap implements kv.Store.
-func (w *tripwire) CompareAndSwap(ctx context.Context, key string, expected kv.Revision, value []byte, lease kv.LeaseID) (kv.Revision, error) {
+func (w *hookedStore) CompareAndSwap(ctx context.Context, key string, expected kv.Revision, value []byte, lease kv.LeaseID) (kv.Revision, error) {
 	revision, err := w.Store.CompareAndSwap(ctx, key, expected, value, lease)
 	if key != "config/head" {
 		return revision, err
 	}
 	w.fleet.network.mu.Lock()
-	trip := w.fleet.afterSwap
+	hook := w.fleet.afterSwap
 	w.fleet.afterSwap = nil
 	w.fleet.network.mu.Unlock()
-	if trip != nil {
-		trip()
+	if hook != nil {
+		hook()
 	}
 	return revision, err
 }
@@ -233,11 +233,11 @@
 			CallerAddress: fmt.Sprintf("10.0.0.%d:8000", i+1), PeerAddress: d.address,
 		},
 		Seeds: []string{address(0), address(1)},
-		Store: &tripwire{Store: f.store, fleet: f}, Lister: f.cloud, Cloud: f.cloud,
+		Store: &hookedStore{Store: f.store, fleet: f}, Lister: f.cloud, Cloud: f.cloud,
 		HTTPClient: &http.Client{Transport: f.network.from(d.address)},
 	})
 	_, handler := d.Handler()
-	f.network.set(func(n *network) { n.handlers[d.address] = handler })
+	f.network.update(func(n *network) { n.handlers[d.address] = handler })
 	return d
 }
 
@@ -254,7 +254,7 @@
 
 // crash ends a daemon without its last word.
 func (f *fleet) crash(i int) {
-	f.network.set(func(n *network) {
+	f.network.update(func(n *network) {
 		delete(n.handlers, address(i))
 		for j := range f.daemons {
 			n.cut[[2]string{address(i), address(j)}] = true
@@ -272,7 +272,7 @@
 
 // reconnect mends the links of a crashed daemon's place.
 func (f *fleet) reconnect(i int) {
-	f.network.set(func(n *network) {
+	f.network.update(func(n *network) {
 		for j := range f.daemons {
 			delete(n.cut, [2]string{address(i), address(j)})
 		}
@@ -289,8 +289,8 @@
 	f.store.Close()
 }
 
-// until waits in virtual time for a condition and returns how long it took.
-func (f *fleet) until(limit time.Duration, what string, condition func() bool) time.Duration {
+// waitUntil waits in virtual time for a condition and returns how long it took.
+func (f *fleet) waitUntil(limit time.Duration, what string, condition func() bool) time.Duration {
 	f.t.Helper()
 	begin := time.Now()
 	for !condition() {
@@ -313,7 +313,7 @@
 	}
 }
 
-func (f *fleet) acquainted() bool {
+func (f *fleet) allLive() bool {
 	for _, d := range f.daemons {
 		live := 0
 		for _, other := range d.Daemons() {
@@ -330,11 +330,11 @@
 
 func (f *fleet) apply(i int, runners int, id string) (control.Outcome, error) {
 	return f.daemons[i].Apply(f.t.Context(), control.Submission{
-		Manifest: sample(runners), Author: "pipeline", ID: id, Expected: -1, Wait: 10 * time.Second,
+		Manifest: testManifest(runners), Author: "pipeline", ID: id, Expected: -1, Wait: 10 * time.Second,
 	})
 }
 
-func sample(runners int) *manifest.Manifest {
+func testManifest(runners int) *manifest.Manifest {
 	return &manifest.Manifest{
 		Format:   manifest.Format,
 		Models:   []manifest.Model{},
@@ -351,4 +351,4 @@
 	}
 }
 
-var _ kv.Store = (*tripwire)(nil)
+var _ kv.Store = (*hookedStore)(nil)
--- a/daemon/control/platform.go
+++ b/daemon/control/platform.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// listLeast and listPerRecord make the interval of reading the VM list,
+	// minListInterval and listPerRecord make the interval of reading the VM list,
 	// which grows with the list's length: 12,000 VMs are read once in a turn of
 	// the duty.
-	listLeast     = 2 * time.Second
-	listPerRecord = 5 * time.Millisecond
-	// listConfirm is when a list that lacks a VM is read again.
-	listConfirm = 10 * time.Second
+	minListInterval   = 2 * time.Second
+	listIntervalPerVM = 5 * time.Millisecond
+	// listConfirmDelay is when a list that lacks a VM is read again.
+	listConfirmDelay = 10 * time.Second
 	// listTimeout bounds one read of the list.
 	listTimeout = 5 * time.Second
 	// noticeWait is how long one call waits for notices.
 	noticeWait = 20 * time.Second
-	// noticeSlack is how much later an answer may come.
-	noticeSlack = 3 * time.Second
-	// platformRetry is the pause after a failed call.
-	platformRetry = time.Second
+	// noticeTimeoutMargin is how much later an answer may come.
+	noticeTimeoutMargin = 3 * time.Second
+	// platformRetryDelay is the pause after a failed call.
+	platformRetryDelay = time.Second
 )
 
 // listLoop reads the VM list while the daemon has that duty.
@@ -34,13 +34,13 @@
 	var next time.Time
 	confirming := false
 	for {
-		onDuty := c.onDuty(turnSlot(time.Now()))
+		onDuty := c.isDesignated(rotationSlot(time.Now()))
 		if (onDuty || confirming) && !time.Now().Before(next) {
-			var rest time.Duration
-			rest, confirming = c.readList(ctx)
-			next = time.Now().Add(rest)
+			var delay time.Duration
+			delay, confirming = c.readList(ctx)
+			next = time.Now().Add(delay)
 		}
-		if !pause.For(ctx, min(dutyRecheck, max(listLeast, time.Until(next)))) {
+		if !pause.For(ctx, min(designationRecheck, max(minListInterval, time.Until(next)))) {
 			return
 		}
 	}
@@ -55,7 +55,7 @@
 	listed, err := c.cfg.Lister.List(ctx)
 	if err != nil {
 		klog.V(1).InfoS("VM list can't be read", "err", err)
-		return platformRetry, false
+		return platformRetryDelay, false
 	}
 	vms := make([]membership.VM, 0, len(listed))
 	for _, vm := range listed {
@@ -63,13 +63,13 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	doubtful := c.table.ApplyVMList(time.Now(), vms)
-	c.afterLocked()
-	rest := max(listLeast, time.Duration(len(vms))*listPerRecord)
-	if doubtful {
-		return min(rest, listConfirm), true
+	needsConfirmation := c.table.ApplyVMList(time.Now(), vms)
+	c.publishChangesLocked()
+	interval := max(minListInterval, time.Duration(len(vms))*listIntervalPerVM)
+	if needsConfirmation {
+		return min(interval, listConfirmDelay), true
 	}
-	return rest, false
+	return interval, false
 }
 
 func fromPlatform(vm cloudapi.VM) membership.VM {
@@ -89,35 +89,35 @@
 func (c *Control) noticeLoop(ctx context.Context) {
 	var after uint64
 	for ctx.Err() == nil {
-		if !c.onDuty(fixedSlot) {
-			pause.For(ctx, dutyRecheck)
+		if !c.isDesignated(fixedSlot) {
+			pause.For(ctx, designationRecheck)
 			continue
 		}
 		next, err := c.readNotices(ctx, after)
 		after = next
 		if err != nil {
 			klog.V(1).InfoS("Notices can't be read", "err", err)
-			pause.For(ctx, c.jittered(platformRetry))
+			pause.For(ctx, c.jittered(platformRetryDelay))
 		}
 	}
 }
 
 // readNotices gives a call up that is silent for longer than it was to wait.
 func (c *Control) readNotices(ctx context.Context, after uint64) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, noticeWait+noticeSlack)
+	ctx, cancel := context.WithTimeout(ctx, noticeWait+noticeTimeoutMargin)
 	defer cancel()
 	notices, err := c.cfg.Cloud.Notices(ctx, after, noticeWait)
 	if err != nil {
 		return after, err
 	}
-	heard := make([]membership.Notice, 0, len(notices))
+	received := make([]membership.Notice, 0, len(notices))
 	for _, n := range notices {
 		c.counters.notices.Inc(1)
 		after = max(after, n.Sequence)
-		heard = append(heard, membership.Notice{
+		received = append(received, membership.Notice{
 			VM: n.VM, Address: n.Address, Left: time.Duration(n.LeftMillis) * time.Millisecond,
 		})
 	}
-	c.noticed(heard)
+	c.applyNotices(received)
 	return after, nil
 }
--- a/daemon/control/register.go
+++ b/daemon/control/register.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// keepAliveLeast and keepAlivePerMember make the interval of keep-alives;
+	// minKeepAliveInterval and keepAlivePerMember make the interval of keep-alives;
 	// all daemons together write at most ten a second.
-	keepAliveLeast     = 10 * time.Second
-	keepAlivePerMember = 100 * time.Millisecond
+	minKeepAliveInterval       = 10 * time.Second
+	keepAliveIntervalPerMember = 100 * time.Millisecond
 	// leaseIntervals is the lease's length in keep-alive intervals. It may be
 	// long: a registration makes a daemon known and says nothing of its life.
 	leaseIntervals = 3
-	// readLeast and readPerMember make the interval of reading all
+	// minReadInterval and readPerMember make the interval of reading all
 	// registrations, on the daemons with that duty.
-	readLeast     = 30 * time.Second
-	readPerMember = 330 * time.Millisecond
-	readPage      = 500
+	minReadInterval       = 30 * time.Second
+	readIntervalPerMember = 330 * time.Millisecond
+	readPageSize          = 500
 )
 
 // registration is the stored form.
@@ -67,20 +67,20 @@
 func (c *Control) registerLoop(ctx context.Context) {
 	var lease kv.LeaseID
 	for ctx.Err() == nil && c.Self().State == view.Live {
-		interval := scaled(keepAliveLeast, keepAlivePerMember, c.Members())
+		interval := scaledInterval(minKeepAliveInterval, keepAliveIntervalPerMember, c.Members())
 		granted, err := c.keepRegistered(ctx, lease, interval*leaseIntervals)
 		lease = granted
 		if err != nil {
 			klog.V(1).InfoS("Registration failed", "err", err)
-			interval = storeRetry
+			interval = storeRetryDelay
 		}
-		c.restUntilLeaving(ctx, c.jittered(interval))
+		c.sleepUntilLeaving(ctx, c.jittered(interval))
 	}
 	c.revoke(lease)
 }
 
-// restUntilLeaving waits, shorter if this daemon starts to leave.
-func (c *Control) restUntilLeaving(ctx context.Context, d time.Duration) {
+// sleepUntilLeaving waits, shorter if this daemon starts to leave.
+func (c *Control) sleepUntilLeaving(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for ctx.Err() == nil && c.Self().State == view.Live {
@@ -125,7 +125,7 @@
 	key := registrationKey(c.cfg.Self.ID)
 	c.counters.storeReads.Inc(1)
 	entry, err := c.cfg.Store.Get(ctx, key)
-	c.noteStore(err)
+	c.recordStoreResult(err)
 	if err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 func (c *Control) write(call func() error) error {
 	c.counters.storeWrites.Inc(1)
 	err := call()
-	c.noteStore(err)
+	c.recordStoreResult(err)
 	return err
 }
 
@@ -162,25 +162,25 @@
 		if err == nil {
 			c.mu.Lock()
 			c.table.MergeRegistrations(time.Now(), members)
-			c.afterLocked()
+			c.publishChangesLocked()
 			c.mu.Unlock()
 		}
-		if !c.restBeforeReading(ctx, err) {
+		if !c.sleepBeforeReading(ctx, err) {
 			return
 		}
 	}
 }
 
-func (c *Control) restBeforeReading(ctx context.Context, failed error) bool {
-	rest := scaled(readLeast, readPerMember, c.Members())
-	if failed != nil || len(c.Members()) < 2 {
-		return pause.For(ctx, c.jittered(storeRetry))
+func (c *Control) sleepBeforeReading(ctx context.Context, readErr error) bool {
+	interval := scaledInterval(minReadInterval, readIntervalPerMember, c.Members())
+	if readErr != nil || len(c.Members()) < 2 {
+		return pause.For(ctx, c.jittered(storeRetryDelay))
 	}
-	if !pause.For(ctx, c.jittered(rest)) {
+	if !pause.For(ctx, c.jittered(interval)) {
 		return false
 	}
-	for !c.onDuty(fixedSlot) && len(c.Members()) > 1 {
-		if !pause.For(ctx, dutyRecheck) {
+	for !c.isDesignated(fixedSlot) && len(c.Members()) > 1 {
+		if !pause.For(ctx, designationRecheck) {
 			return false
 		}
 	}
@@ -191,7 +191,7 @@
 	var members []membership.Member
 	after := ""
 	for {
-		page, err := c.listPage(ctx, registrationPrefix, after, readPage)
+		page, err := c.listPage(ctx, registrationPrefix, after, readPageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -204,7 +204,7 @@
 			}
 			members = append(members, r.member())
 		}
-		if len(page) < readPage {
+		if len(page) < readPageSize {
 			return members, nil
 		}
 	}
@@ -215,6 +215,6 @@
 	defer cancel()
 	c.counters.storeReads.Inc(1)
 	page, err := c.cfg.Store.List(ctx, prefix, after, limit)
-	c.noteStore(err)
+	c.recordStoreResult(err)
 	return page, err
 }
--- a/daemon/control/scale_test.go
+++ b/daemon/control/scale_test.go
@@ -18,8 +18,8 @@
 	minutes = flag.Int("minutes", 2, "virtual minutes in TestStoreCallsStayBounded")
 )
 
-// dutiesPerDomain is how many daemons of a failure domain may watch.
-const dutiesPerDomain = 2
+// designatedPerDomain is how many daemons of a failure domain may watch.
+const designatedPerDomain = 2
 
 // Every daemon of a large fleet watches the key-value service and renews a short
 // lease. The service's rate, which grows more slowly than the fleet, is used up,
@@ -31,27 +31,27 @@
 		f := newFleetOf(t, *members)
 		defer f.stop()
 		begin := time.Now()
-		f.until(time.Minute, "all know each other", f.acquainted)
+		f.waitUntil(time.Minute, "all know each other", f.allLive)
 		t.Logf("%d daemons know each other after %s", *members, time.Since(begin))
 		_, err := f.apply(0, 4, "first")
 		is.NoErr(err)
-		took := f.until(12*time.Second, "in force at every daemon", f.inForce(1))
+		took := f.waitUntil(12*time.Second, "in force at every daemon", f.inForce(1))
 		t.Logf("in force at every daemon %s after apply returned", took)
 		time.Sleep(30 * time.Second)
 
 		f.store.ResetCalls()
 		var calls, bytes int64
-		f.network.set(func(n *network) { calls, bytes = n.calls, n.bytes })
+		f.network.update(func(n *network) { calls, bytes = n.calls, n.bytes })
 		span := time.Duration(*minutes) * time.Minute
 		time.Sleep(span)
 		counted := f.store.Calls()
-		f.network.set(func(n *network) { calls, bytes = n.calls-calls, n.bytes-bytes })
+		f.network.update(func(n *network) { calls, bytes = n.calls-calls, n.bytes-bytes })
 		seconds := span.Seconds()
 		t.Logf("store: %.2f reads/s, %.2f writes/s, %v", float64(counted.Reads())/seconds, float64(counted.Writes())/seconds, counted)
 		t.Logf("peers: %.2f exchanges/s a daemon, %.0f body bytes an exchange",
 			float64(calls)/seconds/float64(*members), float64(bytes)/float64(calls))
 
-		watchers := dutiesPerDomain * len(domains)
+		watchers := designatedPerDomain * len(domains)
 		is.True(counted[kvserver.CallWatch] <= watchers**minutes*4) // one in 20 s each, and some slack
 		is.True(counted.Writes() <= *members**minutes*7)            // one in 10 s each
 		is.True(float64(calls)/seconds/float64(*members) < 2.5)     // four links, one exchange in 2 s each
--- a/daemon/control/store.go
+++ b/daemon/control/store.go
@@ -17,7 +17,7 @@
 	sectionPrefix       = "config/sections/"
 	registrationPrefix  = "daemons/"
 	sectionHeaderEnd    = '\n'
-	sectionKeepAtLeast  = 24 * time.Hour
+	minSectionAge       = 24 * time.Hour
 	sectionRefreshAfter = time.Hour
 )
 
@@ -53,7 +53,7 @@
 	for _, hash := range hashes {
 		c.counters.storeReads.Inc(1)
 		entry, err := c.cfg.Store.Get(ctx, sectionKey(hash))
-		c.noteStore(err)
+		c.recordStoreResult(err)
 		if err != nil {
 			return sections, fmt.Errorf("read section %s: %w", hash, err)
 		}
--- a/daemon/control/wire.go
+++ b/daemon/control/wire.go
@@ -18,23 +18,23 @@
 	return uint64(max(0, now.Sub(since).Milliseconds()))
 }
 
-func leftMillis(now, leavesAt time.Time) *int64 {
+func remainingMillis(now, leavesAt time.Time) *int64 {
 	if leavesAt.IsZero() {
 		return nil
 	}
-	left := leavesAt.Sub(now).Milliseconds()
-	return &left
+	remaining := leavesAt.Sub(now).Milliseconds()
+	return &remaining
 }
 
-func fromAge(now time.Time, age uint64) time.Time {
+func timeFromAge(now time.Time, age uint64) time.Time {
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-func fromLeft(now time.Time, left *int64) time.Time {
-	if left == nil {
+func timeFromRemaining(now time.Time, remaining *int64) time.Time {
+	if remaining == nil {
 		return time.Time{}
 	}
-	return now.Add(time.Duration(*left) * time.Millisecond)
+	return now.Add(time.Duration(*remaining) * time.Millisecond)
 }
 
 func encodeMember(now time.Time, m membership.Member) *meshv1.Daemon {
@@ -42,7 +42,7 @@
 		Id: string(m.ID), Incarnation: string(m.Incarnation), FailureDomain: string(m.FailureDomain),
 		CallerAddress: m.CallerAddress, PeerAddress: m.PeerAddress, State: string(m.State),
 		GenerationInForce: uint64(m.Generation), AgeMs: ageMillis(now, m.Since),
-		Version: m.Version, Vm: m.VM, LeftMs: leftMillis(now, m.LeavesAt),
+		Version: m.Version, Vm: m.VM, LeftMs: remainingMillis(now, m.LeavesAt),
 	}
 }
 
@@ -52,10 +52,10 @@
 			ID: ident.DaemonID(d.GetId()), Incarnation: ident.Incarnation(d.GetIncarnation()),
 			FailureDomain: ident.FailureDomain(d.GetFailureDomain()),
 			CallerAddress: d.GetCallerAddress(), PeerAddress: d.GetPeerAddress(),
-			State: view.State(d.GetState()), LeavesAt: fromLeft(now, d.LeftMs),
+			State: view.State(d.GetState()), LeavesAt: timeFromRemaining(now, d.LeftMs),
 			Generation: ident.Generation(d.GetGenerationInForce()),
 		},
-		Version: d.GetVersion(), VM: d.GetVm(), Since: fromAge(now, d.GetAgeMs()),
+		Version: d.GetVersion(), VM: d.GetVm(), Since: timeFromAge(now, d.GetAgeMs()),
 	}
 }
 
@@ -63,7 +63,7 @@
 	return &meshv1.VM{
 		Id: vm.ID, Address: vm.Address, FailureDomain: string(vm.FailureDomain), Class: vm.Class,
 		Reclaimable: vm.Reclaimable, PricePerHour: vm.PricePerHour, Service: vm.Service,
-		State: int32(vm.State), AgeMs: ageMillis(now, vm.Since), LeftMs: leftMillis(now, vm.LeavesAt),
+		State: int32(vm.State), AgeMs: ageMillis(now, vm.Since), LeftMs: remainingMillis(now, vm.LeavesAt),
 	}
 }
 
@@ -72,7 +72,7 @@
 		ID: vm.GetId(), Address: vm.GetAddress(), FailureDomain: ident.FailureDomain(vm.GetFailureDomain()),
 		Class: vm.GetClass(), Reclaimable: vm.GetReclaimable(), PricePerHour: vm.GetPricePerHour(),
 		Service: vm.GetService(), State: membership.VMState(vm.GetState()),
-		Since: fromAge(now, vm.GetAgeMs()), LeavesAt: fromLeft(now, vm.LeftMs),
+		Since: timeFromAge(now, vm.GetAgeMs()), LeavesAt: timeFromRemaining(now, vm.LeftMs),
 	}
 }
 
