--- a/daemon/control/apply.go
+++ b/daemon/control/apply.go
@@ -19,55 +19,62 @@
 )
 
 const (
-	// submissionTimeout is when a submission is given up.
+	// submissionTimeout bounds the acceptance of one submission.
 	submissionTimeout = 15 * time.Second
-	// stepRetryDelay is the pause before a step that failed is tried again.
+	// stepRetryDelay is the delay before a failed step is retried.
 	stepRetryDelay = 100 * time.Millisecond
-	// confirmationTimeout is how long Apply waits, once every failure domain has the
-	// generation, for the single daemons' own word.
+	// confirmationTimeout bounds how long Apply waits for the remaining daemons
+	// to confirm, once the generation is in force in every failure domain.
 	confirmationTimeout = 250 * time.Millisecond
 )
 
-// Submission asks for a manifest to be accepted.
+// Submission is a request to accept a manifest as the next configuration.
 type Submission struct {
 	Manifest *manifest.Manifest
 	Author   string
-	// ID makes the submission repeatable; it must be unique for all time.
+	// ID makes the submission idempotent: a repeated submission with the same
+	// ID is accepted only once. It must never be reused for another submission.
 	ID string
-	// Expected is the generation to replace, or config.AnyGeneration.
+	// Expected is the generation that the manifest replaces, or
+	// config.AnyGeneration.
 	Expected int64
-	// Wait is how long to wait until it is in force in every failure domain.
+	// Wait bounds how long Apply waits for the generation to be in force in
+	// every failure domain.
 	Wait time.Duration
 }
 
-// DomainStatus is how far one failure domain is.
+// DomainStatus describes the rollout of the configuration in one failure
+// domain.
 type DomainStatus struct {
 	FailureDomain ident.FailureDomain
-	// Generation is the highest that some daemon of it has in force.
+	// Generation is the highest generation that a daemon of the domain has in
+	// force.
 	Generation ident.Generation
-	// Daemons counts the known ones but the gone. Of these and not leaving,
-	// DaemonsBehind counts those that said, after this daemon had its generation
-	// in force, to have a lower one; DaemonsUnheard those that said nothing
-	// since then and had a lower one before. Where a daemon of the domain is known
-	// by others' word to have it, one is left out of the two counts.
+	// Daemons is the number of known daemons of the domain that are not gone.
+	// Daemons that are leaving are excluded from the next two counts.
+	// DaemonsBehind counts daemons that have reported a lower generation since
+	// this daemon activated its own. DaemonsUnheard counts daemons with a lower
+	// last reported generation that have reported nothing since then. If a
+	// third daemon reported that the domain has the generation, one daemon is
+	// subtracted from these two counts.
 	Daemons        int
 	DaemonsBehind  int
 	DaemonsUnheard int
 }
 
-// Outcome is what became of an accepted submission.
+// Outcome is the result of an accepted submission.
 type Outcome struct {
 	Accepted config.Accepted
 	Domains  []DomainStatus
-	// InForceEverywhere says that every failure domain with a known daemon has
-	// the accepted generation, or a higher one, in force.
+	// InForceEverywhere reports whether the accepted generation, or a higher
+	// one, is in force in every failure domain that has a known daemon.
 	InForceEverywhere bool
 }
 
-// Apply brings a manifest to acceptance and waits until it is in force. The
-// errors are *config.ConflictError, *config.NotAcceptedError (nothing
-// happened), *config.OutcomeUnknownError (send the same ID again) and
-// *kv.TooLargeError.
+// Apply submits a manifest for acceptance and then waits up to s.Wait until it
+// is in force. The errors are *config.ConflictError, *config.NotAcceptedError
+// (nothing was changed), *config.OutcomeUnknownError (retry with the same ID)
+// and *kv.TooLargeError.
 func (c *Control) Apply(ctx context.Context, s Submission) (Outcome, error) {
 	c.counters.submissions.Inc(1)
 	accepted, err := c.submit(ctx, s)
@@ -118,16 +125,16 @@
 	}
 }
 
-// isPermanent tells the errors that trying again cannot mend. None of them comes
-// from a swap that may have taken effect.
+// isPermanent reports whether err cannot be resolved by a retry. No such error
+// comes from a swap that may have taken effect.
 func isPermanent(err error) bool {
 	var large *kv.TooLargeError
 	var malformed *config.MalformedHeadError
 	return errors.As(err, &large) || errors.As(err, &malformed)
 }
 
-// executeStep carries out one step; after an error the machine is still at it, or
-// reads the head again.
+// executeStep executes one step of a submission. After an error, the submission
+// either repeats the step or reads the head again.
 func (c *Control) executeStep(ctx context.Context, submission *config.Submission, step config.Step) error {
 	switch step := step.(type) {
 	case *config.ReadHead:
@@ -182,12 +189,12 @@
 	return revision, err
 }
 
-// storeSection writes a section unless a recent writing of it is there. Guards
-// against the collection of unreferenced sections: one that was referenced long
-// ago may be deleted between this look and the swap of the head, which would
-// then name a section that is nowhere. Only sections older than
-// sectionKeepAtLeast are deleted, and only if unchanged since; so an old one is
-// written again, which makes it young.
+// storeSection writes a section unless a recent copy is already stored. A
+// section that has been unreferenced for long could be garbage-collected
+// between the check here and the swap of the head, which would then name a
+// missing section. The collection deletes only sections written more than
+// minSectionAge ago and unchanged since it listed them, so storeSection
+// rewrites an old section to renew its write time.
 func (c *Control) storeSection(ctx context.Context, section manifest.Section) error {
 	value := encodeSection(time.Now(), section.Data)
 	_, err := c.compareAndSwap(ctx, sectionKey(section.Hash), 0, value)
@@ -203,7 +210,8 @@
 	return err
 }
 
-// activateAccepted brings an accepted configuration into force here without a fetch.
+// activateAccepted activates an accepted configuration on this daemon without
+// fetching its sections.
 func (c *Control) activateAccepted(accepted config.Accepted, m *manifest.Manifest) {
 	sections, err := manifest.Split(m)
 	if err != nil {
@@ -219,7 +227,9 @@
 	c.publishChangesLocked()
 }
 
-// waitInForce waits until every failure domain has the generation.
+// waitInForce waits until the generation is in force in every failure domain
+// and every daemon has confirmed it. It returns earlier after the wait, or
+// after confirmationTimeout once every failure domain has the generation.
 func (c *Control) waitInForce(ctx context.Context, accepted config.Accepted, wait time.Duration) Outcome {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -251,7 +261,8 @@
 	return o
 }
 
-// confirmedByAllDaemons tells whether it is in force and every daemon has said so.
+// confirmedByAllDaemons reports whether the generation is in force in every
+// failure domain and every daemon that is not leaving has confirmed it.
 func (o Outcome) confirmedByAllDaemons() bool {
 	for _, d := range o.Domains {
 		if d.DaemonsBehind+d.DaemonsUnheard > 0 {
@@ -261,8 +272,8 @@
 	return o.InForceEverywhere
 }
 
-// Domains tells how far each failure domain of the manifest in force or of a
-// known daemon is, by name.
+// Domains returns the rollout status of each failure domain that the manifest
+// in force names or a known daemon belongs to, sorted by name.
 func (c *Control) Domains() []DomainStatus {
 	m, generation := c.Current()
 	byDomain := map[ident.FailureDomain]*DomainStatus{}
@@ -303,9 +314,10 @@
 	}
 }
 
-// recordHighest notes the domain's highest generation. It may be known before the word
-// of the daemon that has it comes, by way of a third one. Without taking that one
-// out, all daemons of a domain that has the generation would be shown as behind.
+// recordHighest records the domain's highest generation in force. A third
+// daemon can report this generation before the daemon that has it reports it
+// directly, so one daemon is then subtracted from the counts. Otherwise all
+// daemons of a domain that has the generation would be reported as behind.
 func (d *DomainStatus) recordHighest(highest, wanted ident.Generation) {
 	d.Generation = highest
 	if highest < wanted || d.DaemonsBehind+d.DaemonsUnheard < d.Daemons {
@@ -318,8 +330,9 @@
 	d.DaemonsBehind = max(0, d.DaemonsBehind-1)
 }
 
-// History lists accepted configurations, newest first: from the key-value
-// service, or during its outage what this daemon last read of it.
+// History returns the accepted configurations, newest first. It reads them from
+// the key-value service; during an outage of the service it returns those that
+// this daemon read last.
 func (c *Control) History(ctx context.Context) []config.Accepted {
 	head, _, err := c.readHead(ctx)
 	if err == nil {
@@ -334,9 +347,9 @@
 	return c.newest.History()
 }
 
-// Content returns the manifest of a generation that the history still has. The
-// errors are *UnknownGenerationError, the key-value service's and those of
-// manifest.Join.
+// Content returns the manifest of a generation that is still in the history.
+// The errors are *UnknownGenerationError, those of the key-value service and
+// those of manifest.Join.
 func (c *Control) Content(ctx context.Context, generation ident.Generation) (*manifest.Manifest, error) {
 	for _, accepted := range c.History(ctx) {
 		if accepted.Generation != generation {
@@ -351,7 +364,8 @@
 	return nil, &UnknownGenerationError{Generation: generation}
 }
 
-// UnknownGenerationError says that the history does not have a generation.
+// UnknownGenerationError reports that the history does not contain a
+// generation.
 type UnknownGenerationError struct{ Generation ident.Generation }
 
 func (e *UnknownGenerationError) Error() string {
--- a/daemon/control/collect.go
+++ b/daemon/control/collect.go
@@ -14,31 +14,33 @@
 )
 
 const (
-	// collectionInterval is the number of generations between two collections of
-	// unreferenced sections.
+	// collectionInterval is the number of generations between two collections
+	// of unreferenced sections.
 	collectionInterval = 64
 	collectionPageSize = 16
-	// collectionRetryDelay is the pause after a collection that failed.
+	// collectionRetryDelay is the delay before a failed collection is retried.
 	collectionRetryDelay = 5 * time.Second
 )
 
-// scheduleCollection makes a collection due if it is a generation's turn. Guards
-// against a collection that nobody makes: one that was only started at the
-// acceptance was lost when Run had not begun or the key-value service went down,
-// and showed as sections that stayed for 64 more changes. The note waits in the
-// channel for collectLoop, which tries until it has succeeded. A crash in
-// between still leaves the sections to the next turn.
+// scheduleCollection signals collectLoop that a collection is due if the
+// generation is a multiple of collectionInterval. A collection that was started
+// directly at acceptance was lost if Run had not begun or the key-value service
+// went down, and the unreferenced sections then stayed for 64 more changes. The
+// signal waits in the channel instead, and collectLoop retries until the
+// collection succeeds. A crash in between still postpones the collection by
+// collectionInterval generations.
 func (c *Control) scheduleCollection(generation ident.Generation) {
 	if generation%collectionInterval != 0 {
 		return
 	}
 	select {
 	case c.collectionDue <- struct{}{}:
-	default: // one is due already
+	default: // a collection is already due
 	}
 }
 
-// collectLoop makes the collections that are due.
+// collectLoop runs the collections that scheduleCollection signals and retries
+// each until it succeeds.
 func (c *Control) collectLoop(ctx context.Context) {
 	for {
 		select {
@@ -51,7 +53,7 @@
 			if err == nil {
 				break
 			}
-			klog.V(1).InfoS("Collection of sections ended early", "err", err)
+			klog.V(1).InfoS("Collection of unreferenced sections failed; it will be retried", "err", err)
 			if !pause.For(ctx, c.jittered(collectionRetryDelay)) {
 				return
 			}
@@ -59,7 +61,8 @@
 	}
 }
 
-// collect deletes the old sections that no remembered configuration names.
+// collect deletes the sections older than minSectionAge that no configuration
+// in the history references.
 func (c *Control) collect(ctx context.Context) error {
 	after := sectionPrefix
 	for {
@@ -68,8 +71,8 @@
 			return err
 		}
 		after = page[len(page)-1].Key
-		// The head is read after the list, so a section that it names by now is
-		// not taken for unreferenced.
+		// The head is read after the page of sections, so a section that the
+		// head has begun to reference in the meantime is not deleted.
 		head, _, err := c.readHead(ctx)
 		if err != nil {
 			return err
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -1,7 +1,8 @@
-// Package control drives the pure machines of coordination in a daemon: it
-// follows the configuration register through the key-value service and peers,
-// exchanges heartbeats, registers the daemon and reads the platform's list and
-// notices. It implements view.Config and view.Directory.
+// Package control runs a daemon's control plane. It performs the I/O for the
+// state machines in package coordination: it follows the configuration register
+// through the key-value service and through peers, exchanges heartbeats with
+// peers, registers the daemon, and reads the platform's VM list and termination
+// notices. Control implements view.Config and view.Directory.
 package control
 
 import (
@@ -26,27 +27,32 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Config says what a Control works with.
+// Config holds the dependencies and settings of a Control.
 type Config struct {
-	// Self is this daemon; State, Heard and Generation are ignored.
+	// Self describes this daemon. New overwrites State and Generation;
+	// LastHeard is not used.
 	Self view.Daemon
-	// VM is the platform's name of the machine; empty if it was not told.
+	// VM is the platform's ID of the VM this daemon runs on. It is empty if the
+	// daemon does not know it.
 	VM string
-	// Seeds are peer addresses to try, from the settings.
+	// Seeds lists peer addresses from the settings, used to find the first
+	// peers.
 	Seeds []string
 	Store kv.Store
-	// Lister and Cloud may be nil: no list, no notices.
+	// Lister reads the VM list and Cloud the termination notices. Either may be
+	// nil, which disables that source.
 	Lister cloudapi.Lister
 	Cloud  cloudapi.Cloud
-	// HTTPClient reaches the peers; nil is http.DefaultClient.
+	// HTTPClient sends requests to peers; nil means http.DefaultClient.
 	HTTPClient connect.HTTPClient
-	// Scheme of the peers' listeners; empty is "http".
+	// Scheme is the URL scheme of the peers' listeners; empty means "http".
 	Scheme string
-	// Metrics is where the counters are; nil is a registry of its own.
+	// Metrics receives the counters; nil means a private registry.
 	Metrics metrics.Registry
 }
 
-// Control is the control side of one daemon. It is safe for concurrent use.
+// Control runs the control plane of one daemon: configuration, membership and
+// registration. It is safe for concurrent use.
 type Control struct {
 	cfg      Config
 	counters counters
@@ -57,17 +63,20 @@
 	table    *membership.Table
 	strategy *spread.Neighbours
 	links    map[ident.Incarnation]*link
-	// newest is the newest head known with its past; zero if read from peers.
+	// newest is the newest head read from the key-value service, with its
+	// history. It is zero if the configuration came only from peers.
 	newest config.Head
-	// activatedAt is when the configuration in force came into force here.
+	// activatedAt is when this daemon activated the configuration now in force.
 	activatedAt time.Time
-	// lastStoreResponse is when the key-value service last answered.
+	// lastStoreResponse is when the key-value service last responded.
 	lastStoreResponse time.Time
-	// publishedRevision is the revision of the table that was last acted on.
+	// publishedRevision is the table revision that publishChangesLocked last
+	// handled, and publishedDigest the digest of that revision.
 	publishedRevision membership.Revision
 	publishedDigest   uint64
 
-	// collectionDue holds at most one note for collectLoop.
+	// collectionDue signals collectLoop that a collection is due. Its buffer
+	// holds one signal.
 	collectionDue chan struct{}
 
 	configChanged    chan struct{}
@@ -76,12 +85,13 @@
 	daemons          cached[[]view.Daemon]
 	vms              cached[map[string][]view.Runner]
 
-	// runCtx is the context of Run; work started by handlers ends with it.
+	// runCtx is the context of Run. Work that handlers start ends with it.
 	runCtx context.Context
 	tasks  sync.WaitGroup
 }
 
-// cached is a value with the revision of the table that it was made from.
+// cached is a value together with the table revision from which it was
+// computed.
 type cached[T any] struct {
 	revision uint64
 	value    T
@@ -94,7 +104,7 @@
 
 const tickInterval = time.Second
 
-// New returns a Control that knows its own daemon only; Run makes it work.
+// New returns a Control that knows only its own daemon. Call Run to start it.
 func New(cfg Config) *Control {
 	if cfg.HTTPClient == nil {
 		cfg.HTTPClient = http.DefaultClient
@@ -122,8 +132,8 @@
 	}
 }
 
-// Run works until the context ends. It then gives up the registration and
-// tells the linked peers that this incarnation is over.
+// Run runs the control plane until ctx ends. It then revokes the registration
+// and tells the linked peers that this incarnation has ended.
 func (c *Control) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	c.start(ctx)
@@ -155,16 +165,17 @@
 	c.relinkLocked()
 }
 
-// waitForTasks waits for spawned work. Once the lock has been held after the
-// context's end, no more can be spawned.
+// waitForTasks waits for the goroutines that spawnLocked started. spawnLocked
+// checks the context under the lock, so once the lock has been acquired after
+// the end of the context, no further goroutine can start.
 func (c *Control) waitForTasks() {
 	c.mu.Lock()
-	//lint:ignore SA2001 whoever saw the context alive has added its task by now
+	//lint:ignore SA2001 a spawnLocked call that saw a live context has added its task by now
 	c.mu.Unlock()
 	c.tasks.Wait()
 }
 
-// Handler serves the peers' calls.
+// Handler returns the path and the HTTP handler for calls from peers.
 func (c *Control) Handler() (string, http.Handler) {
 	return meshv1connect.NewMeshServiceHandler((*meshService)(c),
 		connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(compressAbove))
@@ -178,8 +189,9 @@
 	return m, head.Generation
 }
 
-// configView gives Control's two Changed methods apart: the one of
-// view.Directory is its own, the one of view.Config is this type's.
+// configView implements view.Config. It exists because view.Config and
+// view.Directory both have a Changed method: Control's own method reports
+// directory changes, and this type's method reports only configuration changes.
 type configView struct{ *Control }
 
 // Changed implements view.Config.
@@ -189,12 +201,12 @@
 	return c.configChanged
 }
 
-// ConfigView returns the configuration alone, with its own Changed: it is not
-// woken by changes of the directory.
+// ConfigView returns a view of the configuration whose Changed channel is not
+// closed by changes of the directory.
 func (c *Control) ConfigView() view.Config { return configView{c} }
 
-// Changed implements view.Directory; it is closed at changes of the
-// configuration in force too.
+// Changed implements view.Directory. The channel is also closed when a
+// configuration comes into force.
 func (c *Control) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,16 +222,17 @@
 	return self
 }
 
-// Members lists the daemons with what decides between reports, by ID.
+// Members returns the known daemons, sorted by ID, with the fields that decide
+// which of two conflicting reports wins.
 func (c *Control) Members() []membership.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.membersLocked()
 }
 
-// MembersNow is Members with the times they were last heard as of now. Members
-// keeps its list until a state or generation changes, and with it times that
-// may be long past.
+// MembersNow is like Members, but its LastHeard times are current. Members
+// caches its list until a state or generation changes, so the LastHeard times
+// there may be long out of date.
 func (c *Control) MembersNow() []membership.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -232,7 +245,8 @@
 	return members
 }
 
-// activationTime is when the configuration in force came into force here.
+// activationTime returns when this daemon activated the configuration now in
+// force.
 func (c *Control) activationTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -285,8 +299,8 @@
 	c.applyNotices([]membership.Notice{{Address: address, Left: left}})
 }
 
-// Drain makes this daemon leaving for good and tells the others at once. The
-// time is when it ends; zero if not known.
+// Drain permanently marks this daemon as leaving and tells its peers at once.
+// leavesAt is when the daemon will stop; zero means unknown.
 func (c *Control) Drain(leavesAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -294,8 +308,9 @@
 	c.publishChangesLocked()
 }
 
-// DrainTarget makes a daemon or the runner of a VM leaving for good, wherever it
-// is. The error is an *UnknownTargetError.
+// DrainTarget permanently marks as leaving the daemon with the given ID or
+// incarnation, or the runner on the given VM, anywhere in the fleet. It returns
+// an *UnknownTargetError if the target is not known.
 func (c *Control) DrainTarget(target string) error {
 	now := time.Now()
 	c.mu.Lock()
@@ -313,30 +328,32 @@
 	return nil
 }
 
-// UnknownTargetError says that there is no such daemon or runner.
+// UnknownTargetError reports that no known daemon or runner has the given ID.
 type UnknownTargetError struct{ Target string }
 
 func (e *UnknownTargetError) Error() string {
 	return fmt.Sprintf("no daemon or runner %q is known", e.Target)
 }
 
-// InForce returns the highest generation in force in each failure domain, as
-// far as this daemon has heard.
+// InForce returns, for each failure domain, the highest generation known to be
+// in force there.
 func (c *Control) InForce() map[ident.FailureDomain]ident.Generation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.InForce()
 }
 
-// StoreUp tells whether the key-value service answered lately.
+// StoreUp reports whether the key-value service has responded within
+// storeUpWindow.
 func (c *Control) StoreUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.lastStoreResponse) < storeUpWindow
 }
 
-// publishChangesLocked acts on what changed in the table: it rebuilds the links, wakes
-// readers and pushes news.
+// publishChangesLocked publishes table changes made since the last call: it
+// updates the links to peers, wakes readers of Changed, and triggers an
+// exchange on every link. It does nothing if the table has not changed.
 func (c *Control) publishChangesLocked() {
 	revision := c.table.Revision()
 	if revision == c.publishedRevision {
@@ -385,8 +402,9 @@
 	c.publishChangesLocked()
 }
 
-// spawn runs work that ends with Run; it is dropped before Run and after.
-// The lock must be held.
+// spawnLocked runs work in a goroutine with the context of Run. It drops the
+// work if Run has not started or its context has ended. The caller must hold
+// c.mu.
 func (c *Control) spawnLocked(work func(context.Context)) {
 	ctx := c.runCtx
 	if ctx == nil || ctx.Err() != nil {
--- a/daemon/control/control_test.go
+++ b/daemon/control/control_test.go
@@ -17,12 +17,13 @@
 	"geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// runWithFleet runs a test of a whole fleet in virtual time.
+// runWithFleet runs a test with five daemons in a synctest bubble, that is, in
+// virtual time.
 func runWithFleet(t *testing.T, test func(is *is.I, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
-		f.waitUntil(5*time.Second, "all know each other", f.allLive)
+		f.waitUntil(5*time.Second, "all daemons see each other as live", f.allLive)
 		test(is.New(t), f)
 	})
 }
@@ -43,10 +44,9 @@
 	})
 }
 
-// measurePropagation brings one configuration into force, then changes the network or
-// the service in the moment in which the next is accepted, and returns how long
-// that one takes to the last daemon. Links have 20 ms one way, as if between
-// regions.
+// measurePropagation brings one configuration into force, injects faults at the
+// moment the next one is accepted, and returns how long that one takes to reach
+// the last daemon. The one-way delay is 20 ms, as between regions.
 func measurePropagation(t *testing.T, injectFaults func(f *fleet)) (took time.Duration) {
 	runWithFleet(t, func(is *is.I, f *fleet) {
 		f.network.update(func(n *network) { n.delay = 20 * time.Millisecond })
@@ -73,9 +73,10 @@
 	return took
 }
 
-// An operator's apply succeeds, and in the same moment the key-value service goes
-// down, slow or silent. The users of the other failure domains would be served
-// by the old settings until it is well again, if only it could tell of new ones.
+// The key-value service goes down, becomes slow or stops answering watches at
+// the moment a configuration is accepted. Daemons must learn of it from their
+// peers; otherwise other failure domains would use the old configuration until
+// the service recovers.
 func TestTimeFromAcceptanceToInForce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -91,9 +92,10 @@
 	is.True(times["slow"] < 3*time.Second)
 }
 
-// The answer to the accepting swap is lost and the service goes down with it. The
-// operator must not be told that nothing happened, and once the service is back
-// the same call has to find the change accepted, once.
+// The response to the swap that accepts a configuration is lost, and the
+// service goes down at the same time. The error must say that the outcome is
+// unknown, and after the outage a repeated submission must find the
+// configuration accepted exactly once.
 func TestLostSwapResponseFollowedByOutage(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -112,8 +114,9 @@
 	})
 }
 
-// The daemon that took an operator's call crashes in the moment of acceptance, and
-// all watches are silent. The change is accepted and nobody is told of it.
+// The daemon that handles an apply crashes at the moment of acceptance while
+// all watches are stalled, so no daemon is told of the accepted configuration.
+// It must still come into force everywhere.
 func TestAcceptingDaemonCrashesAndWatchesAreSilent(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -137,9 +140,9 @@
 	})
 }
 
-// Two failure domains lose sight of the other two while an operator changes the
-// settings on one side and the service is down right after. The other side has
-// to catch up when the cut is over, without the service.
+// Two failure domains are partitioned from the other two while a configuration
+// is applied on one side, and the key-value service goes down right after. Once
+// the partition heals, the other side must catch up without the service.
 func TestPartitionedDomainsCatchUpDuringOutage(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -174,9 +177,9 @@
 	})
 }
 
-// A daemon restarts while the key-value service is down. Its callers would be
-// refused for the whole outage although the daemons around it have the
-// configuration.
+// A daemon restarts while the key-value service is down. It must fetch the
+// configuration from its peers; otherwise it would refuse its callers for the
+// whole outage.
 func TestRestartDuringOutageFetchesConfigurationFromPeers(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -188,13 +191,13 @@
 		f.restart(4)
 		m, _ := f.daemons[4].Current()
 		is.True(m == nil)
-		f.waitUntil(3*time.Second, "in force at the restarted one", f.inForce(1))
+		f.waitUntil(3*time.Second, "in force at the restarted daemon", f.inForce(1))
 	})
 }
 
-// The key-value service comes back from an outage with the state of yesterday.
-// Daemons that obeyed it would fall back to old limits and credentials, and the
-// next change would get a generation that is in force already and be ignored.
+// The key-value service is restored from an old backup. Daemons that followed
+// it would revert to old limits and credentials, and the next change would get
+// a generation that is already in force and be ignored.
 func TestRestoredStoreDoesNotRevertConfiguration(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -218,8 +221,8 @@
 	})
 }
 
-// All watches go silent at once: the connections stay open and nothing comes.
-// One daemon's change would never reach the others if they relied on them.
+// All watches stall at once: their connections stay open, but no event arrives.
+// A change must reach all daemons without them.
 func TestSilentWatches(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -231,8 +234,9 @@
 	})
 }
 
-// The cloud's notice for a runner's VM reaches one daemon. Calls that others
-// send there would be cut off when it goes.
+// One daemon learns that a runner's VM is leaving. All daemons must learn of
+// it; otherwise calls that they send to that runner would be cut off when the
+// VM stops.
 func TestRunnerNoticeReachesAllDaemons(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -253,12 +257,13 @@
 		f.waitUntil(5*time.Second, "runner listed", state(view.Live))
 		f.daemons[1].NoteLeaving("10.1.0.1:9000", 20*time.Second)
 		took := f.waitUntil(3*time.Second, "leaving everywhere", state(view.Leaving))
-		f.t.Logf("leaving everywhere %s after the first word", took)
+		f.t.Logf("leaving everywhere %s after the first report", took)
 	})
 }
 
-// An entry VM gets its notice. Callers that are still sent there would lose
-// what they have just begun; the daemon itself has to hear of it, too.
+// An entry VM gets a termination notice. All daemons, including the one on that
+// VM, must learn of it; otherwise callers sent there would lose requests that
+// they have just begun.
 func TestEntryVMNoticeReachesAllDaemons(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -286,8 +291,9 @@
 	return view.Gone
 }
 
-// A daemon is paused for ten seconds and goes on. The others suspect it; if that
-// were final, a healthy entry VM would never be used again.
+// A daemon pauses for ten seconds and resumes. The others mark it suspect, but
+// must mark it live again; otherwise a healthy entry VM would never be used
+// again.
 func TestPausedDaemonBecomesLiveAgain(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -298,8 +304,9 @@
 	})
 }
 
-// An entry VM crashes and is replaced at the same address. As long as the former
-// incarnation counts as a daemon, work that only it can do is waited for.
+// An entry VM crashes and is replaced at the same address. The previous
+// incarnation must be removed from the directory; otherwise other daemons would
+// keep waiting for work that only it can do.
 func TestReplacedEntryVMRemovesPreviousIncarnation(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -316,8 +323,8 @@
 	})
 }
 
-// Two daemons cannot reach each other while both reach the rest. Each would
-// spread its suspicion and take the other out of service for everybody.
+// Two daemons cannot reach each other, but both reach the rest. Neither must be
+// taken out of service because the other suspects it.
 func TestPartitionedPairStaysLive(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -336,8 +343,8 @@
 	})
 }
 
-// The control traffic of daemons that have no news must stay what the heartbeats
-// cost: news that is sent back and forth for ever would fill the network.
+// Without changes, daemons must exchange heartbeats only. Changes that daemons
+// keep sending back and forth would fill the network.
 func TestIdleFleetSendsOnlyHeartbeats(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -349,20 +356,20 @@
 		time.Sleep(time.Minute)
 		f.network.update(func(n *network) { calls, bytes = n.calls-calls, n.bytes-bytes })
 		f.t.Logf("%.1f calls/s, %.0f body bytes a call", float64(calls)/60, float64(bytes)/float64(calls))
-		is.True(calls < 60*5*5) // five daemons with four links each, once a second
+		is.True(calls < 60*5*5) // five daemons with four links each, one exchange a second
 	})
 }
 
-// Operators change the settings for years. Sections that no remembered
-// configuration names would fill the key-value service.
+// Sections that no configuration in the history references must be deleted;
+// otherwise they would fill the key-value service over the years.
 func TestOldSectionsAreCollected(t *testing.T) {
 	t.Parallel()
 	checkCollection(t, (*fleet).acceptLastTwo)
 }
 
-// The change that a collection is due with is accepted by a daemon that has just
-// started and whose Run has not begun. The collection was dropped then, and the
-// old sections stayed until 64 changes later.
+// The change that makes a collection due is accepted by a daemon whose Run has
+// not begun. The collection used to be dropped then, and the unreferenced
+// sections stayed for 64 more changes.
 func TestCollectionDueBeforeRun(t *testing.T) {
 	t.Parallel()
 	checkCollection(t, func(f *fleet) {
@@ -374,9 +381,9 @@
 	})
 }
 
-// The key-value service goes down just after the change that a collection is due
-// with. The collection was given up then, and nobody tried it again when the
-// service came back: the old sections stayed until 64 changes later.
+// The key-value service goes down just after the change that makes a collection
+// due. The collection used to be abandoned without a retry, and the
+// unreferenced sections stayed for 64 more changes.
 func TestCollectionIsRetriedAfterOutage(t *testing.T) {
 	t.Parallel()
 	checkCollection(t, func(f *fleet) {
@@ -390,7 +397,8 @@
 	})
 }
 
-// acceptChange accepts a configuration that differs from all others in one section.
+// acceptChange applies a configuration that differs from all others in one
+// section.
 func (f *fleet) acceptChange(n int) {
 	if _, err := f.apply(0, n+1, fmt.Sprint(n)); err != nil {
 		f.t.Fatal(err)
@@ -402,8 +410,9 @@
 	f.acceptChange(63)
 }
 
-// checkCollection makes 62 changes, lets them grow old, and checks that the old
-// sections go a minute after the last two, which are up to the caller.
+// checkCollection applies 62 changes, advances the clock until their sections
+// are old enough to delete, runs lastTwo, which applies the last two changes,
+// and checks a minute later that the unreferenced sections are deleted.
 func checkCollection(t *testing.T, lastTwo func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -419,8 +428,8 @@
 		time.Sleep(time.Minute)
 		sections, err := f.store.List(t.Context(), "config/sections/", "", 1000)
 		is.NoErr(err)
-		// 33 remembered configurations differ in one section, the four others are
-		// shared.
+		// The 33 configurations in the history differ in one section and share
+		// the four others.
 		is.Equal(len(sections), 33+4)
 		m, err := f.daemons[0].Content(t.Context(), 40)
 		is.NoErr(err)
@@ -431,9 +440,9 @@
 	})
 }
 
-// An operator applies a change, is told that it is in force everywhere, and sees
-// one daemon behind in every failure domain beside it: news of a domain came by
-// way of a third daemon before the daemon's own word.
+// Apply reported a configuration as in force everywhere, but also one daemon
+// behind in every other failure domain: a third daemon had reported the
+// domain's generation before the daemon that has it reported it directly.
 func TestApplyDoesNotReportCurrentDaemonAsBehind(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -451,8 +460,9 @@
 	})
 }
 
-// One of two daemons of a failure domain is paused during a change. It must not
-// be counted among those that have it, nor as one that said to be behind.
+// One of two daemons of a failure domain is paused during a change. Apply must
+// count it as unheard: neither as having the generation nor as having reported
+// a lower one.
 func TestApplyCountsPausedDaemonAsUnheard(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
@@ -467,8 +477,8 @@
 	})
 }
 
-// Nothing changes for minutes, and the status shows that all daemons were last
-// heard minutes ago: the list was kept from the last change on.
+// The status used to show that all daemons were last heard minutes ago, because
+// the member list was cached since the last change.
 func TestMembersNowReturnsCurrentLastHeard(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
--- a/daemon/control/counters.go
+++ b/daemon/control/counters.go
@@ -2,7 +2,7 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// counters are the control side's own figures.
+// counters holds the metrics of the control plane.
 type counters struct {
 	heartbeats       metrics.Counter
 	heartbeatsFailed metrics.Counter
--- a/daemon/control/designation.go
+++ b/daemon/control/designation.go
@@ -14,21 +14,23 @@
 )
 
 const (
-	// designatedPerDomain is how many daemons of each failure domain watch the
-	// key-value service and ask the platform; the others learn from peers.
-	// Guards against the fleet outgrowing those services: with a watch in
-	// every one of 1,800 daemons nearly all of the 2,000 reads a second that
-	// the service gives would be gone.
+	// designatedPerDomain is the number of daemons in each failure domain that
+	// watch the key-value service and poll the platform; the other daemons
+	// learn from peers. If each of 1,800 daemons watched the service, they
+	// would use up nearly all of the 2,000 reads a second that it can serve.
 	designatedPerDomain = 2
-	// rotationPeriod is how long one daemon reads the VM list before the next.
+	// rotationPeriod is how long the same daemons stay designated to read the
+	// VM list before the task moves on to others.
 	rotationPeriod = time.Minute
-	// fixedSlot is the duty that does not go round.
+	// fixedSlot is the slot for tasks whose designated daemons do not rotate.
 	fixedSlot = 0
 )
 
-// isDesignated tells whether this daemon ranks among the first of the live daemons of
-// its failure domain in a slot. Daemons that see different members may both, or
-// for a while neither, think so; each of the services is re-read slowly besides.
+// isDesignated reports whether this daemon is designated in a slot, that is,
+// among the first designatedPerDomain live daemons of its failure domain by
+// rank. Daemons with different membership views may disagree, so that for a
+// while too many or none of them are designated. The head and the registrations
+// are therefore re-read at a longer interval as well.
 func (c *Control) isDesignated(slot int64) bool {
 	ownRank := designationRank(c.cfg.Self, slot)
 	ahead := 0
@@ -47,11 +49,13 @@
 	return xxhash.Sum64String(string(d.Incarnation) + "\x00" + strconv.FormatInt(slot, 10))
 }
 
-// rotationSlot numbers the turns of a duty that goes round. Clocks need to agree
-// only roughly: at a turn's edge one daemon more or fewer has it.
+// rotationSlot returns the slot of the rotation period that contains now. The
+// daemons' clocks need to agree only roughly: near the boundary of a period,
+// one daemon too many or too few may be designated.
 func rotationSlot(now time.Time) int64 { return now.Unix()/int64(rotationPeriod.Seconds()) + 1 }
 
-// jitter draws the same spans for the same incarnation.
+// jitter is a source of random durations that is seeded by the incarnation and
+// therefore reproducible.
 type jitter struct {
 	mu     sync.Mutex
 	random *rand.Rand
@@ -61,18 +65,19 @@
 	return &jitter{random: rand.New(rand.NewPCG(xxhash.Sum64String(string(i)), 0))}
 }
 
-// below draws a span shorter than d.
+// below returns a random duration shorter than d.
 func (j *jitter) below(d time.Duration) time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return time.Duration(j.random.Int64N(int64(d)))
 }
 
-// jittered spreads calls of many daemons: between d and one and a half of it.
+// jittered returns a random duration between d and 1.5 d, so that the calls of
+// many daemons do not coincide.
 func (c *Control) jittered(d time.Duration) time.Duration { return d + c.jitter.below(d/2+1) }
 
-// scaledInterval lengthens an interval with the number of daemons, so that the calls a
-// second of all together stay bounded.
+// scaledInterval returns an interval that grows with the number of daemons, so
+// that the total call rate of the fleet stays bounded.
 func scaledInterval(minimum, perMember time.Duration, members []membership.Member) time.Duration {
 	return max(minimum, time.Duration(len(members))*perMember)
 }
--- a/daemon/control/follow.go
+++ b/daemon/control/follow.go
@@ -14,29 +14,34 @@
 )
 
 const (
-	// watchWait is how long one watch waits in the service.
+	// watchWait is how long the key-value service holds one watch call open
+	// while there are no events.
 	watchWait = 20 * time.Second
-	// watchTimeoutMargin is how much later than watchWait an answer may come before the
-	// watch counts as silent.
+	// watchTimeoutMargin is how long after watchWait a response may still
+	// arrive before the watch counts as stalled.
 	watchTimeoutMargin = 3 * time.Second
-	// storeTimeout bounds every other call to the service.
+	// storeTimeout bounds every call to the key-value service except watches.
 	storeTimeout = 2 * time.Second
-	// storeRetryDelay is the pause after a failed call, up to twice that.
+	// storeRetryDelay is the minimum delay before a failed call is retried;
+	// jitter adds up to half of it.
 	storeRetryDelay = time.Second
-	// storeUpWindow is how long one answer counts as a sign of life; every daemon
-	// reads the head at least that often.
+	// storeUpWindow is how long after a response the key-value service counts
+	// as up. Every daemon reads the head at least that often.
 	storeUpWindow = longRereadInterval + shortRereadInterval
-	// shortRereadInterval is the time between two reads of the head on a watching
-	// daemon, or on one that has no configuration yet or no peer.
+	// shortRereadInterval is the interval between two reads of the head on a
+	// daemon that is designated to watch it, has no configuration yet, or knows
+	// no peer.
 	shortRereadInterval = 10 * time.Second
-	// longRereadInterval is the same on the others, which learn from their peers.
+	// longRereadInterval is the interval on all other daemons, which learn from
+	// their peers.
 	longRereadInterval = 5 * time.Minute
-	// designationRecheck is how often a daemon without a duty looks whether it has one.
+	// designationRecheck is how often a daemon that is not designated checks
+	// whether it has become so.
 	designationRecheck = 5 * time.Second
 	fetchTimeout       = 2 * time.Second
 )
 
-// executeEffectsLocked starts the follower's effects.
+// executeEffectsLocked executes the effects that the follower returns.
 func (c *Control) executeEffectsLocked(effects []config.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -46,7 +51,7 @@
 			c.activateLocked(e)
 		case *config.Reject:
 			c.counters.rejected.Inc(1)
-			klog.ErrorS(e.Err, "Accepted configuration can't be read; the former stays in force", "generation", e.Head.Generation)
+			klog.ErrorS(e.Err, "Accepted configuration can't be decoded; the previous one stays in force", "generation", e.Head.Generation)
 		}
 	}
 }
@@ -73,7 +78,7 @@
 	}
 	if err != nil {
 		c.counters.fetchesFailed.Inc(1)
-		klog.V(1).InfoS("Fetch of sections failed", "source", f.Source, "err", err)
+		klog.V(1).InfoS("Fetching configuration sections failed", "source", f.Source, "err", err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +86,8 @@
 	c.publishChangesLocked()
 }
 
-// readHead reads the register; revision zero says that there is none.
+// readHead reads the head of the configuration register. Revision zero means
+// that no head is stored.
 func (c *Control) readHead(ctx context.Context) (config.Head, kv.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -108,7 +114,7 @@
 	c.counters.storeFailures.Inc(1)
 }
 
-// learnHead takes in a head as it stands in the service.
+// learnHead passes a head read from the key-value service to the follower.
 func (c *Control) learnHead(head config.Head) {
 	if head.Generation == 0 {
 		return
@@ -122,7 +128,7 @@
 	c.publishChangesLocked()
 }
 
-// watchLoop waits for changes of the head while the daemon has that duty.
+// watchLoop watches the head while this daemon is designated to do so.
 func (c *Control) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !c.isDesignated(fixedSlot) {
@@ -135,9 +141,10 @@
 	}
 }
 
-// watchHead reads the head and watches it until a call fails. Guards against a
-// watch that went silent: it is given up watchSlack after it had to answer, and
-// reading the head before the next one catches what came in between.
+// watchHead reads the head and then watches it until a call fails or this
+// daemon is no longer designated. A stalled watch ends watchTimeoutMargin after
+// its response was due, and the read of the head before the next watch picks up
+// any change missed in between.
 func (c *Control) watchHead(ctx context.Context) error {
 	head, after, err := c.readHead(ctx)
 	if err != nil {
@@ -175,13 +182,13 @@
 	}
 	head, err := config.DecodeHead(event.Value)
 	if err != nil {
-		klog.ErrorS(err, "Head can't be read", "revision", event.Revision)
+		klog.ErrorS(err, "Head of the configuration register can't be decoded", "revision", event.Revision)
 		return
 	}
 	c.learnHead(head)
 }
 
-// rereadLoop reads the head now and then, whatever the watch says.
+// rereadLoop reads the head periodically, independently of any watch.
 func (c *Control) rereadLoop(ctx context.Context) {
 	for {
 		if head, _, err := c.readHead(ctx); err == nil {
--- a/daemon/control/history_test.go
+++ b/daemon/control/history_test.go
@@ -21,10 +21,11 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// trials is the number of seeds; more of them are a longer run.
+// trials is the number of seeds; higher values make a longer run.
 var trials = flag.Uint64("trials", 3, "seeds of TestHistoriesOfTheRegister")
 
-// submitCall is one operator's call and what it was told.
+// submitCall is the input of one operator's submission, and submitResult its
+// output.
 type submitCall struct{ expected int64 }
 
 type submitResult struct {
@@ -39,8 +40,8 @@
 	unknown     = "unknown"
 )
 
-// registerModel is the configuration register as operators see it: a number
-// that each accepted call raises by one.
+// registerModel models the configuration register as operators see it: a
+// generation number that each accepted submission increments.
 func registerModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{int64(0)} },
@@ -65,15 +66,19 @@
 	return model.ToModel()
 }
 
-// observation is a read of the generation in force at one incarnation, or the report
-// that one is in force in every failure domain.
+// observation is the input of an operation in inForceModel: either a read of
+// the generation in force at one incarnation, or a report by Apply that a
+// generation is in force in every failure domain.
 type observation struct {
 	incarnation ident.Incarnation
 	report      bool
 }
 
-// inForceModel is the highest generation that an incarnation has shown; reports
-// hold for all incarnations that start later (a first read lasts from the start).
+// inForceModel models the highest generation observed so far, which later
+// observations must not fall below. It is checked for each incarnation by
+// itself. It is also checked for reports together with each incarnation's first
+// read, which counts as lasting from the incarnation's start: a report
+// constrains all incarnations that start after it.
 func inForceModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return int64(0) },
@@ -84,7 +89,7 @@
 	}
 }
 
-// history collects operations of concurrent clients in virtual time.
+// history records the operations of concurrent clients in virtual time.
 type history struct {
 	mu  sync.Mutex
 	all []porcupine.Operation
@@ -102,7 +107,8 @@
 	h.all = append(h.all, op)
 }
 
-// historyRun is a fleet under random faults with operators and readers.
+// historyRun is a fleet under random faults, with concurrent operators and a
+// reader.
 type historyRun struct {
 	*fleet
 	random   *rand.Rand
@@ -110,10 +116,11 @@
 	reads    map[ident.Incarnation]*history
 	starts   history
 	done     chan struct{}
-	// operators and reader are the trial's clients.
+	// operators and reader track the goroutines of the run's clients.
 	operators sync.WaitGroup
 	reader    sync.WaitGroup
-	// newIDOnRetry breaks the guard that tells a lost answer from a lost call.
+	// newIDOnRetry makes operators repeat every submission under a new ID,
+	// which defeats the detection of repeated submissions.
 	newIDOnRetry bool
 }
 
@@ -173,7 +180,8 @@
 	return submitResult{outcome: unknown}
 }
 
-// readLoop records what every daemon shows, and what a new incarnation shows first.
+// readLoop records the generation in force at every daemon, and the first one
+// that each new incarnation shows.
 func (r *historyRun) readLoop() {
 	defer r.reader.Done()
 	for {
@@ -202,7 +210,8 @@
 	r.reads[incarnation].add(0, call, observation{incarnation: incarnation}, int64(generation), false)
 }
 
-// injectFaults switches faults and restarts one daemon at a time.
+// injectFaults switches between faults of the key-value service and replaces
+// daemons, one at a time.
 func (r *historyRun) injectFaults(rounds int) {
 	faults := []kvserver.Faults{
 		{}, {}, {Outage: true}, {DelayMillis: 700}, {SilentWatches: true},
@@ -222,7 +231,8 @@
 	r.store.SetFaults(kvserver.Faults{})
 }
 
-// replace crashes a daemon that has what its peers have, and starts another.
+// replace crashes a daemon, starts a new incarnation of it, and gives that one
+// time to catch up with its peers.
 func (r *historyRun) replace(i int) {
 	r.crash(i)
 	time.Sleep(randomDuration(r.random, 3*time.Second))
@@ -242,7 +252,7 @@
 			fleet: f, random: rand.New(rand.NewPCG(seed, 1)), newIDOnRetry: careless,
 			reads: map[ident.Incarnation]*history{}, done: make(chan struct{}),
 		}
-		f.waitUntil(5*time.Second, "all know each other", f.allLive)
+		f.waitUntil(5*time.Second, "all daemons see each other as live", f.allLive)
 		r.operators.Add(3)
 		r.reader.Add(1)
 		go r.readLoop()
@@ -258,7 +268,7 @@
 	return r
 }
 
-// waitForConvergence waits until every daemon has what the register holds.
+// waitForConvergence waits until every daemon has the register's head in force.
 func (r *historyRun) waitForConvergence() {
 	entry, err := r.store.Get(context.Background(), "config/head")
 	if err != nil || entry.Revision == 0 {
@@ -271,10 +281,10 @@
 	r.waitUntil(30*time.Second, "every daemon has the register's head", r.inForce(head.Generation))
 }
 
-// Operators race over five daemons while the key-value service is down, slow,
-// silent or loses answers, and daemons are replaced. Somebody would be told
-// "accepted" of a change that another one overwrote unseen, or a daemon would
-// show an older generation after a newer one.
+// Operators submit concurrently to five daemons while the key-value service is
+// down, slow, stalled or loses responses, and while daemons are replaced. The
+// history must be linearizable: no accepted change may be overwritten unseen,
+// and no daemon may show an older generation after a newer one.
 func TestHistoriesOfTheRegister(t *testing.T) {
 	t.Parallel()
 	acceptedCount, unknownCount := 0, 0
@@ -297,12 +307,12 @@
 	}
 	t.Logf("%d accepted, %d unknown", acceptedCount, unknownCount)
 	if acceptedCount < int(*trials)*8 {
-		t.Errorf("only %d submissions were accepted: the trials prove little", acceptedCount)
+		t.Errorf("only %d submissions were accepted, too few for a meaningful check", acceptedCount)
 	}
 }
 
-// An operator's tool that sends a change again under a new ID, in place of the
-// same, changes the register twice for one answer. The checker has to see it.
+// A client that repeats a submission under a new ID changes the register twice
+// for one response. The checker must detect this in the history.
 func TestCheckerSeesRepetitionUnderNewID(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/daemon/control/leaving_test.go
+++ b/daemon/control/leaving_test.go
@@ -11,16 +11,18 @@
 	"geraniumstack.org/geraniumstack/standin/kvserver"
 )
 
-// caller keeps an answer for its lifetime and uses it for every request.
+// caller keeps a list of gateways for its lifetime and sends every request to
+// one of them.
 type caller struct {
 	gateways []membership.Gateway
 	until    time.Time
 }
 
-// pick returns the address of the next request.
+// pick returns the address to which the caller sends its next request.
 func (c *caller) pick(f *fleet, random *rand.Rand) string {
 	if time.Now().After(c.until) {
-		// A caller asks any entry VM that it knows, the leaving one too.
+		// A caller asks any entry VM for gateways, including the one that is
+		// leaving.
 		d := f.daemons[random.IntN(len(f.daemons))]
 		c.gateways = membership.Gateways(d.Daemons(), domains[random.IntN(len(domains))], random.Uint64())
 		c.until = time.Now().Add(membership.GatewayTTL)
@@ -28,8 +30,8 @@
 	return c.gateways[random.IntN(len(c.gateways))].Address
 }
 
-// lastNewRequest lets 50 callers send for a while and returns how long after the
-// first word of its leaving an entry VM got its last new request.
+// lastNewRequest simulates 50 callers and returns how long after the
+// announcement of its leaving an entry VM got its last new request.
 func lastNewRequest(t *testing.T, injectFaults func(f *fleet), announce func(f *fleet)) (last time.Duration) {
 	runWithFleet(t, func(_ *is.I, f *fleet) {
 		f.network.update(func(n *network) { n.delay = 20 * time.Millisecond })
@@ -58,10 +60,11 @@
 	return last
 }
 
-// An entry VM is to be reclaimed, and one daemon hears of it. Callers that go on
-// sending there would see their new requests cut off: the notice has to reach
-// every daemon, also with the key-value service down or a failure domain cut off
-// from the first one to know, and old answers have to run out.
+// An entry VM is about to be reclaimed, and one daemon or the cloud announces
+// it. The announcement must reach every daemon, even if the key-value service
+// is down or a failure domain is partitioned from the first daemon to know, and
+// old gateway lists must expire. Otherwise callers would keep sending new
+// requests to that VM, and the requests would be cut off.
 func TestLastNewRequestOnLeavingVM(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -84,7 +87,7 @@
 		"one daemon, outage, cut from a failure domain": {cut, viaDaemon},
 	} {
 		last := lastNewRequest(t, run[0], run[1])
-		t.Logf("%s: last new request %s after the first word", name, last)
+		t.Logf("%s: last new request %s after the first report", name, last)
 		is.True(last > 0)
 		is.True(last <= membership.GatewayTTL+3*time.Second)
 	}
--- a/daemon/control/mesh.go
+++ b/daemon/control/mesh.go
@@ -20,37 +20,40 @@
 )
 
 const (
-	// heartbeatTimeout is when a call counts as failed. A connection that went
-	// silent ends with it, and the next call makes a new one.
+	// heartbeatTimeout bounds one heartbeat call. A connection that has stopped
+	// responding is closed when the call times out, and the next call opens a
+	// new one.
 	heartbeatTimeout = time.Second
-	// probeTimeout bounds the wait for others' tries; they take heartbeatTimeout
-	// and the way there and back.
+	// probeTimeout bounds an indirect probe: the proxy's own heartbeat takes up
+	// to heartbeatTimeout, and the rest covers the round trip to the proxy.
 	probeTimeout = heartbeatTimeout + 500*time.Millisecond
-	// minExchangeInterval is the least time between two exchanges over one link; news that
-	// comes closer together shares a message.
+	// minExchangeInterval is the minimum interval between two exchanges over
+	// one link. Changes that arrive within it are sent in one message.
 	minExchangeInterval = 100 * time.Millisecond
-	// maxMessageBytes bounds a peer's message.
+	// maxMessageBytes bounds the size of a message from a peer.
 	maxMessageBytes = 32 << 20
-	// compressAbove is the size from which a message is compressed; below it
-	// compression costs more processor time than all the rest of an exchange.
+	// compressAbove is the message size in bytes from which messages are
+	// compressed. Compressing smaller messages costs more CPU time than the
+	// rest of an exchange.
 	compressAbove = 1024
-	// seedInterval is the time between two tries of a seed.
+	// seedInterval is the interval between two rounds of connection attempts to
+	// seeds.
 	seedInterval = time.Second
-	// seedsPerRound bounds the seeds tried at a time.
+	// seedsPerRound bounds the number of seeds tried in one round.
 	seedsPerRound = 4
 )
 
-// meshService is the peers' side of a Control.
+// meshService implements the RPC service that peers call on a Control.
 type meshService Control
 
 var _ meshv1connect.MeshServiceHandler = (*meshService)(nil)
 
-// MissingSenderError says that an exchange does not say who sent it.
+// MissingSenderError reports that an exchange does not identify its sender.
 type MissingSenderError struct{}
 
-func (*MissingSenderError) Error() string { return "exchange without a sender" }
+func (*MissingSenderError) Error() string { return "exchange does not name its sender" }
 
-// Heartbeat answers a peer's exchange.
+// Heartbeat merges a peer's exchange and replies with this daemon's changes.
 func (s *meshService) Heartbeat(_ context.Context, r *connect.Request[meshv1.HeartbeatRequest]) (*connect.Response[meshv1.HeartbeatResponse], error) {
 	c := (*Control)(s)
 	exchange := r.Msg.GetExchange()
@@ -68,7 +71,8 @@
 	return connect.NewResponse(&meshv1.HeartbeatResponse{Exchange: reply}), nil
 }
 
-// Probe calls another daemon on behalf of one that could not.
+// Probe sends a heartbeat to a daemon on behalf of a peer that could not reach
+// it.
 func (s *meshService) Probe(ctx context.Context, r *connect.Request[meshv1.ProbeRequest]) (*connect.Response[meshv1.ProbeResponse], error) {
 	c := (*Control)(s)
 	wanted := ident.Incarnation(r.Msg.GetIncarnation())
@@ -77,7 +81,8 @@
 	return connect.NewResponse(&meshv1.ProbeResponse{Reached: reached}), nil
 }
 
-// FetchConfig answers with those of the asked sections that are here.
+// FetchConfig returns those of the requested configuration sections that this
+// daemon has.
 func (s *meshService) FetchConfig(_ context.Context, r *connect.Request[meshv1.FetchConfigRequest]) (*connect.Response[meshv1.FetchConfigResponse], error) {
 	c := (*Control)(s)
 	var hashes []manifest.Hash
@@ -113,8 +118,9 @@
 		connect.WithReadMaxBytes(maxMessageBytes), connect.WithSendGzip(), connect.WithCompressMinBytes(compressAbove))
 }
 
-// exchange calls one peer; to is NoPeer where only the address is known. It
-// returns the incarnation that answered.
+// exchange sends a heartbeat to one peer and merges the response. The argument
+// to is membership.NoPeer if only the address is known. It returns the
+// incarnation that responded.
 func (c *Control) exchange(ctx context.Context, address string, to ident.Incarnation, peerGeneration ident.Generation) (ident.Incarnation, error) {
 	sentAt := time.Now()
 	c.mu.Lock()
@@ -138,7 +144,8 @@
 	return ident.Incarnation(answer.GetFrom().GetIncarnation()), nil
 }
 
-// heartbeat exchanges with a known peer and draws the conclusion of a failure.
+// heartbeat exchanges with a known peer. If the call fails and no other peer
+// can reach the peer either, heartbeat marks the peer unreachable.
 func (c *Control) heartbeat(ctx context.Context, m membership.Member) {
 	_, err := c.exchange(ctx, m.PeerAddress, m.Incarnation, c.generationOf(m.Incarnation))
 	if err == nil || ctx.Err() != nil {
@@ -161,7 +168,8 @@
 	c.publishChangesLocked()
 }
 
-// probeIndirectly asks the other links to call a peer; one success is enough.
+// probeIndirectly asks the other linked peers to call a peer and reports
+// whether at least one of them reached it.
 func (c *Control) probeIndirectly(ctx context.Context, m membership.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -194,14 +202,14 @@
 	return peers
 }
 
-// link is one neighbour that this daemon calls by itself.
+// link is a peer that this daemon sends heartbeats to.
 type link struct {
 	peer   membership.Member
 	wakeUp chan struct{}
 	stop   context.CancelFunc
 }
 
-// wake asks for an exchange soon; it never blocks.
+// wake requests an early exchange on the link. It never blocks.
 func (l *link) wake() {
 	select {
 	case l.wakeUp <- struct{}{}:
@@ -209,7 +217,8 @@
 	}
 }
 
-// relinkLocked follows the strategy's choice of neighbours.
+// relinkLocked updates the links to match the neighbours that the strategy
+// selects.
 func (c *Control) relinkLocked() {
 	members := c.membersLocked()
 	peers := make([]spread.Peer, 0, len(members))
@@ -273,15 +282,15 @@
 	return c.strategy.Interval()
 }
 
-// generationOf returns what a peer last said to have in force.
+// generationOf returns the generation that a peer last reported as in force.
 func (c *Control) generationOf(i ident.Incarnation) ident.Generation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.GenerationOf(i)
 }
 
-// seedLoop tries the addresses of the settings that no daemon known as live
-// has, and one suspect at a time.
+// seedLoop tries to reach, in each round, some of the seed addresses at which
+// no live daemon is known, and one suspect peer.
 func (c *Control) seedLoop(ctx context.Context) {
 	round := 0
 	for {
@@ -298,10 +307,11 @@
 	}
 }
 
-// exchangeBestEffort exchanges with an address of which nothing is concluded if it fails.
+// exchangeBestEffort exchanges with an address. A failure does not change the
+// state of the peer.
 func (c *Control) exchangeBestEffort(ctx context.Context, address string, to ident.Incarnation) {
 	if _, err := c.exchange(ctx, address, to, 0); err != nil {
-		klog.V(2).InfoS("Nobody answers", "address", address, "err", err)
+		klog.V(2).InfoS("Exchange with peer address failed", "address", address, "err", err)
 	}
 }
 
@@ -345,7 +355,8 @@
 	return suspects[round%len(suspects):][:1]
 }
 
-// announceDeparture tells the linked peers, after Run, that this incarnation is over.
+// announceDeparture tells the linked peers that this incarnation has ended. It
+// is called at the end of Run.
 func (c *Control) announceDeparture() {
 	c.mu.Lock()
 	c.table.MarkGone(time.Now())
@@ -365,7 +376,7 @@
 	}
 }
 
-// fetchFromPeer reads sections from a peer; the error is connect's.
+// fetchFromPeer reads sections from a peer. It wraps errors of connect.
 func (c *Control) fetchFromPeer(ctx context.Context, address string, hashes []manifest.Hash) (map[manifest.Hash][]byte, error) {
 	request := &meshv1.FetchConfigRequest{}
 	for _, hash := range hashes {
--- a/daemon/control/network_test.go
+++ b/daemon/control/network_test.go
@@ -19,7 +19,8 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// network carries HTTP calls between daemons in one process and virtual time.
+// network carries HTTP calls between daemons in one process, in virtual time,
+// and injects delays, pauses and partitions.
 type network struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
@@ -37,12 +38,13 @@
 	}
 }
 
-// unreachableError is what a call to nobody or over a cut link meets.
+// unreachableError is the error of a call to an unknown address or over a cut
+// link.
 type unreachableError struct{ address string }
 
 func (e *unreachableError) Error() string { return "unreachable: " + e.address }
 
-// from returns the transport of the daemon at an address.
+// from returns the transport that the daemon at an address uses for its calls.
 func (n *network) from(address string) http.RoundTripper { return &endpoint{n, address} }
 
 type endpoint struct {
@@ -50,8 +52,8 @@
 	from    string
 }
 
-// RoundTrip waits out the delay and any pause of either end, then calls the
-// other end's handler.
+// RoundTrip waits for the one-way delay and while either endpoint is paused,
+// and then calls the receiver's handler.
 func (e *endpoint) RoundTrip(r *http.Request) (*http.Response, error) {
 	n := e.network
 	for {
@@ -89,7 +91,8 @@
 	return response, nil
 }
 
-// oneWay returns the delay; a test may change it while calls are under way.
+// oneWay returns the one-way delay. A test may change it while calls are in
+// flight.
 func (n *network) oneWay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,7 +114,8 @@
 	}
 }
 
-// cloud is a VM list and a source of notices.
+// cloud is a test double for the platform's VM list and its termination
+// notices.
 type cloud struct {
 	cloudapi.Cloud
 	mu      sync.Mutex
@@ -157,7 +161,8 @@
 	}
 }
 
-// fleet is five daemons in four failure domains with their stand-ins.
+// fleet is a set of daemons, five by default, in four failure domains, with
+// stand-ins for the services they use.
 type fleet struct {
 	t       *testing.T
 	network *network
@@ -165,12 +170,13 @@
 	cloud   *cloud
 	daemons []*daemon
 	starts  int
-	// afterSwap is called once when the next swap of the head has taken effect,
-	// before its answer.
+	// afterSwap is called once, after the next swap of the head has taken
+	// effect and before its response is returned.
 	afterSwap func()
 }
 
-// hookedStore lets a fault begin in the moment of acceptance.
+// hookedStore calls the fleet's afterSwap hook, so that a test can inject a
+// fault at the moment of acceptance.
 type hookedStore struct {
 	*kvserver.Store
 	fleet *fleet
@@ -214,14 +220,15 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7000", i+1) }
 
-// start runs a new incarnation of the daemon at a place.
+// start creates and runs a new incarnation of daemon i.
 func (f *fleet) start(i int) *daemon {
 	d := f.prepare(i)
 	f.run(d)
 	return d
 }
 
-// prepare makes a new incarnation that answers calls; Run has not begun.
+// prepare creates a new incarnation of daemon i that answers calls but whose
+// Run has not begun.
 func (f *fleet) prepare(i int) *daemon {
 	f.starts++
 	id := ident.DaemonID(fmt.Sprintf("entry-%d", i))
@@ -252,7 +259,7 @@
 	}()
 }
 
-// crash ends a daemon without its last word.
+// crash stops daemon i with its links cut, so that its peers are not told.
 func (f *fleet) crash(i int) {
 	f.network.update(func(n *network) {
 		delete(n.handlers, address(i))
@@ -264,13 +271,13 @@
 	<-f.daemons[i].done
 }
 
-// restart runs a new incarnation at the place of a crashed one.
+// restart runs a new incarnation of a crashed daemon.
 func (f *fleet) restart(i int) {
 	f.reconnect(i)
 	f.daemons[i] = f.start(i)
 }
 
-// reconnect mends the links of a crashed daemon's place.
+// reconnect restores the links of a crashed daemon's address.
 func (f *fleet) reconnect(i int) {
 	f.network.update(func(n *network) {
 		for j := range f.daemons {
@@ -295,13 +302,15 @@
 	begin := time.Now()
 	for !condition() {
 		if time.Since(begin) > limit {
-			f.t.Fatalf("not within %s: %s", limit, what)
+			f.t.Fatalf("condition not met within %s: %s", limit, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(begin)
 }
 
+// inForce returns a condition that holds once every daemon has the generation,
+// or a higher one, in force.
 func (f *fleet) inForce(generation ident.Generation) func() bool {
 	return func() bool {
 		for _, d := range f.daemons {
@@ -313,6 +322,7 @@
 	}
 }
 
+// allLive reports whether every daemon sees all daemons as live.
 func (f *fleet) allLive() bool {
 	for _, d := range f.daemons {
 		live := 0
--- a/daemon/control/platform.go
+++ b/daemon/control/platform.go
@@ -12,24 +12,28 @@
 )
 
 const (
-	// minListInterval and listPerRecord make the interval of reading the VM list,
-	// which grows with the list's length: 12,000 VMs are read once in a turn of
-	// the duty.
+	// minListInterval and listIntervalPerVM determine the interval between two
+	// reads of the VM list, which grows with the length of the list: 12,000 VMs
+	// are read once in a rotation period.
 	minListInterval   = 2 * time.Second
 	listIntervalPerVM = 5 * time.Millisecond
-	// listConfirmDelay is when a list that lacks a VM is read again.
+	// listConfirmDelay is the maximum delay before the list is read again to
+	// confirm that a VM is missing from it.
 	listConfirmDelay = 10 * time.Second
 	// listTimeout bounds one read of the list.
 	listTimeout = 5 * time.Second
-	// noticeWait is how long one call waits for notices.
+	// noticeWait is how long the cloud holds one call open while there are no
+	// notices.
 	noticeWait = 20 * time.Second
-	// noticeTimeoutMargin is how much later an answer may come.
+	// noticeTimeoutMargin is how long after noticeWait a response may still
+	// arrive before the call times out.
 	noticeTimeoutMargin = 3 * time.Second
-	// platformRetryDelay is the pause after a failed call.
+	// platformRetryDelay is the delay before a failed call is retried.
 	platformRetryDelay = time.Second
 )
 
-// listLoop reads the VM list while the daemon has that duty.
+// listLoop reads the VM list while this daemon is designated to do so, or while
+// a missing VM has to be confirmed.
 func (c *Control) listLoop(ctx context.Context) {
 	var next time.Time
 	confirming := false
@@ -46,15 +50,15 @@
 	}
 }
 
-// readList returns when to read next, and whether that has to be done to decide
-// on a VM that was missing.
+// readList reads the VM list. It returns the delay until the next read, and
+// whether that read is needed to confirm that a VM is missing.
 func (c *Control) readList(ctx context.Context) (time.Duration, bool) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	c.counters.lists.Inc(1)
 	listed, err := c.cfg.Lister.List(ctx)
 	if err != nil {
-		klog.V(1).InfoS("VM list can't be read", "err", err)
+		klog.V(1).InfoS("Reading the VM list failed", "err", err)
 		return platformRetryDelay, false
 	}
 	vms := make([]membership.VM, 0, len(listed))
@@ -85,7 +89,8 @@
 	}
 }
 
-// noticeLoop waits for the cloud's notices while the daemon has that duty.
+// noticeLoop reads the cloud's termination notices while this daemon is
+// designated to do so.
 func (c *Control) noticeLoop(ctx context.Context) {
 	var after uint64
 	for ctx.Err() == nil {
@@ -96,13 +101,15 @@
 		next, err := c.readNotices(ctx, after)
 		after = next
 		if err != nil {
-			klog.V(1).InfoS("Notices can't be read", "err", err)
+			klog.V(1).InfoS("Reading termination notices failed", "err", err)
 			pause.For(ctx, c.jittered(platformRetryDelay))
 		}
 	}
 }
 
-// readNotices gives a call up that is silent for longer than it was to wait.
+// readNotices waits for notices after a sequence number, applies them and
+// returns the new sequence number. The call times out noticeTimeoutMargin after
+// noticeWait.
 func (c *Control) readNotices(ctx context.Context, after uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, noticeWait+noticeTimeoutMargin)
 	defer cancel()
--- a/daemon/control/register.go
+++ b/daemon/control/register.go
@@ -16,21 +16,24 @@
 )
 
 const (
-	// minKeepAliveInterval and keepAlivePerMember make the interval of keep-alives;
-	// all daemons together write at most ten a second.
+	// minKeepAliveInterval and keepAliveIntervalPerMember determine the
+	// interval between keep-alives, so that all daemons together write at most
+	// ten times a second.
 	minKeepAliveInterval       = 10 * time.Second
 	keepAliveIntervalPerMember = 100 * time.Millisecond
-	// leaseIntervals is the lease's length in keep-alive intervals. It may be
-	// long: a registration makes a daemon known and says nothing of its life.
+	// leaseIntervals is the duration of the lease in keep-alive intervals. It
+	// may be long, because a registration only makes a daemon known and does
+	// not indicate that it is alive.
 	leaseIntervals = 3
-	// minReadInterval and readPerMember make the interval of reading all
-	// registrations, on the daemons with that duty.
+	// minReadInterval and readIntervalPerMember determine the interval between
+	// two reads of all registrations on the designated daemons.
 	minReadInterval       = 30 * time.Second
 	readIntervalPerMember = 330 * time.Millisecond
 	readPageSize          = 500
 )
 
-// registration is the stored form.
+// registration is the JSON form of a daemon's registration in the key-value
+// service.
 type registration struct {
 	ID            ident.DaemonID      `json:"id"`
 	Incarnation   ident.Incarnation   `json:"incarnation"`
@@ -62,8 +65,8 @@
 	}
 }
 
-// registerLoop keeps the daemon registered while it is live and takes the
-// registration back at the end.
+// registerLoop keeps the daemon registered while it is live, and revokes the
+// registration when it is leaving or Run ends.
 func (c *Control) registerLoop(ctx context.Context) {
 	var lease kv.LeaseID
 	for ctx.Err() == nil && c.Self().State == view.Live {
@@ -79,7 +82,8 @@
 	c.revoke(lease)
 }
 
-// sleepUntilLeaving waits, shorter if this daemon starts to leave.
+// sleepUntilLeaving sleeps for d, or less if this daemon starts to leave or ctx
+// ends.
 func (c *Control) sleepUntilLeaving(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -93,7 +97,8 @@
 	}
 }
 
-// keepRegistered renews the lease, or makes one with the registration on it.
+// keepRegistered renews the lease. If there is none or it has expired,
+// keepRegistered obtains a new lease and writes the registration with it.
 func (c *Control) keepRegistered(ctx context.Context, lease kv.LeaseID, ttl time.Duration) (kv.LeaseID, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -149,13 +154,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	if err := c.write(func() error { return c.cfg.Store.Revoke(ctx, lease) }); err != nil {
-		klog.V(1).InfoS("Registration ends with its lease only", "err", err)
+		klog.V(1).InfoS("Revoking the registration failed; it remains until its lease expires", "err", err)
 	}
 }
 
-// readRegistrationsLoop reads who is registered: at once, often while no peer
-// is known, and now and then on the daemons with that duty, so that groups of
-// daemons that lost sight of each other meet again.
+// readRegistrationsLoop reads all registrations: at start, often while no peer
+// is known, and periodically on the designated daemons, so that separated
+// groups of daemons find each other again.
 func (c *Control) readRegistrationsLoop(ctx context.Context) {
 	for {
 		members, err := c.readRegistrations(ctx)
@@ -199,7 +204,7 @@
 			after = entry.Key
 			var r registration
 			if err := json.Unmarshal(entry.Value, &r); err != nil {
-				klog.ErrorS(err, "Registration can't be read", "key", entry.Key)
+				klog.ErrorS(err, "Registration can't be decoded", "key", entry.Key)
 				continue
 			}
 			members = append(members, r.member())
--- a/daemon/control/scale_test.go
+++ b/daemon/control/scale_test.go
@@ -11,19 +11,21 @@
 	"geraniumstack.org/geraniumstack/standin/kvserver"
 )
 
-// members and minutes are the fleet's size and the virtual time in
-// TestStoreCallsStayBounded; larger ones show the slope.
+// members and minutes set the fleet's size and the virtual time in
+// TestStoreCallsStayBounded. Larger values show how the call rates grow with
+// the fleet.
 var (
 	members = flag.Int("members", 12, "daemons in TestStoreCallsStayBounded")
 	minutes = flag.Int("minutes", 2, "virtual minutes in TestStoreCallsStayBounded")
 )
 
-// designatedPerDomain is how many daemons of a failure domain may watch.
+// designatedPerDomain is the number of daemons in each failure domain that may
+// watch the key-value service.
 const designatedPerDomain = 2
 
-// Every daemon of a large fleet watches the key-value service and renews a short
-// lease. The service's rate, which grows more slowly than the fleet, is used up,
-// and the operators' own changes are refused.
+// The rate of calls to the key-value service must grow more slowly than the
+// fleet. If every daemon watched the service and renewed a short lease, a large
+// fleet would use up its capacity, and operators' changes would be refused.
 func TestStoreCallsStayBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -31,8 +33,8 @@
 		f := newFleetOf(t, *members)
 		defer f.stop()
 		begin := time.Now()
-		f.waitUntil(time.Minute, "all know each other", f.allLive)
-		t.Logf("%d daemons know each other after %s", *members, time.Since(begin))
+		f.waitUntil(time.Minute, "all daemons see each other as live", f.allLive)
+		t.Logf("%d daemons see each other as live after %s", *members, time.Since(begin))
 		_, err := f.apply(0, 4, "first")
 		is.NoErr(err)
 		took := f.waitUntil(12*time.Second, "in force at every daemon", f.inForce(1))
@@ -52,8 +54,8 @@
 			float64(calls)/seconds/float64(*members), float64(bytes)/float64(calls))
 
 		watchers := designatedPerDomain * len(domains)
-		is.True(counted[kvserver.CallWatch] <= watchers**minutes*4) // one in 20 s each, and some slack
-		is.True(counted.Writes() <= *members**minutes*7)            // one in 10 s each
+		is.True(counted[kvserver.CallWatch] <= watchers**minutes*4) // each watches once in 20 s, with a margin
+		is.True(counted.Writes() <= *members**minutes*7)            // each writes once in 10 s, with a margin
 		is.True(float64(calls)/seconds/float64(*members) < 2.5)     // four links, one exchange in 2 s each
 	})
 }
--- a/daemon/control/store.go
+++ b/daemon/control/store.go
@@ -11,7 +11,7 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// Keys of the control side in the key-value service.
+// Keys and format of the control plane's data in the key-value service.
 const (
 	headKey             = "config/head"
 	sectionPrefix       = "config/sections/"
@@ -25,14 +25,15 @@
 
 func registrationKey(id ident.DaemonID) string { return registrationPrefix + string(id) }
 
-// encodeSection puts the time of writing before a section's bytes, so that an
-// unreferenced one can be told from one that a submission has just written.
+// encodeSection prefixes a section's bytes with the write time. The collection
+// of unreferenced sections uses it to skip sections that a submission has just
+// written but not yet referenced.
 func encodeSection(now time.Time, data []byte) []byte {
 	header := strconv.FormatInt(now.UnixMilli(), 10) + string(sectionHeaderEnd)
 	return append([]byte(header), data...)
 }
 
-// decodeSection returns the time of writing and the bytes.
+// decodeSection returns a stored section's write time and bytes.
 func decodeSection(key string, value []byte) (time.Time, []byte, error) {
 	header, data, found := bytes.Cut(value, []byte{sectionHeaderEnd})
 	millis, err := strconv.ParseInt(string(header), 10, 64)
@@ -42,12 +43,13 @@
 	return time.UnixMilli(millis), data, nil
 }
 
-// MalformedSectionError says that a stored section can't be read.
+// MalformedSectionError reports that a stored section cannot be decoded.
 type MalformedSectionError struct{ Key string }
 
 func (e *MalformedSectionError) Error() string { return fmt.Sprintf("malformed section at %q", e.Key) }
 
-// fetchFromStore reads sections; those that are not there are left out.
+// fetchFromStore reads sections from the key-value service. It omits sections
+// that are not stored.
 func (c *Control) fetchFromStore(ctx context.Context, hashes []manifest.Hash) (map[manifest.Hash][]byte, error) {
 	sections := map[manifest.Hash][]byte{}
 	for _, hash := range hashes {
--- a/daemon/control/wire.go
+++ b/daemon/control/wire.go
@@ -11,8 +11,8 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// Times go over the wire as ages and remaining spans, never as clock readings:
-// the daemons' clocks need not agree.
+// Times are sent as ages and remaining durations, never as clock readings,
+// because the daemons' clocks may disagree.
 
 func ageMillis(now, since time.Time) uint64 {
 	return uint64(max(0, now.Sub(since).Milliseconds()))
