--- a/daemon/actions/claim.go
+++ b/daemon/actions/claim.go
@@ -18,25 +18,27 @@
 
 const (
 	claimPrefix = "claim/"
-	// claimLifetime is at least how long a key without a token is remembered.
+	// claimLifetime is the minimum time for which a key without a token is
+	// remembered.
 	claimLifetime = 24 * time.Hour
-	// claimRenewal is after how long claims go under a new lease.
-	claimRenewal = time.Hour
-	claimTries   = 3
+	// claimRenewal is the time after which a new lease is granted for further
+	// claims.
+	claimRenewal     = time.Hour
+	maxClaimAttempts = 3
 )
 
-// claim is what stands in the key-value service for a key without a token: the
-// key with a token in its place, by which it goes on like any other.
+// claim is the value stored in the key-value service for a key without a token.
+// Key is a key with a token, under which the action is processed instead.
 type claim struct {
 	Key string `json:"key"`
 }
 
-// dayLease is the lease under which this daemon's claims and seals stand, so
-// that they vanish a day or so after they were written.
-type dayLease struct {
-	mu    sync.Mutex
-	id    kv.LeaseID
-	until time.Time
+// sharedLease is the key-value lease to which this daemon's claims and seals are
+// attached, so that they are deleted about a day after they were written.
+type sharedLease struct {
+	mu      sync.Mutex
+	id      kv.LeaseID
+	renewAt time.Time
 }
 
 func claimName(ws ident.Workspace, key string) string {
@@ -44,7 +46,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// resolveKey returns the key by which a call is known to its owner.
+// resolveKey returns the key under which the owner records a call. A key with a
+// token is returned unchanged; a key without one is claimed.
 func (s *Service) resolveKey(ctx context.Context, ws ident.Workspace, key string) (string, *refusal.Refusal) {
 	if actionkey.HasToken(key) {
 		return key, nil
@@ -59,7 +62,8 @@
 	claimed, err := s.claim(ctx, ws, key)
 	if err != nil {
 		s.counters.inc(claimsFailed)
-		// Not "no": a copy of this call may have claimed the key elsewhere.
+		// The refusal must not state that the call didn't run: a copy of the
+		// call may have claimed the key at another daemon.
 		return "", refusal.New(refusal.ClaimUnavailable,
 			"key without a token can't be claimed now; start it with a token from /v1/gateways: %v", err).
 			Unknown().After(time.Second)
@@ -67,36 +71,37 @@
 	return claimed, nil
 }
 
-// claim names the owner of the token at hand as the key's, unless the key has
-// one.
+// claim returns the claimed key for a key without a token. If there is no
+// claim yet, it creates one with the daemon's current token.
 func (s *Service) claim(ctx context.Context, ws ident.Workspace, key string) (string, error) {
-	lease, err := s.dayLease(ctx)
+	lease, err := s.currentLease(ctx)
 	if err != nil {
 		return "", err
 	}
 	name := claimName(ws, key)
 	token, _ := s.Token()
-	mine := token + name
-	value, err := json.Marshal(claim{Key: mine})
+	ownKey := token + name
+	value, err := json.Marshal(claim{Key: ownKey})
 	if err != nil {
 		return "", fmt.Errorf("encode claim: %w", err)
 	}
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		err = s.createClaim(ctx, name, value, lease)
 		var conflict *kv.ConflictError
 		var expired *kv.LeaseExpiredError
 		switch {
 		case errors.As(err, &expired):
-			s.lease.forget(lease)
+			s.lease.invalidate(lease)
 			return "", fmt.Errorf("create claim: %w", err)
 		case err == nil:
-			s.counters.inc(claimsMade)
-			return mine, nil
+			s.counters.inc(claimsCreated)
+			return ownKey, nil
 		case errors.As(err, &conflict):
-			// Perhaps its own, if the answer to it was lost.
+			// The existing claim may be from an earlier attempt whose response was
+			// lost.
 			s.counters.inc(claimsFound)
 			return decodeClaim(conflict.Current.Value)
-		case try == claimTries || ctx.Err() != nil:
+		case attempt == maxClaimAttempts || ctx.Err() != nil:
 			return "", fmt.Errorf("create claim: %w", err)
 		}
 	}
@@ -109,12 +114,12 @@
 	return err
 }
 
-func (s *Service) dayLease(ctx context.Context) (kv.LeaseID, error) {
+func (s *Service) currentLease(ctx context.Context) (kv.LeaseID, error) {
 	if id := s.lease.current(time.Now()); id != 0 {
 		return id, nil
 	}
-	// One grant at a time, and no lock held while it is waited for.
-	granted := s.granting.DoChan("", func() (any, error) {
+	// Concurrent callers share one grant, and no lock is held while they wait.
+	granted := s.leaseGroup.DoChan("", func() (any, error) {
 		ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Times.Store)
 		defer cancel()
 		id, err := s.cfg.Store.Grant(ctx, claimLifetime+claimRenewal)
@@ -126,32 +131,33 @@
 	select {
 	case r := <-granted:
 		if r.Err != nil {
-			return 0, fmt.Errorf("grant lease of a day: %w", r.Err)
+			return 0, fmt.Errorf("grant lease for claims and seals: %w", r.Err)
 		}
 		return r.Val.(kv.LeaseID), nil
 	case <-ctx.Done():
-		return 0, fmt.Errorf("grant lease of a day: %w", ctx.Err())
+		return 0, fmt.Errorf("wait for lease for claims and seals: %w", ctx.Err())
 	}
 }
 
-// current returns zero when a new lease is due.
-func (l *dayLease) current(now time.Time) kv.LeaseID {
+// current returns zero if a new lease must be granted.
+func (l *sharedLease) current(now time.Time) kv.LeaseID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.After(l.until) {
+	if now.After(l.renewAt) {
 		return 0
 	}
 	return l.id
 }
 
-func (l *dayLease) set(id kv.LeaseID, until time.Time) {
+func (l *sharedLease) set(id kv.LeaseID, renewAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.id, l.until = id, until
+	l.id, l.renewAt = id, renewAt
 }
 
-// forget makes the next claim grant a lease of its own.
-func (l *dayLease) forget(lease kv.LeaseID) {
+// invalidate makes the next call of currentLease grant a new lease, unless that
+// has already happened.
+func (l *sharedLease) invalidate(lease kv.LeaseID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.id == lease {
@@ -167,7 +173,7 @@
 	return c.Key, nil
 }
 
-// lookUpKey is resolveKey without making a claim.
+// lookUpKey is like resolveKey, but doesn't create a claim.
 func (s *Service) lookUpKey(ctx context.Context, ws ident.Workspace, key string) (string, *refusal.Refusal) {
 	if actionkey.HasToken(key) {
 		return key, nil
--- a/daemon/actions/clock.go
+++ b/daemon/actions/clock.go
@@ -5,30 +5,33 @@
 	"time"
 )
 
-// clock is an owner's clock: it never goes back and never stops.
+// clock is the clock that owners use. It never goes back and includes the time
+// during which the VM is suspended.
 //
-// Go's monotonic time stands still while a VM is suspended, and the wall clock
-// can be set back. An owner that woke after a day with its clock of yesterday
-// would take keys for good whose callers were told "not executed" long ago.
-// This clock is the monotonic one, moved ahead whenever the wall clock is.
+// Go's monotonic clock stops while a VM is suspended, and the wall clock can be
+// set back. An owner that resumed after a day with a clock that had stopped
+// would accept expired keys whose callers have long been told "not executed".
+// This clock follows the monotonic clock and is moved forward whenever the wall
+// clock is ahead of it.
 type clock struct {
 	start time.Time
-	ahead atomic.Int64
+	// offset is what is added to the monotonic clock, in nanoseconds.
+	offset atomic.Int64
 }
 
 func newClock() *clock { return &clock{start: time.Now()} }
 
 func (c *clock) now() time.Time {
 	t := time.Now()
-	steady := c.start.Round(0).Add(t.Sub(c.start))
-	lead := int64(t.Round(0).Sub(steady))
+	monotonic := c.start.Round(0).Add(t.Sub(c.start))
+	wallOffset := int64(t.Round(0).Sub(monotonic))
 	for {
-		ahead := c.ahead.Load()
-		if lead <= ahead {
-			return steady.Add(time.Duration(ahead))
+		offset := c.offset.Load()
+		if wallOffset <= offset {
+			return monotonic.Add(time.Duration(offset))
 		}
-		if c.ahead.CompareAndSwap(ahead, lead) {
-			return steady.Add(time.Duration(lead))
+		if c.offset.CompareAndSwap(offset, wallOffset) {
+			return monotonic.Add(time.Duration(wallOffset))
 		}
 	}
 }
--- a/daemon/actions/drain.go
+++ b/daemon/actions/drain.go
@@ -18,29 +18,32 @@
 )
 
 const (
-	partRecords     = 256
-	maxAdoptedBytes = 16 << 20
-	drainPoll       = 20 * time.Millisecond
-	// drainShare of the time is left for the seal and the hand-off.
-	drainShare = 3
+	recordsPerPart    = 256
+	maxAdoptedBytes   = 16 << 20
+	drainPollInterval = 20 * time.Millisecond
+	// idleWaitDivisor is the divisor by which the time of a drain yields the
+	// time to wait for actions in progress. The rest is left for sealing the
+	// logs and the hand-off.
+	idleWaitDivisor = 3
 )
 
-// drainOnce makes all drains one: two operators may drain at once, and the
-// table must go to one successor only.
+// drainOnce makes concurrent drains share one: two operators may drain the same
+// daemon at the same time, and its tables must go to only one successor.
 type drainOnce struct {
 	mu   sync.Mutex
 	done chan struct{}
 	err  error
 }
 
-func (d *drainOnce) begun() bool {
+func (d *drainOnce) started() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.done != nil
 }
 
-// begin returns true to the first caller only.
-func (d *drainOnce) begin() (first bool, done chan struct{}) {
+// start returns first as true only for the first caller. The channel is closed
+// at the end of the drain.
+func (d *drainOnce) start() (first bool, done chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.done != nil {
@@ -50,37 +53,40 @@
 	return true, d.done
 }
 
-// NoSuccessorError says that there is no daemon to pass the table to; the
-// journal alone speaks for its keys.
+// NoSuccessorError means that no daemon can take over the tables. Later queries
+// are answered from the journal alone.
 type NoSuccessorError struct{}
 
 func (e *NoSuccessorError) Error() string { return "no live daemon to hand actions off to" }
 
-// HandOffRefusedError says that the successor has no room for the table.
+// HandOffRefusedError means that the successor has refused a part of a table,
+// because its memory limit for adopted tables is reached or the part was
+// addressed to another incarnation.
 type HandOffRefusedError struct{ Successor ident.Incarnation }
 
 func (e *HandOffRefusedError) Error() string {
-	return fmt.Sprintf("%s refused the hand-off", e.Successor)
+	return fmt.Sprintf("successor %s refused the hand-off", e.Successor)
 }
 
-// HandOffBrokenError says that time ran out before the successor had
-// acknowledged every part.
-type HandOffBrokenError struct {
+// HandOffIncompleteError means that the drain's time ran out before the
+// successor had acknowledged every part.
+type HandOffIncompleteError struct {
 	Successor ident.Incarnation
 	Err       error
 }
 
-func (e *HandOffBrokenError) Error() string {
-	return fmt.Sprintf("hand-off to %s broke off: %v", e.Successor, e.Err)
+func (e *HandOffIncompleteError) Error() string {
+	return fmt.Sprintf("hand-off to %s not completed in time: %v", e.Successor, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *HandOffBrokenError) Unwrap() error { return e.Err }
+func (e *HandOffIncompleteError) Unwrap() error { return e.Err }
 
-// Drain takes no new actions, lets those in progress end, seals the log and
-// passes the whole table to one successor. Later calls wait for the first.
+// Drain stops accepting new actions, waits for those in progress, seals the logs
+// and transfers the owners' tables to one successor. Later calls wait for the
+// first one and return its error.
 func (s *Service) Drain(ctx context.Context) error {
-	first, done := s.draining.begin()
+	first, done := s.draining.start()
 	if !first {
 		select {
 		case <-done:
@@ -95,7 +101,7 @@
 }
 
 func (s *Service) drain(ctx context.Context) error {
-	s.eachOwner(func(o *action.Owner) { o.StopAccepting() })
+	s.forEachOwner(func(o *action.Owner) { o.StopAccepting() })
 	s.waitIdle(ctx)
 	successor, found := s.successor()
 	s.endOwners(ctx, successor.Incarnation)
@@ -110,7 +116,7 @@
 	return nil
 }
 
-func (s *Service) eachOwner(f func(*action.Owner)) {
+func (s *Service) forEachOwner(f func(*action.Owner)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range s.owners {
@@ -120,55 +126,57 @@
 
 func (s *Service) listOwners() []*action.Owner {
 	var owners []*action.Owner
-	s.eachOwner(func(o *action.Owner) { owners = append(owners, o) })
+	s.forEachOwner(func(o *action.Owner) { owners = append(owners, o) })
 	return owners
 }
 
-// waitIdle waits until nothing is in progress, but keeps a share of the time.
+// waitIdle waits until no action is in progress, at most for the share of the
+// remaining time that idleWaitDivisor gives.
 func (s *Service) waitIdle(ctx context.Context) {
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/drainShare)
+		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/idleWaitDivisor)
 		defer cancel()
 	}
-	s.waitFor(ctx, func(o *action.Owner) bool { return o.DispatchedCount() == 0 })
+	s.waitForOwners(ctx, func(o *action.Owner) bool { return o.DispatchedCount() == 0 })
 }
 
-// waitFor polls until all owners satisfy done.
-func (s *Service) waitFor(ctx context.Context, done func(*action.Owner) bool) {
+// waitForOwners polls until all owners satisfy done.
+func (s *Service) waitForOwners(ctx context.Context, done func(*action.Owner) bool) {
 	for ctx.Err() == nil {
 		all := true
-		s.eachOwner(func(o *action.Owner) { all = all && done(o) })
+		s.forEachOwner(func(o *action.Owner) { all = all && done(o) })
 		if all {
 			return
 		}
-		s.pause(ctx, drainPoll)
+		s.pause(ctx, drainPollInterval)
 	}
 }
 
-// endOwners seals the logs, and stops the owners in any case: with the service
-// down the seal comes later, from the successor.
+// endOwners seals the logs and ends the owners. If the key-value service is down,
+// the owners end without a seal, and the successor seals the logs later.
 func (s *Service) endOwners(ctx context.Context, successor ident.Incarnation) {
-	s.eachOwner(func(o *action.Owner) { s.apply(o, o.End(s.now(), successor)) })
+	s.forEachOwner(func(o *action.Owner) { s.applyEffects(o, o.End(s.now(), successor)) })
 	sealCtx, cancel := context.WithTimeout(ctx, s.cfg.Times.Seal)
 	defer cancel()
-	s.waitFor(sealCtx, (*action.Owner).Ended)
-	s.eachOwner(func(o *action.Owner) { s.apply(o, o.EndUnsealed(s.now())) })
+	s.waitForOwners(sealCtx, (*action.Owner).Ended)
+	s.forEachOwner(func(o *action.Owner) { s.applyEffects(o, o.EndUnsealed(s.now())) })
 }
 
-// successor is the same for every attempt: the live daemon in another failure
-// domain, if there is one, that ranks highest for this incarnation.
+// successor returns the live daemon that ranks highest by rendezvous hash
+// for this incarnation. Daemons in other failure domains rank before those in
+// the same one.
 func (s *Service) successor() (view.Daemon, bool) {
 	var best view.Daemon
 	var bestRank uint64
 	found := false
-	own := s.cfg.Directory.Self().FailureDomain
+	ownDomain := s.cfg.Directory.Self().FailureDomain
 	for _, d := range s.cfg.Directory.Daemons() {
 		if d.Incarnation == s.cfg.Self || d.State != view.Live {
 			continue
 		}
 		rank := xxhash.Sum64String(string(s.cfg.Self)+string(d.Incarnation)) >> 1
-		if d.FailureDomain != own {
+		if d.FailureDomain != ownDomain {
 			rank |= 1 << 63
 		}
 		if !found || rank > bestRank {
@@ -178,19 +186,20 @@
 	return best, found
 }
 
-// handOff sends the table in parts. A part without an acknowledgement goes to
-// the same successor again until time is over; then the journal speaks.
+// handOff sends an owner's table in parts. A part that is not acknowledged is
+// sent to the same successor again until ctx ends; from then on queries are
+// answered from the journal.
 func (s *Service) handOff(ctx context.Context, o *action.Owner, successor view.Daemon) error {
 	s.mu.Lock()
 	records, complete, ok := o.Export(s.now())
 	s.mu.Unlock()
 	if !ok {
-		return &HandOffBrokenError{Successor: successor.Incarnation, Err: context.Cause(ctx)}
+		return &HandOffIncompleteError{Successor: successor.Incarnation, Err: context.Cause(ctx)}
 	}
 	for number := uint32(0); ; number++ {
-		n := min(partRecords, len(records))
+		n := min(recordsPerPart, len(records))
 		last := n == len(records)
-		req := partOf(o.Incarnation(), successor.Incarnation, number, records[:n])
+		req := encodePart(o.Incarnation(), successor.Incarnation, number, records[:n])
 		if last {
 			req.Last = true
 			req.CompleteUnixMs = complete.UnixMilli()
@@ -218,14 +227,14 @@
 			return &HandOffRefusedError{Successor: successor.Incarnation}
 		}
 		if ctx.Err() != nil {
-			return &HandOffBrokenError{Successor: successor.Incarnation, Err: err}
+			return &HandOffIncompleteError{Successor: successor.Incarnation, Err: err}
 		}
 		s.counters.inc(handOffRetried)
-		s.forwardFailed(ctx)
+		s.prepareRetry(ctx)
 	}
 }
 
-func partOf(owner, successor ident.Incarnation, number uint32, records []action.Record) *actionv1.HandOffRequest {
+func encodePart(owner, successor ident.Incarnation, number uint32, records []action.Record) *actionv1.HandOffRequest {
 	req := &actionv1.HandOffRequest{Owner: string(owner), Successor: string(successor), Part: number}
 	for _, r := range records {
 		req.Records = append(req.Records, &actionv1.Record{
@@ -233,14 +242,15 @@
 			Key:       r.ID.Key,
 			BodyHash:  r.BodyHash,
 			State:     string(r.State),
-			Outcome:   responseOf(r.Result),
+			Outcome:   encodeResult(r.Result),
 		})
 	}
 	return req
 }
 
-// adopt takes a part in, or refuses it if it is for another or there is no room.
-func (s *Service) adopt(m *actionv1.HandOffRequest) bool {
+// adoptPart stores a part of another owner's table. It returns false if the part
+// is for another successor or the memory limit for adopted tables is reached.
+func (s *Service) adoptPart(m *actionv1.HandOffRequest) bool {
 	owner := ident.Incarnation(m.GetOwner())
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,7 +264,7 @@
 		s.adopted[owner] = a
 	}
 	before := a.Complete()
-	a.AddPart(partFrom(m))
+	a.AddPart(decodePart(m))
 	if a.Complete() && !before {
 		s.counters.inc(handOffAdopted)
 		s.spawn(func() { s.sealAdopted(owner) })
@@ -270,23 +280,24 @@
 	return total
 }
 
-// sealAdopted makes sure that the log names this daemon as the successor, also
-// when the owner could not reach the service.
+// sealAdopted seals the log of an owner whose table was adopted, in case the
+// owner couldn't reach the key-value service. The seal names this daemon as the
+// successor, so that other daemons query it.
 func (s *Service) sealAdopted(owner ident.Incarnation) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.cfg.Owner(owner).TokenLifetime)
 	defer cancel()
 	for ctx.Err() == nil {
-		if _, err := s.sealedLog(ctx, owner, s.cfg.Self); err == nil {
+		if _, err := s.readSealedLog(ctx, owner, s.cfg.Self); err == nil {
 			return
 		}
 		s.pause(ctx, s.cfg.Times.Seal)
 	}
 }
 
-func partFrom(m *actionv1.HandOffRequest) action.TablePart {
+func decodePart(m *actionv1.HandOffRequest) action.TablePart {
 	part := action.TablePart{Number: m.GetPart(), Last: m.GetLast(), Complete: time.UnixMilli(m.GetCompleteUnixMs())}
 	for _, r := range m.GetRecords() {
-		result := resultOf(r.GetOutcome())
+		result := decodeResult(r.GetOutcome())
 		if r.GetOutcome() == nil {
 			result = refused(refusal.New(refusal.OutcomeUnknown, "no outcome").Unknown())
 		}
--- a/daemon/actions/harness_test.go
+++ b/daemon/actions/harness_test.go
@@ -28,7 +28,8 @@
 	"geraniumstack.org/geraniumstack/transport/dispatch"
 )
 
-// directory is what every gateway of a fleet sees.
+// directory is a view.Directory that returns the daemons of a fleet and three
+// fixed runners.
 type directory struct {
 	self  view.Daemon
 	fleet *fleet
@@ -68,7 +69,8 @@
 
 func (config) Changed() <-chan struct{} { return nil }
 
-// fleet is a few gateways with their stand-ins in one bubble.
+// fleet holds several gateways together with simulated runners, network and
+// key-value service, all in one synctest bubble.
 type fleet struct {
 	is      *is.I
 	network *pipe.Network
@@ -76,12 +78,13 @@
 	log     *service.Log
 	runners []*service.Service
 	nodes   []*node
-	// maxOwners is how many of the gateways issue tokens; zero is the default.
+	// maxOwners is the maximum number of gateways that issue tokens; zero means
+	// the default.
 	maxOwners int
-	// direct and instant replace connections between gateways, and those to
-	// runners, if not nil.
-	direct  direct
-	instant *instant
+	// directTransport replaces the connections between gateways, and
+	// instantDispatcher those to runners, if they are not nil.
+	directTransport   directTransport
+	instantDispatcher *instantDispatcher
 
 	mu      sync.Mutex
 	daemons []view.Daemon
@@ -99,12 +102,13 @@
 	ended   atomic.Bool
 }
 
-// inBubble runs a test with three gateways in virtual time.
-func inBubble(t *testing.T, test func(f *fleet)) {
+// withThreeGateways runs a test with three gateways and standard runners in
+// virtual time.
+func withThreeGateways(t *testing.T, test func(f *fleet)) {
 	t.Helper()
 	log := service.NewLog()
 	var runners []*service.Service
-	inBubbleWith(t, func(name string) http.Handler {
+	withSmallFleet(t, func(name string) http.Handler {
 		runners = append(runners, service.New(name, log))
 		return runners[len(runners)-1].Handler()
 	}, func(f *fleet) {
@@ -113,46 +117,47 @@
 	})
 }
 
-func inBubbleWith(t *testing.T, runner func(name string) http.Handler, test func(f *fleet)) {
+func withSmallFleet(t *testing.T, runner func(name string) http.Handler, test func(f *fleet)) {
 	t.Helper()
-	inFleet(t, smallFleet, 0, runner, test)
+	withFleet(t, smallFleetSize, 0, runner, test)
 }
 
-// maxConnected is how many gateways are connected with each other. With 40 the
-// race detector's runtime ended with a failed CHECK of its own in most runs,
-// so that more than these call each other's handlers, and an instant runner,
-// without connections.
+// maxConnected is the largest fleet whose gateways use connections. With 40
+// connected gateways the race detector's runtime failed with an internal CHECK in
+// most runs. In larger fleets gateways call each other's handlers directly and
+// use a dispatcher that answers at once.
 const maxConnected = 12
 
-// direct maps peer addresses to handlers; it doesn't change once calls begin.
-type direct map[string]http.Handler
+// directTransport is an HTTP transport that calls handlers, by peer address,
+// without connections. The map must not change after the first call.
+type directTransport map[string]http.Handler
 
 // RoundTrip implements http.RoundTripper.
-func (d direct) RoundTrip(req *http.Request) (*http.Response, error) {
+func (d directTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	rec := httptest.NewRecorder()
 	d[req.URL.Host].ServeHTTP(rec, req)
 	return rec.Result(), nil
 }
 
-// instant is a dispatcher whose runner answers at once.
-type instant struct{ sent atomic.Int64 }
+// instantDispatcher is a dispatcher that answers at once without a runner.
+type instantDispatcher struct{ sent atomic.Int64 }
 
 // Send implements actions.Dispatcher.
-func (i *instant) Send(context.Context, string, actionkey.ID, call.ServiceCall) action.Result {
+func (i *instantDispatcher) Send(context.Context, string, actionkey.ID, call.ServiceCall) action.Result {
 	i.sent.Add(1)
 	return action.Result{Answer: call.Answer{Status: http.StatusOK, Body: []byte("pledged")}}
 }
 
-// smallFleet is how many gateways a test gets that states no number; they are
-// fewer than issue tokens by default.
-const smallFleet = 3
+// smallFleetSize is the default number of gateways in a test. It is less than the
+// default number of daemons that issue tokens, so that all of them do.
+const smallFleetSize = 3
 
-func inFleet(t *testing.T, size, maxOwners int, runner func(name string) http.Handler, test func(f *fleet)) {
+func withFleet(t *testing.T, size, maxOwners int, runner func(name string) http.Handler, test func(f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{is: is.New(t), network: pipe.NewNetwork(), store: kvserver.New(), maxOwners: maxOwners}
 		if size > maxConnected {
-			f.direct, f.instant = direct{}, &instant{}
+			f.directTransport, f.instantDispatcher = directTransport{}, &instantDispatcher{}
 		}
 		var servers []*http.Server
 		for i := range 3 {
@@ -162,7 +167,7 @@
 		for i := range size {
 			f.nodes = append(f.nodes, f.start(i, 1))
 		}
-		time.Sleep(10 * time.Second) // past the settling time
+		time.Sleep(10 * time.Second) // longer than Times.StartupGrace
 		test(f)
 		for _, n := range f.nodes {
 			n.crash()
@@ -171,7 +176,7 @@
 			_ = s.Close()
 		}
 		for _, n := range f.started {
-			n.peers.CloseIdleConnections() // silent ones would outlive the bubble
+			n.peers.CloseIdleConnections() // connections without traffic would outlive the bubble
 		}
 	})
 }
@@ -184,26 +189,26 @@
 	return server
 }
 
-// domains is the number of failure domains.
-const domains = 3
+const failureDomainCount = 3
 
-// start boots an incarnation at a place; the directory knows it at once.
-func (f *fleet) start(place, number int) *node {
-	id := ident.DaemonID(fmt.Sprintf("entry-%d", place))
+// start starts an incarnation of the gateway with the given index and adds it to
+// the directory at once.
+func (f *fleet) start(index, number int) *node {
+	id := ident.DaemonID(fmt.Sprintf("entry-%d", index))
 	self := view.Daemon{
 		ID:            id,
 		Incarnation:   ident.NewIncarnation(id, []byte{byte(number)}),
-		FailureDomain: ident.FailureDomain(fmt.Sprintf("domain-%d", place%domains)),
-		PeerAddress:   fmt.Sprintf("entry-%d:90", place),
+		FailureDomain: ident.FailureDomain(fmt.Sprintf("domain-%d", index%failureDomainCount)),
+		PeerAddress:   fmt.Sprintf("entry-%d:90", index),
 		State:         view.Live,
 	}
 	cfg := dispatch.DefaultConfig()
 	cfg.Dial = f.network.Dial
 	n := &node{metrics: metrics.NewRegistry(), done: make(chan struct{}), peers: f.network.Client()}
 	var dispatcher actions.Dispatcher = dispatch.New(cfg)
-	if f.direct != nil {
-		n.peers = &http.Client{Transport: f.direct}
-		dispatcher = f.instant
+	if f.directTransport != nil {
+		n.peers = &http.Client{Transport: f.directTransport}
+		dispatcher = f.instantDispatcher
 	}
 	n.Service = actions.New(actions.Config{
 		Self:       self.Incarnation,
@@ -219,10 +224,10 @@
 	path, handler := n.Handler()
 	mux := http.NewServeMux()
 	mux.Handle(path, handler)
-	if f.direct == nil {
+	if f.directTransport == nil {
 		n.server = f.serve(self.PeerAddress, mux)
 	} else {
-		f.direct[self.PeerAddress] = mux
+		f.directTransport[self.PeerAddress] = mux
 		n.server = &http.Server{}
 	}
 	var ctx context.Context
@@ -238,22 +243,22 @@
 	return n
 }
 
-// once tells whether the caller is the first to end the incarnation.
-func (n *node) once() bool { return !n.ended.Swap(true) }
+// markEnded reports whether the caller is the first to end the incarnation.
+func (n *node) markEnded() bool { return !n.ended.Swap(true) }
 
-// crash ends an incarnation; the directory doesn't notice.
+// crash ends an incarnation without removing it from the directory.
 func (n *node) crash() {
 	n.cancel()
 	_ = n.server.Close()
 	<-n.done
 }
 
-// forget takes a place's oldest incarnation out of the directory.
-func (f *fleet) forget(place int) {
+// removeFromDirectory removes a gateway's oldest incarnation from the directory.
+func (f *fleet) removeFromDirectory(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, d := range f.daemons {
-		if d.ID == ident.DaemonID(fmt.Sprintf("entry-%d", place)) {
+		if d.ID == ident.DaemonID(fmt.Sprintf("entry-%d", index)) {
 			f.daemons = append(f.daemons[:i:i], f.daemons[i+1:]...)
 			return
 		}
@@ -282,12 +287,12 @@
 	return string(a.Body), err
 }
 
-// runs counts how often an action with a token ran.
-func (f *fleet) runs(key string) int { return f.log.Count("huaman/" + key) }
+// executionCount returns how often an action whose key has a token ran.
+func (f *fleet) executionCount(key string) int { return f.log.Count("huaman/" + key) }
 
-func (f *fleet) refused(err error, executed refusal.Executed, reason refusal.Reason) {
+func (f *fleet) expectRefusal(err error, executed refusal.Executed, reason refusal.Reason) {
 	f.is.Helper()
-	f.is.True(err != nil) // a refusal
+	f.is.True(err != nil) // expected a refusal
 	if err == nil {
 		return
 	}
@@ -296,6 +301,6 @@
 	f.is.Equal(r.Reason, reason)
 }
 
-func (n *node) count(name string) int64 {
+func (n *node) counter(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, n.metrics).Count()
 }
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -41,7 +41,7 @@
 	Store kv.Store
 	// Lister reads the VM list and Cloud the termination notices. Either may be
 	// nil, which disables that source.
-	Lister cloudapi.Lister
+	Lister cloudapi.VMLister
 	Cloud  cloudapi.Cloud
 	// HTTPClient sends requests to peers; nil means http.DefaultClient.
 	HTTPClient connect.HTTPClient
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -171,7 +171,7 @@
 	})
 	d.dispatch = modeldispatch.New(modeldispatch.Config{
 		Directory: d.control, Config: configuration, Engines: engines,
-		Prober: modeldispatch.FreshProber{Dial: n.Dial}, Metrics: d.metrics,
+		Prober: modeldispatch.FreshConnProber{Dial: n.Dial}, Metrics: d.metrics,
 		Policy: modeldispatch.DefaultPolicy(), Timing: modeldispatch.DefaultTiming(), Seed: seed(),
 	})
 	d.models = models.New(models.Config{
@@ -189,7 +189,7 @@
 		Self: d.self.Incarnation, Configuration: configuration, Directory: d.control,
 		Store: d.store, Cloud: cloud, Lister: lister, Weights: weights(p.Weights, client),
 		Engines: engines, Timing: lease.DefaultTiming(), Metrics: d.metrics,
-		Every: ordersEvery, StopGrace: stopGrace,
+		RoundInterval: ordersEvery, StopGrace: stopGrace,
 	})
 	d.gateway = gateway.New(gateway.Config{
 		Configuration: configuration, Directory: d.control, Models: d.models,
@@ -198,7 +198,7 @@
 	})
 }
 
-func weights(base string, client *http.Client) cloudapi.Weights {
+func weights(base string, client *http.Client) cloudapi.WeightStore {
 	if base == "" {
 		return nil
 	}
@@ -213,7 +213,7 @@
 		ReadTimeout:       settings.Millis(l.ReadTimeoutMillis),
 		WriteTimeout:      settings.Millis(l.WriteTimeoutMillis),
 		Heartbeat:         settings.Millis(l.CallerHeartbeatMillis),
-		GatewaysLifetime:  settings.Millis(l.GatewaysLifetimeMillis),
+		GatewayListTTL:    settings.Millis(l.GatewaysLifetimeMillis),
 		MaxServiceTimeout: settings.Millis(l.MaxServiceTimeoutMillis),
 	}
 }
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -18,12 +18,12 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// retryAfterNotReady is asked of callers that come before there is a
-// configuration or a runner.
-const retryAfterNotReady = time.Second
+// defaultRetryAfter is the retry delay that is sent to callers when there is no
+// configuration or no suitable runner, or when a retry was refused.
+const defaultRetryAfter = time.Second
 
-// Dispatcher decides for all model services of a daemon. It is safe for
-// concurrent use.
+// Dispatcher makes the scheduling decisions for all model services of a daemon.
+// It is safe for concurrent use.
 type Dispatcher struct {
 	cfg Config
 
@@ -34,32 +34,35 @@
 	manifest *manifest.Manifest
 	services map[string]*service
 
-	// pollMu guards planner; it is taken last.
+	// pollMu guards planner. It is the last lock to be acquired when several
+	// are held.
 	pollMu  sync.Mutex
 	planner *polling.Planner
-	// pollWake ends the reading loop's wait.
-	pollWake chan struct{}
+	// pollWakeup wakes the polling loop before its timer fires.
+	pollWakeup chan struct{}
 
-	// queued wakes the tick when a request has to wait.
-	queued chan struct{}
+	// tickWakeup wakes the tick loop when a request is queued.
+	tickWakeup chan struct{}
 
-	// ctx ends the goroutines; it is set by Run.
+	// ctx stops the goroutines of the dispatcher; Run sets it.
 	ctx context.Context
 	wg  sync.WaitGroup
 
-	// refreshing keeps Run and catchUp from refreshing at once.
-	refreshing sync.Mutex
+	// refreshMu serializes the refreshes of Run and refreshIfStale.
+	refreshMu sync.Mutex
 }
 
-// New returns a dispatcher; it refuses work until Run has seen a configuration.
+// New returns a Dispatcher. It refuses requests until Run has seen a
+// configuration.
 func New(cfg Config) *Dispatcher {
 	return &Dispatcher{
 		cfg: cfg, services: map[string]*service{},
-		planner: polling.New(cfg.Timing.Reads), pollWake: make(chan struct{}, 1),
+		planner: polling.New(cfg.Timing.Polling), pollWakeup: make(chan struct{}, 1),
 	}
 }
 
-// Run follows the directory, the configuration and the runners until ctx ends.
+// Run processes changes of the directory and the configuration and polls the
+// runners until ctx is done.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer d.wg.Wait()
@@ -67,48 +70,50 @@
 	d.mu.Lock()
 	d.ctx = ctx
 	d.mu.Unlock()
-	d.wg.Go(func() { d.tick(ctx) })
-	d.wg.Go(func() { d.poll(ctx) })
+	d.wg.Go(func() { d.runTicks(ctx) })
+	d.wg.Go(func() { d.runPolls(ctx) })
 	for {
-		listed, configured := d.cfg.Directory.Changed(), d.cfg.Config.Changed()
+		directoryChanged, configChanged := d.cfg.Directory.Changed(), d.cfg.Config.Changed()
 		d.refresh(time.Now())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-listed:
-		case <-configured:
+		case <-directoryChanged:
+		case <-configChanged:
 		}
-		if !pause.For(ctx, d.cfg.Timing.Refresh) {
+		if !pause.For(ctx, d.cfg.Timing.RefreshInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// catchUp takes in a configuration that Run has not seen yet. Without it a
-// request that comes right after an apply was reported in force is refused as
-// not ready, or served by the former configuration, for as long as Run rests.
-func (d *Dispatcher) catchUp() {
+// refreshIfStale applies a configuration that Run has not seen yet. Without it,
+// a request that arrives right after an apply was reported as in force could be
+// refused as not ready, or served with the previous configuration, until
+// RefreshInterval has passed.
+func (d *Dispatcher) refreshIfStale() {
 	current, _ := d.cfg.Config.Current()
 	d.mu.Lock()
-	behind := d.ctx != nil && current != nil && d.manifest != current
+	stale := d.ctx != nil && current != nil && d.manifest != current
 	d.mu.Unlock()
-	if behind {
+	if stale {
 		d.refresh(time.Now())
 	}
 }
 
-// refresh brings services and runners up to date.
+// refresh updates the services and their runners from the configuration and the
+// directory.
 func (d *Dispatcher) refresh(now time.Time) {
-	d.refreshing.Lock()
-	defer d.refreshing.Unlock()
+	d.refreshMu.Lock()
+	defer d.refreshMu.Unlock()
 	current, _ := d.cfg.Config.Current()
 	if current == nil {
 		return
 	}
 	d.mu.Lock()
-	configured := d.manifest != current
+	configChanged := d.manifest != current
 	d.manifest = current
-	if configured {
+	if configChanged {
 		d.setServices()
 	}
 	services := make([]*service, 0, len(d.services))
@@ -118,16 +123,17 @@
 	d.mu.Unlock()
 	gateways := d.countGateways()
 	for _, s := range services {
-		if configured {
+		if configChanged {
 			s.configure(current)
 		}
 		s.setRunners(now, d.cfg.Directory.Runners(s.name), gateways)
-		d.follow(s)
+		d.startPolling(s)
 	}
 }
 
-// setServices runs with d.mu held. What is in progress at a service that is no
-// longer listed ends as it began.
+// setServices adds and removes services according to the configuration. The
+// caller holds d.mu. Requests that are in progress at a removed service still
+// finish.
 func (d *Dispatcher) setServices() {
 	listed := map[string]bool{}
 	for _, s := range d.manifest.Services {
@@ -141,7 +147,7 @@
 	}
 	for name, s := range d.services {
 		if !listed[name] {
-			d.unfollow(s)
+			d.stopPolling(s)
 			delete(d.services, name)
 		}
 	}
@@ -165,33 +171,35 @@
 	return d.services[name]
 }
 
-// tick passes the time on to the services: often while somebody waits or a
-// runner is left out, seldom otherwise, since fifty looks a second at nothing
-// cost a daemon more than its heartbeats.
-func (d *Dispatcher) tick(ctx context.Context) {
+// runTicks advances the time of the services. It ticks often while a request
+// waits or a runner is ejected, and rarely otherwise: fifty ticks per second
+// without any work cost a daemon more than its heartbeats.
+func (d *Dispatcher) runTicks(ctx context.Context) {
 	busy := true
-	for d.rest(ctx, busy) {
+	for d.waitForTick(ctx, busy) {
 		busy = d.tickServices(time.Now())
 	}
 }
 
-// rest waits for the next look and reports whether ctx is still good.
-func (d *Dispatcher) rest(ctx context.Context, busy bool) bool {
+// waitForTick waits until the next tick is due. It returns false if ctx is
+// done.
+func (d *Dispatcher) waitForTick(ctx context.Context, busy bool) bool {
 	if busy {
-		return pause.For(ctx, d.cfg.Timing.Tick)
+		return pause.For(ctx, d.cfg.Timing.TickInterval)
 	}
-	timer := time.NewTimer(d.cfg.Timing.IdleTick)
+	timer := time.NewTimer(d.cfg.Timing.IdleTickInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
 	case <-timer.C:
-	case <-d.queued:
+	case <-d.tickWakeup:
 	}
 	return true
 }
 
-// tickServices tells whether any service needs the next look soon.
+// tickServices ticks every service and reports whether any of them needs the
+// next tick soon.
 func (d *Dispatcher) tickServices(now time.Time) bool {
 	d.mu.Lock()
 	services := make([]*service, 0, len(d.services))
@@ -199,27 +207,27 @@
 		services = append(services, s)
 	}
 	d.mu.Unlock()
-	busy := false
+	needsTick := false
 	for _, s := range services {
-		d.probe(s, s.tick(now))
-		busy = busy || s.busy()
+		d.startProbes(s, s.tick(now))
+		needsTick = needsTick || s.needsTick()
 	}
-	return busy
+	return needsTick
 }
 
-// noteQueued ends the rest of an idle tick.
-func (d *Dispatcher) noteQueued(s *service) {
-	if !s.busy() {
+// wakeTick ends the wait for an idle tick if the service needs a tick soon.
+func (d *Dispatcher) wakeTick(s *service) {
+	if !s.needsTick() {
 		return
 	}
 	select {
-	case d.queued <- struct{}{}:
+	case d.tickWakeup <- struct{}{}:
 	default:
 	}
 }
 
-// probe carries the probes out that health asks for.
-func (d *Dispatcher) probe(s *service, effects []health.Effect) {
+// startProbes starts the probes that the health tracker requested.
+func (d *Dispatcher) startProbes(s *service, effects []health.Effect) {
 	for _, e := range effects {
 		if e.Kind != health.Probe {
 			continue
@@ -230,12 +238,12 @@
 			defer cancel()
 			err := d.cfg.Prober.Probe(ctx, address)
 			klog.V(1).InfoS("Runner probed", "service", s.name, "runner", e.Runner, "err", err)
-			s.probed(time.Now(), e.Runner, err == nil)
+			s.handleProbe(time.Now(), e.Runner, err == nil)
 		})
 	}
 }
 
-// spawn runs f unless the dispatcher has ended or not begun.
+// spawn runs f in a goroutine, unless Run has not started yet or has ended.
 func (d *Dispatcher) spawn(f func(context.Context)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -246,13 +254,13 @@
 	d.wg.Go(func() { f(ctx) })
 }
 
-// resolve finds the service and class of a request.
+// resolve returns the service of a model and the class with the given names.
 func (d *Dispatcher) resolve(model, class string) (*service, *manifest.Class, error) {
-	d.catchUp()
+	d.refreshIfStale()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.manifest == nil {
-		return nil, nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(retryAfterNotReady)
+		return nil, nil, refusal.New(refusal.NotReady, "no configuration in force yet").After(defaultRetryAfter)
 	}
 	m := d.manifest.ModelNamed(model)
 	if m == nil || d.services[m.Service] == nil {
@@ -265,27 +273,28 @@
 	return d.services[m.Service], c, nil
 }
 
-// counters are kept by name: a service's, and one for each reason.
-func (c *Config) count(service, what string) {
+// incCounter increments the counter called name of a service.
+func (c *Config) incCounter(service, name string) {
 	if c.Metrics != nil {
-		metrics.GetOrRegisterCounter("dispatch."+service+"."+what, c.Metrics).Inc(1)
+		metrics.GetOrRegisterCounter("dispatch."+service+"."+name, c.Metrics).Inc(1)
 	}
 }
 
-func (c *Config) countBy(service, what string, n int) {
+func (c *Config) addToCounter(service, name string, n int) {
 	if c.Metrics != nil {
-		metrics.GetOrRegisterCounter("dispatch."+service+"."+what, c.Metrics).Inc(int64(n))
+		metrics.GetOrRegisterCounter("dispatch."+service+"."+name, c.Metrics).Inc(int64(n))
 	}
 }
 
-func (c *Config) gauge(service, what string, value float64) {
+func (c *Config) setGauge(service, name string, value float64) {
 	if c.Metrics != nil {
-		metrics.GetOrRegisterGaugeFloat64("dispatch."+service+"."+what, c.Metrics).Update(value)
+		metrics.GetOrRegisterGaugeFloat64("dispatch."+service+"."+name, c.Metrics).Update(value)
 	}
 }
 
-// Waiting is the number of requests that wait for admission at a service.
-func (d *Dispatcher) Waiting(name string) int {
+// WaitingRequests returns the number of requests that wait for admission at a
+// service.
+func (d *Dispatcher) WaitingRequests(name string) int {
 	s := d.service(name)
 	if s == nil {
 		return 0
@@ -295,8 +304,9 @@
 	return s.admission.Queued()
 }
 
-// Ejected is the number of a service's runners that are left out for failures.
-func (d *Dispatcher) Ejected(name string) int {
+// EjectedRunners returns the number of runners of a service that are ejected
+// because of failures.
+func (d *Dispatcher) EjectedRunners(name string) int {
 	s := d.service(name)
 	if s == nil {
 		return 0
@@ -306,7 +316,7 @@
 	return s.health.Ejected()
 }
 
-// runnerIDs lists the runners' names.
+// runnerIDs returns the IDs of runners.
 func runnerIDs(runners []view.Runner) []ident.RunnerID {
 	ids := make([]ident.RunnerID, len(runners))
 	for i := range runners {
--- a/daemon/models/engines.go
+++ b/daemon/models/engines.go
@@ -8,19 +8,20 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// notStarted tells whether no work can have been done for the attempt.
+// notStarted reports whether err proves that the engine did no work for the
+// attempt.
 func notStarted(err error) bool { return err != nil && !engine.MayHaveStarted(err) }
 
-// closedBy names the cause for which an attempt's stream ended.
-func closedBy(err error) request.Cause {
-	var failed *engine.FailedError
-	var own *EngineFailedError
+// closeCause returns the reason why an attempt's stream ended.
+func closeCause(err error) request.Cause {
+	var failed *engine.AttemptFailedError
+	var reported *EngineFailedError
 	var refused *engine.RefusedError
 	var connect *engine.ConnectError
-	var silent *engine.SilentError
-	var malformed *engine.MalformedError
+	var silent *engine.StreamIdleError
+	var malformed *engine.MalformedAnswerError
 	switch {
-	case errors.As(err, &failed), errors.As(err, &own):
+	case errors.As(err, &failed), errors.As(err, &reported):
 		return request.EngineError
 	case errors.As(err, &refused):
 		return request.Refused
@@ -34,8 +35,9 @@
 	return request.Truncated
 }
 
-// leaving tells whether the engine refused because its VM is going.
-func leaving(err error) bool {
+// refusedAsLeaving reports whether the engine refused the attempt because its
+// VM is being reclaimed.
+func refusedAsLeaving(err error) bool {
 	var refused *engine.RefusedError
 	return errors.As(err, &refused) && refused.Body.Code == engineapi.CodeLeaving
 }
--- a/daemon/models/harness_test.go
+++ b/daemon/models/harness_test.go
@@ -29,7 +29,7 @@
 const (
 	workspace = ident.Workspace("huaman")
 	model     = "asistente"
-	// tokenTime is one decode step of the stand-in engine.
+	// tokenTime is the duration of one decode step of the stand-in engine.
 	tokenTime = 20 * time.Millisecond
 	silence   = 3 * time.Second
 )
@@ -49,7 +49,7 @@
 func (fixedConfig) Current() (*manifest.Manifest, ident.Generation) { return testManifest(), 1 }
 func (fixedConfig) Changed() <-chan struct{}                        { return nil }
 
-// cluster is a set of daemons and engines on a network in memory.
+// cluster is a set of daemons and engines on an in-memory network.
 type cluster struct {
 	*pipe.Network
 	ledger  *engine.Ledger
@@ -67,7 +67,7 @@
 	for i := range runners {
 		id := ident.RunnerID(fmt.Sprintf("runner-%d", i))
 		cfg := engine.DefaultConfig(string(id), model, "1")
-		cfg.BytesPerToken = 1 << 20 // so that an export takes a while
+		cfg.BytesPerToken = 1 << 20 // large, so that the export of a KV cache takes a noticeable time
 		client := c.Client()
 		e := engine.New(cfg, engine.WithLedger(c.ledger), engine.WithClient(client))
 		c.serve(address(i), e.Handler(), client)
@@ -75,7 +75,7 @@
 		c.engines = append(c.engines, e)
 		c.runners = append(c.runners, view.Runner{
 			ID: id, Address: address(i), Service: model,
-			FailureDomain: domain(i), State: view.Live,
+			FailureDomain: failureDomain(i), State: view.Live,
 		})
 	}
 	return c
@@ -83,7 +83,7 @@
 
 func address(runner int) string { return fmt.Sprintf("runner-%d:80", runner) }
 
-// serve listens until the cluster stops or the address is taken down.
+// serve serves HTTP at an address until the cluster stops.
 func (c *cluster) serve(address string, h http.Handler, client *http.Client) *http.Server {
 	l, err := c.Listen(address)
 	if err != nil {
@@ -104,10 +104,11 @@
 	return server
 }
 
-func domain(i int) ident.FailureDomain { return ident.FailureDomain(fmt.Sprintf("d%d", i%4)) }
+func failureDomain(i int) ident.FailureDomain { return ident.FailureDomain(fmt.Sprintf("d%d", i%4)) }
 
-// change edits the directory that all daemons see.
-func (c *cluster) change(edit func()) {
+// updateDirectory applies an edit to the directory that all daemons share and
+// notifies them.
+func (c *cluster) updateDirectory(edit func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	edit()
@@ -123,9 +124,9 @@
 func (d directory) Self() view.Daemon {
 	d.c.mu.Lock()
 	defer d.c.mu.Unlock()
-	for _, x := range d.c.daemons {
-		if x.Incarnation == d.self {
-			return x
+	for _, daemon := range d.c.daemons {
+		if daemon.Incarnation == d.self {
+			return daemon
 		}
 	}
 	return view.Daemon{Incarnation: d.self}
@@ -151,16 +152,16 @@
 
 func (directory) NoteLeaving(string, time.Duration) {}
 
-// gateway is one daemon's Models with its counters.
+// gateway is the Models of one daemon, with its metrics.
 type gateway struct {
 	*models.Models
-	self    ident.Incarnation
-	address string
-	metrics metrics.Registry
-	server  *http.Server
-	end     context.CancelFunc
-	next    int
-	// isolated daemons can open no connection.
+	self      ident.Incarnation
+	address   string
+	metrics   metrics.Registry
+	server    *http.Server
+	cancelRun context.CancelFunc
+	lastID    int
+	// isolated makes every attempt of this daemon to open a connection fail.
 	isolated atomic.Bool
 }
 
@@ -168,7 +169,7 @@
 	return metrics.GetOrRegisterCounter(name, g.metrics).Count()
 }
 
-func (c *cluster) start(n int) *gateway {
+func (c *cluster) startGateway(n int) *gateway {
 	id := ident.DaemonID(fmt.Sprintf("gw-%d", n))
 	g := &gateway{
 		self:    ident.NewIncarnation(id, []byte{byte(n)}),
@@ -190,13 +191,13 @@
 	})
 	_, handler := g.Handler()
 	g.server = c.serve(g.address, handler, client)
-	c.change(func() {
+	c.updateDirectory(func() {
 		c.daemons = append(c.daemons, view.Daemon{
-			ID: id, Incarnation: g.self, FailureDomain: domain(n), PeerAddress: g.address, State: view.Live,
+			ID: id, Incarnation: g.self, FailureDomain: failureDomain(n), PeerAddress: g.address, State: view.Live,
 		})
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	g.end = cancel
+	g.cancelRun = cancel
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -229,27 +230,28 @@
 	return transport.New(address, e.client).Import(ctx, r)
 }
 
-// kill ends a daemon without a word: its connections break, and its process
-// does nothing more.
+// kill simulates the death of a daemon process: its connections break, and it
+// does not hand off its requests.
 func (c *cluster) kill(g *gateway) {
-	g.end()
+	g.cancelRun()
 	c.Break(g.address)
 	g.server.Close()
 }
 
-// gone makes every daemon conclude that a killed one is gone.
-func (c *cluster) gone(g *gateway) {
-	c.change(func() {
+// removeFromDirectory makes every daemon consider the gateway gone.
+func (c *cluster) removeFromDirectory(g *gateway) {
+	c.updateDirectory(func() {
 		c.daemons = slices.DeleteFunc(c.daemons, func(d view.Daemon) bool { return d.Incarnation == g.self })
 	})
 }
 
-// notice tells everyone that runners go in a while, and ends them then.
-func (c *cluster) notice(left time.Duration, runners ...int) {
+// announceReclaim announces to the engines and in the directory that runners
+// will be reclaimed after a while; the engines stop then.
+func (c *cluster) announceReclaim(left time.Duration, runners ...int) {
 	for _, i := range runners {
 		c.engines[i].Notice(left)
 	}
-	c.change(func() {
+	c.updateDirectory(func() {
 		for _, i := range runners {
 			c.runners[i].State = view.Leaving
 			c.runners[i].LeavesAt = time.Now().Add(left)
@@ -264,18 +266,18 @@
 }
 
 func (g *gateway) request(class string, tokens int) call.ModelRequest {
-	g.next++
+	g.lastID++
 	return call.ModelRequest{
-		ID:        ident.NewRequestID(g.self, []byte{byte(g.next)}),
+		ID:        ident.NewRequestID(g.self, []byte{byte(g.lastID)}),
 		Workspace: workspace, Class: class, Model: model,
-		Prompt:    fmt.Sprintf("case %s %d ", g.self, g.next) + strings.Repeat("owner file ", 50),
+		Prompt:    fmt.Sprintf("case %s %d ", g.self, g.lastID) + strings.Repeat("owner file ", 50),
 		MaxTokens: tokens,
 	}
 }
 
-// readAll reads from an offset to the end, checks every token on the way and
-// returns the longest time without one.
-func readAll(t *testing.T, g *gateway, r call.ModelRequest, from int) (longest time.Duration) {
+// readAll reads a request from an offset to the end, checks every token, and
+// returns the longest time between two events other than heartbeats.
+func readAll(t *testing.T, g *gateway, r call.ModelRequest, from int) (longestGap time.Duration) {
 	t.Helper()
 	want := engine.Tokens(r.Model, r.Prompt, r.MaxTokens)
 	next, last := from, time.Now()
@@ -285,24 +287,24 @@
 			return nil
 		case e.Done:
 			if e.Offset != r.MaxTokens || next != r.MaxTokens {
-				t.Errorf("ended at %d with %d read, want %d", e.Offset, next, r.MaxTokens)
+				t.Errorf("answer ended at offset %d after %d tokens were read, want %d", e.Offset, next, r.MaxTokens)
 			}
 		case e.Offset != next || e.Token != want[next]:
-			t.Errorf("got offset %d %q, want %d %q", e.Offset, e.Token, next, want[next])
+			t.Errorf("got offset %d with token %q, want offset %d with token %q", e.Offset, e.Token, next, want[next])
 		default:
 			next++
 		}
-		longest = max(longest, time.Since(last))
+		longestGap = max(longestGap, time.Since(last))
 		last = time.Now()
 		return nil
 	})
 	if err != nil {
-		t.Errorf("read %s: %v", r.ID, err)
+		t.Errorf("read request %s: %v", r.ID, err)
 	}
-	return longest
+	return longestGap
 }
 
-func bubble(t *testing.T, runners int, run func(t *testing.T, c *cluster)) {
+func runCluster(t *testing.T, runners int, run func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(runners)
--- a/daemon/models/records.go
+++ b/daemon/models/request_records.go
@@ -18,19 +18,23 @@
 )
 
 const (
-	// putCandidates bounds the daemons that are asked to keep a new record.
-	putCandidates = 3
+	// maxPutKeepers bounds the number of daemons that are asked to store the
+	// record of a new request.
+	maxPutKeepers = 3
 	putRounds     = 2
-	// batchRecords bounds the records in one message: whole ones have prompts,
-	// and a keeper that leaves has them all due at once.
-	batchRecords = 64
-	// lookupCandidates bounds the daemons that are asked for a request.
-	lookupCandidates = 8
-	// minDeadlineLeft keeps a deadline that has passed from reading as none.
-	minDeadlineLeft = time.Millisecond
+	// maxBatchRecords bounds the number of records in one message. Complete
+	// records contain prompts and are large, and when a keeper leaves, all of
+	// its records must be stored elsewhere at once.
+	maxBatchRecords = 64
+	// maxLookupCandidates bounds the number of daemons that are asked for a
+	// request.
+	maxLookupCandidates = 8
+	// minDeadlineRemaining is the remaining time that is sent for a deadline
+	// that has passed: zero would mean that the request has no deadline.
+	minDeadlineRemaining = time.Millisecond
 )
 
-func (m *Models) daemon(i ident.Incarnation) (view.Daemon, bool) {
+func (m *Models) findDaemon(i ident.Incarnation) (view.Daemon, bool) {
 	for _, d := range m.c.Directory.Daemons() {
 		if d.Incarnation == i {
 			return d, true
@@ -49,20 +53,21 @@
 	return l.movedTo
 }
 
-// candidates lists who may run a request: the owner last heard of, the one
-// that accepted it, and those that may keep its record.
-func (m *Models) candidates(id ident.RequestID, hint ident.Incarnation) []view.Daemon {
+// lookupCandidates returns the daemons that may run a request, most likely
+// first: the most recently reported owner, the daemon that accepted the
+// request, and the daemons that may store its record.
+func (m *Models) lookupCandidates(id ident.RequestID, hint ident.Incarnation) []view.Daemon {
 	var list []view.Daemon
 	seen := map[ident.Incarnation]bool{m.c.Self: true}
 	add := func(d view.Daemon) {
-		if !seen[d.Incarnation] && len(list) < lookupCandidates {
+		if !seen[d.Incarnation] && len(list) < maxLookupCandidates {
 			seen[d.Incarnation] = true
 			list = append(list, d)
 		}
 	}
 	owner, _ := id.Owner()
 	for _, i := range []ident.Incarnation{hint, owner} {
-		if d, ok := m.daemon(i); ok {
+		if d, ok := m.findDaemon(i); ok {
 			add(d)
 		}
 	}
@@ -72,9 +77,10 @@
 	return list
 }
 
-// record returns what a second daemon must know, with the tokens from an
-// offset on; from zero on it is whole.
-func (l *live) record(from int) *requestv1.Record {
+// record returns the record of the request with the tokens from an offset on.
+// With offset zero the record is complete; otherwise it leaves out the fields
+// that do not change.
+func (l *requestState) record(from int) *requestv1.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answer := l.machine.Answer()
@@ -100,42 +106,43 @@
 	r.MaxTokens = int32(l.req.MaxTokens)
 	r.Async = l.req.Async
 	if d := l.req.Deadline; !d.IsZero() {
-		r.DeadlineLeftMs = max(time.Until(d), minDeadlineLeft).Milliseconds()
+		r.DeadlineLeftMs = max(time.Until(d), minDeadlineRemaining).Milliseconds()
 	}
 	return r
 }
 
-func (l *live) progress() handoff.Progress {
+func (l *requestState) progress() handoff.Progress {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answer := l.machine.Answer()
 	return handoff.Progress{Offset: answer.Offset(), Done: answer.Done()}
 }
 
-// putFirst stores the record of a request that is being accepted. With no
-// other live daemon there is nobody to keep it, and it is accepted without.
-func (m *Models) putFirst(ctx context.Context, l *live) error {
+// storeFirstRecord stores the record of a request that is being accepted. If no
+// other daemon is live, the request is accepted without a stored record.
+func (m *Models) storeFirstRecord(ctx context.Context, l *requestState) error {
 	self := m.c.Directory.Self()
 	keepers := handoff.RankKeepers(l.req.ID, self, m.c.Directory.Daemons())
 	if len(keepers) == 0 {
 		m.count("records.no_keeper")
 		return nil
 	}
-	// The second round is for kept connections that have gone silent: they cost
-	// a timeout each and are then closed, and new ones work.
+	// The second round covers connections from the pool that have gone silent:
+	// each of them costs one timeout and is then closed, so the second round
+	// uses new connections.
 	for range putRounds {
-		for _, k := range keepers[:min(putCandidates, len(keepers))] {
-			if m.put(ctx, k, []handoff.Renewal{{ID: l.req.ID, Keeper: k}}) == nil {
+		for _, k := range keepers[:min(maxPutKeepers, len(keepers))] {
+			if m.putRecords(ctx, k, []handoff.Renewal{{ID: l.req.ID, Keeper: k}}) == nil {
 				return nil
 			}
 			m.count("records.put_failed")
 		}
 	}
-	return refusal.New(refusal.NotReady, "no other gateway could be reached to keep the request's record").After(notReadyRetry)
+	return refusal.New(refusal.NotReady, "no other gateway could be reached to keep the request's record").After(notReadyRetryAfter)
 }
 
-// put sends renewals to one keeper and notes its answer.
-func (m *Models) put(ctx context.Context, keeper view.Daemon, renewals []handoff.Renewal) error {
+// putRecords sends renewals to one keeper and processes its response.
+func (m *Models) putRecords(ctx context.Context, keeper view.Daemon, renewals []handoff.Renewal) error {
 	ctx, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
 	req := &requestv1.PutRequest{}
@@ -153,11 +160,11 @@
 	if err != nil {
 		return err
 	}
-	m.noteStored(keeper.Incarnation, sent, resp.Msg)
+	m.handlePutResponse(keeper.Incarnation, sent, resp.Msg)
 	return nil
 }
 
-func (m *Models) noteStored(keeper ident.Incarnation, sent map[ident.RequestID]handoff.Progress, resp *requestv1.PutResponse) {
+func (m *Models) handlePutResponse(keeper ident.Incarnation, sent map[ident.RequestID]handoff.Progress, resp *requestv1.PutResponse) {
 	m.mu.Lock()
 	for id, p := range sent {
 		m.outbox.Stored(id, keeper, p)
@@ -169,36 +176,37 @@
 	for _, s := range resp.Superseded {
 		if l := m.find(ident.RequestID(s.RequestId)); l != nil {
 			m.count("requests.superseded")
-			l.moveTo(ident.Incarnation(s.Owner))
+			l.markMoved(ident.Incarnation(s.Owner))
 		}
 	}
 }
 
-// moveTo ends the request here in favour of another daemon.
-func (l *live) moveTo(owner ident.Incarnation) {
+// markMoved ends the request at this daemon because owner now runs it.
+func (l *requestState) markMoved(owner ident.Incarnation) {
 	l.mu.Lock()
 	l.movedTo = owner
-	l.wakeReaders()
+	l.notifyReaders()
 	l.mu.Unlock()
 	l.step(request.Superseded{})
 }
 
-// housekeep renews records, adopts orphans and forgets what is old.
+// housekeep renews records, adopts requests whose owner is gone, and removes
+// expired requests.
 func (m *Models) housekeep() {
-	m.renew()
-	m.adoptOrphans(m.c.Limits.OwnerGone)
-	m.forgetOld()
+	m.renewRecords()
+	m.adoptOrphans(m.c.Limits.OwnerTimeout)
+	m.forgetExpired()
 }
 
-func (m *Models) renew() {
+func (m *Models) renewRecords() {
 	m.mu.Lock()
-	if time.Since(m.renewed) < m.c.Limits.Renew {
+	if time.Since(m.lastRenewal) < m.c.Limits.RenewInterval {
 		m.mu.Unlock()
 		return
 	}
-	m.renewed = time.Now()
+	m.lastRenewal = time.Now()
 	due := m.outbox.DueRenewals(m.c.Directory.Self(), m.c.Directory.Daemons(), func(id ident.RequestID) handoff.Progress {
-		if l := m.live[id]; l != nil {
+		if l := m.requestState[id]; l != nil {
 			return l.progress()
 		}
 		return handoff.Progress{}
@@ -214,13 +222,13 @@
 	}
 	m.mu.Unlock()
 	for _, batch := range batches {
-		m.spawn(func() { m.renewAt(batch[0].Keeper, batch) })
+		m.spawn(func() { m.renewRecordsAt(batch[0].Keeper, batch) })
 	}
 }
 
-func (m *Models) renewAt(keeper view.Daemon, all []handoff.Renewal) {
-	for batch := range slices.Chunk(all, batchRecords) {
-		if err := m.put(m.ctx, keeper, batch); err != nil {
+func (m *Models) renewRecordsAt(keeper view.Daemon, all []handoff.Renewal) {
+	for batch := range slices.Chunk(all, maxBatchRecords) {
+		if err := m.putRecords(m.ctx, keeper, batch); err != nil {
 			m.count("records.renewal_failed")
 			break
 		}
@@ -230,9 +238,10 @@
 	m.mu.Unlock()
 }
 
-// adoptOrphans runs the requests whose owner has not been heard of for quiet.
-// Without a configuration they stay records.
-func (m *Models) adoptOrphans(quiet time.Duration) {
+// adoptOrphans starts running the requests whose owner is missing from the
+// directory and has not renewed its records for ownerTimeout. Without a
+// configuration the requests cannot run, and their records are kept.
+func (m *Models) adoptOrphans(ownerTimeout time.Duration) {
 	if conf, _ := m.c.Config.Current(); conf == nil {
 		return
 	}
@@ -241,7 +250,7 @@
 		listed[d.Incarnation] = true
 	}
 	m.mu.Lock()
-	orphans := m.keeper.Adopt(time.Now(), m.c.Self, quiet, func(i ident.Incarnation) bool {
+	orphans := m.keeper.Adopt(time.Now(), m.c.Self, ownerTimeout, func(i ident.Incarnation) bool {
 		return listed[i]
 	})
 	m.mu.Unlock()
@@ -251,39 +260,39 @@
 	}
 }
 
-// adopt runs another daemon's request from now on. It reports false where this
-// daemon can't.
+// adopt makes this daemon the owner of a request of another daemon. It returns
+// false if this daemon cannot run the request.
 func (m *Models) adopt(r handoff.Record) bool {
 	conf, _ := m.c.Config.Current()
 	if conf == nil {
 		return false
 	}
-	l := m.liveFrom(conf, r)
+	l := m.requestStateFromRecord(conf, r)
 	m.mu.Lock()
-	if old := m.live[r.ID]; old != nil && old.spec.Epoch >= r.Epoch {
+	if old := m.requestState[r.ID]; old != nil && old.spec.Epoch >= r.Epoch {
 		m.mu.Unlock()
 		return old.spec.Epoch == r.Epoch
 	}
-	m.live[r.ID] = l
+	m.requestState[r.ID] = l
 	m.keeper.Forget(r.ID)
 	m.keeper.Claim(r.ID, handoff.Claim{Owner: m.c.Self, Epoch: r.Epoch})
 	m.outbox.Untrack(r.ID)
 	m.outbox.Track(r.ID)
-	m.renewed = time.Time{} // so that the next step puts it at a keeper
+	m.lastRenewal = time.Time{} // the next housekeeping then stores the record at a keeper
 	m.mu.Unlock()
 	if r.Done {
 		l.ended = time.Now()
-		m.retire(l)
+		m.retain(l)
 		return true
 	}
 	m.start(l)
 	return true
 }
 
-func (m *Models) liveFrom(conf *manifest.Manifest, r handoff.Record) *live {
+func (m *Models) requestStateFromRecord(conf *manifest.Manifest, r handoff.Record) *requestState {
 	model, _ := findModel(conf, r.Model)
 	class, _ := findClass(conf, r.Class)
-	l := m.newLive(call.ModelRequest{
+	l := m.newRequestState(call.ModelRequest{
 		ID:        r.ID,
 		Workspace: r.Workspace,
 		Class:     r.Class,
@@ -306,71 +315,74 @@
 	return l
 }
 
-// retire keeps an ended request for late readers, as long as there is room.
-func (m *Models) retire(l *live) {
+// retain keeps an ended request for late readers and removes the oldest ended
+// requests beyond the limit.
+func (m *Models) retain(l *requestState) {
 	l.mu.Lock()
 	refused, moved := l.machine.Refusal() != nil, l.movedTo != ""
 	l.mu.Unlock()
 	m.mu.Lock()
 	m.ended = append(m.ended, l)
-	var drop []*live
-	for len(m.ended) > m.c.Limits.Finished {
-		drop = append(drop, m.ended[0])
+	var evicted []*requestState
+	for len(m.ended) > m.c.Limits.MaxFinished {
+		evicted = append(evicted, m.ended[0])
 		m.ended = m.ended[1:]
 	}
 	m.mu.Unlock()
 	if moved {
-		m.spawn(func() { m.dropLater(l) })
+		m.spawn(func() { m.deleteRecordLater(l) })
 	}
 	if refused {
 		m.dropRecord(l, true)
 	}
-	for _, old := range drop {
-		m.forget(old)
+	for _, evictedRequest := range evicted {
+		m.forget(evictedRequest)
 	}
 }
 
-// dropLater removes the record of a request that another daemon runs, once that
-// one has had the time to put its own: a keeper that still had the old one when
-// this daemon is gone would run the request a second time.
-func (m *Models) dropLater(l *live) {
+// deleteRecordLater deletes the record of a request that moved to another
+// daemon, after the new owner has had time to store its own record. If a keeper
+// still had the old record when this daemon is gone, the keeper would run the
+// request a second time.
+func (m *Models) deleteRecordLater(l *requestState) {
 	select {
 	case <-m.ctx.Done():
-	case <-time.After(m.c.Limits.Renew):
+	case <-time.After(m.c.Limits.RenewInterval):
 		m.dropRecord(l, true)
 	}
 }
 
-func (m *Models) forgetOld() {
-	var old []*live
+func (m *Models) forgetExpired() {
+	var expired []*requestState
 	m.mu.Lock()
 	for len(m.ended) > 0 && time.Since(m.ended[0].ended) > m.c.Limits.Retention {
-		old = append(old, m.ended[0])
+		expired = append(expired, m.ended[0])
 		m.ended = m.ended[1:]
 	}
 	m.mu.Unlock()
-	for _, l := range old {
+	for _, l := range expired {
 		m.forget(l)
 	}
 }
 
-func (m *Models) forget(l *live) {
+func (m *Models) forget(l *requestState) {
 	m.dropRecord(l, true)
 	m.remove(l)
 }
 
-// dropRecord stops renewing a request's record; with remove its keeper forgets
-// it too, so that nobody adopts a request that has its final answer.
-func (m *Models) dropRecord(l *live, remove bool) {
+// dropRecord stops renewing the record of a request. With deleteAtKeeper it
+// also deletes the record at its keeper, so that no daemon adopts a request
+// that has its final answer.
+func (m *Models) dropRecord(l *requestState, deleteAtKeeper bool) {
 	m.mu.Lock()
-	if m.live[l.req.ID] != l {
+	if m.requestState[l.req.ID] != l {
 		m.mu.Unlock()
 		return
 	}
 	keeper := m.outbox.Untrack(l.req.ID)
 	m.mu.Unlock()
-	d, ok := m.daemon(keeper)
-	if !ok || !remove {
+	d, ok := m.findDaemon(keeper)
+	if !ok || !deleteAtKeeper {
 		return
 	}
 	m.spawn(func() {
--- a/daemon/models/live.go
+++ b/daemon/models/request_state.go
@@ -19,27 +19,29 @@
 
 const (
 	cancelTimeout = 2 * time.Second
-	// finishCancelled is the engines' finish reason of a cancelled attempt.
+	// finishCancelled is the finish reason that engines send for a cancelled
+	// attempt.
 	finishCancelled = "cancelled"
 )
 
-// attempt is one open engine stream.
+// attempt is an open engine stream.
 type attempt struct {
-	cancel  context.CancelFunc
-	choice  Choice
-	from    int
-	cached  int
-	started time.Time
+	cancel       context.CancelFunc
+	choice       Choice
+	startOffset  int
+	cachedTokens int
+	started      time.Time
 }
 
-// live is one request at this daemon, in progress or kept for late readers.
-type live struct {
+// requestState is a request that this daemon runs, or that has ended and is
+// kept for late readers.
+type requestState struct {
 	m        *Models
 	req      call.ModelRequest
 	spec     request.Spec
 	service  string
 	priority int
-	// recorded requests have a record at a second daemon.
+	// recorded is true if a second daemon stores a record of the request.
 	recorded bool
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -48,21 +50,23 @@
 	machine  *request.Machine
 	changed  chan struct{}
 	timer    *time.Timer
-	wakes    time.Time // when timer fires; zero if it is not pending
+	timerAt  time.Time // when timer fires; zero if the timer is not running
 	attempts map[ident.AttemptID]*attempt
 	choices  map[ident.RunnerID]Choice
 	release  func()
-	// movedTo runs the request instead of this daemon.
+	// movedTo is the daemon that now runs the request; it is empty while this
+	// daemon runs the request.
 	movedTo ident.Incarnation
 	ended   time.Time
-	// plan is what a reclaim's plan decided, follows the timer to do it.
-	plan    planned
-	follows *time.Timer
+	// plan is the decision for the current attempt when its runner is
+	// reclaimed; planTimer carries the decision out.
+	plan      reclaimPlan
+	planTimer *time.Timer
 }
 
-func (m *Models) newLive(r call.ModelRequest, service string, class manifest.Class) *live {
+func (m *Models) newRequestState(r call.ModelRequest, service string, class manifest.Class) *requestState {
 	ctx, cancel := context.WithCancel(m.ctx)
-	l := &live{
+	l := &requestState{
 		m:        m,
 		req:      r,
 		service:  service,
@@ -85,7 +89,7 @@
 	return l
 }
 
-func (m *Models) start(l *live) {
+func (m *Models) start(l *requestState) {
 	if !l.spec.Deferrable || l.release != nil {
 		l.step(request.Start{})
 		return
@@ -93,11 +97,12 @@
 	m.spawn(func() { l.acquireAndStart() })
 }
 
-// acquireAndStart waits for the request's share of the capacity: accepted
-// deferrable work is not refused for a lack of it.
-func (l *live) acquireAndStart() {
+// acquireAndStart acquires capacity for an accepted deferrable request and
+// starts it. It retries with backoff until it succeeds, because an accepted
+// deferrable request must not be refused for lack of capacity.
+func (l *requestState) acquireAndStart() {
 	backoff := l.m.c.Limits.Request.BackoffMin
-	l.step(request.Tick{}) // so that its deadline ends the wait
+	l.step(request.Tick{}) // schedules the timer for the deadline, which ends the wait
 	for {
 		release, err := l.m.c.Picker.Acquire(l.ctx, l.req)
 		if err == nil {
@@ -116,7 +121,7 @@
 	}
 }
 
-func (l *live) free() {
+func (l *requestState) releaseCapacity() {
 	l.mu.Lock()
 	release := l.release
 	l.release = nil
@@ -126,93 +131,96 @@
 	}
 }
 
-// step feeds the machine and carries out its effects, none of which blocks.
-func (l *live) step(in request.Input) {
+// step passes an input to the state machine and applies the resulting effects.
+// None of the effects blocks.
+func (l *requestState) step(in request.Input) {
 	if l.m.ctx.Err() != nil {
 		return
 	}
 	l.mu.Lock()
 	for _, e := range l.machine.Step(time.Now(), in) {
-		l.carryOut(e)
+		l.applyEffect(e)
 	}
-	over := l.machine.Ended() && l.ended.IsZero()
-	if over {
+	justEnded := l.machine.Ended() && l.ended.IsZero()
+	if justEnded {
 		l.ended = time.Now()
 		l.stopTimers()
 		l.cancel()
 	}
 	l.mu.Unlock()
-	if over {
-		l.free()
-		l.m.retire(l)
+	if justEnded {
+		l.releaseCapacity()
+		l.m.retain(l)
 	}
 }
 
-func (l *live) stopTimers() {
-	for _, t := range []*time.Timer{l.timer, l.follows} {
+func (l *requestState) stopTimers() {
+	for _, t := range []*time.Timer{l.timer, l.planTimer} {
 		if t != nil {
 			t.Stop()
 		}
 	}
 }
 
-// carryOut runs with l.mu held.
-func (l *live) carryOut(e request.Effect) {
+// applyEffect executes an effect of the state machine. The caller holds l.mu.
+func (l *requestState) applyEffect(e request.Effect) {
 	switch e := e.(type) {
 	case request.Pick:
-		job := l.job(e)
-		l.m.spawn(func() { l.pick(job) })
+		pickJob := l.pickJob(e)
+		l.m.spawn(func() { l.pick(pickJob) })
 	case request.Generate:
 		l.generate(e)
 	case request.AbandonAttempt:
 		l.abandon(e)
 	case request.ExportCache:
-		l.m.spawn(func() { l.export(e) })
+		l.m.spawn(func() { l.exportCache(e) })
 	case request.Emitted:
-		l.wakeReaders()
+		l.notifyReaders()
 	case request.Dropped:
 		l.m.count("stream.dropped." + string(e.Reason))
 	case request.Answered:
 		l.m.count("requests.answered." + l.req.Class)
 		l.endAttempt(l.answeredAttempt(), true, "")
-		l.wakeReaders()
+		l.notifyReaders()
 	case request.Failed:
 		l.m.count("requests.given_up." + string(e.Refusal.Reason))
-		l.wakeReaders()
+		l.notifyReaders()
 	case request.Yielded:
 		l.m.count("requests.yielded")
-		l.wakeReaders()
+		l.notifyReaders()
 	case request.WakeAt:
-		l.wakeAt(e.Time)
+		l.scheduleTick(e.Time)
 	}
 }
 
-func (l *live) wakeReaders() {
+func (l *requestState) notifyReaders() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// wakeAt lets a timer that fires earlier be: the machine takes a tick at any
-// time, and every token moves the wish a little further away.
-func (l *live) wakeAt(t time.Time) {
-	if !l.wakes.IsZero() && !l.wakes.After(t) {
+// scheduleTick makes sure that the state machine gets a tick at time t at the
+// latest. A timer that fires earlier is left running: the machine accepts a
+// tick at any time, and stopping the timer for every token, each of which moves
+// t a little later, would be wasted work.
+func (l *requestState) scheduleTick(t time.Time) {
+	if !l.timerAt.IsZero() && !l.timerAt.After(t) {
 		return
 	}
 	if l.timer != nil {
 		l.timer.Stop()
 	}
-	l.wakes = t
-	l.timer = time.AfterFunc(time.Until(t), l.wake)
+	l.timerAt = t
+	l.timer = time.AfterFunc(time.Until(t), l.tick)
 }
 
-func (l *live) wake() {
+func (l *requestState) tick() {
 	l.mu.Lock()
-	l.wakes = time.Time{}
+	l.timerAt = time.Time{}
 	l.mu.Unlock()
 	l.step(request.Tick{})
 }
 
-func (l *live) job(p request.Pick) Job {
+func (l *requestState) pickJob(p request.Pick) Job {
 	return Job{
 		Request: l.req,
 		Service: l.service,
@@ -223,7 +231,7 @@
 	}
 }
 
-func (l *live) pick(j Job) {
+func (l *requestState) pick(j Job) {
 	if j.After != "" {
 		l.m.count("requests.retry." + string(j.After))
 	}
@@ -238,11 +246,11 @@
 	l.step(request.Picked{Runner: choice.Runner})
 }
 
-func (l *live) generate(g request.Generate) {
+func (l *requestState) generate(g request.Generate) {
 	ctx, cancel := context.WithCancel(l.ctx)
 	choice := l.choice(g.Runner)
 	answer := l.machine.Answer()
-	l.attempts[g.Attempt] = &attempt{cancel: cancel, choice: choice, from: answer.Offset(), started: time.Now()}
+	l.attempts[g.Attempt] = &attempt{cancel: cancel, choice: choice, startOffset: answer.Offset(), started: time.Now()}
 	req := engineapi.GenerateRequest{
 		RequestID:      string(l.req.ID),
 		AttemptID:      string(g.Attempt),
@@ -254,12 +262,13 @@
 		Priority:       l.priority,
 		ImportedHandle: g.Handle,
 	}
-	l.m.c.Picker.Started(l.job(request.Pick{}), choice)
-	l.m.spawn(func() { l.run(ctx, g.Attempt, choice, req) })
+	l.m.c.Picker.Started(l.pickJob(request.Pick{}), choice)
+	l.m.spawn(func() { l.runAttempt(ctx, g.Attempt, choice, req) })
 }
 
-// choice finds a runner's address; it is empty for a runner that is gone.
-func (l *live) choice(id ident.RunnerID) Choice {
+// choice returns the runner with its address. The address is empty if the
+// runner is no longer known.
+func (l *requestState) choice(id ident.RunnerID) Choice {
 	if c, ok := l.choices[id]; ok {
 		return c
 	}
@@ -271,52 +280,56 @@
 	return Choice{Runner: id}
 }
 
-// EngineFailedError is an engine's own word that an attempt failed.
+// EngineFailedError is a failure of an attempt that the engine itself reported
+// in its stream.
 type EngineFailedError struct{ Detail string }
 
-func (e *EngineFailedError) Error() string { return "engine: " + e.Detail }
+func (e *EngineFailedError) Error() string { return "engine reported a failure: " + e.Detail }
 
-// UnknownAddressError says that a runner is no longer listed.
+// UnknownAddressError is returned when a runner is no longer in the directory.
 type UnknownAddressError struct{ Runner ident.RunnerID }
 
-func (e *UnknownAddressError) Error() string { return fmt.Sprintf("no address of runner %q", e.Runner) }
+func (e *UnknownAddressError) Error() string {
+	return fmt.Sprintf("no address known for runner %q", e.Runner)
+}
 
-// MayHaveStarted tells that nothing was sent.
+// MayHaveStarted returns false: no request was sent to the runner.
 func (e *UnknownAddressError) MayHaveStarted() bool { return false }
 
-func (l *live) run(ctx context.Context, id ident.AttemptID, choice Choice, req engineapi.GenerateRequest) {
+func (l *requestState) runAttempt(ctx context.Context, id ident.AttemptID, choice Choice, req engineapi.GenerateRequest) {
 	err := error(&UnknownAddressError{Runner: choice.Runner})
 	if choice.Address != "" {
 		err = l.m.c.Engines.Generate(ctx, choice.Address, req, func(e engineapi.GenerateEvent) error {
-			return l.take(id, e)
+			return l.handleEvent(id, e)
 		})
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	if leaving(err) {
+	if refusedAsLeaving(err) {
 		l.m.c.Directory.NoteLeaving(choice.Address, 0)
 	}
-	in := request.StreamClosed{Attempt: id, Cause: closedBy(err), NotStarted: notStarted(err)}
+	in := request.StreamClosed{Attempt: id, Cause: closeCause(err), NotStarted: notStarted(err)}
 	l.mu.Lock()
 	l.endAttempt(id, false, in.Cause)
 	l.mu.Unlock()
 	l.step(in)
 }
 
-func (l *live) take(id ident.AttemptID, e engineapi.GenerateEvent) error {
+func (l *requestState) handleEvent(id ident.AttemptID, e engineapi.GenerateEvent) error {
 	if e.Error != "" {
 		return &EngineFailedError{Detail: e.Error}
 	}
 	if e.Done && e.FinishReason == finishCancelled {
-		// A runner that cancels an attempt by itself ends its stream in good
-		// order; the answer up to there would pass for a whole one.
+		// A runner that cancels an attempt on its own ends the stream without
+		// an error. Without this check the partial answer would count as
+		// complete.
 		return &EngineFailedError{Detail: "attempt cancelled"}
 	}
 	if e.CachedTokens > 0 {
 		l.mu.Lock()
 		if a := l.attempts[id]; a != nil {
-			a.cached = e.CachedTokens
+			a.cachedTokens = e.CachedTokens
 		}
 		l.mu.Unlock()
 	}
@@ -332,31 +345,32 @@
 	return nil
 }
 
-func (l *live) answeredAttempt() ident.AttemptID {
+func (l *requestState) answeredAttempt() ident.AttemptID {
 	return l.machine.Answer().Attempt()
 }
 
-// endAttempt runs with l.mu held.
-func (l *live) endAttempt(id ident.AttemptID, answered bool, cause request.Cause) {
+// endAttempt removes the attempt, closes its stream and reports its end to the
+// Picker. The caller holds l.mu.
+func (l *requestState) endAttempt(id ident.AttemptID, answered bool, cause request.Cause) {
 	a, ok := l.attempts[id]
 	if !ok {
 		return
 	}
 	delete(l.attempts, id)
 	a.cancel()
-	l.m.c.Picker.Ended(l.job(request.Pick{}), Attempt{
+	l.m.c.Picker.Ended(l.pickJob(request.Pick{}), AttemptResult{
 		Runner:       a.choice.Runner,
 		Address:      a.choice.Address,
 		Answered:     answered,
 		Cause:        cause,
-		Tokens:       l.machine.Answer().Offset() - a.from,
-		CachedTokens: a.cached,
+		Tokens:       l.machine.Answer().Offset() - a.startOffset,
+		CachedTokens: a.cachedTokens,
 	})
 }
 
-// abandon closes the attempt's connection and tells the runner, which would
-// otherwise go on computing for no one.
-func (l *live) abandon(e request.AbandonAttempt) {
+// abandon closes the attempt's connection and cancels the attempt at the
+// runner, which would otherwise go on computing tokens that nobody reads.
+func (l *requestState) abandon(e request.AbandonAttempt) {
 	if e.Cause != "" {
 		l.m.count("attempts.abandoned." + string(e.Cause))
 	}
@@ -375,25 +389,25 @@
 	})
 }
 
-func (l *live) export(e request.ExportCache) {
-	handle, err := l.moveCache(e)
+func (l *requestState) exportCache(e request.ExportCache) {
+	handle, err := l.transferCache(e)
 	if err != nil {
 		l.m.count("attempts.export_failed")
 	}
 	l.step(request.CacheExported{Attempt: e.Attempt, Target: e.To, Handle: handle})
 }
 
-func (l *live) moveCache(e request.ExportCache) (string, error) {
+func (l *requestState) transferCache(e request.ExportCache) (string, error) {
 	l.mu.Lock()
 	from, to := l.choice(e.From), l.choice(e.To)
 	l.mu.Unlock()
 	exported, err := l.m.c.Engines.Export(l.ctx, from.Address, engineapi.ExportRequest{AttemptID: string(e.Attempt)})
 	if err != nil {
-		return "", fmt.Errorf("export from %s: %w", e.From, err)
+		return "", fmt.Errorf("export KV cache from runner %s: %w", e.From, err)
 	}
 	imported, err := l.m.c.Engines.Import(l.ctx, to.Address, engineapi.ImportRequest{Source: from.Address, Handle: exported.Handle})
 	if err != nil {
-		return "", fmt.Errorf("import at %s: %w", e.To, err)
+		return "", fmt.Errorf("import KV cache at runner %s: %w", e.To, err)
 	}
 	return imported.Handle, nil
 }
--- a/daemon/orders/fleet_test.go
+++ b/daemon/orders/fleet_test.go
@@ -10,89 +10,92 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-const fleetDuty = "fleet/chat"
+const fleetResponsibility = "fleet/chat"
 
-// exactly checks that the fleet reaches n VMs and never has more.
-func (w *world) exactly(n int, during time.Duration) {
+// expectVMCount checks that the number of VMs never exceeds n, and that it is n at
+// the end of the given time.
+func (c *cluster) expectVMCount(n int, during time.Duration) {
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		w.True(len(w.running()) <= n) // never a VM too many
+		c.True(len(c.runningVMs()) <= n) // no excess VM
 	}
-	w.Equal(len(w.running()), n)
+	c.Equal(len(c.runningVMs()), n)
 }
 
-// The cloud starts VMs and its answers are lost. If the holder asked anew, each
-// lost answer would be a second VM that nobody wants and everybody pays.
-func TestAnswerOfStartLost(t *testing.T) {
-	bubble(t, base(4, true), lease.DefaultTiming(), func(w *world) {
-		w.cloud.SetFaults(standin.Faults{LoseAnswers: 3})
-		w.exactly(4, 2*time.Minute)
-		w.Equal(w.cloud.Faults().LoseAnswers, 0)
+// The cloud starts VMs and its responses are lost. If the holder repeated the
+// calls with new tokens, each lost response would cause a second, unneeded VM.
+func TestStartResponseLost(t *testing.T) {
+	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(c *cluster) {
+		c.cloud.SetFaults(standin.Faults{LoseAnswers: 3})
+		c.expectVMCount(4, 2*time.Minute)
+		c.Equal(c.cloud.Faults().LoseAnswers, 0)
 	})
 }
 
-// The holder dies right before or after the cloud has started a VM, with the
-// start in the ledger and no answer. The next holder, whose list does not show
-// the VM yet, must repeat the start, not begin another.
+// The holder crashes directly before or after the cloud has started a VM, when the
+// ledger has the start but no answer. The cloud's list doesn't show the VM yet.
+// The next holder must repeat the same start instead of starting another VM.
 func TestHolderDiesDuringStart(t *testing.T) {
 	for _, call := range []string{"start", "started"} {
-		laggingBubble(t, base(4, true), lease.DefaultTiming(), longLag, func(w *world) {
-			w.until(time.Second, "a holder", func() bool { return len(w.leases()) == 2 && w.holder(fleetDuty) != nil })
-			first := w.holder(fleetDuty)
-			first.at(call, first.kill)
-			w.exactly(4, 2*time.Minute)
-			w.True(w.holder(fleetDuty) != first)
+		withClusterAndListLag(t, baseManifest(4, true), lease.DefaultTiming(), longLag, func(c *cluster) {
+			c.waitUntil(time.Second, "a holder", func() bool { return len(c.heldLeases()) == 2 && c.holder(fleetResponsibility) != nil })
+			first := c.holder(fleetResponsibility)
+			first.beforeNext(call, first.kill)
+			c.expectVMCount(4, 2*time.Minute)
+			c.True(c.holder(fleetResponsibility) != first)
 		})
 	}
 }
 
-// The holder is paused right before it asks the cloud for a VM, and wakes when
-// another has taken over and repeated the start from the ledger.
+// The holder is paused directly before it calls the cloud to start a VM, and
+// resumes after another daemon has taken over and repeated the start from the
+// ledger. The late call must not start another VM.
 func TestHolderPausedBeforeStart(t *testing.T) {
-	bubble(t, base(4, true), lease.DefaultTiming(), func(w *world) {
-		w.until(time.Second, "a holder", func() bool { return len(w.leases()) == 2 && w.holder(fleetDuty) != nil })
-		first := w.holder(fleetDuty)
-		first.at("start", first.pause)
+	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitUntil(time.Second, "a holder", func() bool { return len(c.heldLeases()) == 2 && c.holder(fleetResponsibility) != nil })
+		first := c.holder(fleetResponsibility)
+		first.beforeNext("start", first.pause)
 		time.Sleep(time.Minute)
-		w.Equal(len(w.running()), 4)
+		c.Equal(len(c.runningVMs()), 4)
 		first.resume()
-		w.exactly(4, 2*time.Minute)
+		c.expectVMCount(4, 2*time.Minute)
 	})
 }
 
-// A VM dies after the cloud has started it and before its answer was written
-// down. Its token can't be answered any more; repeating it for ever would keep
-// the service without a replacement.
-func TestVMGoneBeforeItsAnswerIsKnown(t *testing.T) {
-	bubble(t, base(2, true), lease.DefaultTiming(), func(w *world) {
-		w.cloud.SetFaults(standin.Faults{LoseAnswers: 1})
-		w.until(3*time.Second, "a VM", func() bool { return len(w.running()) > 0 && w.cloud.Faults().LoseAnswers == 0 })
-		for _, vm := range w.running() {
-			w.cloud.Kill(vm.ID)
+// A VM ends after the cloud has started it and before the holder has recorded the
+// cloud's answer. The cloud can no longer return a VM for the start's token. If
+// the holder repeated the start forever, the service would get no replacement.
+func TestVMGoneBeforeStartResponseIsKnown(t *testing.T) {
+	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
+		c.cloud.SetFaults(standin.Faults{LoseAnswers: 1})
+		c.waitUntil(3*time.Second, "a VM", func() bool { return len(c.runningVMs()) > 0 && c.cloud.Faults().LoseAnswers == 0 })
+		for _, vm := range c.runningVMs() {
+			c.cloud.Kill(vm.ID)
 		}
-		w.settled(2, "1")
-		w.Equal(len(w.running()), 2)
+		c.waitSettled(2, "1")
+		c.Equal(len(c.runningVMs()), 2)
 	})
 }
 
-// A wave reclaims a failure domain's VMs, and reclaimable starts are refused
-// there just then. Replacements must come from elsewhere within seconds.
-func TestRefusedStartsInWave(t *testing.T) {
-	m := base(4, true)
+// The cloud reclaims all VMs of a failure domain and then refuses to start
+// reclaimable VMs there. Replacements must be started in other pools within
+// seconds.
+func TestRefusedStartsDuringReclaimWave(t *testing.T) {
+	m := baseManifest(4, true)
 	m.Fleet.SurviveDomainLoss = true
-	bubble(t, m, lease.DefaultTiming(), func(w *world) {
-		w.settled(8, "1")
-		lost := len(w.cloud.ReclaimDomain("a", 30*time.Second))
-		w.True(lost > 0)
-		w.until(10*time.Second, "replacements", func() bool { return w.spared("a") >= 4 && w.spared("b") >= 4 })
-		w.True(w.counter("fleet.start_refused") > 0)
-		w.True(w.counter("fleet.start_refused") <= 2*int64(lost)) // the pool is left alone for a while
+	withCluster(t, m, lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(8, "1")
+		lost := len(c.cloud.ReclaimDomain("a", 30*time.Second))
+		c.True(lost > 0)
+		c.waitUntil(10*time.Second, "replacements", func() bool { return c.runningOutside("a") >= 4 && c.runningOutside("b") >= 4 })
+		c.True(c.counter("fleet.start_refused") > 0)
+		c.True(c.counter("fleet.start_refused") <= 2*int64(lost)) // the pool is not tried again for a while
 	})
 }
 
-// spared counts the running VMs that the loss of a failure domain would leave.
-func (w *world) spared(lost ident.FailureDomain) int {
+// runningOutside returns the number of running VMs outside a failure domain.
+func (c *cluster) runningOutside(lost ident.FailureDomain) int {
 	n := 0
-	for _, vm := range w.running() {
+	for _, vm := range c.runningVMs() {
 		if vm.FailureDomain != lost {
 			n++
 		}
@@ -100,60 +103,61 @@
 	return n
 }
 
-// An operator asks for fewer runners. Their work must end well: each VM that
-// goes was announced as leaving to all daemons its whole grace before.
+// An operator reduces the number of runners. Work in progress must not be lost:
+// each VM must be announced as leaving to all daemons at least its whole grace
+// period before it is stopped.
 func TestPlannedStopIsGraceful(t *testing.T) {
-	bubble(t, base(6, true), lease.DefaultTiming(), func(w *world) {
-		w.settled(6, "1")
-		w.shrink(2)
-		w.until(10*time.Minute, "stops", func() bool { return len(w.running()) == 2 })
-		w.stoppedGracefully(4)
+	withCluster(t, baseManifest(6, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(6, "1")
+		c.setRunners(2)
+		c.waitUntil(10*time.Minute, "stops", func() bool { return len(c.runningVMs()) == 2 })
+		c.expectGracefulStops(4)
 	})
 }
 
-func (w *world) shrink(n int) {
-	w.apply(func(m *manifest.Manifest) { m.Services[0].Runners = n })
+func (c *cluster) setRunners(n int) {
+	c.updateManifest(func(m *manifest.Manifest) { m.Services[0].Runners = n })
 }
 
-func (w *world) stoppedGracefully(n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.Equal(len(w.removed), n)
-	for id, at := range w.removed {
-		announced, ok := w.announced[id]
-		w.True(ok)
-		w.True(at.Sub(announced) >= grace)
+func (c *cluster) expectGracefulStops(n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.Equal(len(c.removed), n)
+	for id, at := range c.removed {
+		announced, ok := c.announced[id]
+		c.True(ok)
+		c.True(at.Sub(announced) >= stopGrace)
 	}
 }
 
-// The holder has written planned stops into the ledger and dies before it has
-// announced them. Its successor comes when the grace would be over, and must
-// give it all the same.
+// The holder has written planned stops to the ledger and crashes before it has
+// announced them. Its successor takes over when the grace period would have ended
+// and must still give the VMs the whole grace period.
 func TestHolderDiesBeforeAnnouncingStop(t *testing.T) {
-	bubble(t, base(4, true), lease.DefaultTiming(), func(w *world) {
-		w.settled(4, "1")
-		first := w.holder(fleetDuty)
-		// The ledger's next write is that of the stops.
-		first.at("swapped", first.kill)
-		w.shrink(2)
-		w.until(10*time.Minute, "stops", func() bool { return len(w.running()) == 2 })
-		w.stoppedGracefully(2)
-		w.True(w.holder(fleetDuty) != first)
+	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(4, "1")
+		first := c.holder(fleetResponsibility)
+		// The next write to the key-value service is that of the ledger with the stops.
+		first.beforeNext("swapped", first.kill)
+		c.setRunners(2)
+		c.waitUntil(10*time.Minute, "stops", func() bool { return len(c.runningVMs()) == 2 })
+		c.expectGracefulStops(2)
+		c.True(c.holder(fleetResponsibility) != first)
 	})
 }
 
-// Two services share a cost bound. Planned each for itself with the whole of
-// it, they would spend it twice.
+// Two services share a cost limit. If each were planned with the whole limit, they
+// would together spend twice the limit.
 func TestServicesShareCostBound(t *testing.T) {
-	m := base(6, true)
+	m := baseManifest(6, true)
 	m.Services = append(m.Services, manifest.Service{Name: "plain", Kind: manifest.KindPlain, Runners: 2})
 	m.Fleet.MaxCostPerHour = 4
-	bubble(t, m, lease.DefaultTiming(), func(w *world) {
+	withCluster(t, m, lease.DefaultTiming(), func(c *cluster) {
 		time.Sleep(time.Minute)
 		count := map[string]int{}
-		for _, vm := range w.running() {
+		for _, vm := range c.runningVMs() {
 			count[vm.Service]++
 		}
-		w.Equal(count, map[string]int{service: 3, "plain": 1})
+		c.Equal(count, map[string]int{service: 3, "plain": 1})
 	})
 }
--- a/daemon/orders/rollout_test.go
+++ b/daemon/orders/rollout_test.go
@@ -10,141 +10,144 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// watch checks an invariant twice a second until a condition holds.
-func (w *world) watch(bound time.Duration, reached func() bool, invariant func()) {
+// checkInvariantUntil checks an invariant twice a second until a condition is
+// reached, which must happen within bound.
+func (c *cluster) checkInvariantUntil(bound time.Duration, reached func() bool, invariant func()) {
 	for end := time.Now().Add(bound); !reached(); time.Sleep(500 * time.Millisecond) {
-		w.True(time.Now().Before(end)) // reached within the bound
+		c.True(time.Now().Before(end)) // condition not reached in time
 		invariant()
 	}
 }
 
-func (w *world) loads() map[string]engineapi.Load {
+func (c *cluster) loads() map[string]engineapi.Load {
 	out := map[string]engineapi.Load{}
-	for _, vm := range w.running() {
-		out[vm.ID] = w.engine(vm.Address).Load()
+	for _, vm := range c.runningVMs() {
+		out[vm.ID] = c.engine(vm.Address).Load()
 	}
 	return out
 }
 
-func loading(l engineapi.Load) bool {
-	return slices.ContainsFunc(l.Models, func(m engineapi.Loaded) bool { return m.Loading })
+func isLoading(l engineapi.Load) bool {
+	return slices.ContainsFunc(l.Models, func(m engineapi.LoadedModel) bool { return m.Loading })
 }
 
-// An operator changes a model's version. Callers must not see capacity fall: at
-// most a quarter of the runners load at once, and each serves the old version
-// until it has the new one; in the end only the new one is there.
+// An operator changes a model's version. Capacity must not drop: at most a quarter
+// of the runners load at the same time, and each serves the old version until the
+// new one is loaded. In the end the runners have only the new version.
 func TestRollingUpdate(t *testing.T) {
-	bubble(t, base(8, false), lease.DefaultTiming(), func(w *world) {
-		w.settled(8, "1")
-		w.version("2")
-		w.watch(10*time.Minute, func() bool { return w.serving("2") == 8 && w.serving("1") == 0 }, func() {
-			busy := 0
-			for _, l := range w.loads() {
-				w.True(holds(l, "1") || holds(l, "2"))
-				if loading(l) {
-					busy++
+	withCluster(t, baseManifest(8, false), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(8, "1")
+		c.setVersion("2")
+		c.checkInvariantUntil(10*time.Minute, func() bool { return c.servingCount("2") == 8 && c.servingCount("1") == 0 }, func() {
+			loadingCount := 0
+			for _, l := range c.loads() {
+				c.True(hasLoaded(l, "1") || hasLoaded(l, "2"))
+				if isLoading(l) {
+					loadingCount++
 				}
 			}
-			w.True(busy <= 2)
+			c.True(loadingCount <= 2)
 		})
 	})
 }
 
-// A manifest asks for a canary on a quarter of the runners. The others keep the
-// version, and when the canary is withdrawn all are as before.
+// The manifest specifies a canary on a quarter of the runners. The others must
+// keep the old version, and all must have it again after the canary is removed.
 func TestCanary(t *testing.T) {
-	bubble(t, base(8, false), lease.DefaultTiming(), func(w *world) {
-		w.settled(8, "1")
-		w.apply(func(m *manifest.Manifest) { m.Models[0].Canary = &manifest.Canary{Version: "2", Share: 0.25} })
-		w.until(2*time.Minute, "the canary", func() bool { return w.serving("2") == 2 && w.serving("1") == 6 })
+	withCluster(t, baseManifest(8, false), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(8, "1")
+		c.updateManifest(func(m *manifest.Manifest) { m.Models[0].Canary = &manifest.Canary{Version: "2", Share: 0.25} })
+		c.waitUntil(2*time.Minute, "the canary", func() bool { return c.servingCount("2") == 2 && c.servingCount("1") == 6 })
 		time.Sleep(2 * time.Minute)
-		w.Equal(w.serving("2"), 2)
-		w.Equal(w.serving("1"), 6)
-		w.apply(func(m *manifest.Manifest) { m.Models[0].Canary = nil })
-		w.until(2*time.Minute, "the canary's end", func() bool { return w.serving("1") == 8 && w.serving("2") == 0 })
+		c.Equal(c.servingCount("2"), 2)
+		c.Equal(c.servingCount("1"), 6)
+		c.updateManifest(func(m *manifest.Manifest) { m.Models[0].Canary = nil })
+		c.waitUntil(2*time.Minute, "the canary's end", func() bool { return c.servingCount("1") == 8 && c.servingCount("2") == 0 })
 	})
 }
 
-// A manifest gives a service's runners a role. All of them must take it, one that
-// starts later too, and a withdrawn role leaves them as they are.
+// The manifest specifies a role for a service's runners. All of them must take it,
+// including those that start later, and they must keep it after it is removed from
+// the manifest.
 func TestRole(t *testing.T) {
-	bubble(t, base(4, false), lease.DefaultTiming(), func(w *world) {
+	withCluster(t, baseManifest(4, false), lease.DefaultTiming(), func(c *cluster) {
 		inRole := func(role string) int {
 			n := 0
-			for _, l := range w.loads() {
+			for _, l := range c.loads() {
 				if l.Role == role {
 					n++
 				}
 			}
 			return n
 		}
-		w.settled(4, "1")
-		w.apply(func(m *manifest.Manifest) { m.Services[0].Role = "decode" })
-		w.until(2*time.Minute, "the role", func() bool { return inRole("decode") == 4 })
-		w.apply(func(m *manifest.Manifest) { m.Services[0].Runners = 6 })
-		w.until(5*time.Minute, "the role on new runners", func() bool { return inRole("decode") >= 6 })
-		w.apply(func(m *manifest.Manifest) { m.Services[0].Role = "" })
+		c.waitSettled(4, "1")
+		c.updateManifest(func(m *manifest.Manifest) { m.Services[0].Role = "decode" })
+		c.waitUntil(2*time.Minute, "the role", func() bool { return inRole("decode") == 4 })
+		c.updateManifest(func(m *manifest.Manifest) { m.Services[0].Runners = 6 })
+		c.waitUntil(5*time.Minute, "the role on new runners", func() bool { return inRole("decode") >= 6 })
+		c.updateManifest(func(m *manifest.Manifest) { m.Services[0].Role = "" })
 		time.Sleep(2 * time.Minute)
-		w.True(inRole("decode") >= 6)
+		c.True(inRole("decode") >= 6)
 	})
 }
 
-// An operator names a version that the weight store does not have. The runners
-// must go on with the old one, and the store, which all share, must not be
-// asked every second for ever.
+// An operator specifies a version that the weight store doesn't have. The runners
+// must keep serving the old one, and the weight store, which all services share,
+// must not be queried every second forever.
 func TestMissingWeightsBackOff(t *testing.T) {
-	bubble(t, base(2, true), lease.DefaultTiming(), func(w *world) {
-		w.settled(2, "1")
-		before, _ := w.weights.Calls()
-		w.version("nowhere")
+	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(2, "1")
+		before, _ := c.weights.Calls()
+		c.setVersion("nowhere")
 		time.Sleep(10 * time.Minute)
-		after, _ := w.weights.Calls()
-		w.True(after-before >= 4)
-		w.True(after-before <= 20)
-		w.Equal(w.serving("1"), 2)
+		after, _ := c.weights.Calls()
+		c.True(after-before >= 4)
+		c.True(after-before <= 20)
+		c.Equal(c.servingCount("1"), 2)
 	})
 }
 
-// A runner has its notice, and the directory does not know yet. It says so
-// itself with its report; an order would make it load weights for nothing.
+// A runner has received its reclaim notice and the directory doesn't know it yet.
+// The runner's report contains the notice. It must get no order, which would make
+// it load weights in vain.
 func TestLeavingRunnerGetsNoOrder(t *testing.T) {
-	bubble(t, base(2, true), lease.DefaultTiming(), func(w *world) {
-		w.settled(2, "1")
-		leaving := w.running()[0]
-		w.engine(leaving.Address).Notice(time.Minute)
+	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(2, "1")
+		leaving := c.runningVMs()[0]
+		c.engine(leaving.Address).Notice(time.Minute)
 		time.Sleep(time.Second)
 		noticed := time.Now()
-		w.version("2")
+		c.setVersion("2")
 		time.Sleep(30 * time.Second)
-		for _, o := range w.orders() {
-			w.True(o.address != leaving.Address || o.at.Before(noticed))
+		for _, o := range c.deliveredOrders() {
+			c.True(o.address != leaving.Address || o.at.Before(noticed))
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.True(!w.announced[leaving.Address].IsZero()) // and the others are told
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.True(!c.announced[leaving.Address].IsZero()) // the notice was passed on to the directory
 	})
 }
 
-// A shard is as it should be for hours. Asking its runners every second for
-// nothing would cost more than all other control; a runner that loses a model
-// must be mended all the same.
-func TestSettledShardIsLookedAtSeldom(t *testing.T) {
-	bubble(t, base(2, true), lease.DefaultTiming(), func(w *world) {
-		w.settled(2, "1")
-		before := w.reported()
+// Nothing changes in a shard for a long time. Polling its runners every second
+// would cost more than all other control traffic, so they must be polled less
+// often. A runner that loses a model must still be repaired within seconds.
+func TestSettledShardIsPolledRarely(t *testing.T) {
+	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(2, "1")
+		before := c.reportCount()
 		time.Sleep(5 * time.Minute)
-		w.True(w.reported()-before <= 2*31)
-		w.NoErr(w.engine(w.running()[0].Address).Order(engineapi.Order{
+		c.True(c.reportCount()-before <= 2*31)
+		c.NoErr(c.engine(c.runningVMs()[0].Address).Order(engineapi.Order{
 			Kind: engineapi.OrderUnload, Model: "m", Version: "1", Fencing: 1 << 40,
 		}))
-		w.until(time.Second, "the loss", func() bool { return w.serving("1") == 1 })
-		w.until(15*time.Second, "an order", func() bool { return w.counter("orders.failed.runner_refused") > 0 })
+		c.waitUntil(time.Second, "the loss", func() bool { return c.servingCount("1") == 1 })
+		c.waitUntil(15*time.Second, "an order", func() bool { return c.counter("orders.failed.runner_refused") > 0 })
 	})
 }
 
-// reported counts the reports that were asked for.
-func (w *world) reported() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.reports
+// reportCount returns the number of reports that daemons have requested.
+func (c *cluster) reportCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.reports
 }
