--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -66,8 +66,8 @@
 	// newest is the newest head read from the key-value service, with its
 	// history. It is zero if the configuration came only from peers.
 	newest config.Head
-	// activatedAt is when this daemon activated the configuration now in force.
-	activatedAt time.Time
+	// activated is when this daemon activated the configuration now in force.
+	activated time.Time
 	// lastStoreResponse is when the key-value service last responded.
 	lastStoreResponse time.Time
 	// publishedRevision is the table revision that publishChangesLocked last
@@ -250,7 +250,7 @@
 func (c *Control) activationTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.activatedAt
+	return c.activated
 }
 
 func (c *Control) membersLocked() []membership.Member {
--- a/daemon/control/follow.go
+++ b/daemon/control/follow.go
@@ -60,7 +60,7 @@
 	c.counters.activated.Inc(1)
 	klog.InfoS("Configuration in force", "generation", e.Head.Generation, "author", e.Head.Author)
 	c.table.SetGeneration(e.Head.Generation)
-	c.activatedAt = time.Now()
+	c.activated = time.Now()
 	close(c.configChanged)
 	c.configChanged = make(chan struct{})
 }
--- a/daemon/control/history_test.go
+++ b/daemon/control/history_test.go
@@ -244,12 +244,12 @@
 	time.Sleep(3 * time.Second)
 }
 
-func runHistory(t *testing.T, seed uint64, careless bool) (r *historyRun) {
+func runHistory(t *testing.T, seed uint64, newIDOnRetry bool) (r *historyRun) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
 		r = &historyRun{
-			fleet: f, random: rand.New(rand.NewPCG(seed, 1)), newIDOnRetry: careless,
+			fleet: f, random: rand.New(rand.NewPCG(seed, 1)), newIDOnRetry: newIDOnRetry,
 			reads: map[ident.Incarnation]*history{}, done: make(chan struct{}),
 		}
 		f.waitUntil(5*time.Second, "all daemons see each other as live", f.allLive)
--- a/daemon/control/platform.go
+++ b/daemon/control/platform.go
@@ -38,8 +38,8 @@
 	var next time.Time
 	confirming := false
 	for {
-		onDuty := c.isDesignated(rotationSlot(time.Now()))
-		if (onDuty || confirming) && !time.Now().Before(next) {
+		isDesignated := c.isDesignated(rotationSlot(time.Now()))
+		if (isDesignated || confirming) && !time.Now().Before(next) {
 			var delay time.Duration
 			delay, confirming = c.readList(ctx)
 			next = time.Now().Add(delay)
