--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -32,19 +32,19 @@
 		credentials = append(credentials, adminapi.Credential{Name: c.Name, KeyHash: c.KeyHash, Role: adminapi.Role(c.Role)})
 	}
 	return adminapi.NewHandler(adminapi.Config{
-		Control: d.control, Store: d.store, Credentials: credentials, Usage: d.usageList,
+		Control: d.control, Store: d.store, Credentials: credentials, Usage: d.listUsage,
 	})
 }
 
-func (d *Daemon) usageList() []adminapi.Usage {
+func (d *Daemon) listUsage() []adminapi.Usage {
 	var out []adminapi.Usage
-	for ws, c := range d.usage.Snapshot() {
+	for workspace, c := range d.usage.Snapshot() {
 		refused := map[string]int64{}
 		for reason, n := range c.Refused {
 			refused[string(reason)] = n
 		}
 		out = append(out, adminapi.Usage{
-			Workspace: string(ws), Accepted: c.Accepted, Answered: c.Answered,
+			Workspace: string(workspace), Accepted: c.Accepted, Answered: c.Answered,
 			GeneratedTokens: c.GeneratedTokens, Refused: refused,
 		})
 	}
@@ -53,27 +53,27 @@
 }
 
 // health says that the process answers.
-func (d *Daemon) health(w http.ResponseWriter, _ *http.Request) { answerProbe(w, true, "ok") }
+func (d *Daemon) health(w http.ResponseWriter, _ *http.Request) { writeProbeResponse(w, true, "ok") }
 
 // ready says whether callers should be sent here: a configuration is in force
 // and no shutdown has begun.
 func (d *Daemon) ready(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-d.draining:
-		answerProbe(w, false, "draining")
+		writeProbeResponse(w, false, "draining")
 		return
 	default:
 	}
 	if m, _ := d.control.Current(); m == nil {
-		answerProbe(w, false, "no configuration in force")
+		writeProbeResponse(w, false, "no configuration in force")
 		return
 	}
-	answerProbe(w, true, "ready")
+	writeProbeResponse(w, true, "ready")
 }
 
-func answerProbe(w http.ResponseWriter, good bool, text string) {
+func writeProbeResponse(w http.ResponseWriter, ok bool, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	if !good {
+	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	// The prober has gone when this fails; there is nobody to tell.
--- a/daemon/adminapi/adminapi.go
+++ b/daemon/adminapi/adminapi.go
@@ -93,7 +93,7 @@
 	}
 	outcome, err := s.submit(ctx, "apply", control.Submission{
 		Manifest: m, ID: r.Msg.GetSubmissionId(),
-		Expected: r.Msg.GetExpectedGeneration(), Wait: waitOf(r.Msg.GetWaitMs()),
+		Expected: r.Msg.GetExpectedGeneration(), Wait: waitDuration(r.Msg.GetWaitMs()),
 	})
 	if err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 	action := fmt.Sprintf("rollback to %d", r.Msg.GetToGeneration())
 	outcome, err := s.submit(ctx, action, control.Submission{
 		Manifest: m, ID: r.Msg.GetSubmissionId(),
-		Expected: r.Msg.GetExpectedGeneration(), Wait: waitOf(r.Msg.GetWaitMs()),
+		Expected: r.Msg.GetExpectedGeneration(), Wait: waitDuration(r.Msg.GetWaitMs()),
 	})
 	if err != nil {
 		return nil, err
@@ -154,7 +154,7 @@
 	s.audit.record(ctx, r)
 }
 
-func waitOf(millis int64) time.Duration {
+func waitDuration(millis int64) time.Duration {
 	switch {
 	case millis == 0:
 		return DefaultWait
--- a/daemon/adminapi/adminapi_test.go
+++ b/daemon/adminapi/adminapi_test.go
@@ -24,13 +24,13 @@
 	"geraniumstack.org/geraniumstack/standin/kvserver"
 )
 
-// direct calls a handler without a network.
-type direct struct {
+// handlerTransport calls a handler without a network.
+type handlerTransport struct {
 	http.Handler
 	key string
 }
 
-func (d direct) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if d.key != "" {
 		r.Header.Set("Authorization", "Bearer "+d.key)
 	}
@@ -39,15 +39,15 @@
 	return recorder.Result(), nil
 }
 
-type bench struct {
+type testDaemon struct {
 	store   *kvserver.Store
 	control *control.Control
 	handler http.Handler
 }
 
-// as returns the client of whoever has a key.
-func (b *bench) as(key string) adminv1connect.AdminServiceClient {
-	return adminv1connect.NewAdminServiceClient(&http.Client{Transport: direct{b.handler, key}}, "http://admin")
+// clientWithKey returns the client of whoever has a key.
+func (b *testDaemon) clientWithKey(key string) adminv1connect.AdminServiceClient {
+	return adminv1connect.NewAdminServiceClient(&http.Client{Transport: handlerTransport{b.handler, key}}, "http://admin")
 }
 
 func credential(name string, role adminapi.Role) adminapi.Credential {
@@ -56,7 +56,7 @@
 }
 
 // withDaemon runs a test with one daemon of one failure domain in virtual time.
-func withDaemon(t *testing.T, test func(is *is.I, b *bench)) {
+func withDaemon(t *testing.T, test func(is *is.I, b *testDaemon)) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvserver.New()
 		c := control.New(control.Config{
@@ -64,7 +64,7 @@
 				ID: "entry-0", Incarnation: "entry-0~01", FailureDomain: "lima-norte",
 				CallerAddress: "10.0.0.1:8000", PeerAddress: "10.0.0.1:7000",
 			},
-			Store: store, HTTPClient: &http.Client{Transport: direct{Handler: http.NotFoundHandler()}},
+			Store: store, HTTPClient: &http.Client{Transport: handlerTransport{Handler: http.NotFoundHandler()}},
 		})
 		_, handler := adminapi.NewHandler(adminapi.Config{
 			Control: c, Store: store,
@@ -77,7 +77,7 @@
 		done := make(chan error)
 		go func() { done <- c.Run(ctx) }()
 		synctest.Wait()
-		test(is.New(t), &bench{store, c, handler})
+		test(is.New(t), &testDaemon{store, c, handler})
 		cancel()
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -86,7 +86,7 @@
 	})
 }
 
-func example(t *testing.T) []byte {
+func exampleManifest(t *testing.T) []byte {
 	t.Helper()
 	data, err := os.ReadFile("../../examples/huaman.json")
 	if err != nil {
@@ -95,26 +95,26 @@
 	return data
 }
 
-func apply(b *bench, data []byte, id string, expected int64) (*connect.Response[adminv1.ApplyResponse], error) {
-	return b.as("ana-key").Apply(context.Background(), connect.NewRequest(&adminv1.ApplyRequest{
+func apply(b *testDaemon, data []byte, id string, expected int64) (*connect.Response[adminv1.ApplyResponse], error) {
+	return b.clientWithKey("ana-key").Apply(context.Background(), connect.NewRequest(&adminv1.ApplyRequest{
 		Manifest: data, SubmissionId: id, ExpectedGeneration: expected,
 	}))
 }
 
 func TestOnlyOperatorsChangeAnything(t *testing.T) {
-	withDaemon(t, func(is *is.I, b *bench) {
+	withDaemon(t, func(is *is.I, b *testDaemon) {
 		ctx := context.Background()
 		for _, key := range []string{"", "wrong"} {
-			_, err := b.as(key).Status(ctx, connect.NewRequest(&adminv1.StatusRequest{}))
+			_, err := b.clientWithKey(key).Status(ctx, connect.NewRequest(&adminv1.StatusRequest{}))
 			is.Equal(connect.CodeOf(err), connect.CodeUnauthenticated)
 		}
-		viewer := b.as("vera-key")
+		viewer := b.clientWithKey("vera-key")
 		_, err := viewer.Status(ctx, connect.NewRequest(&adminv1.StatusRequest{}))
 		is.NoErr(err)
 		usage, err := viewer.Usage(ctx, connect.NewRequest(&adminv1.UsageRequest{}))
 		is.NoErr(err)
 		is.Equal(usage.Msg.GetWorkspaces()[0].GetRefused()["overloaded"], int64(1))
-		_, err = viewer.Apply(ctx, connect.NewRequest(&adminv1.ApplyRequest{Manifest: example(t), SubmissionId: "x"}))
+		_, err = viewer.Apply(ctx, connect.NewRequest(&adminv1.ApplyRequest{Manifest: exampleManifest(t), SubmissionId: "x"}))
 		is.Equal(connect.CodeOf(err), connect.CodePermissionDenied)
 		_, err = viewer.Drain(ctx, connect.NewRequest(&adminv1.DrainRequest{Target: "entry-0"}))
 		is.Equal(connect.CodeOf(err), connect.CodePermissionDenied)
@@ -124,18 +124,18 @@
 }
 
 func TestApplyDiffRollbackAndHistory(t *testing.T) {
-	withDaemon(t, func(is *is.I, b *bench) {
+	withDaemon(t, func(is *is.I, b *testDaemon) {
 		ctx := context.Background()
-		response, err := apply(b, example(t), "one", 0)
+		response, err := apply(b, exampleManifest(t), "one", 0)
 		is.NoErr(err)
 		is.Equal(response.Msg.GetGeneration(), uint64(1))
 		is.True(response.Msg.GetInForceEverywhere())
-		repeated, err := apply(b, example(t), "one", 0)
+		repeated, err := apply(b, exampleManifest(t), "one", 0)
 		is.NoErr(err)
 		is.Equal(repeated.Msg.GetGeneration(), uint64(1)) // the same submission is accepted once
 
-		changed := []byte(strings.Replace(string(example(t)), `"runners": 12`, `"runners": 13`, 1))
-		diff, err := b.as("vera-key").Diff(ctx, connect.NewRequest(&adminv1.DiffRequest{Manifest: changed}))
+		changed := []byte(strings.Replace(string(exampleManifest(t)), `"runners": 12`, `"runners": 13`, 1))
+		diff, err := b.clientWithKey("vera-key").Diff(ctx, connect.NewRequest(&adminv1.DiffRequest{Manifest: changed}))
 		is.NoErr(err)
 		is.Equal(len(diff.Msg.GetChanges()), 1)
 		is.Equal(diff.Msg.GetChanges()[0].GetPath(), "/services/asistente/runners")
@@ -145,7 +145,7 @@
 		is.Equal(connect.CodeOf(err), connect.CodeAborted)
 		is.True(strings.Contains(err.Error(), "generation 2"))
 
-		back, err := b.as("ana-key").Rollback(ctx, connect.NewRequest(&adminv1.RollbackRequest{
+		back, err := b.clientWithKey("ana-key").Rollback(ctx, connect.NewRequest(&adminv1.RollbackRequest{
 			ToGeneration: 1, ExpectedGeneration: 2, SubmissionId: "four",
 		}))
 		is.NoErr(err)
@@ -153,7 +153,7 @@
 		m, _ := b.control.Current()
 		is.Equal(m.Services[0].Runners, 12)
 
-		history, err := b.as("vera-key").History(ctx, connect.NewRequest(&adminv1.HistoryRequest{}))
+		history, err := b.clientWithKey("vera-key").History(ctx, connect.NewRequest(&adminv1.HistoryRequest{}))
 		is.NoErr(err)
 		is.Equal(len(history.Msg.GetEntries()), 3)
 		is.Equal(history.Msg.GetEntries()[0].GetAuthor(), "ana")
@@ -162,9 +162,9 @@
 }
 
 func TestApplyReportsEveryProblem(t *testing.T) {
-	withDaemon(t, func(is *is.I, b *bench) {
+	withDaemon(t, func(is *is.I, b *testDaemon) {
 		var m map[string]any
-		is.NoErr(json.Unmarshal(example(t), &m))
+		is.NoErr(json.Unmarshal(exampleManifest(t), &m))
 		fleet := m["fleet"].(map[string]any)
 		fleet["max_cost_per_hour"] = 1
 		fleet["failure_domains"] = []string{"one"}
@@ -175,7 +175,7 @@
 		var e *connect.Error
 		is.True(asError(err, &e))
 		is.Equal(len(e.Details()), 2)
-		_, err = apply(b, example(t), "", 0)
+		_, err = apply(b, exampleManifest(t), "", 0)
 		is.Equal(connect.CodeOf(err), connect.CodeInvalidArgument)
 	})
 }
@@ -183,9 +183,9 @@
 // The key-value service is down when an operator applies a manifest. An answer
 // that left it open whether it was accepted would make the operator guess.
 func TestApplyInOutageSaysThatNothingHappened(t *testing.T) {
-	withDaemon(t, func(is *is.I, b *bench) {
+	withDaemon(t, func(is *is.I, b *testDaemon) {
 		b.store.SetFaults(kvserver.Faults{Outage: true})
-		_, err := apply(b, example(t), "one", 0)
+		_, err := apply(b, exampleManifest(t), "one", 0)
 		is.Equal(connect.CodeOf(err), connect.CodeUnavailable)
 		b.store.SetFaults(kvserver.Faults{})
 		time.Sleep(10 * time.Second)
@@ -195,11 +195,11 @@
 }
 
 func TestDrainIsFinal(t *testing.T) {
-	withDaemon(t, func(is *is.I, b *bench) {
+	withDaemon(t, func(is *is.I, b *testDaemon) {
 		ctx := context.Background()
-		_, err := b.as("ana-key").Drain(ctx, connect.NewRequest(&adminv1.DrainRequest{Target: "nobody"}))
+		_, err := b.clientWithKey("ana-key").Drain(ctx, connect.NewRequest(&adminv1.DrainRequest{Target: "nobody"}))
 		is.Equal(connect.CodeOf(err), connect.CodeNotFound)
-		_, err = b.as("ana-key").Drain(ctx, connect.NewRequest(&adminv1.DrainRequest{Target: "entry-0"}))
+		_, err = b.clientWithKey("ana-key").Drain(ctx, connect.NewRequest(&adminv1.DrainRequest{Target: "entry-0"}))
 		is.NoErr(err)
 		is.Equal(b.control.Self().State, view.Leaving)
 	})
--- a/daemon/adminapi/audit.go
+++ b/daemon/adminapi/audit.go
@@ -16,12 +16,12 @@
 
 const (
 	auditPrefix = "audit/"
-	// auditKept bounds the records in the key-value service.
-	auditKept = 10000
-	// auditTrimEvery is the mean number of records between two trimmings.
-	auditTrimEvery = 200
-	auditPage      = 500
-	auditTimeout   = 2 * time.Second
+	// maxAuditRecords bounds the records in the key-value service.
+	maxAuditRecords = 10000
+	// meanRecordsBetweenTrims is the mean number of records between two trimmings.
+	meanRecordsBetweenTrims = 200
+	auditPageSize           = 500
+	auditTimeout            = 2 * time.Second
 )
 
 // Record is one change that was asked for over the interface.
@@ -62,7 +62,7 @@
 		klog.ErrorS(err, "Audit record is in this log only")
 		return
 	}
-	if rand.N(auditTrimEvery) == 0 {
+	if rand.N(meanRecordsBetweenTrims) == 0 {
 		a.trim(ctx)
 	}
 }
@@ -89,15 +89,15 @@
 // trim deletes the records after the newest auditKept.
 func (a *audit) trim(ctx context.Context) {
 	after := ""
-	for seen := 0; ; {
-		page, err := a.store.List(ctx, auditPrefix, after, auditPage)
+	for count := 0; ; {
+		page, err := a.store.List(ctx, auditPrefix, after, auditPageSize)
 		if err != nil || len(page) == 0 {
 			return
 		}
 		for _, entry := range page {
-			seen++
+			count++
 			after = entry.Key
-			if seen <= auditKept {
+			if count <= maxAuditRecords {
 				continue
 			}
 			if err := a.store.Delete(ctx, entry.Key, entry.Revision); err != nil {
--- a/daemon/adminapi/credentials.go
+++ b/daemon/adminapi/credentials.go
@@ -32,16 +32,16 @@
 	Role    Role   `json:"role" jsonschema:"enum=viewer,enum=operator"`
 }
 
-// viewing names the calls that change nothing. Any other needs an Operator, so
+// readOnlyProcedures names the calls that change nothing. Any other needs an Operator, so
 // a call that is added later is not open to viewers by mistake.
-var viewing = map[string]bool{
+var readOnlyProcedures = map[string]bool{
 	adminv1connect.AdminServiceDiffProcedure:    true,
 	adminv1connect.AdminServiceStatusProcedure:  true,
 	adminv1connect.AdminServiceHistoryProcedure: true,
 	adminv1connect.AdminServiceUsageProcedure:   true,
 }
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
 // UnauthenticatedError says that no credential fits the bearer key.
 type UnauthenticatedError struct{}
@@ -58,11 +58,11 @@
 	return fmt.Sprintf("%s is a %s, which this call does not allow", e.Name, e.Role)
 }
 
-type operatorKey struct{}
+type operatorContextKey struct{}
 
 // operatorOf returns the name of the credential that made the call.
 func operatorOf(ctx context.Context) string {
-	name, _ := ctx.Value(operatorKey{}).(string)
+	name, _ := ctx.Value(operatorContextKey{}).(string)
 	return name
 }
 
@@ -86,12 +86,12 @@
 			klog.InfoS("Admin call refused", "procedure", procedure, "peer", r.Peer().Addr, "err", err)
 			return nil, connect.NewError(codeOf(err), err)
 		}
-		return next(context.WithValue(ctx, operatorKey{}, credential.Name), r)
+		return next(context.WithValue(ctx, operatorContextKey{}, credential.Name), r)
 	}
 }
 
 func (a authenticator) admit(authorization, procedure string) (Credential, error) {
-	key, ok := strings.CutPrefix(authorization, bearer)
+	key, ok := strings.CutPrefix(authorization, bearerPrefix)
 	if !ok {
 		return Credential{}, &UnauthenticatedError{}
 	}
@@ -100,7 +100,7 @@
 	if !ok {
 		return Credential{}, &UnauthenticatedError{}
 	}
-	if credential.Role != Operator && !viewing[procedure] {
+	if credential.Role != Operator && !readOnlyProcedures[procedure] {
 		return Credential{}, &ForbiddenError{Name: credential.Name, Role: credential.Role}
 	}
 	return credential, nil
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -39,12 +39,12 @@
 )
 
 const (
-	incarnationBytes = 8
-	requestIDBytes   = 12
-	engineSilence    = 3 * time.Second
-	ordersEvery      = time.Second
-	stopGrace        = 30 * time.Second
-	shutdownMargin   = 2 * time.Second
+	incarnationBytes  = 8
+	requestIDBytes    = 12
+	engineIdleTimeout = 3 * time.Second
+	ordersInterval    = time.Second
+	stopGrace         = 30 * time.Second
+	shutdownMargin    = 2 * time.Second
 )
 
 // Daemon is one process of the system.
@@ -81,7 +81,7 @@
 	if err := d.listen(n); err != nil {
 		return nil, err
 	}
-	if err := d.secure(); err != nil {
+	if err := d.enableTLS(); err != nil {
 		return nil, err
 	}
 	d.self = view.Daemon{
@@ -92,7 +92,7 @@
 		PeerAddress:   d.peers.Addr().String(),
 		State:         view.Live,
 	}
-	d.build(n)
+	d.createComponents(n)
 	return d, nil
 }
 
@@ -124,9 +124,9 @@
 	return nil
 }
 
-// secure puts TLS on the peers' and the admin listener. Operators show bearer
+// enableTLS puts TLS on the peers' and the admin listener. Operators show bearer
 // keys, so only peers are asked for certificates.
-func (d *Daemon) secure() error {
+func (d *Daemon) enableTLS() error {
 	if d.settings.TLS == nil {
 		return nil
 	}
@@ -146,17 +146,17 @@
 	if d.tls == nil {
 		return newHTTPClient(n)
 	}
-	return newHTTPClient(secured{Network: n, config: d.tls.ClientConfig()})
+	return newHTTPClient(tlsNetwork{Network: n, config: d.tls.ClientConfig()})
 }
 
-func (d *Daemon) build(n Network) {
+func (d *Daemon) createComponents(n Network) {
 	client := newHTTPClient(n)
 	peers := d.peerClient(n)
 	p := d.settings.Platform
 	d.store = kv.NewHTTPClient(p.KeyValue, client)
 	cloud := cloudapi.NewClient(p.Cloud, client)
 	lister := cloudapi.NewClient(p.VMList, client)
-	engines := newEngines(client, engineSilence)
+	engines := newEngines(client, engineIdleTimeout)
 	d.control = control.New(control.Config{
 		Self: d.self, Seeds: d.settings.Seeds, Store: d.store,
 		Lister: lister, Cloud: cloud, HTTPClient: peers, Metrics: d.metrics,
@@ -166,7 +166,7 @@
 	sender.Dial = n.Dial
 	d.services = services.New(services.Config{
 		Directory: d.control, Config: configuration, Sender: serviceSender{dispatch.New(sender)},
-		Probe: connect(n), Metrics: d.metrics, Retry: retry.Default(), Health: health.Default(),
+		Probe: newDialProbe(n), Metrics: d.metrics, Retry: retry.Default(), Health: health.Default(),
 		AttemptTimeout: services.DefaultAttemptTimeout, Tick: services.DefaultTick, Seed: seed(),
 	})
 	d.dispatch = modeldispatch.New(modeldispatch.Config{
@@ -187,9 +187,9 @@
 	})
 	d.orders = orders.New(orders.Config{
 		Self: d.self.Incarnation, Configuration: configuration, Directory: d.control,
-		Store: d.store, Cloud: cloud, Lister: lister, Weights: weights(p.Weights, client),
+		Store: d.store, Cloud: cloud, Lister: lister, Weights: newWeightsClient(p.Weights, client),
 		Engines: engines, Timing: lease.DefaultTiming(), Metrics: d.metrics,
-		RoundInterval: ordersEvery, StopGrace: stopGrace,
+		RoundInterval: ordersInterval, StopGrace: stopGrace,
 	})
 	d.gateway = gateway.New(gateway.Config{
 		Configuration: configuration, Directory: d.control, Models: d.models,
@@ -198,7 +198,7 @@
 	})
 }
 
-func weights(base string, client *http.Client) cloudapi.WeightStore {
+func newWeightsClient(base string, client *http.Client) cloudapi.WeightStore {
 	if base == "" {
 		return nil
 	}
@@ -243,7 +243,7 @@
 		"control": d.control.Run, "models": d.models.Run, "actions": d.actions.Run,
 		"orders": d.orders.Run, "dispatch": d.dispatch.Run, "services": d.services.Run,
 	} {
-		g.Go(func() error { return named(name, run(work)) })
+		g.Go(func() error { return wrapRunError(name, run(work)) })
 	}
 	if d.tls != nil {
 		g.Go(func() error {
@@ -269,14 +269,14 @@
 		"peers", d.self.PeerAddress, "admin", d.AdminAddress())
 	g.Go(func() error {
 		defer stopWork()
-		d.waitForEnd(ctx, work)
+		d.waitForShutdown(ctx, work)
 		d.closeServers(servers)
 		return nil
 	})
 	return g.Wait()
 }
 
-func named(name string, err error) error {
+func wrapRunError(name string, err error) error {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return nil
 	}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -30,18 +30,18 @@
 
 const anyPort = "127.0.0.1:0"
 
-type world struct {
-	network  *pipe.Network
-	standins *fleet.Fleet
-	daemons  []*daemon.Daemon
-	cancel   context.CancelFunc
-	ended    chan error
+type testSystem struct {
+	network    *pipe.Network
+	standins   *fleet.Fleet
+	daemons    []*daemon.Daemon
+	cancel     context.CancelFunc
+	runResults chan error
 }
 
 // start runs n daemons against stand-ins without runners' work.
-func start(t *testing.T, n int, source func() *tlsreload.Source) *world {
+func start(t *testing.T, n int, source func() *tlsreload.Source) *testSystem {
 	t.Helper()
-	w := &world{network: pipe.NewNetwork(), ended: make(chan error, n)}
+	w := &testSystem{network: pipe.NewNetwork(), runResults: make(chan error, n)}
 	s, err := fleet.Huaman()
 	if err != nil {
 		t.Fatal(err)
@@ -57,12 +57,12 @@
 			t.Fatal(err)
 		}
 		w.daemons = append(w.daemons, d)
-		go func() { w.ended <- d.Run(ctx) }()
+		go func() { w.runResults <- d.Run(ctx) }()
 	}
 	return w
 }
 
-func (w *world) settings(i int, source *tlsreload.Source) *settings.Settings {
+func (w *testSystem) settings(i int, source *tlsreload.Source) *settings.Settings {
 	a := w.standins.Addresses()
 	s := &settings.Settings{
 		ID: ident.DaemonID(fmt.Sprintf("d%d", i)), FailureDomain: "lima-norte",
@@ -78,12 +78,12 @@
 }
 
 // stop ends the world and returns how long the graceful shutdown took.
-func (w *world) stop(t *testing.T) time.Duration {
+func (w *testSystem) stop(t *testing.T) time.Duration {
 	t.Helper()
 	began := time.Now()
 	w.cancel()
 	for range w.daemons {
-		if err := <-w.ended; err != nil {
+		if err := <-w.runResults; err != nil {
 			t.Error(err)
 		}
 	}
@@ -92,7 +92,7 @@
 	return took
 }
 
-func (w *world) get(url string) (int, string) {
+func (w *testSystem) get(url string) (int, string) {
 	client := w.network.Client()
 	defer client.CloseIdleConnections()
 	resp, err := client.Get(url)
@@ -107,18 +107,18 @@
 	return resp.StatusCode, string(data)
 }
 
-func plain() *tlsreload.Source { return nil }
+func noTLS() *tlsreload.Source { return nil }
 
-// authority issues certificates for the loopback address.
-type authority struct {
+// certificateAuthority issues certificates for the loopback address.
+type certificateAuthority struct {
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
 	pem  string
 }
 
-func newAuthority(t *testing.T) *authority {
+func newCertificateAuthority(t *testing.T) *certificateAuthority {
 	t.Helper()
-	a := &authority{}
+	a := &certificateAuthority{}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
@@ -143,7 +143,7 @@
 	return key
 }
 
-func (a *authority) source(t *testing.T) *tlsreload.Source {
+func (a *certificateAuthority) source(t *testing.T) *tlsreload.Source {
 	t.Helper()
 	key := newKey(t)
 	template := &x509.Certificate{
@@ -169,7 +169,7 @@
 func TestProbesAndMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := start(t, 1, plain)
+		w := start(t, 1, noTLS)
 		time.Sleep(3 * time.Second)
 		admin := "http://" + w.daemons[0].AdminAddress()
 		code, _ := w.get(admin + "/healthz")
@@ -185,10 +185,10 @@
 
 // An operator stops an idle system. A graceful shutdown that has nothing to
 // hand over must not use its whole grace, or every rollout takes that long.
-func TestIdleShutdownIsShort(t *testing.T) {
+func TestIdleShutdownEndsBeforeGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := start(t, 2, plain)
+		w := start(t, 2, noTLS)
 		time.Sleep(3 * time.Second)
 		is.True(w.stop(t) < 10*time.Second)
 	})
@@ -197,10 +197,10 @@
 // Somebody on the network connects to a daemon's peer listener without a
 // certificate, or listens in. Daemons must know each other, and nobody else may
 // speak to them.
-func TestPeersTrustOnlyTheAuthority(t *testing.T) {
+func TestPeersRequireTrustedCertificate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		a := newAuthority(t)
+		a := newCertificateAuthority(t)
 		w := start(t, 2, func() *tlsreload.Source { return a.source(t) })
 		time.Sleep(10 * time.Second)
 		is.Equal(len(w.daemons[0].Control().Daemons()), 2)
@@ -211,9 +211,9 @@
 		is.True(code != http.StatusOK && code != http.StatusNotFound) // no plain HTTP
 		conn, err := w.network.Dial(t.Context(), "tcp", w.daemons[0].Self().PeerAddress)
 		is.NoErr(err)
-		stranger := tls.Client(conn, &tls.Config{InsecureSkipVerify: true})
-		_ = stranger.HandshakeContext(t.Context())
-		_, err = stranger.Read(make([]byte, 1))
+		untrusted := tls.Client(conn, &tls.Config{InsecureSkipVerify: true})
+		_ = untrusted.HandshakeContext(t.Context())
+		_, err = untrusted.Read(make([]byte, 1))
 		is.True(err != nil) // a client without a certificate is turned away
 		conn.Close()
 		w.stop(t)
--- a/daemon/engines.go
+++ b/daemon/engines.go
@@ -12,16 +12,16 @@
 
 // engines keeps a client for each engine address that is in use.
 type engines struct {
-	http    *http.Client
-	silence time.Duration
-	clients sync.Map // string -> *engine.Client
+	http        *http.Client
+	idleTimeout time.Duration
+	clients     sync.Map // string -> *engine.Client
 }
 
 func newEngines(c *http.Client, silence time.Duration) *engines {
-	return &engines{http: c, silence: silence}
+	return &engines{http: c, idleTimeout: silence}
 }
 
-func (e *engines) at(address string) *engine.Client {
+func (e *engines) clientFor(address string) *engine.Client {
 	if c, ok := e.clients.Load(address); ok {
 		return c.(*engine.Client)
 	}
@@ -40,7 +40,7 @@
 
 // Generate implements models.Engines.
 func (e *engines) Generate(ctx context.Context, address string, r engineapi.GenerateRequest, sink func(engineapi.GenerateEvent) error) error {
-	err := e.at(address).Generate(ctx, r, e.silence, sink)
+	err := e.clientFor(address).Generate(ctx, r, e.idleTimeout, sink)
 	if err != nil && !engine.MayHaveStarted(err) {
 		return notStartedError{err}
 	}
@@ -49,30 +49,30 @@
 
 // Cancel implements models.Engines.
 func (e *engines) Cancel(ctx context.Context, address string, r engineapi.CancelRequest) error {
-	return e.at(address).Cancel(ctx, r.AttemptID)
+	return e.clientFor(address).Cancel(ctx, r.AttemptID)
 }
 
 // Export implements models.Engines.
 func (e *engines) Export(ctx context.Context, address string, r engineapi.ExportRequest) (engineapi.ExportResponse, error) {
-	return e.at(address).Export(ctx, r.AttemptID)
+	return e.clientFor(address).Export(ctx, r.AttemptID)
 }
 
 // Import implements models.Engines.
 func (e *engines) Import(ctx context.Context, address string, r engineapi.ImportRequest) (engineapi.ImportResponse, error) {
-	return e.at(address).Import(ctx, r)
+	return e.clientFor(address).Import(ctx, r)
 }
 
 // Load implements orders.Engines.
 func (e *engines) Load(ctx context.Context, address string) (engineapi.Load, error) {
-	return e.at(address).Load(ctx)
+	return e.clientFor(address).Load(ctx)
 }
 
 // Order implements orders.Engines.
 func (e *engines) Order(ctx context.Context, address string, o engineapi.Order) error {
-	return e.at(address).Order(ctx, o)
+	return e.clientFor(address).Order(ctx, o)
 }
 
 // CacheEvents reads an engine's prefix cache changes from a sequence number on.
 func (e *engines) CacheEvents(ctx context.Context, address string, from uint64, limit int) (engineapi.CacheEvents, error) {
-	return e.at(address).CacheEvents(ctx, from, limit)
+	return e.clientFor(address).CacheEvents(ctx, from, limit)
 }
--- a/daemon/network.go
+++ b/daemon/network.go
@@ -19,10 +19,10 @@
 type TCP struct{}
 
 const (
-	dialTimeout     = time.Second
-	keepAlive       = 5 * time.Second
-	idleConnTimeout = 30 * time.Second
-	idlePerHost     = 64
+	dialTimeout         = time.Second
+	keepAlive           = 5 * time.Second
+	idleConnTimeout     = 30 * time.Second
+	maxIdleConnsPerHost = 64
 )
 
 // Listen opens a TCP listener at an IP address and port.
@@ -44,15 +44,15 @@
 	return conn, nil
 }
 
-// secured dials other daemons with TLS. The certificate must be for the
+// tlsNetwork dials other daemons with TLS. The certificate must be for the
 // address's IP, since daemons know each other by nothing else.
-type secured struct {
+type tlsNetwork struct {
 	Network
 	config *tls.Config
 }
 
 // Dial opens a connection and shakes hands on it.
-func (s secured) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (s tlsNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := s.Network.Dial(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -63,14 +63,14 @@
 	}
 	config := s.config.Clone()
 	config.ServerName = host
-	secure := tls.Client(conn, config)
+	tlsConn := tls.Client(conn, config)
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	if err := secure.HandshakeContext(ctx); err != nil {
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		_ = conn.Close()
 		return nil, fmt.Errorf("TLS handshake: %w", err)
 	}
-	return secure, nil
+	return tlsConn, nil
 }
 
 // newHTTPClient makes a client for the daemon's own calls. Streams have no
@@ -79,6 +79,6 @@
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         n.Dial,
 		IdleConnTimeout:     idleConnTimeout,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 	}}
 }
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -23,8 +23,8 @@
 	return result.Answer, nil
 }
 
-// connect tells whether a runner takes a new connection.
-func connect(n Network) func(context.Context, string) error {
+// newDialProbe tells whether a runner takes a new connection.
+func newDialProbe(n Network) func(context.Context, string) error {
 	return func(ctx context.Context, address string) error {
 		conn, err := n.Dial(ctx, "tcp", address)
 		if err != nil {
--- a/daemon/services/services.go
+++ b/daemon/services/services.go
@@ -121,12 +121,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, v := range s.services {
-		s.carryOut(name, v, v.health.Tick(now, nil))
+		s.executeEffects(name, v, v.health.Tick(now, nil))
 	}
 }
 
-// carryOut runs with s.mu held.
-func (s *Services) carryOut(name string, v *service, effects []health.Effect) {
+// executeEffects runs with s.mu held.
+func (s *Services) executeEffects(name string, v *service, effects []health.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
 		case health.Eject:
@@ -158,7 +158,7 @@
 		err := s.cfg.Probe(ctx, address)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.carryOut(name, v, v.health.HandleProbe(time.Now(), id, err == nil, nil))
+		s.executeEffects(name, v, v.health.HandleProbe(time.Now(), id, err == nil, nil))
 	})
 }
 
@@ -178,7 +178,7 @@
 }
 
 func (s *Services) call(ctx context.Context, c call.ServiceCall) (call.Answer, error) {
-	if err := s.check(c); err != nil {
+	if err := s.checkRepeatable(c); err != nil {
 		return call.Answer{}, err
 	}
 	if !c.Deadline.IsZero() {
@@ -186,7 +186,7 @@
 		ctx, cancel = context.WithDeadline(ctx, c.Deadline)
 		defer cancel()
 	}
-	v := s.begin(c.Service)
+	v := s.startCall(c.Service)
 	var tried []ident.RunnerID
 	ran := false
 	for {
@@ -196,20 +196,20 @@
 		}
 		ran = ran || failure.mayHaveRun
 		if ctx.Err() != nil {
-			return call.Answer{}, withRan(refusal.New(refusal.DeadlineExceeded, "no answer in time"), ran)
+			return call.Answer{}, withExecutionUnknown(refusal.New(refusal.DeadlineExceeded, "no answer in time"), ran)
 		}
-		wait, stop := s.again(v, c, failure, len(tried))
+		wait, stop := s.decideRetry(v, c, failure, len(tried))
 		if stop != nil {
-			return failure.last(answer, stop, ran)
+			return failure.finalAnswer(answer, stop, ran)
 		}
 		if !pause.For(ctx, wait) {
-			return call.Answer{}, withRan(refusal.New(refusal.DeadlineExceeded, "no answer in time"), ran)
+			return call.Answer{}, withExecutionUnknown(refusal.New(refusal.DeadlineExceeded, "no answer in time"), ran)
 		}
 	}
 }
 
-// check refuses what is not a repeatable call of a plain service.
-func (s *Services) check(c call.ServiceCall) error {
+// checkRepeatable refuses what is not a repeatable call of a plain service.
+func (s *Services) checkRepeatable(c call.ServiceCall) error {
 	m, _ := s.cfg.Config.Current()
 	if m == nil {
 		return refusal.New(refusal.NotReady, "no configuration in force yet").After(retryAfter)
@@ -229,7 +229,7 @@
 	return nil
 }
 
-func (s *Services) begin(name string) *service {
+func (s *Services) startCall(name string) *service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.services[name]
@@ -251,20 +251,20 @@
 type failure struct {
 	reason     retry.Reason
 	mayHaveRun bool
-	after      time.Duration
+	retryDelay time.Duration
 	refusal    *refusal.Refusal
 }
 
-// last is what the caller gets when there is no other attempt: the runner's own
+// finalAnswer is what the caller gets when there is no other attempt: the runner's own
 // answer if there is one.
-func (f *failure) last(answer call.Answer, stop *refusal.Refusal, ran bool) (call.Answer, error) {
+func (f *failure) finalAnswer(answer call.Answer, stop *refusal.Refusal, ran bool) (call.Answer, error) {
 	if f.refusal == nil {
 		return answer, nil
 	}
-	return call.Answer{}, withRan(stop, ran)
+	return call.Answer{}, withExecutionUnknown(stop, ran)
 }
 
-func withRan(r *refusal.Refusal, ran bool) *refusal.Refusal {
+func withExecutionUnknown(r *refusal.Refusal, ran bool) *refusal.Refusal {
 	if ran {
 		return r.Unknown()
 	}
@@ -282,12 +282,12 @@
 		}
 	}
 	*tried = append(*tried, r.ID)
-	bounded, cancel := context.WithTimeout(ctx, s.cfg.AttemptTimeout)
+	attemptCtx, cancel := context.WithTimeout(ctx, s.cfg.AttemptTimeout)
 	defer cancel()
-	answer, err := s.cfg.Sender.Send(bounded, r.Address, c)
-	f := failureOf(bounded, answer, err)
+	answer, err := s.cfg.Sender.Send(attemptCtx, r.Address, c)
+	f := failureOf(attemptCtx, answer, err)
 	// A caller that goes away says nothing of the runner.
-	s.end(v, c.Service, r.ID, f, ctx.Err() == nil)
+	s.finishAttempt(v, c.Service, r.ID, f, ctx.Err() == nil)
 	return answer, f
 }
 
@@ -296,10 +296,10 @@
 		if answer.Status != http.StatusServiceUnavailable {
 			return nil
 		}
-		return &failure{reason: retry.Busy, mayHaveRun: true, after: answeredAfter(answer)}
+		return &failure{reason: retry.Busy, mayHaveRun: true, retryDelay: retryAfterHeader(answer)}
 	}
 	r := refusal.From(err)
-	f := &failure{reason: retry.Broken, mayHaveRun: r.Executed != refusal.ExecutedNo, after: r.RetryAfter, refusal: r}
+	f := &failure{reason: retry.Broken, mayHaveRun: r.Executed != refusal.ExecutedNo, retryDelay: r.RetryAfter, refusal: r}
 	switch {
 	case r.Reason == refusal.RunnerRefused:
 		f.reason = retry.Busy
@@ -311,7 +311,7 @@
 	return f
 }
 
-func answeredAfter(a call.Answer) time.Duration {
+func retryAfterHeader(a call.Answer) time.Duration {
 	for _, h := range a.Headers {
 		if !strings.EqualFold(h.Name, "Retry-After") {
 			continue
@@ -329,7 +329,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []ident.RunnerID
-	var best, rest, again []view.Runner
+	var preferred, fallback, alreadyTried []view.Runner
 	for _, r := range s.cfg.Directory.Runners(name) {
 		if r.State != view.Live && r.State != view.Suspect {
 			continue
@@ -337,16 +337,16 @@
 		ids = append(ids, r.ID)
 		switch {
 		case slices.Contains(tried, r.ID):
-			again = append(again, r)
+			alreadyTried = append(alreadyTried, r)
 		case r.State == view.Suspect || v.ejected[r.ID]:
-			rest = append(rest, r)
+			fallback = append(fallback, r)
 		default:
-			best = append(best, r)
+			preferred = append(preferred, r)
 		}
 	}
 	v.health.SetRunners(ids)
 	maps.DeleteFunc(v.ejected, func(id ident.RunnerID, _ bool) bool { return !slices.Contains(ids, id) })
-	for _, from := range [][]view.Runner{best, rest, again} {
+	for _, from := range [][]view.Runner{preferred, fallback, alreadyTried} {
 		if len(from) > 0 {
 			r := s.lessLoaded(v, from)
 			v.inFlight[r.ID]++
@@ -370,18 +370,18 @@
 	return a
 }
 
-// end takes in how an attempt ended.
-func (s *Services) end(v *service, name string, id ident.RunnerID, f *failure, tells bool) {
+// finishAttempt takes in how an attempt ended.
+func (s *Services) finishAttempt(v *service, name string, id ident.RunnerID, f *failure, affectsHealth bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v.inFlight[id]--
 	if v.inFlight[id] <= 0 {
 		delete(v.inFlight, id)
 	}
-	if !tells {
+	if !affectsHealth {
 		return
 	}
-	s.carryOut(name, v, v.health.HandleOutcome(time.Now(), id, outcomeOf(f), nil))
+	s.executeEffects(name, v, v.health.HandleOutcome(time.Now(), id, outcomeOf(f), nil))
 }
 
 func outcomeOf(f *failure) health.Outcome {
@@ -394,9 +394,9 @@
 	return health.Failure
 }
 
-// again returns how long to wait before the next attempt, or the refusal that
+// decideRetry returns how long to wait before the next attempt, or the refusal that
 // ends the call.
-func (s *Services) again(v *service, c call.ServiceCall, f *failure, attempts int) (time.Duration, *refusal.Refusal) {
+func (s *Services) decideRetry(v *service, c call.ServiceCall, f *failure, attempts int) (time.Duration, *refusal.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := v.retry.Decide(time.Now(), retry.Failure{
@@ -404,7 +404,7 @@
 		MayHaveRun: f.mayHaveRun,
 		Repeatable: true,
 		Attempts:   max(1, attempts),
-		RetryAfter: f.after,
+		RetryAfter: f.retryDelay,
 		Deadline:   c.Deadline,
 	})
 	switch d.Verdict {
--- a/daemon/services/services_test.go
+++ b/daemon/services/services_test.go
@@ -19,18 +19,18 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// world fakes the directory, the configuration and the runners.
-type world struct {
-	mu      sync.Mutex
-	runners []view.Runner
-	fails   map[string]*refusal.Refusal
-	busy    map[string]bool
-	sent    map[string]int
-	total   int
+// fakeEnvironment fakes the directory, the configuration and the runners.
+type fakeEnvironment struct {
+	mu       sync.Mutex
+	runners  []view.Runner
+	refusals map[string]*refusal.Refusal
+	busy     map[string]bool
+	sent     map[string]int
+	total    int
 }
 
-func newWorld(n int) *world {
-	w := &world{fails: map[string]*refusal.Refusal{}, busy: map[string]bool{}, sent: map[string]int{}}
+func newFakeEnvironment(n int) *fakeEnvironment {
+	w := &fakeEnvironment{refusals: map[string]*refusal.Refusal{}, busy: map[string]bool{}, sent: map[string]int{}}
 	for i := range n {
 		w.runners = append(w.runners, view.Runner{
 			ID: ident.RunnerID(fmt.Sprint("r", i)), Address: fmt.Sprint("a", i),
@@ -40,20 +40,20 @@
 	return w
 }
 
-func (w *world) Self() view.Daemon                      { return view.Daemon{FailureDomain: "d0"} }
-func (w *world) Daemons() []view.Daemon                 { return nil }
-func (w *world) Runners(string) []view.Runner           { return w.runners }
-func (w *world) Changed() <-chan struct{}               { return nil }
-func (w *world) NoteLeaving(string, time.Duration)      {}
-func (w *world) dial(_ context.Context, _ string) error { return nil }
-func (w *world) Current() (*manifest.Manifest, ident.Generation) {
+func (w *fakeEnvironment) Self() view.Daemon                      { return view.Daemon{FailureDomain: "d0"} }
+func (w *fakeEnvironment) Daemons() []view.Daemon                 { return nil }
+func (w *fakeEnvironment) Runners(string) []view.Runner           { return w.runners }
+func (w *fakeEnvironment) Changed() <-chan struct{}               { return nil }
+func (w *fakeEnvironment) NoteLeaving(string, time.Duration)      {}
+func (w *fakeEnvironment) dial(_ context.Context, _ string) error { return nil }
+func (w *fakeEnvironment) Current() (*manifest.Manifest, ident.Generation) {
 	return &manifest.Manifest{Services: []manifest.Service{{
 		Name: "casos", Kind: manifest.KindPlain,
 		Routes: []manifest.Route{{Method: "GET", Path: "/status", Repeatable: true}, {Method: "POST", Path: "/pledges"}},
 	}}}, 1
 }
 
-func (w *world) Send(ctx context.Context, address string, _ call.ServiceCall) (call.Answer, error) {
+func (w *fakeEnvironment) Send(ctx context.Context, address string, _ call.ServiceCall) (call.Answer, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sent[address]++
@@ -61,57 +61,57 @@
 	if w.busy[address] {
 		return call.Answer{Status: 503, Headers: []call.Header{{Name: "Retry-After", Value: "1"}}}, nil
 	}
-	if r := w.fails[address]; r != nil {
+	if r := w.refusals[address]; r != nil {
 		return call.Answer{}, r
 	}
 	return call.Answer{Status: 200}, nil
 }
 
-func services(w *world) *Services {
+func newServices(w *fakeEnvironment) *Services {
 	return New(Config{
 		Directory: w, Config: w, Sender: w, Probe: w.dial, Retry: retry.Default(), Health: health.Default(),
 		AttemptTimeout: DefaultAttemptTimeout, Tick: DefaultTick,
 	})
 }
 
-var status = call.ServiceCall{Service: "casos", Method: "GET", Path: "/status?case=1"}
+var statusCall = call.ServiceCall{Service: "casos", Method: "GET", Path: "/status?case=1"}
 
 // A pledge is recorded twice: its answer was lost and the call was made again
 // at another runner. What may not be repeated must not even come here.
-func TestWhatMayNotBeRepeatedIsNotSent(t *testing.T) {
+func TestNonRepeatableCallIsNotSent(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2)
-	_, err := services(w).Call(t.Context(), call.ServiceCall{Service: "casos", Method: "POST", Path: "/pledges"})
+	w := newFakeEnvironment(2)
+	_, err := newServices(w).Call(t.Context(), call.ServiceCall{Service: "casos", Method: "POST", Path: "/pledges"})
 	is.Equal(refusal.From(err).Reason, refusal.KeyRequired)
 	is.Equal(refusal.From(err).Executed, refusal.ExecutedNo)
 	is.Equal(w.total, 0)
 }
 
-func TestFailedCallGoesToAnotherRunner(t *testing.T) {
+func TestFailedCallIsRetriedAtAnotherRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(2)
-		w.fails["a0"] = refusal.New(refusal.RunnerFailed, "broken").Unknown()
+		w := newFakeEnvironment(2)
+		w.refusals["a0"] = refusal.New(refusal.RunnerFailed, "broken").Unknown()
 		w.busy["a1"] = true
-		s := services(w)
+		s := newServices(w)
 		time.AfterFunc(100*time.Millisecond, func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.busy["a1"], w.fails["a0"] = false, nil
+			w.busy["a1"], w.refusals["a0"] = false, nil
 		})
-		a, err := s.Call(t.Context(), status)
+		a, err := s.Call(t.Context(), statusCall)
 		is.NoErr(err)
 		is.Equal(a.Status, 200)
 		is.True(w.total > 1)
 	})
 }
 
-func TestRunnersOwnAnswerComesBackWhenTriesEnd(t *testing.T) {
+func TestRunnerAnswerIsReturnedAfterLastAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(1)
+		w := newFakeEnvironment(1)
 		w.busy["a0"] = true
-		a, err := services(w).Call(t.Context(), status)
+		a, err := newServices(w).Call(t.Context(), statusCall)
 		is.NoErr(err)
 		is.Equal(a.Status, 503)
 		is.Equal(w.total, 4)
@@ -120,23 +120,23 @@
 
 // Status checks of all callers slow down although three quarters of the runners
 // work. A failure domain went, and every call to it is made four times.
-func TestNoRetryStormWhenAFailureDomainGoes(t *testing.T) {
+func TestNoRetryStormAfterFailureDomainLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(8)
+		w := newFakeEnvironment(8)
 		for _, r := range w.runners {
 			if r.FailureDomain == "d1" {
-				w.fails[r.Address] = refusal.New(refusal.NoRunner, "connect")
+				w.refusals[r.Address] = refusal.New(refusal.NoRunner, "connect")
 			}
 		}
-		s := services(w)
+		s := newServices(w)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() { done <- s.Run(ctx) }()
 		answered := 0
 		const calls = 2000
 		for range calls {
-			if _, err := s.Call(t.Context(), status); err == nil {
+			if _, err := s.Call(t.Context(), statusCall); err == nil {
 				answered++
 			}
 			time.Sleep(time.Millisecond)
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -150,7 +150,7 @@
 // Check finds addresses that are not IP and port, URLs that name no IP, and
 // listeners that clash.
 func (s *Settings) Check() []document.Problem {
-	var c checks
+	var c checker
 	c.address("/listen/callers", s.Listen.Callers)
 	c.address("/listen/peers", s.Listen.Peers)
 	c.address("/listen/admin", s.Listen.Admin)
@@ -165,22 +165,22 @@
 	}
 	c.distinct(s.Listen)
 	c.credentials(s.Admin.Credentials)
-	return c.found
+	return c.problems
 }
 
-type checks struct{ found []document.Problem }
+type checker struct{ problems []document.Problem }
 
-func (c *checks) add(path, format string, args ...any) {
-	c.found = append(c.found, document.Problem{Path: path, Reason: fmt.Sprintf(format, args...)})
+func (c *checker) add(path, format string, args ...any) {
+	c.problems = append(c.problems, document.Problem{Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
-func (c *checks) address(path, value string) {
+func (c *checker) address(path, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		c.add(path, "must be an IP address and a port: %v", err)
 	}
 }
 
-func (c *checks) baseURL(path, value string) {
+func (c *checker) baseURL(path, value string) {
 	u, err := url.Parse(value)
 	if err != nil {
 		c.add(path, "must be a URL: %v", err)
@@ -194,7 +194,7 @@
 	}
 }
 
-func (c *checks) distinct(l Listen) {
+func (c *checker) distinct(l Listen) {
 	seen := map[string]string{}
 	for _, entry := range []struct{ path, address string }{
 		{"/listen/callers", l.Callers}, {"/listen/peers", l.Peers}, {"/listen/admin", l.Admin},
@@ -209,7 +209,7 @@
 	}
 }
 
-func (c *checks) credentials(list []Credential) {
+func (c *checker) credentials(list []Credential) {
 	seen := map[string]int{}
 	for i, cred := range list {
 		if first, ok := seen[cred.KeyHash]; ok {
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -11,14 +11,14 @@
 	"geraniumstack.org/geraniumstack/state/document"
 )
 
-const good = `{"id":"a","failure_domain":"lima-norte",
+const validSettings = `{"id":"a","failure_domain":"lima-norte",
 "listen":{"callers":"127.0.0.1:0","peers":"127.0.0.1:0","admin":"127.0.0.1:0"},
 "seeds":["127.0.0.1:7001"],
 "platform":{"key_value":"http://127.0.0.1:1","vm_list":"http://127.0.0.1:2","cloud":"http://127.0.0.1:3"}}`
 
 func TestParseFillsDefaults(t *testing.T) {
 	is := is.New(t)
-	s, err := settings.Parse([]byte(good))
+	s, err := settings.Parse([]byte(validSettings))
 	is.NoErr(err)
 	is.Equal(settings.Millis(s.Limits.GatewaysLifetimeMillis), settings.DefaultGatewaysLifetime)
 	is.Equal(s.Limits.MaxBodyBytes, int64(settings.DefaultMaxBodyBytes))
@@ -37,9 +37,9 @@
 		{"meaning", `{"id":"a","failure_domain":"d","listen":{"callers":"127.0.0.1:9","peers":"127.0.0.1:9","admin":"localhost:8"},
 "seeds":["peer:1"],"platform":{"key_value":"ftp://127.0.0.1","vm_list":"http://list","cloud":"http://127.0.0.1:3"}}`,
 			[]string{"/listen/admin", "/seeds/0", "/platform/key_value", "/platform/vm_list", "/listen/peers"}},
-		{"too few owners", strings.TrimSuffix(good, "}") + `,"limits":{"max_token_owners":-1}}`,
+		{"too few owners", strings.TrimSuffix(validSettings, "}") + `,"limits":{"max_token_owners":-1}}`,
 			[]string{"/limits/max_token_owners"}},
-		{"too many owners", strings.TrimSuffix(good, "}") + `,"limits":{"max_token_owners":65}}`,
+		{"too many owners", strings.TrimSuffix(validSettings, "}") + `,"limits":{"max_token_owners":65}}`,
 			[]string{"/limits/max_token_owners"}},
 	}
 	for _, tt := range tests {
--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -12,10 +12,10 @@
 	"geraniumstack.org/geraniumstack/internal/pause"
 )
 
-// waitForEnd returns when the daemon has been told to stop and has shut down
+// waitForShutdown returns when the daemon has been told to stop and has shut down
 // gracefully. It is told by ctx (SIGTERM), by the platform's notice for its VM,
 // or by an operator's drain, which both show as its own state in the directory.
-func (d *Daemon) waitForEnd(ctx, work context.Context) {
+func (d *Daemon) waitForShutdown(ctx, work context.Context) {
 	for {
 		changed := d.control.Changed()
 		self := d.control.Self()
@@ -51,11 +51,11 @@
 	lifetime := min(settings.Millis(d.settings.Limits.GatewaysLifetimeMillis), time.Until(end)/2)
 	pause.For(ctx, lifetime)
 	d.gateway.StopAccepting()
-	d.handOver(ctx)
+	d.drainRequests(ctx)
 	klog.InfoS("Graceful shutdown done")
 }
 
-func (d *Daemon) handOver(ctx context.Context) {
+func (d *Daemon) drainRequests(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		if err := d.models.Drain(ctx); err != nil {
