--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -10,8 +10,8 @@
 	"geraniumstack.org/geraniumstack/transport/exposition"
 )
 
-// adminHandler serves the operators' listener: health, readiness, metrics,
-// profiles and the administration API.
+// adminHandler returns the handler of the admin listener: health, readiness,
+// metrics, profiles and the admin API.
 func (d *Daemon) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", d.health)
@@ -52,10 +52,11 @@
 	return out
 }
 
-// health says that the process answers.
+// health serves the liveness probe: it always succeeds while the process can
+// answer.
 func (d *Daemon) health(w http.ResponseWriter, _ *http.Request) { writeProbeResponse(w, true, "ok") }
 
-// ready says whether callers should be sent here: a configuration is in force
+// ready serves the readiness probe: it succeeds if a configuration is in force
 // and no shutdown has begun.
 func (d *Daemon) ready(w http.ResponseWriter, _ *http.Request) {
 	select {
@@ -76,6 +77,7 @@
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	// The prober has gone when this fails; there is nobody to tell.
+	// A write error means that the prober has disconnected, so there is nobody
+	// to report it to.
 	_, _ = w.Write([]byte(text + "\n"))
 }
--- a/daemon/adminapi/adminapi.go
+++ b/daemon/adminapi/adminapi.go
@@ -1,6 +1,6 @@
-// Package adminapi serves the operators' interface: manifests, status, history,
-// drains and usage, behind bearer credentials with roles. Every change is
-// recorded.
+// Package adminapi serves the operators' API: manifests, status, history,
+// drains and usage. Calls are authenticated by bearer keys and authorized by
+// role, and every requested change is written to an audit log.
 package adminapi
 
 import (
@@ -23,16 +23,19 @@
 )
 
 const (
-	// DefaultWait is how long Apply waits where the call does not say.
+	// DefaultWait is how long Apply and Rollback wait for the configuration to
+	// be in force if the call does not specify it.
 	DefaultWait = 12 * time.Second
-	// defaultLimit bounds History where the call does not say.
+	// defaultLimit is the number of entries History returns if the call does
+	// not specify it.
 	defaultLimit = 20
 	maxLimit     = 500
-	// maxManifestBytes bounds a call.
+	// maxManifestBytes bounds the size of a request.
 	maxManifestBytes = 16 << 20
 )
 
-// Control is the control side of the daemon; *control.Control is one.
+// Control is the part of the daemon's control plane that the API uses.
+// *control.Control implements it.
 type Control interface {
 	Apply(ctx context.Context, s control.Submission) (control.Outcome, error)
 	Current() (*manifest.Manifest, ident.Generation)
@@ -45,22 +48,23 @@
 	StoreUp() bool
 }
 
-// Usage is what one workspace has used of this daemon.
+// Usage holds one workspace's usage counters at this daemon.
 type Usage struct {
 	Workspace       string
 	Accepted        int64
 	Answered        int64
 	GeneratedTokens int64
-	// Refused counts refusals by reason.
+	// Refused holds the number of refusals by reason.
 	Refused map[string]int64
 }
 
-// Config says what the interface works with.
+// Config holds the dependencies of the API.
 type Config struct {
 	Control     Control
 	Store       kv.Store
 	Credentials []Credential
-	// Usage returns the counters of all workspaces; nil is none.
+	// Usage returns the counters of all workspaces. If it is nil, the API
+	// reports no usage.
 	Usage func() []Usage
 }
 
@@ -71,7 +75,7 @@
 
 var _ adminv1connect.AdminServiceHandler = (*service)(nil)
 
-// NewHandler returns the interface and the path to serve it under.
+// NewHandler returns the path and the HTTP handler of the admin API.
 func NewHandler(cfg Config) (string, http.Handler) {
 	s := &service{cfg: cfg, audit: &audit{store: cfg.Store}}
 	auth := newAuthenticator(cfg.Credentials)
@@ -80,12 +84,13 @@
 		connect.WithReadMaxBytes(maxManifestBytes))
 }
 
-// MissingSubmissionIDError says that a call can't be told from its repetition.
+// MissingSubmissionIDError reports that a call has no submission ID, without
+// which a repeated call cannot be recognized.
 type MissingSubmissionIDError struct{}
 
 func (*MissingSubmissionIDError) Error() string { return "submission_id is required" }
 
-// Apply submits a manifest.
+// Apply submits a manifest and waits until it is in force.
 func (s *service) Apply(ctx context.Context, r *connect.Request[adminv1.ApplyRequest]) (*connect.Response[adminv1.ApplyResponse], error) {
 	m, err := manifest.Decode(r.Msg.GetManifest())
 	if err != nil {
@@ -105,7 +110,7 @@
 	}), nil
 }
 
-// Rollback submits the content of an earlier generation as a new one.
+// Rollback submits the manifest of an earlier generation as a new generation.
 func (s *service) Rollback(ctx context.Context, r *connect.Request[adminv1.RollbackRequest]) (*connect.Response[adminv1.RollbackResponse], error) {
 	m, err := s.cfg.Control.Content(ctx, ident.Generation(r.Msg.GetToGeneration()))
 	if err != nil {
@@ -126,7 +131,8 @@
 	}), nil
 }
 
-// submit applies and records; its errors are connect's.
+// submit applies a submission and writes an audit record. Its errors are
+// connect errors.
 func (s *service) submit(ctx context.Context, action string, submission control.Submission) (control.Outcome, error) {
 	if submission.ID == "" {
 		return control.Outcome{}, connect.NewError(connect.CodeInvalidArgument, &MissingSubmissionIDError{})
@@ -164,7 +170,8 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// Diff says what a manifest would change here.
+// Diff returns the changes between the configuration in force at this daemon
+// and a manifest.
 func (s *service) Diff(_ context.Context, r *connect.Request[adminv1.DiffRequest]) (*connect.Response[adminv1.DiffResponse], error) {
 	m, err := manifest.Decode(r.Msg.GetManifest())
 	if err != nil {
@@ -182,7 +189,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// Status tells what this daemon knows.
+// Status returns this daemon's view of the configuration, the daemons and the
+// runners.
 func (s *service) Status(context.Context, *connect.Request[adminv1.StatusRequest]) (*connect.Response[adminv1.StatusResponse], error) {
 	m, generation := s.cfg.Control.Current()
 	response := &adminv1.StatusResponse{
@@ -199,7 +207,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// History lists accepted configurations and changes that were asked for.
+// History returns the accepted configurations and the audit records, newest
+// first.
 func (s *service) History(ctx context.Context, r *connect.Request[adminv1.HistoryRequest]) (*connect.Response[adminv1.HistoryResponse], error) {
 	limit := int(r.Msg.GetLimit())
 	if limit <= 0 {
@@ -225,7 +234,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// Drain makes a daemon or runner take no new work.
+// Drain makes a daemon or runner stop taking new work.
 func (s *service) Drain(ctx context.Context, r *connect.Request[adminv1.DrainRequest]) (*connect.Response[adminv1.DrainResponse], error) {
 	err := s.cfg.Control.DrainTarget(r.Msg.GetTarget())
 	s.record(ctx, "drain", r.Msg.GetTarget(), err)
@@ -235,7 +244,7 @@
 	return connect.NewResponse(&adminv1.DrainResponse{}), nil
 }
 
-// Usage tells what workspaces have used of this daemon.
+// Usage returns the workspaces' usage counters at this daemon.
 func (s *service) Usage(context.Context, *connect.Request[adminv1.UsageRequest]) (*connect.Response[adminv1.UsageResponse], error) {
 	response := &adminv1.UsageResponse{}
 	if s.cfg.Usage == nil {
--- a/daemon/adminapi/adminapi_test.go
+++ b/daemon/adminapi/adminapi_test.go
@@ -24,7 +24,7 @@
 	"geraniumstack.org/geraniumstack/standin/kvserver"
 )
 
-// handlerTransport calls a handler without a network.
+// handlerTransport calls a handler directly, without a network.
 type handlerTransport struct {
 	http.Handler
 	key string
@@ -45,7 +45,7 @@
 	handler http.Handler
 }
 
-// clientWithKey returns the client of whoever has a key.
+// clientWithKey returns a client that authenticates with a bearer key.
 func (b *testDaemon) clientWithKey(key string) adminv1connect.AdminServiceClient {
 	return adminv1connect.NewAdminServiceClient(&http.Client{Transport: handlerTransport{b.handler, key}}, "http://admin")
 }
@@ -55,7 +55,8 @@
 	return adminapi.Credential{Name: name, KeyHash: hex.EncodeToString(sum[:]), Role: role}
 }
 
-// withDaemon runs a test with one daemon of one failure domain in virtual time.
+// withDaemon runs a test in virtual time with one daemon as the only member of
+// one failure domain.
 func withDaemon(t *testing.T, test func(is *is.I, b *testDaemon)) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvserver.New()
@@ -157,7 +158,7 @@
 		is.NoErr(err)
 		is.Equal(len(history.Msg.GetEntries()), 3)
 		is.Equal(history.Msg.GetEntries()[0].GetAuthor(), "ana")
-		is.Equal(len(history.Msg.GetAudit()), 5) // the conflict is recorded, too
+		is.Equal(len(history.Msg.GetAudit()), 5) // the conflicting apply is in the audit log, too
 	})
 }
 
@@ -180,8 +181,9 @@
 	})
 }
 
-// The key-value service is down when an operator applies a manifest. An answer
-// that left it open whether it was accepted would make the operator guess.
+// The key-value service is down when an operator applies a manifest. The error
+// must say that nothing was accepted; otherwise the operator could not tell
+// whether to try again.
 func TestApplyInOutageSaysThatNothingHappened(t *testing.T) {
 	withDaemon(t, func(is *is.I, b *testDaemon) {
 		b.store.SetFaults(kvserver.Faults{Outage: true})
--- a/daemon/adminapi/audit.go
+++ b/daemon/adminapi/audit.go
@@ -16,28 +16,30 @@
 
 const (
 	auditPrefix = "audit/"
-	// maxAuditRecords bounds the records in the key-value service.
+	// maxAuditRecords bounds the number of records in the key-value service.
 	maxAuditRecords = 10000
-	// meanRecordsBetweenTrims is the mean number of records between two trimmings.
+	// meanRecordsBetweenTrims is the mean number of records written between two
+	// trims.
 	meanRecordsBetweenTrims = 200
 	auditPageSize           = 500
 	auditTimeout            = 2 * time.Second
 )
 
-// Record is one change that was asked for over the interface.
+// Record is the audit record of one change requested through the admin API.
 type Record struct {
 	UnixMillis int64  `json:"unix_ms"`
 	Operator   string `json:"operator"`
 	Action     string `json:"action"`
 	Detail     string `json:"detail"`
-	// Failure is empty if it was done.
+	// Failure is the error text; it is empty if the change succeeded.
 	Failure string `json:"failure,omitempty"`
 }
 
-// audit keeps records in the log and, newest first, in the key-value service.
+// audit writes records to the log and to the key-value service, where they are
+// sorted newest first.
 type audit struct{ store kv.Store }
 
-// auditKey sorts later records before earlier ones.
+// auditKey returns a key that sorts later records before earlier ones.
 func auditKey(unixMillis int64, random uint64) string {
 	var suffix [8]byte
 	for i := range suffix {
@@ -46,20 +48,21 @@
 	return fmt.Sprintf("%s%020d-%s", auditPrefix, math.MaxInt64-unixMillis, hex.EncodeToString(suffix[:]))
 }
 
-// record writes one record. The log has it in any case; in an outage of the
-// key-value service it is there only.
+// record writes one record. During an outage of the key-value service, the
+// record appears only in the log.
 func (a *audit) record(ctx context.Context, r Record) {
 	klog.InfoS("Audit", "operator", r.Operator, "action", r.Action, "detail", r.Detail, "failure", r.Failure)
-	// The caller may be gone by now; what it changed is recorded all the same.
+	// The record is written even if the caller has disconnected, because its
+	// change may have taken effect.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), auditTimeout)
 	defer cancel()
 	value, err := json.Marshal(r)
 	if err != nil {
-		klog.ErrorS(err, "Audit record can't be encoded")
+		klog.ErrorS(err, "Encoding the audit record failed")
 		return
 	}
 	if _, err := a.store.CompareAndSwap(ctx, auditKey(r.UnixMillis, rand.Uint64()), 0, value, 0); err != nil {
-		klog.ErrorS(err, "Audit record is in this log only")
+		klog.ErrorS(err, "Writing the audit record to the key-value service failed; it is only in this log")
 		return
 	}
 	if rand.N(meanRecordsBetweenTrims) == 0 {
@@ -86,7 +89,7 @@
 	return records, nil
 }
 
-// trim deletes the records after the newest auditKept.
+// trim deletes all but the newest maxAuditRecords records.
 func (a *audit) trim(ctx context.Context) {
 	after := ""
 	for count := 0; ; {
@@ -101,7 +104,7 @@
 				continue
 			}
 			if err := a.store.Delete(ctx, entry.Key, entry.Revision); err != nil {
-				klog.V(1).InfoS("Audit record not trimmed", "key", entry.Key, "err", err)
+				klog.V(1).InfoS("Deleting an old audit record failed", "key", entry.Key, "err", err)
 				return
 			}
 		}
--- a/daemon/adminapi/credentials.go
+++ b/daemon/adminapi/credentials.go
@@ -14,26 +14,27 @@
 	"geraniumstack.org/geraniumstack/gen/geranium/admin/v1/adminv1connect"
 )
 
-// Role says what an operator may do.
+// Role determines which calls an operator may make.
 type Role string
 
-// Roles; an operator may do all that a viewer may.
+// The roles. An Operator may make every call that a Viewer may.
 const (
 	Viewer   Role = "viewer"
 	Operator Role = "operator"
 )
 
-// Credential lets one person or pipeline use the interface. It is part of the
-// daemon's settings.
+// Credential authorizes one person or pipeline to use the admin API. It is part
+// of the daemon's settings.
 type Credential struct {
 	Name string `json:"name" jsonschema:"minLength=1"`
-	// KeyHash is the SHA-256, in lower-case hex, of the bearer key.
+	// KeyHash is the SHA-256 of the bearer key, in lower-case hex.
 	KeyHash string `json:"key_hash" jsonschema:"pattern=^[0-9a-f]{64}$"`
 	Role    Role   `json:"role" jsonschema:"enum=viewer,enum=operator"`
 }
 
-// readOnlyProcedures names the calls that change nothing. Any other needs an Operator, so
-// a call that is added later is not open to viewers by mistake.
+// readOnlyProcedures lists the calls that change nothing. All others require
+// the Operator role, so that a call added later is not open to viewers by
+// mistake.
 var readOnlyProcedures = map[string]bool{
 	adminv1connect.AdminServiceDiffProcedure:    true,
 	adminv1connect.AdminServiceStatusProcedure:  true,
@@ -43,12 +44,13 @@
 
 const bearerPrefix = "Bearer "
 
-// UnauthenticatedError says that no credential fits the bearer key.
+// UnauthenticatedError reports that a call has no bearer key or one that
+// matches no credential.
 type UnauthenticatedError struct{}
 
 func (*UnauthenticatedError) Error() string { return "no credential has this bearer key" }
 
-// ForbiddenError says that the credential's role does not allow a call.
+// ForbiddenError reports that the credential's role does not allow a call.
 type ForbiddenError struct {
 	Name string
 	Role Role
@@ -60,14 +62,15 @@
 
 type operatorContextKey struct{}
 
-// operatorOf returns the name of the credential that made the call.
+// operatorOf returns the name of the credential with which the call was made.
 func operatorOf(ctx context.Context) string {
 	name, _ := ctx.Value(operatorContextKey{}).(string)
 	return name
 }
 
-// authenticator admits calls by their bearer key. Keys are looked up by their
-// hash, so the time of a look-up tells nothing of a key.
+// authenticator maps key hashes to credentials and authenticates calls by their
+// bearer key. Keys are looked up by hash, so the duration of a lookup reveals
+// nothing about a key.
 type authenticator map[string]Credential
 
 func newAuthenticator(credentials []Credential) authenticator {
@@ -83,7 +86,7 @@
 		procedure := r.Spec().Procedure
 		credential, err := a.admit(r.Header().Get("Authorization"), procedure)
 		if err != nil {
-			klog.InfoS("Admin call refused", "procedure", procedure, "peer", r.Peer().Addr, "err", err)
+			klog.InfoS("Admin call rejected", "procedure", procedure, "peer", r.Peer().Addr, "err", err)
 			return nil, connect.NewError(codeOf(err), err)
 		}
 		return next(context.WithValue(ctx, operatorContextKey{}, credential.Name), r)
--- a/daemon/adminapi/encode.go
+++ b/daemon/adminapi/encode.go
@@ -29,7 +29,8 @@
 	return encoded
 }
 
-// neverHeard stands for a daemon that is known by others' word only.
+// neverHeard is the heartbeat age of a daemon that is known only through
+// others' reports.
 const neverHeard = -1
 
 func encodeDaemons(now time.Time, members []membership.Member) []*adminv1.DaemonStatus {
@@ -37,7 +38,8 @@
 	for _, m := range members {
 		heard := int64(neverHeard)
 		if !m.LastHeard.IsZero() {
-			// One that was heard while this answer was made is not of the future.
+			// The daemon may have been heard after now was read, so the age is
+			// not allowed to become negative.
 			heard = max(0, now.Sub(m.LastHeard).Milliseconds())
 		}
 		encoded = append(encoded, &adminv1.DaemonStatus{
@@ -67,8 +69,8 @@
 	}
 }
 
-// asConnectError gives each typed error its code, with the faults of a document
-// or the generation that stands in the way as details.
+// asConnectError maps each typed error to its connect code. It adds the
+// problems of a document, or the conflicting generation, as error details.
 func asConnectError(err error) error {
 	var (
 		invalid     *document.InvalidError
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon wires one entry VM's process: three listeners (callers, other
-// daemons, operators) over the drivers of configuration and membership, model
-// requests, actions, plain services and orders.
+// Package daemon assembles the process of one entry VM: three listeners
+// (callers, peers, operators) on top of the control plane, model requests,
+// actions, plain services and orders.
 package daemon
 
 import (
@@ -47,7 +47,7 @@
 	shutdownMargin    = 2 * time.Second
 )
 
-// Daemon is one process of the system.
+// Daemon is the daemon process of one entry VM.
 type Daemon struct {
 	settings *settings.Settings
 	self     view.Daemon
@@ -69,7 +69,7 @@
 	draining chan struct{}
 }
 
-// New binds the listeners and builds the drivers; nothing runs yet.
+// New binds the listeners and creates the components. Run starts them.
 func New(s *settings.Settings, n Network) (*Daemon, error) {
 	d := &Daemon{
 		settings: s,
@@ -98,12 +98,13 @@
 
 func newIncarnation(id ident.DaemonID) ident.Incarnation {
 	var b [incarnationBytes]byte
-	// crypto/rand.Read never fails: it ends the program instead.
+	// crypto/rand.Read never returns an error; it aborts the program instead.
 	_, _ = rand.Read(b[:])
 	return ident.NewIncarnation(id, b[:])
 }
 
-// seed differs from daemon to daemon: equal ones would make them choose alike.
+// seed returns a random seed. Daemons with equal seeds would make the same
+// random choices.
 func seed() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// enableTLS puts TLS on the peers' and the admin listener. Operators show bearer
-// keys, so only peers are asked for certificates.
+// enableTLS wraps the peer and admin listeners in TLS. Only peers must present
+// client certificates; operators authenticate with bearer keys.
 func (d *Daemon) enableTLS() error {
 	if d.settings.TLS == nil {
 		return nil
@@ -141,7 +142,8 @@
 	return nil
 }
 
-// peerClient reaches other daemons, with TLS if the settings ask for it.
+// peerClient returns the client for calls to other daemons. It uses TLS if the
+// settings enable it.
 func (d *Daemon) peerClient(n Network) *http.Client {
 	if d.tls == nil {
 		return newHTTPClient(n)
@@ -218,24 +220,27 @@
 	}
 }
 
-// newRequestID names the daemon that accepts a request, so that any gateway
-// knows where to look for it.
+// newRequestID returns an ID that contains the incarnation of the accepting
+// daemon, so that any gateway can find the daemon that handles the request.
 func (d *Daemon) newRequestID() ident.RequestID {
 	var b [requestIDBytes]byte
 	_, _ = rand.Read(b[:])
 	return ident.NewRequestID(d.self.Incarnation, b[:])
 }
 
-// Self tells the daemon's addresses, also those of ports that the system chose.
+// Self returns this daemon's identity and addresses, with the actual ports
+// where the system chose them.
 func (d *Daemon) Self() view.Daemon { return d.self }
 
-// AdminAddress is the admin listener's.
+// AdminAddress returns the address of the admin listener.
 func (d *Daemon) AdminAddress() string { return d.admin.Addr().String() }
 
-// Run serves until ctx ends or the VM's notice is over, then shuts down
-// gracefully within the settings' bound.
+// Run serves until ctx ends, the VM is about to be reclaimed, or an operator
+// drains the daemon. It then shuts down gracefully within the bound in the
+// settings.
 func (d *Daemon) Run(ctx context.Context) error {
-	// The drivers outlive ctx by the graceful shutdown.
+	// The components must keep running after ctx ends, until the graceful
+	// shutdown is complete.
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	g, work := errgroup.WithContext(work)
@@ -304,8 +309,9 @@
 	}
 }
 
-// newServer bounds what a connection can take before a handler sees it. Bodies
-// and answers have bounds of their own: a timeout here would end long streams.
+// newServer returns a server that bounds the time and header size of a request
+// before its handler runs. It sets no timeout for bodies and responses, because
+// that would end long streams; the handlers bound those.
 func (d *Daemon) newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -328,16 +334,16 @@
 	defer cancel()
 	for _, s := range servers {
 		if err := s.Shutdown(ctx); err != nil {
-			// Connections that don't end in time are cut; their callers come
-			// back to another gateway.
+			// Connections that do not end in time are closed; their callers
+			// reconnect to another gateway.
 			_ = s.Close()
 		}
 	}
 }
 
-// Abort ends Run at once, as a crash does: nothing is handed over and open
-// connections break. Tests use it; call it once.
+// Abort ends Run at once, like a crash: nothing is handed over, and open
+// connections break. It is for tests and must be called at most once.
 func (d *Daemon) Abort() { close(d.aborted) }
 
-// Control is the daemon's configuration and membership.
+// Control returns the daemon's control plane.
 func (d *Daemon) Control() *control.Control { return d.control }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -30,6 +30,7 @@
 
 const anyPort = "127.0.0.1:0"
 
+// testSystem is a set of daemons and the stand-ins that they use.
 type testSystem struct {
 	network    *pipe.Network
 	standins   *fleet.Fleet
@@ -38,7 +39,7 @@
 	runResults chan error
 }
 
-// start runs n daemons against stand-ins without runners' work.
+// start runs n daemons against stand-ins, without any calls to the runners.
 func start(t *testing.T, n int, source func() *tlsreload.Source) *testSystem {
 	t.Helper()
 	w := &testSystem{network: pipe.NewNetwork(), runResults: make(chan error, n)}
@@ -77,7 +78,8 @@
 	return s
 }
 
-// stop ends the world and returns how long the graceful shutdown took.
+// stop stops the daemons and stand-ins and returns how long the graceful
+// shutdown took.
 func (w *testSystem) stop(t *testing.T) time.Duration {
 	t.Helper()
 	began := time.Now()
@@ -183,8 +185,8 @@
 	})
 }
 
-// An operator stops an idle system. A graceful shutdown that has nothing to
-// hand over must not use its whole grace, or every rollout takes that long.
+// A graceful shutdown with nothing to hand over must not use its whole grace
+// period; otherwise every rollout would take that long.
 func TestIdleShutdownEndsBeforeGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -194,9 +196,9 @@
 	})
 }
 
-// Somebody on the network connects to a daemon's peer listener without a
-// certificate, or listens in. Daemons must know each other, and nobody else may
-// speak to them.
+// Daemons must accept peer connections only from clients with a certificate of
+// the configured authority, and must not speak plain HTTP; otherwise anyone on
+// the network could connect to a daemon or read its traffic.
 func TestPeersRequireTrustedCertificate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -214,7 +216,7 @@
 		untrusted := tls.Client(conn, &tls.Config{InsecureSkipVerify: true})
 		_ = untrusted.HandshakeContext(t.Context())
 		_, err = untrusted.Read(make([]byte, 1))
-		is.True(err != nil) // a client without a certificate is turned away
+		is.True(err != nil) // a client without a certificate is rejected
 		conn.Close()
 		w.stop(t)
 	})
--- a/daemon/engines.go
+++ b/daemon/engines.go
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// engines keeps a client for each engine address that is in use.
+// engines holds a client for each engine address in use.
 type engines struct {
 	http        *http.Client
 	idleTimeout time.Duration
@@ -29,10 +29,11 @@
 	return c.(*engine.Client)
 }
 
-// notStartedError marks errors after which the attempt has certainly not begun.
+// notStartedError marks an error after which the engine has certainly not
+// started the attempt.
 type notStartedError struct{ error }
 
-// NotStarted promises that the engine did not begin the attempt.
+// NotStarted reports that the engine did not start the attempt.
 func (notStartedError) NotStarted() bool { return true }
 
 // Unwrap returns the cause.
@@ -72,7 +73,8 @@
 	return e.clientFor(address).Order(ctx, o)
 }
 
-// CacheEvents reads an engine's prefix cache changes from a sequence number on.
+// CacheEvents reads changes of an engine's prefix cache, starting at a sequence
+// number.
 func (e *engines) CacheEvents(ctx context.Context, address string, from uint64, limit int) (engineapi.CacheEvents, error) {
 	return e.clientFor(address).CacheEvents(ctx, from, limit)
 }
--- a/daemon/network.go
+++ b/daemon/network.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Network opens listeners and connections. Tests pass one in memory.
+// Network opens listeners and connections. Tests use an in-memory
+// implementation.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// TCP is the Network of a real daemon.
+// TCP is the Network that uses the operating system's TCP.
 type TCP struct{}
 
 const (
@@ -44,14 +45,14 @@
 	return conn, nil
 }
 
-// tlsNetwork dials other daemons with TLS. The certificate must be for the
-// address's IP, since daemons know each other by nothing else.
+// tlsNetwork dials other daemons with TLS. The certificate must be valid for
+// the IP address, because daemons know each other only by address.
 type tlsNetwork struct {
 	Network
 	config *tls.Config
 }
 
-// Dial opens a connection and shakes hands on it.
+// Dial opens a connection and performs the TLS handshake.
 func (s tlsNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := s.Network.Dial(ctx, network, address)
 	if err != nil {
@@ -73,8 +74,9 @@
 	return tlsConn, nil
 }
 
-// newHTTPClient makes a client for the daemon's own calls. Streams have no
-// bound in time, so calls bring their own contexts.
+// newHTTPClient returns a client for the daemon's own calls. It sets no
+// timeout, because streams may last any time; callers bound their calls with
+// contexts.
 func newHTTPClient(n Network) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         n.Dial,
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -9,9 +9,10 @@
 	"geraniumstack.org/geraniumstack/transport/dispatch"
 )
 
-// serviceSender sends repeatable calls. It uses the actions' sender: each call
-// has a connection of its own, so that nothing but the retry policy repeats it
-// and no connection that went silent while idle is met.
+// serviceSender sends repeatable service calls through the sender used for
+// actions. That sender opens a new connection for each call, so only the retry
+// policy repeats a call, and no call is sent on an idle connection that has
+// stalled.
 type serviceSender struct{ sender *dispatch.Sender }
 
 // Send implements services.Sender.
@@ -23,7 +24,8 @@
 	return result.Answer, nil
 }
 
-// newDialProbe tells whether a runner takes a new connection.
+// newDialProbe returns a function that checks whether a runner accepts a new
+// connection.
 func newDialProbe(n Network) func(context.Context, string) error {
 	return func(ctx context.Context, address string) error {
 		conn, err := n.Dial(ctx, "tcp", address)
--- a/daemon/services/services.go
+++ b/daemon/services/services.go
@@ -1,7 +1,7 @@
 // Package services sends repeatable calls of plain services to their runners.
-// A call that failed is made again at another runner under the service's retry
-// budget. Calls that the manifest doesn't call repeatable are refused here: they
-// belong to the actions.
+// It retries a failed call at another runner, within the service's retry
+// budget. It refuses calls that the manifest does not mark as repeatable;
+// package actions handles those.
 package services
 
 import (
@@ -29,41 +29,43 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Sender makes one call at a runner. It must repeat nothing by itself: Go's
-// HTTP transport does so on a reused connection that breaks, outside of any
-// budget. Its errors are or wrap *refusal.Refusal.
+// Sender makes one call at a runner. It must not retry by itself, because such
+// retries would bypass the retry budget; Go's HTTP transport, for example,
+// retries when a reused connection breaks. Its errors are or wrap
+// *refusal.Refusal.
 type Sender interface {
 	Send(ctx context.Context, address string, c call.ServiceCall) (call.Answer, error)
 }
 
-// Dialer opens a connection; probes use it.
+// Dialer checks that a runner accepts a new connection. Probes use it.
 type Dialer func(ctx context.Context, address string) error
 
-// Config is what Services works with.
+// Config holds the dependencies and settings of Services.
 type Config struct {
 	Directory view.Directory
 	Config    view.Config
 	Sender    Sender
-	// Probe connects anew to a runner that was left out.
+	// Probe opens a new connection to an ejected runner.
 	Probe   Dialer
 	Metrics metrics.Registry
 	Retry   retry.Config
 	Health  health.Config
-	// AttemptTimeout bounds one attempt, so that a connection gone silent does
-	// not take the caller's whole time.
+	// AttemptTimeout bounds one attempt, so that a stalled connection does not
+	// use up the caller's whole deadline.
 	AttemptTimeout time.Duration
-	// Tick is the precision of ejections.
+	// Tick is the interval at which the health trackers are advanced, and thus
+	// the precision of ejection times.
 	Tick time.Duration
 	Seed uint64
 }
 
-// Defaults of Config.
+// Default values for Config.
 const (
 	DefaultAttemptTimeout = 5 * time.Second
 	DefaultTick           = 100 * time.Millisecond
 )
 
-// retryAfter is asked of callers when no runner could be had.
+// retryAfter is the delay that refusals ask callers to wait before they retry.
 const retryAfter = time.Second
 
 // Services implements call.Services. It is safe for concurrent use.
@@ -80,7 +82,7 @@
 
 var _ call.Services = (*Services)(nil)
 
-// service is one plain service's state.
+// service holds the state of one plain service.
 type service struct {
 	retry    *retry.Policy
 	health   *health.Tracker
@@ -88,7 +90,7 @@
 	inFlight map[ident.RunnerID]int
 }
 
-// New returns services without any state.
+// New returns a Services without state for any service.
 func New(cfg Config) *Services {
 	return &Services{
 		cfg:      cfg,
@@ -97,7 +99,7 @@
 	}
 }
 
-// Run probes runners that were left out until ctx ends.
+// Run probes ejected runners until ctx ends.
 func (s *Services) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer s.wg.Wait()
@@ -125,7 +127,8 @@
 	}
 }
 
-// executeEffects runs with s.mu held.
+// executeEffects executes the effects that a health tracker returns. The caller
+// must hold s.mu.
 func (s *Services) executeEffects(name string, v *service, effects []health.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
@@ -208,7 +211,8 @@
 	}
 }
 
-// checkRepeatable refuses what is not a repeatable call of a plain service.
+// checkRepeatable refuses a call unless it is a repeatable call of a plain
+// service.
 func (s *Services) checkRepeatable(c call.ServiceCall) error {
 	m, _ := s.cfg.Config.Current()
 	if m == nil {
@@ -247,7 +251,8 @@
 	return v
 }
 
-// failure is a failed attempt. An answer that asks to come back is one, too.
+// failure describes a failed attempt. A 503 answer from the runner counts as a
+// failed attempt, too.
 type failure struct {
 	reason     retry.Reason
 	mayHaveRun bool
@@ -255,8 +260,8 @@
 	refusal    *refusal.Refusal
 }
 
-// finalAnswer is what the caller gets when there is no other attempt: the runner's own
-// answer if there is one.
+// finalAnswer returns what the caller gets when no further attempt is made: the
+// runner's own answer if there is one, otherwise the refusal.
 func (f *failure) finalAnswer(answer call.Answer, stop *refusal.Refusal, ran bool) (call.Answer, error) {
 	if f.refusal == nil {
 		return answer, nil
@@ -264,6 +269,8 @@
 	return call.Answer{}, withExecutionUnknown(stop, ran)
 }
 
+// withExecutionUnknown marks the refusal's execution status as unknown if an
+// earlier attempt may have run the call.
 func withExecutionUnknown(r *refusal.Refusal, ran bool) *refusal.Refusal {
 	if ran {
 		return r.Unknown()
@@ -271,8 +278,8 @@
 	return r
 }
 
-// attempt makes one attempt at a runner that was not tried before, if there is
-// one.
+// attempt makes one attempt, preferably at a runner that has not been tried,
+// and records the runner in tried.
 func (s *Services) attempt(ctx context.Context, v *service, c call.ServiceCall, tried *[]ident.RunnerID) (call.Answer, *failure) {
 	r, ok := s.pick(v, c.Service, *tried)
 	if !ok {
@@ -286,7 +293,8 @@
 	defer cancel()
 	answer, err := s.cfg.Sender.Send(attemptCtx, r.Address, c)
 	f := failureOf(attemptCtx, answer, err)
-	// A caller that goes away says nothing of the runner.
+	// An attempt that ended because the caller left says nothing about the
+	// runner's health.
 	s.finishAttempt(v, c.Service, r.ID, f, ctx.Err() == nil)
 	return answer, f
 }
@@ -323,8 +331,9 @@
 	return 0
 }
 
-// pick takes the less loaded of two random runners: live ones that were not
-// tried, else suspect or left out, else tried ones.
+// pick returns the less loaded of two random runners. It prefers live runners
+// that have not been tried, then suspect or ejected ones, then those already
+// tried.
 func (s *Services) pick(v *service, name string, tried []ident.RunnerID) (view.Runner, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -370,7 +379,8 @@
 	return a
 }
 
-// finishAttempt takes in how an attempt ended.
+// finishAttempt records the end of an attempt. If affectsHealth is set, it
+// passes the outcome to the runner's health tracker.
 func (s *Services) finishAttempt(v *service, name string, id ident.RunnerID, f *failure, affectsHealth bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -394,7 +404,7 @@
 	return health.Failure
 }
 
-// decideRetry returns how long to wait before the next attempt, or the refusal that
+// decideRetry returns the delay before the next attempt, or the refusal that
 // ends the call.
 func (s *Services) decideRetry(v *service, c call.ServiceCall, f *failure, attempts int) (time.Duration, *refusal.Refusal) {
 	s.mu.Lock()
--- a/daemon/services/services_test.go
+++ b/daemon/services/services_test.go
@@ -76,8 +76,8 @@
 
 var statusCall = call.ServiceCall{Service: "casos", Method: "GET", Path: "/status?case=1"}
 
-// A pledge is recorded twice: its answer was lost and the call was made again
-// at another runner. What may not be repeated must not even come here.
+// A call that is not repeatable must be refused before it is sent: if its
+// answer were lost and the call retried at another runner, it would run twice.
 func TestNonRepeatableCallIsNotSent(t *testing.T) {
 	is := is.New(t)
 	w := newFakeEnvironment(2)
@@ -118,8 +118,9 @@
 	})
 }
 
-// Status checks of all callers slow down although three quarters of the runners
-// work. A failure domain went, and every call to it is made four times.
+// A quarter of the runners fail together with their failure domain. Retries
+// must stay within the budget: if every call to a failed runner were made four
+// times, the remaining runners would slow down for all callers.
 func TestNoRetryStormAfterFailureDomainLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -144,7 +145,7 @@
 		cancel()
 		<-done
 		is.True(float64(w.total) <= 1.1*calls+retry.Default().Burst+retry.Default().PerSecond*30)
-		is.True(answered >= calls*99/100) // the failing runners are left out
+		is.True(answered >= calls*99/100) // the failing runners are ejected
 		t.Logf("attempts/first attempts %.3f, answered %.3f", float64(w.total)/calls, float64(answered)/calls)
 	})
 }
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a daemon's JSON settings. All faults are reported at
-// once, each with its JSON path.
+// Package settings reads a daemon's settings, a JSON file. It reports all
+// problems at once, each with its JSON path.
 package settings
 
 import (
@@ -15,32 +15,34 @@
 	"geraniumstack.org/geraniumstack/transport/tlsreload"
 )
 
-// Settings is what one daemon needs to know before it can ask anybody.
+// Settings holds the local settings of one daemon, which it needs before it can
+// reach its peers or the platform.
 type Settings struct {
-	// ID names this entry VM's place; a replacement keeps it.
+	// ID identifies this entry VM. A VM that replaces it uses the same ID.
 	ID            ident.DaemonID      `json:"id" jsonschema:"minLength=1"`
 	FailureDomain ident.FailureDomain `json:"failure_domain" jsonschema:"minLength=1"`
 	Listen        Listen              `json:"listen"`
-	// Seeds are peers' addresses to begin with; its own may be among them.
+	// Seeds lists addresses of peers to contact first. The daemon's own address
+	// may be among them.
 	Seeds    []string `json:"seeds"`
 	Platform Platform `json:"platform"`
 	Limits   Limits   `json:"limits,omitempty"`
 	Shutdown Shutdown `json:"shutdown,omitempty"`
 	Admin    Admin    `json:"admin,omitempty"`
-	// TLS protects the peers' and the admin listener; without it they speak
-	// plain HTTP. Peers show each other their certificates.
+	// TLS configures the peer and admin listeners; without it they use plain
+	// HTTP. Peers authenticate each other with client certificates.
 	TLS *tlsreload.Source `json:"tls,omitempty"`
 }
 
-// Listen holds the addresses, IP and port, of the three listeners. Port 0 is
-// chosen by the system.
+// Listen holds the addresses (IP and port) of the three listeners. With port 0
+// the system chooses the port.
 type Listen struct {
 	Callers string `json:"callers" jsonschema:"minLength=1"`
 	Peers   string `json:"peers" jsonschema:"minLength=1"`
 	Admin   string `json:"admin" jsonschema:"minLength=1"`
 }
 
-// Platform holds the base URLs of the platform's services.
+// Platform holds the base URLs of the platform's services. Weights is optional.
 type Platform struct {
 	KeyValue string `json:"key_value" jsonschema:"minLength=1"`
 	VMList   string `json:"vm_list" jsonschema:"minLength=1"`
@@ -48,7 +50,7 @@
 	Weights  string `json:"weights,omitempty"`
 }
 
-// Limits bounds what one caller can take; zero is the default.
+// Limits bounds the resources that callers can use. Zero means the default.
 type Limits struct {
 	MaxBodyBytes            int64 `json:"max_body_bytes,omitempty" jsonschema:"minimum=0"`
 	MaxHeaderBytes          int   `json:"max_header_bytes,omitempty" jsonschema:"minimum=0"`
@@ -58,12 +60,13 @@
 	GatewaysLifetimeMillis  int   `json:"gateways_lifetime_ms,omitempty" jsonschema:"minimum=0"`
 	CallerHeartbeatMillis   int   `json:"caller_heartbeat_ms,omitempty" jsonschema:"minimum=0"`
 	MaxServiceTimeoutMillis int   `json:"max_service_timeout_ms,omitempty" jsonschema:"minimum=0"`
-	// MaxTokenOwners is how many of all daemons issue tokens of actions, each
-	// with a journal of up to 30 key-value writes a second.
+	// MaxTokenOwners is the maximum number of daemons in the fleet that issue
+	// action tokens. Each of them keeps a journal that costs up to 30 key-value
+	// writes a second.
 	MaxTokenOwners int `json:"max_token_owners,omitempty" jsonschema:"minimum=0,maximum=64"`
 }
 
-// Shutdown bounds a graceful shutdown.
+// Shutdown holds the settings of a graceful shutdown.
 type Shutdown struct {
 	GraceMillis int `json:"grace_ms,omitempty" jsonschema:"minimum=0"`
 }
@@ -73,15 +76,15 @@
 	Credentials []Credential `json:"credentials,omitempty"`
 }
 
-// Credential lets the holder of a key act in a role.
+// Credential grants a role to the holder of a bearer key.
 type Credential struct {
 	Name string `json:"name" jsonschema:"minLength=1"`
 	Role string `json:"role" jsonschema:"enum=viewer,enum=operator"`
-	// KeyHash is the SHA-256 hash, in hex, of the bearer key.
+	// KeyHash is the SHA-256 hash of the bearer key, in hex.
 	KeyHash string `json:"key_hash" jsonschema:"pattern=^[0-9a-f]{64}$"`
 }
 
-// Defaults of the bounds.
+// Default values for Limits and Shutdown.
 const (
 	DefaultMaxBodyBytes      = 4 << 20
 	DefaultMaxHeaderBytes    = 64 << 10
@@ -95,8 +98,8 @@
 	DefaultGrace             = 20 * time.Second
 )
 
-// Load reads and checks a settings file. Faults of its content are an
-// *document.InvalidError.
+// Load reads and checks a settings file. If its content is invalid, the error
+// is a *document.InvalidError.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -105,7 +108,7 @@
 	return Parse(data)
 }
 
-// Parse checks settings and fills in the defaults.
+// Parse decodes and checks settings and fills in the defaults.
 func Parse(data []byte) (*Settings, error) {
 	var s Settings
 	if err := document.Decode(data, &s); err != nil {
@@ -115,7 +118,7 @@
 	return &s, nil
 }
 
-// FillDefaults replaces zero bounds by their defaults.
+// FillDefaults replaces zero values in Limits and Shutdown by their defaults.
 func (s *Settings) FillDefaults() {
 	l := &s.Limits
 	setInt64(&l.MaxBodyBytes, DefaultMaxBodyBytes)
@@ -144,11 +147,11 @@
 
 func setMillis(v *int, d time.Duration) { setInt(v, int(d.Milliseconds())) }
 
-// Millis turns a setting in milliseconds into a duration.
+// Millis converts a setting in milliseconds to a duration.
 func Millis(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Check finds addresses that are not IP and port, URLs that name no IP, and
-// listeners that clash.
+// Check reports addresses that are not an IP and a port, URLs whose host is not
+// an IP, listeners that share an address, and credentials that share a key.
 func (s *Settings) Check() []document.Problem {
 	var c checker
 	c.address("/listen/callers", s.Listen.Callers)
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -25,8 +25,8 @@
 	is.Equal(s.Limits.MaxTokenOwners, settings.DefaultMaxTokenOwners)
 }
 
-// An operator makes several mistakes in one file. They must all be shown in
-// the first run, since each further run is a VM that does not start.
+// All mistakes in a settings file must be reported in the first run, because
+// each further run is a VM that does not start.
 func TestParseReportsAllProblemsAtOnce(t *testing.T) {
 	tests := []struct {
 		name, doc string
--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -12,9 +12,10 @@
 	"geraniumstack.org/geraniumstack/internal/pause"
 )
 
-// waitForShutdown returns when the daemon has been told to stop and has shut down
-// gracefully. It is told by ctx (SIGTERM), by the platform's notice for its VM,
-// or by an operator's drain, which both show as its own state in the directory.
+// waitForShutdown returns when the daemon has been told to stop and has shut
+// down gracefully, or when work has ended. The daemon is told to stop by ctx
+// (SIGTERM), by the platform's notice for its VM, or by an operator's drain;
+// the latter two set the daemon's own state in the directory to leaving.
 func (d *Daemon) waitForShutdown(ctx, work context.Context) {
 	for {
 		changed := d.control.Changed()
@@ -34,9 +35,10 @@
 	}
 }
 
-// shutDown is a graceful shutdown: it tells everybody, takes new work for as
-// long as callers may keep an answer that names this gateway, then hands over
-// what is in progress, all within the grace or before the VM goes.
+// shutDown performs a graceful shutdown: it announces that the daemon is
+// leaving, keeps accepting work for the lifetime of the gateway lists that name
+// it, then stops accepting and drains the work in progress. It finishes within
+// the grace period and before the VM stops.
 func (d *Daemon) shutDown(work context.Context, leavesAt time.Time) {
 	grace := settings.Millis(d.settings.Shutdown.GraceMillis)
 	end := time.Now().Add(grace)
@@ -52,19 +54,20 @@
 	pause.For(ctx, lifetime)
 	d.gateway.StopAccepting()
 	d.drainRequests(ctx)
-	klog.InfoS("Graceful shutdown done")
+	klog.InfoS("Graceful shutdown finished")
 }
 
+// drainRequests hands over the model requests and actions in progress.
 func (d *Daemon) drainRequests(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		if err := d.models.Drain(ctx); err != nil {
-			klog.ErrorS(err, "Model requests not handed over in full")
+			klog.ErrorS(err, "Draining model requests failed")
 		}
 	})
 	wg.Go(func() {
 		if err := d.actions.Drain(ctx); err != nil {
-			klog.ErrorS(err, "Actions not handed over in full")
+			klog.ErrorS(err, "Draining actions failed")
 		}
 	})
 	wg.Wait()
