--- a/daemon/engines.go
+++ b/daemon/engines.go
@@ -17,8 +17,8 @@
 	clients     sync.Map // string -> *engine.Client
 }
 
-func newEngines(c *http.Client, silence time.Duration) *engines {
-	return &engines{http: c, idleTimeout: silence}
+func newEngines(c *http.Client, idleTimeout time.Duration) *engines {
+	return &engines{http: c, idleTimeout: idleTimeout}
 }
 
 func (e *engines) clientFor(address string) *engine.Client {
