--- a/daemon/control/leaving_test.go
+++ b/daemon/control/leaving_test.go
@@ -11,16 +11,18 @@
 	"geraniumstack.org/geraniumstack/standin/kvserver"
 )
 
-// caller keeps an answer for its lifetime and uses it for every request.
+// caller keeps a list of gateways for its lifetime and sends every request to
+// one of them.
 type caller struct {
 	gateways []membership.Gateway
 	until    time.Time
 }
 
-// pick returns the address of the next request.
+// pick returns the address to which the caller sends its next request.
 func (c *caller) pick(f *fleet, random *rand.Rand) string {
 	if time.Now().After(c.until) {
-		// A caller asks any entry VM that it knows, the leaving one too.
+		// A caller asks any entry VM for gateways, including the one that is
+		// leaving.
 		d := f.daemons[random.IntN(len(f.daemons))]
 		c.gateways = membership.Gateways(d.Daemons(), domains[random.IntN(len(domains))], random.Uint64())
 		c.until = time.Now().Add(membership.GatewayTTL)
@@ -28,28 +30,28 @@
 	return c.gateways[random.IntN(len(c.gateways))].Address
 }
 
-// lastNewRequest lets 50 callers send for a while and returns how long after the
-// first word of its leaving an entry VM got its last new request.
-func lastNewRequest(t *testing.T, harm func(f *fleet), word func(f *fleet)) (last time.Duration) {
-	inBubble(t, func(_ *is.I, f *fleet) {
-		f.network.set(func(n *network) { n.delay = 20 * time.Millisecond })
+// lastNewRequest simulates 50 callers and returns how long after the
+// announcement of its leaving an entry VM got its last new request.
+func lastNewRequest(t *testing.T, injectFaults func(f *fleet), announce func(f *fleet)) (last time.Duration) {
+	runWithFleet(t, func(_ *is.I, f *fleet) {
+		f.network.update(func(n *network) { n.delay = 20 * time.Millisecond })
 		random := rand.New(rand.NewPCG(7, 7))
 		callers := make([]caller, 50)
 		for i := range callers {
 			callers[i].pick(f, random)
-			callers[i].until = time.Now().Add(rand1(random, membership.GatewayTTL))
+			callers[i].until = time.Now().Add(randomDuration(random, membership.GatewayTTL))
 		}
-		var noticed time.Time
+		var announcedAt time.Time
 		for step := range 400 {
 			if step == 100 {
-				harm(f)
-				noticed = time.Now()
-				word(f)
+				injectFaults(f)
+				announcedAt = time.Now()
+				announce(f)
 			}
 			for i := range callers {
 				address := callers[i].pick(f, random)
-				if !noticed.IsZero() && address == f.daemons[2].Self().CallerAddress {
-					last = time.Since(noticed)
+				if !announcedAt.IsZero() && address == f.daemons[2].Self().CallerAddress {
+					last = time.Since(announcedAt)
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -58,19 +60,20 @@
 	return last
 }
 
-// An entry VM is to be reclaimed, and one daemon hears of it. Callers that go on
-// sending there would see their new requests cut off: the notice has to reach
-// every daemon, also with the key-value service down or a failure domain cut off
-// from the first one to know, and old answers have to run out.
+// An entry VM is about to be reclaimed, and one daemon or the cloud announces
+// it. The announcement must reach every daemon, even if the key-value service
+// is down or a failure domain is partitioned from the first daemon to know, and
+// old gateway lists must expire. Otherwise callers would keep sending new
+// requests to that VM, and the requests would be cut off.
 func TestLastNewRequestOnLeavingVM(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	told := func(f *fleet) { f.daemons[1].NoteLeaving("10.0.0.3", time.Minute) }
-	noticed := func(f *fleet) { f.cloud.notice("vm-2", "10.0.0.3", time.Minute) }
+	viaDaemon := func(f *fleet) { f.daemons[1].NoteLeaving("10.0.0.3", time.Minute) }
+	viaCloud := func(f *fleet) { f.cloud.notice("vm-2", "10.0.0.3", time.Minute) }
 	outage := func(f *fleet) { f.store.SetFaults(kvserver.Faults{Outage: true}) }
 	cut := func(f *fleet) {
 		outage(f)
-		f.network.set(func(n *network) {
+		f.network.update(func(n *network) {
 			for _, i := range []int{0, 4} {
 				n.cut[[2]string{address(1), address(i)}] = true
 				n.cut[[2]string{address(i), address(1)}] = true
@@ -78,13 +81,13 @@
 		})
 	}
 	for name, run := range map[string][2]func(*fleet){
-		"cloud":              {func(*fleet) {}, noticed},
-		"one daemon":         {func(*fleet) {}, told},
-		"one daemon, outage": {outage, told},
-		"one daemon, outage, cut from a failure domain": {cut, told},
+		"cloud":              {func(*fleet) {}, viaCloud},
+		"one daemon":         {func(*fleet) {}, viaDaemon},
+		"one daemon, outage": {outage, viaDaemon},
+		"one daemon, outage, cut from a failure domain": {cut, viaDaemon},
 	} {
 		last := lastNewRequest(t, run[0], run[1])
-		t.Logf("%s: last new request %s after the first word", name, last)
+		t.Logf("%s: last new request %s after the first report", name, last)
 		is.True(last > 0)
 		is.True(last <= membership.GatewayTTL+3*time.Second)
 	}
--- a/daemon/control/network_test.go
+++ b/daemon/control/network_test.go
@@ -19,7 +19,8 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// network carries HTTP calls between daemons in one process and virtual time.
+// network carries HTTP calls between daemons in one process, in virtual time,
+// and injects delays, pauses and partitions.
 type network struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
@@ -37,22 +38,23 @@
 	}
 }
 
-// unreachableError is what a call to nobody or over a cut link meets.
+// unreachableError is the error of a call to an unknown address or over a cut
+// link.
 type unreachableError struct{ address string }
 
 func (e *unreachableError) Error() string { return "unreachable: " + e.address }
 
-// from returns the transport of the daemon at an address.
-func (n *network) from(address string) http.RoundTripper { return &edge{n, address} }
+// from returns the transport that the daemon at an address uses for its calls.
+func (n *network) from(address string) http.RoundTripper { return &endpoint{n, address} }
 
-type edge struct {
+type endpoint struct {
 	network *network
 	from    string
 }
 
-// RoundTrip waits out the delay and any pause of either end, then calls the
-// other end's handler.
-func (e *edge) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip waits for the one-way delay and while either endpoint is paused,
+// and then calls the receiver's handler.
+func (e *endpoint) RoundTrip(r *http.Request) (*http.Response, error) {
 	n := e.network
 	for {
 		if !wait(r.Context(), n.oneWay()) {
@@ -60,13 +62,13 @@
 		}
 		n.mu.Lock()
 		handler, ok := n.handlers[r.URL.Host]
-		held := n.paused[r.URL.Host] || n.paused[e.from]
+		isPaused := n.paused[r.URL.Host] || n.paused[e.from]
 		cut := n.cut[[2]string{e.from, r.URL.Host}]
 		n.mu.Unlock()
 		if !ok || cut {
 			return nil, &unreachableError{r.URL.Host}
 		}
-		if held {
+		if isPaused {
 			wait(r.Context(), 10*time.Millisecond)
 			continue
 		}
@@ -89,14 +91,15 @@
 	return response, nil
 }
 
-// oneWay returns the delay; a test may change it while calls are under way.
+// oneWay returns the one-way delay. A test may change it while calls are in
+// flight.
 func (n *network) oneWay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delay
 }
 
-func (n *network) set(change func(*network)) {
+func (n *network) update(change func(*network)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(n)
@@ -111,7 +114,8 @@
 	}
 }
 
-// cloud is a VM list and a source of notices.
+// cloud is a test double for the platform's VM list and its termination
+// notices.
 type cloud struct {
 	cloudapi.Cloud
 	mu      sync.Mutex
@@ -157,7 +161,8 @@
 	}
 }
 
-// fleet is five daemons in four failure domains with their stand-ins.
+// fleet is a set of daemons, five by default, in four failure domains, with
+// stand-ins for the services they use.
 type fleet struct {
 	t       *testing.T
 	network *network
@@ -165,29 +170,30 @@
 	cloud   *cloud
 	daemons []*daemon
 	starts  int
-	// afterSwap is called once when the next swap of the head has taken effect,
-	// before its answer.
+	// afterSwap is called once, after the next swap of the head has taken
+	// effect and before its response is returned.
 	afterSwap func()
 }
 
-// tripwire lets a fault begin in the moment of acceptance.
-type tripwire struct {
+// hookedStore calls the fleet's afterSwap hook, so that a test can inject a
+// fault at the moment of acceptance.
+type hookedStore struct {
 	*kvserver.Store
 	fleet *fleet
 }
 
 // CompareAndSwap implements kv.Store.
-func (w *tripwire) CompareAndSwap(ctx context.Context, key string, expected kv.Revision, value []byte, lease kv.LeaseID) (kv.Revision, error) {
+func (w *hookedStore) CompareAndSwap(ctx context.Context, key string, expected kv.Revision, value []byte, lease kv.LeaseID) (kv.Revision, error) {
 	revision, err := w.Store.CompareAndSwap(ctx, key, expected, value, lease)
 	if key != "config/head" {
 		return revision, err
 	}
 	w.fleet.network.mu.Lock()
-	trip := w.fleet.afterSwap
+	hook := w.fleet.afterSwap
 	w.fleet.afterSwap = nil
 	w.fleet.network.mu.Unlock()
-	if trip != nil {
-		trip()
+	if hook != nil {
+		hook()
 	}
 	return revision, err
 }
@@ -214,14 +220,15 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7000", i+1) }
 
-// start runs a new incarnation of the daemon at a place.
+// start creates and runs a new incarnation of daemon i.
 func (f *fleet) start(i int) *daemon {
 	d := f.prepare(i)
 	f.run(d)
 	return d
 }
 
-// prepare makes a new incarnation that answers calls; Run has not begun.
+// prepare creates a new incarnation of daemon i that answers calls but whose
+// Run has not begun.
 func (f *fleet) prepare(i int) *daemon {
 	f.starts++
 	id := ident.DaemonID(fmt.Sprintf("entry-%d", i))
@@ -233,11 +240,11 @@
 			CallerAddress: fmt.Sprintf("10.0.0.%d:8000", i+1), PeerAddress: d.address,
 		},
 		Seeds: []string{address(0), address(1)},
-		Store: &tripwire{Store: f.store, fleet: f}, Lister: f.cloud, Cloud: f.cloud,
+		Store: &hookedStore{Store: f.store, fleet: f}, Lister: f.cloud, Cloud: f.cloud,
 		HTTPClient: &http.Client{Transport: f.network.from(d.address)},
 	})
 	_, handler := d.Handler()
-	f.network.set(func(n *network) { n.handlers[d.address] = handler })
+	f.network.update(func(n *network) { n.handlers[d.address] = handler })
 	return d
 }
 
@@ -252,9 +259,9 @@
 	}()
 }
 
-// crash ends a daemon without its last word.
+// crash stops daemon i with its links cut, so that its peers are not told.
 func (f *fleet) crash(i int) {
-	f.network.set(func(n *network) {
+	f.network.update(func(n *network) {
 		delete(n.handlers, address(i))
 		for j := range f.daemons {
 			n.cut[[2]string{address(i), address(j)}] = true
@@ -264,15 +271,15 @@
 	<-f.daemons[i].done
 }
 
-// restart runs a new incarnation at the place of a crashed one.
+// restart runs a new incarnation of a crashed daemon.
 func (f *fleet) restart(i int) {
 	f.reconnect(i)
 	f.daemons[i] = f.start(i)
 }
 
-// reconnect mends the links of a crashed daemon's place.
+// reconnect restores the links of a crashed daemon's address.
 func (f *fleet) reconnect(i int) {
-	f.network.set(func(n *network) {
+	f.network.update(func(n *network) {
 		for j := range f.daemons {
 			delete(n.cut, [2]string{address(i), address(j)})
 		}
@@ -289,19 +296,21 @@
 	f.store.Close()
 }
 
-// until waits in virtual time for a condition and returns how long it took.
-func (f *fleet) until(limit time.Duration, what string, condition func() bool) time.Duration {
+// waitUntil waits in virtual time for a condition and returns how long it took.
+func (f *fleet) waitUntil(limit time.Duration, what string, condition func() bool) time.Duration {
 	f.t.Helper()
 	begin := time.Now()
 	for !condition() {
 		if time.Since(begin) > limit {
-			f.t.Fatalf("not within %s: %s", limit, what)
+			f.t.Fatalf("condition not met within %s: %s", limit, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(begin)
 }
 
+// inForce returns a condition that holds once every daemon has the generation,
+// or a higher one, in force.
 func (f *fleet) inForce(generation ident.Generation) func() bool {
 	return func() bool {
 		for _, d := range f.daemons {
@@ -313,7 +322,8 @@
 	}
 }
 
-func (f *fleet) acquainted() bool {
+// allLive reports whether every daemon sees all daemons as live.
+func (f *fleet) allLive() bool {
 	for _, d := range f.daemons {
 		live := 0
 		for _, other := range d.Daemons() {
@@ -330,11 +340,11 @@
 
 func (f *fleet) apply(i int, runners int, id string) (control.Outcome, error) {
 	return f.daemons[i].Apply(f.t.Context(), control.Submission{
-		Manifest: sample(runners), Author: "pipeline", ID: id, Expected: -1, Wait: 10 * time.Second,
+		Manifest: testManifest(runners), Author: "pipeline", ID: id, Expected: -1, Wait: 10 * time.Second,
 	})
 }
 
-func sample(runners int) *manifest.Manifest {
+func testManifest(runners int) *manifest.Manifest {
 	return &manifest.Manifest{
 		Format:   manifest.Format,
 		Models:   []manifest.Model{},
@@ -351,4 +361,4 @@
 	}
 }
 
-var _ kv.Store = (*tripwire)(nil)
+var _ kv.Store = (*hookedStore)(nil)
--- a/daemon/control/register.go
+++ b/daemon/control/register.go
@@ -16,21 +16,24 @@
 )
 
 const (
-	// keepAliveLeast and keepAlivePerMember make the interval of keep-alives;
-	// all daemons together write at most ten a second.
-	keepAliveLeast     = 10 * time.Second
-	keepAlivePerMember = 100 * time.Millisecond
-	// leaseIntervals is the lease's length in keep-alive intervals. It may be
-	// long: a registration makes a daemon known and says nothing of its life.
+	// minKeepAliveInterval and keepAliveIntervalPerMember determine the
+	// interval between keep-alives, so that all daemons together write at most
+	// ten times a second.
+	minKeepAliveInterval       = 10 * time.Second
+	keepAliveIntervalPerMember = 100 * time.Millisecond
+	// leaseIntervals is the duration of the lease in keep-alive intervals. It
+	// may be long, because a registration only makes a daemon known and does
+	// not indicate that it is alive.
 	leaseIntervals = 3
-	// readLeast and readPerMember make the interval of reading all
-	// registrations, on the daemons with that duty.
-	readLeast     = 30 * time.Second
-	readPerMember = 330 * time.Millisecond
-	readPage      = 500
+	// minReadInterval and readIntervalPerMember determine the interval between
+	// two reads of all registrations on the designated daemons.
+	minReadInterval       = 30 * time.Second
+	readIntervalPerMember = 330 * time.Millisecond
+	readPageSize          = 500
 )
 
-// registration is the stored form.
+// registration is the JSON form of a daemon's registration in the key-value
+// service.
 type registration struct {
 	ID            ident.DaemonID      `json:"id"`
 	Incarnation   ident.Incarnation   `json:"incarnation"`
@@ -62,25 +65,26 @@
 	}
 }
 
-// registerLoop keeps the daemon registered while it is live and takes the
-// registration back at the end.
+// registerLoop keeps the daemon registered while it is live, and revokes the
+// registration when it is leaving or Run ends.
 func (c *Control) registerLoop(ctx context.Context) {
 	var lease kv.LeaseID
 	for ctx.Err() == nil && c.Self().State == view.Live {
-		interval := scaled(keepAliveLeast, keepAlivePerMember, c.Members())
+		interval := scaledInterval(minKeepAliveInterval, keepAliveIntervalPerMember, c.Members())
 		granted, err := c.keepRegistered(ctx, lease, interval*leaseIntervals)
 		lease = granted
 		if err != nil {
 			klog.V(1).InfoS("Registration failed", "err", err)
-			interval = storeRetry
+			interval = storeRetryDelay
 		}
-		c.restUntilLeaving(ctx, c.jittered(interval))
+		c.sleepUntilLeaving(ctx, c.jittered(interval))
 	}
 	c.revoke(lease)
 }
 
-// restUntilLeaving waits, shorter if this daemon starts to leave.
-func (c *Control) restUntilLeaving(ctx context.Context, d time.Duration) {
+// sleepUntilLeaving sleeps for d, or less if this daemon starts to leave or ctx
+// ends.
+func (c *Control) sleepUntilLeaving(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for ctx.Err() == nil && c.Self().State == view.Live {
@@ -93,7 +97,8 @@
 	}
 }
 
-// keepRegistered renews the lease, or makes one with the registration on it.
+// keepRegistered renews the lease. If there is none or it has expired,
+// keepRegistered obtains a new lease and writes the registration with it.
 func (c *Control) keepRegistered(ctx context.Context, lease kv.LeaseID, ttl time.Duration) (kv.LeaseID, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -125,7 +130,7 @@
 	key := registrationKey(c.cfg.Self.ID)
 	c.counters.storeReads.Inc(1)
 	entry, err := c.cfg.Store.Get(ctx, key)
-	c.noteStore(err)
+	c.recordStoreResult(err)
 	if err != nil {
 		return err
 	}
@@ -138,7 +143,7 @@
 func (c *Control) write(call func() error) error {
 	c.counters.storeWrites.Inc(1)
 	err := call()
-	c.noteStore(err)
+	c.recordStoreResult(err)
 	return err
 }
 
@@ -149,38 +154,38 @@
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	if err := c.write(func() error { return c.cfg.Store.Revoke(ctx, lease) }); err != nil {
-		klog.V(1).InfoS("Registration ends with its lease only", "err", err)
+		klog.V(1).InfoS("Revoking the registration failed; it remains until its lease expires", "err", err)
 	}
 }
 
-// readRegistrationsLoop reads who is registered: at once, often while no peer
-// is known, and now and then on the daemons with that duty, so that groups of
-// daemons that lost sight of each other meet again.
+// readRegistrationsLoop reads all registrations: at start, often while no peer
+// is known, and periodically on the designated daemons, so that separated
+// groups of daemons find each other again.
 func (c *Control) readRegistrationsLoop(ctx context.Context) {
 	for {
 		members, err := c.readRegistrations(ctx)
 		if err == nil {
 			c.mu.Lock()
 			c.table.MergeRegistrations(time.Now(), members)
-			c.afterLocked()
+			c.publishChangesLocked()
 			c.mu.Unlock()
 		}
-		if !c.restBeforeReading(ctx, err) {
+		if !c.sleepBeforeReading(ctx, err) {
 			return
 		}
 	}
 }
 
-func (c *Control) restBeforeReading(ctx context.Context, failed error) bool {
-	rest := scaled(readLeast, readPerMember, c.Members())
-	if failed != nil || len(c.Members()) < 2 {
-		return pause.For(ctx, c.jittered(storeRetry))
+func (c *Control) sleepBeforeReading(ctx context.Context, readErr error) bool {
+	interval := scaledInterval(minReadInterval, readIntervalPerMember, c.Members())
+	if readErr != nil || len(c.Members()) < 2 {
+		return pause.For(ctx, c.jittered(storeRetryDelay))
 	}
-	if !pause.For(ctx, c.jittered(rest)) {
+	if !pause.For(ctx, c.jittered(interval)) {
 		return false
 	}
-	for !c.onDuty(fixedSlot) && len(c.Members()) > 1 {
-		if !pause.For(ctx, dutyRecheck) {
+	for !c.isDesignated(fixedSlot) && len(c.Members()) > 1 {
+		if !pause.For(ctx, designationRecheck) {
 			return false
 		}
 	}
@@ -191,7 +196,7 @@
 	var members []membership.Member
 	after := ""
 	for {
-		page, err := c.listPage(ctx, registrationPrefix, after, readPage)
+		page, err := c.listPage(ctx, registrationPrefix, after, readPageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -199,12 +204,12 @@
 			after = entry.Key
 			var r registration
 			if err := json.Unmarshal(entry.Value, &r); err != nil {
-				klog.ErrorS(err, "Registration can't be read", "key", entry.Key)
+				klog.ErrorS(err, "Registration can't be decoded", "key", entry.Key)
 				continue
 			}
 			members = append(members, r.member())
 		}
-		if len(page) < readPage {
+		if len(page) < readPageSize {
 			return members, nil
 		}
 	}
@@ -215,6 +220,6 @@
 	defer cancel()
 	c.counters.storeReads.Inc(1)
 	page, err := c.cfg.Store.List(ctx, prefix, after, limit)
-	c.noteStore(err)
+	c.recordStoreResult(err)
 	return page, err
 }
