--- a/transport/gateway/auth.go
+++ b/transport/gateway/auth.go
@@ -24,7 +24,8 @@
 	requestIDHeader    = "X-Request-Id"
 )
 
-// credentials maps key hashes to workspaces for one generation at a time.
+// credentials maps the hashes of API keys to workspaces. The index belongs to one configuration
+// generation and is rebuilt when the generation changes.
 type credentials struct{ index atomic.Pointer[keyIndex] }
 
 type keyIndex struct {
@@ -52,7 +53,7 @@
 	return index
 }
 
-// authenticate returns the manifest in force and the caller's workspace.
+// authenticate returns the current manifest and the caller's workspace.
 func (g *Gateway) authenticate(c *echo.Context) (*manifest.Manifest, ident.Workspace, error) {
 	m, err := currentManifest(g.Configuration)
 	if err != nil {
--- a/transport/gateway/errors.go
+++ b/transport/gateway/errors.go
@@ -21,13 +21,13 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail tells a caller why, whether anything ran and when to come back.
+// ErrorDetail tells the caller the reason, whether anything was executed and when to retry.
 type ErrorDetail struct {
 	Code     refusal.Reason   `json:"code"`
 	Message  string           `json:"message"`
 	Type     string           `json:"type"`
 	Executed refusal.Executed `json:"executed"`
-	// RetryAfterMillis is left out where a retry would be refused again.
+	// RetryAfterMillis is omitted if a retry would be refused again.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
@@ -71,8 +71,7 @@
 	}}
 }
 
-// writeError is the one place where a refusal leaves the gateway; it counts
-// each by its reason.
+// writeError sends every refusal that precedes the answer, and counts it by its reason.
 func (g *Gateway) writeError(c *echo.Context, err error) {
 	r := toRefusal(err)
 	g.countRefusal(c, r)
@@ -85,7 +84,7 @@
 	if r.RetryAfter > 0 {
 		c.Response().Header().Set("Retry-After", retryAfterSeconds(r.RetryAfter))
 	}
-	// The caller has gone when this fails; there is nobody to tell.
+	// An error means that the caller has disconnected.
 	_ = c.JSON(statusOf(r.Reason), errorBody(r))
 }
 
@@ -100,8 +99,8 @@
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// toRefusal maps the router's and the body reader's errors; all of these come
-// before anything was dispatched.
+// toRefusal converts the errors of the router and the body reader. They occur before anything is
+// dispatched, so they count as not executed.
 func toRefusal(err error) *refusal.Refusal {
 	var known *refusal.Refusal
 	if errors.As(err, &known) {
@@ -120,7 +119,7 @@
 	return refusal.From(err)
 }
 
-// BodyError says that a request's body could not be read or understood.
+// BodyError says that a request's body is invalid or couldn't be read.
 type BodyError struct{ Err error }
 
 func (e *BodyError) Error() string { return fmt.Sprintf("body: %v", e.Err) }
@@ -128,9 +127,9 @@
 // Unwrap returns the cause.
 func (e *BodyError) Unwrap() error { return e.Err }
 
-// readBody bounds the time that a slow caller can take for its body, and lifts
-// the bound afterwards: a read deadline that passes while the answer is streamed
-// would end the request's context.
+// readBody limits how long a slow caller may take to send its body. It removes the read deadline
+// afterwards, because a deadline that expires while the answer is streamed would cancel the request's
+// context.
 func (g *Gateway) readBody(c *echo.Context) ([]byte, error) {
 	controller := http.NewResponseController(c.Response())
 	if err := controller.SetReadDeadline(time.Now().Add(g.Limits.ReadTimeout)); err != nil {
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway is the callers' HTTP interface: the OpenAI-style model API,
-// plain services, the list of gateways and the outcome of earlier calls. It
-// holds no policy; the interfaces of package call decide.
+// Package gateway serves callers over HTTP: the OpenAI-style model API, plain services, the list of
+// gateways and the outcome of earlier calls. It contains no policy: the interfaces of package call
+// accept or refuse requests.
 package gateway
 
 import (
@@ -18,21 +18,21 @@
 	"geraniumstack.org/geraniumstack/state/usage"
 )
 
-// Config holds what the interface works with. All fields are required.
+// Config holds the components and settings of a Gateway. All fields are required.
 type Config struct {
 	Configuration view.Config
 	Directory     view.Directory
 	Models        call.Models
 	Actions       call.Actions
 	Services      call.Services
-	// NewRequestID makes the name of a request accepted here.
+	// NewRequestID returns a new ID for each accepted request.
 	NewRequestID func() ident.RequestID
 	Usage        *usage.Table
 	Metrics      metrics.Registry
 	Limits       Limits
 }
 
-// Limits bounds what callers can take.
+// Limits holds limits and timeouts of callers' requests.
 type Limits struct {
 	MaxBodyBytes      int64
 	MaxConcurrent     int
@@ -63,8 +63,8 @@
 // ServeHTTP serves one caller's request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) { g.echo.ServeHTTP(w, r) }
 
-// StopAccepting refuses all new work from now on. Requests already accepted
-// can still be read.
+// StopAccepting makes the gateway refuse all new work from now on. The output of requests that were
+// already accepted can still be read.
 func (g *Gateway) StopAccepting() { g.draining.Store(true) }
 
 func (g *Gateway) registerRoutes() {
@@ -78,8 +78,8 @@
 	g.echo.Any("/v1/services/:service/*", g.callService, g.markKeyedRefusalsUnknown, g.limitConcurrency)
 }
 
-// limitConcurrency refuses new work at the bound of concurrent requests or while
-// draining, and limits the body that a handler can read.
+// limitConcurrency refuses new work while the gateway drains or the maximum number of concurrent
+// requests is reached. It also limits the size of the request body.
 func (g *Gateway) limitConcurrency(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		if g.draining.Load() {
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -29,7 +29,7 @@
 
 const callerKey = "key-a"
 
-// fakeBackend stands for everything behind the gateway.
+// fakeBackend implements all interfaces that the gateway calls.
 type fakeBackend struct {
 	manifest   *manifest.Manifest
 	tokens     []string
@@ -150,8 +150,8 @@
 	return resp
 }
 
-// A caller sends what the system can't use. It must be told what is wrong, that
-// nothing ran, and an operator must see each cause counted.
+// A caller sends invalid requests. The refusal must name the reason and say that nothing was executed,
+// and each reason must be counted for the operator.
 func TestBadInputIsRefusedWithReasonAndCounter(t *testing.T) {
 	validBody := `{"model":"m","messages":[{"role":"user","content":"hi"}]}`
 	tests := []struct {
@@ -204,15 +204,15 @@
 	is.Equal(strings.Count(string(text), "data: {"), 4)
 	is.True(strings.HasSuffix(string(text), "data: [DONE]\n\n"))
 	is.Equal(f.submitted[0].Prompt, "user: hi")
-	is.Equal(f.submitted[0].Class, "chat") // leaving the class out is no way to the front
+	is.Equal(f.submitted[0].Class, "chat") // without a class, the request gets no higher priority
 	resp = send(g, "GET", "/v1/requests/r1", "", "Last-Event-ID", "2")
 	text, _ = io.ReadAll(resp.Body)
 	is.Equal(strings.Count(string(text), "data: {"), 2) // the third token and the end
 	is.True(strings.Contains(string(text), "id: 3\n"))
 }
 
-// A caller comes back for a request that nobody knows any more. It must get a
-// status and a typed refusal, not a stream that looks accepted.
+// A caller resumes a request that is no longer known. It must get an error status and a refusal instead
+// of a stream that looks accepted.
 func TestUnknownRequestStartsNoStream(t *testing.T) {
 	is := is.New(t)
 	f := newFakeBackend()
@@ -221,8 +221,8 @@
 	is.Equal(send(g, "GET", "/v1/requests/r9", "", "Last-Event-ID", "2").StatusCode, 404)
 }
 
-// The gateway dies while a request waits for its first token. Its caller must
-// know the request's id by then, or it could only ask anew.
+// The gateway crashes while a request waits for its first token. The caller must already know the
+// request's ID, because otherwise it could only submit the request again.
 func TestAcceptedStreamShowsItsIDBeforeTheFirstToken(t *testing.T) {
 	is := is.New(t)
 	f := newFakeBackend()
@@ -240,8 +240,8 @@
 	resp.Body.Close()
 }
 
-// A request is refused after its first tokens went out. The caller must see a
-// typed end and no [DONE], or it would take half an answer for a whole one.
+// A request is refused after its first tokens were sent. The caller must see an error event and no
+// [DONE]; otherwise it would take an incomplete answer for a complete one.
 func TestRefusalInStreamOmitsDone(t *testing.T) {
 	is := is.New(t)
 	f := newFakeBackend()
@@ -270,9 +270,9 @@
 	}
 }
 
-// Story: a pledge runs and its answer is lost. Its caller repeats it at a
-// gateway that drains, is told "not executed", and pledges again under a new
-// key: two bounties. The draining gateway can't know that the key has run.
+// A call with an idempotency key is executed, but its answer is lost. The caller retries it at a
+// draining gateway. If the gateway answered "not executed", the caller would call again with a new key
+// and the action would run twice. The draining gateway can't know whether the key was executed.
 func TestRefusedRetryWithKeyIsUnknown(t *testing.T) {
 	is := is.New(t)
 	g, _ := newGateway(newFakeBackend())
@@ -290,9 +290,9 @@
 	}
 }
 
-// A runner takes a pledge and never answers. Its caller, who gave no time of its
-// own, must hear "unknown" within the deadline of the pledges' class, not after
-// the gateway's bound for any call.
+// A runner receives a call and never answers. A caller that sets no timeout must get the outcome
+// "unknown" within the deadline of the call's class and not only after the gateway's limit for all
+// calls.
 func TestServiceCallHasTheDeadlineOfItsClass(t *testing.T) {
 	is := is.New(t)
 	f := newFakeBackend()
@@ -313,7 +313,7 @@
 	for _, e := range list.Gateways {
 		ids = append(ids, e.ID)
 	}
-	is.Equal(ids, []ident.DaemonID{"b", "a", "d"}) // own failure domain first, suspect last
+	is.Equal(ids, []ident.DaemonID{"b", "a", "d"}) // requested failure domain first, suspect daemon last
 	is.Equal(list.KeyToken, "token:")
 }
 
@@ -330,9 +330,8 @@
 	is.Equal(len(f.submitted), 0)
 }
 
-// A caller opens a stream and never reads. Its socket fills, and without a bound
-// the handler would hold memory and a place among the concurrent requests for
-// good.
+// A caller opens a stream and never reads. Its socket buffer fills, and without a write timeout the
+// handler would occupy memory and a slot of the concurrency limit forever.
 func TestCallerThatStopsReadingIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -345,10 +344,10 @@
 		go s.Serve(listener)
 		body := `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`
 		fmt.Fprintf(client, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", callerKey, len(body), body)
-		time.Sleep(10 * time.Second) // virtual
+		time.Sleep(10 * time.Second) // virtual time
 		synctest.Wait()
 		data, err := io.ReadAll(client)
-		is.NoErr(err) // the server has closed its end
+		is.NoErr(err) // the server has closed its end of the connection
 		is.True(!strings.Contains(string(data), "[DONE]"))
 		s.Close()
 	})
--- a/transport/gateway/gateways.go
+++ b/transport/gateway/gateways.go
@@ -10,17 +10,16 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// GatewayList tells a caller which entry VMs to use and for how long to keep
-// the answer.
+// GatewayList is the answer to /v1/gateways: the gateways to use and how long the answer is valid.
 type GatewayList struct {
 	Gateways       []GatewayEntry `json:"gateways"`
 	LifetimeMillis int64          `json:"lifetime_ms"`
-	// KeyToken begins the Idempotency-Key of calls that may not be repeated.
+	// KeyToken must be the beginning of the Idempotency-Key of calls that may run at most once.
 	KeyToken               string `json:"key_token"`
 	KeyTokenLifetimeMillis int64  `json:"key_token_lifetime_ms"`
 }
 
-// GatewayEntry is one entry VM. Callers choose by weight.
+// GatewayEntry is one gateway. Callers choose among the gateways in proportion to Weight.
 type GatewayEntry struct {
 	ID            ident.DaemonID      `json:"id"`
 	Address       string              `json:"address"`
--- a/transport/gateway/models.go
+++ b/transport/gateway/models.go
@@ -23,27 +23,26 @@
 	objectText       = "text_completion"
 )
 
-// Message is one turn of a chat.
+// Message is one message of a chat.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// CompletionRequest is the body of both completion calls, as far as it is used
-// here. Fields that are not known are passed over, as callers' libraries send
-// many.
+// CompletionRequest is the body of a chat or text completion request. Unknown fields are ignored, since
+// client libraries send many fields that the gateway doesn't use.
 type CompletionRequest struct {
 	Model    string    `json:"model"`
 	Messages []Message `json:"messages"`
 	Prompt   string    `json:"prompt"`
-	// MaxTokens bounds the output.
+	// MaxTokens limits the output. If it is zero, MaxCompletionTokens applies.
 	MaxTokens           int  `json:"max_tokens"`
 	MaxCompletionTokens int  `json:"max_completion_tokens"`
 	Stream              bool `json:"stream"`
-	// ServiceTier names the manifest's class; the interactive one of lowest
-	// priority is the default.
+	// ServiceTier names a class of the manifest. The default is the interactive class with the
+	// lowest priority.
 	ServiceTier string `json:"service_tier"`
-	// Adapter names one of the model's adapters.
+	// Adapter optionally names one of the model's adapters.
 	Adapter string `json:"adapter"`
 }
 
@@ -173,8 +172,8 @@
 	}, nil
 }
 
-// defaultClass is the interactive class of lowest priority: leaving the class out
-// must not be a way to the front.
+// defaultClass returns the interactive class with the lowest priority. A caller must not gain priority
+// by omitting the class.
 func defaultClass(m *manifest.Manifest) *manifest.Class {
 	var lowest *manifest.Class
 	for i := range m.Classes {
@@ -212,7 +211,8 @@
 	return n, nil
 }
 
-// requestDeadline reads the time that the caller gives; zero time is none.
+// requestDeadline returns the deadline from the caller's timeout header or the fallback. The zero time
+// means that there is none.
 func requestDeadline(c *echo.Context, fallback time.Duration) (time.Time, error) {
 	header := c.Request().Header.Get(timeoutHeader)
 	if header == "" {
--- a/transport/gateway/services.go
+++ b/transport/gateway/services.go
@@ -21,7 +21,7 @@
 	pendingRetryAfter = 200 * time.Millisecond
 )
 
-// excludedHeaders concern one connection only (RFC 9110, section 7.6.1) or are ours.
+// excludedHeaders apply to one connection only (RFC 9110, section 7.6.1) or are set by this system.
 var excludedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true,
@@ -29,8 +29,8 @@
 	"Proxy-Connection": true, "Authorization": true, idempotencyKey: true, timeoutHeader: true,
 }
 
-// callService passes a call to a plain service: by the action path unless the
-// manifest says that the call may run twice.
+// callService passes a call to a plain service. Unless the manifest marks the route as repeatable, the
+// call is executed at most once under its idempotency key.
 func (g *Gateway) callService(c *echo.Context) error {
 	m, ws, err := g.authenticate(c)
 	if err != nil {
@@ -52,14 +52,15 @@
 	return writeAnswer(c, answer)
 }
 
-// outcomeKnownKey marks a call that reached its key's owner, or needs none.
+// outcomeKnownKey is set in the context of a call that was passed on. Its refusal then states correctly
+// whether the call was executed.
 const outcomeKnownKey = "judged"
 
-// markKeyedRefusalsUnknown takes back the "not executed" of a call with an idempotency key
-// that this gateway refused by itself, because it drains or has no place left.
-// The call may be the repetition of one that ran: told "no", its caller would
-// book again under a new key, and the slot would be sold twice. Only the key's
-// owner, or who speaks for it, knows.
+// markKeyedRefusalsUnknown changes "not executed" to "unknown" if this gateway itself refused a call
+// with an idempotency key, for example because it drains or is overloaded. The call may be a retry of
+// one that was executed: if the caller were told "not executed", it would call again with a new key,
+// and the action would run twice. Only the daemon that owns the key, or its substitute, knows the
+// outcome.
 func (g *Gateway) markKeyedRefusalsUnknown(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		err := next(c)
@@ -115,8 +116,8 @@
 	}, route, nil
 }
 
-// serviceTimeout applies where the caller gives no time of its own: the deadline
-// of the route's class, within the gateway's bound.
+// serviceTimeout returns the timeout of a call whose caller sets none: the deadline of the route's class,
+// but at most the gateway's limit.
 func (g *Gateway) serviceTimeout(m *manifest.Manifest, route *manifest.Route) time.Duration {
 	class := m.ClassNamed(route.Class)
 	if class == nil || class.DeadlineMillis == 0 {
@@ -164,7 +165,7 @@
 	return c.Blob(a.Status, contentType, a.Body)
 }
 
-// readOutcome tells what became of an earlier call that may not be repeated.
+// readOutcome returns the outcome of an earlier call that may run at most once.
 func (g *Gateway) readOutcome(c *echo.Context) error {
 	_, ws, err := g.authenticate(c)
 	if err != nil {
--- a/transport/gateway/stream.go
+++ b/transport/gateway/stream.go
@@ -16,17 +16,17 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// completionResponse is what the forms of one request's output share.
+// completionResponse holds the properties of a request from which its answer is built, streamed or not.
 type completionResponse struct {
 	object    string
 	model     string
 	id        ident.RequestID
 	workspace ident.Workspace
-	// acceptedHere requests were accepted on this connection.
+	// acceptedHere is set if the request was accepted on this connection, not resumed.
 	acceptedHere bool
 }
 
-// CompletionChoice is the one choice of an answer or of a chunk.
+// CompletionChoice is the only choice in a completion or a chunk.
 type CompletionChoice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text,omitempty"`
@@ -35,12 +35,12 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// CompletionUsage counts tokens.
+// CompletionUsage holds the token count of a completion.
 type CompletionUsage struct {
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// Completion is a whole answer, or one chunk of a streamed one.
+// Completion is a complete answer or one chunk of a streamed answer.
 type Completion struct {
 	ID      ident.RequestID    `json:"id"`
 	Object  string             `json:"object"`
@@ -76,7 +76,7 @@
 	return Completion{ID: a.id, Object: a.object + ".chunk", Model: a.model, Choices: []CompletionChoice{choice}}
 }
 
-// fullResponse collects the output and answers with one JSON body.
+// fullResponse collects the complete output and writes it as one JSON body.
 func (g *Gateway) fullResponse(c *echo.Context, a completionResponse) error {
 	var text strings.Builder
 	tokens := 0
@@ -108,16 +108,15 @@
 	g.Usage.Answered(ws, tokens)
 }
 
-// writeStream passes the output on as server-sent events. Each event's id holds the
-// offset after it, so that a caller whose connection is lost can go on with
-// Last-Event-ID at any gateway.
+// writeStream writes the output as server-sent events. Each event's ID is the offset of the next token,
+// so that a caller that loses its connection can resume at any gateway with Last-Event-ID.
 func (g *Gateway) writeStream(c *echo.Context, a completionResponse, offset int) error {
 	w := newEventWriter(c.Response(), g.Limits.WriteTimeout, g.Limits.Heartbeat)
 	defer w.stop()
 	if a.acceptedHere {
-		// The caller gets the request's id before its first token: if this
-		// gateway dies while the request waits, it goes on elsewhere instead of
-		// asking anew.
+		// The heartbeat sends the headers with the request's ID before the first token. If this
+		// gateway crashes while the request waits, the caller can resume it elsewhere instead of
+		// submitting it again.
 		if err := w.writeHeartbeat(); err != nil {
 			return err
 		}
@@ -144,8 +143,8 @@
 	return nil
 }
 
-// writeStreamError tells a refusal in the stream if that has begun, since the status
-// line has gone out; a stream without [DONE] is not whole.
+// writeStreamError sends a refusal as an event if the stream has started, because the status line has
+// been sent by then. A stream without [DONE] is incomplete.
 func (g *Gateway) writeStreamError(c *echo.Context, w *eventWriter, err error) error {
 	if !w.hasStarted() {
 		return err
@@ -155,9 +154,9 @@
 	return w.writeNamedEvent("error", errorBody(r))
 }
 
-// eventWriter writes server-sent events with a deadline on each write, and a
-// comment when nothing else was written for a while, so that both ends find a
-// connection that has gone silent. It is safe for concurrent use.
+// eventWriter writes server-sent events with a timeout for each write. If nothing has been written for
+// heartbeatInterval, it writes a comment, so that both ends detect a dead connection. It is safe for
+// concurrent use.
 type eventWriter struct {
 	mu                sync.Mutex
 	w                 http.ResponseWriter
@@ -181,7 +180,7 @@
 }
 
 func (ew *eventWriter) onIdle() {
-	// The next event finds a broken connection by itself.
+	// An error is ignored, because the next event meets the broken connection as well.
 	_ = ew.writeHeartbeat()
 }
 
@@ -223,8 +222,8 @@
 		return nil
 	}
 	ew.writeHeader()
-	// A caller that no longer reads would hold the request's goroutine for
-	// good: its socket buffer fills and writes block. The deadline ends that.
+	// If a caller stops reading, its socket buffer fills and writes block. Without a deadline the
+	// request's goroutine would block forever.
 	if err := ew.controller.SetWriteDeadline(time.Now().Add(ew.writeTimeout)); err != nil {
 		return fmt.Errorf("set write deadline: %w", err)
 	}
@@ -249,7 +248,7 @@
 	ew.w.WriteHeader(http.StatusOK)
 }
 
-// CallerDisconnectedError says that the caller's connection takes no more.
+// CallerDisconnectedError says that writing to the caller's connection failed.
 type CallerDisconnectedError struct{ Err error }
 
 func (e *CallerDisconnectedError) Error() string { return fmt.Sprintf("caller gone: %v", e.Err) }
