--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -1,4 +1,4 @@
-// Package engine is the client side of a model engine's HTTP interface.
+// Package engine is the client of a model engine's HTTP interface.
 package engine
 
 import (
@@ -19,7 +19,7 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// DefaultCallTimeout bounds each call but Generate and Import.
+// DefaultCallTimeout is the timeout of each call except Generate and Import.
 const DefaultCallTimeout = 2 * time.Second
 
 const (
@@ -28,24 +28,23 @@
 	contentType    = "application/json"
 )
 
-// Client talks to one engine. It is safe for concurrent use and repeats no
-// call.
+// Client calls one engine. It is safe for concurrent use. It doesn't retry calls.
 type Client struct {
 	base    string
 	http    *http.Client
 	timeout time.Duration
 }
 
-// Option changes a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithCallTimeout sets the bound on one call in place of DefaultCallTimeout.
+// WithCallTimeout replaces DefaultCallTimeout.
 func WithCallTimeout(d time.Duration) Option {
 	return func(c *Client) { c.timeout = d }
 }
 
-// New returns a client of the engine at address, a "host:port" or a URL without
-// a path. The http.Client must have no timeout of its own, since streams last.
+// New returns a client of the engine at address, which is "host:port" or a URL without a path. The
+// http.Client must not have a timeout, because streams take long.
 func New(address string, client *http.Client, options ...Option) *Client {
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
@@ -57,19 +56,16 @@
 	return c
 }
 
-// Generate runs an attempt and passes each line to sink until the last one,
-// which has Done. It checks no identifiers and no offsets: lines of other
-// attempts reach sink too. A stream without any line, heartbeats included, for
-// as long as silence ends with a *SilentError; errors of this package are
-// StartErrors. An error of sink or of ctx comes back as it is, and the
-// connection is closed, on which the engine cancels the attempt if it hears of
-// it.
+// Generate runs an attempt and passes each line of the stream to sink, up to the final line with Done
+// set. It doesn't check identifiers or offsets, so sink may get lines of other attempts. If no line
+// arrives for idleTimeout, heartbeats included, Generate returns a *StreamIdleError. All errors that
+// originate in this package are AttemptErrors. Errors of sink and ctx are returned unchanged. Whenever
+// the stream ends early, the connection is closed, and the engine cancels the attempt when it notices.
 func (c *Client) Generate(ctx context.Context, r engineapi.GenerateRequest, idleTimeout time.Duration, sink func(engineapi.GenerateEvent) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// The idleTimer guards against a connection that has gone silent for good:
-	// it shows in nothing but missing lines, and heartbeats come at least once
-	// a second on one that works.
+	// The timer detects a connection that was lost without an error: the only sign is that no lines
+	// arrive. On a working connection a heartbeat arrives at least once a second.
 	idleTimer := time.AfterFunc(idleTimeout, func() { cancel(&StreamIdleError{After: idleTimeout}) })
 	defer idleTimer.Stop()
 	response, err := c.send(ctx, http.MethodPost, engineapi.PathGenerate, r)
@@ -86,11 +82,10 @@
 	return cancellationCause(ctx, err)
 }
 
-// dropIdleConnections closes the idle connections after a call that ran out of time.
-// Open connections can go silent for good while new ones work, often all of
-// them at once; it shows in nothing but calls that get no answer. The call's
-// own connection is closed by its context, and this closes those that the next
-// calls would wait on in vain.
+// dropIdleConnections closes the idle connections after a call that timed out. Often all open
+// connections to a server stop working at the same time while new ones work, and the only sign is that
+// calls get no answer. The call's own connection is closed by its context. Closing the idle ones keeps
+// the next calls from timing out on them.
 func (c *Client) dropIdleConnections(ctx context.Context) {
 	idle := (*StreamIdleError)(nil)
 	if errors.As(context.Cause(ctx), &idle) || errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -98,7 +93,7 @@
 	}
 }
 
-// cancellationCause returns why the call was ended on this side, if it was.
+// cancellationCause returns the caller's own reason for ending the call, or err if there is none.
 func cancellationCause(ctx context.Context, err error) error {
 	var sinkErr *sinkError
 	if errors.As(err, &sinkErr) {
@@ -110,7 +105,7 @@
 	return err
 }
 
-// sinkError carries an error of the caller's own sink.
+// sinkError wraps an error that the caller's sink returned.
 type sinkError struct{ err error }
 
 func (e *sinkError) Error() string { return e.err.Error() }
@@ -142,21 +137,20 @@
 	return &TruncatedStreamError{}
 }
 
-// Cancel ends an attempt; an engine without it refuses with
+// Cancel ends an attempt. If the engine doesn't know the attempt, the error is a *RefusedError with
 // engineapi.CodeUnknownAttempt.
 func (c *Client) Cancel(ctx context.Context, attemptID string) error {
 	return c.call(ctx, engineapi.PathCancel, engineapi.CancelRequest{AttemptID: attemptID}, nil)
 }
 
-// Load reads the engine's last load report.
+// Load returns the engine's latest load report.
 func (c *Client) Load(ctx context.Context) (engineapi.Load, error) {
 	var load engineapi.Load
 	err := c.get(ctx, engineapi.PathLoad, &load)
 	return load, err
 }
 
-// CacheEvents reads the published cache events from a sequence number on, at
-// most limit.
+// CacheEvents returns at most limit cache events, starting with the sequence number from.
 func (c *Client) CacheEvents(ctx context.Context, from uint64, limit int) (engineapi.CacheEvents, error) {
 	query := url.Values{}
 	query.Set("from", strconv.FormatUint(from, 10))
@@ -166,23 +160,23 @@
 	return events, err
 }
 
-// Export offers an attempt's KV cache to other engines.
+// Export makes an attempt's KV cache available to other engines.
 func (c *Client) Export(ctx context.Context, attemptID string) (engineapi.ExportResponse, error) {
 	var exported engineapi.ExportResponse
 	err := c.call(ctx, engineapi.PathExport, engineapi.ExportRequest{AttemptID: attemptID}, &exported)
 	return exported, err
 }
 
-// Import makes the engine fetch a KV cache and returns when it has it. The
-// transfer takes its time; ctx alone bounds it.
+// Import makes the engine fetch a KV cache and returns when the transfer is complete. Only ctx limits
+// its duration.
 func (c *Client) Import(ctx context.Context, r engineapi.ImportRequest) (engineapi.ImportResponse, error) {
 	var imported engineapi.ImportResponse
 	err := c.roundTrip(ctx, http.MethodPost, engineapi.PathImport, r, &imported)
 	return imported, err
 }
 
-// Order gives an order; a stale fencing number is a *RefusedError with
-// engineapi.CodeStaleFencing.
+// Order sends an order to the engine. If the fencing number is outdated, the error is a *RefusedError
+// with engineapi.CodeStaleFencing.
 func (c *Client) Order(ctx context.Context, o engineapi.Order) error {
 	return c.call(ctx, engineapi.PathOrder, o, nil)
 }
@@ -222,8 +216,8 @@
 	return nil
 }
 
-// send makes a POST that net/http does not repeat once any of it was written:
-// it has no idempotency header. A GET may be repeated.
+// send sends a request. net/http may retry a GET, but it doesn't retry a POST of which anything was
+// written, because the request has no idempotency header.
 func (c *Client) send(ctx context.Context, method, path string, request any) (*http.Response, error) {
 	var body io.Reader
 	if request != nil {
@@ -256,8 +250,8 @@
 	return &ConnectionLostError{Err: err}
 }
 
-// refusalError reads the refusal; a status without the protocol's body may come
-// from anything between, so the attempt can have started.
+// refusalError decodes the engine's refusal. A body of another form may come from a proxy, so in that
+// case the attempt may have started.
 func refusalError(response *http.Response) error {
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxLineBytes))
 	if err != nil {
--- a/transport/engine/client_test.go
+++ b/transport/engine/client_test.go
@@ -23,7 +23,7 @@
 	idleTimeout = 2 * time.Second
 )
 
-// withClient runs a test in virtual time with a client of a handler.
+// withClient runs a test with a client of the handler over an in-memory network.
 func withClient(t *testing.T, handler http.Handler, test func(is *is.I, n *pipe.Network, c *engine.Client)) {
 	is := is.New(t)
 	n := pipe.NewNetwork()
@@ -44,9 +44,9 @@
 
 func discardEvent(engineapi.GenerateEvent) error { return nil }
 
-// A caller's answer stops in the middle. The connection to the engine went
-// silent for good while the engine is well: the client ends the stream after
-// its bound, and the next attempt goes through on a new connection at once.
+// The connection to a healthy engine dies without an error in the middle of a stream. The client must
+// end the stream after its idle timeout, and the next attempt must succeed immediately on a new
+// connection.
 func TestSilentConnectionTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := standin.New(standin.DefaultConfig("r", "m", "1"))
@@ -83,9 +83,8 @@
 	})
 }
 
-// A gateway must not tell a caller that nothing ran because something answered
-// with an error: here the engine's VM is gone in the middle, and a proxy's
-// page, which is none of the protocol's refusals, comes in place of the stream.
+// An answer that isn't a refusal of the protocol doesn't prove that nothing was executed: for example,
+// the engine's VM disappears during the call, or a proxy sends an error page instead of the stream.
 func TestUnknownOutcomesMayHaveStarted(t *testing.T) {
 	handlers := map[string]http.HandlerFunc{
 		"page":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(502); io.WriteString(w, "<html>") },
@@ -108,7 +107,7 @@
 	}
 }
 
-// stopError is what a sink returns to end a stream.
+// stopError is returned by a sink to end the stream.
 type stopError struct{}
 
 func (*stopError) Error() string { return "stop" }
@@ -120,7 +119,7 @@
 			err := generate(c, 100, func(engineapi.GenerateEvent) error { return &stopError{} })
 			is.Equal(err, &stopError{})
 			time.Sleep(time.Second)
-			is.Equal(e.Counters().Cancelled, 1) // the engine hears of it
+			is.Equal(e.Counters().Cancelled, 1) // the engine noticed the closed connection
 		})
 		e.Close()
 	})
--- a/transport/engine/errors.go
+++ b/transport/engine/errors.go
@@ -8,16 +8,15 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// AttemptError is an error of Generate that says whether the engine can have
-// started the attempt.
+// AttemptError is an error of Generate that says whether the engine may have started the attempt.
 type AttemptError interface {
 	error
-	// MayHaveStarted is false only where no work can have been done.
+	// MayHaveStarted is false only if the engine can't have done any work.
 	MayHaveStarted() bool
 }
 
-// MayHaveStarted reports whether the attempt that ended with err can have
-// started. It is true where the error does not tell.
+// MayHaveStarted reports whether the attempt that ended with err may have started. It returns true if
+// the error doesn't say.
 func MayHaveStarted(err error) bool {
 	var attemptErr AttemptError
 	if errors.As(err, &attemptErr) {
@@ -26,8 +25,8 @@
 	return true
 }
 
-// RefusedError says that the engine answered with an error in place of a
-// stream or result; a refused attempt has not started.
+// RefusedError says that the engine answered with an error instead of a stream or result. A refused
+// attempt hasn't started.
 type RefusedError struct {
 	Status int
 	Body   engineapi.ErrorBody
@@ -37,10 +36,10 @@
 	return fmt.Sprintf("engine refused with status %d (%s): %s", e.Status, e.Body.Code, e.Body.Error)
 }
 
-// MayHaveStarted implements StartError.
+// MayHaveStarted implements AttemptError.
 func (*RefusedError) MayHaveStarted() bool { return false }
 
-// ConnectError says that no connection came about, so that no byte was sent.
+// ConnectError says that no connection could be opened, so nothing was sent.
 type ConnectError struct{ Err error }
 
 func (e *ConnectError) Error() string { return fmt.Sprintf("connect to engine: %v", e.Err) }
@@ -48,10 +47,10 @@
 // Unwrap returns the cause.
 func (e *ConnectError) Unwrap() error { return e.Err }
 
-// MayHaveStarted implements StartError.
+// MayHaveStarted implements AttemptError.
 func (*ConnectError) MayHaveStarted() bool { return false }
 
-// ConnectionLostError says that a connection ended before the answer was whole.
+// ConnectionLostError says that the connection ended before the answer was complete.
 type ConnectionLostError struct{ Err error }
 
 func (e *ConnectionLostError) Error() string {
@@ -61,27 +60,27 @@
 // Unwrap returns the cause.
 func (e *ConnectionLostError) Unwrap() error { return e.Err }
 
-// MayHaveStarted implements StartError.
+// MayHaveStarted implements AttemptError.
 func (*ConnectionLostError) MayHaveStarted() bool { return true }
 
-// TruncatedStreamError says that a stream ended in good order without its last line.
+// TruncatedStreamError says that the stream ended regularly but without its final line.
 type TruncatedStreamError struct{}
 
 func (*TruncatedStreamError) Error() string { return "stream ended before its last line" }
 
-// MayHaveStarted implements StartError.
+// MayHaveStarted implements AttemptError.
 func (*TruncatedStreamError) MayHaveStarted() bool { return true }
 
-// StreamIdleError says that no line came for as long as After. The connection is
-// dead; the engine need not be.
+// StreamIdleError says that no line arrived for the duration After. The connection counts as lost, but
+// the engine may be healthy.
 type StreamIdleError struct{ After time.Duration }
 
 func (e *StreamIdleError) Error() string { return fmt.Sprintf("no line from engine for %s", e.After) }
 
-// MayHaveStarted implements StartError.
+// MayHaveStarted implements AttemptError.
 func (*StreamIdleError) MayHaveStarted() bool { return true }
 
-// MalformedAnswerError says that an answer is not of the protocol.
+// MalformedAnswerError says that an answer doesn't follow the protocol.
 type MalformedAnswerError struct{ Err error }
 
 func (e *MalformedAnswerError) Error() string {
@@ -91,13 +90,13 @@
 // Unwrap returns the cause.
 func (e *MalformedAnswerError) Unwrap() error { return e.Err }
 
-// MayHaveStarted implements StartError.
+// MayHaveStarted implements AttemptError.
 func (*MalformedAnswerError) MayHaveStarted() bool { return true }
 
-// AttemptFailedError says that the engine gave an attempt up after it had started.
+// AttemptFailedError says that the engine aborted an attempt after it had started.
 type AttemptFailedError struct{ Reason string }
 
 func (e *AttemptFailedError) Error() string { return fmt.Sprintf("engine failed: %s", e.Reason) }
 
-// MayHaveStarted implements StartError.
+// MayHaveStarted implements AttemptError.
 func (*AttemptFailedError) MayHaveStarted() bool { return true }
--- a/transport/engine/traffic.go
+++ b/transport/engine/traffic.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// requestOverheadBytes is the request line without its path, and the headers that
-	// net/http sends with a GET, on average.
+	// requestOverheadBytes is the average size of the request line without the path and of the
+	// headers that net/http sends with a GET.
 	requestOverheadBytes = 110
-	// packetOverheadBytes is the IP and TCP headers of a request, an answer and their
-	// acknowledgements on a connection that stays open.
+	// packetOverheadBytes is the size of the IP and TCP headers of a request, its answer and their
+	// acknowledgements on an open connection.
 	packetOverheadBytes = 4 * 52
-	// segmentBytes is the data of one TCP segment; each further one takes a
-	// packet of its own, and half an acknowledgement.
+	// segmentBytes is the payload of one TCP segment. Each further segment costs another packet's
+	// headers and half an acknowledgement.
 	segmentBytes       = 1400
 	extraSegmentBytes  = 52 + 26
 	statusLineBytes    = 17
 	headerLineOverhead = 4
 )
 
-// Traffic adds up what calls took on the network, both directions, with headers
-// estimated; TLS is not counted. It is not safe for concurrent use.
+// Traffic sums the network traffic of calls in both directions. Header sizes are estimated, and the
+// overhead of TLS isn't included. Traffic is not safe for concurrent use.
 type Traffic struct{ bytes int }
 
-// Bytes is the sum so far.
+// Bytes returns the total number of bytes.
 func (t *Traffic) Bytes() int { return t.bytes }
 
-// Add counts further bytes; stand-ins for a Client use it.
+// Add adds bytes to the total. Test doubles of Client use it.
 func (t *Traffic) Add(bytes int) {
 	if t != nil {
 		t.bytes += bytes
@@ -50,12 +50,12 @@
 
 type trafficKey struct{}
 
-// WithTraffic returns a context whose unary calls are counted in t.
+// WithTraffic returns a context whose calls, except Generate, are counted in t.
 func WithTraffic(ctx context.Context, t *Traffic) context.Context {
 	return context.WithValue(ctx, trafficKey{}, t)
 }
 
-// TrafficFromContext returns the context's Traffic; nil if there is none.
+// TrafficFromContext returns the context's Traffic, or nil if there is none.
 func TrafficFromContext(ctx context.Context) *Traffic {
 	t, _ := ctx.Value(trafficKey{}).(*Traffic)
 	return t
