--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -1,6 +1,5 @@
-// Package dispatch sends an action to a runner once. Nothing in it repeats a
-// call: a fresh connection for each, no redirect followed, no transport-level
-// retry.
+// Package dispatch sends an action to a runner at most once. It never retries: each call uses a new
+// connection, and redirects aren't followed.
 package dispatch
 
 import (
@@ -24,10 +23,9 @@
 )
 
 const (
-	// HeaderAction carries workspace/key to the runner, for its own use.
+	// HeaderAction carries "workspace/key" to the runner, which may use it for its own purposes.
 	HeaderAction = "X-Geranium-Action"
-	// HeaderNotExecuted set to "1" is a runner's word that it did not run the
-	// call.
+	// HeaderNotExecuted with the value "1" is a runner's confirmation that it didn't execute the call.
 	HeaderNotExecuted = "X-Not-Executed"
 	notExecutedValue  = "1"
 	idempotencyKey    = "Idempotency-Key"
@@ -36,21 +34,21 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Config sets how actions are sent.
+// Config configures a Sender.
 type Config struct {
-	// Dial opens connections; nil is TCP.
+	// Dial opens connections. The default is TCP.
 	Dial DialFunc
-	// DialTimeout bounds the time in which it is still certain that nothing ran.
+	// DialTimeout limits the time to open a connection. Until then, nothing can have been executed.
 	DialTimeout time.Duration
-	// MaxAnswerBytes bounds an answer's body.
+	// MaxAnswerBytes limits the size of an answer's body.
 	MaxAnswerBytes int64
 
-	// ReuseConnections breaks the guard against repetition on purpose, for the
-	// test that shows what happens then.
+	// ReuseConnections disables the protection against repeated execution. Only the test that
+	// demonstrates the resulting fault sets it.
 	ReuseConnections bool
 }
 
-// DefaultConfig dials over TCP.
+// DefaultConfig returns a configuration that dials over TCP.
 func DefaultConfig() Config {
 	return Config{
 		Dial:           (&net.Dialer{}).DialContext,
@@ -65,7 +63,7 @@
 	sharedTransport *http.Transport
 }
 
-// New returns a sender.
+// New returns a Sender.
 func New(cfg Config) *Sender {
 	if cfg.Dial == nil {
 		cfg.Dial = DefaultConfig().Dial
@@ -73,20 +71,20 @@
 	return &Sender{cfg: cfg, sharedTransport: &http.Transport{DialContext: cfg.Dial}}
 }
 
-// AnswerTooLargeError says that a runner's answer was over the bound.
+// AnswerTooLargeError says that a runner's answer exceeds the size limit.
 type AnswerTooLargeError struct{ Limit int64 }
 
 func (e *AnswerTooLargeError) Error() string {
 	return fmt.Sprintf("answer is over %d bytes", e.Limit)
 }
 
-// Send sends the call to the runner at address and returns what came of it.
+// Send sends the call to the runner at address and returns its result.
 //
-// net/http's transport sends a request again by itself when a reused
-// connection breaks and it takes the request for idempotent (an
-// Idempotency-Key header is enough): the runner has run the first copy, and
-// the action runs twice. A transport of its own without keep-alive never
-// reuses a connection, and the header stays behind; each guard is enough alone.
+// net/http's transport retries a request on its own if a reused connection breaks and the request
+// counts as idempotent, for which an Idempotency-Key header suffices. The runner may already have
+// executed the first copy, so the action would run twice. Two measures prevent this, and each suffices
+// alone: every call has its own transport without keep-alive, so that no connection is reused, and the
+// header isn't sent.
 func (s *Sender) Send(ctx context.Context, address string, id actionkey.ID, c call.ServiceCall) action.Result {
 	req, err := newRequest(ctx, address, id, c)
 	if err != nil {
@@ -104,7 +102,7 @@
 	return s.roundTrip(transport, req, &connected)
 }
 
-// singleDialer dials at most once, so that the transport can't open a second
+// singleDialer returns a DialFunc that dials at most once, so that the transport can't open a second
 // connection for the same action.
 func (s *Sender) singleDialer(connected *atomic.Bool) DialFunc {
 	var dialed atomic.Bool
@@ -123,7 +121,7 @@
 	}
 }
 
-// SecondDialError says that the transport tried to connect twice for one call.
+// SecondDialError says that the transport tried to open a second connection for one call.
 type SecondDialError struct{ Address string }
 
 func (e *SecondDialError) Error() string { return "second connection to " + e.Address + " denied" }
@@ -132,8 +130,8 @@
 	resp, err := t.RoundTrip(req)
 	if err != nil {
 		if !connected.Load() && !s.cfg.ReuseConnections {
-			// Without a connection no byte can have reached the runner. A dial
-			// that succeeds after RoundTrip gave up is closed unused.
+			// Without a connection, nothing can have reached the runner. If the dial succeeds after
+			// RoundTrip has given up, the connection is closed unused.
 			return refusedResult(refusal.New(refusal.NoRunner, "connect: %v", err))
 		}
 		return refusedResult(refusal.New(refusal.RunnerFailed, "no answer: %v", err).Unknown())
@@ -166,7 +164,7 @@
 
 func refusedResult(r *refusal.Refusal) action.Result { return action.Result{Refusal: r} }
 
-// InvalidPathError says that a call's path doesn't name a resource of the runner.
+// InvalidPathError says that a call's path isn't absolute.
 type InvalidPathError struct{ Path string }
 
 func (e *InvalidPathError) Error() string { return fmt.Sprintf("path %q is not absolute", e.Path) }
@@ -199,7 +197,7 @@
 	return req, nil
 }
 
-// isHopByHop tells headers that concern one connection only (RFC 9110, 7.6.1).
+// isHopByHop reports whether a header applies to one connection only (RFC 9110, section 7.6.1).
 func isHopByHop(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
--- a/transport/dispatch/dispatch_test.go
+++ b/transport/dispatch/dispatch_test.go
@@ -18,12 +18,12 @@
 	"geraniumstack.org/geraniumstack/transport/dispatch"
 )
 
-// breakingRunner counts the requests that it has read whole; the first on each
-// connection is answered, the second breaks the connection.
+// breakingRunner counts the requests that it has read completely. It answers the first request on each
+// connection and closes the connection after the second one without an answer.
 type breakingRunner struct {
 	listener     net.Listener
 	requestsRead atomic.Int32
-	// breakFirst breaks the connection at the first request already.
+	// breakFirst makes the runner close the connection already after the first request.
 	breakFirst bool
 }
 
@@ -77,10 +77,9 @@
 	return s.Send(context.Background(), address, actionID(key), c)
 }
 
-// Story: a finder pledges a bounty once and is charged twice. The runner read
-// the pledge, ran it, and its connection broke before the answer. The
-// connection had been used before, so the transport took it for one that the
-// server had closed while idle, and sent the pledge again.
+// An action was executed twice. The runner had executed it, but the connection broke before the answer.
+// Because the connection was a reused one, the transport assumed that the server had closed it while it
+// was idle, and sent the action again.
 func TestBrokenConnectionRunsActionOnce(t *testing.T) {
 	for _, body := range [][]byte{nil, []byte("pledge")} {
 		is := is.New(t)
@@ -91,13 +90,13 @@
 		second := send(s, runner.address(), "two", body)
 
 		is.Equal(first.Executed(), refusal.ExecutedYes)
-		is.Equal(second.Executed(), refusal.ExecutedYes) // a connection of its own
+		is.Equal(second.Executed(), refusal.ExecutedYes) // sent on a new connection
 		is.Equal(runner.requestsRead.Load(), int32(2))
 	}
 }
 
-// Story: a slot is booked and the caller is told "not run", so that it books
-// another. The connection broke after the runner had read the booking.
+// If the connection breaks after the runner has read the action, the caller must not be told "not
+// executed": it would submit the action a second time.
 func TestBrokenConnectionIsUnknown(t *testing.T) {
 	is := is.New(t)
 	runner := newBreakingRunner(t, true)
@@ -108,8 +107,8 @@
 	is.Equal(runner.requestsRead.Load(), int32(1))
 }
 
-// With the guard broken on purpose, the same runner reads the action twice:
-// the test above can fail.
+// With the protection disabled, the runner reads the action twice. This shows that
+// TestBrokenConnectionRunsActionOnce can fail.
 func TestReusedConnectionRepeatsAction(t *testing.T) {
 	is := is.New(t)
 	runner := newBreakingRunner(t, false)
@@ -123,8 +122,8 @@
 	is.Equal(runner.requestsRead.Load(), int32(3)) // "two" was read on the old connection and on a new one
 }
 
-// Story: a caller is told "unknown" and rings the desk, though its booking
-// never left the gateway: the runner's VM was gone and refused connections.
+// The runner's VM is gone and connections to it are refused. The caller must be told "not executed":
+// with "unknown" it would have to find out by other means about an action that was never sent.
 func TestRefusedDialIsNotExecuted(t *testing.T) {
 	is := is.New(t)
 	runner := newBreakingRunner(t, false)
@@ -149,8 +148,8 @@
 	return l.Addr().String()
 }
 
-// Story: a booking runs at two services. The first answered 307 and the
-// sender repeated the call at the address that the answer named.
+// If a runner answers an action with a redirect, the sender must not repeat the action at the other
+// address: it could be executed at both.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	is := is.New(t)
 	var calls atomic.Int32
@@ -179,8 +178,8 @@
 	is.Equal(got.Refusal.Reason, refusal.RunnerRefused)
 }
 
-// Story: a caller gets half an answer as if it were whole. The runner's
-// connection broke in the middle of the body.
+// The runner's connection breaks in the middle of the answer. The caller must not get the incomplete
+// answer as if it were complete.
 func TestTruncatedAnswerIsUnknown(t *testing.T) {
 	is := is.New(t)
 	address := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
