--- a/transport/engineapi/engineapi.go
+++ b/transport/engineapi/engineapi.go
@@ -1,9 +1,9 @@
-// Package engineapi is the wire form of a model engine's HTTP interface, as
-// docs/protocols describes it: generate (a stream of JSON lines), cancel, load,
-// cache events, KV cache export and import, and orders.
+// Package engineapi defines the messages of a model engine's HTTP interface: generate (a stream of JSON
+// lines), cancel, load, cache events, export and import of KV caches, and orders. docs/protocols
+// describes the interface.
 package engineapi
 
-// Paths of the engine's interface.
+// Paths of the engine's HTTP interface.
 const (
 	PathGenerate    = "/v1/generate"
 	PathCancel      = "/v1/cancel"
@@ -11,29 +11,28 @@
 	PathCacheEvents = "/v1/cache-events"
 	PathExport      = "/v1/kv-cache/export"
 	PathImport      = "/v1/kv-cache/import"
-	// PathExported is where an importing engine fetches from the exporting one.
+	// PathExported is where an importing engine fetches a KV cache from the exporting engine.
 	PathExported = "/v1/kv-cache/exported"
 	PathOrder    = "/v1/orders"
 )
 
-// BlockTokens is the number of tokens that one prefix cache block covers.
+// BlockTokens is the number of tokens in one block of the prefix cache.
 const BlockTokens = 16
 
-// GenerateRequest starts an attempt, from the beginning or from an offset.
+// GenerateRequest starts an attempt, either from the beginning or after tokens already emitted.
 type GenerateRequest struct {
 	RequestID string `json:"request_id"`
 	AttemptID string `json:"attempt_id"`
 	Model     string `json:"model"`
 	Adapter   string `json:"adapter,omitempty"`
-	// Prompt is the whole prompt; tokens are its words.
+	// Prompt is the complete prompt. Each word counts as one token.
 	Prompt string `json:"prompt"`
-	// Emitted holds the output tokens that the caller already has; the engine
-	// goes on after them.
+	// Emitted holds the output tokens that the caller already has. The engine continues after them.
 	Emitted   []string `json:"emitted,omitempty"`
 	MaxTokens int      `json:"max_tokens"`
-	// Priority orders the engine's queue; higher first.
+	// Priority orders the engine's queue. Higher values are served first.
 	Priority int `json:"priority"`
-	// ImportedHandle names a KV cache that was imported for this attempt.
+	// ImportedHandle is the handle of a KV cache that was imported for this attempt.
 	ImportedHandle string `json:"imported_handle,omitempty"`
 }
 
@@ -41,18 +40,18 @@
 type GenerateEvent struct {
 	RequestID string `json:"request_id"`
 	AttemptID string `json:"attempt_id"`
-	// Offset numbers the token in the whole output of the request, from 0.
+	// Offset is the token's position in the request's complete output, starting at 0.
 	Offset int    `json:"offset"`
 	Token  string `json:"token,omitempty"`
-	// Heartbeat lines carry no token; they come at least once a second.
+	// Heartbeat lines carry no token. The engine sends at least one line per second.
 	Heartbeat bool `json:"heartbeat,omitempty"`
-	// Done ends the stream; Offset is then the number of tokens in all.
+	// Done marks the final line. Offset is then the total number of tokens.
 	Done         bool   `json:"done,omitempty"`
 	FinishReason string `json:"finish_reason,omitempty"`
-	// CachedTokens is the part of the prompt that was not computed anew; it
-	// comes with the first token and with Done.
+	// CachedTokens is the number of prompt tokens that the engine took from its cache. It is set
+	// in the line of the first token and in the final line.
 	CachedTokens int `json:"cached_tokens,omitempty"`
-	// ComputedTokens is the prompt and emitted tokens that were computed.
+	// ComputedTokens is the number of prompt and emitted tokens that the engine had to compute.
 	ComputedTokens int    `json:"computed_tokens,omitempty"`
 	Error          string `json:"error,omitempty"`
 }
@@ -62,14 +61,14 @@
 	AttemptID string `json:"attempt_id"`
 }
 
-// Load is what an engine last published of itself; it lags.
+// Load is an engine's latest published load report. It may be outdated.
 type Load struct {
 	RunnerID string `json:"runner_id"`
-	// AgeMillis is how old the report was when it was served.
+	// AgeMillis is the age of the report when it was served.
 	AgeMillis int64 `json:"age_ms"`
 	Running   int   `json:"running"`
-	// Waiting is the number of requests that wait for a place in the batch,
-	// MaxRunning the number of places; zero is not known.
+	// Waiting is the number of requests that wait for a slot in the batch. MaxRunning is the
+	// number of slots; zero means that it is unknown.
 	Waiting       int     `json:"waiting,omitempty"`
 	MaxRunning    int     `json:"max_running,omitempty"`
 	QueuedTokens  int     `json:"queued_tokens"`
@@ -77,17 +76,17 @@
 	KVBlocksTotal int     `json:"kv_blocks_total"`
 	KVBlocksFree  int     `json:"kv_blocks_free"`
 	PrefillRate   float64 `json:"prefill_tokens_per_second"`
-	// DecodeRate is of one sequence.
+	// DecodeRate is the rate of a single sequence.
 	DecodeRate float64       `json:"decode_tokens_per_second"`
 	Models     []LoadedModel `json:"models"`
 	Role       string        `json:"role,omitempty"`
-	// Leaving says that the VM has been told to go.
+	// Leaving says that the VM has been told to shut down.
 	Leaving bool `json:"leaving,omitempty"`
-	// DeadlineMillis is the time left until then; meaningless unless Leaving.
+	// DeadlineMillis is the time left until the shutdown. It is only valid if Leaving is set.
 	DeadlineMillis int64 `json:"deadline_ms,omitempty"`
 }
 
-// LoadedModel is one model or adapter in an engine's memory.
+// LoadedModel is a model in an engine's memory with its adapters.
 type LoadedModel struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
@@ -95,60 +94,60 @@
 	Loading  bool     `json:"loading,omitempty"`
 }
 
-// CacheEvents is a page of an engine's prefix cache changes.
+// CacheEvents is a page of changes to an engine's prefix cache.
 type CacheEvents struct {
 	RunnerID string `json:"runner_id"`
-	// First is the oldest sequence number still kept; a reader that wanted an
-	// earlier one has a gap.
+	// First is the oldest sequence number that the engine still keeps. A reader that requested an
+	// earlier one has missed events.
 	First  uint64       `json:"first"`
 	Next   uint64       `json:"next"`
 	Events []CacheEvent `json:"events"`
 }
 
-// CacheEvent says that a block chain hash was stored or evicted.
+// CacheEvent says that a block was stored in or evicted from the prefix cache.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
-	// Block is the chained hash of the prefix that ends with this block.
+	// Block is the chained hash of the prefix that ends with the block.
 	Block  uint64 `json:"block,string"`
 	Stored bool   `json:"stored"`
 }
 
-// ExportRequest asks for an attempt's KV cache to be offered to another runner.
+// ExportRequest asks an engine to make an attempt's KV cache available to another runner.
 type ExportRequest struct {
 	AttemptID string `json:"attempt_id"`
 }
 
-// ExportResponse names the exported cache.
+// ExportResponse describes the exported KV cache.
 type ExportResponse struct {
 	Handle string `json:"handle"`
 	Tokens int    `json:"tokens"`
 	Bytes  int64  `json:"bytes"`
 }
 
-// ImportRequest makes a runner fetch an exported cache from another.
+// ImportRequest asks an engine to fetch an exported KV cache from another runner.
 type ImportRequest struct {
 	Source string `json:"source"`
 	Handle string `json:"handle"`
 }
 
-// ImportResponse says how much is usable.
+// ImportResponse says how many tokens of the imported KV cache are usable.
 type ImportResponse struct {
 	Handle string `json:"handle"`
 	Tokens int    `json:"tokens"`
 }
 
-// OrderKind is what an order asks for.
+// OrderKind is the kind of change that an order requests.
 type OrderKind string
 
-// Orders.
+// Kinds of orders.
 const (
 	OrderLoad   OrderKind = "load"
 	OrderUnload OrderKind = "unload"
 	OrderRole   OrderKind = "role"
 )
 
-// Order changes what a runner holds. Orders state what should be, so they can
-// be repeated.
+// Order changes the models or the role of a runner. Orders describe the desired state, so they are
+// idempotent.
 type Order struct {
 	Kind    OrderKind `json:"kind"`
 	Fencing uint64    `json:"fencing"`
@@ -158,10 +157,10 @@
 	Role    string    `json:"role,omitempty"`
 }
 
-// Code tells an engine's refusals apart.
+// Code is the machine-readable reason of a refusal.
 type Code string
 
-// Codes of an ErrorBody.
+// Codes of refusals.
 const (
 	CodeMalformed        Code = "malformed"
 	CodeNotLoaded        Code = "not_loaded"
@@ -176,8 +175,8 @@
 	CodeUnavailable      Code = "unavailable"
 )
 
-// ErrorBody is the JSON body of an engine's refusal. A refusal before the
-// stream's first line means that the attempt was not started.
+// ErrorBody is the JSON body of a refusal. A refusal before the first line of the stream means that the
+// attempt wasn't started.
 type ErrorBody struct {
 	Error   string `json:"error"`
 	Code    Code   `json:"code,omitempty"`
