--- a/transport/cloudapi/client.go
+++ b/transport/cloudapi/client.go
@@ -10,12 +10,12 @@
 	"geraniumstack.org/geraniumstack/transport/jsoncall"
 )
 
-// DefaultCallTimeout bounds one call, and a wait for notices beyond its own.
+// DefaultCallTimeout is the timeout of a call. Notices may last this long beyond its wait.
 const DefaultCallTimeout = 5 * time.Second
 
-// Client talks to the cloud API, the VM list and the weight store, each at its
-// own base URL; it implements Cloud, Lister and Weights. It repeats no start
-// and no stop: a start may be repeated by its caller with the same token.
+// Client calls the cloud API, the VM list or the weight store at a base URL. It implements Cloud,
+// VMLister and WeightStore. It doesn't retry starts and stops. A caller may retry a start with the same
+// token.
 type Client struct {
 	json    *jsoncall.Client
 	timeout time.Duration
@@ -27,8 +27,7 @@
 	_ WeightStore = (*Client)(nil)
 )
 
-// NewClient returns a client of the service at base, for example
-// "http://10.0.0.1:8080".
+// NewClient returns a client of the service at the URL base, for example "http://10.0.0.1:8080".
 func NewClient(base string, client *http.Client) *Client {
 	return &Client{json: jsoncall.New(base, client), timeout: DefaultCallTimeout}
 }
@@ -52,8 +51,8 @@
 	return answer.Quotes, err
 }
 
-// Notices implements Cloud. It gives up the call timeout after wait: a
-// connection that has gone silent for good shows in nothing but that.
+// Notices implements Cloud. It times out if no answer arrives within wait plus the call timeout. A
+// connection may be lost without an error, and then a missing answer is the only sign.
 func (c *Client) Notices(ctx context.Context, after uint64, wait time.Duration) ([]Notice, error) {
 	query := url.Values{}
 	query.Set(ParamAfter, strconv.FormatUint(after, 10))
@@ -63,14 +62,14 @@
 	return answer.Notices, err
 }
 
-// List implements Lister.
+// List implements VMLister.
 func (c *Client) List(ctx context.Context) ([]VM, error) {
 	var answer ListResponse
 	err := c.call(ctx, c.timeout, http.MethodGet, PathVMs, nil, &answer)
 	return answer.VMs, err
 }
 
-// Stat implements Weights.
+// Stat implements WeightStore.
 func (c *Client) Stat(ctx context.Context, name, version string) (Weight, error) {
 	query := url.Values{}
 	query.Set(ParamName, name)
@@ -86,8 +85,8 @@
 	return typedError(c.json.Do(ctx, method, path, request, answer))
 }
 
-// typedError finds the protocol's error in an answer; what is none of it, or no
-// answer at all, leaves the outcome open.
+// typedError returns the error that the service's answer names. Without an answer, or with one that
+// isn't part of the protocol, it returns an *UnavailableError: the outcome of the call is unknown.
 func typedError(err error) error {
 	return jsoncall.DecodeTypedError[ErrorBody](err, func(err error) error { return &UnavailableError{Err: err} })
 }
--- a/transport/cloudapi/wire.go
+++ b/transport/cloudapi/wire.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// Paths of the HTTP interfaces: the cloud API's, the VM list's and the weight
-// store's.
+// Paths of the cloud API, the VM list and the weight store.
 const (
 	// PathStart takes POST with a StartRequest; the answer is a VM.
 	PathStart = "/v1/vms/start"
@@ -29,31 +28,31 @@
 	ParamVersion = "version"
 )
 
-// StopRequest is the body of PathStop.
+// StopRequest is the body of a request to PathStop.
 type StopRequest struct {
 	ID      string `json:"id"`
 	Fencing uint64 `json:"fencing"`
 }
 
-// QuotesResponse is the answer of PathQuotes.
+// QuotesResponse is the answer to a request to PathQuotes.
 type QuotesResponse struct {
 	Quotes []Quote `json:"quotes"`
 }
 
-// NoticesResponse is the answer of PathNotices.
+// NoticesResponse is the answer to a request to PathNotices.
 type NoticesResponse struct {
 	Notices []Notice `json:"notices"`
 }
 
-// ListResponse is the answer of PathVMs.
+// ListResponse is the answer to a request to PathVMs.
 type ListResponse struct {
 	VMs []VM `json:"vms"`
 }
 
-// ErrorCode tells the typed errors of the wire apart.
+// ErrorCode identifies the type of an error.
 type ErrorCode string
 
-// Codes of an ErrorBody.
+// Codes of errors.
 const (
 	CodeStartRefused ErrorCode = "start_refused"
 	CodeNotFound     ErrorCode = "not_found"
@@ -63,17 +62,17 @@
 	CodeMalformed    ErrorCode = "malformed"
 )
 
-// ErrorBody is the JSON body of every answer that is not 200.
+// ErrorBody is the JSON body of every answer whose status isn't 200.
 type ErrorBody struct {
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
-	// RetryAfterMillis comes with CodeRateLimited.
+	// RetryAfterMillis is set with CodeRateLimited, Fencing with CodeStaleFencing.
 	RetryAfterMillis int64  `json:"retry_after_ms,omitempty"`
 	Fencing          uint64 `json:"fencing,omitempty"`
 }
 
-// Err returns the typed error that the body stands for, nil for a code that is
-// none of a definite answer's.
+// Err returns the typed error for the body's code, or nil if the code leaves the outcome of the call
+// open.
 func (b ErrorBody) Err() error {
 	switch b.Code {
 	case CodeStartRefused:
