--- a/transport/jsoncall/jsoncall.go
+++ b/transport/jsoncall/jsoncall.go
@@ -1,5 +1,5 @@
-// Package jsoncall makes JSON calls over HTTP for the platform's clients: each
-// once, bounded by its context, with errors that tell an answer from none.
+// Package jsoncall makes JSON calls over HTTP. It sends each call once, within its context's deadline,
+// and its errors distinguish a call that was answered from one whose outcome is unknown.
 package jsoncall
 
 import (
@@ -17,7 +17,7 @@
 	contentType    = "application/json"
 )
 
-// StatusError says that the service answered with another status than 200.
+// StatusError says that the service answered with a status other than 200.
 type StatusError struct {
 	Path   string
 	Status int
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("%s: status %d: %s", e.Path, e.Status, e.Body)
 }
 
-// NoAnswerError says that no answer came, or none that can be read. The call
-// may have taken effect.
+// NoAnswerError says that no answer arrived or that the answer couldn't be read. The call may have taken
+// effect.
 type NoAnswerError struct{ Err error }
 
 func (e *NoAnswerError) Error() string { return fmt.Sprintf("no answer: %v", e.Err) }
@@ -43,19 +43,17 @@
 	http *http.Client
 }
 
-// New returns a client of the service at base, for example
-// "http://10.0.0.1:2379".
+// New returns a client of the service at the URL base, for example "http://10.0.0.1:2379".
 func New(base string, client *http.Client) *Client { return &Client{base: base, http: client} }
 
-// Do sends request as JSON (nil is no body) and reads the answer into answer
-// (nil is passed over). It repeats nothing: net/http sends a POST without an
-// idempotency header again only if none of it was written. Errors of the call
-// are *StatusError and *UnansweredError.
+// Do sends request as JSON, or an empty body if it is nil, and decodes the answer into answer unless it
+// is nil. It doesn't retry, and net/http retries a POST without an idempotency header only if nothing of
+// it was written. A call that fails returns a *StatusError or a *NoAnswerError.
 func (c *Client) Do(ctx context.Context, method, path string, request, answer any) error {
 	return c.DoWithHeader(ctx, nil, method, path, request, answer)
 }
 
-// DoWithHeader is Do with header fields of the call's own.
+// DoWithHeader is like Do, with additional header fields.
 func (c *Client) DoWithHeader(ctx context.Context, header http.Header, method, path string, request, answer any) error {
 	r, err := c.request(ctx, method, path, request)
 	if err != nil {
@@ -106,25 +104,24 @@
 	return r, nil
 }
 
-// dropIdleConnections closes the idle connections after a call that ran out of time. Open
-// connections can go silent for good while new ones work, often all of them at
-// once; it shows in nothing but calls that get no answer. The call's own
-// connection is closed by its context, and this closes those that the next
-// calls would wait on in vain.
+// dropIdleConnections closes the idle connections after a call that timed out. Often all open
+// connections to a server stop working at the same time while new ones work, and the only sign is that
+// calls get no answer. The call's own connection is closed by its context. Closing the idle ones keeps
+// the next calls from timing out on them.
 func (c *Client) dropIdleConnections(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		c.http.CloseIdleConnections()
 	}
 }
 
-// TypedErrorBody is the body of a protocol's answer other than 200.
+// TypedErrorBody is the body of an answer whose status isn't 200.
 type TypedErrorBody interface {
-	// Err is the error that the body stands for, nil if it is none that is known.
+	// Err returns the error that the body describes, or nil if the body describes no known error.
 	Err() error
 }
 
-// DecodeTypedError finds the protocol's error of type B in what a call returned. Anything else,
-// and no answer at all, is what unknown makes of it.
+// DecodeTypedError converts an error of Do. If the service answered with a known error in a body of type
+// B, DecodeTypedError returns that error. It wraps any other error with wrapUnknown.
 func DecodeTypedError[B TypedErrorBody](err error, wrapUnknown func(error) error) error {
 	if err == nil {
 		return nil
