--- a/transport/tlsreload/tlsreload.go
+++ b/transport/tlsreload/tlsreload.go
@@ -1,6 +1,6 @@
-// Package tlsreload serves TLS with a certificate that can be replaced while
-// the listener runs: from files that are read again when they change, or from
-// PEM blocks in the settings.
+// Package tlsreload provides TLS configurations whose certificate can be replaced while a listener runs.
+// The certificate comes from files, which are read again when they change, or from PEM blocks in the
+// settings.
 package tlsreload
 
 import (
@@ -16,22 +16,22 @@
 	"k8s.io/klog/v2"
 )
 
-// DefaultInterval is the time between two looks at the files.
+// DefaultInterval is the time between checks of the files.
 const DefaultInterval = 10 * time.Second
 
-// Source says where the certificate chain and its key come from: files, or PEM
-// in the settings of a VM without files.
+// Source locates the certificate chain and its key: either as files or, on a VM without such files, as
+// PEM blocks in the settings.
 type Source struct {
 	CertificateFile string `json:"certificate_file,omitempty"`
 	KeyFile         string `json:"key_file,omitempty"`
 	CertificatePEM  string `json:"certificate_pem,omitempty"`
 	KeyPEM          string `json:"key_pem,omitempty"`
-	// AuthoritiesPEM verifies the other end; empty is the system's roots for
-	// clients and no client certificates for servers.
+	// AuthoritiesPEM holds the CA certificates that verify the other side. If it is empty, clients
+	// use the system's roots and servers request no client certificates.
 	AuthoritiesPEM string `json:"authorities_pem,omitempty"`
 }
 
-// SourceError says that a certificate or key can't be used.
+// SourceError says that a certificate, key or CA certificate is missing or invalid.
 type SourceError struct {
 	Part string
 	Err  error
@@ -39,10 +39,10 @@
 
 func (e *SourceError) Error() string { return fmt.Sprintf("TLS %s: %v", e.Part, e.Err) }
 
-// Unwrap returns the cause; nil where there is nothing to read.
+// Unwrap returns the cause, or nil if there is none.
 func (e *SourceError) Unwrap() error { return e.Err }
 
-// Reloader holds the certificate in use. It is safe for concurrent use.
+// Reloader holds the current certificate. It is safe for concurrent use.
 type Reloader struct {
 	source      Source
 	authorities *x509.CertPool
@@ -55,7 +55,7 @@
 	certificate    tls.Certificate
 }
 
-// New loads the certificate; the error is a *SourceError.
+// New loads the certificate. Its error is a *SourceError.
 func New(source Source) (*Reloader, error) {
 	r := &Reloader{source: source}
 	if source.AuthoritiesPEM != "" {
@@ -70,10 +70,10 @@
 	return r, nil
 }
 
-// Reload reads the source again and tells whether the certificate changed.
-// After an error (*SourceError) the former stays in use. Guards against files
-// that are replaced one after the other: a certificate without its key is
-// refused here and read again at the next look.
+// Reload reads the source again and reports whether the certificate has changed. If that fails, it
+// returns a *SourceError and the previous certificate stays in use. The two files may be replaced one
+// after the other: as long as certificate and key don't match, Reload fails, and the next call reads
+// both again.
 func (r *Reloader) Reload() (bool, error) {
 	certificatePEM, err := readPEM(r.source.CertificateFile, r.source.CertificatePEM, "certificate")
 	if err != nil {
@@ -106,7 +106,7 @@
 	return data, nil
 }
 
-// Run reloads at every interval until the context ends.
+// Run calls Reload at every interval until the context ends.
 func (r *Reloader) Run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -126,8 +126,8 @@
 	}
 }
 
-// ServerConfig is for a listener. With authorities it asks for and verifies
-// client certificates.
+// ServerConfig returns the configuration of a listener. If the source has authorities, the listener
+// requires and verifies client certificates.
 func (r *Reloader) ServerConfig() *tls.Config {
 	cfg := &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -142,8 +142,8 @@
 	return cfg
 }
 
-// ClientConfig is for calls to other daemons; it shows the certificate where
-// the server asks for one.
+// ClientConfig returns the configuration for calls to other daemons. The client presents its certificate
+// if the server requests one.
 func (r *Reloader) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
--- a/transport/tlsreload/tlsreload_test.go
+++ b/transport/tlsreload/tlsreload_test.go
@@ -23,7 +23,7 @@
 	"geraniumstack.org/geraniumstack/transport/tlsreload"
 )
 
-// newCertificate makes a self-signed certificate with its own serial number.
+// newCertificate returns a self-signed certificate with the given serial number, and its key.
 func newCertificate(t *testing.T, serial int64) (certificate, key string) {
 	t.Helper()
 	is := is.New(t)
@@ -42,7 +42,7 @@
 	return certificate, string(pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: encoded}))
 }
 
-// presentedSerial returns the serial number that a new connection is shown.
+// presentedSerial returns the serial number of the certificate that a new connection presents.
 func presentedSerial(t *testing.T, server, client *tls.Config) int64 {
 	t.Helper()
 	is := is.New(t)
@@ -53,9 +53,8 @@
 	return connection.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
 }
 
-// The certificate of a running daemon is replaced on its VM, first one file and
-// then the other. New connections would be refused, or get an expired
-// certificate until somebody restarts the daemon.
+// The certificate files of a running daemon are replaced one after the other. New connections must
+// neither fail in between nor get the old, soon expired certificate until the daemon is restarted.
 func TestCertificateIsReplacedWithoutRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -77,7 +76,7 @@
 		certificate, key = newCertificate(t, 2)
 		is.NoErr(os.WriteFile(source.CertificateFile, []byte(certificate), 0o600))
 		time.Sleep(tlsreload.DefaultInterval + time.Second)
-		is.Equal(presentedSerial(t, server, client), int64(1)) // the key is still the former one's
+		is.Equal(presentedSerial(t, server, client), int64(1)) // the key file still belongs to the old certificate
 		is.NoErr(os.WriteFile(source.KeyFile, []byte(key), 0o600))
 		time.Sleep(tlsreload.DefaultInterval + time.Second)
 		is.Equal(presentedSerial(t, server, client), int64(2))
