--- a/transport/exposition/exposition.go
+++ b/transport/exposition/exposition.go
@@ -1,5 +1,5 @@
-// Package exposition writes a go-metrics registry in the text format that
-// scrapers read: https://prometheus.io/docs/instrumenting/exposition_formats/
+// Package exposition writes a go-metrics registry in the Prometheus text format:
+// https://prometheus.io/docs/instrumenting/exposition_formats/
 package exposition
 
 import (
@@ -16,17 +16,17 @@
 
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Handler serves the registry.
+// Handler serves the metrics of the registry.
 func Handler(r metrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", contentType)
-		// The scraper has gone when this fails; there is nobody to tell.
+		// An error means that the scraper has disconnected.
 		_ = Write(w, r)
 	})
 }
 
-// Write prints every metric of the registry, sorted by name. Dots and dashes
-// in names become underscores.
+// Write writes every metric of the registry, sorted by name. Dots, dashes, slashes and spaces in names
+// become underscores.
 func Write(w io.Writer, r metrics.Registry) error {
 	lines := []string{}
 	r.Each(func(name string, m any) { lines = append(lines, render(name, m)...) })
