--- a/transport/steady/steady.go
+++ b/transport/steady/steady.go
@@ -1,7 +1,7 @@
-// Package steady reads a clock that never jumps and runs on while the VM is
-// suspended. Go's monotonic clock stops in a suspension, so a holder of a lease
-// that was suspended past it would take itself for the holder still, and a key
-// that was taken away meanwhile would go on working.
+// Package steady reads a clock that never jumps and keeps running while the VM is suspended. Go's
+// monotonic clock stops during a suspension. With it, a daemon that is suspended longer than its lease
+// lasts would still consider itself the holder afterwards, and a key that was revoked in the meantime
+// would still be accepted.
 package steady
 
 import (
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the VM started, suspensions included.
+// Now returns the time since the VM booted, including suspensions.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Linux has had the clock since 2.6.39; without it nothing here holds.
+		// Linux has this clock since 2.6.39. Without it, leases and revocations would not be safe.
 		panic(err)
 	}
 	return time.Duration(ts.Nano())
