--- a/transport/kv/history_test.go
+++ b/transport/kv/history_test.go
@@ -152,6 +152,6 @@
 		})
 	}
 	if unknown == 0 {
-		t.Fatal("no write had an open outcome: the faults were not met")
+		t.Fatal("no write had an unknown outcome: the injected faults had no effect")
 	}
 }
