--- a/transport/dispatch/dispatch_test.go
+++ b/transport/dispatch/dispatch_test.go
@@ -148,7 +148,7 @@
 	return l.Addr().String()
 }
 
-// If a runner answers an action with a redirect, the sender must not repeat the action at the other
+// If a runner answers an action with a 307 redirect, the sender must not repeat the action at the other
 // address: it could be executed at both.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	is := is.New(t)
