--- a/transport/gateway/auth.go
+++ b/transport/gateway/auth.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	bearerPrefix       = "Bearer "
-	workspaceKey       = "workspace"
-	notReadyRetryAfter = 500 * time.Millisecond
-	authorization      = "Authorization"
-	timeoutHeader      = "X-Timeout-Ms"
-	requestIDHeader    = "X-Request-Id"
+	bearerPrefix        = "Bearer "
+	workspaceKey        = "workspace"
+	notReadyRetryAfter  = 500 * time.Millisecond
+	authorizationHeader = "Authorization"
+	timeoutHeader       = "X-Timeout-Ms"
+	requestIDHeader     = "X-Request-Id"
 )
 
 // credentials maps the hashes of API keys to workspaces. The index belongs to one configuration
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	key, ok := strings.CutPrefix(c.Request().Header.Get(authorization), bearerPrefix)
+	key, ok := strings.CutPrefix(c.Request().Header.Get(authorizationHeader), bearerPrefix)
 	if !ok {
 		return nil, "", refusal.New(refusal.Unauthenticated, "a bearer key is required")
 	}
--- a/transport/gateway/requests.go
+++ b/transport/gateway/requests.go
@@ -11,7 +11,7 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-const lastEventID = "Last-Event-ID"
+const lastEventIDHeader = "Last-Event-ID"
 
 // readRequest returns the output of an accepted request. A streamed output starts after the event that
 // the Last-Event-ID header names.
@@ -32,13 +32,13 @@
 }
 
 func resumeOffset(c *echo.Context) (offset int, resumed bool, err error) {
-	text := c.Request().Header.Get(lastEventID)
+	text := c.Request().Header.Get(lastEventIDHeader)
 	if text == "" {
 		return 0, false, nil
 	}
 	offset, err = strconv.Atoi(text)
 	if err != nil || offset < 0 {
-		return 0, false, refusal.New(refusal.BadRequest, "%s must be the id of an event", lastEventID)
+		return 0, false, refusal.New(refusal.BadRequest, "%s must be the id of an event", lastEventIDHeader)
 	}
 	return offset, true, nil
 }
--- a/transport/gateway/services.go
+++ b/transport/gateway/services.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	idempotencyKey    = "Idempotency-Key"
-	executedHeader    = "X-Executed"
-	pendingRetryAfter = 200 * time.Millisecond
+	idempotencyKeyHeader = "Idempotency-Key"
+	executedHeader       = "X-Executed"
+	pendingRetryAfter    = 200 * time.Millisecond
 )
 
 // excludedHeaders apply to one connection only (RFC 9110, section 7.6.1) or are set by this system.
@@ -26,7 +26,7 @@
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
-	"Proxy-Connection": true, "Authorization": true, idempotencyKey: true, timeoutHeader: true,
+	"Proxy-Connection": true, "Authorization": true, idempotencyKeyHeader: true, timeoutHeader: true,
 }
 
 // callService passes a call to a plain service. Unless the manifest marks the route as repeatable, the
@@ -36,14 +36,14 @@
 	if err != nil {
 		return err
 	}
-	sc, route, err := g.parseServiceCall(c, m, ws)
+	serviceCall, route, err := g.parseServiceCall(c, m, ws)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(c.Request().Context(), sc.Deadline)
+	ctx, cancel := context.WithDeadline(c.Request().Context(), serviceCall.Deadline)
 	defer cancel()
 	c.Set(outcomeKnownKey, true)
-	answer, err := g.dispatchService(ctx, sc, route)
+	answer, err := g.dispatchService(ctx, serviceCall, route)
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 func (g *Gateway) markKeyedRefusalsUnknown(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		err := next(c)
-		if err == nil || c.Request().Header.Get(idempotencyKey) == "" || c.Get(outcomeKnownKey) != nil {
+		if err == nil || c.Request().Header.Get(idempotencyKeyHeader) == "" || c.Get(outcomeKnownKey) != nil {
 			return err
 		}
 		r := toRefusal(err)
@@ -84,34 +84,34 @@
 	}
 	if sc.Key == "" {
 		return call.Answer{}, refusal.New(refusal.KeyRequired,
-			"this call may not be repeated: send an %s made of the key_token of /v1/gateways and a suffix of your own", idempotencyKey)
+			"this call may not be repeated: send an %s made of the key_token of /v1/gateways and a suffix of your own", idempotencyKeyHeader)
 	}
 	return g.Actions.Execute(ctx, sc)
 }
 
 func (g *Gateway) parseServiceCall(c *echo.Context, m *manifest.Manifest, ws ident.Workspace) (call.ServiceCall, *manifest.Route, error) {
-	var none call.ServiceCall
+	var empty call.ServiceCall
 	service := m.ServiceNamed(c.Param("service"))
 	if service == nil || service.Kind != manifest.KindPlain {
-		return none, nil, refusal.New(refusal.UnknownService, "no plain service %q", c.Param("service"))
+		return empty, nil, refusal.New(refusal.UnknownService, "no plain service %q", c.Param("service"))
 	}
 	r := c.Request()
 	path := "/" + c.Param("*")
 	route := service.RouteFor(r.Method, path)
 	if route == nil {
-		return none, nil, refusal.New(refusal.UnknownRoute, "service %q has no route for %s %s", service.Name, r.Method, path)
+		return empty, nil, refusal.New(refusal.UnknownRoute, "service %q has no route for %s %s", service.Name, r.Method, path)
 	}
 	body, err := g.readBody(c)
 	if err != nil {
-		return none, nil, err
+		return empty, nil, err
 	}
 	deadline, err := requestDeadline(c, g.serviceTimeout(m, route))
 	if err != nil {
-		return none, nil, err
+		return empty, nil, err
 	}
 	return call.ServiceCall{
 		Workspace: ws, Service: service.Name,
-		Key: r.Header.Get(idempotencyKey), Method: r.Method, Path: withQuery(path, r.URL),
+		Key: r.Header.Get(idempotencyKeyHeader), Method: r.Method, Path: withQuery(path, r.URL),
 		Headers: endToEndHeaders(r.Header), Body: body, Deadline: deadline,
 	}, route, nil
 }
