--- a/transport/gateway/errors.go
+++ b/transport/gateway/errors.go
@@ -128,8 +128,8 @@
 func (e *BodyError) Unwrap() error { return e.Err }
 
 // readBody limits how long a slow caller may take to send its body. It removes the read deadline
-// afterwards, because a deadline that expires while the answer is streamed would cancel the request's
-// context.
+// afterwards, because a deadline that expires while the answer is streamed would cancel the
+// request's context.
 func (g *Gateway) readBody(c *echo.Context) ([]byte, error) {
 	controller := http.NewResponseController(c.Response())
 	if err := controller.SetReadDeadline(time.Now().Add(g.Limits.ReadTimeout)); err != nil {
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -150,8 +150,8 @@
 	return resp
 }
 
-// A caller sends invalid requests. The refusal must name the reason and say that nothing was executed,
-// and each reason must be counted for the operator.
+// A caller sends invalid requests. The refusal must name the reason and say that nothing was
+// executed, and each reason must be counted for the operator.
 func TestBadInputIsRefusedWithReasonAndCounter(t *testing.T) {
 	validBody := `{"model":"m","messages":[{"role":"user","content":"hi"}]}`
 	tests := []struct {
@@ -211,8 +211,8 @@
 	is.True(strings.Contains(string(text), "id: 3\n"))
 }
 
-// A caller resumes a request that is no longer known. It must get an error status and a refusal instead
-// of a stream that looks accepted.
+// A caller resumes a request that is no longer known. It must get an error status and a refusal
+// instead of a stream that looks accepted.
 func TestUnknownRequestStartsNoStream(t *testing.T) {
 	is := is.New(t)
 	f := newFakeBackend()
@@ -271,8 +271,8 @@
 }
 
 // A call with an idempotency key is executed, but its answer is lost. The caller retries it at a
-// draining gateway. If the gateway answered "not executed", the caller would call again with a new key
-// and the action would run twice. The draining gateway can't know whether the key was executed.
+// draining gateway. If the gateway answered "not executed", the caller would call again with a new
+// key and the action would run twice. The draining gateway can't know whether the key was executed.
 func TestRefusedRetryWithKeyIsUnknown(t *testing.T) {
 	is := is.New(t)
 	g, _ := newGateway(newFakeBackend())
--- a/transport/gateway/models.go
+++ b/transport/gateway/models.go
@@ -29,8 +29,8 @@
 	Content string `json:"content"`
 }
 
-// CompletionRequest is the body of a chat or text completion request. Unknown fields are ignored, since
-// client libraries send many fields that the gateway doesn't use.
+// CompletionRequest is the body of a chat or text completion request. Unknown fields are ignored,
+// since client libraries send many fields that the gateway doesn't use.
 type CompletionRequest struct {
 	Model    string    `json:"model"`
 	Messages []Message `json:"messages"`
@@ -172,8 +172,8 @@
 	}, nil
 }
 
-// defaultClass returns the interactive class with the lowest priority. A caller must not gain priority
-// by omitting the class.
+// defaultClass returns the interactive class with the lowest priority. A caller must not gain
+// priority by omitting the class.
 func defaultClass(m *manifest.Manifest) *manifest.Class {
 	var lowest *manifest.Class
 	for i := range m.Classes {
@@ -211,8 +211,8 @@
 	return n, nil
 }
 
-// requestDeadline returns the deadline from the caller's timeout header or the fallback. The zero time
-// means that there is none.
+// requestDeadline returns the deadline from the caller's timeout header or the fallback. The zero
+// time means that there is none.
 func requestDeadline(c *echo.Context, fallback time.Duration) (time.Time, error) {
 	header := c.Request().Header.Get(timeoutHeader)
 	if header == "" {
--- a/transport/gateway/requests.go
+++ b/transport/gateway/requests.go
@@ -13,8 +13,8 @@
 
 const lastEventIDHeader = "Last-Event-ID"
 
-// readRequest returns the output of an accepted request. A streamed output starts after the event that
-// the Last-Event-ID header names.
+// readRequest returns the output of an accepted request. A streamed output starts after the event
+// that the Last-Event-ID header names.
 func (g *Gateway) readRequest(c *echo.Context) error {
 	_, ws, err := g.authenticate(c)
 	if err != nil {
--- a/transport/gateway/services.go
+++ b/transport/gateway/services.go
@@ -29,8 +29,8 @@
 	"Proxy-Connection": true, "Authorization": true, idempotencyKeyHeader: true, timeoutHeader: true,
 }
 
-// callService passes a call to a plain service. Unless the manifest marks the route as repeatable, the
-// call is executed at most once under its idempotency key.
+// callService passes a call to a plain service. Unless the manifest marks the route as repeatable,
+// the call is executed at most once under its idempotency key.
 func (g *Gateway) callService(c *echo.Context) error {
 	m, ws, err := g.authenticate(c)
 	if err != nil {
@@ -52,15 +52,15 @@
 	return writeAnswer(c, answer)
 }
 
-// outcomeKnownKey is set in the context of a call that was passed on. Its refusal then states correctly
-// whether the call was executed.
+// outcomeKnownKey is set in the context of a call that was passed on. Its refusal then states
+// correctly whether the call was executed.
 const outcomeKnownKey = "judged"
 
-// markKeyedRefusalsUnknown changes "not executed" to "unknown" if this gateway itself refused a call
-// with an idempotency key, for example because it drains or is overloaded. The call may be a retry of
-// one that was executed: if the caller were told "not executed", it would call again with a new key,
-// and the action would run twice. Only the daemon that owns the key, or its substitute, knows the
-// outcome.
+// markKeyedRefusalsUnknown changes "not executed" to "unknown" if this gateway itself refused a
+// call with an idempotency key, for example because it drains or is overloaded. The call may be a
+// retry of one that was executed: if the caller were told "not executed", it would call again with
+// a new key, and the action would run twice. Only the daemon that owns the key, or its substitute,
+// knows the outcome.
 func (g *Gateway) markKeyedRefusalsUnknown(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		err := next(c)
@@ -116,8 +116,8 @@
 	}, route, nil
 }
 
-// serviceTimeout returns the timeout of a call whose caller sets none: the deadline of the route's class,
-// but at most the gateway's limit.
+// serviceTimeout returns the timeout of a call whose caller sets none: the deadline of the route's
+// class, but at most the gateway's limit.
 func (g *Gateway) serviceTimeout(m *manifest.Manifest, route *manifest.Route) time.Duration {
 	class := m.ClassNamed(route.Class)
 	if class == nil || class.DeadlineMillis == 0 {
--- a/transport/gateway/stream.go
+++ b/transport/gateway/stream.go
@@ -16,7 +16,8 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// completionResponse holds the properties of a request from which its answer is built, streamed or not.
+// completionResponse holds the properties of a request from which its answer is built, streamed or
+// not.
 type completionResponse struct {
 	object    string
 	model     string
@@ -108,8 +109,8 @@
 	g.Usage.Answered(ws, tokens)
 }
 
-// writeStream writes the output as server-sent events. Each event's ID is the offset of the next token,
-// so that a caller that loses its connection can resume at any gateway with Last-Event-ID.
+// writeStream writes the output as server-sent events. Each event's ID is the offset of the next
+// token, so that a caller that loses its connection can resume at any gateway with Last-Event-ID.
 func (g *Gateway) writeStream(c *echo.Context, a completionResponse, offset int) error {
 	w := newEventWriter(c.Response(), g.Limits.WriteTimeout, g.Limits.Heartbeat)
 	defer w.stop()
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// writeStreamError sends a refusal as an event if the stream has started, because the status line has
-// been sent by then. A stream without [DONE] is incomplete.
+// writeStreamError sends a refusal as an event if the stream has started, because the status line
+// has been sent by then. A stream without [DONE] is incomplete.
 func (g *Gateway) writeStreamError(c *echo.Context, w *eventWriter, err error) error {
 	if !w.hasStarted() {
 		return err
@@ -154,9 +155,9 @@
 	return w.writeNamedEvent("error", errorBody(r))
 }
 
-// eventWriter writes server-sent events with a timeout for each write. If nothing has been written for
-// heartbeatInterval, it writes a comment, so that both ends detect a dead connection. It is safe for
-// concurrent use.
+// eventWriter writes server-sent events with a timeout for each write. If nothing has been written
+// for heartbeatInterval, it writes a comment, so that both ends detect a dead connection. It is
+// safe for concurrent use.
 type eventWriter struct {
 	mu                sync.Mutex
 	w                 http.ResponseWriter
