--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -56,11 +56,12 @@
 	return c
 }
 
-// Generate runs an attempt and passes each line of the stream to sink, up to the final line with Done
-// set. It doesn't check identifiers or offsets, so sink may get lines of other attempts. If no line
-// arrives for idleTimeout, heartbeats included, Generate returns a *StreamIdleError. All errors that
-// originate in this package are AttemptErrors. Errors of sink and ctx are returned unchanged. Whenever
-// the stream ends early, the connection is closed, and the engine cancels the attempt when it notices.
+// Generate runs an attempt and passes each line of the stream to sink, up to the final line with
+// Done set. It doesn't check identifiers or offsets, so sink may get lines of other attempts. If no
+// line arrives for idleTimeout, heartbeats included, Generate returns a *StreamIdleError. All
+// errors that originate in this package are AttemptErrors. Errors of sink and ctx are returned
+// unchanged. Whenever the stream ends early, the connection is closed, and the engine cancels the
+// attempt when it notices.
 func (c *Client) Generate(ctx context.Context, r engineapi.GenerateRequest, idleTimeout time.Duration, sink func(engineapi.GenerateEvent) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -82,10 +83,10 @@
 	return cancellationCause(ctx, err)
 }
 
-// dropIdleConnections closes the idle connections after a call that timed out. Often all open
-// connections to a server stop working at the same time while new ones work, and the only sign is that
-// calls get no answer. The call's own connection is closed by its context. Closing the idle ones keeps
-// the next calls from timing out on them.
+// dropIdleConnections closes the client's idle connections if the call with the context ctx timed
+// out. Often all open connections to a server stop working at the same time while new ones work,
+// and the only sign is that calls get no answer. The timed-out call's own connection is closed by
+// ctx. Closing the idle connections keeps the next calls from timing out on them.
 func (c *Client) dropIdleConnections(ctx context.Context) {
 	idle := (*StreamIdleError)(nil)
 	if errors.As(context.Cause(ctx), &idle) || errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -167,16 +168,16 @@
 	return exported, err
 }
 
-// Import makes the engine fetch a KV cache and returns when the transfer is complete. Only ctx limits
-// its duration.
+// Import makes the engine fetch a KV cache and returns when the transfer is complete. Only ctx
+// limits its duration.
 func (c *Client) Import(ctx context.Context, r engineapi.ImportRequest) (engineapi.ImportResponse, error) {
 	var imported engineapi.ImportResponse
 	err := c.roundTrip(ctx, http.MethodPost, engineapi.PathImport, r, &imported)
 	return imported, err
 }
 
-// Order sends an order to the engine. If the fencing number is outdated, the error is a *RefusedError
-// with engineapi.CodeStaleFencing.
+// Order sends an order to the engine. If the fencing number is outdated, the error is a
+// *RefusedError with engineapi.CodeStaleFencing.
 func (c *Client) Order(ctx context.Context, o engineapi.Order) error {
 	return c.call(ctx, engineapi.PathOrder, o, nil)
 }
@@ -250,8 +251,8 @@
 	return &ConnectionLostError{Err: err}
 }
 
-// refusalError decodes the engine's refusal. A body of another form may come from a proxy, so in that
-// case the attempt may have started.
+// refusalError decodes the engine's refusal. A body of another form may come from a proxy, so in
+// that case the attempt may have started.
 func refusalError(response *http.Response) error {
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxLineBytes))
 	if err != nil {
--- a/transport/engine/client_test.go
+++ b/transport/engine/client_test.go
@@ -44,9 +44,9 @@
 
 func discardEvent(engineapi.GenerateEvent) error { return nil }
 
-// The connection to a healthy engine dies without an error in the middle of a stream. The client must
-// end the stream after its idle timeout, and the next attempt must succeed immediately on a new
-// connection.
+// The connection to a healthy engine dies without an error in the middle of a stream. The client
+// must end the stream after its idle timeout, and the next attempt must succeed immediately on a
+// new connection.
 func TestSilentConnectionTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := standin.New(standin.DefaultConfig("r", "m", "1"))
@@ -83,8 +83,9 @@
 	})
 }
 
-// An answer that isn't a refusal of the protocol doesn't prove that nothing was executed: for example,
-// the engine's VM disappears during the call, or a proxy sends an error page instead of the stream.
+// An answer that isn't a refusal of the protocol doesn't prove that nothing was executed: for
+// example, the engine's VM disappears during the call, or a proxy sends an error page instead of
+// the stream.
 func TestUnknownOutcomesMayHaveStarted(t *testing.T) {
 	handlers := map[string]http.HandlerFunc{
 		"page":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(502); io.WriteString(w, "<html>") },
--- a/transport/engine/errors.go
+++ b/transport/engine/errors.go
@@ -15,8 +15,8 @@
 	MayHaveStarted() bool
 }
 
-// MayHaveStarted reports whether the attempt that ended with err may have started. It returns true if
-// the error doesn't say.
+// MayHaveStarted reports whether the attempt that ended with err may have started. It returns true
+// if the error doesn't say.
 func MayHaveStarted(err error) bool {
 	var attemptErr AttemptError
 	if errors.As(err, &attemptErr) {
@@ -71,8 +71,8 @@
 // MayHaveStarted implements AttemptError.
 func (*TruncatedStreamError) MayHaveStarted() bool { return true }
 
-// StreamIdleError says that no line arrived for the duration After. The connection counts as lost, but
-// the engine may be healthy.
+// StreamIdleError says that no line arrived for the duration After. The connection counts as lost,
+// but the engine may be healthy.
 type StreamIdleError struct{ After time.Duration }
 
 func (e *StreamIdleError) Error() string { return fmt.Sprintf("no line from engine for %s", e.After) }
--- a/transport/engine/traffic_test.go
+++ b/transport/engine/traffic_test.go
@@ -32,8 +32,8 @@
 	return n, err
 }
 
-// The estimate must be close to the actual traffic. Otherwise a traffic budget that relies on it would
-// not hold in practice.
+// The estimate must be close to the actual traffic. Otherwise a traffic budget that relies on it
+// would not hold in practice.
 func TestTrafficEstimateIsAccurate(t *testing.T) {
 	is := is.New(t)
 	load := engineapi.Load{RunnerID: "vm-1", MaxRunning: 16, PrefillRate: 8000, Models: []engineapi.LoadedModel{{Model: "m", Version: "1"}}}
