--- a/transport/engineapi/engineapi.go
+++ b/transport/engineapi/engineapi.go
@@ -1,6 +1,6 @@
-// Package engineapi defines the messages of a model engine's HTTP interface: generate (a stream of JSON
-// lines), cancel, load, cache events, export and import of KV caches, and orders. docs/protocols
-// describes the interface.
+// Package engineapi defines the messages of a model engine's HTTP interface: generate (a stream of
+// JSON lines), cancel, load, cache events, export and import of KV caches, and orders.
+// docs/protocols describes the interface.
 package engineapi
 
 // Paths of the engine's HTTP interface.
@@ -86,7 +86,7 @@
 	DeadlineMillis int64 `json:"deadline_ms,omitempty"`
 }
 
-// LoadedModel is a model in an engine's memory with its adapters.
+// LoadedModel is a model that an engine holds or loads, with its loaded adapters.
 type LoadedModel struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
@@ -175,8 +175,8 @@
 	CodeUnavailable      Code = "unavailable"
 )
 
-// ErrorBody is the JSON body of a refusal. A refusal before the first line of the stream means that the
-// attempt wasn't started.
+// ErrorBody is the JSON body of a refusal. A refusal before the first line of the stream means that
+// the attempt wasn't started.
 type ErrorBody struct {
 	Error   string `json:"error"`
 	Code    Code   `json:"code,omitempty"`
