--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -82,9 +82,9 @@
 //
 // net/http's transport retries a request on its own if a reused connection breaks and the request
 // counts as idempotent, for which an Idempotency-Key header suffices. The runner may already have
-// executed the first copy, so the action would run twice. Two measures prevent this, and each suffices
-// alone: every call has its own transport without keep-alive, so that no connection is reused, and the
-// header isn't sent.
+// executed the first copy, so the action would run twice. Two measures prevent this, and each
+// suffices alone: every call has its own transport without keep-alive, so that no connection is
+// reused, and the header isn't sent.
 func (s *Sender) Send(ctx context.Context, address string, id actionkey.ID, c call.ServiceCall) action.Result {
 	req, err := newRequest(ctx, address, id, c)
 	if err != nil {
@@ -102,8 +102,8 @@
 	return s.roundTrip(transport, req, &connected)
 }
 
-// singleDialer returns a DialFunc that dials at most once, so that the transport can't open a second
-// connection for the same action.
+// singleDialer returns a DialFunc that dials at most once, so that the transport can't open a
+// second connection for the same action.
 func (s *Sender) singleDialer(connected *atomic.Bool) DialFunc {
 	var dialed atomic.Bool
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/transport/dispatch/dispatch_test.go
+++ b/transport/dispatch/dispatch_test.go
@@ -18,8 +18,8 @@
 	"geraniumstack.org/geraniumstack/transport/dispatch"
 )
 
-// breakingRunner counts the requests that it has read completely. It answers the first request on each
-// connection and closes the connection after the second one without an answer.
+// breakingRunner counts the requests that it has read completely. It answers the first request on
+// each connection and closes the connection after the second one without an answer.
 type breakingRunner struct {
 	listener     net.Listener
 	requestsRead atomic.Int32
@@ -77,9 +77,9 @@
 	return s.Send(context.Background(), address, actionID(key), c)
 }
 
-// An action was executed twice. The runner had executed it, but the connection broke before the answer.
-// Because the connection was a reused one, the transport assumed that the server had closed it while it
-// was idle, and sent the action again.
+// An action was executed twice. The runner had executed it, but the connection broke before the
+// answer. Because the connection was a reused one, the transport assumed that the server had closed
+// it while it was idle, and sent the action again.
 func TestBrokenConnectionRunsActionOnce(t *testing.T) {
 	for _, body := range [][]byte{nil, []byte("pledge")} {
 		is := is.New(t)
@@ -122,8 +122,9 @@
 	is.Equal(runner.requestsRead.Load(), int32(3)) // "two" was read on the old connection and on a new one
 }
 
-// The runner's VM is gone and connections to it are refused. The caller must be told "not executed":
-// with "unknown" it would have to find out by other means about an action that was never sent.
+// The runner's VM is gone and connections to it are refused. The caller must be told "not
+// executed": with "unknown" it would have to find out by other means about an action that was never
+// sent.
 func TestRefusedDialIsNotExecuted(t *testing.T) {
 	is := is.New(t)
 	runner := newBreakingRunner(t, false)
@@ -148,8 +149,8 @@
 	return l.Addr().String()
 }
 
-// If a runner answers an action with a 307 redirect, the sender must not repeat the action at the other
-// address: it could be executed at both.
+// If a runner answers an action with a 307 redirect, the sender must not repeat the action at the
+// other address: it could be executed at both.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	is := is.New(t)
 	var calls atomic.Int32
@@ -178,8 +179,8 @@
 	is.Equal(got.Refusal.Reason, refusal.RunnerRefused)
 }
 
-// The runner's connection breaks in the middle of the answer. The caller must not get the incomplete
-// answer as if it were complete.
+// The runner's connection breaks in the middle of the answer. The caller must not get the
+// incomplete answer as if it were complete.
 func TestTruncatedAnswerIsUnknown(t *testing.T) {
 	is := is.New(t)
 	address := serveHTTP(t, func(w http.ResponseWriter, _ *http.Request) {
