--- a/transport/kv/client_test.go
+++ b/transport/kv/client_test.go
@@ -36,9 +36,9 @@
 	})
 }
 
-// All idle connections of a daemon die at once while the service is healthy. If the client kept them,
-// each of the next calls would pick another dead connection and time out. After the first timeout the
-// client must drop all idle connections, so that the next call succeeds on a new one.
+// All idle connections of a daemon die at once while the service is healthy. If the client kept
+// them, each of the next calls would pick another dead connection and time out. After the first
+// timeout the client must drop all idle connections, so that the next call succeeds on a new one.
 func TestSilentIdleConnectionsAreDropped(t *testing.T) {
 	withStore(t, func(is *is.I, n *pipe.Network, s *kvserver.Store, c kv.Store) {
 		ctx := context.Background()
@@ -61,8 +61,8 @@
 }
 
 // The caller of a compare-and-swap takes a timeout for a failure, but the slow service executes the
-// write later. The client must report an unknown outcome, because the write may take effect even after
-// the caller has read the key again.
+// write later. The client must report an unknown outcome, because the write may take effect even
+// after the caller has read the key again.
 func TestWriteTakesEffectAfterTimeout(t *testing.T) {
 	withStore(t, func(is *is.I, n *pipe.Network, s *kvserver.Store, c kv.Store) {
 		ctx := context.Background()
--- a/transport/kv/history_test.go
+++ b/transport/kv/history_test.go
@@ -29,8 +29,8 @@
 	unknown bool
 }
 
-// register models a key with compare-and-swap. A write with an unknown outcome that never took effect
-// is placed after all other operations, where it has no visible effect.
+// register models a key with compare-and-swap. A write with an unknown outcome that never took
+// effect is placed after all other operations, where it has no visible effect.
 var register = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -133,8 +133,8 @@
 	s.SetFaults(kvserver.Faults{})
 }
 
-// Clients compete for two keys through outages, slow answers, lost answers and dead connections. The
-// results of all calls on a key must be linearizable.
+// Clients compete for two keys through outages, slow answers, lost answers and dead connections.
+// The results of all calls on a key must be linearizable.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	unknown := 0
 	for seed := range uint64(8) {
--- a/transport/kv/kv.go
+++ b/transport/kv/kv.go
@@ -1,5 +1,5 @@
-// Package kv is the client of the platform's key-value service, which offers compare-and-swap, leases
-// and watches. docs/protocols describes its HTTP interface.
+// Package kv is the client of the platform's key-value service, which offers compare-and-swap,
+// leases and watches. docs/protocols describes its HTTP interface.
 package kv
 
 import (
@@ -12,8 +12,8 @@
 // missing key.
 type Revision uint64
 
-// LeaseID identifies a lease; zero stands for none. IDs are never reused and grow with each grant, so
-// they serve as fencing tokens.
+// LeaseID identifies a lease; zero stands for none. IDs are never reused and grow with each grant,
+// so they serve as fencing tokens.
 type LeaseID uint64
 
 // Entry is a key with its value.
@@ -30,9 +30,9 @@
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// Store is the interface of the key-value service. Every call counts against the service's rate limit; a
-// waiting watch counts as one call. After an *UnavailableError or an error that isn't of a type of this
-// package, the outcome of a write is unknown: it may have taken effect.
+// Store is the interface of the key-value service. Every call counts against the service's rate
+// limit; a waiting watch counts as one call. After an *UnavailableError or an error that isn't of a
+// type of this package, the outcome of a write is unknown: it may have taken effect.
 type Store interface {
 	// Get returns the entry of a key. If the key doesn't exist, the entry's Revision is zero.
 	Get(ctx context.Context, key string) (Entry, error)
@@ -59,7 +59,8 @@
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error)
 }
 
-// ConflictError says that a compare-and-swap had no effect. It holds the key's current entry.
+// ConflictError says that a write had no effect, because the key didn't have the expected revision.
+// It holds the key's current entry.
 type ConflictError struct{ Current Entry }
 
 func (e *ConflictError) Error() string {
--- a/transport/kv/wire.go
+++ b/transport/kv/wire.go
@@ -54,8 +54,8 @@
 	TTLMillis int64 `json:"ttl_ms"`
 }
 
-// LeaseBody is the answer to a GrantRequest, and the body of requests to PathKeepAlive and PathRevoke,
-// whose answers are empty.
+// LeaseBody is the answer to a GrantRequest, and the body of requests to PathKeepAlive and
+// PathRevoke, whose answers are empty.
 type LeaseBody struct {
 	Lease LeaseID `json:"lease"`
 }
@@ -86,8 +86,8 @@
 	CodeMalformed    ErrorCode = "malformed"
 )
 
-// ErrorBody is the JSON body of every answer whose status isn't 200. Only the fields that belong to the
-// code are set.
+// ErrorBody is the JSON body of every answer whose status isn't 200. Only the fields that belong to
+// the code are set.
 type ErrorBody struct {
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
