--- a/transport/cloudapi/client.go
+++ b/transport/cloudapi/client.go
@@ -14,8 +14,8 @@
 const DefaultCallTimeout = 5 * time.Second
 
 // Client calls the cloud API, the VM list or the weight store at a base URL. It implements Cloud,
-// VMLister and WeightStore. It doesn't retry starts and stops. A caller may retry a start with the same
-// token.
+// VMLister and WeightStore. It doesn't retry starts and stops. A caller may retry a start with the
+// same token.
 type Client struct {
 	json    *jsoncall.Client
 	timeout time.Duration
--- a/transport/cloudapi/cloudapi.go
+++ b/transport/cloudapi/cloudapi.go
@@ -50,8 +50,8 @@
 	PricePerHour  float64             `json:"price_per_hour"`
 }
 
-// StartRequest orders one VM. Token makes the request idempotent: the same token never starts a second
-// VM. Fencing is the ID of the lease under which the VM is ordered.
+// StartRequest orders one VM. Token makes the request idempotent: the same token never starts a
+// second VM. Fencing is the ID of the lease under which the VM is ordered.
 type StartRequest struct {
 	Token         string              `json:"token"`
 	Fencing       uint64              `json:"fencing"`
@@ -81,8 +81,8 @@
 	Bytes   int64  `json:"bytes"`
 }
 
-// WeightStore is the part of the rate-limited weight store that daemons use: it tells whether a version
-// exists and how large it is.
+// WeightStore is the part of the rate-limited weight store that daemons use: it tells whether a
+// version exists and how large it is.
 type WeightStore interface {
 	Stat(ctx context.Context, name, version string) (Weight, error)
 }
--- a/transport/cloudapi/wire.go
+++ b/transport/cloudapi/wire.go
@@ -71,8 +71,8 @@
 	Fencing          uint64 `json:"fencing,omitempty"`
 }
 
-// Err returns the typed error for the body's code, or nil if the code leaves the outcome of the call
-// open.
+// Err returns the typed error for the body's code, or nil if the code leaves the outcome of the
+// call open.
 func (b ErrorBody) Err() error {
 	switch b.Code {
 	case CodeStartRefused:
