--- a/transport/jsoncall/jsoncall.go
+++ b/transport/jsoncall/jsoncall.go
@@ -1,5 +1,5 @@
-// Package jsoncall makes JSON calls over HTTP. It sends each call once, within its context's deadline,
-// and its errors distinguish a call that was answered from one whose outcome is unknown.
+// Package jsoncall makes JSON calls over HTTP. It sends each call once, within its context's
+// deadline, and its errors distinguish a call that was answered from one whose outcome is unknown.
 package jsoncall
 
 import (
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("%s: status %d: %s", e.Path, e.Status, e.Body)
 }
 
-// NoAnswerError says that no answer arrived or that the answer couldn't be read. The call may have taken
-// effect.
+// NoAnswerError says that no answer arrived or that the answer couldn't be read. The call may have
+// taken effect.
 type NoAnswerError struct{ Err error }
 
 func (e *NoAnswerError) Error() string { return fmt.Sprintf("no answer: %v", e.Err) }
@@ -46,9 +46,9 @@
 // New returns a client of the service at the URL base, for example "http://10.0.0.1:2379".
 func New(base string, client *http.Client) *Client { return &Client{base: base, http: client} }
 
-// Do sends request as JSON, or an empty body if it is nil, and decodes the answer into answer unless it
-// is nil. It doesn't retry, and net/http retries a POST without an idempotency header only if nothing of
-// it was written. A call that fails returns a *StatusError or a *NoAnswerError.
+// Do sends request as JSON, or an empty body if it is nil, and decodes the answer into answer
+// unless it is nil. It doesn't retry, and net/http retries a POST without an idempotency header
+// only if nothing of it was written. A call that fails returns a *StatusError or a *NoAnswerError.
 func (c *Client) Do(ctx context.Context, method, path string, request, answer any) error {
 	return c.DoWithHeader(ctx, nil, method, path, request, answer)
 }
@@ -104,10 +104,10 @@
 	return r, nil
 }
 
-// dropIdleConnections closes the idle connections after a call that timed out. Often all open
-// connections to a server stop working at the same time while new ones work, and the only sign is that
-// calls get no answer. The call's own connection is closed by its context. Closing the idle ones keeps
-// the next calls from timing out on them.
+// dropIdleConnections closes the client's idle connections if the call with the context ctx timed
+// out. Often all open connections to a server stop working at the same time while new ones work,
+// and the only sign is that calls get no answer. The timed-out call's own connection is closed by
+// ctx. Closing the idle connections keeps the next calls from timing out on them.
 func (c *Client) dropIdleConnections(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		c.http.CloseIdleConnections()
@@ -120,8 +120,8 @@
 	Err() error
 }
 
-// DecodeTypedError converts an error of Do. If the service answered with a known error in a body of type
-// B, DecodeTypedError returns that error. It wraps any other error with wrapUnknown.
+// DecodeTypedError converts an error of Do. If the service answered with a known error in a body of
+// type B, DecodeTypedError returns that error. It wraps any other error with wrapUnknown.
 func DecodeTypedError[B TypedErrorBody](err error, wrapUnknown func(error) error) error {
 	if err == nil {
 		return nil
