--- a/transport/tlsreload/tlsreload.go
+++ b/transport/tlsreload/tlsreload.go
@@ -1,6 +1,6 @@
-// Package tlsreload provides TLS configurations whose certificate can be replaced while a listener runs.
-// The certificate comes from files, which are read again when they change, or from PEM blocks in the
-// settings.
+// Package tlsreload provides TLS configurations whose certificate can be replaced while a listener
+// runs. The certificate comes from files, which are read again when they change, or from PEM blocks
+// in the settings.
 package tlsreload
 
 import (
@@ -19,8 +19,8 @@
 // DefaultInterval is the time between checks of the files.
 const DefaultInterval = 10 * time.Second
 
-// Source locates the certificate chain and its key: either as files or, on a VM without such files, as
-// PEM blocks in the settings.
+// Source locates the certificate chain and its key: either as files or, on a VM without such files,
+// as PEM blocks in the settings.
 type Source struct {
 	CertificateFile string `json:"certificate_file,omitempty"`
 	KeyFile         string `json:"key_file,omitempty"`
@@ -71,9 +71,9 @@
 }
 
 // Reload reads the source again and reports whether the certificate has changed. If that fails, it
-// returns a *SourceError and the previous certificate stays in use. The two files may be replaced one
-// after the other: as long as certificate and key don't match, Reload fails, and the next call reads
-// both again.
+// returns a *SourceError and the previous certificate stays in use. The two files may be replaced
+// one after the other: as long as certificate and key don't match, Reload fails, and the next call
+// reads both again.
 func (r *Reloader) Reload() (bool, error) {
 	certificatePEM, err := readPEM(r.source.CertificateFile, r.source.CertificatePEM, "certificate")
 	if err != nil {
@@ -142,8 +142,8 @@
 	return cfg
 }
 
-// ClientConfig returns the configuration for calls to other daemons. The client presents its certificate
-// if the server requests one.
+// ClientConfig returns the configuration for calls to other daemons. The client presents its
+// certificate if the server requests one.
 func (r *Reloader) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
