--- a/transport/exposition/exposition.go
+++ b/transport/exposition/exposition.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// Write writes every metric of the registry, sorted by name. Dots, dashes, slashes and spaces in names
-// become underscores.
+// Write writes every metric of the registry, sorted by name. Dots, dashes, slashes and spaces in
+// names become underscores.
 func Write(w io.Writer, r metrics.Registry) error {
 	lines := []string{}
 	r.Each(func(name string, m any) { lines = append(lines, render(name, m)...) })
