--- a/transport/steady/steady.go
+++ b/transport/steady/steady.go
@@ -1,7 +1,7 @@
 // Package steady reads a clock that never jumps and keeps running while the VM is suspended. Go's
-// monotonic clock stops during a suspension. With it, a daemon that is suspended longer than its lease
-// lasts would still consider itself the holder afterwards, and a key that was revoked in the meantime
-// would still be accepted.
+// monotonic clock stops during a suspension. With it, a daemon that is suspended longer than its
+// lease lasts would still consider itself the holder afterwards, and a key that was revoked in the
+// meantime would still be accepted.
 package steady
 
 import (
