--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -26,9 +26,9 @@
 	// HeaderAction carries "workspace/key" to the runner, which may use it for its own purposes.
 	HeaderAction = "X-Geranium-Action"
 	// HeaderNotExecuted with the value "1" is a runner's confirmation that it didn't execute the call.
-	HeaderNotExecuted = "X-Not-Executed"
-	notExecutedValue  = "1"
-	idempotencyKey    = "Idempotency-Key"
+	HeaderNotExecuted    = "X-Not-Executed"
+	notExecutedValue     = "1"
+	idempotencyKeyHeader = "Idempotency-Key"
 )
 
 // DialFunc opens a connection.
@@ -91,7 +91,7 @@
 		return refusedResult(refusal.New(refusal.BadRequest, "%v", err))
 	}
 	if s.cfg.ReuseConnections {
-		req.Header.Set(idempotencyKey, id.Key)
+		req.Header.Set(idempotencyKeyHeader, id.Key)
 		return s.roundTrip(s.sharedTransport, req, new(atomic.Bool))
 	}
 	var connected atomic.Bool
@@ -186,7 +186,7 @@
 		return nil, fmt.Errorf("make request: %w", err)
 	}
 	for _, h := range c.Headers {
-		if !isHopByHop(h.Name) && !strings.EqualFold(h.Name, idempotencyKey) {
+		if !isHopByHop(h.Name) && !strings.EqualFold(h.Name, idempotencyKeyHeader) {
 			req.Header.Add(h.Name, h.Value)
 		}
 	}
