--- a/transport/dispatch/dispatch.go
+++ b/transport/dispatch/dispatch.go
@@ -38,7 +38,8 @@
 type Config struct {
 	// Dial opens connections. The default is TCP.
 	Dial DialFunc
-	// DialTimeout limits the time to open a connection. Until then, nothing can have been executed.
+	// DialTimeout limits the time to open a connection. If no connection was opened, nothing can
+	// have been executed.
 	DialTimeout time.Duration
 	// MaxAnswerBytes limits the size of an answer's body.
 	MaxAnswerBytes int64
