--- a/daemon/actions/collect.go
+++ b/daemon/actions/collect.go
@@ -16,104 +16,111 @@
 )
 
 const (
-	collectEvery = 10 * time.Second
-	// collectPause paces deletions to a share of the service's rate.
-	collectPause = 100 * time.Millisecond
-	// collectMargin is kept between the end of all keys of a log and its
-	// collection.
+	collectInterval = 10 * time.Second
+	// deletePause limits deletions to a fraction of the rate that the
+	// key-value service can handle.
+	deletePause = 100 * time.Millisecond
+	// collectMargin is the time between the expiry of all keys of a log and the
+	// deletion of the log.
 	collectMargin = time.Minute
-	// sealLifetime is at least how long a seal stays.
+	// sealLifetime is the minimum time for which a seal is kept.
 	sealLifetime = claimLifetime
-	// maxEpochs bounds the owners that are looked for behind one incarnation.
+	// maxEpochs limits how many successive owners of one incarnation are
+	// searched for.
 	maxEpochs = 64
 )
 
-// collector seals and collects the logs of daemons that have ended, so that
-// they are sealed before anyone asks and don't fill the service for ever.
+// collector seals and deletes the logs of daemons that have ended, so that they
+// are sealed before the first query and don't fill up the key-value service.
 type collector struct {
-	present  map[ident.Incarnation]bool
-	departed map[ident.Incarnation]*departure
+	present map[ident.Incarnation]bool
+	ended   map[ident.Incarnation]*endedDaemon
 }
 
-// departure is the end of a daemon as seen from here.
-type departure struct {
-	at     time.Time
-	sealed bool
+// endedDaemon is the state of the collection for a daemon that has ended.
+type endedDaemon struct {
+	noticedAt time.Time
+	sealed    bool
 }
 
-// collectEnded runs until ctx ends. One daemon is responsible for each that has
-// ended; when it ends itself, the next in rank goes on.
-func (s *Service) collectEnded(ctx context.Context) {
-	c := &collector{present: map[ident.Incarnation]bool{}, departed: map[ident.Incarnation]*departure{}}
+// collectEndedLogs seals and deletes logs of ended daemons until ctx ends. One
+// live daemon is responsible for each ended daemon; when the responsible daemon
+// ends, the next in rank takes over.
+func (s *Service) collectEndedLogs(ctx context.Context) {
+	c := &collector{present: map[ident.Incarnation]bool{}, ended: map[ident.Incarnation]*endedDaemon{}}
 	for ctx.Err() == nil {
 		daemons := s.cfg.Directory.Daemons()
 		c.observe(daemons, s.now())
-		for name, d := range c.departed {
-			if s.responsible(name, daemons) {
-				s.tend(ctx, c, name, d)
-			} else if s.now().Sub(d.at) > 2*s.keysOver(name) {
-				delete(c.departed, name)
+		for name, d := range c.ended {
+			if s.isResponsible(name, daemons) {
+				s.sealAndCollect(ctx, c, name, d)
+			} else if s.now().Sub(d.noticedAt) > 2*s.allKeysExpireAfter(name) {
+				delete(c.ended, name)
 			}
 		}
-		s.pause(ctx, collectEvery)
+		s.pause(ctx, collectInterval)
 	}
 }
 
-// observe notes which daemons have gone since the last look.
+// observe records which daemons have disappeared since the last call.
 func (c *collector) observe(daemons []view.Daemon, now time.Time) {
 	present := map[ident.Incarnation]bool{}
 	for _, d := range daemons {
 		if d.State != view.Gone {
 			present[d.Incarnation] = true
-			delete(c.departed, d.Incarnation)
+			delete(c.ended, d.Incarnation)
 		}
 	}
 	for name := range c.present {
 		if !present[name] {
-			c.departed[name] = &departure{at: now}
+			c.ended[name] = &endedDaemon{noticedAt: now}
 		}
 	}
 	c.present = present
 }
 
-// responsible ranks the live daemons for an ended one.
-func (s *Service) responsible(ended ident.Incarnation, daemons []view.Daemon) bool {
-	own := xxhash.Sum64String(string(ended) + string(s.cfg.Self))
+// isResponsible reports whether this daemon ranks highest among the live daemons
+// by rendezvous hash for an ended one.
+func (s *Service) isResponsible(ended ident.Incarnation, daemons []view.Daemon) bool {
+	ownRank := xxhash.Sum64String(string(ended) + string(s.cfg.Self))
 	for _, d := range daemons {
-		if d.State == view.Live && xxhash.Sum64String(string(ended)+string(d.Incarnation)) > own {
+		if d.State == view.Live && xxhash.Sum64String(string(ended)+string(d.Incarnation)) > ownRank {
 			return false
 		}
 	}
 	return true
 }
 
-// keysOver is how long after an owner's end all of its keys are over.
-func (s *Service) keysOver(owner ident.Incarnation) time.Duration {
+// allKeysExpireAfter returns how long after an owner's end all of its keys have
+// expired.
+func (s *Service) allKeysExpireAfter(owner ident.Incarnation) time.Duration {
 	cfg := s.cfg.Owner(owner)
 	return cfg.TokenLifetime + cfg.KeyRetention + collectMargin
 }
 
-func (s *Service) tend(ctx context.Context, c *collector, name ident.Incarnation, d *departure) {
+// sealAndCollect seals the logs of an ended daemon at once and deletes them when
+// all of their keys have expired. After an error the next round tries again.
+func (s *Service) sealAndCollect(ctx context.Context, c *collector, name ident.Incarnation, d *endedDaemon) {
 	if !d.sealed {
-		if err := s.eachLog(ctx, name, s.sealEnded); err != nil {
-			klog.InfoS("Log of an ended daemon not sealed yet", "owner", name, "err", err)
+		if err := s.forEachLog(ctx, name, s.sealEndedLog); err != nil {
+			klog.InfoS("Failed to seal log of ended daemon, will retry", "owner", name, "err", err)
 			return
 		}
 		d.sealed = true
 	}
-	if s.now().Sub(d.at) < s.keysOver(name) {
+	if s.now().Sub(d.noticedAt) < s.allKeysExpireAfter(name) {
 		return
 	}
-	if err := s.eachLog(ctx, name, s.collectLog); err != nil {
-		klog.InfoS("Log of an ended daemon not collected yet", "owner", name, "err", err)
+	if err := s.forEachLog(ctx, name, s.collectLog); err != nil {
+		klog.InfoS("Failed to delete log of ended daemon, will retry", "owner", name, "err", err)
 		return
 	}
-	delete(c.departed, name)
+	delete(c.ended, name)
 }
 
-// eachLog calls f for the logs of all owners that a daemon can have had, up to
-// the first empty one.
-func (s *Service) eachLog(ctx context.Context, name ident.Incarnation, f func(context.Context, ident.Incarnation) error) error {
+// forEachLog calls f for the logs of all successive owners of a daemon, up to
+// the first empty log.
+func (s *Service) forEachLog(ctx context.Context, name ident.Incarnation, f func(context.Context, ident.Incarnation) error) error {
 	owner := name
 	for epoch := 1; epoch <= maxEpochs; epoch++ {
 		first, err := s.readPage(ctx, owner, "")
@@ -131,21 +138,22 @@
 	return nil
 }
 
-func (s *Service) sealEnded(ctx context.Context, owner ident.Incarnation) error {
-	_, err := s.sealedLog(ctx, owner, "")
+func (s *Service) sealEndedLog(ctx context.Context, owner ident.Incarnation) error {
+	_, err := s.readSealedLog(ctx, owner, "")
 	return err
 }
 
-// collectLog deletes a sealed log whose keys are all over. First the seal says
-// so: who reads the log in the middle of it, or with a slow clock, then answers
-// "unknown" for what is missing, never "not executed".
+// collectLog deletes all entries but the seal of a log whose keys have all
+// expired. It first marks the seal accordingly: a daemon that reads the log
+// during the deletion, or whose clock is slow, then answers "unknown" for
+// missing entries instead of "not executed".
 func (s *Service) collectLog(ctx context.Context, owner ident.Incarnation) error {
 	entries, err := s.listLog(ctx, owner)
 	if err != nil || len(entries) == 0 {
 		return err
 	}
 	last := entries[len(entries)-1]
-	if err := s.raiseFloor(ctx, last); err != nil {
+	if err := s.markCollected(ctx, last); err != nil {
 		return err
 	}
 	s.logs.drop(owner)
@@ -153,12 +161,12 @@
 		if err := s.deleteEntry(ctx, e); err != nil {
 			return err
 		}
-		s.pause(ctx, collectPause)
+		s.pause(ctx, deletePause)
 	}
 	return nil
 }
 
-// listLog returns the log's keys and revisions, and the value of the last.
+// listLog returns the log's entries. Only the last entry includes its value.
 func (s *Service) listLog(ctx context.Context, owner ident.Incarnation) ([]kv.Entry, error) {
 	var all []kv.Entry
 	for after := ""; ; {
@@ -179,12 +187,14 @@
 	}
 }
 
-// NotSealedError says that a log's last entry is no seal.
+// NotSealedError means that the last entry of a log is not a seal.
 type NotSealedError struct{ Key string }
 
-func (e *NotSealedError) Error() string { return fmt.Sprintf("%q is no seal", e.Key) }
+func (e *NotSealedError) Error() string { return fmt.Sprintf("journal entry %q is not a seal", e.Key) }
 
-func (s *Service) raiseFloor(ctx context.Context, last kv.Entry) error {
+// markCollected sets the seal's floor to its maximum. Entries of keys that expired
+// before the floor may be missing from the log.
+func (s *Service) markCollected(ctx context.Context, last kv.Entry) error {
 	seal, err := journal.Decode(last.Key, last.Value)
 	if err != nil {
 		return err
@@ -202,7 +212,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.Times.Store)
 	defer cancel()
-	lease, err := s.dayLease(ctx)
+	lease, err := s.currentLease(ctx)
 	if err != nil {
 		return err
 	}
@@ -215,7 +225,7 @@
 func (s *Service) deleteEntry(ctx context.Context, e kv.Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.Times.Store)
 	defer cancel()
-	s.counters.inc(logsDeleted)
+	s.counters.inc(logEntriesDeleted)
 	if err := s.cfg.Store.Delete(ctx, e.Key, e.Revision); err != nil {
 		return fmt.Errorf("delete entry of an ended log: %w", err)
 	}
--- a/daemon/adminapi/credentials.go
+++ b/daemon/adminapi/credentials.go
@@ -14,41 +14,43 @@
 	"geraniumstack.org/geraniumstack/gen/geranium/admin/v1/adminv1connect"
 )
 
-// Role says what an operator may do.
+// Role determines which calls an operator may make.
 type Role string
 
-// Roles; an operator may do all that a viewer may.
+// The roles. An Operator may make every call that a Viewer may.
 const (
 	Viewer   Role = "viewer"
 	Operator Role = "operator"
 )
 
-// Credential lets one person or pipeline use the interface. It is part of the
-// daemon's settings.
+// Credential authorizes one person or pipeline to use the admin API. It is part
+// of the daemon's settings.
 type Credential struct {
 	Name string `json:"name" jsonschema:"minLength=1"`
-	// KeyHash is the SHA-256, in lower-case hex, of the bearer key.
+	// KeyHash is the SHA-256 of the bearer key, in lower-case hex.
 	KeyHash string `json:"key_hash" jsonschema:"pattern=^[0-9a-f]{64}$"`
 	Role    Role   `json:"role" jsonschema:"enum=viewer,enum=operator"`
 }
 
-// viewing names the calls that change nothing. Any other needs an Operator, so
-// a call that is added later is not open to viewers by mistake.
-var viewing = map[string]bool{
+// readOnlyProcedures lists the calls that change nothing. All others require
+// the Operator role, so that a call added later is not open to viewers by
+// mistake.
+var readOnlyProcedures = map[string]bool{
 	adminv1connect.AdminServiceDiffProcedure:    true,
 	adminv1connect.AdminServiceStatusProcedure:  true,
 	adminv1connect.AdminServiceHistoryProcedure: true,
 	adminv1connect.AdminServiceUsageProcedure:   true,
 }
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
-// UnauthenticatedError says that no credential fits the bearer key.
+// UnauthenticatedError reports that a call has no bearer key or one that
+// matches no credential.
 type UnauthenticatedError struct{}
 
 func (*UnauthenticatedError) Error() string { return "no credential has this bearer key" }
 
-// ForbiddenError says that the credential's role does not allow a call.
+// ForbiddenError reports that the credential's role does not allow a call.
 type ForbiddenError struct {
 	Name string
 	Role Role
@@ -58,16 +60,17 @@
 	return fmt.Sprintf("%s is a %s, which this call does not allow", e.Name, e.Role)
 }
 
-type operatorKey struct{}
+type operatorContextKey struct{}
 
-// operatorOf returns the name of the credential that made the call.
+// operatorOf returns the name of the credential with which the call was made.
 func operatorOf(ctx context.Context) string {
-	name, _ := ctx.Value(operatorKey{}).(string)
+	name, _ := ctx.Value(operatorContextKey{}).(string)
 	return name
 }
 
-// authenticator admits calls by their bearer key. Keys are looked up by their
-// hash, so the time of a look-up tells nothing of a key.
+// authenticator maps key hashes to credentials and authenticates calls by their
+// bearer key. Keys are looked up by hash, so the duration of a lookup reveals
+// nothing about a key.
 type authenticator map[string]Credential
 
 func newAuthenticator(credentials []Credential) authenticator {
@@ -83,15 +86,15 @@
 		procedure := r.Spec().Procedure
 		credential, err := a.admit(r.Header().Get("Authorization"), procedure)
 		if err != nil {
-			klog.InfoS("Admin call refused", "procedure", procedure, "peer", r.Peer().Addr, "err", err)
+			klog.InfoS("Admin call rejected", "procedure", procedure, "peer", r.Peer().Addr, "err", err)
 			return nil, connect.NewError(codeOf(err), err)
 		}
-		return next(context.WithValue(ctx, operatorKey{}, credential.Name), r)
+		return next(context.WithValue(ctx, operatorContextKey{}, credential.Name), r)
 	}
 }
 
 func (a authenticator) admit(authorization, procedure string) (Credential, error) {
-	key, ok := strings.CutPrefix(authorization, bearer)
+	key, ok := strings.CutPrefix(authorization, bearerPrefix)
 	if !ok {
 		return Credential{}, &UnauthenticatedError{}
 	}
@@ -100,7 +103,7 @@
 	if !ok {
 		return Credential{}, &UnauthenticatedError{}
 	}
-	if credential.Role != Operator && !viewing[procedure] {
+	if credential.Role != Operator && !readOnlyProcedures[procedure] {
 		return Credential{}, &ForbiddenError{Name: credential.Name, Role: credential.Role}
 	}
 	return credential, nil
--- a/daemon/control/mesh.go
+++ b/daemon/control/mesh.go
@@ -20,37 +20,40 @@
 )
 
 const (
-	// heartbeatTimeout is when a call counts as failed. A connection that went
-	// silent ends with it, and the next call makes a new one.
+	// heartbeatTimeout bounds one heartbeat call. A connection that has stopped
+	// responding is closed when the call times out, and the next call opens a
+	// new one.
 	heartbeatTimeout = time.Second
-	// probeTimeout bounds the wait for others' tries; they take heartbeatTimeout
-	// and the way there and back.
+	// probeTimeout bounds an indirect probe: the proxy's own heartbeat takes up
+	// to heartbeatTimeout, and the rest covers the round trip to the proxy.
 	probeTimeout = heartbeatTimeout + 500*time.Millisecond
-	// pushGap is the least time between two exchanges over one link; news that
-	// comes closer together shares a message.
-	pushGap = 100 * time.Millisecond
-	// maxMessageBytes bounds a peer's message.
+	// minExchangeInterval is the minimum interval between two exchanges over
+	// one link. Changes that arrive within it are sent in one message.
+	minExchangeInterval = 100 * time.Millisecond
+	// maxMessageBytes bounds the size of a message from a peer.
 	maxMessageBytes = 32 << 20
-	// compressAbove is the size from which a message is compressed; below it
-	// compression costs more processor time than all the rest of an exchange.
+	// compressAbove is the message size in bytes from which messages are
+	// compressed. Compressing smaller messages costs more CPU time than the
+	// rest of an exchange.
 	compressAbove = 1024
-	// seedInterval is the time between two tries of a seed.
+	// seedInterval is the interval between two rounds of connection attempts to
+	// seeds.
 	seedInterval = time.Second
-	// seedsPerTurn bounds the seeds tried at a time.
-	seedsPerTurn = 4
+	// seedsPerRound bounds the number of seeds tried in one round.
+	seedsPerRound = 4
 )
 
-// meshService is the peers' side of a Control.
+// meshService implements the RPC service that peers call on a Control.
 type meshService Control
 
 var _ meshv1connect.MeshServiceHandler = (*meshService)(nil)
 
-// MissingSenderError says that an exchange does not say who sent it.
+// MissingSenderError reports that an exchange does not identify its sender.
 type MissingSenderError struct{}
 
-func (*MissingSenderError) Error() string { return "exchange without a sender" }
+func (*MissingSenderError) Error() string { return "exchange does not name its sender" }
 
-// Heartbeat answers a peer's exchange.
+// Heartbeat merges a peer's exchange and replies with this daemon's changes.
 func (s *meshService) Heartbeat(_ context.Context, r *connect.Request[meshv1.HeartbeatRequest]) (*connect.Response[meshv1.HeartbeatResponse], error) {
 	c := (*Control)(s)
 	exchange := r.Msg.GetExchange()
@@ -64,11 +67,12 @@
 	c.table.Receive(now, m)
 	c.learnFromPeerLocked(now, exchange)
 	reply := c.composeLocked(now, m.From.Incarnation, m.From.Generation)
-	c.afterLocked()
+	c.publishChangesLocked()
 	return connect.NewResponse(&meshv1.HeartbeatResponse{Exchange: reply}), nil
 }
 
-// Probe calls another daemon on behalf of one that could not.
+// Probe sends a heartbeat to a daemon on behalf of a peer that could not reach
+// it.
 func (s *meshService) Probe(ctx context.Context, r *connect.Request[meshv1.ProbeRequest]) (*connect.Response[meshv1.ProbeResponse], error) {
 	c := (*Control)(s)
 	wanted := ident.Incarnation(r.Msg.GetIncarnation())
@@ -77,7 +81,8 @@
 	return connect.NewResponse(&meshv1.ProbeResponse{Reached: reached}), nil
 }
 
-// FetchConfig answers with those of the asked sections that are here.
+// FetchConfig returns those of the requested configuration sections that this
+// daemon has.
 func (s *meshService) FetchConfig(_ context.Context, r *connect.Request[meshv1.FetchConfigRequest]) (*connect.Response[meshv1.FetchConfigResponse], error) {
 	c := (*Control)(s)
 	var hashes []manifest.Hash
@@ -93,9 +98,9 @@
 	return connect.NewResponse(response), nil
 }
 
-func (c *Control) composeLocked(now time.Time, to ident.Incarnation, theirs ident.Generation) *meshv1.Exchange {
+func (c *Control) composeLocked(now time.Time, to ident.Incarnation, peerGeneration ident.Generation) *meshv1.Exchange {
 	var head *config.Accepted
-	if inForce, _ := c.follower.InForce(); inForce.Generation > theirs {
+	if inForce, _ := c.follower.InForce(); inForce.Generation > peerGeneration {
 		head = &inForce
 	}
 	return encodeExchange(now, c.table.Compose(to), head)
@@ -105,7 +110,7 @@
 	if x.GetHead() == nil {
 		return
 	}
-	c.carryOutLocked(c.follower.Learn(now, decodeHead(x.GetHead()), x.GetFrom().GetPeerAddress()))
+	c.executeEffectsLocked(c.follower.Learn(now, decodeHead(x.GetHead()), x.GetFrom().GetPeerAddress()))
 }
 
 func (c *Control) client(address string) meshv1connect.MeshServiceClient {
@@ -113,12 +118,13 @@
 		connect.WithReadMaxBytes(maxMessageBytes), connect.WithSendGzip(), connect.WithCompressMinBytes(compressAbove))
 }
 
-// exchange calls one peer; to is NoPeer where only the address is known. It
-// returns the incarnation that answered.
-func (c *Control) exchange(ctx context.Context, address string, to ident.Incarnation, theirs ident.Generation) (ident.Incarnation, error) {
-	asked := time.Now()
+// exchange sends a heartbeat to one peer and merges the response. The argument
+// to is membership.NoPeer if only the address is known. It returns the
+// incarnation that responded.
+func (c *Control) exchange(ctx context.Context, address string, to ident.Incarnation, peerGeneration ident.Generation) (ident.Incarnation, error) {
+	sentAt := time.Now()
 	c.mu.Lock()
-	request := &meshv1.HeartbeatRequest{Exchange: c.composeLocked(asked, to, theirs)}
+	request := &meshv1.HeartbeatRequest{Exchange: c.composeLocked(sentAt, to, peerGeneration)}
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -132,25 +138,26 @@
 	answer := response.Msg.GetExchange()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.ReceiveAnswer(now, asked, decodeExchange(now, answer))
+	c.table.ReceiveAnswer(now, sentAt, decodeExchange(now, answer))
 	c.learnFromPeerLocked(now, answer)
-	c.afterLocked()
+	c.publishChangesLocked()
 	return ident.Incarnation(answer.GetFrom().GetIncarnation()), nil
 }
 
-// heartbeat exchanges with a known peer and draws the conclusion of a failure.
+// heartbeat exchanges with a known peer. If the call fails and no other peer
+// can reach the peer either, heartbeat marks the peer unreachable.
 func (c *Control) heartbeat(ctx context.Context, m membership.Member) {
 	_, err := c.exchange(ctx, m.PeerAddress, m.Incarnation, c.generationOf(m.Incarnation))
 	if err == nil || ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
-	askOthers := c.table.ProbeFailed(m.Incarnation)
+	needsIndirectProbe := c.table.ProbeFailed(m.Incarnation)
 	c.mu.Unlock()
-	if !askOthers {
+	if !needsIndirectProbe {
 		return
 	}
-	reached := c.reachedByOthers(ctx, m)
+	reached := c.probeIndirectly(ctx, m)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if reached {
@@ -158,25 +165,26 @@
 		return
 	}
 	c.table.MarkUnreachable(time.Now(), m.Incarnation)
-	c.afterLocked()
+	c.publishChangesLocked()
 }
 
-// reachedByOthers asks the other links to call a peer; one success is enough.
-func (c *Control) reachedByOthers(ctx context.Context, m membership.Member) bool {
+// probeIndirectly asks the other linked peers to call a peer and reports
+// whether at least one of them reached it.
+func (c *Control) probeIndirectly(ctx context.Context, m membership.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	helpers := c.linkedPeers(m.Incarnation)
-	answers := make(chan bool, len(helpers))
+	proxies := c.linkedPeers(m.Incarnation)
+	answers := make(chan bool, len(proxies))
 	request := &meshv1.ProbeRequest{Address: m.PeerAddress, Incarnation: string(m.Incarnation)}
-	for _, helper := range helpers {
+	for _, proxy := range proxies {
 		go func() {
 			c.counters.probes.Inc(1)
-			response, err := c.client(helper.PeerAddress).Probe(ctx, connect.NewRequest(request))
+			response, err := c.client(proxy.PeerAddress).Probe(ctx, connect.NewRequest(request))
 			answers <- err == nil && response.Msg.GetReached()
 		}()
 	}
 	reached := false
-	for range helpers {
+	for range proxies {
 		reached = <-answers || reached
 	}
 	return reached
@@ -194,22 +202,23 @@
 	return peers
 }
 
-// link is one neighbour that this daemon calls by itself.
+// link is a peer that this daemon sends heartbeats to.
 type link struct {
-	peer membership.Member
-	kick chan struct{}
-	stop context.CancelFunc
+	peer   membership.Member
+	wakeUp chan struct{}
+	stop   context.CancelFunc
 }
 
-// wake asks for an exchange soon; it never blocks.
+// wake requests an early exchange on the link. It never blocks.
 func (l *link) wake() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
-// relinkLocked follows the strategy's choice of neighbours.
+// relinkLocked updates the links to match the neighbours that the strategy
+// selects.
 func (c *Control) relinkLocked() {
 	members := c.membersLocked()
 	peers := make([]spread.Peer, 0, len(members))
@@ -238,11 +247,11 @@
 }
 
 func (c *Control) linkLocked(m membership.Member) {
-	if _, ok := c.links[m.Incarnation]; ok || c.run == nil {
+	if _, ok := c.links[m.Incarnation]; ok || c.runCtx == nil {
 		return
 	}
-	ctx, cancel := context.WithCancel(c.run)
-	l := &link{peer: m, kick: make(chan struct{}, 1), stop: cancel}
+	ctx, cancel := context.WithCancel(c.runCtx)
+	l := &link{peer: m, wakeUp: make(chan struct{}, 1), stop: cancel}
 	c.links[m.Incarnation] = l
 	c.spawnLocked(func(context.Context) {
 		defer cancel()
@@ -253,15 +262,15 @@
 func (c *Control) linkLoop(ctx context.Context, l *link) {
 	for ctx.Err() == nil {
 		c.heartbeat(ctx, l.peer)
-		if !pause.For(ctx, pushGap) {
+		if !pause.For(ctx, minExchangeInterval) {
 			return
 		}
-		rest := c.interval() - pushGap
-		timer := time.NewTimer(rest*9/10 + c.jitter.below(rest/5))
+		remaining := c.interval() - minExchangeInterval
+		timer := time.NewTimer(remaining*9/10 + c.jitter.below(remaining/5))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-l.kick:
+		case <-l.wakeUp:
 		}
 		timer.Stop()
 	}
@@ -273,35 +282,36 @@
 	return c.strategy.Interval()
 }
 
-// generationOf returns what a peer last said to have in force.
+// generationOf returns the generation that a peer last reported as in force.
 func (c *Control) generationOf(i ident.Incarnation) ident.Generation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.GenerationOf(i)
 }
 
-// seedLoop tries the addresses of the settings that no daemon known as live
-// has, and one suspect at a time.
+// seedLoop tries to reach, in each round, some of the seed addresses at which
+// no live daemon is known, and one suspect peer.
 func (c *Control) seedLoop(ctx context.Context) {
-	turn := 0
+	round := 0
 	for {
-		for _, address := range c.seedTargets(turn) {
-			c.spawn(func(ctx context.Context) { c.try(ctx, address, membership.NoPeer) })
+		for _, address := range c.seedTargets(round) {
+			c.spawn(func(ctx context.Context) { c.exchangeBestEffort(ctx, address, membership.NoPeer) })
 		}
-		for _, m := range c.suspectTarget(turn) {
-			c.spawn(func(ctx context.Context) { c.try(ctx, m.PeerAddress, m.Incarnation) })
+		for _, m := range c.suspectTarget(round) {
+			c.spawn(func(ctx context.Context) { c.exchangeBestEffort(ctx, m.PeerAddress, m.Incarnation) })
 		}
-		turn++
+		round++
 		if !pause.For(ctx, seedInterval) {
 			return
 		}
 	}
 }
 
-// try exchanges with an address of which nothing is concluded if it fails.
-func (c *Control) try(ctx context.Context, address string, to ident.Incarnation) {
+// exchangeBestEffort exchanges with an address. A failure does not change the
+// state of the peer.
+func (c *Control) exchangeBestEffort(ctx context.Context, address string, to ident.Incarnation) {
 	if _, err := c.exchange(ctx, address, to, 0); err != nil {
-		klog.V(2).InfoS("Nobody answers", "address", address, "err", err)
+		klog.V(2).InfoS("Exchange with peer address failed", "address", address, "err", err)
 	}
 }
 
@@ -311,7 +321,7 @@
 	c.spawnLocked(work)
 }
 
-func (c *Control) seedTargets(turn int) []string {
+func (c *Control) seedTargets(round int) []string {
 	known := map[string]bool{c.cfg.Self.PeerAddress: true}
 	for _, m := range c.Members() {
 		if m.State != view.Suspect {
@@ -324,15 +334,15 @@
 			unknown = append(unknown, address)
 		}
 	}
-	if len(unknown) <= seedsPerTurn {
+	if len(unknown) <= seedsPerRound {
 		return unknown
 	}
-	start := turn * seedsPerTurn % len(unknown)
+	start := round * seedsPerRound % len(unknown)
 	doubled := append(unknown, unknown...)
-	return doubled[start : start+seedsPerTurn]
+	return doubled[start : start+seedsPerRound]
 }
 
-func (c *Control) suspectTarget(turn int) []membership.Member {
+func (c *Control) suspectTarget(round int) []membership.Member {
 	var suspects []membership.Member
 	for _, m := range c.Members() {
 		if m.State == view.Suspect {
@@ -342,11 +352,12 @@
 	if len(suspects) == 0 {
 		return nil
 	}
-	return suspects[turn%len(suspects):][:1]
+	return suspects[round%len(suspects):][:1]
 }
 
-// leave tells the linked peers, after Run, that this incarnation is over.
-func (c *Control) leave() {
+// announceDeparture tells the linked peers that this incarnation has ended. It
+// is called at the end of Run.
+func (c *Control) announceDeparture() {
 	c.mu.Lock()
 	c.table.MarkGone(time.Now())
 	c.mu.Unlock()
@@ -356,7 +367,7 @@
 	done := make(chan struct{})
 	for _, m := range peers {
 		go func() {
-			c.try(ctx, m.PeerAddress, m.Incarnation)
+			c.exchangeBestEffort(ctx, m.PeerAddress, m.Incarnation)
 			done <- struct{}{}
 		}()
 	}
@@ -365,7 +376,7 @@
 	}
 }
 
-// fetchFromPeer reads sections from a peer; the error is connect's.
+// fetchFromPeer reads sections from a peer. It wraps errors of connect.
 func (c *Control) fetchFromPeer(ctx context.Context, address string, hashes []manifest.Hash) (map[manifest.Hash][]byte, error) {
 	request := &meshv1.FetchConfigRequest{}
 	for _, hash := range hashes {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon wires one entry VM's process: three listeners (callers, other
-// daemons, operators) over the drivers of configuration and membership, model
-// requests, actions, plain services and orders.
+// Package daemon assembles the process of one entry VM: three listeners
+// (callers, peers, operators) on top of the control plane, model requests,
+// actions, plain services and orders.
 package daemon
 
 import (
@@ -39,15 +39,15 @@
 )
 
 const (
-	incarnationBytes = 8
-	requestIDBytes   = 12
-	engineSilence    = 3 * time.Second
-	ordersEvery      = time.Second
-	stopGrace        = 30 * time.Second
-	shutdownMargin   = 2 * time.Second
+	incarnationBytes  = 8
+	requestIDBytes    = 12
+	engineIdleTimeout = 3 * time.Second
+	ordersInterval    = time.Second
+	stopGrace         = 30 * time.Second
+	shutdownMargin    = 2 * time.Second
 )
 
-// Daemon is one process of the system.
+// Daemon is the daemon process of one entry VM.
 type Daemon struct {
 	settings *settings.Settings
 	self     view.Daemon
@@ -69,7 +69,7 @@
 	draining chan struct{}
 }
 
-// New binds the listeners and builds the drivers; nothing runs yet.
+// New binds the listeners and creates the components. Run starts them.
 func New(s *settings.Settings, n Network) (*Daemon, error) {
 	d := &Daemon{
 		settings: s,
@@ -81,7 +81,7 @@
 	if err := d.listen(n); err != nil {
 		return nil, err
 	}
-	if err := d.secure(); err != nil {
+	if err := d.enableTLS(); err != nil {
 		return nil, err
 	}
 	d.self = view.Daemon{
@@ -92,18 +92,19 @@
 		PeerAddress:   d.peers.Addr().String(),
 		State:         view.Live,
 	}
-	d.build(n)
+	d.createComponents(n)
 	return d, nil
 }
 
 func newIncarnation(id ident.DaemonID) ident.Incarnation {
 	var b [incarnationBytes]byte
-	// crypto/rand.Read never fails: it ends the program instead.
+	// crypto/rand.Read never returns an error; it aborts the program instead.
 	_, _ = rand.Read(b[:])
 	return ident.NewIncarnation(id, b[:])
 }
 
-// seed differs from daemon to daemon: equal ones would make them choose alike.
+// seed returns a random seed. Daemons with equal seeds would make the same
+// random choices.
 func seed() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
@@ -124,9 +125,9 @@
 	return nil
 }
 
-// secure puts TLS on the peers' and the admin listener. Operators show bearer
-// keys, so only peers are asked for certificates.
-func (d *Daemon) secure() error {
+// enableTLS wraps the peer and admin listeners in TLS. Only peers must present
+// client certificates; operators authenticate with bearer keys.
+func (d *Daemon) enableTLS() error {
 	if d.settings.TLS == nil {
 		return nil
 	}
@@ -141,22 +142,23 @@
 	return nil
 }
 
-// peerClient reaches other daemons, with TLS if the settings ask for it.
+// peerClient returns the client for calls to other daemons. It uses TLS if the
+// settings enable it.
 func (d *Daemon) peerClient(n Network) *http.Client {
 	if d.tls == nil {
 		return newHTTPClient(n)
 	}
-	return newHTTPClient(secured{Network: n, config: d.tls.ClientConfig()})
+	return newHTTPClient(tlsNetwork{Network: n, config: d.tls.ClientConfig()})
 }
 
-func (d *Daemon) build(n Network) {
+func (d *Daemon) createComponents(n Network) {
 	client := newHTTPClient(n)
 	peers := d.peerClient(n)
 	p := d.settings.Platform
 	d.store = kv.NewHTTPClient(p.KeyValue, client)
 	cloud := cloudapi.NewClient(p.Cloud, client)
 	lister := cloudapi.NewClient(p.VMList, client)
-	engines := newEngines(client, engineSilence)
+	engines := newEngines(client, engineIdleTimeout)
 	d.control = control.New(control.Config{
 		Self: d.self, Seeds: d.settings.Seeds, Store: d.store,
 		Lister: lister, Cloud: cloud, HTTPClient: peers, Metrics: d.metrics,
@@ -166,12 +168,12 @@
 	sender.Dial = n.Dial
 	d.services = services.New(services.Config{
 		Directory: d.control, Config: configuration, Sender: serviceSender{dispatch.New(sender)},
-		Probe: connect(n), Metrics: d.metrics, Retry: retry.Default(), Health: health.Default(),
+		Probe: newDialProbe(n), Metrics: d.metrics, Retry: retry.Default(), Health: health.Default(),
 		AttemptTimeout: services.DefaultAttemptTimeout, Tick: services.DefaultTick, Seed: seed(),
 	})
 	d.dispatch = modeldispatch.New(modeldispatch.Config{
 		Directory: d.control, Config: configuration, Engines: engines,
-		Prober: modeldispatch.FreshProber{Dial: n.Dial}, Metrics: d.metrics,
+		Prober: modeldispatch.FreshConnProber{Dial: n.Dial}, Metrics: d.metrics,
 		Policy: modeldispatch.DefaultPolicy(), Timing: modeldispatch.DefaultTiming(), Seed: seed(),
 	})
 	d.models = models.New(models.Config{
@@ -187,9 +189,9 @@
 	})
 	d.orders = orders.New(orders.Config{
 		Self: d.self.Incarnation, Configuration: configuration, Directory: d.control,
-		Store: d.store, Cloud: cloud, Lister: lister, Weights: weights(p.Weights, client),
+		Store: d.store, Cloud: cloud, Lister: lister, Weights: newWeightsClient(p.Weights, client),
 		Engines: engines, Timing: lease.DefaultTiming(), Metrics: d.metrics,
-		Every: ordersEvery, StopGrace: stopGrace,
+		RoundInterval: ordersInterval, StopGrace: stopGrace,
 	})
 	d.gateway = gateway.New(gateway.Config{
 		Configuration: configuration, Directory: d.control, Models: d.models,
@@ -198,7 +200,7 @@
 	})
 }
 
-func weights(base string, client *http.Client) cloudapi.WeightStore {
+func newWeightsClient(base string, client *http.Client) cloudapi.WeightStore {
 	if base == "" {
 		return nil
 	}
@@ -218,24 +220,27 @@
 	}
 }
 
-// newRequestID names the daemon that accepts a request, so that any gateway
-// knows where to look for it.
+// newRequestID returns an ID that contains the incarnation of the accepting
+// daemon, so that any gateway can find the daemon that handles the request.
 func (d *Daemon) newRequestID() ident.RequestID {
 	var b [requestIDBytes]byte
 	_, _ = rand.Read(b[:])
 	return ident.NewRequestID(d.self.Incarnation, b[:])
 }
 
-// Self tells the daemon's addresses, also those of ports that the system chose.
+// Self returns this daemon's identity and addresses, with the actual ports
+// where the system chose them.
 func (d *Daemon) Self() view.Daemon { return d.self }
 
-// AdminAddress is the admin listener's.
+// AdminAddress returns the address of the admin listener.
 func (d *Daemon) AdminAddress() string { return d.admin.Addr().String() }
 
-// Run serves until ctx ends or the VM's notice is over, then shuts down
-// gracefully within the settings' bound.
+// Run serves until ctx ends, the VM is about to be reclaimed, or an operator
+// drains the daemon. It then shuts down gracefully within the bound in the
+// settings.
 func (d *Daemon) Run(ctx context.Context) error {
-	// The drivers outlive ctx by the graceful shutdown.
+	// The components must keep running after ctx ends, until the graceful
+	// shutdown is complete.
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	g, work := errgroup.WithContext(work)
@@ -243,7 +248,7 @@
 		"control": d.control.Run, "models": d.models.Run, "actions": d.actions.Run,
 		"orders": d.orders.Run, "dispatch": d.dispatch.Run, "services": d.services.Run,
 	} {
-		g.Go(func() error { return named(name, run(work)) })
+		g.Go(func() error { return wrapRunError(name, run(work)) })
 	}
 	if d.tls != nil {
 		g.Go(func() error {
@@ -269,14 +274,14 @@
 		"peers", d.self.PeerAddress, "admin", d.AdminAddress())
 	g.Go(func() error {
 		defer stopWork()
-		d.waitForEnd(ctx, work)
+		d.waitForShutdown(ctx, work)
 		d.closeServers(servers)
 		return nil
 	})
 	return g.Wait()
 }
 
-func named(name string, err error) error {
+func wrapRunError(name string, err error) error {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return nil
 	}
@@ -304,8 +309,9 @@
 	}
 }
 
-// newServer bounds what a connection can take before a handler sees it. Bodies
-// and answers have bounds of their own: a timeout here would end long streams.
+// newServer returns a server that bounds the time and header size of a request
+// before its handler runs. It sets no timeout for bodies and responses, because
+// that would end long streams; the handlers bound those.
 func (d *Daemon) newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -328,16 +334,16 @@
 	defer cancel()
 	for _, s := range servers {
 		if err := s.Shutdown(ctx); err != nil {
-			// Connections that don't end in time are cut; their callers come
-			// back to another gateway.
+			// Connections that do not end in time are closed; their callers
+			// reconnect to another gateway.
 			_ = s.Close()
 		}
 	}
 }
 
-// Abort ends Run at once, as a crash does: nothing is handed over and open
-// connections break. Tests use it; call it once.
+// Abort ends Run at once, like a crash: nothing is handed over, and open
+// connections break. It is for tests and must be called at most once.
 func (d *Daemon) Abort() { close(d.aborted) }
 
-// Control is the daemon's configuration and membership.
+// Control returns the daemon's control plane.
 func (d *Daemon) Control() *control.Control { return d.control }
--- a/daemon/models/drain.go
+++ b/daemon/models/drain.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	drainStep    = 100 * time.Millisecond
-	adoptTimeout = 2 * time.Second
+	drainInterval = 100 * time.Millisecond
+	adoptTimeout  = 2 * time.Second
 )
 
 func (m *Models) accepting() bool {
@@ -25,38 +25,40 @@
 	return m.drain == nil || m.drain.Accepting(time.Now())
 }
 
-// Drain passes every request on to peers in other failure domains, and returns
-// when none is left or ctx is done. New requests are taken for a few seconds
-// more, as long as callers keep the gateways' list. Readers are sent on by
-// their stream until Run ends.
+// Drain transfers every request to other daemons in other failure domains. It
+// returns when none is left or ctx is done. New requests are still accepted for
+// DrainAcceptPeriod, because callers go on using their list of gateways for a
+// while. Until Run ends, open streams tell readers where their requests have
+// moved.
 func (m *Models) Drain(ctx context.Context) error {
 	m.mu.Lock()
 	if m.drain == nil {
-		m.drain = handoff.NewDrain(m.c.Directory.Self(), time.Now().Add(m.c.Limits.DrainAccept))
+		m.drain = handoff.NewDrain(m.c.Directory.Self(), time.Now().Add(m.c.Limits.DrainAcceptPeriod))
 	}
 	m.mu.Unlock()
-	step := time.NewTicker(drainStep)
-	defer step.Stop()
+	ticker := time.NewTicker(drainInterval)
+	defer ticker.Stop()
 	for {
-		left := m.passOn(ctx)
-		if left == 0 && !m.accepting() {
+		remaining := m.transferRequests(ctx)
+		if remaining == 0 && !m.accepting() {
 			return nil
 		}
-		if !m.accepting() && m.onlyKept() {
-			return &DrainIncompleteError{Left: left}
+		if !m.accepting() && m.onlyFinishedLeft() {
+			return &DrainIncompleteError{Remaining: remaining}
 		}
 		select {
 		case <-ctx.Done():
-			return &DrainIncompleteError{Left: left}
-		case <-step.C:
+			return &DrainIncompleteError{Remaining: remaining}
+		case <-ticker.C:
 		}
 	}
 }
 
-// onlyKept tells whether all that is left are answers kept for late readers and
-// there is nobody to take them. Waiting on would only make the shutdown of the
-// last daemon take its whole grace.
-func (m *Models) onlyKept() bool {
+// onlyFinishedLeft reports whether only ended requests, kept for late readers,
+// are left, and no other daemon could take them. Drain then stops waiting:
+// otherwise the shutdown of the last daemon would always last its whole grace
+// period.
+func (m *Models) onlyFinishedLeft() bool {
 	for _, d := range m.c.Directory.Daemons() {
 		if d.Incarnation != m.c.Self && d.State != view.Leaving && d.State != view.Gone {
 			return false
@@ -64,69 +66,74 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, l := range m.live {
-		if l.inProgress() {
+	for _, rs := range m.requestState {
+		if rs.inProgress() {
 			return false
 		}
 	}
 	return true
 }
 
-// DrainIncompleteError says how many requests could not be passed on.
-type DrainIncompleteError struct{ Left int }
+// DrainIncompleteError is returned when Drain could not transfer all requests.
+type DrainIncompleteError struct{ Remaining int }
 
-func (e *DrainIncompleteError) Error() string { return "requests were not passed on in time" }
+func (e *DrainIncompleteError) Error() string {
+	return "some requests were not transferred to other daemons"
+}
 
-// passOn starts the passing of what is due and returns what is left. Records of
-// owners that are no longer listed are passed on as well: they would end with
-// this daemon before the time after which it would run them.
-func (m *Models) passOn(ctx context.Context) int {
+// transferRequests starts the transfers that are due and returns the number of
+// requests that are left. It first adopts the requests of owners that are
+// missing from the directory, so that they are transferred as well: this daemon
+// would end before OwnerTimeout has passed, after which it would run them.
+func (m *Models) transferRequests(ctx context.Context) int {
 	m.adoptOrphans(0)
 	daemons := m.c.Directory.Daemons()
 	m.mu.Lock()
-	for id, l := range m.live {
-		if l.passable() {
-			m.drain.Add(id, l.spec.Epoch)
+	for id, rs := range m.requestState {
+		if rs.transferable() {
+			m.drain.Add(id, rs.spec.Epoch)
 		} else {
 			m.drain.Remove(id)
 		}
 	}
 	byPeer := map[ident.Incarnation][]handoff.Transfer{}
-	for _, p := range m.drain.NextTransfers(daemons) {
-		byPeer[p.Peer.Incarnation] = append(byPeer[p.Peer.Incarnation], p)
+	for _, transfer := range m.drain.NextTransfers(daemons) {
+		byPeer[transfer.Peer.Incarnation] = append(byPeer[transfer.Peer.Incarnation], transfer)
 	}
-	left := m.drain.Remaining()
+	remaining := m.drain.Remaining()
 	m.mu.Unlock()
 	for _, all := range byPeer {
-		for batch := range slices.Chunk(all, batchRecords) {
-			m.spawn(func() { m.passBatch(ctx, batch, daemons) })
+		for batch := range slices.Chunk(all, maxBatchRecords) {
+			m.spawn(func() { m.transferBatch(ctx, batch, daemons) })
 		}
 	}
-	return left
+	return remaining
 }
 
-// passable requests are in progress here, or ended here with an answer.
-func (l *live) passable() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.movedTo == "" && l.machine.Refusal() == nil
+// transferable reports whether this daemon owns the request and the request is
+// in progress or has an answer.
+func (rs *requestState) transferable() bool {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	return rs.movedTo == "" && rs.machine.Refusal() == nil
 }
 
-// passBatch stops the requests first: what an attempt emits while its record
-// is under way would reach readers here, and be computed again, perhaps
-// otherwise, at the peer.
-func (m *Models) passBatch(ctx context.Context, batch []handoff.Transfer, daemons []view.Daemon) {
+// transferBatch sends the records of the requests to one peer. It suspends the
+// requests first: tokens that an attempt emits while its record is being sent
+// would reach readers at this daemon, and the peer would compute these tokens
+// again, possibly with a different result.
+func (m *Models) transferBatch(ctx context.Context, batch []handoff.Transfer, daemons []view.Daemon) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
 	req := &requestv1.AdoptRequest{From: string(m.c.Self)}
-	for _, p := range batch {
-		l := m.find(p.ID)
-		if l == nil {
+	for _, transfer := range batch {
+		rs := m.find(transfer.ID)
+		if rs == nil {
 			continue
 		}
-		l.step(request.Suspend{})
-		r := l.record(0)
-		r.Epoch = p.Epoch
+		rs.step(request.Suspend{})
+		r := rs.record(0)
+		r.Epoch = transfer.Epoch
 		req.Records = append(req.Records, r)
 	}
 	resp, err := m.c.Peers.Requests(batch[0].Peer.PeerAddress).Adopt(ctx, connect.NewRequest(req))
@@ -136,31 +143,31 @@
 			accepted[ident.RequestID(id)] = true
 		}
 	}
-	for _, p := range batch {
-		m.passed(p, accepted[p.ID], err, daemons)
+	for _, transfer := range batch {
+		m.handleTransferResult(transfer, accepted[transfer.ID], err, daemons)
 	}
 }
 
-func (m *Models) passed(p handoff.Transfer, accepted bool, err error, daemons []view.Daemon) {
-	l := m.find(p.ID)
+func (m *Models) handleTransferResult(transfer handoff.Transfer, accepted bool, err error, daemons []view.Daemon) {
+	rs := m.find(transfer.ID)
 	m.mu.Lock()
 	switch {
 	case accepted:
-		m.drain.Remove(p.ID)
+		m.drain.Remove(transfer.ID)
 	case err != nil:
-		m.drain.TransferFailed(p.ID)
+		m.drain.TransferFailed(transfer.ID)
 	default:
-		m.drain.TransferRefused(p.ID, daemons)
+		m.drain.TransferRefused(transfer.ID, daemons)
 	}
 	m.mu.Unlock()
-	if l == nil {
+	if rs == nil {
 		return
 	}
 	if accepted {
 		m.count("requests.passed_on")
-		l.moveTo(p.Peer.Incarnation)
+		rs.markMoved(transfer.Peer.Incarnation)
 		return
 	}
 	m.count("requests.pass_failed")
-	l.step(request.Resume{})
+	rs.step(request.Resume{})
 }
--- a/daemon/models/models_test.go
+++ b/daemon/models/models_test.go
@@ -12,10 +12,10 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-func TestAnyGatewayReadsARequest(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+func TestRequestIsReadableAtAnyGateway(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second := c.start(0), c.start(1)
+		first, second := c.startGateway(0), c.startGateway(1)
 		r := first.request("chat", 40)
 		is.NoErr(first.Submit(t.Context(), r))
 		readAll(t, second, r, 7)
@@ -24,15 +24,15 @@
 	})
 }
 
-func TestAnotherWorkspaceSeesNothing(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, c *cluster) {
+func TestRequestIsHiddenFromOtherWorkspaces(t *testing.T) {
+	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second := c.start(0), c.start(1)
+		first, second := c.startGateway(0), c.startGateway(1)
 		r := first.request("chat", 4)
 		is.NoErr(first.Submit(t.Context(), r))
 		for _, g := range []*gateway{first, second} {
 			err := g.Read(t.Context(), "other", r.ID, 0, func(call.Event) error {
-				t.Error("event of another workspace's request")
+				t.Error("received an event of a request that belongs to another workspace")
 				return nil
 			})
 			is.Equal(refusal.From(err).Reason, refusal.UnknownRequest)
@@ -40,13 +40,13 @@
 	})
 }
 
-// The caller's connection would hang for good: an engine's connection carries
-// two tokens and then nothing, because something between the two ends has lost
-// track of it. The runner is well, so it is asked again and keeps the request.
+// Guards against a caller that waits forever: the connection to an engine
+// carries two tokens and then nothing, as if a network device had lost track of
+// it. The runner is healthy, so the gateway must reconnect to the same runner.
 func TestSilentEngineConnectionIsReopenedAtTheSameRunner(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		c.engines[0].SetFaults(engine.Faults{Stream: engine.StreamStall, Streams: 1, AfterTokens: 2})
 		r := g.request("chat", 10)
 		is.NoErr(g.Submit(t.Context(), r))
@@ -58,12 +58,13 @@
 	})
 }
 
-// The caller would lose a half-read answer: its runner dies after some tokens.
-// Another runner goes on after the tokens that the caller has.
-func TestDeadRunnersRequestGoesOnElsewhere(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+// Guards against the loss of a partly read answer: its runner dies after some
+// tokens. Another runner must continue after the tokens that the caller has
+// received.
+func TestRequestContinuesAfterRunnerDeath(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		r := g.request("chat", 20)
 		is.NoErr(g.Submit(t.Context(), r))
 		time.Sleep(10*tokenTime + tokenTime/2)
@@ -73,12 +74,13 @@
 	})
 }
 
-// A caller would be told that nothing ran while an attempt may have: only
-// refusals before the first line count as not run.
-func TestRefusedEverywhereMeansNotRun(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+// Guards against reporting a request as not executed although an attempt may
+// have run: only refusals before the first line of a stream count as not
+// executed.
+func TestRefusalByAllRunnersIsReportedAsNotExecuted(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		g := c.start(0)
+		g := c.startGateway(0)
 		c.engines[0].SetFaults(engine.Faults{Refuse: true})
 		c.engines[1].SetFaults(engine.Faults{Refuse: true})
 		r := g.request("chat", 5)
@@ -91,27 +93,28 @@
 	})
 }
 
-// An accepted bulletin would be lost: its gateway's process dies at once after
-// it was accepted, with no hand-off. The daemon that has its record runs it.
-func TestKilledGatewayLosesNoLongRequest(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+// Guards against the loss of an accepted bulletin: the process of its gateway
+// dies right after accepting it, without a hand-off. The daemon that stores its
+// record must run it.
+func TestRecordedRequestSurvivesGatewayDeath(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second, _ := c.start(0), c.start(1), c.start(2)
+		first, second, _ := c.startGateway(0), c.startGateway(1), c.startGateway(2)
 		r := first.request("bulletin", 200)
 		is.NoErr(first.Submit(t.Context(), r))
 		c.kill(first)
-		c.gone(first)
+		c.removeFromDirectory(first)
 		readAll(t, second, r, 30)
 	})
 }
 
-// Readers would see an answer stop for good when their gateway's VM is
-// reclaimed: live requests of every class go to peers, and the readers there
-// follow.
-func TestDrainPassesRequestsOn(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, c *cluster) {
+// Guards against answers that stop when their gateway's VM is reclaimed:
+// requests of every class must move to other daemons, and readers at the old
+// gateway must follow them.
+func TestDrainTransfersRequests(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second, _ := c.start(0), c.start(1), c.start(2)
+		first, second, _ := c.startGateway(0), c.startGateway(1), c.startGateway(2)
 		chat, bulletin := first.request("chat", 300), first.request("bulletin", 300)
 		is.NoErr(first.Submit(t.Context(), chat))
 		is.NoErr(first.Submit(t.Context(), bulletin))
@@ -132,10 +135,10 @@
 	})
 }
 
-func TestAnyGatewayCancels(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, c *cluster) {
+func TestCancelAtAnyGateway(t *testing.T) {
+	runCluster(t, 1, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second := c.start(0), c.start(1)
+		first, second := c.startGateway(0), c.startGateway(1)
 		r := first.request("bulletin", 3000)
 		is.NoErr(first.Submit(t.Context(), r))
 		time.Sleep(time.Second)
--- a/daemon/models/reclaim.go
+++ b/daemon/models/reclaim.go
@@ -9,26 +9,33 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// CapacitySource is implemented by pickers that know what runners have left;
-// for others Models counts its own streams.
+// CapacitySource is implemented by pickers that know the free capacity of
+// runners. For other pickers, Models estimates it from the streams of this
+// daemon.
 type CapacitySource interface {
 	Targets(service string) []reclaim.Target
 }
 
-// Transfer says what moving KV caches costs; zero fields get defaults.
+// Transfer describes the cost of moving KV caches and the speed of streams, for
+// planning reclaims. Zero fields get defaults.
 type Transfer struct {
 	BytesPerToken int64
-	// LinkBytesPerSecond is the rate that a batch of transfers gets in all.
-	// The gateways plan apart, so each takes its share of it.
+	// LinkBytesPerSecond is the total rate of all transfers that run at the
+	// same time. The gateways plan independently of each other, so each gateway
+	// uses an equal share of it.
 	LinkBytesPerSecond float64
-	Setup              time.Duration
-	// DecodeRate is the tokens that one stream surely gets a second.
+	// Setup is the fixed time that each transfer takes besides sending bytes.
+	Setup time.Duration
+	// DecodeRate is the number of tokens per second that a single stream gets
+	// at least.
 	DecodeRate float64
-	// Notice is assumed where a leaving VM's end is not known.
+	// Notice is the assumed time until a leaving VM ends, if its end is not
+	// known.
 	Notice time.Duration
 }
 
-// Rates and sizes that hold until a picker knows better.
+// These defaults apply where neither the configuration nor the picker gives a
+// value.
 const (
 	defaultBytesPerToken = 128 << 10
 	defaultLinkRate      = 1.25e9
@@ -38,7 +45,8 @@
 	defaultSlots         = 16
 	defaultFreeTokens    = 64 << 10
 	defaultPrefillRate   = 8000
-	leastRoom            = 16 << 10
+	// minFreeTokens is the share of free tokens that covers one long stream.
+	minFreeTokens = 16 << 10
 )
 
 func (t Transfer) withDefaults() Transfer {
@@ -50,27 +58,28 @@
 	return t
 }
 
-// planned is what was decided for a live request's attempt.
-type planned struct {
+// reclaimPlan is the decision that was made for an attempt whose runner is
+// leaving.
+type reclaimPlan struct {
 	attempt ident.AttemptID
 	kind    reclaim.Kind
 	target  ident.RunnerID
-	ends    time.Time
+	endsAt  time.Time
 }
 
-// reclaim plans for the streams at leaving runners that have no plan, or whose
-// plan a further notice has spoilt.
-func (m *Models) reclaim() {
-	byService := map[string][]*live{}
-	for _, l := range m.inProgress() {
-		byService[l.service] = append(byService[l.service], l)
+// planReclaims makes a plan for each stream that runs at a leaving runner and
+// has no plan yet, or whose planned target has received a reclaim notice since.
+func (m *Models) planReclaims() {
+	byService := map[string][]*requestState{}
+	for _, rs := range m.inProgress() {
+		byService[rs.service] = append(byService[rs.service], rs)
 	}
-	for service, lives := range byService {
-		m.reclaimService(service, lives)
+	for service, requests := range byService {
+		m.planServiceReclaims(service, requests)
 	}
 }
 
-func (m *Models) reclaimService(service string, lives []*live) {
+func (m *Models) planServiceReclaims(service string, requests []*requestState) {
 	listed := map[ident.RunnerID]view.Runner{}
 	var leaving []view.Runner
 	for _, r := range m.c.Directory.Runners(service) {
@@ -83,52 +92,52 @@
 		return
 	}
 	now := time.Now()
-	todo, streams, link := m.unplanned(lives, listed, leaving)
+	pending, streams, link := m.unplanned(requests, listed, leaving)
 	if len(streams) == 0 {
 		return
 	}
 	b := reclaim.Batch{
 		Streams:      streams,
-		Targets:      m.targets(service, lives),
+		Targets:      m.targetShares(service, requests),
 		Link:         m.link(now, link),
 		SafetyMargin: m.c.Limits.ReclaimMargin,
 	}
 	for _, r := range leaving {
-		b.Sources = append(b.Sources, m.source(r, now))
+		b.Sources = append(b.Sources, m.newSource(r, now))
 	}
 	for _, d := range reclaim.Plan(b) {
 		m.count("reclaim.planned." + string(d.Kind))
-		todo[d.Request].follow(d, now, sourceOf(b.Sources, d.Runner).TimeLeft-b.SafetyMargin)
+		pending[d.Request].schedulePlan(d, now, findSource(b.Sources, d.Runner).TimeLeft-b.SafetyMargin)
 	}
 }
 
-// unplanned lists the streams to plan for, and until when moves that were
-// planned before use the link.
-func (m *Models) unplanned(lives []*live, listed map[ident.RunnerID]view.Runner, leaving []view.Runner) (map[ident.RequestID]*live, []reclaim.Stream, time.Time) {
-	todo := map[ident.RequestID]*live{}
+// unplanned returns the requests and streams that need a plan, and the time
+// until which the moves of earlier plans occupy the link.
+func (m *Models) unplanned(requests []*requestState, listed map[ident.RunnerID]view.Runner, leaving []view.Runner) (map[ident.RequestID]*requestState, []reclaim.Stream, time.Time) {
+	pending := map[ident.RequestID]*requestState{}
 	var streams []reclaim.Stream
-	var link time.Time
-	for _, l := range lives {
+	var linkBusyUntil time.Time
+	for _, rs := range requests {
 		for _, r := range leaving {
-			l.step(request.RunnerLeaving{Runner: r.ID})
+			rs.step(request.RunnerLeaving{Runner: r.ID})
 		}
-		s, plan, ok := l.reclaimStream(m.c.Transfer.BytesPerToken)
+		s, plan, ok := rs.reclaimStream(m.c.Transfer.BytesPerToken)
 		if !ok || listed[s.Runner].State != view.Leaving {
 			continue
 		}
-		if plan.holds(listed) {
-			link = plan.busy(link)
+		if plan.isValid(listed) {
+			linkBusyUntil = plan.busyUntil(linkBusyUntil)
 			continue
 		}
-		todo[l.req.ID] = l
+		pending[rs.req.ID] = rs
 		streams = append(streams, s)
 	}
-	return todo, streams, link
+	return pending, streams, linkBusyUntil
 }
 
-// holds tells whether a plan is still good: a further notice may have hit its
-// target.
-func (p planned) holds(listed map[ident.RunnerID]view.Runner) bool {
+// isValid reports whether the plan can still be carried out: a later reclaim
+// notice may concern its target.
+func (p reclaimPlan) isValid(listed map[ident.RunnerID]view.Runner) bool {
 	if p.kind == "" || p.target == "" {
 		return p.kind != ""
 	}
@@ -136,15 +145,15 @@
 	return ok && r.State != view.Leaving
 }
 
-// busy is until when the link is taken, this plan's move included.
-func (p planned) busy(link time.Time) time.Time {
-	if p.kind == reclaim.Move && p.ends.After(link) {
-		return p.ends
+// busyUntil returns the later of linkBusyUntil and the end of this plan's move.
+func (p reclaimPlan) busyUntil(earlier time.Time) time.Time {
+	if p.kind == reclaim.Move && p.endsAt.After(earlier) {
+		return p.endsAt
 	}
-	return link
+	return earlier
 }
 
-func sourceOf(sources []reclaim.Source, id ident.RunnerID) reclaim.Source {
+func findSource(sources []reclaim.Source, id ident.RunnerID) reclaim.Source {
 	for _, s := range sources {
 		if s.Runner == id {
 			return s
@@ -153,18 +162,19 @@
 	return reclaim.Source{}
 }
 
-func (m *Models) source(r view.Runner, now time.Time) reclaim.Source {
-	left := m.c.Transfer.Notice
+func (m *Models) newSource(r view.Runner, now time.Time) reclaim.Source {
+	timeLeft := m.c.Transfer.Notice
 	if !r.LeavesAt.IsZero() {
-		left = r.LeavesAt.Sub(now)
+		timeLeft = r.LeavesAt.Sub(now)
 	}
-	return reclaim.Source{Runner: r.ID, TimeLeft: left, DecodeRate: m.c.Transfer.DecodeRate}
+	return reclaim.Source{Runner: r.ID, TimeLeft: timeLeft, DecodeRate: m.c.Transfer.DecodeRate}
 }
 
-// sharers is the gateways that may plan for the same wave at the same time.
-// They plan without asking each other, since a notice leaves no time for it:
-// each takes its part of the link and of the room.
-func (m *Models) sharers() int {
+// gatewayCount returns the number of gateways that may plan for the same
+// reclaim at the same time, at least one. The gateways plan without
+// coordination, because a reclaim notice leaves no time for it; each uses an
+// equal share of the link and of the free capacity.
+func (m *Models) gatewayCount() int {
 	n := 0
 	for _, d := range m.c.Directory.Daemons() {
 		if d.State == view.Live || d.Incarnation == m.c.Self {
@@ -176,37 +186,40 @@
 
 func (m *Models) link(now, busyUntil time.Time) reclaim.Link {
 	return reclaim.Link{
-		BytesPerSecond: m.c.Transfer.LinkBytesPerSecond / float64(m.sharers()),
+		BytesPerSecond: m.c.Transfer.LinkBytesPerSecond / float64(m.gatewayCount()),
 		Setup:          m.c.Transfer.Setup,
 		BusyFor:        max(busyUntil.Sub(now), 0),
 	}
 }
 
-// targets lists this gateway's part of the room that is left, but at least what
-// one long stream takes: engines queue what is too much, and streams that wait
-// with their KV cache at hand cost less than those that lose it.
-func (m *Models) targets(service string, lives []*live) []reclaim.Target {
-	var targets []reclaim.Target
+// targetShares returns this gateway's share of the free capacity of each live
+// runner. The share of free tokens covers at least one long stream
+// (minFreeTokens), even if the shares of all gateways then add up to more than
+// what is free: engines queue the excess, and a queued stream whose KV cache
+// was moved costs less than a stream that loses its KV cache.
+func (m *Models) targetShares(service string, requests []*requestState) []reclaim.Target {
+	var targetShares []reclaim.Target
 	if c, ok := m.c.Picker.(CapacitySource); ok {
-		targets = c.Targets(service)
+		targetShares = c.Targets(service)
 	} else {
-		targets = m.ownTargets(service, lives)
+		targetShares = m.estimateTargets(service, requests)
 	}
-	n := m.sharers()
-	for i := range targets {
-		targets[i].Slots = (targets[i].Slots + n - 1) / n
-		targets[i].FreeTokens = max(targets[i].FreeTokens/n, min(targets[i].FreeTokens, leastRoom))
+	n := m.gatewayCount()
+	for i := range targetShares {
+		targetShares[i].Slots = (targetShares[i].Slots + n - 1) / n
+		targetShares[i].FreeTokens = max(targetShares[i].FreeTokens/n, min(targetShares[i].FreeTokens, minFreeTokens))
 	}
-	return targets
+	return targetShares
 }
 
-// ownTargets counts nothing but this gateway's own streams.
-func (m *Models) ownTargets(service string, lives []*live) []reclaim.Target {
-	own := map[ident.RunnerID]int{}
-	for _, l := range lives {
-		l.mu.Lock()
-		own[l.machine.Runner()]++
-		l.mu.Unlock()
+// estimateTargets estimates the free capacity of live runners from the default
+// values and the streams of this gateway only.
+func (m *Models) estimateTargets(service string, requests []*requestState) []reclaim.Target {
+	ownStreams := map[ident.RunnerID]int{}
+	for _, rs := range requests {
+		rs.mu.Lock()
+		ownStreams[rs.machine.Runner()]++
+		rs.mu.Unlock()
 	}
 	var targets []reclaim.Target
 	for _, r := range m.c.Directory.Runners(service) {
@@ -215,7 +228,7 @@
 		}
 		targets = append(targets, reclaim.Target{
 			Runner:      r.ID,
-			Slots:       max(defaultSlots-own[r.ID], 0),
+			Slots:       max(defaultSlots-ownStreams[r.ID], 0),
 			FreeTokens:  defaultFreeTokens,
 			PrefillRate: defaultPrefillRate,
 		})
@@ -223,32 +236,33 @@
 	return targets
 }
 
-// reclaimStream describes the current attempt to the plan; false if there is
-// none.
-func (l *live) reclaimStream(bytesPerToken int64) (reclaim.Stream, planned, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	runner := l.machine.Runner()
+// reclaimStream describes the current attempt for planning, with its present
+// plan. It returns false if no attempt is running.
+func (rs *requestState) reclaimStream(bytesPerToken int64) (reclaim.Stream, reclaimPlan, bool) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	runner := rs.machine.Runner()
 	if runner == "" {
-		return reclaim.Stream{}, planned{}, false
+		return reclaim.Stream{}, reclaimPlan{}, false
 	}
-	emitted := l.machine.Answer().Offset()
-	context := promptTokens(l.req.Prompt) + emitted
-	plan := l.plan
-	if plan.attempt != l.machine.Attempt() {
-		plan = planned{}
+	emitted := rs.machine.Answer().Offset()
+	contextTokens := promptTokens(rs.req.Prompt) + emitted
+	plan := rs.plan
+	if plan.attempt != rs.machine.Attempt() {
+		plan = reclaimPlan{}
 	}
 	return reclaim.Stream{
-		Request:    l.req.ID,
+		Request:    rs.req.ID,
 		Runner:     runner,
-		Urgent:     !l.spec.Deferrable,
-		Context:    context,
-		Remaining:  l.req.MaxTokens - emitted,
-		CacheBytes: int64(context) * bytesPerToken,
+		Urgent:     !rs.spec.Deferrable,
+		Context:    contextTokens,
+		Remaining:  rs.req.MaxTokens - emitted,
+		CacheBytes: int64(contextTokens) * bytesPerToken,
 	}, plan, true
 }
 
-// promptTokens counts words, as the engines' interface does.
+// promptTokens counts whitespace-separated words, which is how the engine API
+// counts tokens.
 func promptTokens(prompt string) int {
 	n := 0
 	inWord := false
@@ -262,39 +276,41 @@
 	return n
 }
 
-// follow carries a decision out at its time. What was to finish or to wait is
-// taken off the runner at the limit: there it would break without a word.
-func (l *live) follow(d reclaim.Decision, now time.Time, limit time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	attempt := l.machine.Attempt()
-	l.plan = planned{attempt: attempt, kind: d.Kind, target: d.Target, ends: now.Add(d.End)}
-	at := d.Start
-	in := request.Input(request.Relocate{Attempt: attempt, Target: d.Target, Export: d.Kind == reclaim.Move})
+// schedulePlan carries out a decision at its start time. A stream that is to
+// finish in place, or to wait, is evicted from the runner after evictAfter if
+// it is still running then: when the VM ends, the stream would break without
+// any notification.
+func (rs *requestState) schedulePlan(d reclaim.Decision, now time.Time, evictAfter time.Duration) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	attempt := rs.machine.Attempt()
+	rs.plan = reclaimPlan{attempt: attempt, kind: d.Kind, target: d.Target, endsAt: now.Add(d.End)}
+	delay := d.Start
+	input := request.Input(request.Relocate{Attempt: attempt, Target: d.Target, Export: d.Kind == reclaim.Move})
 	if d.Target == "" {
-		at = limit
-		in = request.Evict{Attempt: attempt}
+		delay = evictAfter
+		input = request.Evict{Attempt: attempt}
 	}
-	if l.follows != nil {
-		l.follows.Stop()
+	if rs.planTimer != nil {
+		rs.planTimer.Stop()
 	}
-	l.follows = time.AfterFunc(max(at, 0), func() { l.step(in) })
+	rs.planTimer = time.AfterFunc(max(delay, 0), func() { rs.step(input) })
 }
 
-func (m *Models) inProgress() []*live {
+func (m *Models) inProgress() []*requestState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var lives []*live
-	for _, l := range m.live {
-		if l.inProgress() {
-			lives = append(lives, l)
+	var requests []*requestState
+	for _, rs := range m.requestState {
+		if rs.inProgress() {
+			requests = append(requests, rs)
 		}
 	}
-	return lives
+	return requests
 }
 
-func (l *live) inProgress() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.ended.IsZero()
+func (rs *requestState) inProgress() bool {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	return rs.ended.IsZero()
 }
--- a/daemon/models/roundrobin.go
+++ b/daemon/models/roundrobin.go
@@ -11,8 +11,9 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// RoundRobin admits everything and takes live runners in turn. It is what
-// daemons without a routing policy use, and the baseline of measurements.
+// RoundRobin is a Picker that admits every request and uses live runners in
+// turn. Daemons without a routing policy use it, and it is the baseline of the
+// benchmarks.
 type RoundRobin struct {
 	Directory view.Directory
 	next      atomic.Uint64
@@ -20,35 +21,36 @@
 
 const roundRobinRetryAfter = time.Second
 
-// Acquire admits the request.
+// Acquire admits every request.
 func (r *RoundRobin) Acquire(context.Context, call.ModelRequest) (func(), error) {
 	return func() {}, nil
 }
 
-// Pick takes the next live runner; excluded ones only if there is no other.
+// Pick returns the next live runner. It returns an excluded or suspect runner
+// only if there is no other.
 func (r *RoundRobin) Pick(_ context.Context, j Job) (Choice, error) {
-	var live, rest []view.Runner
+	var preferred, fallback []view.Runner
 	for _, runner := range r.Directory.Runners(j.Service) {
 		switch {
 		case runner.State == view.Leaving || runner.State == view.Gone:
 		case slices.Contains(j.Exclude, runner.ID) || runner.State == view.Suspect:
-			rest = append(rest, runner)
+			fallback = append(fallback, runner)
 		default:
-			live = append(live, runner)
+			preferred = append(preferred, runner)
 		}
 	}
-	if len(live) == 0 {
-		live = rest
+	if len(preferred) == 0 {
+		preferred = fallback
 	}
-	if len(live) == 0 {
+	if len(preferred) == 0 {
 		return Choice{}, refusal.New(refusal.NoRunner, "no live runner of %s", j.Service).After(roundRobinRetryAfter)
 	}
-	chosen := live[(r.next.Add(1)-1)%uint64(len(live))]
+	chosen := preferred[(r.next.Add(1)-1)%uint64(len(preferred))]
 	return Choice{Runner: chosen.ID, Address: chosen.Address}, nil
 }
 
-// Started is not used.
+// Started does nothing.
 func (r *RoundRobin) Started(Job, Choice) {}
 
-// Ended is not used.
-func (r *RoundRobin) Ended(Job, Attempt) {}
+// Ended does nothing.
+func (r *RoundRobin) Ended(Job, AttemptResult) {}
--- a/daemon/network.go
+++ b/daemon/network.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// Network opens listeners and connections. Tests pass one in memory.
+// Network opens listeners and connections. Tests use an in-memory
+// implementation.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// TCP is the Network of a real daemon.
+// TCP is the Network that uses the operating system's TCP.
 type TCP struct{}
 
 const (
-	dialTimeout     = time.Second
-	keepAlive       = 5 * time.Second
-	idleConnTimeout = 30 * time.Second
-	idlePerHost     = 64
+	dialTimeout         = time.Second
+	keepAlive           = 5 * time.Second
+	idleConnTimeout     = 30 * time.Second
+	maxIdleConnsPerHost = 64
 )
 
 // Listen opens a TCP listener at an IP address and port.
@@ -44,15 +45,15 @@
 	return conn, nil
 }
 
-// secured dials other daemons with TLS. The certificate must be for the
-// address's IP, since daemons know each other by nothing else.
-type secured struct {
+// tlsNetwork dials other daemons with TLS. The certificate must be valid for
+// the IP address, because daemons know each other only by address.
+type tlsNetwork struct {
 	Network
 	config *tls.Config
 }
 
-// Dial opens a connection and shakes hands on it.
-func (s secured) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+// Dial opens a connection and performs the TLS handshake.
+func (s tlsNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := s.Network.Dial(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -63,22 +64,23 @@
 	}
 	config := s.config.Clone()
 	config.ServerName = host
-	secure := tls.Client(conn, config)
+	tlsConn := tls.Client(conn, config)
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	if err := secure.HandshakeContext(ctx); err != nil {
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		_ = conn.Close()
 		return nil, fmt.Errorf("TLS handshake: %w", err)
 	}
-	return secure, nil
+	return tlsConn, nil
 }
 
-// newHTTPClient makes a client for the daemon's own calls. Streams have no
-// bound in time, so calls bring their own contexts.
+// newHTTPClient returns a client for the daemon's own calls. It sets no
+// timeout, because streams may last any time; callers bound their calls with
+// contexts.
 func newHTTPClient(n Network) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         n.Dial,
 		IdleConnTimeout:     idleConnTimeout,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 	}}
 }
--- a/daemon/orders/errors.go
+++ b/daemon/orders/errors.go
@@ -9,38 +9,39 @@
 	"geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// NotHeldError says that an order was not sent since its lease no longer
-// allows one.
+// NotHeldError means that an order was not sent because the responsibility's
+// lease doesn't allow it, or not any more.
 type NotHeldError struct{ Responsibility string }
 
 func (e *NotHeldError) Error() string {
 	return fmt.Sprintf("responsibility %s is not held", e.Responsibility)
 }
 
-// LeavingError says that an order was not sent since its runner is leaving.
-type LeavingError struct{ Runner ident.RunnerID }
+// RunnerLeavingError means that an order was not sent because its runner is
+// leaving.
+type RunnerLeavingError struct{ Runner ident.RunnerID }
 
-func (e *LeavingError) Error() string { return fmt.Sprintf("runner %s is leaving", e.Runner) }
+func (e *RunnerLeavingError) Error() string { return fmt.Sprintf("runner %s is leaving", e.Runner) }
 
-// RefusedError says that a runner refused an order, or that its answer is not
-// known.
-type RefusedError struct {
+// OrderFailedError means that a runner refused an order, or that it is unknown
+// whether the runner carried it out.
+type OrderFailedError struct {
 	Order rollout.Order
 	Err   error
 }
 
-func (e *RefusedError) Error() string {
+func (e *OrderFailedError) Error() string {
 	return fmt.Sprintf("order of %s version %s to runner %s: %v", e.Order.Model, e.Order.Version, e.Order.Runner, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *RefusedError) Unwrap() error { return e.Err }
+func (e *OrderFailedError) Unwrap() error { return e.Err }
 
-// failureName is the counter's name for a failure.
+// failureName returns the last part of the name of the counter for an error.
 func failureName(err error) string {
 	var notHeld *NotHeldError
-	var leaving *LeavingError
-	var refused *RefusedError
+	var leaving *RunnerLeavingError
+	var refused *OrderFailedError
 	var stale *cloudapi.StaleFencingError
 	var missing *cloudapi.NotFoundError
 	var limited *cloudapi.RateLimitedError
--- a/daemon/orders/lease_test.go
+++ b/daemon/orders/lease_test.go
@@ -10,145 +10,150 @@
 )
 
 const (
-	shard = "rollout/chat/1/0"
-	// reaction is on top of the lease's bounds: a tick, a round and calls.
-	reaction = 3 * time.Second
+	shardResponsibility = "rollout/chat/1/0"
+	// reactionTime is added to the time limits of the lease package for a tick,
+	// a round and the calls.
+	reactionTime = 3 * time.Second
 )
 
-// An operator's change of version stays undone: the daemon that orders the
-// runners died a moment ago. Another must take over within the stated bound.
+// An operator changes a version directly after the daemon that orders the runners
+// crashed. Another daemon must take over and carry out the change within
+// Timing.MaxTakeover.
 func TestHolderDies(t *testing.T) {
-	for _, checks := range []bool{true, false} {
+	for _, checksFencing := range []bool{true, false} {
 		timing := lease.DefaultTiming()
-		bubble(t, base(2, checks), timing, func(w *world) {
-			w.settled(2, "1")
-			dead := w.holder(shard)
+		withCluster(t, baseManifest(2, checksFencing), timing, func(c *cluster) {
+			c.waitSettled(2, "1")
+			dead := c.holder(shardResponsibility)
 			dead.kill()
-			w.version("2")
-			before := len(w.orders())
-			bound := timing.MaxTakeover() + reaction
-			if checks {
+			c.setVersion("2")
+			before := len(c.deliveredOrders())
+			bound := timing.MaxTakeover() + reactionTime
+			if checksFencing {
 				bound -= timing.Quarantine()
 			}
-			w.until(bound, "order of the next holder", func() bool { return len(w.orders()) > before })
-			w.True(w.orders()[before].daemon != dead.id)
+			c.waitUntil(bound, "order of the next holder", func() bool { return len(c.deliveredOrders()) > before })
+			c.True(c.deliveredOrders()[before].daemon != dead.id)
 		})
 	}
 }
 
-// A holder has decided on an order and is paused past its lease. Another takes
-// over and orders. Then the first wakes and sends: the runner would go back to
-// what the old holder wanted.
-func pausedHolder(t *testing.T, checks bool, timing lease.Timing, check func(w *world, late int)) {
-	bubble(t, base(2, checks), timing, func(w *world) {
-		w.settled(2, "1")
-		paused := w.holder(shard)
-		paused.at("order", paused.pause)
-		w.version("2")
+// testPausedHolder pauses a holder directly before it sends an order, until its
+// lease has expired and another daemon has taken over and sent newer orders. Then
+// the first holder resumes and sends its old order, which must not change what the
+// runners serve in the end.
+func testPausedHolder(t *testing.T, checksFencing bool, timing lease.Timing, check func(c *cluster, late int)) {
+	withCluster(t, baseManifest(2, checksFencing), timing, func(c *cluster) {
+		c.waitSettled(2, "1")
+		paused := c.holder(shardResponsibility)
+		paused.beforeNext("order", paused.pause)
+		c.setVersion("2")
 		time.Sleep(lease.DefaultTiming().MaxPause)
-		w.version("3")
+		c.setVersion("3")
 		paused.resume()
-		w.until(10*time.Minute, "version 3 everywhere", func() bool { return w.serving("3") == 2 })
+		c.waitUntil(10*time.Minute, "version 3 everywhere", func() bool { return c.servingCount("3") == 2 })
 		time.Sleep(time.Minute)
-		w.Equal(w.serving("3"), 2) // and it stays
-		w.Equal(w.serving("2"), 0)
+		c.Equal(c.servingCount("3"), 2) // still version 3 a minute later
+		c.Equal(c.servingCount("2"), 0)
 		late := 0
-		for _, o := range w.orders() {
+		for _, o := range c.deliveredOrders() {
 			if o.daemon == paused.id && o.order.Version == "2" {
 				late++
 			}
 		}
-		check(w, late)
+		check(c, late)
 	})
 }
 
-func TestPausedHolderBeforeRunnersThatDontCheck(t *testing.T) {
-	pausedHolder(t, false, lease.DefaultTiming(), func(w *world, late int) {
-		w.True(late > 0) // the order did go out late
-		w.Equal(w.staleOrders(), 0)
+func TestPausedHolderWithoutFencingChecks(t *testing.T) {
+	testPausedHolder(t, false, lease.DefaultTiming(), func(c *cluster, late int) {
+		c.True(late > 0) // the old order was sent
+		c.Equal(c.staleOrders(), 0)
 	})
 }
 
-func TestPausedHolderBeforeRunnersThatCheck(t *testing.T) {
-	pausedHolder(t, true, lease.DefaultTiming(), func(w *world, late int) {
-		w.True(late > 0)
-		w.Equal(w.staleOrders(), 0)
+func TestPausedHolderWithFencingChecks(t *testing.T) {
+	testPausedHolder(t, true, lease.DefaultTiming(), func(c *cluster, late int) {
+		c.True(late > 0)
+		c.Equal(c.staleOrders(), 0)
 		refused := 0
-		for _, e := range w.engines {
+		for _, e := range c.engines {
 			refused += e.Counters().RefusedOrders
 		}
-		w.True(refused > 0)
+		c.True(refused > 0)
 	})
 }
 
-// The same without the quarantine must show, or the test above proves nothing.
-func TestCheckSeesMissingQuarantine(t *testing.T) {
+// Without the quarantine, the time that a new holder waits before its first order,
+// runners that don't check fencing tokens must carry out a stale order. Otherwise
+// the tests with a paused holder would prove nothing.
+func TestMissingQuarantineIsDetected(t *testing.T) {
 	broken := lease.DefaultTiming()
 	broken.MaxPause = 0
-	pausedHolder(t, false, broken, func(w *world, _ int) { w.True(w.staleOrders() > 0) })
+	testPausedHolder(t, false, broken, func(c *cluster, _ int) { c.True(c.staleOrders() > 0) })
 }
 
-// The answer to the lease's create is lost after it took effect. Nobody would
-// order the runners until the lease lapses, and the candidate that holds it
-// does not know.
-func TestAnswerOfCreateLost(t *testing.T) {
+// The response to the creation of a lease is lost after the lease was created. The
+// candidate must find out that it holds the lease; otherwise no daemon would give
+// orders until the lease expires.
+func TestLeaseCreateResponseLost(t *testing.T) {
 	timing := lease.DefaultTiming()
-	bubble(t, base(2, true), timing, func(w *world) {
-		w.store.SetFaults(kvserver.Faults{LoseAnswers: 1, LosePrefix: "lease/rollout"})
-		w.until(time.Second, "a holder", func() bool { return w.holder(shard) != nil })
-		w.Equal(w.store.Faults().LoseAnswers, 0)
-		w.until(startTime+reaction, "the first order", func() bool { return len(w.orders()) > 0 })
-		w.Equal(w.counter("orders.lease_acquired"), int64(2)) // the fleet's and the shard's
+	withCluster(t, baseManifest(2, true), timing, func(c *cluster) {
+		c.store.SetFaults(kvserver.Faults{LoseAnswers: 1, LosePrefix: "lease/rollout"})
+		c.waitUntil(time.Second, "a holder", func() bool { return c.holder(shardResponsibility) != nil })
+		c.Equal(c.store.Faults().LoseAnswers, 0)
+		c.waitUntil(startTime+reactionTime, "the first order", func() bool { return len(c.deliveredOrders()) > 0 })
+		c.Equal(c.counter("orders.lease_acquired"), int64(2)) // the fleet's and the shard's
 	})
 }
 
-// The key-value service is down for minutes while an operator's change is in
-// force already. Nobody can know who holds what, so nobody may order anything
-// or start VMs; after the outage the change must be carried out.
-func TestKeyValueServiceDownForLong(t *testing.T) {
+// The key-value service is down for minutes after an operator's change became
+// effective. No daemon can know which leases are held, so none may order anything
+// or start VMs. After the outage the change must be carried out.
+func TestLongStoreOutage(t *testing.T) {
 	timing := lease.DefaultTiming()
-	bubble(t, base(2, false), timing, func(w *world) {
-		w.settled(2, "1")
-		w.store.SetFaults(kvserver.Faults{Outage: true})
+	withCluster(t, baseManifest(2, false), timing, func(c *cluster) {
+		c.waitSettled(2, "1")
+		c.store.SetFaults(kvserver.Faults{Outage: true})
 		time.Sleep(timing.TTL)
-		before := len(w.orders())
-		w.apply(func(m *manifest.Manifest) {
+		before := len(c.deliveredOrders())
+		c.updateManifest(func(m *manifest.Manifest) {
 			m.Models[0].Version = "2"
 			m.Services[0].Runners = 4
 		})
 		time.Sleep(10 * time.Minute)
-		w.Equal(len(w.orders()), before)
-		w.Equal(len(w.running()), 2)
-		w.store.SetFaults(kvserver.Faults{})
-		w.until(timing.MaxTakeover()+reaction, "orders again", func() bool { return len(w.orders()) > before })
-		w.settled(4, "2")
-		w.Equal(len(w.running()), 4)
+		c.Equal(len(c.deliveredOrders()), before)
+		c.Equal(len(c.runningVMs()), 2)
+		c.store.SetFaults(kvserver.Faults{})
+		c.waitUntil(timing.MaxTakeover()+reactionTime, "orders again", func() bool { return len(c.deliveredOrders()) > before })
+		c.waitSettled(4, "2")
+		c.Equal(len(c.runningVMs()), 4)
 	})
 }
 
-// A service is taken out of the manifest. Its leases must be given back, or the
-// daemons renew them for good.
-func TestVanishedServiceGivesLeasesBack(t *testing.T) {
-	m := base(1, true)
+// A service is removed from the manifest. Its leases must be released; otherwise
+// the daemons would renew them forever.
+func TestRemovedServiceReleasesLeases(t *testing.T) {
+	m := baseManifest(1, true)
 	m.Services = append(m.Services, manifest.Service{Name: "plain", Kind: manifest.KindPlain, Runners: 1})
-	bubble(t, m, lease.DefaultTiming(), func(w *world) {
-		w.until(5*time.Second, "leases", func() bool { return len(w.leases()) == 3 })
-		w.apply(func(m *manifest.Manifest) { m.Services = m.Services[:1] })
+	withCluster(t, m, lease.DefaultTiming(), func(c *cluster) {
+		c.waitUntil(5*time.Second, "leases", func() bool { return len(c.heldLeases()) == 3 })
+		c.updateManifest(func(m *manifest.Manifest) { m.Services = m.Services[:1] })
 		time.Sleep(time.Second)
-		w.Equal(w.leases(), []string{"lease/fleet/chat", "lease/" + shard})
+		c.Equal(c.heldLeases(), []string{"lease/fleet/chat", "lease/" + shardResponsibility})
 	})
 }
 
-// A daemon is shut down gracefully. Its successor need not wait for the lease
-// to lapse.
-func TestShutdownGivesLeasesBack(t *testing.T) {
-	bubble(t, base(1, true), lease.DefaultTiming(), func(w *world) {
-		w.settled(1, "1")
-		first := w.holder(shard)
+// A daemon is shut down gracefully. It must release its leases, so that its
+// successor doesn't have to wait until they expire.
+func TestShutdownReleasesLeases(t *testing.T) {
+	withCluster(t, baseManifest(1, true), lease.DefaultTiming(), func(c *cluster) {
+		c.waitSettled(1, "1")
+		first := c.holder(shardResponsibility)
 		first.cancel()
 		time.Sleep(lease.DefaultTiming().ReadKey + time.Second)
-		w.True(w.holder(shard) != nil)
-		w.True(w.holder(shard) != first)
+		c.True(c.holder(shardResponsibility) != nil)
+		c.True(c.holder(shardResponsibility) != first)
 		first.done <- <-first.done
 	})
 }
--- a/daemon/orders/rollout.go
+++ b/daemon/orders/rollout.go
@@ -27,7 +27,8 @@
 	orderParallelism  = 8
 )
 
-// rolloutDuty brings one shard of a service's runners to the manifest.
+// rolloutDuty makes the runners in one shard of a service load the model versions
+// and take the role that the manifest specifies.
 type rolloutDuty struct {
 	driver        *Driver
 	service       string
@@ -35,16 +36,16 @@
 	holder        *holder.Holder
 	planner       *rollout.Planner
 	tenure        uint64
-	last          look
+	lastRound     shardInputs
 }
 
-// look is what the last look at the shard was about.
-type look struct {
+// shardInputs is the input of a round, kept to detect changes in later ones.
+type shardInputs struct {
 	at      time.Duration
 	models  []manifest.Model
 	role    string
 	runners []view.Runner
-	// settled says that it found nothing to order and nothing under way.
+	// settled is true if the round found nothing to order and no order pending.
 	settled bool
 }
 
@@ -52,57 +53,59 @@
 	return &rolloutDuty{driver: d, service: service, shards: shards, shard: shard, holder: h}
 }
 
-func (r *rolloutDuty) run(ctx context.Context, m *manifest.Manifest, held uint64) error {
+func (r *rolloutDuty) run(ctx context.Context, m *manifest.Manifest, fencingToken uint64) error {
 	service := m.ServiceNamed(r.service)
 	if service == nil {
 		return nil
 	}
-	if r.tenure != held {
-		r.tenure = held
+	if r.tenure != fencingToken {
+		r.tenure = fencingToken
 		r.planner = rollout.New(rollout.DefaultLimits())
-		r.last = look{}
+		r.lastRound = shardInputs{}
 	}
-	// Without a permit the orders would only be planned to be dropped, and the
-	// runners polled for nothing.
+	// Without a permit no order could be sent, so polling the runners and
+	// planning would be useless.
 	if _, ok := r.holder.Permit(service.ChecksFencing); !ok {
 		r.driver.count("orders.waiting")
 		return nil
 	}
-	l := look{at: r.holder.Now(), models: modelsOf(m, r.service), role: service.Role, runners: r.runners()}
-	if !r.due(l) {
+	inputs := shardInputs{at: r.holder.Now(), models: modelsOf(m, r.service), role: service.Role, runners: r.runners()}
+	if !r.roundNeeded(inputs) {
 		return nil
 	}
-	l.settled = r.mend(ctx, service.ChecksFencing, l)
-	r.last = l
+	inputs.settled = r.reconcile(ctx, service.ChecksFencing, inputs)
+	r.lastRound = inputs
 	return nil
 }
 
-// due tells whether a look is needed. Of a settled shard, a changed manifest
-// or runner is seen at once, and anything else within settledEvery.
-func (r *rolloutDuty) due(l look) bool {
-	if !r.last.settled || l.at >= r.last.at+settledEvery {
+// roundNeeded reports whether a round must be done now. If the last round found
+// the shard settled, changes of the manifest or of runners are handled at once,
+// and runners are polled only at settledRecheckInterval.
+func (r *rolloutDuty) roundNeeded(inputs shardInputs) bool {
+	if !r.lastRound.settled || inputs.at >= r.lastRound.at+settledRecheckInterval {
 		return true
 	}
-	return l.role != r.last.role || !reflect.DeepEqual(l.models, r.last.models) || !slices.Equal(l.runners, r.last.runners)
+	return inputs.role != r.lastRound.role || !reflect.DeepEqual(inputs.models, r.lastRound.models) || !slices.Equal(inputs.runners, r.lastRound.runners)
 }
 
-// mend orders what is missing and tells whether the shard is settled.
-func (r *rolloutDuty) mend(ctx context.Context, checked bool, l look) bool {
-	addresses, reports := r.reports(ctx, l.runners)
-	r.planner.SetRole(l.role)
-	orders := r.planner.Plan(l.at, l.models, reports)
-	results := r.giveAll(ctx, checked, addresses, orders)
+// reconcile sends the orders that bring the runners in line with the manifest. It
+// returns true if the shard is settled.
+func (r *rolloutDuty) reconcile(ctx context.Context, checksFencing bool, inputs shardInputs) bool {
+	addresses, reports := r.reports(ctx, inputs.runners)
+	r.planner.SetRole(inputs.role)
+	orders := r.planner.Plan(inputs.at, inputs.models, reports)
+	results := r.sendOrders(ctx, checksFencing, addresses, orders)
 	for i, o := range orders {
-		r.learn(o, results[i])
+		r.recordResult(o, results[i])
 	}
-	return len(orders) == 0 && len(reports) == len(l.runners) && !r.planner.Pending()
+	return len(orders) == 0 && len(reports) == len(inputs.runners) && !r.planner.Pending()
 }
 
-// runners lists the shard's live ones.
+// runners returns the live runners in the shard.
 func (r *rolloutDuty) runners() []view.Runner {
 	var out []view.Runner
 	for _, runner := range r.driver.Directory.Runners(r.service) {
-		if runner.State == view.Live && r.mine(runner.ID) {
+		if runner.State == view.Live && r.inShard(runner.ID) {
 			out = append(out, runner)
 		}
 	}
@@ -119,12 +122,12 @@
 	return out
 }
 
-func (r *rolloutDuty) mine(id ident.RunnerID) bool {
+func (r *rolloutDuty) inShard(id ident.RunnerID) bool {
 	return xxhash.Sum64String(string(id))%uint64(r.shards) == uint64(r.shard)
 }
 
-// reports asks runners for what they hold. One that does not answer is left
-// out: it gets no orders this time.
+// reports asks runners for their loaded models and roles. A runner that doesn't
+// answer is left out and gets no orders in this round.
 func (r *rolloutDuty) reports(ctx context.Context, runners []view.Runner) (map[ident.RunnerID]string, []rollout.Runner) {
 	var mu sync.Mutex
 	addresses := map[ident.RunnerID]string{}
@@ -140,7 +143,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			addresses[runner.ID] = runner.Address
-			out = append(out, reportOf(runner.ID, load))
+			out = append(out, newReport(runner.ID, load))
 			return nil
 		})
 	}
@@ -150,8 +153,8 @@
 	return addresses, out
 }
 
-// report asks one runner. One that says itself that it is leaving is passed on
-// to the directory, which may not know yet.
+// report asks one runner. If the runner answers that it is leaving, report passes
+// this on to the directory, which may not know it yet.
 func (r *rolloutDuty) report(ctx context.Context, runner view.Runner) (engineapi.Load, bool) {
 	ctx, cancel := context.WithTimeout(ctx, r.driver.Timing.MaxOrder)
 	defer cancel()
@@ -167,7 +170,7 @@
 	return load, true
 }
 
-func reportOf(id ident.RunnerID, load engineapi.Load) rollout.Runner {
+func newReport(id ident.RunnerID, load engineapi.Load) rollout.Runner {
 	report := rollout.Runner{ID: id, Role: load.Role}
 	for _, l := range load.Models {
 		report.Loaded = append(report.Loaded, rollout.Loaded{Model: l.Model, Version: l.Version, Adapters: l.Adapters, Loading: l.Loading})
@@ -175,15 +178,15 @@
 	return report
 }
 
-// giveAll sends orders side by side: a runner that hangs must not hold up the
-// others. The results are in the orders' sequence.
-func (r *rolloutDuty) giveAll(ctx context.Context, checked bool, addresses map[ident.RunnerID]string, orders []rollout.Order) []error {
+// sendOrders sends orders in parallel, so that a runner that hangs doesn't delay
+// the others. The results have the same sequence as the orders.
+func (r *rolloutDuty) sendOrders(ctx context.Context, checksFencing bool, addresses map[ident.RunnerID]string, orders []rollout.Order) []error {
 	results := make([]error, len(orders))
 	var g errgroup.Group
 	g.SetLimit(orderParallelism)
 	for i, o := range orders {
 		g.Go(func() error {
-			results[i] = r.give(ctx, checked, addresses[o.Runner], o)
+			results[i] = r.sendOrder(ctx, checksFencing, addresses[o.Runner], o)
 			return nil
 		})
 	}
@@ -192,42 +195,44 @@
 	return results
 }
 
-// give sends one order if the lease still allows it and the runner is not
-// leaving. The lease comes last before sending; see package lease for what a
-// pause after it does.
-func (r *rolloutDuty) give(ctx context.Context, checked bool, address string, o rollout.Order) error {
-	if err := r.weightsThere(ctx, o); err != nil {
+// sendOrder sends one order if the lease still allows it and the runner is not
+// leaving. The lease is checked last, directly before sending. If the process is
+// paused between the check and the sending, a runner that checks fencing tokens
+// rejects the order, and for other runners a new holder waits before it sends its
+// own orders.
+func (r *rolloutDuty) sendOrder(ctx context.Context, checksFencing bool, address string, o rollout.Order) error {
+	if err := r.checkWeights(ctx, o); err != nil {
 		return err
 	}
-	if !r.live(o.Runner) {
-		return &LeavingError{Runner: o.Runner}
+	if !r.isLive(o.Runner) {
+		return &RunnerLeavingError{Runner: o.Runner}
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.driver.Timing.MaxOrder)
 	defer cancel()
-	token, ok := r.holder.Permit(checked)
+	token, ok := r.holder.Permit(checksFencing)
 	if !ok {
 		return &NotHeldError{Responsibility: r.holder.Name()}
 	}
 	if err := r.driver.Engines.Order(ctx, address, engineOrder(o, token)); err != nil {
-		return &RefusedError{Order: o, Err: err}
+		return &OrderFailedError{Order: o, Err: err}
 	}
 	return nil
 }
 
-func (r *rolloutDuty) live(id ident.RunnerID) bool {
+func (r *rolloutDuty) isLive(id ident.RunnerID) bool {
 	return slices.ContainsFunc(r.driver.Directory.Runners(r.service), func(runner view.Runner) bool {
 		return runner.ID == id && runner.State == view.Live
 	})
 }
 
-// learn tells the planner how an order ended.
-func (r *rolloutDuty) learn(o rollout.Order, err error) {
+// recordResult passes the result of an order to the planner and counts it.
+func (r *rolloutDuty) recordResult(o rollout.Order, err error) {
 	now := r.holder.Now()
 	if err == nil {
 		r.driver.count("orders.given")
 		return
 	}
-	r.driver.failed(r.holder.Name(), err)
+	r.driver.recordFailure(r.holder.Name(), err)
 	var limited *cloudapi.RateLimitedError
 	var notHeld *NotHeldError
 	switch {
@@ -240,9 +245,9 @@
 	}
 }
 
-// weightsThere keeps a version that does not exist from being ordered, and a
-// load from being ordered while the weight store asks for a pause.
-func (r *rolloutDuty) weightsThere(ctx context.Context, o rollout.Order) error {
+// checkWeights returns an error if the weights of a version to load don't exist
+// or the weight store's rate limit is exceeded. The load is then not ordered.
+func (r *rolloutDuty) checkWeights(ctx context.Context, o rollout.Order) error {
 	if o.Kind != rollout.Load || r.driver.Weights == nil {
 		return nil
 	}
@@ -251,7 +256,7 @@
 		name, version = rollout.SplitAdapterID(o.Adapter)
 	}
 	if _, err := r.driver.Weights.Stat(ctx, name, version); err != nil {
-		return fmt.Errorf("weights of %s version %s: %w", name, version, err)
+		return fmt.Errorf("look up weights of %s version %s: %w", name, version, err)
 	}
 	return nil
 }
