--- a/caller/action.go
+++ b/caller/action.go
@@ -40,7 +40,7 @@
 
 const (
 	keySuffixBytes = 8
-	pollPause      = 200 * time.Millisecond
+	pollInterval   = 200 * time.Millisecond
 )
 
 // NewKey makes an idempotency key that names its owner.
@@ -59,40 +59,40 @@
 // outcome is known or the system says that it can't be; a call without a key is
 // repeated only where the system says that nothing ran.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
-	until := time.Now().Add(c.c.Patience)
+	deadline := time.Now().Add(c.cfg.RetryTimeout)
 	for {
-		answer, err := c.once(ctx, call)
-		if err == nil || ctx.Err() != nil || !c.again(call, err) || time.Now().After(until) {
+		answer, err := c.send(ctx, call)
+		if err == nil || ctx.Err() != nil || !c.shouldRetry(call, err) || time.Now().After(deadline) {
 			return answer, err
 		}
-		pause(ctx, waitAfter(err))
+		pause(ctx, retryDelay(err))
 	}
 }
 
-// again tells whether the same call may and should be sent again. A key that
+// shouldRetry tells whether the same call may and should be sent shouldRetry. A key that
 // was refused with executed "no" stays refused, since its owner keeps that
-// answer; one whose outcome is "unknown" for now may be asked for again under the
+// answer; one whose outcome is "unknown" for now may be asked for shouldRetry under the
 // same key as often as the system says when to come back.
-func (c *Client) again(call Call, err error) bool {
+func (c *Client) shouldRetry(call Call, err error) bool {
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
-		c.forget()
+		c.expireGateways()
 		return call.repeatable()
 	}
-	if goesElsewhere(refused) {
-		c.forget()
+	if concernsOneGateway(refused) {
+		c.expireGateways()
 	}
 	if call.Key == "" {
-		return Renewable(err)
+		return MayRetryWithNewKey(err)
 	}
 	return refused.Executed == refusal.ExecutedUnknown && refused.RetryAfterMillis > 0
 }
 
-// Act runs a call that may not be repeated, under a key of its own. Where the
+// DoAction runs a call that may not be repeated, under a key of its own. Where the
 // system says that nothing ran and when to come back, it comes back with a new
 // token, which a refused key can't be used with.
-func (c *Client) Act(ctx context.Context, call Call) (Answer, error) {
-	until := time.Now().Add(c.c.Patience)
+func (c *Client) DoAction(ctx context.Context, call Call) (Answer, error) {
+	deadline := time.Now().Add(c.cfg.RetryTimeout)
 	for {
 		key, err := c.NewKey(ctx)
 		if err != nil {
@@ -100,39 +100,39 @@
 		}
 		call.Key = key
 		answer, err := c.Do(ctx, call)
-		if err == nil || !Renewable(err) || ctx.Err() != nil || time.Now().After(until) {
+		if err == nil || !MayRetryWithNewKey(err) || ctx.Err() != nil || time.Now().After(deadline) {
 			return answer, err
 		}
-		c.forget()
-		pause(ctx, waitAfter(err))
+		c.expireGateways()
+		pause(ctx, retryDelay(err))
 	}
 }
 
-// Renewable tells whether a refused action may be asked for again under a new
+// MayRetryWithNewKey tells whether a refused action may be asked for again under a new
 // key: nothing ran, and nothing will under the old one.
-func Renewable(err error) bool {
+func MayRetryWithNewKey(err error) bool {
 	var refused *RefusedError
 	return errors.As(err, &refused) && refused.Executed == refusal.ExecutedNo && refused.RetryAfterMillis > 0
 }
 
-func waitAfter(err error) time.Duration {
+func retryDelay(err error) time.Duration {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
-		return max(time.Duration(refused.RetryAfterMillis)*time.Millisecond, retryPause)
+		return max(time.Duration(refused.RetryAfterMillis)*time.Millisecond, minRetryDelay)
 	}
-	return retryPause
+	return minRetryDelay
 }
 
-func (c *Client) once(ctx context.Context, call Call) (Answer, error) {
-	base, err := c.choose(ctx)
+func (c *Client) send(ctx context.Context, call Call) (Answer, error) {
+	base, err := c.chooseGateway(ctx)
 	if err != nil {
 		return Answer{}, err
 	}
 	if call.repeatable() {
 		// A connection that went silent for good would hold the call for good.
-		bounded, cancel := context.WithTimeout(ctx, c.c.Silence)
+		idleCtx, cancel := context.WithTimeout(ctx, c.cfg.IdleTimeout)
 		defer cancel()
-		ctx = bounded
+		ctx = idleCtx
 	}
 	header := call.Header.Clone()
 	if header == nil {
@@ -160,7 +160,7 @@
 // Outcome asks what became of an earlier call, until it is no longer pending.
 func (c *Client) Outcome(ctx context.Context, key string) (Answer, error) {
 	for {
-		base, err := c.choose(ctx)
+		base, err := c.chooseGateway(ctx)
 		if err != nil {
 			return Answer{}, err
 		}
@@ -168,7 +168,7 @@
 		if err != nil || answer.Status != http.StatusAccepted {
 			return answer, err
 		}
-		pause(ctx, pollPause)
+		pause(ctx, pollInterval)
 		if ctx.Err() != nil {
 			return Answer{}, &BrokenError{Err: ctx.Err()}
 		}
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -28,17 +28,17 @@
 	FailureDomain ident.FailureDomain
 	// HTTP is used for all calls; it must have no timeout of its own.
 	HTTP *http.Client
-	// Silence is how long a connection may carry nothing, heartbeats included.
-	Silence time.Duration
-	// Patience bounds the search for a gateway that answers.
-	Patience time.Duration
+	// IdleTimeout is how long a connection may carry nothing, heartbeats included.
+	IdleTimeout time.Duration
+	// RetryTimeout bounds the search for a gateway that answers.
+	RetryTimeout time.Duration
 }
 
 const (
-	defaultSilence  = 6 * time.Second
-	defaultPatience = 30 * time.Second
-	retryPause      = 100 * time.Millisecond
-	attemptTimeout  = 2 * time.Second
+	defaultIdleTimeout  = 6 * time.Second
+	defaultRetryTimeout = 30 * time.Second
+	minRetryDelay       = 100 * time.Millisecond
+	attemptTimeout      = 2 * time.Second
 	// acceptTimeout is how long a gateway may take to accept or refuse.
 	acceptTimeout  = 2 * time.Second
 	maxAnswerBytes = 16 << 20
@@ -46,7 +46,7 @@
 
 // Client is safe for concurrent use.
 type Client struct {
-	c       Config
+	cfg     Config
 	mu      sync.Mutex
 	list    gateway.GatewayList
 	expires time.Time
@@ -55,16 +55,16 @@
 
 // New makes a client; it connects at the first call.
 func New(c Config) *Client {
-	if c.Silence == 0 {
-		c.Silence = defaultSilence
+	if c.IdleTimeout == 0 {
+		c.IdleTimeout = defaultIdleTimeout
 	}
-	if c.Patience == 0 {
-		c.Patience = defaultPatience
+	if c.RetryTimeout == 0 {
+		c.RetryTimeout = defaultRetryTimeout
 	}
 	if c.HTTP == nil {
 		c.HTTP = &http.Client{}
 	}
-	return &Client{c: c, bases: c.Gateways}
+	return &Client{cfg: c, bases: c.Gateways}
 }
 
 // RefusedError is a typed refusal by the system.
@@ -102,23 +102,23 @@
 	if fresh {
 		return list, nil
 	}
-	var last error
+	var lastErr error
 	for _, i := range rand.Perm(len(bases)) {
-		list, err := c.ask(ctx, bases[i])
+		list, err := c.fetchGateways(ctx, bases[i])
 		if err == nil {
-			c.keep(list)
+			c.storeGateways(list)
 			return list, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return gateway.GatewayList{}, &NoGatewayError{Err: last}
+	return gateway.GatewayList{}, &NoGatewayError{Err: lastErr}
 }
 
-func (c *Client) ask(ctx context.Context, base string) (gateway.GatewayList, error) {
+func (c *Client) fetchGateways(ctx context.Context, base string) (gateway.GatewayList, error) {
 	var list gateway.GatewayList
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	resp, err := c.do(ctx, http.MethodGet, base+"/v1/gateways?failure_domain="+url.QueryEscape(string(c.c.FailureDomain)), nil, nil)
+	resp, err := c.do(ctx, http.MethodGet, base+"/v1/gateways?failure_domain="+url.QueryEscape(string(c.cfg.FailureDomain)), nil, nil)
 	if err != nil {
 		return list, err
 	}
@@ -129,28 +129,28 @@
 	return list, nil
 }
 
-// keep remembers the list; the addresses in it are asked next time, beside
+// storeGateways remembers the list; the addresses in it are asked next time, beside
 // those to begin with, since all five VMs may have been replaced by then.
-func (c *Client) keep(list gateway.GatewayList) {
+func (c *Client) storeGateways(list gateway.GatewayList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.list = list
 	c.expires = time.Now().Add(time.Duration(list.LifetimeMillis) * time.Millisecond)
-	c.bases = append([]string{}, c.c.Gateways...)
+	c.bases = append([]string{}, c.cfg.Gateways...)
 	for _, g := range list.Gateways {
 		c.bases = append(c.bases, "http://"+g.Address)
 	}
 }
 
-// forget makes the next call ask for gateways anew.
-func (c *Client) forget() {
+// expireGateways makes the next call ask for gateways anew.
+func (c *Client) expireGateways() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expires = time.Time{}
 }
 
-// choose draws a gateway by weight.
-func (c *Client) choose(ctx context.Context) (string, error) {
+// chooseGateway draws a gateway by weight.
+func (c *Client) chooseGateway(ctx context.Context) (string, error) {
 	list, err := c.Gateways(ctx)
 	if err != nil {
 		return "", err
@@ -160,13 +160,13 @@
 		total += g.Weight
 	}
 	if total == 0 {
-		c.forget()
+		c.expireGateways()
 		return "", &NoGatewayError{}
 	}
-	draw := rand.IntN(total)
+	remaining := rand.IntN(total)
 	for _, g := range list.Gateways {
-		draw -= g.Weight
-		if draw < 0 {
+		remaining -= g.Weight
+		if remaining < 0 {
 			return "http://" + g.Address, nil
 		}
 	}
@@ -181,8 +181,8 @@
 	for name, values := range header {
 		req.Header[name] = values
 	}
-	req.Header.Set("Authorization", "Bearer "+c.c.Key)
-	resp, err := c.c.HTTP.Do(req)
+	req.Header.Set("Authorization", "Bearer "+c.cfg.Key)
+	resp, err := c.cfg.HTTP.Do(req)
 	if err != nil {
 		return nil, &BrokenError{Err: err}
 	}
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -17,21 +17,21 @@
 	"geraniumstack.org/geraniumstack/transport/gateway"
 )
 
-// scripted is a gateway that gives prepared answers to calls, in order.
-type scripted struct {
+// scriptedGateway is a gateway that gives prepared answers to calls, in order.
+type scriptedGateway struct {
 	server  *httptest.Server
 	answers []gateway.ErrorDetail // an empty code is an answer of the runner
 	keys    []string
 	tokens  int
 }
 
-func newScripted(answers ...gateway.ErrorDetail) *scripted {
-	s := &scripted{answers: answers}
+func newScriptedGateway(answers ...gateway.ErrorDetail) *scriptedGateway {
+	s := &scriptedGateway{answers: answers}
 	s.server = httptest.NewServer(s)
 	return s
 }
 
-func (s *scripted) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *scriptedGateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/gateways" {
 		s.tokens++
 		list := gateway.GatewayList{
@@ -52,41 +52,41 @@
 	_ = json.NewEncoder(w).Encode(gateway.ErrorBody{Error: next})
 }
 
-func act(s *scripted) error {
+func doAction(s *scriptedGateway) error {
 	defer s.server.Close()
 	client := caller.New(caller.Config{Gateways: []string{s.server.URL}, Key: "k"})
-	_, err := client.Act(context.Background(), caller.Call{Service: "casos", Method: http.MethodPost, Path: "/pledges"})
+	_, err := client.DoAction(context.Background(), caller.Call{Service: "casos", Method: http.MethodPost, Path: "/pledges"})
 	return err
 }
 
 // A gateway that drains answers the repetition of a pledge with "unknown". The
 // pledge may have run, so the caller must ask again under the same key; a new one
 // would pledge twice.
-func TestUnknownIsAskedAgainUnderTheSameKey(t *testing.T) {
+func TestUnknownOutcomeIsRetriedUnderSameKey(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(gateway.ErrorDetail{Code: refusal.Draining, Executed: refusal.ExecutedUnknown, RetryAfterMillis: 1}, gateway.ErrorDetail{})
-	is.NoErr(act(s))
+	s := newScriptedGateway(gateway.ErrorDetail{Code: refusal.Draining, Executed: refusal.ExecutedUnknown, RetryAfterMillis: 1}, gateway.ErrorDetail{})
+	is.NoErr(doAction(s))
 	is.Equal(len(slices.Compact(s.keys)), 1)
 }
 
 // An owner without its journal refuses a key for good. Repeating that key would
 // get the same refusal for ever; nothing ran, so a new key may be used.
-func TestNotExecutedIsAskedAgainUnderANewKey(t *testing.T) {
+func TestUnexecutedActionIsRetriedUnderNewKey(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(gateway.ErrorDetail{Code: refusal.JournalUnavailable, Executed: refusal.ExecutedNo, RetryAfterMillis: 1}, gateway.ErrorDetail{})
-	is.NoErr(act(s))
+	s := newScriptedGateway(gateway.ErrorDetail{Code: refusal.JournalUnavailable, Executed: refusal.ExecutedNo, RetryAfterMillis: 1}, gateway.ErrorDetail{})
+	is.NoErr(doAction(s))
 	is.Equal(len(slices.Compact(s.keys)), 2)
 	is.True(strings.HasPrefix(s.keys[1], "token2:")) // with a fresh token
 }
 
-func TestFinalRefusalsAreNotRepeated(t *testing.T) {
+func TestFinalRefusalsAreNotRetried(t *testing.T) {
 	for _, detail := range []gateway.ErrorDetail{
 		{Code: refusal.OutcomeUnknown, Executed: refusal.ExecutedUnknown},
 		{Code: refusal.BadRequest, Executed: refusal.ExecutedNo},
 	} {
 		is := is.New(t)
-		s := newScripted(detail)
-		is.True(act(s) != nil)
+		s := newScriptedGateway(detail)
+		is.True(doAction(s) != nil)
 		is.Equal(len(s.keys), 1)
 	}
 }
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -29,11 +29,11 @@
 
 // stream is one request's progress over however many connections it takes.
 type stream struct {
-	c      *Client
-	result Result
-	began  time.Time
-	last   time.Time
-	body   []byte
+	c           *Client
+	result      Result
+	startedAt   time.Time
+	lastTokenAt time.Time
+	body        []byte
 }
 
 // Stream sends a chat completion request and collects its streamed answer,
@@ -45,40 +45,40 @@
 	if err != nil {
 		return Result{}, fmt.Errorf("marshal request: %w", err)
 	}
-	s := &stream{c: c, body: body, began: time.Now()}
+	s := &stream{c: c, body: body, startedAt: time.Now()}
 	err = s.run(ctx)
 	return s.result, err
 }
 
 func (s *stream) run(ctx context.Context) error {
-	progress := time.Now()
+	lastProgress := time.Now()
 	for {
-		before := len(s.result.Tokens)
+		tokensBefore := len(s.result.Tokens)
 		err := s.connect(ctx)
 		var refused *RefusedError
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		if errors.As(err, &refused) && !goesElsewhere(refused) {
+		if errors.As(err, &refused) && !concernsOneGateway(refused) {
 			return err
 		}
-		s.c.forget()
-		if len(s.result.Tokens) > before {
-			progress = time.Now()
+		s.c.expireGateways()
+		if len(s.result.Tokens) > tokensBefore {
+			lastProgress = time.Now()
 		}
-		if time.Since(progress) > s.c.c.Patience {
+		if time.Since(lastProgress) > s.c.cfg.RetryTimeout {
 			return &NoGatewayError{Err: err}
 		}
-		pause(ctx, retryPause)
+		pause(ctx, minRetryDelay)
 	}
 }
 
-// goesElsewhere are refusals that concern one gateway only.
-func goesElsewhere(r *RefusedError) bool { return r.Code == "draining" || r.Code == "not_ready" }
+// concernsOneGateway are refusals that concern one gateway only.
+func concernsOneGateway(r *RefusedError) bool { return r.Code == "draining" || r.Code == "not_ready" }
 
 // connect sends the request, or goes on with one that was accepted before.
 func (s *stream) connect(ctx context.Context) error {
-	base, err := s.c.choose(ctx)
+	base, err := s.c.chooseGateway(ctx)
 	if err != nil {
 		return err
 	}
@@ -86,18 +86,18 @@
 	defer cancel()
 	// A connection that something between the ends has lost track of carries
 	// nothing for good, without an error.
-	silence := time.AfterFunc(acceptTimeout, cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(acceptTimeout, cancel)
+	defer idleTimer.Stop()
 	resp, err := s.send(ctx, base)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	silence.Reset(s.c.c.Silence)
+	idleTimer.Reset(s.c.cfg.IdleTimeout)
 	if id := resp.Header.Get("X-Request-Id"); id != "" {
 		s.result.RequestID = id
 	}
-	return s.read(resp, func() { silence.Reset(s.c.c.Silence) })
+	return s.read(resp, func() { idleTimer.Reset(s.c.cfg.IdleTimeout) })
 }
 
 func (s *stream) send(ctx context.Context, base string) (*http.Response, error) {
@@ -112,12 +112,12 @@
 	return s.c.do(ctx, http.MethodGet, base+"/v1/requests/"+s.result.RequestID, header, nil)
 }
 
-func (s *stream) read(resp *http.Response, heard func()) error {
+func (s *stream) read(resp *http.Response, onActivity func()) error {
 	scanner := bufio.NewScanner(resp.Body)
 	scanner.Buffer(nil, maxAnswerBytes)
 	event, id := "", ""
 	for scanner.Scan() {
-		heard()
+		onActivity()
 		line := scanner.Text()
 		name, value, _ := strings.Cut(line, ": ")
 		switch name {
@@ -126,7 +126,7 @@
 		case "id":
 			id = value
 		case "data":
-			done, err := s.data(event, id, value)
+			done, err := s.handleData(event, id, value)
 			if done || err != nil {
 				return err
 			}
@@ -137,7 +137,7 @@
 	return &BrokenError{Err: err}
 }
 
-func (s *stream) data(event, id, value string) (done bool, err error) {
+func (s *stream) handleData(event, id, value string) (done bool, err error) {
 	if event == "error" {
 		var body gateway.ErrorBody
 		if err := json.Unmarshal([]byte(value), &body); err != nil {
@@ -152,18 +152,20 @@
 	if err := json.Unmarshal([]byte(value), &chunk); err != nil || len(chunk.Choices) != 1 {
 		return false, &BrokenError{Err: err}
 	}
-	return false, s.chunk(id, chunk.Choices[0])
+	return false, s.handleChoice(id, chunk.Choices[0])
 }
 
 // OffsetError says that an event does not follow the last one.
 type OffsetError struct {
-	Got  string
-	Want int
+	Got      string
+	Expected int
 }
 
-func (e *OffsetError) Error() string { return fmt.Sprintf("event %s where %d was due", e.Got, e.Want) }
+func (e *OffsetError) Error() string {
+	return fmt.Sprintf("event %s where %d was due", e.Got, e.Expected)
+}
 
-func (s *stream) chunk(id string, choice gateway.CompletionChoice) error {
+func (s *stream) handleChoice(id string, choice gateway.CompletionChoice) error {
 	if choice.FinishReason != nil {
 		s.result.FinishReason = *choice.FinishReason
 		return nil
@@ -172,15 +174,15 @@
 		return nil
 	}
 	if id != strconv.Itoa(len(s.result.Tokens)+1) {
-		return &OffsetError{Got: id, Want: len(s.result.Tokens) + 1}
+		return &OffsetError{Got: id, Expected: len(s.result.Tokens) + 1}
 	}
 	now := time.Now()
 	if len(s.result.Tokens) == 0 {
-		s.result.FirstToken = now.Sub(s.began)
+		s.result.FirstToken = now.Sub(s.startedAt)
 	} else {
-		s.result.LongestGap = max(s.result.LongestGap, now.Sub(s.last))
+		s.result.LongestGap = max(s.result.LongestGap, now.Sub(s.lastTokenAt))
 	}
-	s.last = now
+	s.lastTokenAt = now
 	s.result.Tokens = append(s.result.Tokens, choice.Delta.Content)
 	return nil
 }
--- a/cmd/geraniumd/main.go
+++ b/cmd/geraniumd/main.go
@@ -33,16 +33,16 @@
 func run() int {
 	klog.InitFlags(nil)
 	path := flag.String("settings", "", "the settings file (JSON)")
-	without := flag.String("without", "", "mechanisms to leave out on the users' platform, separated by commas, to measure what they are worth")
-	direct := flag.Int("direct-fleet", relays.DirectFleet, "daemons up to which all of a fleet on the users' platform tell each other directly; the same for all of them")
+	disabled := flag.String("without", "", "mechanisms to leave out on the users' platform, separated by commas, to measure what they are worth")
+	directFleet := flag.Int("direct-fleet", relays.DirectFleet, "daemons up to which all of a fleet on the users' platform tell each other directly; the same for all of them")
 	flag.Parse()
 	defer klog.Flush()
-	if onPlatform := os.Getenv(platform.SettingsEnv); *path == "" && onPlatform != "" {
-		return runOnPlatform(onPlatform, *without, *direct)
+	if platformSettings := os.Getenv(platform.SettingsEnv); *path == "" && platformSettings != "" {
+		return runOnPlatform(platformSettings, *disabled, *directFleet)
 	}
 	s, err := settings.Load(*path)
 	if err != nil {
-		return report(err)
+		return reportSettingsError(err)
 	}
 	d, err := daemon.New(s, daemon.TCP{})
 	if err != nil {
@@ -59,10 +59,10 @@
 }
 
 // runOnPlatform serves until SIGTERM. The log goes to standard output.
-func runOnPlatform(path, without string, direct int) int {
-	policy, err := edge.Without(without)
+func runOnPlatform(path, disabled string, directFleet int) int {
+	policy, err := edge.Without(disabled)
 	if err == nil {
-		policy, err = policy.WithDirectFleet(direct)
+		policy, err = policy.WithDirectFleet(directFleet)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -83,14 +83,14 @@
 	}
 	var invalid *document.InvalidError
 	if errors.As(err, &invalid) {
-		return report(err)
+		return reportSettingsError(err)
 	}
 	fmt.Fprintln(os.Stderr, err)
 	return exitFailure
 }
 
-// report prints every fault of the settings with its path.
-func report(err error) int {
+// reportSettingsError prints every fault of the settings with its path.
+func reportSettingsError(err error) int {
 	var invalid *document.InvalidError
 	if !errors.As(err, &invalid) {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/standins/main.go
+++ b/cmd/standins/main.go
@@ -50,7 +50,7 @@
 	defer klog.Flush()
 	s, err := load(*path, *manifestPath, *set)
 	if err != nil {
-		report(err)
+		reportSettingsError(err)
 		return exitInvalid
 	}
 	f, err := fleet.Start(s, fleet.Options{})
@@ -98,8 +98,8 @@
 	return fleet.FromManifest(&m), nil
 }
 
-// report prints every fault of the settings with its path.
-func report(err error) {
+// reportSettingsError prints every fault of the settings with its path.
+func reportSettingsError(err error) {
 	var invalid *document.InvalidError
 	if !errors.As(err, &invalid) {
 		fmt.Fprintln(os.Stderr, err)
--- a/ctl/admin.go
+++ b/ctl/admin.go
@@ -26,7 +26,7 @@
 // readManifest reads and checks a manifest before it is sent anywhere.
 func readManifest(f *flag.FlagSet) ([]byte, error) {
 	if f.NArg() != 1 {
-		return nil, &UsageError{Want: "one manifest file, or - for standard input"}
+		return nil, &UsageError{Expected: "one manifest file, or - for standard input"}
 	}
 	data, err := readFile(f.Arg(0))
 	if err != nil {
@@ -55,9 +55,9 @@
 }
 
 // UsageError says what a command wanted on its command line.
-type UsageError struct{ Want string }
+type UsageError struct{ Expected string }
 
-func (e *UsageError) Error() string { return "usage: " + e.Want }
+func (e *UsageError) Error() string { return "usage: " + e.Expected }
 
 // submission holds the flags of the commands that change the configuration.
 type submission struct {
@@ -74,8 +74,8 @@
 	f.DurationVar(&s.wait, "wait", 12*time.Second, "how long to wait until it is in force in every failure domain")
 }
 
-// begin fills in what the flags leave open.
-func (s *submission) begin() {
+// fillDefaults fills in what the flags leave open.
+func (s *submission) fillDefaults() {
 	if s.id == "" {
 		s.id = newSubmissionID()
 	}
@@ -92,9 +92,9 @@
 func (p *applyCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	data, err := readManifest(f)
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
-	p.begin()
+	p.fillDefaults()
 	resp, err := call(ctx, &p.common, func(ctx context.Context, c adminv1connect.AdminServiceClient) (*connect.Response[adminv1.ApplyResponse], error) {
 		return c.Apply(ctx, connect.NewRequest(&adminv1.ApplyRequest{
 			Manifest: data, ExpectedGeneration: p.expected,
@@ -102,9 +102,9 @@
 		}))
 	})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
-	return p.accepted(resp, resp)
+	return p.printAcceptance(resp, resp)
 }
 
 // acceptance is what the answers to Apply and Rollback have in common.
@@ -114,8 +114,8 @@
 	GetDomains() []*adminv1.DomainStatus
 }
 
-// accepted prints an answer, whose JSON form is v.
-func (c *common) accepted(v any, a acceptance) subcommands.ExitStatus {
+// printAcceptance prints an answer, whose JSON form is v.
+func (c *common) printAcceptance(v any, a acceptance) subcommands.ExitStatus {
 	c.print(v, func(w io.Writer) {
 		fmt.Fprintf(w, "accepted as generation %d\n", a.GetGeneration())
 		writeDomains(w, a.GetDomains())
@@ -152,13 +152,13 @@
 func (p *diffCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	data, err := readManifest(f)
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	resp, err := call(ctx, &p.common, func(ctx context.Context, c adminv1connect.AdminServiceClient) (*connect.Response[adminv1.DiffResponse], error) {
 		return c.Diff(ctx, connect.NewRequest(&adminv1.DiffRequest{Manifest: data}))
 	})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	p.print(resp, func(w io.Writer) {
 		fmt.Fprintf(w, "against generation %d\n", resp.Generation)
@@ -186,23 +186,23 @@
 		return c.Status(ctx, connect.NewRequest(&adminv1.StatusRequest{}))
 	})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	p.print(resp, func(w io.Writer) { writeStatus(w, resp) })
 	return subcommands.ExitSuccess
 }
 
 func writeStatus(w io.Writer, s *adminv1.StatusResponse) {
-	reach := "reachable"
+	reachability := "reachable"
 	if !s.KeyValueServiceUp {
-		reach = "not reachable; going on with what is known"
+		reachability = "not reachable; going on with what is known"
 	}
-	fmt.Fprintf(w, "generation %d; key-value service %s\n\n", s.Generation, reach)
+	fmt.Fprintf(w, "generation %d; key-value service %s\n\n", s.Generation, reachability)
 	writeDomains(w, s.Domains)
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "\nDAEMON\tFAILURE DOMAIN\tADDRESS\tSTATE\tGENERATION\tHEARD DIRECTLY")
 	for _, d := range s.Daemons {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\n", d.Id, d.FailureDomain, d.CallerAddress, d.State, d.Generation, heardText(d.HeardMsAgo))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\n", d.Id, d.FailureDomain, d.CallerAddress, d.State, d.Generation, lastHeardText(d.HeardMsAgo))
 	}
 	fmt.Fprintln(t, "\nRUNNER\tSERVICE\tFAILURE DOMAIN\tADDRESS\tSTATE\tDETAIL")
 	for _, r := range s.Runners {
@@ -211,8 +211,8 @@
 	t.Flush()
 }
 
-// heardText says when the answering daemon last heard from one itself.
-func heardText(millisAgo int64) string {
+// lastHeardText says when the answering daemon last heard from one itself.
+func lastHeardText(millisAgo int64) string {
 	if millisAgo < 0 {
 		return "never; by others' word"
 	}
@@ -237,7 +237,7 @@
 		return c.History(ctx, connect.NewRequest(&adminv1.HistoryRequest{Limit: int32(p.limit)}))
 	})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	p.print(resp, func(w io.Writer) {
 		t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
@@ -262,7 +262,7 @@
 		return c.Usage(ctx, connect.NewRequest(&adminv1.UsageRequest{}))
 	})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	p.print(resp, func(w io.Writer) { writeUsage(w, resp.Workspaces) })
 	return subcommands.ExitSuccess
@@ -299,13 +299,13 @@
 
 func (p *drainCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return p.fail(&UsageError{Want: "the id of a daemon or a runner"})
+		return p.reportError(&UsageError{Expected: "the id of a daemon or a runner"})
 	}
 	resp, err := call(ctx, &p.common, func(ctx context.Context, c adminv1connect.AdminServiceClient) (*connect.Response[adminv1.DrainResponse], error) {
 		return c.Drain(ctx, connect.NewRequest(&adminv1.DrainRequest{Target: f.Arg(0)}))
 	})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	p.print(resp, func(w io.Writer) { fmt.Fprintln(w, "draining") })
 	return subcommands.ExitSuccess
--- a/ctl/bench.go
+++ b/ctl/bench.go
@@ -43,54 +43,54 @@
 }
 
 func (p *benchCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	experiment, err := find(f)
+	experiment, err := findExperiment(f)
 	if err != nil {
-		return p.usage(err)
+		return p.reportUsageError(err)
 	}
 	// Flags may stand behind the name, too.
 	if err := f.Parse(f.Args()[1:]); err != nil || f.NArg() > 0 {
-		return p.usage(&UsageError{Want: "one experiment and flags before or behind it"})
+		return p.reportUsageError(&UsageError{Expected: "one experiment and flags before or behind it"})
 	}
 	options, err := p.options()
 	if err != nil {
-		return p.usage(err)
+		return p.reportUsageError(err)
 	}
 	report, err := experiment.Run(ctx, options)
 	if err != nil {
-		return p.fail(fmt.Errorf("experiment %s: %w", experiment.Name(), err))
+		return p.reportError(fmt.Errorf("experiment %s: %w", experiment.Name(), err))
 	}
 	p.print(report, func(w io.Writer) {
 		if err := report.WriteTable(w); err != nil {
 			fmt.Fprintln(p.errs, err)
 		}
 	})
-	return p.draw(report)
+	return p.writePlots(report)
 }
 
-func (p *benchCmd) usage(err error) subcommands.ExitStatus {
+func (p *benchCmd) reportUsageError(err error) subcommands.ExitStatus {
 	fmt.Fprintln(p.errs, err)
 	return subcommands.ExitUsageError
 }
 
-func (p *benchCmd) draw(report bench.Report) subcommands.ExitStatus {
+func (p *benchCmd) writePlots(report bench.Report) subcommands.ExitStatus {
 	if p.plots == "" {
 		return subcommands.ExitSuccess
 	}
 	files, err := plot.Write(report, p.plots, p.format)
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	fmt.Fprintf(p.errs, "%d plots in %s\n", len(files), p.plots)
 	return subcommands.ExitSuccess
 }
 
-func find(f *flag.FlagSet) (bench.Experiment, error) {
+func findExperiment(f *flag.FlagSet) (bench.Experiment, error) {
 	for _, e := range experiments() {
 		if f.NArg() > 0 && e.Name() == f.Arg(0) {
 			return e, nil
 		}
 	}
-	return nil, &UsageError{Want: "the name of one experiment; see help bench"}
+	return nil, &UsageError{Expected: "the name of one experiment; see help bench"}
 }
 
 func (p *benchCmd) options() (bench.Options, error) {
@@ -114,11 +114,11 @@
 		}
 		from, err := strconv.ParseUint(low, 10, 64)
 		if err != nil {
-			return nil, &UsageError{Want: "seeds like 1,2,5-9"}
+			return nil, &UsageError{Expected: "seeds like 1,2,5-9"}
 		}
 		to, err := strconv.ParseUint(high, 10, 64)
 		if err != nil || to < from {
-			return nil, &UsageError{Want: "seeds like 1,2,5-9"}
+			return nil, &UsageError{Expected: "seeds like 1,2,5-9"}
 		}
 		for s := from; s <= to; s++ {
 			seeds = append(seeds, s)
--- a/ctl/causes.go
+++ b/ctl/causes.go
@@ -18,12 +18,12 @@
 // request but which of them fail, when, and at whom.
 type causesCmd struct {
 	common
-	by   string
-	most int
+	by    string
+	limit int
 }
 
-// defaultCauses is how many causes are shown unless the caller asks for more.
-const defaultCauses = 20
+// defaultCauseLimit is how many causes are shown unless the caller asks for more.
+const defaultCauseLimit = 20
 
 func (*causesCmd) Name() string     { return "causes" }
 func (*causesCmd) Synopsis() string { return "sum up by cause what failed in daemons' logs" }
@@ -34,7 +34,7 @@
 func (p *causesCmd) SetFlags(f *flag.FlagSet) {
 	p.setFlags(f)
 	f.StringVar(&p.by, "by", "reason,route", "what to tell apart beside the event: reason, route, workspace, runner, daemon, second")
-	f.IntVar(&p.most, "most", defaultCauses, "how many causes to show, the most frequent first")
+	f.IntVar(&p.limit, "most", defaultCauseLimit, "how many causes to show, the most frequent first")
 }
 
 // Cause is a kind of failure and how often it came.
@@ -53,8 +53,8 @@
 	Total int `json:"total"`
 }
 
-// failures are the events that end a request, or an attempt, without an answer.
-var failures = []string{"refused", "broken_off", "caller_left", "attempt_failed"}
+// failureEvents are the events that end a request, or an attempt, without an answer.
+var failureEvents = []string{"refused", "broken_off", "caller_left", "attempt_failed"}
 
 // groupings are what causes can be told apart by.
 var groupings = []string{"reason", "route", "workspace", "runner", "daemon", "second"}
@@ -70,36 +70,38 @@
 	by := strings.Split(p.by, ",")
 	for _, name := range by {
 		if !slices.Contains(groupings, name) {
-			return p.fail(&UnknownGroupingError{name})
+			return p.reportError(&UnknownGroupingError{name})
 		}
 	}
-	c := newCounter(by)
-	if err := readLogs(f.Args(), c.take); err != nil {
-		return p.fail(err)
+	c := newCauseCounter(by)
+	if err := readLogs(f.Args(), c.addLine); err != nil {
+		return p.reportError(err)
 	}
-	causes := c.causes(p.most)
+	causes := c.causes(p.limit)
 	p.print(causes, causes.write)
 	return subcommands.ExitSuccess
 }
 
-// counter counts failures by what tells them apart.
-type counter struct {
+// causeCounter counts failures by what tells them apart.
+type causeCounter struct {
 	by     []string
 	counts map[string]*Cause
 	total  int
 }
 
-func newCounter(by []string) *counter { return &counter{by: by, counts: map[string]*Cause{}} }
+func newCauseCounter(by []string) *causeCounter {
+	return &causeCounter{by: by, counts: map[string]*Cause{}}
+}
 
-func (c *counter) take(line string) {
+func (c *causeCounter) addLine(line string) {
 	d := parseDecision(line)
-	if !slices.Contains(failures, d.Event) {
+	if !slices.Contains(failureEvents, d.Event) {
 		return
 	}
 	c.total++
 	key := make([]string, len(c.by))
 	for i, name := range c.by {
-		key[i] = d.group(name)
+		key[i] = d.groupValue(name)
 	}
 	id := d.Event + "\x00" + strings.Join(key, "\x00")
 	if c.counts[id] == nil {
@@ -108,7 +110,7 @@
 	c.counts[id].Count++
 }
 
-func (c *counter) causes(most int) Causes {
+func (c *causeCounter) causes(limit int) Causes {
 	all := Causes{By: c.by, Total: c.total, Causes: []Cause{}}
 	for _, cause := range c.counts {
 		all.Causes = append(all.Causes, *cause)
@@ -116,27 +118,27 @@
 	slices.SortFunc(all.Causes, func(a, b Cause) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Event, b.Event), slices.Compare(a.Key, b.Key))
 	})
-	all.Causes = all.Causes[:min(max(most, 0), len(all.Causes))]
+	all.Causes = all.Causes[:min(max(limit, 0), len(all.Causes))]
 	return all
 }
 
-var clockForm = regexp.MustCompile(`\d\d:\d\d:\d\d`)
+var clockPattern = regexp.MustCompile(`\d\d:\d\d:\d\d`)
 
-// group is what tells the decision apart by one of groupings.
-func (d *Decision) group(name string) string {
+// groupValue is what tells the decision apart by one of groupings.
+func (d *Decision) groupValue(name string) string {
 	switch name {
 	case "second":
-		return clockForm.FindString(d.Source)
+		return clockPattern.FindString(d.Source)
 	case "daemon":
-		return sourceDaemon(d.Source)
+		return daemonFromSource(d.Source)
 	default:
 		return d.Fields[name]
 	}
 }
 
-// sourceDaemon is the word before a line's own header, where logs of several daemons
+// daemonFromSource is the word before a line's own header, where logs of several daemons
 // were put together; empty if there is none.
-func sourceDaemon(source string) string {
+func daemonFromSource(source string) string {
 	words := strings.Fields(source)
 	for i, word := range words {
 		if i > 0 && len(word) == len("I0102") && strings.ContainsRune("IWEF", rune(word[0])) {
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -112,7 +112,7 @@
 	}
 }
 
-func (c *common) fail(err error) subcommands.ExitStatus {
+func (c *common) reportError(err error) subcommands.ExitStatus {
 	var invalid *document.InvalidError
 	if errors.As(err, &invalid) {
 		c.printProblems(invalid.Problems)
@@ -156,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var last error
+	var lastErr error
 	for _, base := range strings.Split(c.admin, ",") {
 		client := adminv1connect.NewAdminServiceClient(httpClient, strings.TrimSpace(base), connect.WithInterceptors(bearer(c.key)))
 		callCtx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -165,12 +165,12 @@
 		if err == nil {
 			return resp.Msg, nil
 		}
-		last = err
+		lastErr = err
 		if statusOf(err) != ExitUnavailable {
 			break
 		}
 	}
-	return nil, fmt.Errorf("admin call: %w", last)
+	return nil, fmt.Errorf("admin call: %w", lastErr)
 }
 
 func bearer(key string) connect.UnaryInterceptorFunc {
--- a/ctl/demo.go
+++ b/ctl/demo.go
@@ -45,7 +45,7 @@
 	}
 	summary, err := demo.Run(ctx, demo.Options{Fleet: p.fleet, Seed: p.seed, Progress: p.errs, Network: daemon.TCP{}, Events: p.events()})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	p.print(summary, func(w io.Writer) {
 		if err := summary.Write(w); err != nil {
@@ -58,7 +58,7 @@
 	return subcommands.ExitSuccess
 }
 
-const faultEvery = 3 * time.Second
+const faultInterval = 3 * time.Second
 
 func (p *demoCmd) events() []demo.Event {
 	if p.faults == "" {
@@ -66,7 +66,7 @@
 	}
 	var events []demo.Event
 	for i, name := range strings.Split(p.faults, ",") {
-		events = append(events, demo.Event{At: time.Duration(i+1) * faultEvery, Fault: name})
+		events = append(events, demo.Event{At: time.Duration(i+1) * faultInterval, Fault: name})
 	}
 	return events
 }
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -41,17 +41,17 @@
 
 func (p *explainCmd) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() == 0 {
-		return p.fail(&UsageError{Want: "a request's id"})
+		return p.reportError(&UsageError{Expected: "a request's id"})
 	}
 	e := Explanation{Request: f.Arg(0)}
-	mark := fmt.Sprintf("request=%q", e.Request)
+	requestField := fmt.Sprintf("request=%q", e.Request)
 	err := readLogs(f.Args()[1:], func(line string) {
-		if strings.Contains(line, mark) {
+		if strings.Contains(line, requestField) {
 			e.Decisions = append(e.Decisions, parseDecision(line))
 		}
 	})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	e.Summary = e.summary()
 	p.print(e, e.write)
@@ -65,16 +65,16 @@
 const maxLogLine = 1 << 20
 
 // readLogs hands over the lines of the files, or of standard input if none is named.
-func readLogs(names []string, take func(line string)) error {
+func readLogs(names []string, handleLine func(line string)) error {
 	if len(names) == 0 {
-		return readLines(os.Stdin, take)
+		return readLines(os.Stdin, handleLine)
 	}
 	for _, name := range names {
 		file, err := os.Open(name)
 		if err != nil {
 			return fmt.Errorf("open log: %w", err)
 		}
-		err = readLines(file, take)
+		err = readLines(file, handleLine)
 		file.Close()
 		if err != nil {
 			return err
@@ -83,11 +83,11 @@
 	return nil
 }
 
-func readLines(r io.Reader, take func(line string)) error {
+func readLines(r io.Reader, handleLine func(line string)) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
-		take(lines.Text())
+		handleLine(lines.Text())
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("read log: %w", err)
@@ -96,19 +96,19 @@
 }
 
 var (
-	eventForm = regexp.MustCompile(`^(.*?)\] "([a-z_]+)" (.*)$`)
-	fieldForm = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)`)
+	eventPattern = regexp.MustCompile(`^(.*?)\] "([a-z_]+)" (.*)$`)
+	fieldPattern = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)`)
 )
 
 func parseDecision(line string) Decision {
 	d := Decision{Fields: map[string]string{}}
-	m := eventForm.FindStringSubmatch(line)
+	m := eventPattern.FindStringSubmatch(line)
 	if m == nil {
 		d.Source = line
 		return d
 	}
 	d.Source, d.Event = m[1], m[2]
-	for _, f := range fieldForm.FindAllStringSubmatch(m[3], -1) {
+	for _, f := range fieldPattern.FindAllStringSubmatch(m[3], -1) {
 		d.Fields[f[1]] = strings.Trim(f[2], `"`)
 	}
 	return d
--- a/ctl/explain_test.go
+++ b/ctl/explain_test.go
@@ -78,7 +78,7 @@
 }
 
 // Flags of an experiment are taken on either side of its name.
-func TestBenchTakesFlagsBehindName(t *testing.T) {
+func TestBenchAcceptsFlagsAfterName(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.Equal(execute(t, &benchCmd{common: common{out: &out, errs: &out}}, "fleet", "-o", "json", "-seeds", "1"), subcommands.ExitSuccess)
--- a/ctl/load.go
+++ b/ctl/load.go
@@ -21,7 +21,7 @@
 	fleet    string
 	gateways string
 	seed     uint64
-	length   time.Duration
+	duration time.Duration
 }
 
 func (*loadCmd) Name() string     { return "load" }
@@ -34,16 +34,16 @@
 	f.StringVar(&p.fleet, "fleet", demo.Fleets[0], "fleet: "+strings.Join(demo.Fleets, " or "))
 	f.StringVar(&p.gateways, "callers", "http://127.0.0.1:7001", "callers' listeners' base URLs to begin with, separated by commas")
 	f.Uint64Var(&p.seed, "seed", 1, "seed of the load")
-	f.DurationVar(&p.length, "for", 20*time.Second, "how long to send new work")
+	f.DurationVar(&p.duration, "for", 20*time.Second, "how long to send new work")
 }
 
 func (p *loadCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	summary, err := demo.Load(ctx, demo.LoadOptions{
-		Fleet: p.fleet, Gateways: strings.Split(p.gateways, ","), Seed: p.seed, For: p.length, Progress: p.errs,
+		Fleet: p.fleet, Gateways: strings.Split(p.gateways, ","), Seed: p.seed, For: p.duration, Progress: p.errs,
 		HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: loadConnections}},
 	})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	p.print(summary, func(w io.Writer) {
 		if err := summary.Write(w); err != nil {
--- a/ctl/local.go
+++ b/ctl/local.go
@@ -86,13 +86,13 @@
 
 func (p *checkCmd) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() == 0 {
-		return p.fail(&UsageError{Want: "files to check"})
+		return p.reportError(&UsageError{Expected: "files to check"})
 	}
 	status := subcommands.ExitSuccess
 	for _, name := range f.Args() {
 		if err := checkFile(name); err != nil {
 			fmt.Fprintf(p.errs, "%s:\n", name)
-			status = max(status, p.fail(err))
+			status = max(status, p.reportError(err))
 			continue
 		}
 		fmt.Fprintf(p.errs, "%s: good\n", name)
@@ -136,11 +136,11 @@
 	kinds := map[string]any{"manifest": &manifest.Manifest{}, "settings": &settings.Settings{}}
 	v, ok := kinds[strings.ToLower(f.Arg(0))]
 	if !ok {
-		return p.fail(&UsageError{Want: "manifest or settings"})
+		return p.reportError(&UsageError{Expected: "manifest or settings"})
 	}
 	data, err := document.Schema(v)
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	fmt.Fprintln(p.out, string(data))
 	return subcommands.ExitSuccess
--- a/ctl/rollback.go
+++ b/ctl/rollback.go
@@ -24,9 +24,9 @@
 func (p *rollbackCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	generation, err := strconv.ParseUint(f.Arg(0), 10, 64)
 	if err != nil || f.NArg() != 1 {
-		return p.fail(&UsageError{Want: "one generation, a number that history lists"})
+		return p.reportError(&UsageError{Expected: "one generation, a number that history lists"})
 	}
-	p.begin()
+	p.fillDefaults()
 	resp, err := call(ctx, &p.common, func(ctx context.Context, c adminv1connect.AdminServiceClient) (*connect.Response[adminv1.RollbackResponse], error) {
 		return c.Rollback(ctx, connect.NewRequest(&adminv1.RollbackRequest{
 			ToGeneration: generation, ExpectedGeneration: p.expected,
@@ -34,7 +34,7 @@
 		}))
 	})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
-	return p.accepted(resp, resp)
+	return p.printAcceptance(resp, resp)
 }
--- a/ctl/rollback_test.go
+++ b/ctl/rollback_test.go
@@ -17,19 +17,19 @@
 	"geraniumstack.org/geraniumstack/gen/geranium/admin/v1/adminv1connect"
 )
 
-// admin answers rollbacks and keeps what it was asked.
-type admin struct {
+// fakeAdmin answers rollbacks and keeps what it was asked.
+type fakeAdmin struct {
 	adminv1connect.UnimplementedAdminServiceHandler
-	asked    *adminv1.RollbackRequest
+	request  *adminv1.RollbackRequest
 	response *adminv1.RollbackResponse
 }
 
-func (a *admin) Rollback(_ context.Context, r *connect.Request[adminv1.RollbackRequest]) (*connect.Response[adminv1.RollbackResponse], error) {
-	a.asked = r.Msg
+func (a *fakeAdmin) Rollback(_ context.Context, r *connect.Request[adminv1.RollbackRequest]) (*connect.Response[adminv1.RollbackResponse], error) {
+	a.request = r.Msg
 	return connect.NewResponse(a.response), nil
 }
 
-func rollback(t *testing.T, a *admin, args ...string) (subcommands.ExitStatus, string) {
+func rollback(t *testing.T, a *fakeAdmin, args ...string) (subcommands.ExitStatus, string) {
 	mux := http.NewServeMux()
 	mux.Handle(adminv1connect.NewAdminServiceHandler(a))
 	server := httptest.NewServer(mux)
@@ -46,15 +46,15 @@
 
 func TestRollback(t *testing.T) {
 	is := is.New(t)
-	a := &admin{response: &adminv1.RollbackResponse{
+	a := &fakeAdmin{response: &adminv1.RollbackResponse{
 		Generation: 9, InForceEverywhere: true,
 		Domains: []*adminv1.DomainStatus{{FailureDomain: "lima-sur", Generation: 9, Daemons: 3, DaemonsUnheard: 2}},
 	}}
 	status, out := rollback(t, a, "-expect", "8", "4")
 	is.Equal(status, subcommands.ExitSuccess)
-	is.Equal(a.asked.GetToGeneration(), uint64(4))
-	is.Equal(a.asked.GetExpectedGeneration(), int64(8))
-	is.True(a.asked.GetSubmissionId() != "")
+	is.Equal(a.request.GetToGeneration(), uint64(4))
+	is.Equal(a.request.GetExpectedGeneration(), int64(8))
+	is.True(a.request.GetSubmissionId() != "")
 	is.True(strings.Contains(out, "accepted as generation 9"))
 	is.True(strings.Contains(out, "NOT HEARD YET"))
 	a.response.InForceEverywhere = false
--- a/ctl/trials.go
+++ b/ctl/trials.go
@@ -22,8 +22,8 @@
 
 func (p *trialsCmd) SetFlags(f *flag.FlagSet) { p.setFlags(f) }
 
-// stepEvent is the event of a step.
-const stepEvent = "trial_step"
+// trialStepEvent is the event of a step.
+const trialStepEvent = "trial_step"
 
 // trialColumns are a step's fields as the log names them.
 var trialColumns = []string{
@@ -40,16 +40,16 @@
 
 func (p *trialsCmd) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	steps := TrialSteps{Steps: []TrialStep{}}
-	if err := readLogs(f.Args(), steps.take); err != nil {
-		return p.fail(err)
+	if err := readLogs(f.Args(), steps.addLine); err != nil {
+		return p.reportError(err)
 	}
 	p.print(steps, steps.write)
 	return subcommands.ExitSuccess
 }
 
-func (s *TrialSteps) take(line string) {
+func (s *TrialSteps) addLine(line string) {
 	d := parseDecision(line)
-	if d.Event != stepEvent {
+	if d.Event != trialStepEvent {
 		return
 	}
 	step := TrialStep{}
--- a/ctl/trials_test.go
+++ b/ctl/trials_test.go
@@ -17,7 +17,7 @@
 `
 
 // Guards against an operator who can't tell from the logs why a version was taken back.
-func TestTrialsShowWhyAVersionWasTakenBack(t *testing.T) {
+func TestTrialsShowReasonForRollback(t *testing.T) {
 	is := is.New(t)
 	log := filepath.Join(t.TempDir(), "log")
 	is.NoErr(os.WriteFile(log, []byte(trialLines), 0o600))
--- a/daemon/actions/history_test.go
+++ b/daemon/actions/history_test.go
@@ -64,7 +64,7 @@
 		w.sleep(100 * time.Millisecond)
 		_, key, _ := strings.Cut(r.Header.Get(dispatch.HeaderAction), "/")
 		answer := fmt.Sprintf("%s#%d", body, w.intN(1<<30))
-		w.history.Ran(time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, string(body), answer)
+		w.history.RecordRun(time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, string(body), answer)
 		switch behavior {
 		case 1:
 			panic(http.ErrAbortHandler)
@@ -134,7 +134,7 @@
 	if err != nil {
 		r.Refusal = refusal.From(err)
 	}
-	w.history.Told(from, time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, body, r)
+	w.history.RecordResult(from, time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, body, r)
 }
 
 // injectFault injects one random fault.
@@ -234,7 +234,7 @@
 			time.Sleep(time.Minute)
 			synctest.Wait()
 		})
-		if !w.history.Legal() {
+		if !w.history.IsValid() {
 			t.Errorf("seed %d: history violates the guarantees", seed)
 		}
 		yes, no, unknown, runs = yes+w.history.Yes, no+w.history.No, unknown+w.history.Unknown, runs+w.history.Runs
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -130,7 +130,7 @@
 	working, stopWorking := context.WithTimeout(ctx, d.options.SendFor+finishFor)
 	defer stopWorking()
 	l := newLoad(d.fleet, d.tally, caller.Config{
-		Gateways: d.bases(), HTTP: newHTTPClient(d.options.Network), Patience: patience,
+		Gateways: d.bases(), HTTP: newHTTPClient(d.options.Network), RetryTimeout: patience,
 	}, d.options.Seed)
 	done := make(chan struct{})
 	go func() {
--- a/demo/load.go
+++ b/demo/load.go
@@ -192,7 +192,7 @@
 	if errors.As(errs[0], &refused) && refused.Executed == refusal.ExecutedNo {
 		l.tally.noteNotRun(key)
 	}
-	if caller.Renewable(errs[0]) {
+	if caller.MayRetryWithNewKey(errs[0]) {
 		pauseFor(refused.RetryAfterMillis)
 		return true
 	}
--- a/demo/remote.go
+++ b/demo/remote.go
@@ -29,7 +29,7 @@
 	}
 	t := newTally()
 	began := time.Now()
-	l := newLoad(f, t, caller.Config{Gateways: o.Gateways, HTTP: o.HTTP, Patience: patience}, o.Seed)
+	l := newLoad(f, t, caller.Config{Gateways: o.Gateways, HTTP: o.HTTP, RetryTimeout: patience}, o.Seed)
 	sending, stop := context.WithTimeout(ctx, o.For)
 	defer stop()
 	working, stopWorking := context.WithTimeout(ctx, o.For+finishFor)
--- a/internal/actionhistory/actionhistory.go
+++ b/internal/actionhistory/actionhistory.go
@@ -23,9 +23,9 @@
 	Runs int
 }
 
-// observed is one step of an action's history: a run at a runner, or what a
+// event is one step of an action's history: a run at a runner, or what a
 // caller was told.
-type observed struct {
+type event struct {
 	id       actionkey.ID
 	run      bool
 	body     string
@@ -33,17 +33,17 @@
 	answer   string
 }
 
-// Ran records an execution; each has an answer of its own.
-func (h *History) Ran(at time.Time, id actionkey.ID, body, answer string) {
+// RecordRun records an execution; each has an answer of its own.
+func (h *History) RecordRun(at time.Time, id actionkey.ID, body, answer string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Runs++
-	h.add(at, at, observed{id: id, run: true, body: body, answer: answer})
+	h.add(at, at, event{id: id, run: true, body: body, answer: answer})
 }
 
-// Told records what a caller was told; an empty body asked by key alone.
+// RecordResult records what a caller was told; an empty body asked by key alone.
 // "Unknown" claims nothing and is only counted.
-func (h *History) Told(from, to time.Time, id actionkey.ID, body string, r action.Result) {
+func (h *History) RecordResult(from, to time.Time, id actionkey.ID, body string, r action.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch r.Executed() {
@@ -55,10 +55,10 @@
 		h.Unknown++
 		return
 	}
-	h.add(from, to, observed{id: id, body: body, executed: r.Executed(), answer: string(r.Answer.Body)})
+	h.add(from, to, event{id: id, body: body, executed: r.Executed(), answer: string(r.Answer.Body)})
 }
 
-func (h *History) add(from, to time.Time, o observed) {
+func (h *History) add(from, to time.Time, o event) {
 	h.operations = append(h.operations, porcupine.Operation{
 		Input: o, Call: from.UnixNano(), Return: to.UnixNano(),
 	})
@@ -71,37 +71,37 @@
 	return len(h.operations)
 }
 
-// Legal tells whether every action has a life that explains all that was seen.
-func (h *History) Legal() bool {
+// IsValid tells whether every action has a life that explains all that was seen.
+func (h *History) IsValid() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return porcupine.CheckOperations(atMostOnce, h.operations)
+	return porcupine.CheckOperations(atMostOnceModel, h.operations)
 }
 
-// register is an action's true life: undecided, then run once or never.
-type register struct {
-	ran    bool
-	never  bool
-	body   string
-	answer string
+// actionState is an action's true life: undecided, then run once or never.
+type actionState struct {
+	ran       bool
+	neverRuns bool
+	body      string
+	answer    string
 }
 
-func (r register) step(o observed) (bool, register) {
+func (r actionState) step(o event) (bool, actionState) {
 	switch {
 	case o.run:
-		return !r.ran && !r.never, register{ran: true, body: o.body, answer: o.answer}
+		return !r.ran && !r.neverRuns, actionState{ran: true, body: o.body, answer: o.answer}
 	case o.executed == refusal.ExecutedYes:
 		return r.ran && r.answer == o.answer && (o.body == "" || r.body == o.body), r
 	default:
-		return !r.ran, register{never: true}
+		return !r.ran, actionState{neverRuns: true}
 	}
 }
 
-var atMostOnce = porcupine.Model{
+var atMostOnceModel = porcupine.Model{
 	Partition: partition,
-	Init:      func() any { return register{} },
+	Init:      func() any { return actionState{} },
 	Step: func(state, in, _ any) (bool, any) {
-		return state.(register).step(in.(observed))
+		return state.(actionState).step(in.(event))
 	},
 }
 
@@ -111,7 +111,7 @@
 	byID := map[actionkey.ID]int{}
 	var parts [][]porcupine.Operation
 	for _, op := range operations {
-		id := op.Input.(observed).id
+		id := op.Input.(event).id
 		i, ok := byID[id]
 		if !ok {
 			i = len(parts)
--- a/protocol/action/history_test.go
+++ b/protocol/action/history_test.go
@@ -143,7 +143,7 @@
 		gc.request.BodyHash = ""
 		body = ""
 	}
-	gc.done = func(r action.Result) { sim.history.Told(from, sim.now, id, body, r) }
+	gc.done = func(r action.Result) { sim.history.RecordResult(from, sim.now, id, body, r) }
 	sim.after(0, n, func() { n.serve(gc) })
 }
 
@@ -166,7 +166,7 @@
 				}
 				seed := *firstSeed + uint64(i)
 				sim := runHistory(options{seed: seed})
-				if !sim.history.Legal() {
+				if !sim.history.IsValid() {
 					t.Errorf("seed %d: history is not legal", seed)
 				}
 				yes.Add(int64(sim.history.Yes))
@@ -207,7 +207,7 @@
 			seen := 0
 			for seed := uint64(1); seed <= tries && seen == 0; seed++ {
 				o.seed = seed
-				if !runHistory(o).history.Legal() {
+				if !runHistory(o).history.IsValid() {
 					seen = int(seed)
 				}
 			}
--- a/protocol/action/simulation_test.go
+++ b/protocol/action/simulation_test.go
@@ -311,7 +311,7 @@
 
 func (sim *simulation) execute(d *action.Dispatch) call.Answer {
 	body := fmt.Sprintf("%s#%d", d.Call.Body, sim.history.Runs)
-	sim.history.Ran(sim.now, d.ID, string(d.Call.Body), body)
+	sim.history.RecordRun(sim.now, d.ID, string(d.Call.Body), body)
 	return call.Answer{Status: 200, Body: []byte(body)}
 }
 
