--- a/caller/action.go
+++ b/caller/action.go
@@ -59,7 +59,7 @@
 // outcome is known or the system says that it can't be; a call without a key is
 // repeated only where the system says that nothing ran.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
-	deadline := time.Now().Add(c.cfg.RetryTimeout)
+	deadline := time.Now().Add(c.c.RetryTimeout)
 	for {
 		answer, err := c.send(ctx, call)
 		if err == nil || ctx.Err() != nil || !c.shouldRetry(call, err) || time.Now().After(deadline) {
@@ -92,7 +92,7 @@
 // system says that nothing ran and when to come back, it comes back with a new
 // token, which a refused key can't be used with.
 func (c *Client) DoAction(ctx context.Context, call Call) (Answer, error) {
-	deadline := time.Now().Add(c.cfg.RetryTimeout)
+	deadline := time.Now().Add(c.c.RetryTimeout)
 	for {
 		key, err := c.NewKey(ctx)
 		if err != nil {
@@ -130,7 +130,7 @@
 	}
 	if call.repeatable() {
 		// A connection that went silent for good would hold the call for good.
-		idleCtx, cancel := context.WithTimeout(ctx, c.cfg.IdleTimeout)
+		idleCtx, cancel := context.WithTimeout(ctx, c.c.IdleTimeout)
 		defer cancel()
 		ctx = idleCtx
 	}
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -46,7 +46,7 @@
 
 // Client is safe for concurrent use.
 type Client struct {
-	cfg     Config
+	c       Config
 	mu      sync.Mutex
 	list    gateway.GatewayList
 	expires time.Time
@@ -64,7 +64,7 @@
 	if c.HTTP == nil {
 		c.HTTP = &http.Client{}
 	}
-	return &Client{cfg: c, bases: c.Gateways}
+	return &Client{c: c, bases: c.Gateways}
 }
 
 // RefusedError is a typed refusal by the system.
@@ -118,7 +118,7 @@
 	var list gateway.GatewayList
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	resp, err := c.do(ctx, http.MethodGet, base+"/v1/gateways?failure_domain="+url.QueryEscape(string(c.cfg.FailureDomain)), nil, nil)
+	resp, err := c.do(ctx, http.MethodGet, base+"/v1/gateways?failure_domain="+url.QueryEscape(string(c.c.FailureDomain)), nil, nil)
 	if err != nil {
 		return list, err
 	}
@@ -136,7 +136,7 @@
 	defer c.mu.Unlock()
 	c.list = list
 	c.expires = time.Now().Add(time.Duration(list.LifetimeMillis) * time.Millisecond)
-	c.bases = append([]string{}, c.cfg.Gateways...)
+	c.bases = append([]string{}, c.c.Gateways...)
 	for _, g := range list.Gateways {
 		c.bases = append(c.bases, "http://"+g.Address)
 	}
@@ -181,8 +181,8 @@
 	for name, values := range header {
 		req.Header[name] = values
 	}
-	req.Header.Set("Authorization", "Bearer "+c.cfg.Key)
-	resp, err := c.cfg.HTTP.Do(req)
+	req.Header.Set("Authorization", "Bearer "+c.c.Key)
+	resp, err := c.c.HTTP.Do(req)
 	if err != nil {
 		return nil, &BrokenError{Err: err}
 	}
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -66,7 +66,7 @@
 		if len(s.result.Tokens) > tokensBefore {
 			lastProgress = time.Now()
 		}
-		if time.Since(lastProgress) > s.c.cfg.RetryTimeout {
+		if time.Since(lastProgress) > s.c.c.RetryTimeout {
 			return &NoGatewayError{Err: err}
 		}
 		pause(ctx, minRetryDelay)
@@ -93,11 +93,11 @@
 		return err
 	}
 	defer resp.Body.Close()
-	idleTimer.Reset(s.c.cfg.IdleTimeout)
+	idleTimer.Reset(s.c.c.IdleTimeout)
 	if id := resp.Header.Get("X-Request-Id"); id != "" {
 		s.result.RequestID = id
 	}
-	return s.read(resp, func() { idleTimer.Reset(s.c.cfg.IdleTimeout) })
+	return s.read(resp, func() { idleTimer.Reset(s.c.c.IdleTimeout) })
 }
 
 func (s *stream) send(ctx context.Context, base string) (*http.Response, error) {
@@ -152,7 +152,7 @@
 	if err := json.Unmarshal([]byte(value), &chunk); err != nil || len(chunk.Choices) != 1 {
 		return false, &BrokenError{Err: err}
 	}
-	return false, s.handleChoice(id, chunk.Choices[0])
+	return false, s.chunk(id, chunk.Choices[0])
 }
 
 // OffsetError says that an event does not follow the last one.
@@ -165,7 +165,7 @@
 	return fmt.Sprintf("event %s where %d was due", e.Got, e.Expected)
 }
 
-func (s *stream) handleChoice(id string, choice gateway.CompletionChoice) error {
+func (s *stream) chunk(id string, choice gateway.CompletionChoice) error {
 	if choice.FinishReason != nil {
 		s.result.FinishReason = *choice.FinishReason
 		return nil
