--- a/caller/action.go
+++ b/caller/action.go
@@ -13,25 +13,26 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Call is one call of a plain service.
+// Call is a request to a plain service.
 type Call struct {
 	Service string
 	Method  string
 	Path    string
 	Header  http.Header
 	Body    []byte
-	// Key makes the call run at most once; see NewKey. Empty for calls that the
-	// manifest calls repeatable.
+	// Key is the idempotency key that makes the call run at most once; see
+	// NewKey. It is empty for calls that the manifest marks as repeatable.
 	Key string
 }
 
-// repeatable calls may be sent again where no answer came: those with a key,
-// and those of safe methods (RFC 9110, section 9.2.1).
+// repeatable reports whether the call may be sent again if no answer arrived.
+// This holds for calls with a key and for calls with safe methods (RFC 9110,
+// section 9.2.1).
 func (c Call) repeatable() bool {
 	return c.Key != "" || c.Method == http.MethodGet || c.Method == http.MethodHead
 }
 
-// Answer is a runner's answer.
+// Answer is a runner's response to a call.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -43,21 +44,23 @@
 	pollInterval   = 200 * time.Millisecond
 )
 
-// NewKey makes an idempotency key that names its owner.
+// NewKey returns a new idempotency key. It begins with the key token from the
+// gateway list, which identifies the daemon that owns the key.
 func (c *Client) NewKey(ctx context.Context) (string, error) {
 	list, err := c.Gateways(ctx)
 	if err != nil {
 		return "", err
 	}
 	var b [keySuffixBytes]byte
-	// crypto/rand.Read never fails: it ends the program instead.
+	// crypto/rand.Read never returns an error; it aborts the program instead.
 	_, _ = rand.Read(b[:])
 	return list.KeyToken + hex.EncodeToString(b[:]), nil
 }
 
-// Do sends a call. With a key it is repeated under that same key until its
-// outcome is known or the system says that it can't be; a call without a key is
-// repeated only where the system says that nothing ran.
+// Do sends a call. A call with a key is retried under the same key until its
+// outcome is known or a gateway says that it cannot be known. Other calls are
+// retried if no answer arrived and they are repeatable, or if the refusal says
+// that nothing ran.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
 	deadline := time.Now().Add(c.c.RetryTimeout)
 	for {
@@ -69,10 +72,10 @@
 	}
 }
 
-// shouldRetry tells whether the same call may and should be sent shouldRetry. A key that
-// was refused with executed "no" stays refused, since its owner keeps that
-// answer; one whose outcome is "unknown" for now may be asked for shouldRetry under the
-// same key as often as the system says when to come back.
+// shouldRetry reports whether the same call may be sent again after err. A key
+// that was refused with executed "no" stays refused, because its owner keeps
+// that answer. A call whose outcome is "unknown" may be retried under the same
+// key as long as the refusals give a time to retry.
 func (c *Client) shouldRetry(call Call, err error) bool {
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
@@ -88,9 +91,9 @@
 	return refused.Executed == refusal.ExecutedUnknown && refused.RetryAfterMillis > 0
 }
 
-// DoAction runs a call that may not be repeated, under a key of its own. Where the
-// system says that nothing ran and when to come back, it comes back with a new
-// token, which a refused key can't be used with.
+// DoAction runs a call that must not run twice, under a new key. If the refusal
+// says that nothing ran and gives a time to retry, DoAction retries under a key
+// with a new key token, because the refused key cannot be used again.
 func (c *Client) DoAction(ctx context.Context, call Call) (Answer, error) {
 	deadline := time.Now().Add(c.c.RetryTimeout)
 	for {
@@ -108,8 +111,8 @@
 	}
 }
 
-// MayRetryWithNewKey tells whether a refused action may be asked for again under a new
-// key: nothing ran, and nothing will under the old one.
+// MayRetryWithNewKey reports whether a refused action may be retried under a
+// new key: nothing ran, and nothing will run under the old key.
 func MayRetryWithNewKey(err error) bool {
 	var refused *RefusedError
 	return errors.As(err, &refused) && refused.Executed == refusal.ExecutedNo && refused.RetryAfterMillis > 0
@@ -129,7 +132,7 @@
 		return Answer{}, err
 	}
 	if call.repeatable() {
-		// A connection that went silent for good would hold the call for good.
+		// Without a timeout, a stalled connection would block the call forever.
 		idleCtx, cancel := context.WithTimeout(ctx, c.c.IdleTimeout)
 		defer cancel()
 		ctx = idleCtx
@@ -157,7 +160,8 @@
 	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// Outcome asks what became of an earlier call, until it is no longer pending.
+// Outcome returns the outcome of an earlier call by its key. It polls until the
+// call is no longer pending.
 func (c *Client) Outcome(ctx context.Context, key string) (Answer, error) {
 	for {
 		base, err := c.chooseGateway(ctx)
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,7 +1,7 @@
-// Package caller is a client of geraniumstack's callers' interface. It asks
-// which gateways to use and keeps the answer for as long as it is good, goes on
-// at another gateway when a connection breaks or falls silent, and never repeats
-// a call that may not be repeated under another key.
+// Package caller is a client for the callers' API of geraniumstack. It fetches
+// the list of gateways to use and caches it for its lifetime, continues at
+// another gateway when a connection breaks or stalls, and never retries a call
+// under a new key while the call may have run under the old one.
 package caller
 
 import (
@@ -20,17 +20,22 @@
 	"geraniumstack.org/geraniumstack/transport/gateway"
 )
 
-// Config says who calls and where to begin.
+// Config holds the caller's credentials and the addresses of the first
+// gateways.
 type Config struct {
-	// Gateways are base URLs to ask first, such as "http://127.0.0.1:7001".
+	// Gateways lists the base URLs of gateways to ask first, such as
+	// "http://127.0.0.1:7001".
 	Gateways      []string
 	Key           string
 	FailureDomain ident.FailureDomain
-	// HTTP is used for all calls; it must have no timeout of its own.
+	// HTTP is the client for all calls. It must not set a timeout, because that
+	// would end long streams.
 	HTTP *http.Client
-	// IdleTimeout is how long a connection may carry nothing, heartbeats included.
+	// IdleTimeout is how long a connection may carry no data, not even
+	// heartbeats, before it counts as broken.
 	IdleTimeout time.Duration
-	// RetryTimeout bounds the search for a gateway that answers.
+	// RetryTimeout bounds how long a call is retried; for a stream, the time
+	// since its last progress.
 	RetryTimeout time.Duration
 }
 
@@ -39,12 +44,13 @@
 	defaultRetryTimeout = 30 * time.Second
 	minRetryDelay       = 100 * time.Millisecond
 	attemptTimeout      = 2 * time.Second
-	// acceptTimeout is how long a gateway may take to accept or refuse.
+	// acceptTimeout bounds how long a gateway may take to accept or refuse a
+	// request.
 	acceptTimeout  = 2 * time.Second
 	maxAnswerBytes = 16 << 20
 )
 
-// Client is safe for concurrent use.
+// Client sends calls to the gateways. It is safe for concurrent use.
 type Client struct {
 	c       Config
 	mu      sync.Mutex
@@ -53,7 +59,7 @@
 	bases   []string
 }
 
-// New makes a client; it connects at the first call.
+// New returns a client. The client connects when the first call is made.
 func New(c Config) *Client {
 	if c.IdleTimeout == 0 {
 		c.IdleTimeout = defaultIdleTimeout
@@ -67,7 +73,7 @@
 	return &Client{c: c, bases: c.Gateways}
 }
 
-// RefusedError is a typed refusal by the system.
+// RefusedError is a refusal that a gateway returned, with its typed reason.
 type RefusedError struct {
 	Status int
 	gateway.ErrorDetail
@@ -77,7 +83,8 @@
 	return fmt.Sprintf("refused: %s (executed: %s): %s", e.Code, e.Executed, e.Message)
 }
 
-// BrokenError says that no whole answer came over a connection.
+// BrokenError reports that a connection ended or stalled before a complete
+// answer arrived.
 type BrokenError struct{ Err error }
 
 func (e *BrokenError) Error() string { return fmt.Sprintf("connection broken: %v", e.Err) }
@@ -85,7 +92,7 @@
 // Unwrap returns the cause.
 func (e *BrokenError) Unwrap() error { return e.Err }
 
-// NoGatewayError says that no gateway answered in time.
+// NoGatewayError reports that no gateway answered in time.
 type NoGatewayError struct{ Err error }
 
 func (e *NoGatewayError) Error() string { return fmt.Sprintf("no gateway answered: %v", e.Err) }
@@ -93,7 +100,8 @@
 // Unwrap returns the cause.
 func (e *NoGatewayError) Unwrap() error { return e.Err }
 
-// Gateways returns the list in force, asking anew when it is no longer good.
+// Gateways returns the cached gateway list, or fetches a new one when the
+// cached list has expired.
 func (c *Client) Gateways(ctx context.Context) (gateway.GatewayList, error) {
 	c.mu.Lock()
 	list, fresh := c.list, time.Now().Before(c.expires)
@@ -129,8 +137,9 @@
 	return list, nil
 }
 
-// storeGateways remembers the list; the addresses in it are asked next time, beside
-// those to begin with, since all five VMs may have been replaced by then.
+// storeGateways caches the list. The next fetch asks the gateways in the list
+// as well as the configured ones, because all configured ones may have been
+// replaced by then.
 func (c *Client) storeGateways(list gateway.GatewayList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,14 +151,14 @@
 	}
 }
 
-// expireGateways makes the next call ask for gateways anew.
+// expireGateways makes the next call fetch the gateway list again.
 func (c *Client) expireGateways() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expires = time.Time{}
 }
 
-// chooseGateway draws a gateway by weight.
+// chooseGateway returns a random gateway, weighted as in the gateway list.
 func (c *Client) chooseGateway(ctx context.Context) (string, error) {
 	list, err := c.Gateways(ctx)
 	if err != nil {
@@ -176,7 +185,7 @@
 func (c *Client) do(ctx context.Context, method, target string, header http.Header, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("make request: %w", err)
+		return nil, fmt.Errorf("create request: %w", err)
 	}
 	for name, values := range header {
 		req.Header[name] = values
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -20,7 +20,7 @@
 // scriptedGateway is a gateway that gives prepared answers to calls, in order.
 type scriptedGateway struct {
 	server  *httptest.Server
-	answers []gateway.ErrorDetail // an empty code is an answer of the runner
+	answers []gateway.ErrorDetail // an empty code stands for an answer of the runner
 	keys    []string
 	tokens  int
 }
@@ -59,9 +59,9 @@
 	return err
 }
 
-// A gateway that drains answers the repetition of a pledge with "unknown". The
-// pledge may have run, so the caller must ask again under the same key; a new one
-// would pledge twice.
+// A draining gateway answers the retry of an action with executed "unknown".
+// The action may have run, so the caller must retry under the same key; under a
+// new key it could run twice.
 func TestUnknownOutcomeIsRetriedUnderSameKey(t *testing.T) {
 	is := is.New(t)
 	s := newScriptedGateway(gateway.ErrorDetail{Code: refusal.Draining, Executed: refusal.ExecutedUnknown, RetryAfterMillis: 1}, gateway.ErrorDetail{})
@@ -69,14 +69,15 @@
 	is.Equal(len(slices.Compact(s.keys)), 1)
 }
 
-// An owner without its journal refuses a key for good. Repeating that key would
-// get the same refusal for ever; nothing ran, so a new key may be used.
+// A key owner that has lost its journal refuses a key permanently, so retrying
+// under the same key would never succeed. Nothing ran, so the caller may use a
+// new key.
 func TestUnexecutedActionIsRetriedUnderNewKey(t *testing.T) {
 	is := is.New(t)
 	s := newScriptedGateway(gateway.ErrorDetail{Code: refusal.JournalUnavailable, Executed: refusal.ExecutedNo, RetryAfterMillis: 1}, gateway.ErrorDetail{})
 	is.NoErr(doAction(s))
 	is.Equal(len(slices.Compact(s.keys)), 2)
-	is.True(strings.HasPrefix(s.keys[1], "token2:")) // with a fresh token
+	is.True(strings.HasPrefix(s.keys[1], "token2:")) // the key begins with a new key token
 }
 
 func TestFinalRefusalsAreNotRetried(t *testing.T) {
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -14,20 +14,21 @@
 	"geraniumstack.org/geraniumstack/transport/gateway"
 )
 
-// Result is a whole answer.
+// Result is the complete answer to a streamed request.
 type Result struct {
 	RequestID string
 	Tokens    []string
-	// FirstToken is the time from the call to the first token.
+	// FirstToken is the time from the start of the call to the first token.
 	FirstToken time.Duration
-	// LongestGap is the longest time between two tokens.
+	// LongestGap is the longest time between two consecutive tokens.
 	LongestGap time.Duration
-	// Resumed counts connections after the first.
+	// Resumed is the number of times the stream was resumed on another
+	// connection.
 	Resumed      int
 	FinishReason string
 }
 
-// stream is one request's progress over however many connections it takes.
+// stream holds the progress of one request across connections.
 type stream struct {
 	c           *Client
 	result      Result
@@ -36,9 +37,9 @@
 	body        []byte
 }
 
-// Stream sends a chat completion request and collects its streamed answer,
-// going on at another gateway where a connection breaks. A refusal is a
-// *RefusedError.
+// Stream sends a chat completion request and collects its streamed answer. If a
+// connection breaks, it resumes the stream at another gateway. If the request
+// is refused, the error is a *RefusedError.
 func (c *Client) Stream(ctx context.Context, r gateway.CompletionRequest) (Result, error) {
 	r.Stream = true
 	body, err := json.Marshal(r)
@@ -73,10 +74,12 @@
 	}
 }
 
-// concernsOneGateway are refusals that concern one gateway only.
+// concernsOneGateway reports whether a refusal applies only to the gateway that
+// sent it, so that another gateway may accept the request.
 func concernsOneGateway(r *RefusedError) bool { return r.Code == "draining" || r.Code == "not_ready" }
 
-// connect sends the request, or goes on with one that was accepted before.
+// connect sends the request or, if it was accepted before, resumes its stream.
+// It returns when the stream ends or the connection breaks.
 func (s *stream) connect(ctx context.Context) error {
 	base, err := s.c.chooseGateway(ctx)
 	if err != nil {
@@ -84,8 +87,8 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A connection that something between the ends has lost track of carries
-	// nothing for good, without an error.
+	// If a middlebox has dropped the state of a connection, the connection
+	// carries no data and reports no error, so a timer must end it.
 	idleTimer := time.AfterFunc(acceptTimeout, cancel)
 	defer idleTimer.Stop()
 	resp, err := s.send(ctx, base)
@@ -155,14 +158,14 @@
 	return false, s.chunk(id, chunk.Choices[0])
 }
 
-// OffsetError says that an event does not follow the last one.
+// OffsetError reports that an event does not directly follow the previous one.
 type OffsetError struct {
 	Got      string
 	Expected int
 }
 
 func (e *OffsetError) Error() string {
-	return fmt.Sprintf("event %s where %d was due", e.Got, e.Expected)
+	return fmt.Sprintf("received event %s, expected event %d", e.Got, e.Expected)
 }
 
 func (s *stream) chunk(id string, choice gateway.CompletionChoice) error {
--- a/cmd/geraniumctl/main.go
+++ b/cmd/geraniumctl/main.go
@@ -1,4 +1,4 @@
-// Command geraniumctl is the operators' command line.
+// Command geraniumctl is the command-line tool for operators.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	flags := flag.NewFlagSet(path.Base(os.Args[0]), flag.ExitOnError)
 	commander := subcommands.NewCommander(flags, flags.Name())
 	ctl.Register(commander, os.Stdout, os.Stderr)
-	// ExitOnError: a wrong flag has ended the process by now.
+	// With ExitOnError, Parse exits the process on an invalid flag.
 	_ = flags.Parse(os.Args[1:])
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	status := commander.Execute(ctx)
--- a/cmd/geraniumd/main.go
+++ b/cmd/geraniumd/main.go
@@ -1,6 +1,6 @@
 // Command geraniumd is the daemon of one entry VM. With -settings it serves the
-// product's own interface; without, and with the platform's settings in the
-// environment, it serves on the users' platform.
+// product's own API. Without -settings, and with the path of the platform's
+// settings in the environment, it serves on the users' platform.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	"geraniumstack.org/geraniumstack/state/document"
 )
 
-// Exit statuses.
+// Exit statuses of the process.
 const (
 	exitFailure = 1
 	exitInvalid = 2
@@ -46,7 +46,7 @@
 	}
 	d, err := daemon.New(s, daemon.TCP{})
 	if err != nil {
-		klog.ErrorS(err, "Daemon not started")
+		klog.ErrorS(err, "Starting the daemon failed")
 		return exitFailure
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -58,7 +58,8 @@
 	return 0
 }
 
-// runOnPlatform serves until SIGTERM. The log goes to standard output.
+// runOnPlatform serves on the users' platform until SIGTERM or an interrupt. It
+// writes the log to standard output.
 func runOnPlatform(path, disabled string, directFleet int) int {
 	policy, err := edge.Without(disabled)
 	if err == nil {
@@ -89,7 +90,8 @@
 	return exitFailure
 }
 
-// reportSettingsError prints every fault of the settings with its path.
+// reportSettingsError prints every problem of the settings with its path and
+// returns the exit status.
 func reportSettingsError(err error) int {
 	var invalid *document.InvalidError
 	if !errors.As(err, &invalid) {
--- a/cmd/standins/main.go
+++ b/cmd/standins/main.go
@@ -1,8 +1,9 @@
-// Command standins runs a whole set of stand-ins for the platform and the
-// runners: the key-value service, the cloud API with the VM list, the weight
-// store, model engines and plain services. It is for tests and trials only. It
-// prints one line of JSON with the base URLs of the platform's services, as a
-// daemon's settings name them, and runs until SIGTERM or an interrupt.
+// Command standins runs stand-ins for the platform and the runners: the
+// key-value service, the cloud API with the VM list, the weight store, model
+// engines and plain services. It is intended for tests and trials only. It
+// prints one line of JSON with the base URLs of the platform's services, under
+// the names used in a daemon's settings, and runs until SIGTERM or an
+// interrupt.
 package main
 
 import (
@@ -22,19 +23,19 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// Exit statuses.
+// Exit statuses of the process.
 const (
 	exitFailure = 1
 	exitInvalid = 2
 )
 
-// Names of the built-in sets.
+// Names of the built-in sets of stand-ins.
 const (
 	setHuaman      = "huaman"
 	setAspenCoulee = "aspen-coulee"
 )
 
-// UnknownSetError says that no built-in set has the name.
+// UnknownSetError reports that there is no built-in set with the given name.
 type UnknownSetError struct{ Name string }
 
 func (e *UnknownSetError) Error() string { return fmt.Sprintf("unknown set %q", e.Name) }
@@ -55,12 +56,12 @@
 	}
 	f, err := fleet.Start(s, fleet.Options{})
 	if err != nil {
-		klog.ErrorS(err, "Stand-ins not started")
+		klog.ErrorS(err, "Starting the stand-ins failed")
 		return exitFailure
 	}
 	defer f.Close()
 	if err := json.NewEncoder(os.Stdout).Encode(f.Addresses()); err != nil {
-		klog.ErrorS(err, "Addresses not printed")
+		klog.ErrorS(err, "Printing the addresses failed")
 		return exitFailure
 	}
 	klog.InfoS("Stand-ins started", "runners", len(f.Runners()), "keyValue", f.Addresses().KeyValue)
@@ -98,7 +99,7 @@
 	return fleet.FromManifest(&m), nil
 }
 
-// reportSettingsError prints every fault of the settings with its path.
+// reportSettingsError prints every problem of the settings with its path.
 func reportSettingsError(err error) {
 	var invalid *document.InvalidError
 	if !errors.As(err, &invalid) {
--- a/ctl/admin.go
+++ b/ctl/admin.go
@@ -23,7 +23,8 @@
 
 const submissionIDBytes = 16
 
-// readManifest reads and checks a manifest before it is sent anywhere.
+// readManifest reads and validates the manifest named on the command line
+// before it is sent to a daemon.
 func readManifest(f *flag.FlagSet) ([]byte, error) {
 	if f.NArg() != 1 {
 		return nil, &UsageError{Expected: "one manifest file, or - for standard input"}
@@ -54,12 +55,13 @@
 	return data, nil
 }
 
-// UsageError says what a command wanted on its command line.
+// UsageError reports invalid command-line arguments and what the command
+// expects.
 type UsageError struct{ Expected string }
 
 func (e *UsageError) Error() string { return "usage: " + e.Expected }
 
-// submission holds the flags of the commands that change the configuration.
+// submission holds the flags of the commands that submit a configuration.
 type submission struct {
 	common
 	expected int64
@@ -74,7 +76,8 @@
 	f.DurationVar(&s.wait, "wait", 12*time.Second, "how long to wait until it is in force in every failure domain")
 }
 
-// fillDefaults fills in what the flags leave open.
+// fillDefaults sets a random submission ID if the flags give none, and extends
+// the call timeout by the wait.
 func (s *submission) fillDefaults() {
 	if s.id == "" {
 		s.id = newSubmissionID()
@@ -107,14 +110,15 @@
 	return p.printAcceptance(resp, resp)
 }
 
-// acceptance is what the answers to Apply and Rollback have in common.
+// acceptance is the common part of the responses to Apply and Rollback.
 type acceptance interface {
 	GetGeneration() uint64
 	GetInForceEverywhere() bool
 	GetDomains() []*adminv1.DomainStatus
 }
 
-// printAcceptance prints an answer, whose JSON form is v.
+// printAcceptance prints a response, whose JSON form is v, and returns the exit
+// status.
 func (c *common) printAcceptance(v any, a acceptance) subcommands.ExitStatus {
 	c.print(v, func(w io.Writer) {
 		fmt.Fprintf(w, "accepted as generation %d\n", a.GetGeneration())
@@ -128,7 +132,7 @@
 
 func newSubmissionID() string {
 	var b [submissionIDBytes]byte
-	// crypto/rand.Read never fails: it ends the program instead.
+	// crypto/rand.Read never returns an error; it aborts the program instead.
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
@@ -211,7 +215,8 @@
 	t.Flush()
 }
 
-// lastHeardText says when the answering daemon last heard from one itself.
+// lastHeardText describes when the answering daemon last heard directly from
+// another daemon.
 func lastHeardText(millisAgo int64) string {
 	if millisAgo < 0 {
 		return "never; by others' word"
--- a/ctl/bench.go
+++ b/ctl/bench.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return p.reportUsageError(err)
 	}
-	// Flags may stand behind the name, too.
+	// Flags may also follow the experiment's name.
 	if err := f.Parse(f.Args()[1:]); err != nil || f.NArg() > 0 {
 		return p.reportUsageError(&UsageError{Expected: "one experiment and flags before or behind it"})
 	}
--- a/ctl/causes.go
+++ b/ctl/causes.go
@@ -14,15 +14,15 @@
 	"github.com/google/subcommands"
 )
 
-// causesCmd sums up what ended requests without an answer, where the question is not one
-// request but which of them fail, when, and at whom.
+// causesCmd counts failed requests and attempts in the logs by cause, to show
+// which requests fail, when, and at which runner or daemon.
 type causesCmd struct {
 	common
 	by    string
 	limit int
 }
 
-// defaultCauseLimit is how many causes are shown unless the caller asks for more.
+// defaultCauseLimit is the default number of causes shown.
 const defaultCauseLimit = 20
 
 func (*causesCmd) Name() string     { return "causes" }
@@ -37,29 +37,33 @@
 	f.IntVar(&p.limit, "most", defaultCauseLimit, "how many causes to show, the most frequent first")
 }
 
-// Cause is a kind of failure and how often it came.
+// Cause is a group of failures with the same event and key, and their number.
 type Cause struct {
 	Event string `json:"event"`
-	// Key holds what the failures have in common, in the order that was asked for.
+	// Key holds the values that the failures have in common, in the order of
+	// the requested groupings.
 	Key   []string `json:"key"`
 	Count int      `json:"count"`
 }
 
-// Causes are the failures of some logs.
+// Causes holds the failures found in the logs, grouped by cause.
 type Causes struct {
 	By     []string `json:"by"`
 	Causes []Cause  `json:"causes"`
-	// Total counts all failures, also of causes that are not shown.
+	// Total is the number of all failures, including those whose causes are not
+	// shown.
 	Total int `json:"total"`
 }
 
-// failureEvents are the events that end a request, or an attempt, without an answer.
+// failureEvents lists the events that end a request or an attempt without an
+// answer.
 var failureEvents = []string{"refused", "broken_off", "caller_left", "attempt_failed"}
 
-// groupings are what causes can be told apart by.
+// groupings lists the properties by which causes can be grouped.
 var groupings = []string{"reason", "route", "workspace", "runner", "daemon", "second"}
 
-// UnknownGroupingError says that causes can't be told apart by a name.
+// UnknownGroupingError reports that failures cannot be grouped by the given
+// name.
 type UnknownGroupingError struct{ Name string }
 
 func (e *UnknownGroupingError) Error() string {
@@ -82,7 +86,7 @@
 	return subcommands.ExitSuccess
 }
 
-// causeCounter counts failures by what tells them apart.
+// causeCounter counts failures by event and grouping values.
 type causeCounter struct {
 	by     []string
 	counts map[string]*Cause
@@ -124,7 +128,7 @@
 
 var clockPattern = regexp.MustCompile(`\d\d:\d\d:\d\d`)
 
-// groupValue is what tells the decision apart by one of groupings.
+// groupValue returns the decision's value for one of the groupings.
 func (d *Decision) groupValue(name string) string {
 	switch name {
 	case "second":
@@ -136,8 +140,9 @@
 	}
 }
 
-// daemonFromSource is the word before a line's own header, where logs of several daemons
-// were put together; empty if there is none.
+// daemonFromSource returns the word before a line's klog header, which names
+// the daemon where the logs of several daemons were merged. It returns an empty
+// string if there is none.
 func daemonFromSource(source string) string {
 	words := strings.Fields(source)
 	for i, word := range words {
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl holds the subcommands of geraniumctl.
+// Package ctl implements the subcommands of geraniumctl.
 package ctl
 
 import (
@@ -22,17 +22,17 @@
 	"geraniumstack.org/geraniumstack/state/document"
 )
 
-// Exit statuses beyond those of package subcommands (0 success, 1 failure, 2
-// usage). docs/operators/geraniumctl.md lists them.
+// Exit statuses in addition to those of package subcommands (0 success, 1
+// failure, 2 usage). docs/operators/geraniumctl.md lists them.
 const (
-	// ExitInvalid says that a document is at fault.
+	// ExitInvalid reports that a document is invalid.
 	ExitInvalid = subcommands.ExitUsageError
-	// ExitConflict says that another operator's manifest came first.
+	// ExitConflict reports that another operator's manifest was accepted first.
 	ExitConflict subcommands.ExitStatus = 3
-	// ExitUnavailable says that no daemon answered.
+	// ExitUnavailable reports that no daemon answered.
 	ExitUnavailable subcommands.ExitStatus = 4
-	// ExitNotInForce says that a manifest was accepted but is not yet in force
-	// in every failure domain.
+	// ExitNotInForce reports that a manifest was accepted but is not yet in
+	// force in every failure domain.
 	ExitNotInForce subcommands.ExitStatus = 5
 )
 
@@ -46,7 +46,7 @@
 	groupLocal = "offline"
 )
 
-// Register adds every subcommand to a commander.
+// Register adds all subcommands to a commander. They write to out and errs.
 func Register(c *subcommands.Commander, out, errs io.Writer) {
 	base := common{out: out, errs: errs}
 	c.Register(c.HelpCommand(), "")
@@ -70,7 +70,7 @@
 	c.Register(&benchCmd{common: base}, groupLocal)
 }
 
-// common holds the flags that most commands share.
+// common holds the outputs and flags that most commands share.
 type common struct {
 	out, errs io.Writer
 	admin     string
@@ -99,7 +99,7 @@
 	return fallback
 }
 
-// print writes v as JSON, or text as it is.
+// print writes v as JSON if the output format is JSON; otherwise it calls text.
 func (c *common) print(v any, text func(io.Writer)) {
 	if c.output != outputJSON {
 		text(c.out)
@@ -148,9 +148,10 @@
 	return subcommands.ExitFailure
 }
 
-// call runs one admin call against the first daemon that answers. A call that
-// may have reached a daemon goes on to the next one only if that is safe: all
-// admin calls are repeatable, Apply by its submission id.
+// call makes an admin call to the first daemon that answers. If a daemon does
+// not answer, the call may have reached it anyway. Trying the next daemon is
+// safe nevertheless, because all admin calls may be repeated; Apply and
+// Rollback are made so by their submission ID.
 func call[Resp any](ctx context.Context, c *common, do func(context.Context, adminv1connect.AdminServiceClient) (*connect.Response[Resp], error)) (*Resp, error) {
 	httpClient, err := c.httpClient()
 	if err != nil {
@@ -182,7 +183,7 @@
 	}
 }
 
-// AuthoritiesError says that a file holds no certificate.
+// AuthoritiesError reports that a file contains no PEM certificate.
 type AuthoritiesError struct{ File string }
 
 func (e *AuthoritiesError) Error() string { return fmt.Sprintf("no certificate in %s", e.File) }
--- a/ctl/experiments.go
+++ b/ctl/experiments.go
@@ -13,7 +13,7 @@
 	"geraniumstack.org/geraniumstack/bench/spread"
 )
 
-// experiments lists what the bench command can run.
+// experiments returns the experiments that the bench command can run.
 func experiments() []bench.Experiment {
 	return []bench.Experiment{
 		actions.Experiment{},
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -23,19 +23,20 @@
 
 func (p *explainCmd) SetFlags(f *flag.FlagSet) { p.setFlags(f) }
 
-// Decision is one line of a log about a request.
+// Decision is one parsed log line.
 type Decision struct {
-	// Source is what stands before the line's fields: its time and place.
+	// Source is the text before the event: the time and code location, and the
+	// daemon's name in merged logs.
 	Source string            `json:"source"`
 	Event  string            `json:"event"`
 	Fields map[string]string `json:"fields"`
 }
 
-// Explanation is what the logs tell of one request.
+// Explanation holds what the logs contain about one request.
 type Explanation struct {
 	Request   string     `json:"request"`
 	Decisions []Decision `json:"decisions"`
-	// Summary says in a sentence how it ended.
+	// Summary describes in one sentence how the request ended.
 	Summary string `json:"summary"`
 }
 
@@ -61,10 +62,12 @@
 	return subcommands.ExitSuccess
 }
 
-// maxLogLine bounds a line; decisions have a few hundred bytes.
+// maxLogLine bounds the length of a log line; lines about decisions have a few
+// hundred bytes.
 const maxLogLine = 1 << 20
 
-// readLogs hands over the lines of the files, or of standard input if none is named.
+// readLogs passes each line of the files, or of standard input if no file is
+// named, to handleLine.
 func readLogs(names []string, handleLine func(line string)) error {
 	if len(names) == 0 {
 		return readLines(os.Stdin, handleLine)
@@ -114,7 +117,7 @@
 	return d
 }
 
-// summary names the last decision and what it rested on.
+// summary describes the last decision and its reasons.
 func (e *Explanation) summary() string {
 	if len(e.Decisions) == 0 {
 		return "no line about this request: it reached none of these daemons, or lines were dropped (see log_dropped_lines)"
--- a/ctl/explain_test.go
+++ b/ctl/explain_test.go
@@ -41,8 +41,9 @@
 	is.Equal(execute(t, &explainCmd{common{out: &out, errs: &out}}, "cc", log), subcommands.ExitFailure)
 }
 
-// Many requests fail within seconds. Which, at which runner and why is asked of the logs of
-// all daemons together; lines that end no request don't count.
+// When many requests fail within seconds, an operator must be able to find out
+// from the merged logs of all daemons which ones failed, at which runner and
+// why. Lines that report no failure must not be counted.
 func TestCauses(t *testing.T) {
 	is := is.New(t)
 	log := filepath.Join(t.TempDir(), "log")
@@ -65,7 +66,8 @@
 	is.True(execute(t, &causesCmd{common: common{out: &out, errs: &out}}, "-by", "guess", log) != subcommands.ExitSuccess)
 }
 
-// A file of the platform's settings is checked by its own reader.
+// check must recognize a file of the platform's settings and validate it as
+// such.
 func TestCheckPlatformSettings(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "boot.conf")
@@ -77,7 +79,7 @@
 	is.True(strings.Contains(out.String(), "platform.address"))
 }
 
-// Flags of an experiment are taken on either side of its name.
+// The bench command must accept flags on both sides of the experiment's name.
 func TestBenchAcceptsFlagsAfterName(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
--- a/ctl/local.go
+++ b/ctl/local.go
@@ -120,7 +120,7 @@
 	var probe struct {
 		Format *string `json:"format"`
 	}
-	// A broken document is reported by whichever reader it goes to.
+	// Invalid JSON is reported by the parser that reads the document next.
 	_ = json.Unmarshal(data, &probe)
 	return probe.Format != nil
 }
--- a/ctl/rollback_test.go
+++ b/ctl/rollback_test.go
@@ -17,7 +17,7 @@
 	"geraniumstack.org/geraniumstack/gen/geranium/admin/v1/adminv1connect"
 )
 
-// fakeAdmin answers rollbacks and keeps what it was asked.
+// fakeAdmin answers rollbacks with a prepared response and records the request.
 type fakeAdmin struct {
 	adminv1connect.UnimplementedAdminServiceHandler
 	request  *adminv1.RollbackRequest
--- a/ctl/trials.go
+++ b/ctl/trials.go
@@ -10,8 +10,8 @@
 	"github.com/google/subcommands"
 )
 
-// trialsCmd shows how orders to move a service to another software version went: each step
-// that the holder of the duties took, with the counts that it rests on.
+// trialsCmd shows the course of trials of new software versions of a service:
+// each step of a trial, with the counts on which the step was decided.
 type trialsCmd struct{ common }
 
 func (*trialsCmd) Name() string     { return "trials" }
@@ -22,18 +22,19 @@
 
 func (p *trialsCmd) SetFlags(f *flag.FlagSet) { p.setFlags(f) }
 
-// trialStepEvent is the event of a step.
+// trialStepEvent is the log event of a trial step.
 const trialStepEvent = "trial_step"
 
-// trialColumns are a step's fields as the log names them.
+// trialColumns lists the log fields of a step, in the order of the table's
+// columns.
 var trialColumns = []string{
 	"service", "target", "order", "state", "reason", "route", "reserved", "sent", "answers", "failed", "old_runners", "new_runners", "outcome",
 }
 
-// TrialStep is one step, by the names of trialColumns.
+// TrialStep maps the names in trialColumns to their values in one step.
 type TrialStep map[string]string
 
-// TrialSteps are the steps of some logs in the order in which they stand there.
+// TrialSteps holds the steps found in the logs, in the order of the log lines.
 type TrialSteps struct {
 	Steps []TrialStep `json:"steps"`
 }
--- a/ctl/trials_test.go
+++ b/ctl/trials_test.go
@@ -16,7 +16,7 @@
 I0305 15:49:01.100000 1 decisions.go:131] "trial_step" service="app" target="v2" order=41 state="rolled_back" reason="more_failures" route="lookup" reserved=70 sent=31 answers=30 failed=12 old_runners=4 new_runners=4 outcome="written"
 `
 
-// Guards against an operator who can't tell from the logs why a version was taken back.
+// Operators must be able to tell from the logs why a version was rolled back.
 func TestTrialsShowReasonForRollback(t *testing.T) {
 	is := is.New(t)
 	log := filepath.Join(t.TempDir(), "log")
--- a/internal/actionhistory/actionhistory.go
+++ b/internal/actionhistory/actionhistory.go
@@ -1,5 +1,6 @@
-// Package actionhistory records what befell actions in a test and checks it:
-// no action runs twice, and what callers were told is true.
+// Package actionhistory records the history of actions in a test and checks it
+// with a linearizability checker: no action may run more than once, and the
+// results returned to callers must be true.
 package actionhistory
 
 import (
@@ -13,18 +14,20 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// History is a concurrent run. It is safe for concurrent use.
+// History records concurrent operations on actions. It is safe for concurrent
+// use.
 type History struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
-	// Yes, No and Unknown count what callers were told.
+	// Yes, No and Unknown count the results returned to callers, by their
+	// execution status.
 	Yes, No, Unknown int
-	// Runs counts executions at runners.
+	// Runs counts the executions at runners.
 	Runs int
 }
 
-// event is one step of an action's history: a run at a runner, or what a
-// caller was told.
+// event is one operation in an action's history: an execution at a runner, or a
+// result returned to a caller.
 type event struct {
 	id       actionkey.ID
 	run      bool
@@ -33,7 +36,7 @@
 	answer   string
 }
 
-// RecordRun records an execution; each has an answer of its own.
+// RecordRun records an execution. Each execution must have a different answer.
 func (h *History) RecordRun(at time.Time, id actionkey.ID, body, answer string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,8 +44,9 @@
 	h.add(at, at, event{id: id, run: true, body: body, answer: answer})
 }
 
-// RecordResult records what a caller was told; an empty body asked by key alone.
-// "Unknown" claims nothing and is only counted.
+// RecordResult records a result returned to a caller. An empty body means that
+// the caller asked by key alone. A result with status unknown makes no claim
+// and is only counted.
 func (h *History) RecordResult(from, to time.Time, id actionkey.ID, body string, r action.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,21 +68,23 @@
 	})
 }
 
-// Len is the number of steps that were recorded.
+// Len returns the number of recorded operations.
 func (h *History) Len() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.operations)
 }
 
-// IsValid tells whether every action has a life that explains all that was seen.
+// IsValid reports whether the history is linearizable, that is, whether each
+// action has a sequence of states that explains all recorded operations.
 func (h *History) IsValid() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return porcupine.CheckOperations(atMostOnceModel, h.operations)
 }
 
-// actionState is an action's true life: undecided, then run once or never.
+// actionState is the state of an action in the model: undecided, run once, or
+// never to run.
 type actionState struct {
 	ran       bool
 	neverRuns bool
@@ -105,7 +111,7 @@
 	},
 }
 
-// partition splits a history by actions, which have nothing to do with each
+// partition splits a history by action, because actions are independent of each
 // other.
 func partition(operations []porcupine.Operation) [][]porcupine.Operation {
 	byID := map[actionkey.ID]int{}
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,13 +1,14 @@
-// Package fixedseed makes rapid's properties draw the same values in every run,
-// so that CI gives the same verdict each time. Tests import it for its effect.
-// The -rapid.seed flag on the command line goes before it.
+// Package fixedseed sets a fixed seed for property tests with rapid, so that
+// they draw the same values in every run and CI results are reproducible. Tests
+// import it for its side effect. The -rapid.seed flag on the command line
+// overrides the seed.
 package fixedseed
 
 import (
 	"flag"
 	"fmt"
 
-	// Its flags must be defined before they are set here.
+	// rapid must define its flags before init sets them.
 	_ "pgregory.net/rapid"
 )
 
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a while or until a context ends.
+// Package pause provides a sleep that ends early when a context ends.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits and tells whether the context is still good. It does not wait at all for
-// no time or less.
+// For sleeps for d or until ctx ends, and reports whether ctx is still active.
+// It does not sleep if d is zero or negative.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
