--- a/cmd/geraniumd/main.go
+++ b/cmd/geraniumd/main.go
@@ -1,6 +1,6 @@
 // Command geraniumd is the daemon of one entry VM. With -settings it serves the
-// product's own interface; without, and with the platform's settings in the
-// environment, it serves on the users' platform.
+// product's own API. Without -settings, and with the path of the platform's
+// settings in the environment, it serves on the users' platform.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	"geraniumstack.org/geraniumstack/state/document"
 )
 
-// Exit statuses.
+// Exit statuses of the process.
 const (
 	exitFailure = 1
 	exitInvalid = 2
@@ -33,20 +33,20 @@
 func run() int {
 	klog.InitFlags(nil)
 	path := flag.String("settings", "", "the settings file (JSON)")
-	without := flag.String("without", "", "mechanisms to leave out on the users' platform, separated by commas, to measure what they are worth")
-	direct := flag.Int("direct-fleet", relays.DirectFleet, "daemons up to which all of a fleet on the users' platform tell each other directly; the same for all of them")
+	disabled := flag.String("without", "", "mechanisms to leave out on the users' platform, separated by commas, to measure what they are worth")
+	directFleet := flag.Int("direct-fleet", relays.DirectFleet, "daemons up to which all of a fleet on the users' platform tell each other directly; the same for all of them")
 	flag.Parse()
 	defer klog.Flush()
-	if onPlatform := os.Getenv(platform.SettingsEnv); *path == "" && onPlatform != "" {
-		return runOnPlatform(onPlatform, *without, *direct)
+	if platformSettings := os.Getenv(platform.SettingsEnv); *path == "" && platformSettings != "" {
+		return runOnPlatform(platformSettings, *disabled, *directFleet)
 	}
 	s, err := settings.Load(*path)
 	if err != nil {
-		return report(err)
+		return reportSettingsError(err)
 	}
 	d, err := daemon.New(s, daemon.TCP{})
 	if err != nil {
-		klog.ErrorS(err, "Daemon not started")
+		klog.ErrorS(err, "Starting the daemon failed")
 		return exitFailure
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -58,11 +58,12 @@
 	return 0
 }
 
-// runOnPlatform serves until SIGTERM. The log goes to standard output.
-func runOnPlatform(path, without string, direct int) int {
-	policy, err := edge.Without(without)
+// runOnPlatform serves on the users' platform until SIGTERM or an interrupt. It
+// writes the log to standard output.
+func runOnPlatform(path, disabled string, directFleet int) int {
+	policy, err := edge.Without(disabled)
 	if err == nil {
-		policy, err = policy.WithDirectFleet(direct)
+		policy, err = policy.WithDirectFleet(directFleet)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -83,14 +84,15 @@
 	}
 	var invalid *document.InvalidError
 	if errors.As(err, &invalid) {
-		return report(err)
+		return reportSettingsError(err)
 	}
 	fmt.Fprintln(os.Stderr, err)
 	return exitFailure
 }
 
-// report prints every fault of the settings with its path.
-func report(err error) int {
+// reportSettingsError prints every problem of the settings with its path and
+// returns the exit status.
+func reportSettingsError(err error) int {
 	var invalid *document.InvalidError
 	if !errors.As(err, &invalid) {
 		fmt.Fprintln(os.Stderr, err)
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -23,35 +23,36 @@
 
 func (p *explainCmd) SetFlags(f *flag.FlagSet) { p.setFlags(f) }
 
-// Decision is one line of a log about a request.
+// Decision is one parsed log line.
 type Decision struct {
-	// Source is what stands before the line's fields: its time and place.
+	// Source is the text before the event: the time and code location, and the
+	// daemon's name in merged logs.
 	Source string            `json:"source"`
 	Event  string            `json:"event"`
 	Fields map[string]string `json:"fields"`
 }
 
-// Explanation is what the logs tell of one request.
+// Explanation holds what the logs contain about one request.
 type Explanation struct {
 	Request   string     `json:"request"`
 	Decisions []Decision `json:"decisions"`
-	// Summary says in a sentence how it ended.
+	// Summary describes in one sentence how the request ended.
 	Summary string `json:"summary"`
 }
 
 func (p *explainCmd) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() == 0 {
-		return p.fail(&UsageError{Want: "a request's id"})
+		return p.reportError(&UsageError{Expected: "a request's id"})
 	}
 	e := Explanation{Request: f.Arg(0)}
-	mark := fmt.Sprintf("request=%q", e.Request)
+	requestField := fmt.Sprintf("request=%q", e.Request)
 	err := readLogs(f.Args()[1:], func(line string) {
-		if strings.Contains(line, mark) {
+		if strings.Contains(line, requestField) {
 			e.Decisions = append(e.Decisions, parseDecision(line))
 		}
 	})
 	if err != nil {
-		return p.fail(err)
+		return p.reportError(err)
 	}
 	e.Summary = e.summary()
 	p.print(e, e.write)
@@ -61,20 +62,22 @@
 	return subcommands.ExitSuccess
 }
 
-// maxLogLine bounds a line; decisions have a few hundred bytes.
+// maxLogLine bounds the length of a log line; lines about decisions have a few
+// hundred bytes.
 const maxLogLine = 1 << 20
 
-// readLogs hands over the lines of the files, or of standard input if none is named.
-func readLogs(names []string, take func(line string)) error {
+// readLogs passes each line of the files, or of standard input if no file is
+// named, to handleLine.
+func readLogs(names []string, handleLine func(line string)) error {
 	if len(names) == 0 {
-		return readLines(os.Stdin, take)
+		return readLines(os.Stdin, handleLine)
 	}
 	for _, name := range names {
 		file, err := os.Open(name)
 		if err != nil {
 			return fmt.Errorf("open log: %w", err)
 		}
-		err = readLines(file, take)
+		err = readLines(file, handleLine)
 		file.Close()
 		if err != nil {
 			return err
@@ -83,11 +86,11 @@
 	return nil
 }
 
-func readLines(r io.Reader, take func(line string)) error {
+func readLines(r io.Reader, handleLine func(line string)) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
-		take(lines.Text())
+		handleLine(lines.Text())
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("read log: %w", err)
@@ -96,25 +99,25 @@
 }
 
 var (
-	eventForm = regexp.MustCompile(`^(.*?)\] "([a-z_]+)" (.*)$`)
-	fieldForm = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)`)
+	eventPattern = regexp.MustCompile(`^(.*?)\] "([a-z_]+)" (.*)$`)
+	fieldPattern = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)`)
 )
 
 func parseDecision(line string) Decision {
 	d := Decision{Fields: map[string]string{}}
-	m := eventForm.FindStringSubmatch(line)
+	m := eventPattern.FindStringSubmatch(line)
 	if m == nil {
 		d.Source = line
 		return d
 	}
 	d.Source, d.Event = m[1], m[2]
-	for _, f := range fieldForm.FindAllStringSubmatch(m[3], -1) {
+	for _, f := range fieldPattern.FindAllStringSubmatch(m[3], -1) {
 		d.Fields[f[1]] = strings.Trim(f[2], `"`)
 	}
 	return d
 }
 
-// summary names the last decision and what it rested on.
+// summary describes the last decision and its reasons.
 func (e *Explanation) summary() string {
 	if len(e.Decisions) == 0 {
 		return "no line about this request: it reached none of these daemons, or lines were dropped (see log_dropped_lines)"
