--- a/bench/orders/episode.go
+++ b/bench/orders/episode.go
@@ -181,7 +181,7 @@
 }
 
 func (e *episode) send(token uint64) {
-	arrival := e.now + e.random(lease.DefaultTiming().MaxOrder)
+	arrival := e.now + e.random(lease.DefaultTiming().MaxOrderLatency)
 	e.orders = append(e.orders, order{token: token, arrival: arrival})
 }
 
--- a/bench/orders/orders.go
+++ b/bench/orders/orders.go
@@ -61,7 +61,7 @@
 	report := bench.Report{
 		Experiment: "orders", Seeds: o.Seeds,
 		Notes: []string{fmt.Sprintf("%d pauses of up to %v, half with the holder cut off from the key-value service; %d candidates, clocks up to %g %% apart, orders of up to %v, virtual time",
-			pauses, lease.DefaultTiming().MaxPause, candidates, 100*lease.DefaultTiming().Drift, lease.DefaultTiming().MaxOrder)},
+			pauses, lease.DefaultTiming().MaxPause, candidates, 100*lease.DefaultTiming().Drift, lease.DefaultTiming().MaxOrderLatency)},
 	}
 	for _, a := range arms() {
 		if !o.Wants(a.name) {
--- a/coordination/canary/canary_test.go
+++ b/coordination/canary/canary_test.go
@@ -17,18 +17,18 @@
 const rollbackTime = 5 * time.Second
 
 var badVersions = map[string]version{
-	"fails all":        {fails: 1},
-	"fails half":       {fails: 0.5},
-	"fails 30%":        {fails: 0.3},
-	"fails lookups":    {fails: 0.5, route: "lookup"},
-	"fails pledges":    {fails: 0.5, route: "pledge"},
-	"slow all x4":      {slow: 1, times: 4},
-	"slow half x5":     {slow: 0.5, times: 5},
-	"slow lookups x4":  {slow: 1, times: 4, route: "lookup"},
-	"fails from 5 s":   {fails: 0.4, from: 5 * time.Second},
-	"slow from 6 s":    {slow: 1, times: 4, from: 6 * time.Second},
-	"fails under load": {fails: 0.6, load: 3},
-	"slow under load":  {slow: 1, times: 5, load: 3},
+	"fails all":        {failureFraction: 1},
+	"fails half":       {failureFraction: 0.5},
+	"fails 30%":        {failureFraction: 0.3},
+	"fails lookups":    {failureFraction: 0.5, route: "lookup"},
+	"fails pledges":    {failureFraction: 0.5, route: "pledge"},
+	"slow all x4":      {slowFraction: 1, slowFactor: 4},
+	"slow half x5":     {slowFraction: 0.5, slowFactor: 5},
+	"slow lookups x4":  {slowFraction: 1, slowFactor: 4, route: "lookup"},
+	"fails from 5 s":   {failureFraction: 0.4, badFrom: 5 * time.Second},
+	"slow from 6 s":    {slowFraction: 1, slowFactor: 4, badFrom: 6 * time.Second},
+	"fails under load": {failureFraction: 0.6, minInFlight: 3},
+	"slow under load":  {slowFraction: 1, slowFactor: 5, minInFlight: 3},
 }
 
 // withinBounds reports whether a bad version got no more than its share of requests, got none
@@ -76,14 +76,14 @@
 		p := newSimulation(rapid.Uint64().Draw(t, "seed"))
 		p.daemons = rapid.IntRange(1, 60).Draw(t, "daemons")
 		p.messageLoss = rapid.Float64Range(0, 0.5).Draw(t, "loss")
-		p.daemonEnds = rapid.Float64Range(0, 0.5).Draw(t, "ends")
+		p.daemonRestartRate = rapid.Float64Range(0, 0.5).Draw(t, "ends")
 		p.bootTime = time.Duration(rapid.IntRange(0, 60).Draw(t, "boot")) * 100 * time.Millisecond
-		p.new = rapid.IntRange(1, 6).Draw(t, "runners")
-		for at := time.Duration(0); len(p.holderEnds) < rapid.IntRange(0, 3).Draw(t, "holders"); {
+		p.newRunners = rapid.IntRange(1, 6).Draw(t, "runners")
+		for at := time.Duration(0); len(p.holderReplacementTimes) < rapid.IntRange(0, 3).Draw(t, "holders"); {
 			at += time.Duration(rapid.IntRange(5, 40).Draw(t, "tenure")) * 100 * time.Millisecond
-			p.holderEnds = append(p.holderEnds, at)
+			p.holderReplacementTimes = append(p.holderReplacementTimes, at)
 		}
-		p.bad = version{fails: rapid.Float64Range(0.3, 1).Draw(t, "fails"), from: time.Duration(rapid.IntRange(0, 4).Draw(t, "from")) * time.Second}
+		p.bad = version{failureFraction: rapid.Float64Range(0.3, 1).Draw(t, "fails"), badFrom: time.Duration(rapid.IntRange(0, 4).Draw(t, "from")) * time.Second}
 		p.run()
 		if !p.withinBounds() {
 			t.Fatalf("%d of %d requests exposed, %d bad answers, fiftieth at %v, last request at %v, verdict changed: %v", p.exposed, p.total, p.badAnswers, p.fiftiethBadAt, p.lastNewAt, p.verdictChanged)
--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -8,25 +8,25 @@
 const (
 	// evidenceThreshold is the log likelihood ratio at which a difference is accepted.
 	evidenceThreshold = 7.5
-	// failureShift and slowShift are the increases over the old version's share of failed and
+	// failureRateIncrease and slowShift are the increases over the old version's share of failed and
 	// of slow answers that define a bad version. The test attributes an increase of less than
 	// about half of that to chance.
-	failureShift = 0.2
-	slowShift    = 0.3
-	// minBaselineShare replaces smaller shares of the old version, so that no single answer
+	failureRateIncrease = 0.2
+	slowRateIncrease    = 0.3
+	// minBaselineRate replaces smaller shares of the old version, so that no single answer
 	// decides.
-	minBaselineShare = 0.04
-	// The slowest usualSlowShare of the old version's answers sets the usual limit. Answers
+	minBaselineRate = 0.04
+	// The slowest usualSlowFraction of the old version's answers sets the usual limit. Answers
 	// more than slowBuckets histogram buckets beyond that limit count as slow.
-	usualSlowShare = 0.1
-	slowBuckets    = 2
+	usualSlowFraction      = 0.1
+	slowLimitMarginBuckets = 2
 	// A difference in the failure rates over all answers is accepted from excessThreshold
 	// standard deviations on, if both versions have at least minCompared answers and the new
 	// one at least minFailed failures. minFailureShare replaces a smaller share of failures.
 	excessThreshold = 4.0
 	minCompared     = 15
 	minFailed       = 4
-	minFailureShare = 0.01
+	minFailureRate  = 0.01
 	// baselineHalfLife is the time in which the old version's answers lose half of their
 	// weight, so that a fault that makes both versions fail for a while does not count
 	// against the new one.
@@ -59,8 +59,8 @@
 	// histogram of their durations.
 	answers, failed float64
 	times           [timeBuckets]float64
-	// failing and slow are the cumulative sums.
-	failing, slow float64
+	// failingSum and slowSum are the cumulative sums.
+	failingSum, slowSum float64
 	// allOld and allNew count all answers, without decay.
 	allOld, allNew outcomes
 }
@@ -93,13 +93,13 @@
 	if fresh.Answers == 0 {
 		return
 	}
-	e.failing = cusum(e.failing, e.failed/max(1, e.answers), failureShift, fresh.Failed, fresh.Answers)
-	limit, share := e.slowLimit()
+	e.failingSum = cusum(e.failingSum, e.failed/max(1, e.answers), failureRateIncrease, fresh.Failed, fresh.Answers)
+	limit, slowRate := e.slowLimit()
 	slow := 0
 	for _, n := range fresh.Times[limit:] {
 		slow += n
 	}
-	e.slow = cusum(e.slow, share, slowShift, slow, fresh.Answers-fresh.Failed)
+	e.slowSum = cusum(e.slowSum, slowRate, slowRateIncrease, slow, fresh.Answers-fresh.Failed)
 }
 
 // slowLimit returns the first histogram bucket of slow answers and the share of the old
@@ -110,11 +110,11 @@
 		return timeBuckets, 0
 	}
 	above, i := 0.0, timeBuckets
-	for i > 0 && above+e.times[i-1] <= usualSlowShare*total {
+	for i > 0 && above+e.times[i-1] <= usualSlowFraction*total {
 		i--
 		above += e.times[i]
 	}
-	i = min(timeBuckets, i+slowBuckets)
+	i = min(timeBuckets, i+slowLimitMarginBuckets)
 	above = 0
 	for _, n := range e.times[i:] {
 		above += n
@@ -124,10 +124,10 @@
 
 // cusum adds a batch of answers to a sum; hits is the number that speak against the version.
 // The order of answers within a batch is unknown, so the hits are spread evenly.
-func cusum(sum, share, shift float64, hits, answers int) float64 {
-	share = min(max(share, minBaselineShare), 1-shift-minBaselineShare)
-	against := math.Log((share + shift) / share)
-	inFavour := math.Log((1 - share - shift) / (1 - share))
+func cusum(sum, baselineRate, rateIncrease float64, hits, answers int) float64 {
+	baselineRate = min(max(baselineRate, minBaselineRate), 1-rateIncrease-minBaselineRate)
+	against := math.Log((baselineRate + rateIncrease) / baselineRate)
+	inFavour := math.Log((1 - baselineRate - rateIncrease) / (1 - baselineRate))
 	for i := range answers {
 		// Counts a hit whenever the proportional number of hits reaches the next integer.
 		if (i+1)*hits/answers > i*hits/answers {
@@ -163,7 +163,7 @@
 		return 0
 	}
 	pooled := (e.allNew.failed + e.allOld.failed) / (n + m)
-	pooled = min(max(pooled, minFailureShare), 1-minFailureShare)
+	pooled = min(max(pooled, minFailureRate), 1-minFailureRate)
 	return (e.allNew.failed/n - e.allOld.failed/m) / math.Sqrt(pooled*(1-pooled)*(1/n+1/m))
 }
 
@@ -171,9 +171,9 @@
 func (j *CUSUM) Bad() (Series, Reason, bool) {
 	for s, e := range j.series {
 		switch {
-		case e.failing >= evidenceThreshold || e.excess() >= excessThreshold:
+		case e.failingSum >= evidenceThreshold || e.excess() >= excessThreshold:
 			return s, MoreFailures, true
-		case e.slow >= evidenceThreshold:
+		case e.slowSum >= evidenceThreshold:
 			return s, Slower, true
 		}
 	}
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -22,17 +22,17 @@
 }
 
 const (
-	// usableShare and usableSlack are the fractions of the bounds that are granted. The rest
+	// grantableShareFraction and usableSlack are the fractions of the bounds that are granted. The rest
 	// is left for a version that turns bad when it gets all requests.
-	usableShare = 0.8
-	usableSlack = 0.6
+	grantableShareFraction = 0.8
+	grantableSlackFraction = 0.6
 	// reserveStep is the number of requests that are reserved in the record at a time.
 	reserveStep = 40
 	// Trial requests are sent in bursts, so that the new runners are tested at the load they
-	// will have. burstShare is the fraction of the requests that goes to the new version
+	// will have. burstFraction is the fraction of the requests that goes to the new version
 	// during a burst. A burst starts when the ungranted budget covers burstDuration, bounded
 	// by minBurst and maxBurst, and ends when the budget falls below burstEndBelow requests.
-	burstShare    = 0.25
+	burstFraction = 0.25
 	burstDuration = time.Second
 	minBurst      = 8
 	maxBurst      = 40
@@ -51,9 +51,9 @@
 	minAnswersToPromote  = 40
 	minAnswersPerRoute   = 20
 	minAnswersAtDeadline = 8
-	// minRouteShare is the fraction of all requests that a route needs to be judged and to be
+	// minRouteFraction is the fraction of all requests that a route needs to be judged and to be
 	// the favoured route.
-	minRouteShare = 0.05
+	minRouteFraction = 0.05
 	// minRunnerRatio is the minimum ratio of new to old runners for a promotion.
 	minRunnerRatio = 0.75
 	// reportTimeout is how long after its last report a daemon is no longer waited for.
@@ -68,11 +68,11 @@
 	comparison Comparison
 	// daemons maps the incarnation of each daemon to its state.
 	daemons map[string]*daemonState
-	// grantedBefore is what earlier holders had reserved when this holder started.
-	grantedBefore int
-	burstOpen     bool
-	// unwritten is set until the first record of the order has been written.
-	unwritten bool
+	// reservedByEarlierHolders is what earlier holders had reserved when this holder started.
+	reservedByEarlierHolders int
+	burstOpen                bool
+	// firstRecordUnwritten is set until the first record of the order has been written.
+	firstRecordUnwritten bool
 	// promotedAt is when this holder first saw the order as Promoting; negative before.
 	promotedAt time.Duration
 	fleet      Fleet
@@ -86,8 +86,8 @@
 type daemonState struct {
 	report     Report
 	reportedAt time.Duration
-	// initialCeiling is the ceiling that earlier holders had granted; ceiling is the current one.
-	initialCeiling, ceiling int
+	// firstReportedCeiling is the ceiling that earlier holders had granted; ceiling is the current one.
+	firstReportedCeiling, ceiling int
 	// perSecond is the daemon's rate of requests.
 	perSecond float64
 }
@@ -98,10 +98,10 @@
 	h := &Holder{bounds: b, order: o, comparison: NewCUSUM(), daemons: map[string]*daemonState{}, promotedAt: -1}
 	if found.Order == o.Revision {
 		h.record = found
-		h.grantedBefore = found.Reserved
+		h.reservedByEarlierHolders = found.Reserved
 		return h
 	}
-	h.unwritten = true
+	h.firstRecordUnwritten = true
 	h.record = Record{
 		Service: o.Service, Target: o.Target, Order: o.Revision, State: Running, Holder: self,
 		DeadlineMillis: unixMillis + o.Duration.Milliseconds(), Avoid: found.versionsToAvoid(o.Target), Reason: Ordered,
@@ -112,17 +112,17 @@
 // Record returns the record last written, or the first one to write.
 func (h *Holder) Record() Record { return h.record }
 
-// Unwritten reports whether no record of the order has been written yet.
-func (h *Holder) Unwritten() bool { return h.unwritten }
+// FirstRecordUnwritten reports whether no record of the order has been written yet.
+func (h *Holder) FirstRecordUnwritten() bool { return h.firstRecordUnwritten }
 
 // SetWritten records that r has been written.
-func (h *Holder) SetWritten(r Record) { h.record, h.unwritten = r, false }
+func (h *Holder) SetWritten(r Record) { h.record, h.firstRecordUnwritten = r, false }
 
-// Sent returns how many requests are known to have gone to the new version while Running.
-func (h *Holder) Sent() int {
-	sent := h.grantedBefore
+// SentOrReserved returns how many requests are known to have gone to the new version while Running.
+func (h *Holder) SentOrReserved() int {
+	sent := h.reservedByEarlierHolders
 	for _, a := range h.daemons {
-		sent += a.report.Sent - min(a.initialCeiling, a.report.Sent)
+		sent += a.report.Sent - min(a.firstReportedCeiling, a.report.Sent)
 	}
 	return sent
 }
@@ -151,7 +151,7 @@
 	}
 	heldCeiling := max(r.Sent, r.Ceiling)
 	if !known {
-		a = &daemonState{initialCeiling: heldCeiling, reportedAt: now}
+		a = &daemonState{firstReportedCeiling: heldCeiling, reportedAt: now}
 		h.daemons[daemon] = a
 	}
 	h.compare(a, &r)
@@ -176,9 +176,9 @@
 
 // granted returns the most requests that have been granted, those of earlier holders included.
 func (h *Holder) granted() int {
-	sum := h.grantedBefore
+	sum := h.reservedByEarlierHolders
 	for _, a := range h.daemons {
-		sum += a.ceiling - a.initialCeiling
+		sum += a.ceiling - a.firstReportedCeiling
 	}
 	return sum
 }
@@ -189,7 +189,7 @@
 	for _, a := range h.daemons {
 		total += a.report.Total
 	}
-	return int(usableShare*h.bounds.Share*float64(total) + usableSlack*h.bounds.Slack)
+	return int(grantableShareFraction*h.bounds.Share*float64(total) + grantableSlackFraction*h.bounds.Slack)
 }
 
 // burstSize returns how many requests must be available to grant for a burst to start.
@@ -198,7 +198,7 @@
 	for _, a := range h.daemons {
 		perSecond += a.perSecond
 	}
-	return min(max(int(burstShare*perSecond*burstDuration.Seconds()), minBurst), maxBurst)
+	return min(max(int(burstFraction*perSecond*burstDuration.Seconds()), minBurst), maxBurst)
 }
 
 // grant raises a daemon's ceiling by what the daemon needs until its next report.
@@ -219,7 +219,7 @@
 		return allowance
 	}
 	allowance.FavouredRoute, _ = h.leastTestedRoute()
-	allowance.Runners = max(1, int(burstShare*h.fleet.Reporting*float64(h.fleet.NewRunners)))
+	allowance.Runners = max(1, int(burstFraction*h.fleet.Reporting*float64(h.fleet.NewRunners)))
 	allowance.Share = min(1, float64(allowance.Runners)/(h.fleet.Reporting*float64(h.fleet.NewRunners)))
 	if h.fleet.OldRunners > 0 {
 		allowance.Share = min(allowance.Share, 0.5)
@@ -261,7 +261,7 @@
 	}
 	least, fewest := "", math.MaxInt
 	for name, k := range routes {
-		if float64(k.old) >= minRouteShare*float64(total) && (k.fresh < fewest || k.fresh == fewest && name < least) {
+		if float64(k.old) >= minRouteFraction*float64(total) && (k.fresh < fewest || k.fresh == fewest && name < least) {
 			least, fewest = name, k.fresh
 		}
 	}
@@ -290,18 +290,18 @@
 	if r.Holder != self {
 		r.Holder, r.Reason = self, TookOver
 	}
-	if h.unwritten && f.OldRunners == 0 && f.NewRunners > 0 {
+	if h.firstRecordUnwritten && f.OldRunners == 0 && f.NewRunners > 0 {
 		r.State, r.Reason = Completed, AlreadyInUse
 		return r
 	}
-	elapsedShare := h.elapsedShare(unixMillis)
+	elapsedFraction := h.elapsedFractionOfDuration(unixMillis)
 	answers, _ := h.Answers()
 	_, least := h.leastTestedRoute()
 	enoughRunners := float64(f.NewRunners) >= minRunnerRatio*float64(f.OldRunners) && f.NewRunners > 0
 	switch {
-	case elapsedShare >= promoteAfter && answers >= minAnswersToPromote && least >= minAnswersPerRoute && enoughRunners:
+	case elapsedFraction >= promoteAfter && answers >= minAnswersToPromote && least >= minAnswersPerRoute && enoughRunners:
 		r.State, r.Reason = Promoting, NoDifference
-	case elapsedShare < completeBy-h.propagationShare():
+	case elapsedFraction < completeBy-h.propagationFractionOfDuration():
 	case answers >= minAnswersAtDeadline && enoughRunners:
 		r.State, r.Reason = Promoting, TimeOver
 	case enoughRunners:
@@ -323,7 +323,7 @@
 		h.promotedAt = now
 	}
 	switch {
-	case h.elapsedShare(unixMillis) >= completeBy:
+	case h.elapsedFractionOfDuration(unixMillis) >= completeBy:
 		r.State, r.Reason = Completed, TimeOver
 	case now-h.promotedAt >= propagationTime && h.oldRunnersIdle(now):
 		r.State, r.Reason = Completed, OldIdle
@@ -331,8 +331,8 @@
 	return r
 }
 
-// elapsedShare returns the fraction of the order's duration that has passed.
-func (h *Holder) elapsedShare(unixMillis int64) float64 {
+// elapsedFractionOfDuration returns the fraction of the order's duration that has passed.
+func (h *Holder) elapsedFractionOfDuration(unixMillis int64) float64 {
 	if h.order.Duration <= 0 {
 		return 1
 	}
@@ -340,8 +340,8 @@
 	return 1 - float64(left)/float64(h.order.Duration)
 }
 
-// propagationShare returns propagationTime as a fraction of the order's duration.
-func (h *Holder) propagationShare() float64 {
+// propagationFractionOfDuration returns propagationTime as a fraction of the order's duration.
+func (h *Holder) propagationFractionOfDuration() float64 {
 	if h.order.Duration <= 0 {
 		return 0
 	}
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -12,38 +12,38 @@
 
 // requestKind is a kind of requests to the simulated service.
 type requestKind struct {
-	route     string
-	perSecond float64
-	fails     float64
+	route       string
+	perSecond   float64
+	failureRate float64
 }
 
 // version describes how the runners of a version answer.
 type version struct {
-	// fails and slow are the shares of answers that fail or take longer by the factor times.
+	// failureFraction and slowFraction are the shares of answers that fail or take longer by the factor slowFactor.
 	// They apply from the time from on, to one route (empty means all routes), and to runners
 	// with at least load requests in progress.
-	fails, slow, times float64
-	from               time.Duration
-	route              string
-	load               int
+	failureFraction, slowFraction, slowFactor float64
+	badFrom                                   time.Duration
+	route                                     string
+	minInFlight                               int
 }
 
 // simulation runs one order of a service, with its daemons, runners, requests and messages.
 type simulation struct {
-	rng         *rand.Rand
-	kinds       []requestKind
-	daemons     int
-	old, new    int
-	slots       int
-	bootTime    time.Duration
-	duration    time.Duration
-	bad         version
-	messageLoss float64
-	// holderEnds are the times at which another daemon takes over as the holder.
-	holderEnds []time.Duration
-	// daemonEnds is the share of the daemons that restart per second.
-	daemonEnds float64
-	compare    func() canary.Comparison
+	rng                    *rand.Rand
+	kinds                  []requestKind
+	daemons                int
+	oldRunners, newRunners int
+	slotsPerRunner         int
+	bootTime               time.Duration
+	duration               time.Duration
+	bad                    version
+	messageLoss            float64
+	// holderReplacementTimes are the times at which another daemon takes over as the holder.
+	holderReplacementTimes []time.Duration
+	// daemonRestartRate is the share of the daemons that restart per second.
+	daemonRestartRate float64
+	compare           func() canary.Comparison
 
 	now          time.Duration
 	gates        []*canary.Gate
@@ -51,29 +51,29 @@
 	incarnations []int
 	holder       *canary.Holder
 	// previousHolder is a holder that does not know yet that it has been replaced.
-	previousHolder *canary.Holder
-	previousEnds   time.Duration
-	holders        int
-	record         canary.Record
-	runners        map[bool][]*backend
-	pendingAnswer  []pendingAnswer
-	total          int
-	exposed        int
-	refused        int
-	badAnswers     int
-	fiftiethBadAt  time.Duration
-	lastNewAt      time.Duration
-	completedAt    time.Duration
-	verdictChanged bool
-	interrupted    int
+	previousHolder  *canary.Holder
+	previousStopsAt time.Duration
+	holders         int
+	record          canary.Record
+	runners         map[bool][]*backend
+	pendingAnswer   []pendingAnswer
+	total           int
+	exposed         int
+	refused         int
+	badAnswers      int
+	fiftiethBadAt   time.Duration
+	lastNewAt       time.Duration
+	completedAt     time.Duration
+	verdictChanged  bool
+	interrupted     int
 }
 
-type backend struct{ free []time.Duration }
+type backend struct{ slotFreeAt []time.Duration }
 
 // inFlight returns the number of requests in progress at the runner.
 func (b *backend) inFlight(now time.Duration) int {
 	n := 0
-	for _, at := range b.free {
+	for _, at := range b.slotFreeAt {
 		if at > now {
 			n++
 		}
@@ -106,7 +106,7 @@
 	return &simulation{
 		rng:     rand.New(rand.NewPCG(seed, 0)),
 		kinds:   []requestKind{{"pledge", 134, 0.004}, {"lookup", 31, 0.14}},
-		daemons: 33, old: 4, new: 4, slots: 6, bootTime: 1500 * time.Millisecond, duration: 12 * time.Second,
+		daemons: 33, oldRunners: 4, newRunners: 4, slotsPerRunner: 6, bootTime: 1500 * time.Millisecond, duration: 12 * time.Second,
 		compare:     func() canary.Comparison { return canary.NewCUSUM() },
 		oldInFlight: map[*canary.Gate]int{},
 	}
@@ -117,7 +117,7 @@
 }
 
 func (p *simulation) run() *simulation {
-	p.runners = map[bool][]*backend{false: p.backends(p.old)}
+	p.runners = map[bool][]*backend{false: p.backends(p.oldRunners)}
 	for range p.daemons {
 		p.gates = append(p.gates, canary.NewGate(p.order()))
 		p.incarnations = append(p.incarnations, 0)
@@ -125,7 +125,7 @@
 	p.newHolder()
 	for ; p.now < p.duration+2*time.Second; p.now += tick {
 		if p.runners[true] == nil && p.now >= p.bootTime {
-			p.runners[true] = p.backends(p.new)
+			p.runners[true] = p.backends(p.newRunners)
 		}
 		p.completeRequests()
 		p.generateRequests()
@@ -141,14 +141,14 @@
 func (p *simulation) backends(n int) []*backend {
 	var list []*backend
 	for range n {
-		list = append(list, &backend{free: make([]time.Duration, p.slots)})
+		list = append(list, &backend{slotFreeAt: make([]time.Duration, p.slotsPerRunner)})
 	}
 	return list
 }
 
 func (p *simulation) newHolder() {
 	p.holders++
-	p.previousHolder, p.previousEnds = p.holder, p.now+leaseLeft
+	p.previousHolder, p.previousStopsAt = p.holder, p.now+leaseLeft
 	p.holder = canary.NewHolder(canary.Bounds{Share: share, Slack: slack}, p.order(), p.record, p.self(), p.now.Milliseconds())
 	p.holder.SetComparison(p.compare())
 }
@@ -157,12 +157,12 @@
 
 // replaceHoldersAndDaemons replaces the holder at the times in holderEnds and restarts random daemons.
 func (p *simulation) replaceHoldersAndDaemons() {
-	if len(p.holderEnds) > 0 && p.now >= p.holderEnds[0] {
-		p.holderEnds = p.holderEnds[1:]
+	if len(p.holderReplacementTimes) > 0 && p.now >= p.holderReplacementTimes[0] {
+		p.holderReplacementTimes = p.holderReplacementTimes[1:]
 		p.newHolder()
 	}
 	for i := range p.gates {
-		if p.rng.Float64() < p.daemonEnds*tick.Seconds() {
+		if p.rng.Float64() < p.daemonRestartRate*tick.Seconds() {
 			p.gates[i] = canary.NewGate(p.order())
 			p.gates[i].SetRecord(p.now, p.record)
 			p.incarnations[i]++
@@ -209,22 +209,22 @@
 
 func (p *simulation) dispatch(k requestKind, gate *canary.Gate, b *backend, isNew bool) {
 	work := time.Duration(float64(meanWork) * math.Exp(workSpread*p.rng.NormFloat64()-workSpread*workSpread/2))
-	fails := k.fails
-	if v := p.bad; isNew && p.now >= v.from && (v.route == "" || v.route == k.route) && b.inFlight(p.now) >= v.load {
-		fails = max(fails, v.fails)
-		if p.rng.Float64() < v.slow {
-			work = time.Duration(v.times * float64(work))
+	fails := k.failureRate
+	if v := p.bad; isNew && p.now >= v.badFrom && (v.route == "" || v.route == k.route) && b.inFlight(p.now) >= v.minInFlight {
+		fails = max(fails, v.failureFraction)
+		if p.rng.Float64() < v.slowFraction {
+			work = time.Duration(v.slowFactor * float64(work))
 		}
 	}
-	slot := slices.Index(b.free, slices.Min(b.free))
-	b.free[slot] = max(b.free[slot], p.now) + work
+	slot := slices.Index(b.slotFreeAt, slices.Min(b.slotFreeAt))
+	b.slotFreeAt[slot] = max(b.slotFreeAt[slot], p.now) + work
 	failed := p.rng.Float64() < fails
 	if isNew {
 		p.countNewVersionRequest(failed)
 	} else {
 		p.oldInFlight[gate]++
 	}
-	p.pendingAnswer = append(p.pendingAnswer, pendingAnswer{b.free[slot], gate, canary.Series{Route: k.route}, isNew, b.free[slot] - p.now, failed})
+	p.pendingAnswer = append(p.pendingAnswer, pendingAnswer{b.slotFreeAt[slot], gate, canary.Series{Route: k.route}, isNew, b.slotFreeAt[slot] - p.now, failed})
 }
 
 // countNewVersionRequest counts a request that went to the new version.
@@ -275,7 +275,7 @@
 			continue
 		}
 		holder := p.holder
-		if p.previousHolder != nil && p.now < p.previousEnds && p.rng.Float64() < 0.5 {
+		if p.previousHolder != nil && p.now < p.previousStopsAt && p.rng.Float64() < 0.5 {
 			holder = p.previousHolder
 		}
 		a, ok := holder.HandleReport(p.now, fmt.Sprint(i, "~", p.incarnations[i]), r)
@@ -286,8 +286,8 @@
 }
 
 func (p *simulation) tickHolder() {
-	r := p.holder.Tick(p.now, p.now.Milliseconds(), p.self(), canary.Fleet{Reporting: 1, OldRunners: p.old, NewRunners: len(p.runners[true])})
-	if !p.holder.Unwritten() && r.Equal(p.holder.Record()) {
+	r := p.holder.Tick(p.now, p.now.Milliseconds(), p.self(), canary.Fleet{Reporting: 1, OldRunners: p.oldRunners, NewRunners: len(p.runners[true])})
+	if !p.holder.FirstRecordUnwritten() && r.Equal(p.holder.Record()) {
 		return
 	}
 	if p.record.State.Final() && r.State != p.record.State {
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -24,8 +24,8 @@
 	// Renew is the time between renewals. It must be a small part of TTL, so that a lost
 	// renewal can be repeated in time.
 	Renew time.Duration
-	// MaxOrder bounds the time from the decision on an order to its arrival.
-	MaxOrder time.Duration
+	// MaxOrderLatency bounds the time from the decision on an order to its arrival.
+	MaxOrderLatency time.Duration
 	// MaxPause is the longest pause of a process that is safe with runners that don't check
 	// fencing tokens.
 	MaxPause time.Duration
@@ -40,20 +40,20 @@
 // DefaultTiming suits a key-value service that answers within milliseconds.
 func DefaultTiming() Timing {
 	return Timing{
-		TTL:      9 * time.Second,
-		Renew:    3 * time.Second,
-		MaxOrder: 2 * time.Second,
-		MaxPause: 20 * time.Second,
-		Drift:    0.01,
-		Retry:    time.Second,
-		ReadKey:  2 * time.Second,
+		TTL:             9 * time.Second,
+		Renew:           3 * time.Second,
+		MaxOrderLatency: 2 * time.Second,
+		MaxPause:        20 * time.Second,
+		Drift:           0.01,
+		Retry:           time.Second,
+		ReadKey:         2 * time.Second,
 	}
 }
 
 // Quarantine returns how long a new holder must wait before its first order to runners that
 // don't check fencing tokens.
 func (t Timing) Quarantine() time.Duration {
-	return withDrift(t.MaxPause+t.MaxOrder, t.Drift)
+	return withDrift(t.MaxPause+t.MaxOrderLatency, t.Drift)
 }
 
 // MaxTakeover returns the longest time from the end of a holder to its successor's first order
@@ -68,7 +68,7 @@
 
 // usableFor returns how long after sending a renewal the holder may rely on it.
 func (t Timing) usableFor() time.Duration {
-	return t.TTL - time.Duration(float64(t.TTL)*t.Drift) - t.MaxOrder
+	return t.TTL - time.Duration(float64(t.TTL)*t.Drift) - t.MaxOrderLatency
 }
 
 // Kind is the call that an Effect asks for.
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -109,7 +109,7 @@
 }
 
 func (r *simulation) send(now time.Duration, token uint64) {
-	r.orders = append(r.orders, order{token: token, arrival: now + time.Duration(r.rng.Int64N(int64(r.timing.MaxOrder)))})
+	r.orders = append(r.orders, order{token: token, arrival: now + time.Duration(r.rng.Int64N(int64(r.timing.MaxOrderLatency)))})
 }
 
 // countStaleOrders counts the orders that reach a runner after an order of a later holder.
@@ -182,7 +182,7 @@
 			m.Step(now, lease.Result{Attempt: e.Attempt, Outcome: lease.Lost})
 		}
 	}
-	is.True(!m.MayOrder(timing.TTL-timing.MaxOrder, true))
+	is.True(!m.MayOrder(timing.TTL-timing.MaxOrderLatency, true))
 	m.Tick(timing.TTL, true)
 	is.True(m.State() != lease.Holding)
 }
--- a/coordination/prefill/prefill.go
+++ b/coordination/prefill/prefill.go
@@ -19,13 +19,13 @@
 	// minLongPrompt tokens on it consists mostly of the prefill.
 	maxShortPrompt = 500
 	minLongPrompt  = 2000
-	// maxAheadShare is the maximum number of tokens queued before a prompt for its sample to
+	// maxAheadFraction is the maximum number of tokens queued before a prompt for its sample to
 	// count, as a fraction of the prompt's own tokens.
-	maxAheadShare = 0.05
+	maxAheadFraction = 0.05
 	// targetQuantile is the fraction of the samples that should lie below an estimate.
 	targetQuantile = 0.3
-	// stepSize is the fraction of itself by which an estimate can change per sample.
-	stepSize = 0.06
+	// maxRelativeStep is the fraction of itself by which an estimate can change per sample.
+	maxRelativeStep = 0.06
 	// initialFixed is the estimate of the fixed part before short prompts have been observed.
 	initialFixed = 20 * time.Millisecond
 )
@@ -56,7 +56,7 @@
 
 // Observe updates the estimates with a sample.
 func (m *Model) Observe(s Sample) {
-	if float64(s.Ahead) > maxAheadShare*float64(s.Tokens) {
+	if float64(s.Ahead) > maxAheadFraction*float64(s.Tokens) {
 		return
 	}
 	took := s.TTFT.Seconds()
@@ -72,7 +72,7 @@
 // sample, so that it converges to the targetQuantile of the samples.
 func updateQuantile(estimate, sample float64) float64 {
 	if sample > estimate {
-		return estimate * (1 + stepSize*targetQuantile)
+		return estimate * (1 + maxRelativeStep*targetQuantile)
 	}
-	return estimate / (1 + stepSize*(1-targetQuantile))
+	return estimate / (1 + maxRelativeStep*(1-targetQuantile))
 }
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -46,8 +46,8 @@
 	Load Kind = iota + 1
 	// Unload unloads a version of a model, or an adapter.
 	Unload
-	// Role changes the role of the runner's engine.
-	Role
+	// ChangeRole changes the role of the runner's engine.
+	ChangeRole
 )
 
 // Order asks one runner for one change.
@@ -257,7 +257,7 @@
 			delete(t.p.orders, o)
 			continue
 		}
-		if o.Kind == Role && (r.Role == o.Role || o.Role != t.p.role) {
+		if o.Kind == ChangeRole && (r.Role == o.Role || o.Role != t.p.role) {
 			delete(t.p.orders, o)
 			continue
 		}
@@ -326,7 +326,7 @@
 	}
 	for _, r := range t.runners {
 		if r.Role != t.p.role {
-			t.addIfAllowed(Order{Runner: r.ID, Kind: Role, Role: t.p.role}, t.maxConcurrentChanges())
+			t.addIfAllowed(Order{Runner: r.ID, Kind: ChangeRole, Role: t.p.role}, t.maxConcurrentChanges())
 		}
 	}
 }
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -230,7 +230,7 @@
 		is.True(len(orders) > 0 && len(orders) <= 2)
 		is.Equal(len(p.Plan(now, models, reports)), 0) // no more orders while changes are in progress
 		for _, o := range orders {
-			is.Equal(o.Kind, rollout.Role)
+			is.Equal(o.Kind, rollout.ChangeRole)
 			for i := range reports {
 				if reports[i].ID == o.Runner {
 					reports[i].Role = o.Role
--- a/coordination/routing/candidates.go
+++ b/coordination/routing/candidates.go
@@ -39,7 +39,7 @@
 	for _, i := range slots[:min(n, len(slots))] {
 		list = append(list, Candidate{
 			Runner:       t.slots[i].runner.ID,
-			IdleEstimate: secondsToDuration(t.scores[i].remotePenalty + float64(t.uncached(i, r))*t.scores[i].perToken),
+			IdleEstimate: secondsToDuration(t.scores[i].remotePenalty + float64(t.uncached(i, r))*t.scores[i].prefillSecondsPerToken),
 			Uncached:     max(1, r.PromptTokens-t.cachedTokens(i, r)),
 		})
 	}
@@ -55,7 +55,7 @@
 		return 0, false
 	}
 	s := &t.scores[i]
-	return secondsToDuration(s.batchWait + (s.queuedTokens+float64(tokens))*s.perToken), true
+	return secondsToDuration(s.batchWait + (s.queuedTokens+float64(tokens))*s.prefillSecondsPerToken), true
 }
 
 // maxEstimate caps estimates so that their conversion from seconds to a Duration can't
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -279,9 +279,9 @@
 // and for free KV cache, and the penalty for a remote failure domain.
 func (t *Table) estimate(i int, r *Request) float64 {
 	s := &t.scores[i]
-	seconds := s.remotePenalty + s.batchWait + (s.queuedTokens+float64(t.uncached(i, r)))*s.perToken
+	seconds := s.remotePenalty + s.batchWait + (s.queuedTokens+float64(t.uncached(i, r)))*s.prefillSecondsPerToken
 	if missing := float64(r.PromptTokens+r.OutputTokens) - s.freeTokens; missing > 0 {
-		seconds += missing * s.perOutput
+		seconds += missing * s.secondsPerFreedToken
 	}
 	return seconds
 }
@@ -384,5 +384,5 @@
 // price expressed in the same unit.
 func (t *Table) risk(i int, r *Request) float64 {
 	s := &t.scores[i]
-	return s.hazard*float64(r.OutputTokens) + s.price
+	return s.hazardPerToken*float64(r.OutputTokens) + s.priceRisk
 }
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -16,8 +16,8 @@
 // are kept to correct a report. Older ones are assumed to be part of the report.
 const changeLogSize = 128
 
-// change is the effect of one own dispatch or completion on a runner's load.
-type change struct {
+// loadChange is the effect of one own dispatch or completion on a runner's load.
+type loadChange struct {
 	at       time.Time
 	prefill  float64
 	kv       float64
@@ -26,8 +26,8 @@
 
 // changeLog is a ring buffer of the latest own changes.
 type changeLog struct {
-	entries [changeLogSize]change
-	next    int
+	entries   [changeLogSize]loadChange
+	nextEntry int
 }
 
 // score holds the values of a slot that a choice reads. It is separate from slot and
@@ -35,10 +35,10 @@
 type score struct {
 	// remotePenalty is added for a runner in another failure domain, in seconds.
 	remotePenalty float64
-	// perToken is the prefill time per token in seconds. perOutput is the time in
+	// prefillSecondsPerToken is the prefill time per token in seconds. perOutput is the time in
 	// seconds until the batch frees KV cache for one token.
-	perToken  float64
-	perOutput float64
+	prefillSecondsPerToken float64
+	secondsPerFreedToken   float64
 	// queuedTokens is the number of prompt tokens queued, freeTokens the free KV cache
 	// in tokens. Both include own changes since the last report.
 	queuedTokens float64
@@ -46,10 +46,10 @@
 	// batchWait is the time in seconds until a slot in the batch is free.
 	batchWait float64
 	inFlight  int
-	// hazard is the probability of a reclaim per output token. price is the
+	// hazardPerToken is the probability of a reclaim per output token. price is the
 	// contribution of the runner's price to the risk.
-	hazard float64
-	price  float64
+	hazardPerToken float64
+	priceRisk      float64
 }
 
 // sumChangesSinceReport recomputes the sums of the own changes after the last report of slot i.
@@ -67,10 +67,10 @@
 }
 
 // recordChange applies an own change to the load of slot i and keeps it for later reports.
-func (t *Table) recordChange(i int, c change) {
+func (t *Table) recordChange(i int, c loadChange) {
 	log := &t.logs[i]
-	log.entries[log.next] = c
-	log.next = (log.next + 1) % changeLogSize
+	log.entries[log.nextEntry] = c
+	log.nextEntry = (log.nextEntry + 1) % changeLogSize
 	s := &t.slots[i]
 	s.sincePrefill += c.prefill
 	s.sinceKV += c.kv
@@ -84,18 +84,18 @@
 // rescore computes the score of slot i from the last report and own changes.
 func (t *Table) rescore(i int) {
 	s, c := &t.slots[i], &t.scores[i]
-	c.perToken = 1 / s.prefillRate
-	c.perOutput = 1 / (s.decodeRate * float64(max(1, s.report.Running)))
+	c.prefillSecondsPerToken = 1 / s.prefillRate
+	c.secondsPerFreedToken = 1 / (s.decodeRate * float64(max(1, s.report.Running)))
 	c.queuedTokens = max(s.pendingPrefill, float64(s.report.QueuedTokens)+s.sincePrefill)
 	c.freeTokens = math.Inf(1)
 	if s.reported && s.report.KVBlocksTotal > 0 {
 		c.freeTokens = s.freeTokens - s.sinceKV
 	}
 	c.batchWait = t.waitForBatch(s, c.inFlight)
-	c.hazard = s.hazard / s.decodeRate
-	c.price = 0
+	c.hazardPerToken = s.hazard / s.decodeRate
+	c.priceRisk = 0
 	if t.maxPrice > 0 {
-		c.price = t.cfg.PriceWeight * s.runner.PricePerHour / t.maxPrice
+		c.priceRisk = t.cfg.PriceWeight * s.runner.PricePerHour / t.maxPrice
 	}
 }
 
@@ -130,13 +130,13 @@
 	PromptCost float64
 }
 
-// A gateway may use borrowedShare of the free batch slots beyond its equal share. It
+// A gateway may use claimableFreeFraction of the free batch slots beyond its equal share. It
 // may not use all of them, because every gateway would then claim the same slots.
 // reservedFraction of all slots does not count as free: gateways leave those slots to
 // urgent requests under overload.
 const (
-	borrowedShare    = 0.5
-	reservedFraction = 0.25
+	claimableFreeFraction = 0.5
+	reservedFraction      = 0.25
 )
 
 // Share returns the batch slots and the output tokens per second that one of the given
@@ -151,7 +151,7 @@
 	free := max(0, float64(c.Free)-reservedFraction*float64(c.Batch))
 	slots = equal
 	if free > 0 {
-		slots = max(equal, float64(running)+borrowedShare*free)
+		slots = max(equal, float64(running)+claimableFreeFraction*free)
 	}
 	return slots, c.DecodeRate * slots / float64(c.Batch)
 }
--- a/coordination/routing/ticket.go
+++ b/coordination/routing/ticket.go
@@ -34,7 +34,7 @@
 		return Ticket{}
 	}
 	k := Ticket{slot: c.slot, epoch: c.epoch, phase: phasePrefill, uncached: c.Uncached, kv: r.PromptTokens + r.OutputTokens, heldBlocks: c.CachedBlocks}
-	t.recordChange(k.slot, change{now, float64(k.uncached), float64(k.kv), 1})
+	t.recordChange(k.slot, loadChange{now, float64(k.uncached), float64(k.kv), 1})
 	t.index.Assume(c.slot, r.Prefix)
 	return k
 }
@@ -46,7 +46,7 @@
 		return
 	}
 	k.phase = phaseDecode
-	t.recordChange(k.slot, change{at: now, prefill: -float64(k.uncached)})
+	t.recordChange(k.slot, loadChange{at: now, prefill: -float64(k.uncached)})
 }
 
 // Finished removes the request from the load counts.
@@ -57,7 +57,7 @@
 		return
 	}
 	k.phase = phaseNone
-	t.recordChange(k.slot, change{at: now, kv: -float64(k.kv), requests: -1})
+	t.recordChange(k.slot, loadChange{at: now, kv: -float64(k.kv), requests: -1})
 }
 
 // RecordOutputLength adds the length of a complete answer to the mean output length.
--- a/daemon/edge/trialcontroller.go
+++ b/daemon/edge/trialcontroller.go
@@ -93,8 +93,8 @@
 	unix := e.unixMillis()
 	e.trials.mu.Lock()
 	next := d.holder.Tick(e.deps.Steady(), unix, e.settings.PeerAddress, fleet)
-	due := d.holder.Unwritten() || !next.Equal(d.holder.Record())
-	sent := d.holder.Sent()
+	due := d.holder.FirstRecordUnwritten() || !next.Equal(d.holder.Record())
+	sent := d.holder.SentOrReserved()
 	answers, failed := d.holder.Answers()
 	e.trials.mu.Unlock()
 	if !due {
--- a/daemon/orders/fleet.go
+++ b/daemon/orders/fleet.go
@@ -367,7 +367,7 @@
 }
 
 func (f *fleetDuty) start(ctx context.Context, s pendingStart) (cloudapi.VM, error) {
-	ctx, cancel := context.WithTimeout(ctx, f.driver.Timing.MaxOrder)
+	ctx, cancel := context.WithTimeout(ctx, f.driver.Timing.MaxOrderLatency)
 	defer cancel()
 	token, ok := f.holder.Permit(true)
 	if !ok {
@@ -418,7 +418,7 @@
 }
 
 func (f *fleetDuty) stop(ctx context.Context, s stop) error {
-	ctx, cancel := context.WithTimeout(ctx, f.driver.Timing.MaxOrder)
+	ctx, cancel := context.WithTimeout(ctx, f.driver.Timing.MaxOrderLatency)
 	defer cancel()
 	token, ok := f.holder.Permit(true)
 	if !ok {
--- a/daemon/orders/rollout.go
+++ b/daemon/orders/rollout.go
@@ -156,7 +156,7 @@
 // report asks one runner. If the runner answers that it is leaving, report passes
 // this on to the directory, which may not know it yet.
 func (r *rolloutDuty) report(ctx context.Context, runner view.Runner) (engineapi.Load, bool) {
-	ctx, cancel := context.WithTimeout(ctx, r.driver.Timing.MaxOrder)
+	ctx, cancel := context.WithTimeout(ctx, r.driver.Timing.MaxOrderLatency)
 	defer cancel()
 	load, err := r.driver.Engines.Load(ctx, runner.Address)
 	if err != nil {
@@ -207,7 +207,7 @@
 	if !r.isLive(o.Runner) {
 		return &RunnerLeavingError{Runner: o.Runner}
 	}
-	ctx, cancel := context.WithTimeout(ctx, r.driver.Timing.MaxOrder)
+	ctx, cancel := context.WithTimeout(ctx, r.driver.Timing.MaxOrderLatency)
 	defer cancel()
 	token, ok := r.holder.Permit(checksFencing)
 	if !ok {
@@ -263,7 +263,7 @@
 
 func engineOrder(o rollout.Order, token uint64) engineapi.Order {
 	kinds := map[rollout.Kind]engineapi.OrderKind{
-		rollout.Load: engineapi.OrderLoad, rollout.Unload: engineapi.OrderUnload, rollout.Role: engineapi.OrderRole,
+		rollout.Load: engineapi.OrderLoad, rollout.Unload: engineapi.OrderUnload, rollout.ChangeRole: engineapi.OrderRole,
 	}
 	return engineapi.Order{
 		Kind: kinds[o.Kind], Fencing: token, Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role,
