--- a/coordination/canary/canary_test.go
+++ b/coordination/canary/canary_test.go
@@ -94,8 +94,8 @@
 	})
 }
 
-// Guards against a comparison that is slower than fixedSteps, which lets more requests go to a
-// bad version than CUSUM does.
+// Guards against a CUSUM that detects bad versions so late that more requests go to them than with
+// fixedSteps, a Comparison that judges batches of a fixed number of answers.
 func TestCUSUMExposesLessThanFixedSteps(t *testing.T) {
 	is := is.New(t)
 	exposed := func(compare func() canary.Comparison) (sum int) {
--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -6,29 +6,35 @@
 )
 
 const (
-	// evidenceThreshold is the log likelihood ratio at which a difference is accepted.
+	// evidenceThreshold is the value of a cumulative sum of log likelihood ratios from which on
+	// the new version counts as bad.
 	evidenceThreshold = 7.5
-	// failureRateIncrease and slowShift are the increases over the old version's share of failed and
-	// of slow answers that define a bad version. The test attributes an increase of less than
-	// about half of that to chance.
+	// A bad version is defined as one whose fraction of failed answers is higher by
+	// failureRateIncrease than the old version's, or whose fraction of slow answers is higher by
+	// slowRateIncrease. An increase of less than about half of that adds nothing to the sums in
+	// the long run.
 	failureRateIncrease = 0.2
 	slowRateIncrease    = 0.3
-	// minBaselineRate replaces smaller shares of the old version, so that no single answer
-	// decides.
+	// minBaselineRate replaces a smaller fraction of failed or of slow answers of the old version.
+	// Without it, a single failed answer could decide against the new version if the old one
+	// has none.
 	minBaselineRate = 0.04
-	// The slowest usualSlowFraction of the old version's answers sets the usual limit. Answers
-	// more than slowBuckets histogram buckets beyond that limit count as slow.
+	// An answer counts as slow if its duration lies slowLimitMarginBuckets histogram buckets or
+	// more above the bucket limit that at most the fraction usualSlowFraction of the old
+	// version's answers exceeds.
 	usualSlowFraction      = 0.1
 	slowLimitMarginBuckets = 2
-	// A difference in the failure rates over all answers is accepted from excessThreshold
-	// standard deviations on, if both versions have at least minCompared answers and the new
-	// one at least minFailed failures. minFailureShare replaces a smaller share of failures.
+	// The new version also counts as bad if its failure rate since the order began exceeds the
+	// old version's by excessThreshold standard deviations or more. That is checked only once
+	// both versions have at least minCompared answers and the new one at least minFailed
+	// failures. For the standard deviation, minFailureRate replaces a smaller failure rate of
+	// both versions together.
 	excessThreshold = 4.0
 	minCompared     = 15
 	minFailed       = 4
 	minFailureRate  = 0.01
 	// baselineHalfLife is the time in which the old version's answers lose half of their
-	// weight, so that a fault that makes both versions fail for a while does not count
+	// weight in the baseline that the cumulative sums use, so that a fault that makes both versions fail for a while does not count
 	// against the new one.
 	baselineHalfLife = 4 * time.Second
 )
@@ -44,8 +50,9 @@
 	Bad() (Series, Reason, bool)
 }
 
-// CUSUM compares the answers of two versions as they arrive, separately for each series. It
-// keeps a cumulative sum of the log likelihood ratio of "bad" against "like the old version".
+// CUSUM compares the answers of two versions as they arrive, separately for each Series (one
+// kind of duration on one route). For failed and for slow answers it keeps a cumulative sum of
+// the log likelihood ratio of "the new version is bad" to "it is like the old version".
 // The sum never falls below zero, so a version that turns bad late is found as quickly as one
 // that is bad from the start: its earlier good answers don't count in its favour.
 type CUSUM struct {
@@ -53,13 +60,14 @@
 	decayedAt time.Duration
 }
 
-// evidence is what the answers of one series show.
+// evidence holds the counts and the cumulative sums of one series.
 type evidence struct {
 	// answers and failed count the old version's answers, with decay; times is the
 	// histogram of their durations.
 	answers, failed float64
 	times           [timeBuckets]float64
-	// failingSum and slowSum are the cumulative sums.
+	// failingSum and slowSum are the cumulative sums of log likelihood ratios for failed and
+	// for slow answers of the new version.
 	failingSum, slowSum float64
 	// allOld and allNew count all answers, without decay.
 	allOld, allNew outcomes
@@ -122,8 +130,9 @@
 	return i, above / total
 }
 
-// cusum adds a batch of answers to a sum; hits is the number that speak against the version.
-// The order of answers within a batch is unknown, so the hits are spread evenly.
+// cusum adds a batch of the new version's answers to a cumulative sum and returns the result. hits
+// is the number of failed or slow ones among them, baselineRate the old version's fraction of such
+// answers. The order of answers within a batch is unknown, so the hits are spread evenly.
 func cusum(sum, baselineRate, rateIncrease float64, hits, answers int) float64 {
 	baselineRate = min(max(baselineRate, minBaselineRate), 1-rateIncrease-minBaselineRate)
 	against := math.Log((baselineRate + rateIncrease) / baselineRate)
@@ -155,8 +164,9 @@
 	}
 }
 
-// excess returns by how many standard deviations the new version's overall failure rate
-// exceeds the old one's. It finds a small constant increase, which the sums never accumulate.
+// excess returns by how many standard deviations the new version's failure rate since the order
+// began exceeds the old version's. It detects a small constant increase, which is too small to
+// make the cumulative sums grow.
 func (e *evidence) excess() float64 {
 	n, m := e.allNew.answers, e.allOld.answers
 	if n < minCompared || m < minCompared || e.allNew.failed < minFailed {
--- a/coordination/canary/doc.go
+++ b/coordination/canary/doc.go
@@ -7,6 +7,19 @@
 // service. Each daemon has a Gate per order and sends a request to the new version only if an
 // allowance permits it.
 //
+// Terms of this package:
+//
+//   - An order is an operator's request to move a service to a version. Package rollout and
+//     package lease use the word for a command to a runner.
+//   - The old and the new version are the current one and the one that was ordered. Old and new
+//     runners execute the respective version.
+//   - A trial request is a request that an allowance admits to the new version before the verdict.
+//   - A ceiling is the most requests that one daemon may send to the new version in total.
+//   - The placement of a request is the set of runners, by version, that the request may go to.
+//   - The favoured route is the route with the fewest answers of the new version. It gets a
+//     higher fraction of trial requests, so that no route stays untested.
+//   - A share is a fraction from 0 to 1.
+//
 // The number of requests that a bad version gets stays bounded under failures:
 //
 //   - A daemon that hears nothing from the others sends nothing to the new version. An
--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// allowanceTTL is how long an allowance is valid after it was asked for. A verdict is in
-	// force on all daemons after this time, even on those that have not received it.
+	// allowanceTTL is how long an allowance is valid, counted from the report that asked for
+	// it. This long after a verdict, no daemon sends trial requests any more, even if it has not
+	// received the verdict.
 	allowanceTTL = time.Second
 	// preferNewFor is how long after an order was completed the old runners are still used
 	// as a last resort. They are being stopped, and their directory entries expire meanwhile.
 	preferNewFor = 10 * time.Second
-	// favouredFactor and otherFactor scale the share of requests sent to the new version:
-	// the former for the route with the fewest answers so far, the latter for all others.
+	// favouredFactor and otherFactor scale Allowance.Share: the former for requests of
+	// Allowance.FavouredRoute, the latter for requests of all other routes.
 	favouredFactor = 3.0
 	otherFactor    = 0.75
 )
 
-// Placement says which runners a request may go to.
+// Placement is the set of runners that a request may go to, by their version.
 type Placement int
 
 // Values of Placement.
@@ -29,7 +30,8 @@
 	OldOnly
 	// NewPreferred allows runners of the old version only if the new one has none.
 	NewPreferred
-	// Trial is a request that an allowance admits to the new version.
+	// Trial allows only the first Gate.TrialRunners runners of the new version. It is the
+	// placement of the requests that an allowance admits to the new version while Running.
 	Trial
 )
 
@@ -39,7 +41,8 @@
 	record Record
 	// completedAt is when the gate learned that the order is completed.
 	completedAt time.Duration
-	// sent counts the requests sent to the new version while Running, total all requests.
+	// sent counts the requests sent to the new version while Running, total all requests to the
+	// service, both since the daemon created the gate.
 	sent, total int
 	// reportNumber and reportedAt are the number and time of the latest report.
 	reportNumber uint64
@@ -54,8 +57,8 @@
 	Order uint64
 	// Ask is the number of the Report that the allowance answers.
 	Ask uint64
-	// Ceiling bounds the total number of requests that the daemon ever sends to the new
-	// version for the order.
+	// Ceiling is the most requests that the daemon may send to the new version in total since
+	// the order began, while Running.
 	Ceiling int
 	// Share is the fraction of the daemon's requests to send to the new version. Runners is
 	// how many of the new runners to use. The two are chosen together so that each of these
@@ -73,8 +76,8 @@
 	Order uint64
 	// Ask numbers the reports of one daemon.
 	Ask uint64
-	// Total counts the requests to the service, Sent those that went to the new version
-	// while Running. Ceiling is that of the allowance in force, zero if none is.
+	// Total counts the requests to the service since the order began, Sent those that went to
+	// the new version while Running. Ceiling is that of the allowance in force, zero if none is.
 	Total, Sent, Ceiling int
 	// KnownState is the latest state of the order that the daemon knows of. OldInFlight is
 	// the number of its requests in progress at old runners.
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -7,56 +7,63 @@
 
 // Bounds limits the exposure of a service's requests to a bad version.
 type Bounds struct {
-	// A bad version may get the fraction Share of all requests to the service, plus Slack
-	// requests.
+	// A bad version may get at most Share*total + Slack requests, where total is the number of
+	// requests to the service since the order began. Share is a fraction from 0 to 1.
 	Share float64
 	Slack float64
 }
 
 // Fleet describes the daemons and runners of the service as the holder sees them.
 type Fleet struct {
-	// Reporting is the fraction of the daemons that report.
+	// Reporting is the fraction of all daemons that send reports to this holder.
 	Reporting float64
 	// OldRunners and NewRunners count the runners that accept new requests.
 	OldRunners, NewRunners int
 }
 
 const (
-	// grantableShareFraction and usableSlack are the fractions of the bounds that are granted. The rest
-	// is left for a version that turns bad when it gets all requests.
+	// The holder grants at most the fraction grantableShareFraction of Bounds.Share and the
+	// fraction grantableSlackFraction of Bounds.Slack. The rest is left for a version that turns
+	// bad only after its promotion, when it gets all requests.
 	grantableShareFraction = 0.8
 	grantableSlackFraction = 0.6
-	// reserveStep is the number of requests that are reserved in the record at a time.
+	// reserveStep is by how many requests beyond those already granted the holder raises
+	// Record.Reserved at a time. Each raise costs a write to the key-value service.
 	reserveStep = 40
 	// Trial requests are sent in bursts, so that the new runners are tested at the load they
-	// will have. burstFraction is the fraction of the requests that goes to the new version
-	// during a burst. A burst starts when the ungranted budget covers burstDuration, bounded
-	// by minBurst and maxBurst, and ends when the budget falls below burstEndBelow requests.
+	// will have. A burst uses burstFraction of the new runners, but at least one. It starts
+	// once as many requests may still be granted as burstFraction of the service's requests in
+	// burstDuration, and at least minBurst, at most maxBurst. It ends when fewer than
+	// burstEndBelow requests may still be granted.
 	burstFraction = 0.25
 	burstDuration = time.Second
 	minBurst      = 8
 	maxBurst      = 40
 	burstEndBelow = 4
-	// promoteAfter and completeBy are fractions of the order's duration. After promoteAfter,
-	// a version that isn't known to be bad may get all requests. At completeBy the old
-	// runners are stopped even if they still serve requests.
+	// promoteAfter and completeBy are fractions of the order's duration, counted from its
+	// first record. From promoteAfter on, a version that isn't known to be bad may get all
+	// requests. At completeBy a promoted order is completed: the old runners are stopped even if
+	// they still serve requests.
 	promoteAfter = 0.65
 	completeBy   = 0.92
 	// propagationTime is how long all daemons need to learn that they should send to the new
 	// version.
 	propagationTime = 1500 * time.Millisecond
 	// The new version is promoted before the deadline only with minAnswersToPromote answers
-	// in all and minAnswersPerRoute on each route that is judged. At the deadline,
-	// minAnswersAtDeadline answers are enough.
+	// in all and minAnswersPerRoute on each route with at least minRouteFraction of the
+	// answers. At the deadline, minAnswersAtDeadline answers in all are enough.
 	minAnswersToPromote  = 40
 	minAnswersPerRoute   = 20
 	minAnswersAtDeadline = 8
-	// minRouteFraction is the fraction of all requests that a route needs to be judged and to be
-	// the favoured route.
+	// minRouteFraction is the smallest fraction of the old version's answers that must belong
+	// to a route for the route to count. Only routes that count can become
+	// Allowance.FavouredRoute and need minAnswersPerRoute answers before a promotion.
 	minRouteFraction = 0.05
-	// minRunnerRatio is the minimum ratio of new to old runners for a promotion.
+	// minRunnerRatio is the minimum number of new runners for a promotion, as a fraction of the
+	// number of old runners.
 	minRunnerRatio = 0.75
-	// reportTimeout is how long after its last report a daemon is no longer waited for.
+	// reportTimeout is the time after its last report after which a daemon no longer delays the
+	// end of a promotion.
 	reportTimeout = 2 * time.Second
 )
 
@@ -68,9 +75,11 @@
 	comparison Comparison
 	// daemons maps the incarnation of each daemon to its state.
 	daemons map[string]*daemonState
-	// reservedByEarlierHolders is what earlier holders had reserved when this holder started.
+	// reservedByEarlierHolders is Record.Reserved when this holder started: the number of
+	// requests that earlier holders may have granted. All of them count as granted.
 	reservedByEarlierHolders int
-	burstOpen                bool
+	// burstOpen says that a burst of trial requests is in progress.
+	burstOpen bool
 	// firstRecordUnwritten is set until the first record of the order has been written.
 	firstRecordUnwritten bool
 	// promotedAt is when this holder first saw the order as Promoting; negative before.
@@ -86,9 +95,13 @@
 type daemonState struct {
 	report     Report
 	reportedAt time.Duration
-	// firstReportedCeiling is the ceiling that earlier holders had granted; ceiling is the current one.
+	// ceiling is the most requests that the daemon may ever send to the new version for this
+	// order. firstReportedCeiling is the part of it that the daemon already held at its first
+	// report to this holder. Earlier holders granted that part, so it is counted in
+	// reservedByEarlierHolders and not again for the daemon.
 	firstReportedCeiling, ceiling int
-	// perSecond is the daemon's rate of requests.
+	// perSecond is the number of requests to the service that the daemon handled per second
+	// between its last two reports, whichever version served them.
 	perSecond float64
 }
 
@@ -118,7 +131,9 @@
 // SetWritten records that r has been written.
 func (h *Holder) SetWritten(r Record) { h.record, h.firstRecordUnwritten = r, false }
 
-// SentOrReserved returns how many requests are known to have gone to the new version while Running.
+// SentOrReserved returns an upper bound on the number of requests that have gone to the new
+// version while Running: all that earlier holders had reserved, plus those that daemons report
+// to have sent beyond their firstReportedCeiling.
 func (h *Holder) SentOrReserved() int {
 	sent := h.reservedByEarlierHolders
 	for _, a := range h.daemons {
@@ -127,7 +142,9 @@
 	return sent
 }
 
-// Answers returns the number of the new version's answers and how many of them failed.
+// Answers returns the number of the new version's answers that daemons have reported to this
+// holder, and how many of them failed. Series with Pace are left out, because they measure
+// answers that are already counted in the route's other series.
 func (h *Holder) Answers() (answers, failed int) {
 	for _, a := range h.daemons {
 		for s, b := range a.report.Tally {
@@ -174,7 +191,8 @@
 	}
 }
 
-// granted returns the most requests that have been granted, those of earlier holders included.
+// granted returns how many requests may go to the new version by all allowances so far: those
+// that earlier holders reserved and those that this holder has added to the ceilings.
 func (h *Holder) granted() int {
 	sum := h.reservedByEarlierHolders
 	for _, a := range h.daemons {
@@ -183,7 +201,8 @@
 	return sum
 }
 
-// grantLimit returns how many requests may be granted in all, given the total reported so far.
+// grantLimit returns how many requests may be granted in all since the order began. It grows
+// with the total number of requests to the service that daemons have reported.
 func (h *Holder) grantLimit() int {
 	total := 0
 	for _, a := range h.daemons {
@@ -192,7 +211,7 @@
 	return int(grantableShareFraction*h.bounds.Share*float64(total) + grantableSlackFraction*h.bounds.Slack)
 }
 
-// burstSize returns how many requests must be available to grant for a burst to start.
+// burstSize returns how many requests must still be grantable for a burst to start.
 func (h *Holder) burstSize() int {
 	perSecond := 0.0
 	for _, a := range h.daemons {
@@ -201,7 +220,8 @@
 	return min(max(int(burstFraction*perSecond*burstDuration.Seconds()), minBurst), maxBurst)
 }
 
-// grant raises a daemon's ceiling by what the daemon needs until its next report.
+// grant raises a daemon's ceiling so that the daemon can send trial requests until its next
+// allowance expires. It leaves the ceiling unchanged outside bursts.
 func (h *Holder) grant(a *daemonState) Allowance {
 	allowance := Allowance{Order: h.order.Revision, Ask: a.report.Ask, Ceiling: a.ceiling}
 	available := min(h.grantLimit(), h.record.Reserved) - h.granted()
@@ -244,8 +264,8 @@
 	return bad
 }
 
-// leastTestedRoute returns the route with the fewest answers of the new version among those
-// with enough requests to be judged, and the number of these answers.
+// leastTestedRoute returns the route with the fewest answers of the new version, and their
+// number. Routes with less than minRouteFraction of the old version's answers are left out.
 func (h *Holder) leastTestedRoute() (route string, answers int) {
 	type known struct{ old, fresh int }
 	routes, total := map[string]known{}, 0
@@ -340,7 +360,8 @@
 	return 1 - float64(left)/float64(h.order.Duration)
 }
 
-// propagationFractionOfDuration returns propagationTime as a fraction of the order's duration.
+// propagationFractionOfDuration returns propagationTime as a fraction of the order's duration, at
+// most the fraction between promoteAfter and completeBy.
 func (h *Holder) propagationFractionOfDuration() float64 {
 	if h.order.Duration <= 0 {
 		return 0
--- a/coordination/canary/series.go
+++ b/coordination/canary/series.go
@@ -49,7 +49,8 @@
 	return d
 }
 
-// Series identifies answers that are compared with each other: one measure of one route.
+// Series identifies the answers that are compared with each other: those of one route, by one
+// kind of duration (see Pace).
 type Series struct {
 	Route string
 	// Pace says that the durations are those between the events of a stream. Otherwise they
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -19,9 +19,10 @@
 
 // version describes how the runners of a version answer.
 type version struct {
-	// failureFraction and slowFraction are the shares of answers that fail or take longer by the factor slowFactor.
-	// They apply from the time from on, to one route (empty means all routes), and to runners
-	// with at least load requests in progress.
+	// failureFraction is the fraction of answers that fail. slowFraction is the fraction of
+	// answers whose duration is multiplied by slowFactor. Both apply from badFrom on (time since
+	// the start of the simulation), to requests of route (empty means all routes), and at runners
+	// with at least minInFlight requests in progress.
 	failureFraction, slowFraction, slowFactor float64
 	badFrom                                   time.Duration
 	route                                     string
@@ -39,9 +40,10 @@
 	duration               time.Duration
 	bad                    version
 	messageLoss            float64
-	// holderReplacementTimes are the times at which another daemon takes over as the holder.
+	// holderReplacementTimes are the times since the start of the simulation at which another
+	// daemon takes over as the holder.
 	holderReplacementTimes []time.Duration
-	// daemonRestartRate is the share of the daemons that restart per second.
+	// daemonRestartRate is the fraction of the daemons that restart per second.
 	daemonRestartRate float64
 	compare           func() canary.Comparison
 
@@ -155,7 +157,7 @@
 
 func (p *simulation) self() string { return fmt.Sprint("holder-", p.holders) }
 
-// replaceHoldersAndDaemons replaces the holder at the times in holderEnds and restarts random daemons.
+// replaceHoldersAndDaemons replaces the holder at holderReplacementTimes and restarts random daemons.
 func (p *simulation) replaceHoldersAndDaemons() {
 	if len(p.holderReplacementTimes) > 0 && p.now >= p.holderReplacementTimes[0] {
 		p.holderReplacementTimes = p.holderReplacementTimes[1:]
--- a/coordination/config/config_test.go
+++ b/coordination/config/config_test.go
@@ -214,8 +214,9 @@
 }
 
 // Guards against a daemon that returns to old credentials and limits when a peer that was
-// paused announces an earlier generation. The second check removes the guard in Learn and
-// expects the history check to fail.
+// paused announces an earlier generation. The first check expects that the generations read
+// from the daemon never decrease. The second one makes the follower forget its generation before
+// each announcement, so that it accepts the earlier one, and expects that the same check fails.
 func TestDelayedHeadDoesNotRevert(t *testing.T) {
 	is := is.New(t)
 	is.True(porcupine.CheckOperations(monotonicModel(), readsAroundDelayedHead(t, func(*config.Follower) {})))
--- a/coordination/journal/journal_test.go
+++ b/coordination/journal/journal_test.go
@@ -152,7 +152,9 @@
 	log := journal.NewLog(owner)
 	log.Add(7, journal.Entry{Floor: start.Add(2 * time.Minute).UnixMilli()})
 	log.Add(8, journal.Entry{Seal: &journal.Seal{By: "entry-2~bb"}})
-	v := log.Verdict(start, id(start, "old"), "h") // not expired yet by the slow clock
+	// By the slow clock the key has not expired yet. The verdict is unknown all the same, because
+	// Floor is later than the expiry, so the key's entry may have been deleted.
+	v := log.Verdict(start, id(start, "old"), "h")
 	is.Equal(v.Executed, refusal.ExecutedUnknown)
 	is.Equal(v.Reason, refusal.KeyExpired)
 }
--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -11,8 +11,8 @@
 // Config sets how an owner writes its log.
 type Config struct {
 	Owner ident.Incarnation
-	// WritesPerSecond is the owner's share of the key-value service's write rate, for
-	// entries and deletions together.
+	// WritesPerSecond is the most writes per second that this owner makes to the key-value
+	// service, entries and deletions together.
 	WritesPerSecond float64
 	// Burst is how many writes may be made in a row after an idle period.
 	Burst float64
@@ -28,7 +28,7 @@
 	Timeout time.Duration
 	// RetryDelay is the delay before a write without an answer is repeated.
 	RetryDelay time.Duration
-	// KeyRetention is how long keys stay in the log after they have expired.
+	// KeyRetention is how long an action key stays in the log after it has expired.
 	KeyRetention time.Duration
 	// MaxQueuedBytes bounds the outcomes queued during an outage of the service. The oldest
 	// are dropped; after a crash of the owner their actions count as unknown.
@@ -58,7 +58,7 @@
 	Value []byte
 }
 
-// Collect is a request to delete an entry whose keys have all expired.
+// Collect is a request to delete an entry whose action keys have all expired.
 type Collect struct {
 	Index uint64
 	// Revision is the revision of the entry in the key-value service.
@@ -210,8 +210,10 @@
 // CollectNext returns an entry to delete if one has expired and the rate limit allows it.
 func (w *Writer) CollectNext(now time.Time) (Collect, bool) {
 	w.refill(now)
-	// Deletions use at most every second write, so that entries don't wait for them. While
-	// an entry has no answer, nothing is deleted, because the service may be down.
+	// A deletion takes a token from the same bucket as the write of an entry. Callers call Flush
+	// first, so an entry that is due gets the token and does not wait for deletions. While the
+	// write of an entry has no answer, nothing is deleted, because the key-value service may be
+	// down.
 	if w.sealed || w.inFlight != nil || w.writeTokens < 1 || len(w.retained) < 2 {
 		return Collect{}, false
 	}
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,6 +1,7 @@
-// Package lease elects one daemon at a time as the holder of a responsibility. The holder has
-// created a key in the key-value service under a lease, and the key's revision is the fencing
-// token on each of its orders.
+// Package lease elects one daemon at a time as the holder of a responsibility: a task, such as the
+// rollout of models, for which only one daemon at a time may send commands. The holder has created
+// a key in the key-value service under a lease, and the key's revision is the fencing token on each
+// of its orders. An order is a command that the holder sends to a runner or to the cloud provider.
 //
 // A holder that is paused past the end of its lease does not know that another daemon has taken
 // over. Runners that check fencing tokens refuse its late orders. For runners that don't check,
@@ -24,10 +25,15 @@
 	// Renew is the time between renewals. It must be a small part of TTL, so that a lost
 	// renewal can be repeated in time.
 	Renew time.Duration
-	// MaxOrderLatency bounds the time from the decision on an order to its arrival.
+	// MaxOrderLatency bounds the time from a true result of MayOrder to the arrival of the order
+	// at its recipient, if the holder's process isn't paused meanwhile. The holder stops sending
+	// orders this long before its lease can expire. Callers must enforce the bound with a
+	// timeout on each order; otherwise an order could arrive after a new holder's first one.
 	MaxOrderLatency time.Duration
-	// MaxPause is the longest pause of a process that is safe with runners that don't check
-	// fencing tokens.
+	// MaxPause is the longest pause of the holder's process, between MayOrder and the sending
+	// of the order, that is safe with runners that don't check fencing tokens. A new holder
+	// waits this long plus MaxOrderLatency before it sends orders to such runners; see
+	// Quarantine.
 	MaxPause time.Duration
 	// Drift is the fraction, from 0 to 1, by which clock rates may differ.
 	Drift float64
--- a/coordination/prefill/prefill.go
+++ b/coordination/prefill/prefill.go
@@ -19,12 +19,14 @@
 	// minLongPrompt tokens on it consists mostly of the prefill.
 	maxShortPrompt = 500
 	minLongPrompt  = 2000
-	// maxAheadFraction is the maximum number of tokens queued before a prompt for its sample to
-	// count, as a fraction of the prompt's own tokens.
+	// A sample counts only if Ahead is at most maxAheadFraction of Tokens: almost no other
+	// prompt tokens were queued before the prompt.
 	maxAheadFraction = 0.05
 	// targetQuantile is the fraction of the samples that should lie below an estimate.
 	targetQuantile = 0.3
-	// maxRelativeStep is the fraction of itself by which an estimate can change per sample.
+	// maxRelativeStep scales the change of an estimate per sample: a higher sample raises the
+	// estimate by the fraction maxRelativeStep*targetQuantile of itself, and a lower one divides it
+	// by 1 + maxRelativeStep*(1-targetQuantile).
 	maxRelativeStep = 0.06
 	// initialFixed is the estimate of the fixed part before short prompts have been observed.
 	initialFixed = 20 * time.Millisecond
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -3,7 +3,7 @@
 // weight store, places a canary version on a share of the runners if the manifest has one, and
 // backs off after failed loads.
 //
-// Orders describe the wanted state, so repeating them is safe. On every call the planner
+// An order is a command to one runner. Orders describe the wanted state, so repeating them is safe. On every call the planner
 // compares the wanted with the reported state, and it stores only what the reports don't show
 // yet. A new holder of the responsibility starts with an empty planner.
 package rollout
@@ -23,21 +23,24 @@
 
 // Loaded is one version of a model in a runner's memory, as reported by the runner.
 type Loaded struct {
-	Model    string
-	Version  string
+	Model   string
+	Version string
+	// Adapters holds the IDs of the loaded adapters, in the form of AdapterID.
 	Adapters []string
-	Loading  bool
+	// Loading says that the version is still being loaded and can't serve requests yet.
+	Loading bool
 }
 
 // Runner is the last report of one runner.
 type Runner struct {
 	ID     ident.RunnerID
 	Loaded []Loaded
-	// Role is the role that the runner's engine reports.
+	// Role is the role that the runner's engine reports, in the engine's own words, such as
+	// "decode".
 	Role string
 }
 
-// Kind is the kind of an order.
+// Kind says what an order changes at its runner.
 type Kind int
 
 // Kinds of orders.
@@ -50,7 +53,8 @@
 	ChangeRole
 )
 
-// Order asks one runner for one change.
+// Order is a command to one runner: to load or unload a version of a model or one adapter, or to
+// change the role of its engine.
 type Order struct {
 	Runner  ident.RunnerID
 	Kind    Kind
@@ -62,15 +66,18 @@
 	Role string
 }
 
-// Limits limits the rate of the orders.
+// Limits bounds how many runners change at the same time and how soon an order is given again.
 type Limits struct {
-	// MaxLoadingShare is the fraction of the runners that may load at once while they serve
-	// requests. At least one runner may always load.
+	// MaxLoadingShare is the fraction of the service's runners up to which runners that already
+	// serve the model may replace its version or change their role at the same time. The limit
+	// is at least one runner and at most MaxLoads.
 	MaxLoadingShare float64
-	// MaxLoads bounds the number of concurrent loads on the planner's runners. The weight
-	// store limits the rate of all planners together; see Defer.
+	// MaxLoads is the most runners of the planner's service that may load weights or change
+	// their role at the same time. It does not include other services: the weight store limits
+	// the rate of the loads of all services, and orders that it delays are passed to Defer.
 	MaxLoads int
-	// RepeatAfter is how long an order may have no effect in the reports before it is repeated.
+	// RepeatAfter is the time after which an order is given again if the runner's reports still
+	// don't show its effect.
 	RepeatAfter time.Duration
 	// FirstBackoff is the delay after a failed load; it doubles up to MaxBackoff.
 	FirstBackoff time.Duration
@@ -90,7 +97,7 @@
 
 // orderState holds what the reports don't show yet about an order.
 type orderState struct {
-	// acceptedAt is when the runner accepted the order; zero if it did not.
+	// acceptedAt is when Plan last returned the order; zero after HandleFailure or Defer.
 	acceptedAt time.Duration
 	failures   int
 	// retryAt is when the order may be given again.
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -312,15 +312,16 @@
 	return cached
 }
 
-// noHome is the home slot of a prompt that has no home.
+// noHome is the value of Table.homeSlot for a request without a shared prefix, or with one that
+// some runner is already known to hold.
 const noHome = -1
 
-// home returns the slot at which daemons that have not yet exchanged placements expect a
-// shared prefix to be cached: the one with the highest rendezvous hash of prefix and
-// runner. Each daemon knows only where it sent the prefix itself, so without a common
-// guess each of them would have it computed at a different runner first. Once a runner is
-// known to hold the prefix, home returns noHome: the hash could point to a runner that
-// has just started with an empty cache.
+// home returns the home slot of a request's shared prefix: the slot with the highest rendezvous
+// hash of prefix and runner. It is the common guess of all gateways as to which runner has the
+// prefix cached. Until gateways have told each other where they sent a prefix, each of them knows
+// only its own requests and, without a common guess, would have the prefix computed at a
+// different runner. Once a runner is known to hold the prefix, home returns noHome: the hash
+// could point to a runner that has just started with an empty cache.
 func (t *Table) home(r *Request, from prefix.Set) int {
 	if r.Shared == 0 || t.cfg.IgnorePrefix {
 		return noHome
@@ -356,11 +357,13 @@
 	return x ^ x>>31
 }
 
-// riskTolerance is the difference in risk below which two runners count as equally safe.
+// riskTolerance is the difference in risk, as a probability, up to which two runners count as
+// equally safe.
 const riskTolerance = 0.0005
 
-// lowestRisk returns the candidates with the lowest risk among those whose estimate
-// is within the limit.
+// lowestRisk returns the candidates whose risk is at most riskTolerance above the lowest one.
+// Candidates whose estimated time to first token is above limit seconds don't count. The risk
+// includes the runner's price; see risk.
 func (t *Table) lowestRisk(candidates prefix.Set, r *Request, estimates *[MaxRunners]float64, limit float64) prefix.Set {
 	var risks [MaxRunners]float64
 	lowest := math.Inf(1)
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -12,11 +12,14 @@
 	meanOutputWeight  = 0.02
 )
 
-// changeLogSize bounds the number of own dispatches and completions per runner that
-// are kept to correct a report. Older ones are assumed to be part of the report.
+// changeLogSize bounds the number of load changes per runner that the table keeps. A runner's
+// report describes its load at the time AsOf; the table adds to it the kept changes after AsOf.
+// Changes that are no longer kept are assumed to be contained in the report.
 const changeLogSize = 128
 
-// loadChange is the effect of one own dispatch or completion on a runner's load.
+// loadChange is the change in a runner's load when this gateway dispatches a request to it, gets
+// the first token from it, or sees a request end there. prefill is in prompt tokens still to
+// compute, kv in tokens of KV cache, requests in requests in progress.
 type loadChange struct {
 	at       time.Time
 	prefill  float64
@@ -24,7 +27,8 @@
 	requests int
 }
 
-// changeLog is a ring buffer of the latest own changes.
+// changeLog is a ring buffer of a runner's latest load changes. nextEntry is the index that the
+// next change overwrites.
 type changeLog struct {
 	entries   [changeLogSize]loadChange
 	nextEntry int
@@ -35,19 +39,23 @@
 type score struct {
 	// remotePenalty is added for a runner in another failure domain, in seconds.
 	remotePenalty float64
-	// prefillSecondsPerToken is the prefill time per token in seconds. perOutput is the time in
-	// seconds until the batch frees KV cache for one token.
+	// prefillSecondsPerToken is the prefill time per prompt token in seconds.
+	// secondsPerFreedToken is the mean time in seconds until the running requests free KV cache
+	// for one more token. Table.estimate multiplies it by the number of tokens of a request that
+	// don't fit in freeTokens.
 	prefillSecondsPerToken float64
 	secondsPerFreedToken   float64
-	// queuedTokens is the number of prompt tokens queued, freeTokens the free KV cache
-	// in tokens. Both include own changes since the last report.
+	// queuedTokens is the number of prompt tokens queued at the runner, freeTokens its free KV
+	// cache in tokens. Both include this gateway's load changes since the last report.
 	queuedTokens float64
 	freeTokens   float64
 	// batchWait is the time in seconds until a slot in the batch is free.
 	batchWait float64
-	inFlight  int
-	// hazardPerToken is the probability of a reclaim per output token. price is the
-	// contribution of the runner's price to the risk.
+	// inFlight is the number of this gateway's requests in progress at the runner.
+	inFlight int
+	// hazardPerToken is the probability that the runner's VM is reclaimed while the runner
+	// computes one output token. priceRisk is the runner's price, converted to the reclaim
+	// probability that weighs as much: Config.PriceWeight for the highest price in the table.
 	hazardPerToken float64
 	priceRisk      float64
 }
@@ -99,8 +107,9 @@
 	}
 }
 
-// requestsInProgress returns the number of requests at the runner, of which own come
-// from this gateway.
+// requestsInProgress returns the number of requests running or waiting at the runner: the last
+// report plus this gateway's load changes since. It returns at least own, the number of this
+// gateway's requests in progress there, because the report may lag behind.
 func (s *slot) requestsInProgress(own int) int {
 	return max(own, s.report.Running+s.report.Waiting+s.sinceRequests)
 }
@@ -124,24 +133,26 @@
 	// total number of output tokens per second.
 	Batch      int
 	DecodeRate float64
-	// Free is the number of batch slots left by the reports and own changes since.
+	// Free is the number of free batch slots by the last reports and this gateway's load
+	// changes since.
 	Free int
 	// PromptCost is the cost of one uncached prompt token in output tokens.
 	PromptCost float64
 }
 
-// A gateway may use claimableFreeFraction of the free batch slots beyond its equal share. It
-// may not use all of them, because every gateway would then claim the same slots.
-// reservedFraction of all slots does not count as free: gateways leave those slots to
-// urgent requests under overload.
+// A gateway may use its equal share of all batch slots or, if that is more, the slots that it uses
+// now plus claimableFreeFraction of the free ones. It may not claim all free slots, because every
+// gateway would then claim the same ones. reservedFraction of all slots does not count as free:
+// gateways leave those slots to urgent requests under overload.
 const (
 	claimableFreeFraction = 0.5
 	reservedFraction      = 0.25
 )
 
 // Share returns the batch slots and the output tokens per second that one of the given
-// number of gateways may use: its equal share or, if more, what it uses now plus part of
-// what is free. Callers are not spread evenly over the gateways, and a gateway with many
+// number of gateways may use. running is the number of batch slots that the gateway uses now.
+// The result is the equal share of all slots or, if that is more, running plus
+// claimableFreeFraction of the free slots. Callers are not spread evenly over the gateways, and a gateway with many
 // callers must not refuse requests while runners are idle.
 func (c Capacity) Share(gateways, running int) (slots, perSecond float64) {
 	if c.Batch == 0 {
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -42,8 +42,9 @@
 	// RemotePenalty is added to the expected time to first token of a runner in
 	// another failure domain.
 	RemotePenalty time.Duration
-	// PriceWeight is the increase in reclaim probability that a long request accepts
-	// to run at price zero instead of at the highest price in the table.
+	// PriceWeight weighs a runner's price against the probability that its VM is reclaimed
+	// during a long request. The risk of a runner is that probability plus
+	// PriceWeight*price/(highest price in the table).
 	PriceWeight float64
 	// PrefillRate and DecodeRate, in tokens per second, apply until a runner reports
 	// its own rates.
@@ -131,8 +132,10 @@
 	// meanOutput is the mean output length of a request, in tokens.
 	meanOutput float64
 	depths     prefix.MatchResult
-	// homeSlot is the home slot of the request that is being routed, or noHome.
-	homeSlot   int
+	// homeSlot is the slot whose runner is assumed to have cached the shared prefix of the
+	// request that is being routed; noHome if none is. Table.home selects it.
+	homeSlot int
+	// trustHomes is set by TrustHomes.
 	trustHomes bool
 }
 
