--- a/coordination/canary/canary_test.go
+++ b/coordination/canary/canary_test.go
@@ -34,8 +34,8 @@
 // withinBounds reports whether a bad version got no more than its share of requests, got none
 // too late, and whether the verdict stayed final.
 func (p *simulation) withinBounds() bool {
-	return float64(p.exposed) <= share*float64(p.total)+slack &&
-		(p.fiftiethBadAt == 0 || p.lastNewAt <= p.fiftiethBadAt+rollbackTime) && !p.verdictChanged
+	return float64(p.newVersionRequests) <= exposureShare*float64(p.totalRequests)+exposureSlack &&
+		(p.fiftiethFailureAt == 0 || p.lastNewVersionRequestAt <= p.fiftiethFailureAt+rollbackTime) && !p.verdictChanged
 }
 
 // Guards against a bad version that is promoted, or that gets more than its share of requests
@@ -46,7 +46,7 @@
 			is := is.New(t)
 			for seed := range *seeds {
 				p := newSimulation(seed)
-				p.bad = v
+				p.newVersion = v
 				p.run()
 				is.Equal(p.record.State, canary.RolledBack)
 				is.True(p.withinBounds())
@@ -63,7 +63,7 @@
 	for seed := range *seeds {
 		p := newSimulation(seed).run()
 		is.Equal(p.record.State, canary.Completed)
-		is.Equal(p.interrupted+p.refused, 0)
+		is.Equal(p.interruptedRequests+p.refused, 0)
 		is.True(p.completedAt < p.duration)
 	}
 }
@@ -83,10 +83,10 @@
 			at += time.Duration(rapid.IntRange(5, 40).Draw(t, "tenure")) * 100 * time.Millisecond
 			p.holderReplacementTimes = append(p.holderReplacementTimes, at)
 		}
-		p.bad = version{failureFraction: rapid.Float64Range(0.3, 1).Draw(t, "fails"), badFrom: time.Duration(rapid.IntRange(0, 4).Draw(t, "from")) * time.Second}
+		p.newVersion = version{failureFraction: rapid.Float64Range(0.3, 1).Draw(t, "fails"), badFrom: time.Duration(rapid.IntRange(0, 4).Draw(t, "from")) * time.Second}
 		p.run()
 		if !p.withinBounds() {
-			t.Fatalf("%d of %d requests exposed, %d bad answers, fiftieth at %v, last request at %v, verdict changed: %v", p.exposed, p.total, p.badAnswers, p.fiftiethBadAt, p.lastNewAt, p.verdictChanged)
+			t.Fatalf("%d of %d requests exposed, %d bad answers, fiftieth at %v, last request at %v, verdict changed: %v", p.newVersionRequests, p.totalRequests, p.newVersionFailures, p.fiftiethFailureAt, p.lastNewVersionRequestAt, p.verdictChanged)
 		}
 		if p.record.State != canary.RolledBack {
 			t.Fatalf("state of the bad version is %s, want rolled_back", p.record.State)
@@ -102,8 +102,8 @@
 		for _, v := range badVersions {
 			for seed := range *seeds {
 				p := newSimulation(seed)
-				p.bad, p.compare = v, compare
-				sum += p.run().exposed
+				p.newVersion, p.compare = v, compare
+				sum += p.run().newVersionRequests
 			}
 		}
 		return sum
--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -65,7 +65,7 @@
 	// answers and failed count the old version's answers, with decay; times is the
 	// histogram of their durations.
 	answers, failed float64
-	times           [timeBuckets]float64
+	times           [durationBuckets]float64
 	// failingSum and slowSum are the cumulative sums of log likelihood ratios for failed and
 	// for slow answers of the new version.
 	failingSum, slowSum float64
@@ -115,14 +115,14 @@
 func (e *evidence) slowLimit() (int, float64) {
 	total := e.answers - e.failed
 	if total < 1 {
-		return timeBuckets, 0
+		return durationBuckets, 0
 	}
-	above, i := 0.0, timeBuckets
+	above, i := 0.0, durationBuckets
 	for i > 0 && above+e.times[i-1] <= usualSlowFraction*total {
 		i--
 		above += e.times[i]
 	}
-	i = min(timeBuckets, i+slowLimitMarginBuckets)
+	i = min(durationBuckets, i+slowLimitMarginBuckets)
 	above = 0
 	for _, n := range e.times[i:] {
 		above += n
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -267,15 +267,15 @@
 // leastTestedRoute returns the route with the fewest answers of the new version, and their
 // number. Routes with less than minRouteFraction of the old version's answers are left out.
 func (h *Holder) leastTestedRoute() (route string, answers int) {
-	type known struct{ old, fresh int }
-	routes, total := map[string]known{}, 0
+	type routeAnswers struct{ old, fresh int }
+	routes, total := map[string]routeAnswers{}, 0
 	for _, a := range h.daemons {
 		for s, b := range a.report.Tally {
 			if s.Pace {
 				continue
 			}
 			k := routes[s.Route]
-			routes[s.Route] = known{k.old + b.Old.Answers, k.fresh + b.New.Answers}
+			routes[s.Route] = routeAnswers{k.old + b.Old.Answers, k.fresh + b.New.Answers}
 			total += b.Old.Answers
 		}
 	}
--- a/coordination/canary/series.go
+++ b/coordination/canary/series.go
@@ -8,7 +8,7 @@
 // The histogram of durations has four buckets per octave, starting at a tenth of a
 // millisecond. The last bucket takes all longer durations.
 const (
-	timeBuckets      = 80
+	durationBuckets  = 80
 	bucketsPerOctave = 4
 	firstBucketEnd   = 100 * time.Microsecond
 )
@@ -18,7 +18,7 @@
 	// Answers counts all answers. Failed counts those that a caller could not use.
 	Answers, Failed int
 	// Times is the histogram of the durations of complete answers.
-	Times [timeBuckets]int
+	Times [durationBuckets]int
 }
 
 // CountAnswer counts a complete answer.
@@ -37,7 +37,7 @@
 	if d <= firstBucketEnd {
 		return 0
 	}
-	return min(timeBuckets-1, int(bucketsPerOctave*math.Log2(float64(d)/float64(firstBucketEnd))))
+	return min(durationBuckets-1, int(bucketsPerOctave*math.Log2(float64(d)/float64(firstBucketEnd))))
 }
 
 // minus returns what was added since an earlier state.
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -32,13 +32,13 @@
 // simulation runs one order of a service, with its daemons, runners, requests and messages.
 type simulation struct {
 	rng                    *rand.Rand
-	kinds                  []requestKind
+	requestKinds           []requestKind
 	daemons                int
 	oldRunners, newRunners int
 	slotsPerRunner         int
 	bootTime               time.Duration
 	duration               time.Duration
-	bad                    version
+	newVersion             version
 	messageLoss            float64
 	// holderReplacementTimes are the times since the start of the simulation at which another
 	// daemon takes over as the holder.
@@ -53,21 +53,21 @@
 	incarnations []int
 	holder       *canary.Holder
 	// previousHolder is a holder that does not know yet that it has been replaced.
-	previousHolder  *canary.Holder
-	previousStopsAt time.Duration
-	holders         int
-	record          canary.Record
-	runners         map[bool][]*backend
-	pendingAnswer   []pendingAnswer
-	total           int
-	exposed         int
-	refused         int
-	badAnswers      int
-	fiftiethBadAt   time.Duration
-	lastNewAt       time.Duration
-	completedAt     time.Duration
-	verdictChanged  bool
-	interrupted     int
+	previousHolder          *canary.Holder
+	previousStopsAt         time.Duration
+	holders                 int
+	record                  canary.Record
+	runners                 map[bool][]*backend
+	pendingAnswer           []pendingAnswer
+	totalRequests           int
+	newVersionRequests      int
+	refused                 int
+	newVersionFailures      int
+	fiftiethFailureAt       time.Duration
+	lastNewVersionRequestAt time.Duration
+	completedAt             time.Duration
+	verdictChanged          bool
+	interruptedRequests     int
 }
 
 type backend struct{ slotFreeAt []time.Duration }
@@ -93,22 +93,22 @@
 }
 
 const (
-	tick        = 10 * time.Millisecond
-	reportEvery = 250 * time.Millisecond
-	holderEvery = 200 * time.Millisecond
-	meanWork    = 60 * time.Millisecond
-	// leaseLeft is how long a replaced holder may go on granting allowances.
-	leaseLeft  = 2 * time.Second
-	workSpread = 0.5
-	slack      = 50
-	share      = 0.1
+	tick               = 10 * time.Millisecond
+	reportInterval     = 250 * time.Millisecond
+	holderTickInterval = 200 * time.Millisecond
+	meanServiceTime    = 60 * time.Millisecond
+	// replacedHolderRunsFor is how long a replaced holder may go on granting allowances.
+	replacedHolderRunsFor = 2 * time.Second
+	serviceTimeSigma      = 0.5
+	exposureSlack         = 50
+	exposureShare         = 0.1
 )
 
 func newSimulation(seed uint64) *simulation {
 	return &simulation{
-		rng:     rand.New(rand.NewPCG(seed, 0)),
-		kinds:   []requestKind{{"pledge", 134, 0.004}, {"lookup", 31, 0.14}},
-		daemons: 33, oldRunners: 4, newRunners: 4, slotsPerRunner: 6, bootTime: 1500 * time.Millisecond, duration: 12 * time.Second,
+		rng:          rand.New(rand.NewPCG(seed, 0)),
+		requestKinds: []requestKind{{"pledge", 134, 0.004}, {"lookup", 31, 0.14}},
+		daemons:      33, oldRunners: 4, newRunners: 4, slotsPerRunner: 6, bootTime: 1500 * time.Millisecond, duration: 12 * time.Second,
 		compare:     func() canary.Comparison { return canary.NewCUSUM() },
 		oldInFlight: map[*canary.Gate]int{},
 	}
@@ -132,7 +132,7 @@
 		p.completeRequests()
 		p.generateRequests()
 		p.sendReports()
-		if p.now%holderEvery == 0 {
+		if p.now%holderTickInterval == 0 {
 			p.tickHolder()
 		}
 		p.replaceHoldersAndDaemons()
@@ -150,8 +150,8 @@
 
 func (p *simulation) newHolder() {
 	p.holders++
-	p.previousHolder, p.previousStopsAt = p.holder, p.now+leaseLeft
-	p.holder = canary.NewHolder(canary.Bounds{Share: share, Slack: slack}, p.order(), p.record, p.self(), p.now.Milliseconds())
+	p.previousHolder, p.previousStopsAt = p.holder, p.now+replacedHolderRunsFor
+	p.holder = canary.NewHolder(canary.Bounds{Share: exposureShare, Slack: exposureSlack}, p.order(), p.record, p.self(), p.now.Milliseconds())
 	p.holder.SetComparison(p.compare())
 }
 
@@ -173,7 +173,7 @@
 }
 
 func (p *simulation) generateRequests() {
-	for _, k := range p.kinds {
+	for _, k := range p.requestKinds {
 		for n := p.poisson(k.perSecond * tick.Seconds()); n > 0; n-- {
 			p.serve(k)
 		}
@@ -192,7 +192,7 @@
 func (p *simulation) serve(k requestKind) {
 	gate := p.gates[p.rng.IntN(len(p.gates))]
 	if p.now <= p.duration {
-		p.total++
+		p.totalRequests++
 	}
 	placement := gate.PlaceRequest(p.now, k.route, p.rng.Float64())
 	isNew := placement == canary.Trial || placement == canary.NewPreferred && len(p.runners[true]) > 0
@@ -210,9 +210,9 @@
 }
 
 func (p *simulation) dispatch(k requestKind, gate *canary.Gate, b *backend, isNew bool) {
-	work := time.Duration(float64(meanWork) * math.Exp(workSpread*p.rng.NormFloat64()-workSpread*workSpread/2))
+	work := time.Duration(float64(meanServiceTime) * math.Exp(serviceTimeSigma*p.rng.NormFloat64()-serviceTimeSigma*serviceTimeSigma/2))
 	fails := k.failureRate
-	if v := p.bad; isNew && p.now >= v.badFrom && (v.route == "" || v.route == k.route) && b.inFlight(p.now) >= v.minInFlight {
+	if v := p.newVersion; isNew && p.now >= v.badFrom && (v.route == "" || v.route == k.route) && b.inFlight(p.now) >= v.minInFlight {
 		fails = max(fails, v.failureFraction)
 		if p.rng.Float64() < v.slowFraction {
 			work = time.Duration(v.slowFactor * float64(work))
@@ -232,13 +232,13 @@
 // countNewVersionRequest counts a request that went to the new version.
 func (p *simulation) countNewVersionRequest(failed bool) {
 	if p.now <= p.duration {
-		p.exposed++
+		p.newVersionRequests++
 	}
-	p.lastNewAt = p.now
+	p.lastNewVersionRequestAt = p.now
 	if failed {
-		p.badAnswers++
-		if p.badAnswers == 50 {
-			p.fiftiethBadAt = p.now
+		p.newVersionFailures++
+		if p.newVersionFailures == 50 {
+			p.fiftiethFailureAt = p.now
 		}
 	}
 }
@@ -263,9 +263,9 @@
 
 // sendReports lets each daemon report to the holder once per reportEvery.
 func (p *simulation) sendReports() {
-	turn := int(p.now/tick) % int(reportEvery/tick)
+	turn := int(p.now/tick) % int(reportInterval/tick)
 	for i, g := range p.gates {
-		if i%int(reportEvery/tick) != turn {
+		if i%int(reportInterval/tick) != turn {
 			continue
 		}
 		g.SetRecord(p.now, p.record)
@@ -298,7 +298,7 @@
 	if r.State.Final() && !p.record.State.Final() {
 		p.completedAt = p.now
 		if r.State == canary.Completed {
-			p.interrupted = len(slices.DeleteFunc(slices.Clone(p.pendingAnswer), func(e pendingAnswer) bool { return e.isNew }))
+			p.interruptedRequests = len(slices.DeleteFunc(slices.Clone(p.pendingAnswer), func(e pendingAnswer) bool { return e.isNew }))
 		}
 	}
 	p.record = r
--- a/coordination/canary/steps_test.go
+++ b/coordination/canary/steps_test.go
@@ -9,21 +9,21 @@
 // fixedSteps is an alternative Comparison that the tests measure against CUSUM. It judges
 // each batch of a fixed number of answers per series on its own by thresholds.
 type fixedSteps struct {
-	size   int
-	series map[canary.Series]*seriesStep
+	batchSize int
+	series    map[canary.Series]*seriesBatch
 }
 
-type seriesStep struct {
+type seriesBatch struct {
 	old, fresh canary.Counts
 	reason     canary.Reason
 }
 
 const (
-	stepFailing = 0.15
-	stepSlow    = 0.25
+	failureRateThreshold  = 0.15
+	slowFractionThreshold = 0.25
 )
 
-func newSteps(size int) *fixedSteps { return &fixedSteps{size, map[canary.Series]*seriesStep{}} }
+func newSteps(size int) *fixedSteps { return &fixedSteps{size, map[canary.Series]*seriesBatch{}} }
 
 func addCounts(to, c *canary.Counts) {
 	to.Answers += c.Answers
@@ -36,17 +36,17 @@
 func (j *fixedSteps) Add(s canary.Series, old, fresh *canary.Counts) {
 	e, ok := j.series[s]
 	if !ok {
-		e = &seriesStep{}
+		e = &seriesBatch{}
 		j.series[s] = e
 	}
 	addCounts(&e.old, old)
 	addCounts(&e.fresh, fresh)
-	if e.fresh.Answers < j.size || e.reason != "" {
+	if e.fresh.Answers < j.batchSize || e.reason != "" {
 		return
 	}
-	if failureRate(&e.fresh) > failureRate(&e.old)+stepFailing {
+	if failureRate(&e.fresh) > failureRate(&e.old)+failureRateThreshold {
 		e.reason = canary.MoreFailures
-	} else if slowShare(&e.fresh, &e.old) > stepSlow {
+	} else if slowFraction(&e.fresh, &e.old) > slowFractionThreshold {
 		e.reason = canary.Slower
 	}
 	e.fresh = canary.Counts{}
@@ -54,9 +54,9 @@
 
 func failureRate(c *canary.Counts) float64 { return float64(c.Failed) / float64(max(1, c.Answers)) }
 
-// slowShare returns the fraction of a version's answers that take more than twice as long as
+// slowFraction returns the fraction of a version's answers that take more than twice as long as
 // the 90th percentile of the old version.
-func slowShare(c, old *canary.Counts) float64 {
+func slowFraction(c, old *canary.Counts) float64 {
 	limit, above := len(old.Times), 0
 	for limit > 0 && (above+old.Times[limit-1])*10 <= old.Answers {
 		limit--
--- a/coordination/config/cluster_test.go
+++ b/coordination/config/cluster_test.go
@@ -23,13 +23,13 @@
 	// delayedSwaps holds swaps that were sent and may still take effect.
 	delayedSwaps []*config.SwapHead
 
-	followers []*config.Follower
-	fetches   []fetch
-	highest   []ident.Generation
+	followers      []*config.Follower
+	fetches        []fetch
+	highestInForce []ident.Generation
 
-	submissions []*submission
-	accepted    map[ident.Generation]config.Accepted
-	byID        map[string]int
+	submissions   []*submission
+	accepted      map[ident.Generation]config.Accepted
+	acceptedCount map[string]int
 }
 
 type fetch struct {
@@ -48,8 +48,8 @@
 func newCluster() *cluster {
 	w := &cluster{
 		now: time.Unix(1000, 0), sections: map[manifest.Hash][]byte{},
-		highest: make([]ident.Generation, daemons), accepted: map[ident.Generation]config.Accepted{},
-		byID: map[string]int{},
+		highestInForce: make([]ident.Generation, daemons), accepted: map[ident.Generation]config.Accepted{},
+		acceptedCount: map[string]int{},
 	}
 	for range daemons {
 		w.followers = append(w.followers, config.NewFollower())
@@ -82,7 +82,7 @@
 	w.revision++
 	w.head = s.Head
 	w.accepted[s.Head.Generation] = s.Head.Accepted
-	w.byID[s.Head.SubmissionID]++
+	w.acceptedCount[s.Head.SubmissionID]++
 	return true
 }
 
@@ -237,7 +237,7 @@
 func (w *cluster) restart(t *rapid.T) {
 	daemon := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 	w.followers[daemon] = config.NewFollower()
-	w.highest[daemon] = 0
+	w.highestInForce[daemon] = 0
 	kept := w.fetches[:0]
 	for _, f := range w.fetches {
 		if f.daemon != daemon {
--- a/coordination/config/config_test.go
+++ b/coordination/config/config_test.go
@@ -19,10 +19,10 @@
 func (w *cluster) checkInvariants(t *rapid.T) {
 	for i, f := range w.followers {
 		head, m := f.InForce()
-		if head.Generation < w.highest[i] {
-			t.Fatalf("daemon %d returned from generation %d to %d", i, w.highest[i], head.Generation)
+		if head.Generation < w.highestInForce[i] {
+			t.Fatalf("daemon %d returned from generation %d to %d", i, w.highestInForce[i], head.Generation)
 		}
-		w.highest[i] = head.Generation
+		w.highestInForce[i] = head.Generation
 		if head.Generation > 0 {
 			w.checkInForce(t, head, m)
 		}
@@ -53,8 +53,8 @@
 }
 
 func (w *cluster) checkSubmission(t *rapid.T, s *submission) {
-	if w.byID[s.id] > 1 {
-		t.Fatalf("submission %s was accepted %d times", s.id, w.byID[s.id])
+	if w.acceptedCount[s.id] > 1 {
+		t.Fatalf("submission %s was accepted %d times", s.id, w.acceptedCount[s.id])
 	}
 	switch step := s.Step().(type) {
 	case *config.Done:
@@ -63,12 +63,12 @@
 		}
 	case *config.Failed:
 		var conflict *config.ConflictError
-		if errors.As(step.Err, &conflict) && w.byID[s.id] > 0 {
+		if errors.As(step.Err, &conflict) && w.acceptedCount[s.id] > 0 {
 			t.Fatalf("submission %s failed with a conflict but was accepted", s.id)
 		}
 	}
 	var notAccepted *config.NotAcceptedError
-	if errors.As(s.abortErr, &notAccepted) && w.byID[s.id] > 0 {
+	if errors.As(s.abortErr, &notAccepted) && w.acceptedCount[s.id] > 0 {
 		t.Fatalf("submission %s was reported as not accepted but was accepted", s.id)
 	}
 }
--- a/coordination/config/follower.go
+++ b/coordination/config/follower.go
@@ -14,13 +14,13 @@
 const (
 	// fetchTimeout is the time after which a fetch counts as unanswered.
 	fetchTimeout = 2 * time.Second
-	// fetchRetry is the delay before the next source is asked after a source has answered
+	// fetchRetryDelay is the delay before the next source is asked after a source has answered
 	// without all of the sections.
-	fetchRetry = 200 * time.Millisecond
-	// startGrace is how long a daemon without a configuration in force waits for heads from
+	fetchRetryDelay = 200 * time.Millisecond
+	// startupHeadWait is how long a daemon without a configuration in force waits for heads from
 	// peers if the key-value service doesn't answer. After that, the highest generation that
 	// a peer has announced comes into force.
-	startGrace = time.Second
+	startupHeadWait = time.Second
 	// maxSources bounds the number of peers remembered as having the wanted generation.
 	maxSources = 8
 )
@@ -61,14 +61,14 @@
 	manifest *manifest.Manifest
 	// wanted is the accepted configuration whose sections are being fetched.
 	wanted Accepted
-	// rejected is the latest generation that this program can't read.
-	rejected ident.Generation
-	sections map[manifest.Hash][]byte
+	// rejectedGeneration is the latest generation that this program can't read.
+	rejectedGeneration ident.Generation
+	sections           map[manifest.Hash][]byte
 
-	// sources are the sources that have announced wanted; sourceIndex selects the next one.
-	sources     []string
-	sourceIndex int
-	fetchedAt   time.Time
+	// wantedSources are the wantedSources that have announced wanted; sourceIndex selects the next one.
+	wantedSources []string
+	sourceIndex   int
+	fetchedAt     time.Time
 	// lastFetchFromStore is set if the last fetch went to the key-value service.
 	lastFetchFromStore bool
 
@@ -93,7 +93,7 @@
 // generation, and the daemon must not return to it.
 func (f *Follower) Learn(now time.Time, head Accepted, source string) []Effect {
 	f.recordHead(now, head, source)
-	if head.Generation <= f.inForce.Generation || head.Generation <= f.rejected {
+	if head.Generation <= f.inForce.Generation || head.Generation <= f.rejectedGeneration {
 		return nil
 	}
 	switch {
@@ -126,12 +126,12 @@
 // generation yet. Without the wait, a daemon that had the newest generation in force before
 // its restart would bring an older one into force.
 func (f *Follower) starting(now time.Time) bool {
-	return f.manifest == nil && !f.storeHeadSeen && now.Sub(f.firstHeadAt) < startGrace
+	return f.manifest == nil && !f.storeHeadSeen && now.Sub(f.firstHeadAt) < startupHeadWait
 }
 
 func (f *Follower) setWanted(head Accepted) {
 	f.wanted = head
-	f.sources = nil
+	f.wantedSources = nil
 	f.sourceIndex = 0
 	f.fetchedAt = time.Time{}
 	f.lastFetchFromStore = false
@@ -141,7 +141,7 @@
 // sections already and need not fetch them.
 func (f *Follower) Adopt(now time.Time, head Accepted, sections map[manifest.Hash][]byte) []Effect {
 	f.recordHead(now, head, StoreSource)
-	known := max(f.inForce.Generation, f.rejected)
+	known := max(f.inForce.Generation, f.rejectedGeneration)
 	if head.Generation <= known || head.Generation < f.wanted.Generation {
 		return nil
 	}
@@ -152,13 +152,13 @@
 }
 
 func (f *Follower) addSource(source string) {
-	for _, known := range f.sources {
+	for _, known := range f.wantedSources {
 		if known == source {
 			return
 		}
 	}
-	if len(f.sources) < maxSources {
-		f.sources = append(f.sources, source)
+	if len(f.wantedSources) < maxSources {
+		f.wantedSources = append(f.wantedSources, source)
 	}
 }
 
@@ -171,7 +171,7 @@
 			f.sections[hash] = data
 		}
 	}
-	f.fetchedAt = now.Add(fetchRetry - fetchTimeout)
+	f.fetchedAt = now.Add(fetchRetryDelay - fetchTimeout)
 	return f.advance(now)
 }
 
@@ -212,9 +212,9 @@
 }
 
 func (f *Follower) nextSource() string {
-	candidates := f.sources
+	candidates := f.wantedSources
 	if f.sourceIndex > 0 || len(candidates) == 0 {
-		candidates = append([]string{StoreSource}, f.sources...)
+		candidates = append([]string{StoreSource}, f.wantedSources...)
 	}
 	source := candidates[f.sourceIndex%len(candidates)]
 	f.sourceIndex++
@@ -225,7 +225,7 @@
 	head := f.wanted
 	m, err := manifest.Join(head.Sections, f.sections)
 	if err != nil {
-		f.rejected = head.Generation
+		f.rejectedGeneration = head.Generation
 		f.wanted = Accepted{}
 		f.prune()
 		return []Effect{&Reject{Head: head, Err: err}}
--- a/coordination/config/submission.go
+++ b/coordination/config/submission.go
@@ -48,14 +48,14 @@
 	id       string
 	author   string
 	expected int64
-	// floor is the highest generation that the submitter knows of.
-	floor    ident.Generation
-	sections []manifest.Section
+	// knownGeneration is the highest generation that the submitter knows of.
+	knownGeneration ident.Generation
+	sections        []manifest.Section
 
 	next           Step
 	sectionsStored bool
-	// unknownSwap is the generation of a swap whose answer was lost; zero if there is none.
-	unknownSwap ident.Generation
+	// lostSwapGeneration is the generation of a swap whose answer was lost; zero if there is none.
+	lostSwapGeneration ident.Generation
 }
 
 // NewSubmission returns a submission whose first step reads the head. expected is the
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	return &Submission{
-		id: id, author: author, expected: expected, floor: floor,
+		id: id, author: author, expected: expected, knownGeneration: floor,
 		sections: sections, next: &ReadHead{},
 	}, nil
 }
@@ -118,10 +118,10 @@
 // mayBeTruncated reports whether a swap whose answer was lost may have been accepted and
 // since dropped from the head's bounded list of earlier configurations.
 func (s *Submission) mayBeTruncated(head Head) bool {
-	if s.unknownSwap == 0 || len(head.Past) == 0 {
+	if s.lostSwapGeneration == 0 || len(head.Past) == 0 {
 		return false
 	}
-	return head.Past[len(head.Past)-1].Generation > s.unknownSwap
+	return head.Past[len(head.Past)-1].Generation > s.lostSwapGeneration
 }
 
 // nextAccepted returns the new configuration with a generation above both the head and the
@@ -130,7 +130,7 @@
 // already have in force, and they would ignore the new content as already applied.
 func (s *Submission) nextAccepted(now time.Time, head Head) Accepted {
 	return Accepted{
-		Generation:         max(head.Generation, s.floor) + 1,
+		Generation:         max(head.Generation, s.knownGeneration) + 1,
 		Sections:           manifest.Hashes(s.sections),
 		SubmissionID:       s.id,
 		Author:             s.author,
@@ -154,7 +154,7 @@
 // most one of the two can take effect.
 func (s *Submission) SwapLost() {
 	if swap, ok := s.next.(*SwapHead); ok {
-		s.unknownSwap = swap.Head.Generation
+		s.lostSwapGeneration = swap.Head.Generation
 	}
 	s.next = &ReadHead{}
 }
@@ -162,7 +162,7 @@
 // AbortError returns the error to report when the driver stops before Done or Failed:
 // *OutcomeUnknownError if the answer to a swap is missing, else *NotAcceptedError.
 func (s *Submission) AbortError(cause error) error {
-	if _, swapping := s.next.(*SwapHead); swapping || s.unknownSwap != 0 {
+	if _, swapping := s.next.(*SwapHead); swapping || s.lostSwapGeneration != 0 {
 		return &OutcomeUnknownError{SubmissionID: s.id, Err: cause}
 	}
 	return &NotAcceptedError{SubmissionID: s.id, Err: cause}
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -47,8 +47,8 @@
 
 // Config sets when runners are ejected.
 type Config struct {
-	// MaxConsecutive is the number of consecutive failures that ejects a runner.
-	MaxConsecutive int
+	// MaxConsecutiveFailures is the number of consecutive failures that ejects a runner.
+	MaxConsecutiveFailures int
 	// A share of FailureRatio of at least MinCalls calls within Window also ejects it.
 	FailureRatio float64
 	MinCalls     int
@@ -57,10 +57,10 @@
 	// while probes fail.
 	FirstEjection time.Duration
 	MaxEjection   time.Duration
-	// MaxEjectedShare is the fraction of the runners that may be ejected at once; of two or
+	// MaxEjectedFraction is the fraction of the runners that may be ejected at once; of two or
 	// more runners, one may always be. If more fail, the cause is not in single runners, and
 	// without any runner no request could be served.
-	MaxEjectedShare float64
+	MaxEjectedFraction float64
 	// ProbeTimeout is the time after which an unanswered probe counts as failed.
 	ProbeTimeout time.Duration
 }
@@ -68,14 +68,14 @@
 // Default returns the policy used in production; docs/design/retries.md gives the reasons.
 func Default() Config {
 	return Config{
-		MaxConsecutive:  3,
-		FailureRatio:    0.5,
-		MinCalls:        10,
-		Window:          10 * time.Second,
-		FirstEjection:   2 * time.Second,
-		MaxEjection:     time.Minute,
-		MaxEjectedShare: 0.34,
-		ProbeTimeout:    time.Second,
+		MaxConsecutiveFailures: 3,
+		FailureRatio:           0.5,
+		MinCalls:               10,
+		Window:                 10 * time.Second,
+		FirstEjection:          2 * time.Second,
+		MaxEjection:            time.Minute,
+		MaxEjectedFraction:     0.34,
+		ProbeTimeout:           time.Second,
 	}
 }
 
@@ -91,13 +91,13 @@
 
 // runner is the health of one runner. phaseEnd is when its ejection ends or its probe times out.
 type runner struct {
-	phase       phase
-	consecutive int
-	calls       int
-	failures    int
-	windowEnd   time.Time
-	phaseEnd    time.Time
-	ejection    time.Duration
+	phase               phase
+	consecutiveFailures int
+	windowCalls         int
+	windowFailures      int
+	windowEnd           time.Time
+	phaseEnd            time.Time
+	ejectionDuration    time.Duration
 }
 
 // Tracker tracks the health of one service's runners. It is not safe for concurrent use.
@@ -162,27 +162,27 @@
 
 func (r *runner) count(now time.Time, window time.Duration, failed bool) {
 	if !now.Before(r.windowEnd) {
-		r.calls, r.failures = 0, 0
+		r.windowCalls, r.windowFailures = 0, 0
 		r.windowEnd = now.Add(window)
 	}
-	r.calls++
+	r.windowCalls++
 	if !failed {
-		r.consecutive = 0
+		r.consecutiveFailures = 0
 		return
 	}
-	r.failures++
-	r.consecutive++
+	r.windowFailures++
+	r.consecutiveFailures++
 }
 
 func (t *Tracker) exceedsThreshold(r *runner) bool {
-	if r.consecutive >= t.cfg.MaxConsecutive {
+	if r.consecutiveFailures >= t.cfg.MaxConsecutiveFailures {
 		return true
 	}
-	return r.calls >= t.cfg.MinCalls && float64(r.failures) >= t.cfg.FailureRatio*float64(r.calls)
+	return r.windowCalls >= t.cfg.MinCalls && float64(r.windowFailures) >= t.cfg.FailureRatio*float64(r.windowCalls)
 }
 
 func (t *Tracker) mayEject() bool {
-	limit := int(t.cfg.MaxEjectedShare * float64(len(t.runners)))
+	limit := int(t.cfg.MaxEjectedFraction * float64(len(t.runners)))
 	if len(t.runners) > 1 {
 		limit = max(1, limit)
 	}
@@ -193,10 +193,10 @@
 	if !r.isEjected() {
 		t.ejected++
 	}
-	r.ejection = min(max(2*r.ejection, t.cfg.FirstEjection), t.cfg.MaxEjection)
+	r.ejectionDuration = min(max(2*r.ejectionDuration, t.cfg.FirstEjection), t.cfg.MaxEjection)
 	r.phase = phaseEjected
-	r.phaseEnd = now.Add(r.ejection)
-	r.consecutive, r.calls, r.failures = 0, 0, 0
+	r.phaseEnd = now.Add(r.ejectionDuration)
+	r.consecutiveFailures, r.windowCalls, r.windowFailures = 0, 0, 0
 }
 
 // HandleProbe processes the result of a probe and appends the resulting effects to dst.
@@ -211,7 +211,7 @@
 		r.phase = phaseHealthy
 		// One more failure ejects the runner again, because the probe is a small call and
 		// proves less than a real one.
-		r.consecutive = t.cfg.MaxConsecutive - 1
+		r.consecutiveFailures = t.cfg.MaxConsecutiveFailures - 1
 		return append(dst, Effect{Readmit, id})
 	case r.phase == phaseProbing:
 		t.eject(now, r)
--- a/coordination/health/health_test.go
+++ b/coordination/health/health_test.go
@@ -60,7 +60,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "runners")
 		tr, ids := newTracker(n)
-		out := map[ident.RunnerID]bool{}
+		ejected := map[ident.RunnerID]bool{}
 		now := start
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
@@ -79,13 +79,13 @@
 			for _, e := range effects {
 				switch e.Kind {
 				case Eject:
-					out[e.Runner] = true
+					ejected[e.Runner] = true
 				case Readmit:
-					delete(out, e.Runner)
+					delete(ejected, e.Runner)
 				}
 			}
-			if len(out) != tr.Ejected() || len(out) >= n || len(out) > max(1, n*34/100) {
-				t.Fatalf("%d of %d runners ejected, tracker counts %d", len(out), n, tr.Ejected())
+			if len(ejected) != tr.Ejected() || len(ejected) >= n || len(ejected) > max(1, n*34/100) {
+				t.Fatalf("%d of %d runners ejected, tracker counts %d", len(ejected), n, tr.Ejected())
 			}
 		}
 	})
--- a/coordination/journal/log.go
+++ b/coordination/journal/log.go
@@ -10,12 +10,12 @@
 
 // Log is the content of an owner's log as read so far.
 type Log struct {
-	owner    ident.Incarnation
-	next     uint64
-	floor    int64
-	seal     *Seal
-	intents  map[actionkey.ID]string
-	outcomes map[actionkey.ID]Outcome
+	owner     ident.Incarnation
+	nextIndex uint64
+	floor     int64
+	seal      *Seal
+	intents   map[actionkey.ID]string
+	outcomes  map[actionkey.ID]Outcome
 }
 
 // NewLog returns a log without entries.
@@ -33,7 +33,7 @@
 // and sealing it can create its seal at an index that the owner had used and deleted meanwhile.
 // The owner never deletes its last entry, so a seal that is followed by entries is invalid.
 func (l *Log) Add(index uint64, e Entry) {
-	l.next = index + 1
+	l.nextIndex = index + 1
 	l.seal = e.Seal
 	l.floor = max(l.floor, e.Floor)
 	for _, i := range e.Intents {
@@ -45,7 +45,7 @@
 }
 
 // Next returns the index of the next entry, at which a seal would end the log.
-func (l *Log) Next() uint64 { return l.next }
+func (l *Log) Next() uint64 { return l.nextIndex }
 
 // Seal returns the seal that ended the log, or nil while the log is open.
 func (l *Log) Seal() *Seal { return l.seal }
--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -105,23 +105,23 @@
 // Writer groups intents and outcomes into entries. It keeps at most one write in flight and
 // limits its rate of writes with a token bucket. It is not safe for concurrent use.
 type Writer struct {
-	cfg      Config
-	next     uint64
-	intents  []Intent
-	outcomes []Outcome
+	cfg       Config
+	nextIndex uint64
+	intents   []Intent
+	outcomes  []Outcome
 	// outcomeBytes is the total size of the queued outcomes.
 	outcomeBytes int
-	// outcomesSince is when the oldest queued outcome was added.
-	outcomesSince time.Time
-	seal          *Seal
+	// oldestOutcomeAt is when the oldest queued outcome was added.
+	oldestOutcomeAt time.Time
+	seal            *Seal
 
 	// inFlight is the entry that is being written, or nil; the next fields belong to it.
-	inFlight       *Entry
-	inFlightValue  []byte
-	awaitingAnswer bool
-	retryAt        time.Time
-	inFlightSince  time.Time
-	inFlightExpiry time.Time
+	inFlight           *Entry
+	inFlightValue      []byte
+	awaitingAnswer     bool
+	retryAt            time.Time
+	inFlightSince      time.Time
+	inFlightLastExpiry time.Time
 
 	// writeTokens is the content of the token bucket at time writeTokensAt.
 	writeTokens   float64
@@ -145,7 +145,7 @@
 		o.Body, o.Headers, o.NotKept = nil, nil, true
 	}
 	if len(w.outcomes) == 0 {
-		w.outcomesSince = now
+		w.oldestOutcomeAt = now
 	}
 	w.outcomes = append(w.outcomes, o)
 	w.outcomeBytes += outcomeSize(o)
@@ -159,8 +159,8 @@
 // journal.
 func (w *Writer) DropIntents() { w.intents = nil }
 
-// End queues the seal with which the owner ends its own log.
-func (w *Writer) End(successor ident.Incarnation) {
+// QueueSeal queues the seal with which the owner ends its own log.
+func (w *Writer) QueueSeal(successor ident.Incarnation) {
 	if w.seal == nil {
 		w.seal = &Seal{By: w.cfg.Owner, Successor: successor}
 	}
@@ -204,7 +204,7 @@
 	}
 	w.writeTokens--
 	w.awaitingAnswer = true
-	return Write{Index: w.next, Value: w.inFlightValue}, true
+	return Write{Index: w.nextIndex, Value: w.inFlightValue}, true
 }
 
 // CollectNext returns an entry to delete if one has expired and the rate limit allows it.
@@ -228,7 +228,7 @@
 
 // HandleWritten processes the result of a write.
 func (w *Writer) HandleWritten(now time.Time, r Written) Progress {
-	if w.inFlight == nil || r.Index != w.next || w.sealed {
+	if w.inFlight == nil || r.Index != w.nextIndex || w.sealed {
 		return Progress{}
 	}
 	w.awaitingAnswer = false
@@ -250,10 +250,10 @@
 		p.Durable = append(p.Durable, i.ID)
 	}
 	w.sealed = p.Sealed
-	w.retained = append(w.retained, retained{Collect: Collect{Index: w.next, Revision: revision}, lastExpiry: w.inFlightExpiry})
+	w.retained = append(w.retained, retained{Collect: Collect{Index: w.nextIndex, Revision: revision}, lastExpiry: w.inFlightLastExpiry})
 	w.floor = max(w.floor, e.Floor)
 	w.inFlight, w.inFlightValue = nil, nil
-	w.next++
+	w.nextIndex++
 	return p
 }
 
@@ -270,7 +270,7 @@
 	case len(w.intents) > 0 || w.seal != nil:
 		due = now
 	case len(w.outcomes) > 0:
-		due = w.outcomesSince.Add(w.cfg.OutcomeDelay)
+		due = w.oldestOutcomeAt.Add(w.cfg.OutcomeDelay)
 	case len(w.retained) > 1 && millis(w.retained[0].lastExpiry) < w.floor:
 		due = now
 	default:
@@ -286,14 +286,14 @@
 	if len(w.intents) > 0 || w.seal != nil {
 		return true
 	}
-	return len(w.outcomes) > 0 && !now.Before(w.outcomesSince.Add(w.cfg.OutcomeDelay))
+	return len(w.outcomes) > 0 && !now.Before(w.oldestOutcomeAt.Add(w.cfg.OutcomeDelay))
 }
 
 // prepareEntry builds the next entry from the queued items. The seal gets an entry of its own
 // after all of them.
 func (w *Writer) prepareEntry(now time.Time) {
 	e := &Entry{
-		Nonce: fmt.Sprintf("%s/%d", w.cfg.Owner, w.next),
+		Nonce: fmt.Sprintf("%s/%d", w.cfg.Owner, w.nextIndex),
 		Floor: millis(now.Add(-w.cfg.KeyRetention)),
 	}
 	size := 0
@@ -308,13 +308,13 @@
 		w.outcomeBytes -= outcomeSize(w.outcomes[n])
 	}
 	e.Outcomes, w.outcomes = w.outcomes[:n:n], w.outcomes[n:]
-	w.outcomesSince = now
+	w.oldestOutcomeAt = now
 	if n == 0 && len(e.Intents) == 0 {
 		e.Seal, w.seal = w.seal, nil
 	}
 	w.inFlight = e
 	w.inFlightSince = now
-	w.inFlightExpiry = latestExpiry(e)
+	w.inFlightLastExpiry = latestExpiry(e)
 	w.inFlightValue = mustEncode(e)
 }
 
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -22,9 +22,9 @@
 type Timing struct {
 	// TTL is the duration of the lease at the key-value service.
 	TTL time.Duration
-	// Renew is the time between renewals. It must be a small part of TTL, so that a lost
+	// RenewInterval is the time between renewals. It must be a small part of TTL, so that a lost
 	// renewal can be repeated in time.
-	Renew time.Duration
+	RenewInterval time.Duration
 	// MaxOrderLatency bounds the time from a true result of MayOrder to the arrival of the order
 	// at its recipient, if the holder's process isn't paused meanwhile. The holder stops sending
 	// orders this long before its lease can expire. Callers must enforce the bound with a
@@ -37,22 +37,22 @@
 	MaxPause time.Duration
 	// Drift is the fraction, from 0 to 1, by which clock rates may differ.
 	Drift float64
-	// Retry is the delay after a failed call.
-	Retry time.Duration
-	// ReadKey is the time between reads of the key by a daemon that waits to become the holder.
-	ReadKey time.Duration
+	// RetryDelay is the delay after a failed call.
+	RetryDelay time.Duration
+	// ReadInterval is the time between reads of the key by a daemon that waits to become the holder.
+	ReadInterval time.Duration
 }
 
 // DefaultTiming suits a key-value service that answers within milliseconds.
 func DefaultTiming() Timing {
 	return Timing{
 		TTL:             9 * time.Second,
-		Renew:           3 * time.Second,
+		RenewInterval:   3 * time.Second,
 		MaxOrderLatency: 2 * time.Second,
 		MaxPause:        20 * time.Second,
 		Drift:           0.01,
-		Retry:           time.Second,
-		ReadKey:         2 * time.Second,
+		RetryDelay:      time.Second,
+		ReadInterval:    2 * time.Second,
 	}
 }
 
@@ -65,15 +65,15 @@
 // MaxTakeover returns the longest time from the end of a holder to its successor's first order
 // to runners that don't check fencing tokens, not counting the calls to the key-value service.
 func (t Timing) MaxTakeover() time.Duration {
-	return withDrift(t.TTL, t.Drift) + max(t.ReadKey, t.Retry) + t.Quarantine()
+	return withDrift(t.TTL, t.Drift) + max(t.ReadInterval, t.RetryDelay) + t.Quarantine()
 }
 
 func withDrift(d time.Duration, drift float64) time.Duration {
 	return d + time.Duration(float64(d)*drift)
 }
 
-// usableFor returns how long after sending a renewal the holder may rely on it.
-func (t Timing) usableFor() time.Duration {
+// renewalUsableFor returns how long after sending a renewal the holder may rely on it.
+func (t Timing) renewalUsableFor() time.Duration {
 	return t.TTL - time.Duration(float64(t.TTL)*t.Drift) - t.MaxOrderLatency
 }
 
@@ -153,15 +153,15 @@
 	timing Timing
 	state  State
 	// pending is the outstanding call; its Kind is zero if there is none.
-	pending   Effect
-	sentAt    time.Duration
-	attempts  uint64
-	lease     uint64
-	token     uint64
-	renewedAt time.Duration
-	heldSince time.Duration
-	nextCall  time.Duration
-	stopping  bool
+	pending    Effect
+	callSentAt time.Duration
+	attempts   uint64
+	lease      uint64
+	token      uint64
+	renewedAt  time.Duration
+	heldSince  time.Duration
+	nextCall   time.Duration
+	stopping   bool
 }
 
 // New returns a Machine that holds nothing.
@@ -184,7 +184,7 @@
 	if m.state != Holding || m.stopping {
 		return false
 	}
-	if now >= m.renewedAt+m.timing.usableFor() {
+	if now >= m.renewedAt+m.timing.renewalUsableFor() {
 		return false
 	}
 	return checked || now >= m.heldSince+m.timing.Quarantine()
@@ -200,7 +200,7 @@
 	switch {
 	case m.state == Holding && (m.stopping || !candidate):
 		return m.release(now)
-	case m.state == Holding && now >= m.renewedAt+m.timing.Renew:
+	case m.state == Holding && now >= m.renewedAt+m.timing.RenewInterval:
 		return m.call(now, Renew)
 	case m.state == Idle && candidate && !m.stopping:
 		m.state = Acquiring
@@ -226,13 +226,13 @@
 	m.pending = Effect{}
 	m.lease = 0
 	m.token = 0
-	m.nextCall = now + m.timing.Retry
+	m.nextCall = now + m.timing.RetryDelay
 }
 
 func (m *Machine) call(now time.Duration, k Kind) []Effect {
 	m.attempts++
 	m.pending = Effect{Kind: k, Lease: m.lease, Attempt: m.attempts}
-	m.sentAt = now
+	m.callSentAt = now
 	return []Effect{m.pending}
 }
 
@@ -288,7 +288,7 @@
 	}
 	if r.FoundLease != 0 {
 		m.reset(now)
-		m.nextCall = now + m.timing.ReadKey
+		m.nextCall = now + m.timing.ReadInterval
 		return nil
 	}
 	return m.call(now, Grant)
@@ -301,7 +301,7 @@
 	}
 	m.lease = r.Lease
 	// The service may have started the lease as early as when the request was sent.
-	m.renewedAt = m.sentAt
+	m.renewedAt = m.callSentAt
 	return m.call(now, Create)
 }
 
@@ -339,11 +339,11 @@
 func (m *Machine) handleRenew(now time.Duration, r Result) []Effect {
 	switch r.Outcome {
 	case Done:
-		m.renewedAt = m.sentAt
+		m.renewedAt = m.callSentAt
 	case Refused:
 		m.reset(now)
 	case Lost:
-		m.nextCall = now + m.timing.Retry
+		m.nextCall = now + m.timing.RetryDelay
 	}
 	return nil
 }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -12,39 +12,39 @@
 
 // store simulates the key-value service: one key under a lease that expires.
 type store struct {
-	leases   uint64
-	holder   uint64
-	expires  time.Duration
-	revision uint64
+	lastLease uint64
+	keyLease  uint64
+	expires   time.Duration
+	revision  uint64
 }
 
 func (s *store) execute(now time.Duration, e lease.Effect, ttl time.Duration) lease.Result {
-	if s.holder != 0 && now >= s.expires {
-		s.holder = 0
+	if s.keyLease != 0 && now >= s.expires {
+		s.keyLease = 0
 	}
 	r := lease.Result{Attempt: e.Attempt, Outcome: lease.Done}
 	switch e.Kind {
 	case lease.Grant:
-		s.leases++
-		r.Lease = s.leases
+		s.lastLease++
+		r.Lease = s.lastLease
 	case lease.Create:
-		if s.holder != 0 {
+		if s.keyLease != 0 {
 			r.Outcome = lease.Refused
 			return r
 		}
 		s.revision++
-		s.holder, s.expires, r.Revision = e.Lease, now+ttl, s.revision
+		s.keyLease, s.expires, r.Revision = e.Lease, now+ttl, s.revision
 	case lease.ReadKey, lease.VerifyCreate:
-		r.FoundLease, r.Revision = s.holder, s.revision
+		r.FoundLease, r.Revision = s.keyLease, s.revision
 	case lease.Renew:
-		if s.holder != e.Lease {
+		if s.keyLease != e.Lease {
 			r.Outcome = lease.Refused
 			return r
 		}
 		s.expires = now + ttl
 	case lease.Revoke:
-		if s.holder == e.Lease {
-			s.holder = 0
+		if s.keyLease == e.Lease {
+			s.keyLease = 0
 		}
 	}
 	return r
@@ -177,7 +177,7 @@
 	}
 	is.Equal(m.State(), lease.Holding)
 	is.True(m.MayOrder(time.Second, true))
-	for now := timing.Renew; now < timing.TTL; now += step {
+	for now := timing.RenewInterval; now < timing.TTL; now += step {
 		for _, e := range m.Tick(now, true) {
 			m.Step(now, lease.Result{Attempt: e.Attempt, Outcome: lease.Lost})
 		}
@@ -194,8 +194,8 @@
 	timing := lease.DefaultTiming()
 	m := lease.New(timing)
 	var s store
-	look := m.Tick(0, true)[0]
-	grant := m.Step(0, s.execute(0, look, timing.TTL))[0]
+	readCall := m.Tick(0, true)[0]
+	grant := m.Step(0, s.execute(0, readCall, timing.TTL))[0]
 	create := m.Step(0, s.execute(0, grant, timing.TTL))[0]
 	s.execute(0, create, timing.TTL)
 	readBack := m.Step(0, lease.Result{Attempt: create.Attempt, Outcome: lease.Lost})[0]
@@ -209,7 +209,7 @@
 func TestStandbyOnlyReads(t *testing.T) {
 	is := is.New(t)
 	timing := lease.DefaultTiming()
-	s := store{holder: 7, expires: time.Hour}
+	s := store{keyLease: 7, expires: time.Hour}
 	m := lease.New(timing)
 	calls := 0
 	for now := time.Duration(0); now < time.Minute; now += step {
@@ -219,7 +219,7 @@
 			is.Equal(len(m.Step(now, s.execute(now, e, timing.TTL))), 0)
 		}
 	}
-	is.Equal(calls, int(time.Minute/timing.ReadKey))
+	is.Equal(calls, int(time.Minute/timing.ReadInterval))
 }
 
 func BenchmarkHoldOneSecond(b *testing.B) {
--- a/coordination/owners/owners.go
+++ b/coordination/owners/owners.go
@@ -20,10 +20,10 @@
 // candidate is a live daemon with its sort keys.
 type candidate struct {
 	daemon *view.Daemon
-	score  uint64
-	// rank is the position within the failure domain by score, from zero.
-	rank        int
-	domainScore uint64
+	idHash uint64
+	// rankInDomain is the position within the failure domain by score, from zero.
+	rankInDomain int
+	domainHash   uint64
 }
 
 // Select returns the daemons that issue tokens: limit of the live ones, or all if there are
@@ -34,8 +34,8 @@
 	rankWithinDomains(list)
 	slices.SortFunc(list, func(a, b candidate) int {
 		return cmp.Or(
-			cmp.Compare(a.rank, b.rank),
-			cmp.Compare(b.domainScore, a.domainScore),
+			cmp.Compare(a.rankInDomain, b.rankInDomain),
+			cmp.Compare(b.domainHash, a.domainHash),
 			cmp.Compare(a.daemon.FailureDomain, b.daemon.FailureDomain),
 		)
 	})
@@ -54,9 +54,9 @@
 			continue
 		}
 		list = append(list, candidate{
-			daemon:      d,
-			score:       xxhash.Sum64String(string(d.ID)),
-			domainScore: xxhash.Sum64String(string(d.FailureDomain)),
+			daemon:     d,
+			idHash:     xxhash.Sum64String(string(d.ID)),
+			domainHash: xxhash.Sum64String(string(d.FailureDomain)),
 		})
 	}
 	return list
@@ -64,8 +64,8 @@
 
 func rankWithinDomains(list []candidate) {
 	slices.SortFunc(list, func(a, b candidate) int {
-		if a.score != b.score {
-			return cmp.Compare(b.score, a.score)
+		if a.idHash != b.idHash {
+			return cmp.Compare(b.idHash, a.idHash)
 		}
 		return cmp.Or(
 			cmp.Compare(a.daemon.ID, b.daemon.ID),
@@ -75,7 +75,7 @@
 	ranks := map[ident.FailureDomain]int{}
 	for i := range list {
 		domain := list[i].daemon.FailureDomain
-		list[i].rank = ranks[domain]
+		list[i].rankInDomain = ranks[domain]
 		ranks[domain]++
 	}
 }
@@ -94,7 +94,7 @@
 	slices.SortFunc(ordered, func(a, b view.Daemon) int {
 		return cmp.Or(
 			cmp.Compare(distance(self, a), distance(self, b)),
-			cmp.Compare(pairScore(self, b), pairScore(self, a)),
+			cmp.Compare(pairHash(self, b), pairHash(self, a)),
 			cmp.Compare(a.Incarnation, b.Incarnation),
 		)
 	})
@@ -108,7 +108,7 @@
 	return 1
 }
 
-func pairScore(self, owner view.Daemon) uint64 {
+func pairHash(self, owner view.Daemon) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(self.ID))
--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -26,8 +26,8 @@
 	// IdleInterval replaces Interval once this daemon has used no target for IdleAfter.
 	IdleInterval time.Duration
 	IdleAfter    time.Duration
-	// InitialReadBytes is the assumed size of a load report until one has been read.
-	InitialReadBytes float64
+	// InitialReportBytes is the assumed size of a load report until one has been read.
+	InitialReportBytes float64
 	// MaxSaved is how much unused budget can accumulate, as a time at the full rate.
 	MaxSaved time.Duration
 	// EventsBackoff is how long a target's cache events are not read after a page with a
@@ -39,24 +39,24 @@
 // Default returns the settings used in production.
 func Default() Config {
 	return Config{
-		Interval:         500 * time.Millisecond,
-		IdleInterval:     2 * time.Second,
-		IdleAfter:        5 * time.Second,
-		InitialReadBytes: 600,
-		MaxSaved:         time.Second,
-		EventsBackoff:    10 * time.Minute,
-		MaxEventsBackoff: time.Hour,
+		Interval:           500 * time.Millisecond,
+		IdleInterval:       2 * time.Second,
+		IdleAfter:          5 * time.Second,
+		InitialReportBytes: 600,
+		MaxSaved:           time.Second,
+		EventsBackoff:      10 * time.Minute,
+		MaxEventsBackoff:   time.Hour,
 	}
 }
 
-// meanGain is the weight of the latest report in the mean size.
-const meanGain = 0.1
+// reportSizeWeight is the weight of the latest report in the mean size.
+const reportSizeWeight = 0.1
 
 // Read is one read to make: a load report and, if Events is set, a page of cache events.
 type Read struct {
-	Target Target
-	Events bool
-	charge float64
+	Target       Target
+	Events       bool
+	chargedBytes float64
 }
 
 // Result describes a completed read. Byte counts include both directions; zero means unknown.
@@ -70,38 +70,38 @@
 type target struct {
 	reading  bool
 	lastRead time.Time
-	// used counts the daemon's own attempts that started or ended since the last read.
-	used          int
-	eventsAfter   time.Time
-	eventsBackoff time.Duration
+	// attemptsSinceRead counts the daemon's own attempts that started or ended since the last read.
+	attemptsSinceRead int
+	eventsAfter       time.Time
+	eventsBackoff     time.Duration
 }
 
 // Planner holds the budget and the targets of one daemon. It is not safe for concurrent use.
 type Planner struct {
-	cfg     Config
-	budget  float64
-	targets map[Target]*target
+	cfg            Config
+	bytesPerSecond float64
+	targets        map[Target]*target
 	// loadCredit is the number of bytes that load reports may use now, events the number
 	// that cache events may use. Both become negative after a read that was larger.
-	loadCredit    float64
-	events        float64
-	filledAt      time.Time
-	meanReadBytes float64
-	started       bool
-	// used is set by RecordUse until the next call of Next, which then sets lastUsed.
-	used     bool
-	lastUsed time.Time
+	loadCredit      float64
+	eventCredit     float64
+	creditAddedAt   time.Time
+	meanReportBytes float64
+	started         bool
+	// usedSinceNext is set by RecordUse until the next call of Next, which then sets lastUsed.
+	usedSinceNext bool
+	lastUsed      time.Time
 }
 
 // New returns a planner without targets and with a zero budget.
 func New(cfg Config) *Planner {
-	return &Planner{cfg: cfg, targets: map[Target]*target{}, meanReadBytes: cfg.InitialReadBytes}
+	return &Planner{cfg: cfg, targets: map[Target]*target{}, meanReportBytes: cfg.InitialReportBytes}
 }
 
 // SetBudget sets the bytes per second that all reads together may use.
 func (p *Planner) SetBudget(now time.Time, bytesPerSecond float64) {
 	p.addCredit(now)
-	p.budget = bytesPerSecond
+	p.bytesPerSecond = bytesPerSecond
 }
 
 // SetTargets replaces the targets of a service.
@@ -124,9 +124,9 @@
 // RecordUse records that an attempt of this daemon started or ended at a target, which makes the
 // target's last report less accurate.
 func (p *Planner) RecordUse(t Target) {
-	p.used = true
+	p.usedSinceNext = true
 	if s := p.targets[t]; s != nil {
-		s.used++
+		s.attemptsSinceRead++
 	}
 }
 
@@ -135,13 +135,13 @@
 // delay load reports.
 func (p *Planner) addCredit(now time.Time) {
 	if !p.started {
-		p.started, p.filledAt, p.lastUsed = true, now, now
+		p.started, p.creditAddedAt, p.lastUsed = true, now, now
 	}
-	p.loadCredit += p.budget * max(0, now.Sub(p.filledAt).Seconds())
-	p.filledAt = now
-	limit := max(p.budget*p.cfg.MaxSaved.Seconds(), p.meanReadBytes)
+	p.loadCredit += p.bytesPerSecond * max(0, now.Sub(p.creditAddedAt).Seconds())
+	p.creditAddedAt = now
+	limit := max(p.bytesPerSecond*p.cfg.MaxSaved.Seconds(), p.meanReportBytes)
 	if p.loadCredit > limit {
-		p.events = min(p.events+p.loadCredit-limit, limit)
+		p.eventCredit = min(p.eventCredit+p.loadCredit-limit, limit)
 		p.loadCredit = limit
 	}
 }
@@ -149,7 +149,7 @@
 // Next returns a read to make now, or else the time to wait before the next call.
 func (p *Planner) Next(now time.Time) (read Read, wait time.Duration, ok bool) {
 	p.addCredit(now)
-	if p.loadCredit < p.meanReadBytes {
+	if p.loadCredit < p.meanReportBytes {
 		return Read{}, p.waitForCredit(), false
 	}
 	next, wait := p.mostUrgent(now)
@@ -157,17 +157,17 @@
 		return Read{}, wait, false
 	}
 	s := p.targets[next]
-	s.reading, s.lastRead, s.used = true, now, 0
-	p.loadCredit -= p.meanReadBytes
-	events := p.events > 0 && !now.Before(s.eventsAfter)
-	return Read{Target: next, Events: events, charge: p.meanReadBytes}, 0, true
+	s.reading, s.lastRead, s.attemptsSinceRead = true, now, 0
+	p.loadCredit -= p.meanReportBytes
+	events := p.eventCredit > 0 && !now.Before(s.eventsAfter)
+	return Read{Target: next, Events: events, chargedBytes: p.meanReportBytes}, 0, true
 }
 
 func (p *Planner) waitForCredit() time.Duration {
-	if p.budget <= 0 {
+	if p.bytesPerSecond <= 0 {
 		return p.cfg.Interval
 	}
-	seconds := (p.meanReadBytes - p.loadCredit) / p.budget
+	seconds := (p.meanReportBytes - p.loadCredit) / p.bytesPerSecond
 	return min(p.cfg.Interval, time.Duration(math.Ceil(seconds*float64(time.Second))))
 }
 
@@ -177,7 +177,7 @@
 func (p *Planner) mostUrgent(now time.Time) (best Target, wait time.Duration) {
 	wait = p.cfg.Interval
 	interval := p.interval(now)
-	most := -1.0
+	highestUrgency := -1.0
 	for t, s := range p.targets {
 		age := now.Sub(s.lastRead)
 		switch {
@@ -187,9 +187,9 @@
 			wait = min(wait, interval-age)
 			continue
 		}
-		urgency := age.Seconds() * float64(1+s.used)
-		if urgency > most || urgency == most && less(t, best) {
-			best, most = t, urgency
+		urgency := age.Seconds() * float64(1+s.attemptsSinceRead)
+		if urgency > highestUrgency || urgency == highestUrgency && less(t, best) {
+			best, highestUrgency = t, urgency
 		}
 	}
 	return best, wait
@@ -198,8 +198,8 @@
 // interval returns a longer interval while the daemon routes no requests, because idle polling
 // would be the largest part of its work. The first request ends this at the next call of Next.
 func (p *Planner) interval(now time.Time) time.Duration {
-	if p.used {
-		p.used, p.lastUsed = false, now
+	if p.usedSinceNext {
+		p.usedSinceNext, p.lastUsed = false, now
 	}
 	if now.Sub(p.lastUsed) > p.cfg.IdleAfter {
 		return p.cfg.IdleInterval
@@ -219,10 +219,10 @@
 func (p *Planner) HandleResult(now time.Time, read Read, result Result) {
 	p.addCredit(now)
 	if result.LoadBytes > 0 {
-		p.loadCredit += read.charge - float64(result.LoadBytes)
-		p.meanReadBytes += meanGain * (float64(result.LoadBytes) - p.meanReadBytes)
+		p.loadCredit += read.chargedBytes - float64(result.LoadBytes)
+		p.meanReportBytes += reportSizeWeight * (float64(result.LoadBytes) - p.meanReportBytes)
 	}
-	p.events -= float64(result.EventBytes)
+	p.eventCredit -= float64(result.EventBytes)
 	s := p.targets[read.Target]
 	if s == nil {
 		return
--- a/coordination/prefill/prefill.go
+++ b/coordination/prefill/prefill.go
@@ -28,8 +28,8 @@
 	// estimate by the fraction maxRelativeStep*targetQuantile of itself, and a lower one divides it
 	// by 1 + maxRelativeStep*(1-targetQuantile).
 	maxRelativeStep = 0.06
-	// initialFixed is the estimate of the fixed part before short prompts have been observed.
-	initialFixed = 20 * time.Millisecond
+	// initialFixedTime is the estimate of the fixed part before short prompts have been observed.
+	initialFixedTime = 20 * time.Millisecond
 )
 
 // Sample is one observed time to first token.
@@ -41,20 +41,22 @@
 
 // Model estimates the prefill time of a service's engines.
 type Model struct {
-	fixedTime float64
-	perToken  float64
+	fixedSeconds    float64
+	secondsPerToken float64
 }
 
 // New returns a model with an initial prefill rate in tokens per second.
 func New(rate float64) *Model {
-	return &Model{fixedTime: initialFixed.Seconds(), perToken: 1 / rate}
+	return &Model{fixedSeconds: initialFixedTime.Seconds(), secondsPerToken: 1 / rate}
 }
 
 // Rate returns the prefill rate of an engine in tokens per second.
-func (m *Model) Rate() float64 { return 1 / m.perToken }
+func (m *Model) Rate() float64 { return 1 / m.secondsPerToken }
 
 // FixedTime returns the part of a time to first token that doesn't depend on the prompt.
-func (m *Model) FixedTime() time.Duration { return time.Duration(m.fixedTime * float64(time.Second)) }
+func (m *Model) FixedTime() time.Duration {
+	return time.Duration(m.fixedSeconds * float64(time.Second))
+}
 
 // Observe updates the estimates with a sample.
 func (m *Model) Observe(s Sample) {
@@ -64,9 +66,9 @@
 	took := s.TTFT.Seconds()
 	switch {
 	case s.Tokens <= maxShortPrompt:
-		m.fixedTime = updateQuantile(m.fixedTime, took-float64(s.Tokens)*m.perToken)
+		m.fixedSeconds = updateQuantile(m.fixedSeconds, took-float64(s.Tokens)*m.secondsPerToken)
 	case s.Tokens >= minLongPrompt:
-		m.perToken = updateQuantile(m.perToken, (took-m.fixedTime)/float64(s.Tokens))
+		m.secondsPerToken = updateQuantile(m.secondsPerToken, (took-m.fixedSeconds)/float64(s.Tokens))
 	}
 }
 
--- a/coordination/prefill/prefill_test.go
+++ b/coordination/prefill/prefill_test.go
@@ -12,13 +12,13 @@
 
 // engine simulates times to first token: a fixed part, the prefill, and random variation.
 type engine struct {
-	rng   *rand.Rand
-	fixed float64
-	rate  float64
+	rng             *rand.Rand
+	fixedSeconds    float64
+	tokensPerSecond float64
 }
 
 func (e *engine) time(tokens int) time.Duration {
-	seconds := (e.fixed + float64(tokens)/e.rate) * (0.9 + 0.2*e.rng.Float64())
+	seconds := (e.fixedSeconds + float64(tokens)/e.tokensPerSecond) * (0.9 + 0.2*e.rng.Float64())
 	return time.Duration(seconds * float64(time.Second))
 }
 
@@ -29,9 +29,9 @@
 	}
 }
 
-func isWithin(is *is.I, got, want, part float64) {
+func isWithin(is *is.I, got, want, tolerance float64) {
 	is.Helper()
-	if got < want*(1-part) || got > want*(1+part) {
+	if got < want*(1-tolerance) || got > want*(1+tolerance) {
 		is.Equal(got, want)
 	}
 }
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -215,7 +215,7 @@
 
 // planning is the state of one call of Plan.
 type planning struct {
-	p       *Planner
+	planner *Planner
 	now     time.Duration
 	models  []manifest.Model
 	runners []Runner
@@ -227,7 +227,7 @@
 }
 
 func newPlanning(p *Planner, now time.Duration, models []manifest.Model, runners []Runner) *planning {
-	t := &planning{p: p, now: now, runners: runners, changing: map[ident.RunnerID]bool{}}
+	t := &planning{planner: p, now: now, runners: runners, changing: map[ident.RunnerID]bool{}}
 	t.models = slices.Clone(models)
 	slices.SortStableFunc(t.models, func(a, b manifest.Model) int { return cmp.Compare(b.Priority, a.Priority) })
 	ids := make([]ident.RunnerID, 0, len(runners))
@@ -254,18 +254,18 @@
 	for _, r := range t.runners {
 		reported[r.ID] = r
 	}
-	for o, s := range t.p.orders {
+	for o, s := range t.planner.orders {
 		r, ok := reported[o.Runner]
 		if !ok || o.Kind == Load && hasLoaded(r, o.Model, o.Version, o.Adapter) {
-			delete(t.p.orders, o)
+			delete(t.planner.orders, o)
 			continue
 		}
 		if o.Kind == Unload && !hasLoaded(r, o.Model, o.Version, o.Adapter) {
-			delete(t.p.orders, o)
+			delete(t.planner.orders, o)
 			continue
 		}
-		if o.Kind == ChangeRole && (r.Role == o.Role || o.Role != t.p.role) {
-			delete(t.p.orders, o)
+		if o.Kind == ChangeRole && (r.Role == o.Role || o.Role != t.planner.role) {
+			delete(t.planner.orders, o)
 			continue
 		}
 		if o.Kind != Unload && s.acceptedAt != 0 && t.now < s.retryAt {
@@ -312,7 +312,7 @@
 		adding = append(adding, o)
 	}
 	for _, o := range adding {
-		t.addIfAllowed(o, t.p.limits.MaxLoads)
+		t.addIfAllowed(o, t.planner.limits.MaxLoads)
 	}
 	for _, o := range replacing {
 		t.addIfAllowed(o, t.maxConcurrentChanges())
@@ -321,19 +321,19 @@
 
 // maxConcurrentChanges returns how many serving runners may change at once.
 func (t *planning) maxConcurrentChanges() int {
-	share := int(t.p.limits.MaxLoadingShare * float64(len(t.runners)))
-	return min(t.p.limits.MaxLoads, max(share, 1))
+	share := int(t.planner.limits.MaxLoadingShare * float64(len(t.runners)))
+	return min(t.planner.limits.MaxLoads, max(share, 1))
 }
 
 // changeRoles changes a few runners at a time, because an engine may accept no requests during
 // the change.
 func (t *planning) changeRoles() {
-	if t.p.role == "" {
+	if t.planner.role == "" {
 		return
 	}
 	for _, r := range t.runners {
-		if r.Role != t.p.role {
-			t.addIfAllowed(Order{Runner: r.ID, Kind: ChangeRole, Role: t.p.role}, t.maxConcurrentChanges())
+		if r.Role != t.planner.role {
+			t.addIfAllowed(Order{Runner: r.ID, Kind: ChangeRole, Role: t.planner.role}, t.maxConcurrentChanges())
 		}
 	}
 }
@@ -365,7 +365,7 @@
 
 // delayed reports whether an order must not be given or repeated yet.
 func (t *planning) delayed(o Order) bool {
-	s, ok := t.p.orders[o]
+	s, ok := t.planner.orders[o]
 	return ok && t.now < s.retryAt
 }
 
--- a/coordination/routing/hazard.go
+++ b/coordination/routing/hazard.go
@@ -31,9 +31,9 @@
 
 // exposure holds the number of VMs in a pool, and its reclaims and VM hours with decay.
 type exposure struct {
-	vms       int
+	vmCount   int
 	reclaims  float64
-	hours     float64
+	vmHours   float64
 	updatedAt time.Time
 }
 
@@ -55,7 +55,7 @@
 // SetVMCount sets the number of VMs in a pool from now on.
 func (h *Hazard) SetVMCount(now time.Time, d ident.FailureDomain, class string, vms int) {
 	e := h.exposureAt(now, d, class)
-	e.vms = vms
+	e.vmCount = vms
 }
 
 // CountReclaim counts the reclaim of one VM.
@@ -66,7 +66,7 @@
 // RatePerHour returns the expected reclaims per hour for one VM of the pool.
 func (h *Hazard) RatePerHour(now time.Time, d ident.FailureDomain, class string) float64 {
 	e := h.exposureAt(now, d, class)
-	return (h.cfg.PriorRate*h.cfg.PriorHours + e.reclaims) / (h.cfg.PriorHours + e.hours)
+	return (h.cfg.PriorRate*h.cfg.PriorHours + e.reclaims) / (h.cfg.PriorHours + e.vmHours)
 }
 
 // observe sets the VM counts of the pools from a runner list. It counts a reclaim for
@@ -110,7 +110,7 @@
 	}
 	decay := math.Exp2(-elapsed.Hours() / h.cfg.HalfLife.Hours())
 	e.reclaims *= decay
-	e.hours = e.hours*decay + float64(e.vms)*elapsed.Hours()
+	e.vmHours = e.vmHours*decay + float64(e.vmCount)*elapsed.Hours()
 	e.updatedAt = now
 	return e
 }
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -185,13 +185,13 @@
 	p := t.loadedSlots[modelKey{r.Model, r.Adapter}]
 	for _, states := range [...]prefix.Set{t.live.Minus(t.ejected), usable} {
 		states = states.Minus(r.Exclude)
-		for _, loaded := range [...]prefix.Set{p.wanted, p.other, t.reported.Not()} {
+		for _, loaded := range [...]prefix.Set{p.wantedVersion, p.otherVersion, t.reported.Not()} {
 			if found := states.And(loaded); !found.Empty() {
 				return found, nil
 			}
 		}
 	}
-	if !usable.And(p.wanted.Or(p.other)).Empty() {
+	if !usable.And(p.wantedVersion.Or(p.otherVersion)).Empty() {
 		return prefix.Set{}, errAllTried
 	}
 	return prefix.Set{}, errNotLoaded
@@ -199,9 +199,9 @@
 
 // matchPrefix finds the slots that have cached a part of the request's prefix.
 func (t *Table) matchPrefix(r *Request) {
-	t.depths.Held, t.depths.Deepest = prefix.Set{}, prefix.Set{}
+	t.prefixMatch.Held, t.prefixMatch.Deepest = prefix.Set{}, prefix.Set{}
 	if !t.cfg.IgnorePrefix {
-		t.index.Match(r.Prefix, &t.depths)
+		t.index.Match(r.Prefix, &t.prefixMatch)
 	}
 }
 
@@ -212,7 +212,7 @@
 	if t.cfg.Samples <= 0 || from.Len() <= t.cfg.Samples {
 		return from
 	}
-	chosen := from.And(t.depths.Deepest)
+	chosen := from.And(t.prefixMatch.Deepest)
 	if t.homeSlot != noHome && from.Has(t.homeSlot) {
 		chosen = chosen.With(t.homeSlot)
 	}
@@ -287,10 +287,10 @@
 }
 
 func (t *Table) cachedBlocks(i int) int {
-	if !t.depths.Held.Has(i) {
+	if !t.prefixMatch.Held.Has(i) {
 		return 0
 	}
-	return int(t.depths.Blocks[i])
+	return int(t.prefixMatch.Blocks[i])
 }
 
 // uncached returns the number of prompt tokens that slot i would have to compute. It is
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -196,11 +196,11 @@
 
 func TestShareBorrowsIdleBatchSlots(t *testing.T) {
 	is := is.New(t)
-	busy := Capacity{Runners: 10, Batch: 100, Free: 20, DecodeRate: 5000}
+	busy := Capacity{Runners: 10, BatchSlots: 100, FreeSlots: 20, DecodeRate: 5000}
 	places, perSecond := busy.Share(5, 30)
 	is.Equal(places, 20.0) // the quarter reserved for urgent requests is not free
 	is.Equal(perSecond, 1000.0)
-	idle := Capacity{Runners: 10, Batch: 100, Free: 85, DecodeRate: 5000}
+	idle := Capacity{Runners: 10, BatchSlots: 100, FreeSlots: 85, DecodeRate: 5000}
 	places, _ = idle.Share(5, 15)
 	is.Equal(places, 45.0)
 }
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -21,10 +21,10 @@
 // the first token from it, or sees a request end there. prefill is in prompt tokens still to
 // compute, kv in tokens of KV cache, requests in requests in progress.
 type loadChange struct {
-	at       time.Time
-	prefill  float64
-	kv       float64
-	requests int
+	at            time.Time
+	prefillTokens float64
+	kvTokens      float64
+	requests      int
 }
 
 // changeLog is a ring buffer of a runner's latest load changes. nextEntry is the index that the
@@ -63,13 +63,13 @@
 // sumChangesSinceReport recomputes the sums of the own changes after the last report of slot i.
 func (t *Table) sumChangesSinceReport(i int) {
 	s := &t.slots[i]
-	s.sincePrefill, s.sinceKV, s.sinceRequests = 0, 0, 0
+	s.prefillSinceReport, s.kvSinceReport, s.requestsSinceReport = 0, 0, 0
 	log := &t.logs[i].entries
 	for j := range log {
 		if log[j].at.After(s.report.AsOf) {
-			s.sincePrefill += log[j].prefill
-			s.sinceKV += log[j].kv
-			s.sinceRequests += log[j].requests
+			s.prefillSinceReport += log[j].prefillTokens
+			s.kvSinceReport += log[j].kvTokens
+			s.requestsSinceReport += log[j].requests
 		}
 	}
 }
@@ -80,11 +80,11 @@
 	log.entries[log.nextEntry] = c
 	log.nextEntry = (log.nextEntry + 1) % changeLogSize
 	s := &t.slots[i]
-	s.sincePrefill += c.prefill
-	s.sinceKV += c.kv
-	s.sinceRequests += c.requests
-	s.pendingPrefill += c.prefill
-	s.pendingKV += c.kv
+	s.prefillSinceReport += c.prefillTokens
+	s.kvSinceReport += c.kvTokens
+	s.requestsSinceReport += c.requests
+	s.pendingPrefill += c.prefillTokens
+	s.pendingKV += c.kvTokens
 	t.scores[i].inFlight += c.requests
 	t.rescore(i)
 }
@@ -94,13 +94,13 @@
 	s, c := &t.slots[i], &t.scores[i]
 	c.prefillSecondsPerToken = 1 / s.prefillRate
 	c.secondsPerFreedToken = 1 / (s.decodeRate * float64(max(1, s.report.Running)))
-	c.queuedTokens = max(s.pendingPrefill, float64(s.report.QueuedTokens)+s.sincePrefill)
+	c.queuedTokens = max(s.pendingPrefill, float64(s.report.QueuedTokens)+s.prefillSinceReport)
 	c.freeTokens = math.Inf(1)
 	if s.reported && s.report.KVBlocksTotal > 0 {
-		c.freeTokens = s.freeTokens - s.sinceKV
+		c.freeTokens = s.reportedFreeTokens - s.kvSinceReport
 	}
 	c.batchWait = t.waitForBatch(s, c.inFlight)
-	c.hazardPerToken = s.hazard / s.decodeRate
+	c.hazardPerToken = s.hazardPerSecond / s.decodeRate
 	c.priceRisk = 0
 	if t.maxPrice > 0 {
 		c.priceRisk = t.cfg.PriceWeight * s.runner.PricePerHour / t.maxPrice
@@ -111,7 +111,7 @@
 // report plus this gateway's load changes since. It returns at least own, the number of this
 // gateway's requests in progress there, because the report may lag behind.
 func (s *slot) requestsInProgress(own int) int {
-	return max(own, s.report.Running+s.report.Waiting+s.sinceRequests)
+	return max(own, s.report.Running+s.report.Waiting+s.requestsSinceReport)
 }
 
 // waitForBatch returns the time in seconds until a request that arrives now gets a slot
@@ -129,13 +129,13 @@
 // Capacity is the total capacity of the usable runners according to their reports.
 type Capacity struct {
 	Runners int
-	// Batch is the total number of requests that can run at a time. DecodeRate is the
+	// BatchSlots is the total number of requests that can run at a time. DecodeRate is the
 	// total number of output tokens per second.
-	Batch      int
+	BatchSlots int
 	DecodeRate float64
-	// Free is the number of free batch slots by the last reports and this gateway's load
+	// FreeSlots is the number of free batch slots by the last reports and this gateway's load
 	// changes since.
-	Free int
+	FreeSlots int
 	// PromptCost is the cost of one uncached prompt token in output tokens.
 	PromptCost float64
 }
@@ -155,16 +155,16 @@
 // claimableFreeFraction of the free slots. Callers are not spread evenly over the gateways, and a gateway with many
 // callers must not refuse requests while runners are idle.
 func (c Capacity) Share(gateways, running int) (slots, perSecond float64) {
-	if c.Batch == 0 {
+	if c.BatchSlots == 0 {
 		return 0, 0
 	}
-	equal := float64(c.Batch) / float64(max(1, gateways))
-	free := max(0, float64(c.Free)-reservedFraction*float64(c.Batch))
+	equal := float64(c.BatchSlots) / float64(max(1, gateways))
+	free := max(0, float64(c.FreeSlots)-reservedFraction*float64(c.BatchSlots))
 	slots = equal
 	if free > 0 {
 		slots = max(equal, float64(running)+claimableFreeFraction*free)
 	}
-	return slots, c.DecodeRate * slots / float64(c.Batch)
+	return slots, c.DecodeRate * slots / float64(c.BatchSlots)
 }
 
 // Capacity returns the total capacity of the runners that are live and not ejected.
@@ -174,8 +174,8 @@
 	for i := range t.live.Minus(t.ejected).All() {
 		s := &t.slots[i]
 		c.Runners++
-		c.Batch += s.batchSize
-		c.Free += max(0, s.batchSize-s.report.Running-s.report.Waiting-s.sinceRequests)
+		c.BatchSlots += s.batchSize
+		c.FreeSlots += max(0, s.batchSize-s.report.Running-s.report.Waiting-s.requestsSinceReport)
 		c.DecodeRate += float64(s.batchSize) * s.decodeRate
 		prefillRate += s.prefillRate
 	}
--- a/coordination/routing/subset.go
+++ b/coordination/routing/subset.go
@@ -14,7 +14,7 @@
 type ranked struct {
 	// index is the runner's position in the list.
 	index int
-	score uint64
+	hash  uint64
 }
 
 // Subset returns at most size runners for one gateway. It is deterministic for the same
@@ -67,7 +67,7 @@
 
 func (r *ranking) insert(runners []view.Runner, candidate ranked, size int) {
 	compare := func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(runners[a.index].ID, runners[b.index].ID))
+		return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(runners[a.index].ID, runners[b.index].ID))
 	}
 	if len(r.best) == size {
 		if compare(candidate, r.best[size-1]) >= 0 {
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -50,11 +50,11 @@
 	// its own rates.
 	PrefillRate float64
 	DecodeRate  float64
-	// Output is the initial mean output length of a request, in tokens.
-	Output float64
-	// Batch is the batch size of a runner until it reports its own or reports more
+	// InitialMeanOutput is the initial mean output length of a request, in tokens.
+	InitialMeanOutput float64
+	// InitialBatchSize is the batch size of a runner until it reports its own or reports more
 	// running requests than that.
-	Batch int
+	InitialBatchSize int
 	// PrefixCapacity is the maximum size of the prefix index, in blocks.
 	PrefixCapacity int
 	Hazard         HazardConfig
@@ -64,18 +64,18 @@
 // Default returns the policy used in production; docs/design/routing.md gives the reasons.
 func Default(self ident.DaemonID, domain ident.FailureDomain) Config {
 	return Config{
-		Self:           self,
-		FailureDomain:  domain,
-		Samples:        2,
-		LoadBound:      2,
-		RemotePenalty:  4 * time.Millisecond,
-		PriceWeight:    0.005,
-		PrefillRate:    8000,
-		DecodeRate:     50,
-		Output:         defaultMeanOutput,
-		Batch:          16,
-		PrefixCapacity: 1 << 16,
-		Hazard:         DefaultHazard(),
+		Self:              self,
+		FailureDomain:     domain,
+		Samples:           2,
+		LoadBound:         2,
+		RemotePenalty:     4 * time.Millisecond,
+		PriceWeight:       0.005,
+		PrefillRate:       8000,
+		DecodeRate:        50,
+		InitialMeanOutput: defaultMeanOutput,
+		InitialBatchSize:  16,
+		PrefixCapacity:    1 << 16,
+		Hazard:            DefaultHazard(),
 	}
 }
 
@@ -86,30 +86,30 @@
 	// earlier runner have no effect.
 	epoch uint32
 	// hash is the hash of the runner's ID.
-	hash        uint64
-	runner      view.Runner
-	reported    bool
-	report      load.Report
-	prefillRate float64
-	decodeRate  float64
-	freeTokens  float64
+	hash               uint64
+	runner             view.Runner
+	reported           bool
+	report             load.Report
+	prefillRate        float64
+	decodeRate         float64
+	reportedFreeTokens float64
 	// batchSize is the number of requests that the runner serves at a time.
 	batchSize int
 	// pendingPrefill and pendingKV count the tokens of own requests in progress.
 	pendingPrefill float64
 	pendingKV      float64
-	// sincePrefill, sinceKV and sinceRequests sum the own changes after the last report.
-	sincePrefill  float64
-	sinceKV       float64
-	sinceRequests int
-	hazard        float64
+	// prefillSinceReport, sinceKV and sinceRequests sum the own changes after the last report.
+	prefillSinceReport  float64
+	kvSinceReport       float64
+	requestsSinceReport int
+	hazardPerSecond     float64
 }
 
 // modelKey identifies a model or, if adapter is not empty, one of its adapters.
 type modelKey struct{ model, adapter string }
 
 // loadedSlots are the slots that have loaded a model: in a wanted version or in another one.
-type loadedSlots struct{ wanted, other prefix.Set }
+type loadedSlots struct{ wantedVersion, otherVersion prefix.Set }
 
 // Table routes the requests of one service. It is not safe for concurrent use.
 type Table struct {
@@ -130,8 +130,8 @@
 	reported    prefix.Set
 	maxPrice    float64
 	// meanOutput is the mean output length of a request, in tokens.
-	meanOutput float64
-	depths     prefix.MatchResult
+	meanOutput  float64
+	prefixMatch prefix.MatchResult
 	// homeSlot is the slot whose runner is assumed to have cached the shared prefix of the
 	// request that is being routed; noHome if none is. Table.home selects it.
 	homeSlot int
@@ -148,7 +148,7 @@
 		hazard:      NewHazard(cfg.Hazard),
 		rng:         rand.New(rand.NewPCG(cfg.Seed, 1)),
 		loadedSlots: map[modelKey]loadedSlots{},
-		meanOutput:  cfg.Output,
+		meanOutput:  cfg.InitialMeanOutput,
 		// No request is being routed yet.
 		homeSlot: noHome,
 	}
@@ -204,7 +204,7 @@
 		i = t.used.Not().First()
 		t.byID[r.ID] = i
 		t.used = t.used.With(i)
-		t.slots[i] = slot{used: true, epoch: t.slots[i].epoch + 1, hash: xxhash.Sum64String(string(r.ID)), prefillRate: t.cfg.PrefillRate, decodeRate: t.cfg.DecodeRate, batchSize: t.cfg.Batch}
+		t.slots[i] = slot{used: true, epoch: t.slots[i].epoch + 1, hash: xxhash.Sum64String(string(r.ID)), prefillRate: t.cfg.PrefillRate, decodeRate: t.cfg.DecodeRate, batchSize: t.cfg.InitialBatchSize}
 	}
 	s := &t.slots[i]
 	if s.runner.State == view.Leaving {
@@ -227,9 +227,9 @@
 	}
 	for i := range t.used.All() {
 		s := &t.slots[i]
-		s.hazard = 0
+		s.hazardPerSecond = 0
 		if s.runner.Reclaimable {
-			s.hazard = t.hazard.RatePerHour(now, s.runner.FailureDomain, s.runner.VMClass) / time.Hour.Seconds()
+			s.hazardPerSecond = t.hazard.RatePerHour(now, s.runner.FailureDomain, s.runner.VMClass) / time.Hour.Seconds()
 		}
 		t.rescore(i)
 		switch s.runner.State {
@@ -266,9 +266,9 @@
 func (t *Table) indexModelKey(i int, key modelKey, wanted bool) {
 	entry := t.loadedSlots[key]
 	if wanted {
-		entry.wanted = entry.wanted.With(i)
+		entry.wantedVersion = entry.wantedVersion.With(i)
 	} else {
-		entry.other = entry.other.With(i)
+		entry.otherVersion = entry.otherVersion.With(i)
 	}
 	t.loadedSlots[key] = entry
 }
@@ -322,7 +322,7 @@
 	if r.MaxRunning > 0 {
 		s.batchSize = r.MaxRunning
 	}
-	s.freeTokens = float64(max(r.KVBlocksFree*prefix.BlockTokens, r.KVBlocksTotal*prefix.BlockTokens-r.RunningTokens))
+	s.reportedFreeTokens = float64(max(r.KVBlocksFree*prefix.BlockTokens, r.KVBlocksTotal*prefix.BlockTokens-r.RunningTokens))
 	t.sumChangesSinceReport(i)
 	t.rescore(i)
 	if replaced {
--- a/coordination/routing/targets.go
+++ b/coordination/routing/targets.go
@@ -18,22 +18,22 @@
 	var targets []reclaim.Target
 	for i := range t.live.Minus(t.ejected).All() {
 		s, c := &t.slots[i], &t.scores[i]
-		places := s.report.MaxRunning
-		if places == 0 {
-			places = t.cfg.Batch
+		batchSize := s.report.MaxRunning
+		if batchSize == 0 {
+			batchSize = t.cfg.InitialBatchSize
 		}
-		present := max(c.inFlight, s.report.Running+s.report.Waiting+s.sinceRequests)
+		inProgress := max(c.inFlight, s.report.Running+s.report.Waiting+s.requestsSinceReport)
 		freeTokens := defaultFreeTokens
 		if s.reported && s.report.KVBlocksTotal > 0 {
 			freeTokens = max(int(c.freeTokens), 0)
 		}
 		targets = append(targets, reclaim.Target{
 			Runner:       s.runner.ID,
-			Slots:        max(places-present, 0),
+			Slots:        max(batchSize-inProgress, 0),
 			FreeTokens:   freeTokens,
 			PrefillRate:  s.prefillRate,
 			QueuedTokens: max(int(c.queuedTokens), 0),
-			Risk:         s.hazard * time.Hour.Seconds(),
+			Risk:         s.hazardPerSecond * time.Hour.Seconds(),
 		})
 	}
 	return targets
--- a/coordination/routing/ticket.go
+++ b/coordination/routing/ticket.go
@@ -18,12 +18,12 @@
 // Ticket identifies one dispatched request in the load counts of a table. The zero value
 // stands for a request that was not dispatched. Calls in the wrong order have no effect.
 type Ticket struct {
-	slot       int
-	epoch      uint32
-	phase      phase
-	uncached   int
-	kv         int
-	heldBlocks int
+	slot               int
+	epoch              uint32
+	phase              phase
+	uncachedTokens     int
+	kvTokens           int
+	cachedBlocksBefore int
 }
 
 // Dispatch counts the request at the chosen runner and assumes that the runner will
@@ -33,8 +33,8 @@
 	if s.epoch != c.epoch {
 		return Ticket{}
 	}
-	k := Ticket{slot: c.slot, epoch: c.epoch, phase: phasePrefill, uncached: c.Uncached, kv: r.PromptTokens + r.OutputTokens, heldBlocks: c.CachedBlocks}
-	t.recordChange(k.slot, loadChange{now, float64(k.uncached), float64(k.kv), 1})
+	k := Ticket{slot: c.slot, epoch: c.epoch, phase: phasePrefill, uncachedTokens: c.Uncached, kvTokens: r.PromptTokens + r.OutputTokens, cachedBlocksBefore: c.CachedBlocks}
+	t.recordChange(k.slot, loadChange{now, float64(k.uncachedTokens), float64(k.kvTokens), 1})
 	t.index.Assume(c.slot, r.Prefix)
 	return k
 }
@@ -46,7 +46,7 @@
 		return
 	}
 	k.phase = phaseDecode
-	t.recordChange(k.slot, loadChange{at: now, prefill: -float64(k.uncached)})
+	t.recordChange(k.slot, loadChange{at: now, prefillTokens: -float64(k.uncachedTokens)})
 }
 
 // Finished removes the request from the load counts.
@@ -57,7 +57,7 @@
 		return
 	}
 	k.phase = phaseNone
-	t.recordChange(k.slot, loadChange{at: now, kv: -float64(k.kv), requests: -1})
+	t.recordChange(k.slot, loadChange{at: now, kvTokens: -float64(k.kvTokens), requests: -1})
 }
 
 // RecordOutputLength adds the length of a complete answer to the mean output length.
@@ -71,7 +71,7 @@
 	if t.ticketSlot(k) == nil || k.phase == phaseNone {
 		return
 	}
-	t.index.WithdrawAssumed(k.slot, chain, k.heldBlocks)
+	t.index.WithdrawAssumed(k.slot, chain, k.cachedBlocksBefore)
 	t.Finished(now, k)
 }
 
--- a/coordination/servicetime/servicetime.go
+++ b/coordination/servicetime/servicetime.go
@@ -11,15 +11,15 @@
 import "time"
 
 const (
-	// weight is the weight of each answer in the moving average.
-	weight = 0.03
+	// newAnswerWeight is the newAnswerWeight of each answer in the moving average.
+	newAnswerWeight = 0.03
 	// minMean and maxMean bound the mean.
 	minMean = time.Millisecond
 	maxMean = 10 * time.Second
 )
 
 // Mean is the mean service time of one service.
-type Mean struct{ mean float64 }
+type Mean struct{ seconds float64 }
 
 // New returns a Mean with an initial guess.
 func New(first time.Duration) *Mean { return &Mean{first.Seconds()} }
@@ -27,13 +27,13 @@
 // Observe updates the mean with the time of an answer. running is the number of requests in
 // progress at the runner when the request was sent, slots the number that the runner can process at
 // once. An answer that may have waited for a slot does not count.
-func (m *Mean) Observe(took time.Duration, running, slots int) {
+func (m *Mean) Observe(serviceTime time.Duration, running, slots int) {
 	if running >= slots {
 		return
 	}
-	m.mean += weight * (took.Seconds() - m.mean)
-	m.mean = min(max(m.mean, minMean.Seconds()), maxMean.Seconds())
+	m.seconds += newAnswerWeight * (serviceTime.Seconds() - m.seconds)
+	m.seconds = min(max(m.seconds, minMean.Seconds()), maxMean.Seconds())
 }
 
 // Seconds returns the mean in seconds.
-func (m *Mean) Seconds() float64 { return m.mean }
+func (m *Mean) Seconds() float64 { return m.seconds }
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -59,12 +59,12 @@
 		Store: e.deps.Store,
 		Timing: lease.Timing{
 			TTL:             ttl,
-			Renew:           ttl / renewalsPerLease,
+			RenewInterval:   ttl / renewalsPerLease,
 			MaxOrderLatency: callTimeout,
 			MaxPause:        e.settings.Bounds.FreezeSlack,
 			Drift:           clockDrift,
-			Retry:           ttl / 10,
-			ReadKey:         ttl / 2,
+			RetryDelay:      ttl / 10,
+			ReadInterval:    ttl / 2,
 		},
 		Clock: e.deps.Steady,
 		Changed: func(held bool, token uint64) {
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -114,13 +114,13 @@
 		c.PrefillRate = defaultSlots / initialServiceTime.Seconds()
 		c.DecodeRate = 1 / initialServiceTime.Seconds()
 		// A request to a plain service counts as one token of output.
-		c.Output = 1
-		c.Batch = defaultSlots
+		c.InitialMeanOutput = 1
+		c.InitialBatchSize = defaultSlots
 		return c
 	}
 	c.PrefillRate = firstPrefillRate
 	c.DecodeRate = engineDecodeRate
-	c.Batch = s.Engine.Slots
+	c.InitialBatchSize = s.Engine.Slots
 	return c
 }
 
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -252,7 +252,7 @@
 // release releases the lease. It must be called when no order can be in progress
 // any more.
 func (r *responsibility) release() {
-	ctx, cancel := context.WithTimeout(context.Background(), r.driver.Timing.Retry)
+	ctx, cancel := context.WithTimeout(context.Background(), r.driver.Timing.RetryDelay)
 	defer cancel()
 	r.holder.Stop(ctx)
 }
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -321,7 +321,7 @@
 // receive the table. The Ended effect follows once the seal has been written.
 func (o *Owner) End(now time.Time, successor ident.Incarnation) []Effect {
 	o.draining = true
-	o.writer.End(successor)
+	o.writer.QueueSeal(successor)
 	return o.flush(now)
 }
 
