--- a/coordination/canary/canary_test.go
+++ b/coordination/canary/canary_test.go
@@ -17,17 +17,17 @@
 const rollbackTime = 5 * time.Second
 
 var badVersions = map[string]version{
-	"fails all":        {failureFraction: 1},
-	"fails half":       {failureFraction: 0.5},
-	"fails 30%":        {failureFraction: 0.3},
-	"fails lookups":    {failureFraction: 0.5, route: "lookup"},
-	"fails pledges":    {failureFraction: 0.5, route: "pledge"},
+	"fails all":        {failureRate: 1},
+	"fails half":       {failureRate: 0.5},
+	"fails 30%":        {failureRate: 0.3},
+	"fails lookups":    {failureRate: 0.5, route: "lookup"},
+	"fails pledges":    {failureRate: 0.5, route: "pledge"},
 	"slow all x4":      {slowFraction: 1, slowFactor: 4},
 	"slow half x5":     {slowFraction: 0.5, slowFactor: 5},
 	"slow lookups x4":  {slowFraction: 1, slowFactor: 4, route: "lookup"},
-	"fails from 5 s":   {failureFraction: 0.4, badFrom: 5 * time.Second},
+	"fails from 5 s":   {failureRate: 0.4, badFrom: 5 * time.Second},
 	"slow from 6 s":    {slowFraction: 1, slowFactor: 4, badFrom: 6 * time.Second},
-	"fails under load": {failureFraction: 0.6, minInFlight: 3},
+	"fails under load": {failureRate: 0.6, minInFlight: 3},
 	"slow under load":  {slowFraction: 1, slowFactor: 5, minInFlight: 3},
 }
 
@@ -83,7 +83,7 @@
 			at += time.Duration(rapid.IntRange(5, 40).Draw(t, "tenure")) * 100 * time.Millisecond
 			p.holderReplacementTimes = append(p.holderReplacementTimes, at)
 		}
-		p.newVersion = version{failureFraction: rapid.Float64Range(0.3, 1).Draw(t, "fails"), badFrom: time.Duration(rapid.IntRange(0, 4).Draw(t, "from")) * time.Second}
+		p.newVersion = version{failureRate: rapid.Float64Range(0.3, 1).Draw(t, "fails"), badFrom: time.Duration(rapid.IntRange(0, 4).Draw(t, "from")) * time.Second}
 		p.run()
 		if !p.withinBounds() {
 			t.Fatalf("%d of %d requests exposed, %d bad answers, fiftieth at %v, last request at %v, verdict changed: %v", p.newVersionRequests, p.totalRequests, p.newVersionFailures, p.fiftiethFailureAt, p.lastNewVersionRequestAt, p.verdictChanged)
@@ -98,7 +98,7 @@
 // fixedSteps, a Comparison that judges batches of a fixed number of answers.
 func TestCUSUMExposesLessThanFixedSteps(t *testing.T) {
 	is := is.New(t)
-	exposed := func(compare func() canary.Comparison) (sum int) {
+	newVersionRequests := func(compare func() canary.Comparison) (sum int) {
 		for _, v := range badVersions {
 			for seed := range *seeds {
 				p := newSimulation(seed)
@@ -108,9 +108,9 @@
 		}
 		return sum
 	}
-	sums := exposed(func() canary.Comparison { return canary.NewCUSUM() })
-	short := exposed(func() canary.Comparison { return newSteps(15) })
-	long := exposed(func() canary.Comparison { return newSteps(30) })
+	sums := newVersionRequests(func() canary.Comparison { return canary.NewCUSUM() })
+	short := newVersionRequests(func() canary.Comparison { return newSteps(15) })
+	long := newVersionRequests(func() canary.Comparison { return newSteps(30) })
 	t.Logf("requests exposed to bad versions: CUSUM %d, fixed steps of 15 %d, fixed steps of 30 %d", sums, short, long)
 	is.True(sums < short)
 	is.True(short < long)
--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -66,9 +66,9 @@
 	// histogram of their durations.
 	answers, failed float64
 	times           [durationBuckets]float64
-	// failingSum and slowSum are the cumulative sums of log likelihood ratios for failed and
+	// failing and slow are the cumulative sums of log likelihood ratios for failed and
 	// for slow answers of the new version.
-	failingSum, slowSum float64
+	failing, slow float64
 	// allOld and allNew count all answers, without decay.
 	allOld, allNew outcomes
 }
@@ -101,13 +101,13 @@
 	if fresh.Answers == 0 {
 		return
 	}
-	e.failingSum = cusum(e.failingSum, e.failed/max(1, e.answers), failureRateIncrease, fresh.Failed, fresh.Answers)
+	e.failing = cusum(e.failing, e.failed/max(1, e.answers), failureRateIncrease, fresh.Failed, fresh.Answers)
 	limit, slowRate := e.slowLimit()
 	slow := 0
 	for _, n := range fresh.Times[limit:] {
 		slow += n
 	}
-	e.slowSum = cusum(e.slowSum, slowRate, slowRateIncrease, slow, fresh.Answers-fresh.Failed)
+	e.slow = cusum(e.slow, slowRate, slowRateIncrease, slow, fresh.Answers-fresh.Failed)
 }
 
 // slowLimit returns the first histogram bucket of slow answers and the share of the old
@@ -181,9 +181,9 @@
 func (j *CUSUM) Bad() (Series, Reason, bool) {
 	for s, e := range j.series {
 		switch {
-		case e.failingSum >= evidenceThreshold || e.excess() >= excessThreshold:
+		case e.failing >= evidenceThreshold || e.excess() >= excessThreshold:
 			return s, MoreFailures, true
-		case e.slowSum >= evidenceThreshold:
+		case e.slow >= evidenceThreshold:
 			return s, Slower, true
 		}
 	}
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -131,10 +131,10 @@
 // SetWritten records that r has been written.
 func (h *Holder) SetWritten(r Record) { h.record, h.firstRecordUnwritten = r, false }
 
-// SentOrReserved returns an upper bound on the number of requests that have gone to the new
+// Sent returns an upper bound on the number of requests that have gone to the new
 // version while Running: all that earlier holders had reserved, plus those that daemons report
 // to have sent beyond their firstReportedCeiling.
-func (h *Holder) SentOrReserved() int {
+func (h *Holder) Sent() int {
 	sent := h.reservedByEarlierHolders
 	for _, a := range h.daemons {
 		sent += a.report.Sent - min(a.firstReportedCeiling, a.report.Sent)
@@ -314,14 +314,14 @@
 		r.State, r.Reason = Completed, AlreadyInUse
 		return r
 	}
-	elapsedFraction := h.elapsedFractionOfDuration(unixMillis)
+	elapsedFractionOfDuration := h.elapsedFractionOfDuration(unixMillis)
 	answers, _ := h.Answers()
 	_, least := h.leastTestedRoute()
 	enoughRunners := float64(f.NewRunners) >= minRunnerRatio*float64(f.OldRunners) && f.NewRunners > 0
 	switch {
-	case elapsedFraction >= promoteAfter && answers >= minAnswersToPromote && least >= minAnswersPerRoute && enoughRunners:
+	case elapsedFractionOfDuration >= promoteAfter && answers >= minAnswersToPromote && least >= minAnswersPerRoute && enoughRunners:
 		r.State, r.Reason = Promoting, NoDifference
-	case elapsedFraction < completeBy-h.propagationFractionOfDuration():
+	case elapsedFractionOfDuration < completeBy-h.propagationFractionOfDuration():
 	case answers >= minAnswersAtDeadline && enoughRunners:
 		r.State, r.Reason = Promoting, TimeOver
 	case enoughRunners:
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -19,14 +19,14 @@
 
 // version describes how the runners of a version answer.
 type version struct {
-	// failureFraction is the fraction of answers that fail. slowFraction is the fraction of
+	// failureRate is the fraction of answers that fail. slowFraction is the fraction of
 	// answers whose duration is multiplied by slowFactor. Both apply from badFrom on (time since
 	// the start of the simulation), to requests of route (empty means all routes), and at runners
 	// with at least minInFlight requests in progress.
-	failureFraction, slowFraction, slowFactor float64
-	badFrom                                   time.Duration
-	route                                     string
-	minInFlight                               int
+	failureRate, slowFraction, slowFactor float64
+	badFrom                               time.Duration
+	route                                 string
+	minInFlight                           int
 }
 
 // simulation runs one order of a service, with its daemons, runners, requests and messages.
@@ -211,16 +211,16 @@
 
 func (p *simulation) dispatch(k requestKind, gate *canary.Gate, b *backend, isNew bool) {
 	work := time.Duration(float64(meanServiceTime) * math.Exp(serviceTimeSigma*p.rng.NormFloat64()-serviceTimeSigma*serviceTimeSigma/2))
-	fails := k.failureRate
+	failureRate := k.failureRate
 	if v := p.newVersion; isNew && p.now >= v.badFrom && (v.route == "" || v.route == k.route) && b.inFlight(p.now) >= v.minInFlight {
-		fails = max(fails, v.failureFraction)
+		failureRate = max(failureRate, v.failureRate)
 		if p.rng.Float64() < v.slowFraction {
 			work = time.Duration(v.slowFactor * float64(work))
 		}
 	}
 	slot := slices.Index(b.slotFreeAt, slices.Min(b.slotFreeAt))
 	b.slotFreeAt[slot] = max(b.slotFreeAt[slot], p.now) + work
-	failed := p.rng.Float64() < fails
+	failed := p.rng.Float64() < failureRate
 	if isNew {
 		p.countNewVersionRequest(failed)
 	} else {
--- a/coordination/config/submission.go
+++ b/coordination/config/submission.go
@@ -62,7 +62,7 @@
 // generation to replace, or AnyGeneration. floor is the generation in force at the submitter.
 // A manifest that daemons could not read back fails with the error of manifest.Join, because
 // it would block every daemon once accepted.
-func NewSubmission(m *manifest.Manifest, author, id string, expected int64, floor ident.Generation) (*Submission, error) {
+func NewSubmission(m *manifest.Manifest, author, id string, expected int64, knownGeneration ident.Generation) (*Submission, error) {
 	sections, err := manifest.Split(m)
 	if err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	return &Submission{
-		id: id, author: author, expected: expected, knownGeneration: floor,
+		id: id, author: author, expected: expected, knownGeneration: knownGeneration,
 		sections: sections, next: &ReadHead{},
 	}, nil
 }
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -22,9 +22,9 @@
 type Timing struct {
 	// TTL is the duration of the lease at the key-value service.
 	TTL time.Duration
-	// RenewInterval is the time between renewals. It must be a small part of TTL, so that a lost
+	// Renew is the time between renewals. It must be a small part of TTL, so that a lost
 	// renewal can be repeated in time.
-	RenewInterval time.Duration
+	Renew time.Duration
 	// MaxOrderLatency bounds the time from a true result of MayOrder to the arrival of the order
 	// at its recipient, if the holder's process isn't paused meanwhile. The holder stops sending
 	// orders this long before its lease can expire. Callers must enforce the bound with a
@@ -39,20 +39,20 @@
 	Drift float64
 	// RetryDelay is the delay after a failed call.
 	RetryDelay time.Duration
-	// ReadInterval is the time between reads of the key by a daemon that waits to become the holder.
-	ReadInterval time.Duration
+	// ReadKey is the time between reads of the key by a daemon that waits to become the holder.
+	ReadKey time.Duration
 }
 
 // DefaultTiming suits a key-value service that answers within milliseconds.
 func DefaultTiming() Timing {
 	return Timing{
 		TTL:             9 * time.Second,
-		RenewInterval:   3 * time.Second,
+		Renew:           3 * time.Second,
 		MaxOrderLatency: 2 * time.Second,
 		MaxPause:        20 * time.Second,
 		Drift:           0.01,
 		RetryDelay:      time.Second,
-		ReadInterval:    2 * time.Second,
+		ReadKey:         2 * time.Second,
 	}
 }
 
@@ -65,7 +65,7 @@
 // MaxTakeover returns the longest time from the end of a holder to its successor's first order
 // to runners that don't check fencing tokens, not counting the calls to the key-value service.
 func (t Timing) MaxTakeover() time.Duration {
-	return withDrift(t.TTL, t.Drift) + max(t.ReadInterval, t.RetryDelay) + t.Quarantine()
+	return withDrift(t.TTL, t.Drift) + max(t.ReadKey, t.RetryDelay) + t.Quarantine()
 }
 
 func withDrift(d time.Duration, drift float64) time.Duration {
@@ -200,7 +200,7 @@
 	switch {
 	case m.state == Holding && (m.stopping || !candidate):
 		return m.release(now)
-	case m.state == Holding && now >= m.renewedAt+m.timing.RenewInterval:
+	case m.state == Holding && now >= m.renewedAt+m.timing.Renew:
 		return m.call(now, Renew)
 	case m.state == Idle && candidate && !m.stopping:
 		m.state = Acquiring
@@ -288,7 +288,7 @@
 	}
 	if r.FoundLease != 0 {
 		m.reset(now)
-		m.nextCall = now + m.timing.ReadInterval
+		m.nextCall = now + m.timing.ReadKey
 		return nil
 	}
 	return m.call(now, Grant)
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -177,7 +177,7 @@
 	}
 	is.Equal(m.State(), lease.Holding)
 	is.True(m.MayOrder(time.Second, true))
-	for now := timing.RenewInterval; now < timing.TTL; now += step {
+	for now := timing.Renew; now < timing.TTL; now += step {
 		for _, e := range m.Tick(now, true) {
 			m.Step(now, lease.Result{Attempt: e.Attempt, Outcome: lease.Lost})
 		}
@@ -219,7 +219,7 @@
 			is.Equal(len(m.Step(now, s.execute(now, e, timing.TTL))), 0)
 		}
 	}
-	is.Equal(calls, int(time.Minute/timing.ReadInterval))
+	is.Equal(calls, int(time.Minute/timing.ReadKey))
 }
 
 func BenchmarkHoldOneSecond(b *testing.B) {
--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -70,27 +70,27 @@
 type target struct {
 	reading  bool
 	lastRead time.Time
-	// attemptsSinceRead counts the daemon's own attempts that started or ended since the last read.
-	attemptsSinceRead int
-	eventsAfter       time.Time
-	eventsBackoff     time.Duration
+	// used counts the daemon's own attempts that started or ended since the last read.
+	used          int
+	eventsAfter   time.Time
+	eventsBackoff time.Duration
 }
 
 // Planner holds the budget and the targets of one daemon. It is not safe for concurrent use.
 type Planner struct {
-	cfg            Config
-	bytesPerSecond float64
-	targets        map[Target]*target
+	cfg     Config
+	budget  float64
+	targets map[Target]*target
 	// loadCredit is the number of bytes that load reports may use now, events the number
 	// that cache events may use. Both become negative after a read that was larger.
 	loadCredit      float64
-	eventCredit     float64
+	events          float64
 	creditAddedAt   time.Time
 	meanReportBytes float64
 	started         bool
-	// usedSinceNext is set by RecordUse until the next call of Next, which then sets lastUsed.
-	usedSinceNext bool
-	lastUsed      time.Time
+	// used is set by RecordUse until the next call of Next, which then sets lastUsed.
+	used     bool
+	lastUsed time.Time
 }
 
 // New returns a planner without targets and with a zero budget.
@@ -101,7 +101,7 @@
 // SetBudget sets the bytes per second that all reads together may use.
 func (p *Planner) SetBudget(now time.Time, bytesPerSecond float64) {
 	p.addCredit(now)
-	p.bytesPerSecond = bytesPerSecond
+	p.budget = bytesPerSecond
 }
 
 // SetTargets replaces the targets of a service.
@@ -124,9 +124,9 @@
 // RecordUse records that an attempt of this daemon started or ended at a target, which makes the
 // target's last report less accurate.
 func (p *Planner) RecordUse(t Target) {
-	p.usedSinceNext = true
+	p.used = true
 	if s := p.targets[t]; s != nil {
-		s.attemptsSinceRead++
+		s.used++
 	}
 }
 
@@ -137,11 +137,11 @@
 	if !p.started {
 		p.started, p.creditAddedAt, p.lastUsed = true, now, now
 	}
-	p.loadCredit += p.bytesPerSecond * max(0, now.Sub(p.creditAddedAt).Seconds())
+	p.loadCredit += p.budget * max(0, now.Sub(p.creditAddedAt).Seconds())
 	p.creditAddedAt = now
-	limit := max(p.bytesPerSecond*p.cfg.MaxSaved.Seconds(), p.meanReportBytes)
+	limit := max(p.budget*p.cfg.MaxSaved.Seconds(), p.meanReportBytes)
 	if p.loadCredit > limit {
-		p.eventCredit = min(p.eventCredit+p.loadCredit-limit, limit)
+		p.events = min(p.events+p.loadCredit-limit, limit)
 		p.loadCredit = limit
 	}
 }
@@ -157,17 +157,17 @@
 		return Read{}, wait, false
 	}
 	s := p.targets[next]
-	s.reading, s.lastRead, s.attemptsSinceRead = true, now, 0
+	s.reading, s.lastRead, s.used = true, now, 0
 	p.loadCredit -= p.meanReportBytes
-	events := p.eventCredit > 0 && !now.Before(s.eventsAfter)
+	events := p.events > 0 && !now.Before(s.eventsAfter)
 	return Read{Target: next, Events: events, chargedBytes: p.meanReportBytes}, 0, true
 }
 
 func (p *Planner) waitForCredit() time.Duration {
-	if p.bytesPerSecond <= 0 {
+	if p.budget <= 0 {
 		return p.cfg.Interval
 	}
-	seconds := (p.meanReportBytes - p.loadCredit) / p.bytesPerSecond
+	seconds := (p.meanReportBytes - p.loadCredit) / p.budget
 	return min(p.cfg.Interval, time.Duration(math.Ceil(seconds*float64(time.Second))))
 }
 
@@ -187,7 +187,7 @@
 			wait = min(wait, interval-age)
 			continue
 		}
-		urgency := age.Seconds() * float64(1+s.attemptsSinceRead)
+		urgency := age.Seconds() * float64(1+s.used)
 		if urgency > highestUrgency || urgency == highestUrgency && less(t, best) {
 			best, highestUrgency = t, urgency
 		}
@@ -198,8 +198,8 @@
 // interval returns a longer interval while the daemon routes no requests, because idle polling
 // would be the largest part of its work. The first request ends this at the next call of Next.
 func (p *Planner) interval(now time.Time) time.Duration {
-	if p.usedSinceNext {
-		p.usedSinceNext, p.lastUsed = false, now
+	if p.used {
+		p.used, p.lastUsed = false, now
 	}
 	if now.Sub(p.lastUsed) > p.cfg.IdleAfter {
 		return p.cfg.IdleInterval
@@ -222,7 +222,7 @@
 		p.loadCredit += read.chargedBytes - float64(result.LoadBytes)
 		p.meanReportBytes += reportSizeWeight * (float64(result.LoadBytes) - p.meanReportBytes)
 	}
-	p.eventCredit -= float64(result.EventBytes)
+	p.events -= float64(result.EventBytes)
 	s := p.targets[read.Target]
 	if s == nil {
 		return
--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -107,7 +107,7 @@
 
 // plan is the state of one call of Plan.
 type plan struct {
-	batch     Batch
+	b         Batch
 	sources   map[ident.RunnerID]Source
 	targets   []*targetState
 	decisions []Decision
@@ -148,7 +148,7 @@
 }
 
 func newPlan(b Batch) *plan {
-	p := &plan{batch: b, sources: map[ident.RunnerID]Source{}}
+	p := &plan{b: b, sources: map[ident.RunnerID]Source{}}
 	for _, s := range b.Sources {
 		p.sources[s.Runner] = s
 	}
@@ -174,7 +174,7 @@
 
 // deadline returns when everything for a stream must be done at its source.
 func (p *plan) deadline(s Stream) time.Duration {
-	return p.sources[s.Runner].TimeLeft - p.batch.SafetyMargin
+	return p.sources[s.Runner].TimeLeft - p.b.SafetyMargin
 }
 
 func (p *plan) decide(s Stream, d Decision) {
@@ -187,7 +187,7 @@
 // urgent streams first, then those with the longer context.
 func (p *plan) decideFinish() []Stream {
 	var rest []Stream
-	for _, s := range p.batch.Streams {
+	for _, s := range p.b.Streams {
 		rate := p.sources[s.Runner].DecodeRate
 		if rate > 0 && secondsToDuration(float64(s.Remaining)/rate) <= p.deadline(s) {
 			p.decide(s, Decision{Kind: Finish})
@@ -226,7 +226,7 @@
 		target.freeTokens -= s.Context + s.Remaining
 		c := &candidate{Stream: s, target: target, deadline: p.deadline(s)}
 		c.savedTokens = max(s.Context-s.CachedAt[target.Runner], 0)
-		c.transferDuration = p.batch.Link.transferTime(s.CacheBytes)
+		c.transferDuration = p.b.Link.transferTime(s.CacheBytes)
 		placed = append(placed, c)
 	}
 	return placed
@@ -291,17 +291,17 @@
 	slices.SortStableFunc(byBenefit, func(a, b *candidate) int {
 		return cmp.Compare(b.savedTokensPerSecond(), a.savedTokensPerSecond())
 	})
-	link := newSchedule(p.batch.Link.BusyFor, byBenefit)
+	link := newSchedule(p.b.Link.BusyFor, byBenefit)
 	var moved, rest []*candidate
 	for _, c := range byBenefit {
-		if !c.Pinned && p.batch.Link.BytesPerSecond > 0 && c.savedTokens > 0 && link.tryAdd(c) {
+		if !c.Pinned && p.b.Link.BytesPerSecond > 0 && c.savedTokens > 0 && link.tryAdd(c) {
 			moved = append(moved, c)
 			continue
 		}
 		rest = append(rest, c)
 	}
 	slices.SortStableFunc(moved, func(a, b *candidate) int { return cmp.Compare(a.deadline, b.deadline) })
-	at := p.batch.Link.BusyFor
+	at := p.b.Link.BusyFor
 	for _, c := range moved {
 		p.decide(c.Stream, Decision{Kind: Move, Target: c.target.Runner, Start: at, End: at + c.transferDuration})
 		at += c.transferDuration
@@ -320,31 +320,31 @@
 // schedule holds the accepted transfers on the link by deadline. Transfers run in the order of
 // their deadlines.
 type schedule struct {
-	busyUntil     time.Duration
-	deadlines     []time.Duration
-	transferTimes []time.Duration
+	busyUntil time.Duration
+	deadlines []time.Duration
+	load      []time.Duration
 }
 
-func newSchedule(busy time.Duration, candidates []*candidate) *schedule {
-	s := &schedule{busyUntil: busy}
+func newSchedule(busyUntil time.Duration, candidates []*candidate) *schedule {
+	s := &schedule{busyUntil: busyUntil}
 	for _, c := range candidates {
 		s.deadlines = append(s.deadlines, c.deadline)
 	}
 	slices.Sort(s.deadlines)
 	s.deadlines = slices.Compact(s.deadlines)
-	s.transferTimes = make([]time.Duration, len(s.deadlines))
+	s.load = make([]time.Duration, len(s.deadlines))
 	return s
 }
 
 // tryAdd adds the transfer if all transfers accepted so far still meet their deadlines.
 func (s *schedule) tryAdd(c *candidate) bool {
 	index, _ := slices.BinarySearch(s.deadlines, c.deadline)
-	s.transferTimes[index] += c.transferDuration
+	s.load[index] += c.transferDuration
 	end := s.busyUntil
-	for i, load := range s.transferTimes {
+	for i, load := range s.load {
 		end += load
 		if load > 0 && end > s.deadlines[i] {
-			s.transferTimes[index] -= c.transferDuration
+			s.load[index] -= c.transferDuration
 			return false
 		}
 	}
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -226,8 +226,8 @@
 	orders   []Order
 }
 
-func newPlanning(p *Planner, now time.Duration, models []manifest.Model, runners []Runner) *planning {
-	t := &planning{planner: p, now: now, runners: runners, changing: map[ident.RunnerID]bool{}}
+func newPlanning(planner *Planner, now time.Duration, models []manifest.Model, runners []Runner) *planning {
+	t := &planning{planner: planner, now: now, runners: runners, changing: map[ident.RunnerID]bool{}}
 	t.models = slices.Clone(models)
 	slices.SortStableFunc(t.models, func(a, b manifest.Model) int { return cmp.Compare(b.Priority, a.Priority) })
 	ids := make([]ident.RunnerID, 0, len(runners))
--- a/coordination/routing/hazard.go
+++ b/coordination/routing/hazard.go
@@ -53,9 +53,9 @@
 }
 
 // SetVMCount sets the number of VMs in a pool from now on.
-func (h *Hazard) SetVMCount(now time.Time, d ident.FailureDomain, class string, vms int) {
+func (h *Hazard) SetVMCount(now time.Time, d ident.FailureDomain, class string, vmCount int) {
 	e := h.exposureAt(now, d, class)
-	e.vmCount = vms
+	e.vmCount = vmCount
 }
 
 // CountReclaim counts the reclaim of one VM.
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -387,5 +387,5 @@
 // price expressed in the same unit.
 func (t *Table) risk(i int, r *Request) float64 {
 	s := &t.scores[i]
-	return s.hazardPerToken*float64(r.OutputTokens) + s.priceRisk
+	return s.hazard*float64(r.OutputTokens) + s.priceRisk
 }
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -53,11 +53,11 @@
 	batchWait float64
 	// inFlight is the number of this gateway's requests in progress at the runner.
 	inFlight int
-	// hazardPerToken is the probability that the runner's VM is reclaimed while the runner
+	// hazard is the probability that the runner's VM is reclaimed while the runner
 	// computes one output token. priceRisk is the runner's price, converted to the reclaim
 	// probability that weighs as much: Config.PriceWeight for the highest price in the table.
-	hazardPerToken float64
-	priceRisk      float64
+	hazard    float64
+	priceRisk float64
 }
 
 // sumChangesSinceReport recomputes the sums of the own changes after the last report of slot i.
@@ -97,10 +97,10 @@
 	c.queuedTokens = max(s.pendingPrefill, float64(s.report.QueuedTokens)+s.prefillSinceReport)
 	c.freeTokens = math.Inf(1)
 	if s.reported && s.report.KVBlocksTotal > 0 {
-		c.freeTokens = s.reportedFreeTokens - s.kvSinceReport
+		c.freeTokens = s.freeTokens - s.kvSinceReport
 	}
 	c.batchWait = t.waitForBatch(s, c.inFlight)
-	c.hazardPerToken = s.hazardPerSecond / s.decodeRate
+	c.hazard = s.hazard / s.decodeRate
 	c.priceRisk = 0
 	if t.maxPrice > 0 {
 		c.priceRisk = t.cfg.PriceWeight * s.runner.PricePerHour / t.maxPrice
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -86,13 +86,13 @@
 	// earlier runner have no effect.
 	epoch uint32
 	// hash is the hash of the runner's ID.
-	hash               uint64
-	runner             view.Runner
-	reported           bool
-	report             load.Report
-	prefillRate        float64
-	decodeRate         float64
-	reportedFreeTokens float64
+	hash        uint64
+	runner      view.Runner
+	reported    bool
+	report      load.Report
+	prefillRate float64
+	decodeRate  float64
+	freeTokens  float64
 	// batchSize is the number of requests that the runner serves at a time.
 	batchSize int
 	// pendingPrefill and pendingKV count the tokens of own requests in progress.
@@ -102,7 +102,7 @@
 	prefillSinceReport  float64
 	kvSinceReport       float64
 	requestsSinceReport int
-	hazardPerSecond     float64
+	hazard              float64
 }
 
 // modelKey identifies a model or, if adapter is not empty, one of its adapters.
@@ -227,9 +227,9 @@
 	}
 	for i := range t.used.All() {
 		s := &t.slots[i]
-		s.hazardPerSecond = 0
+		s.hazard = 0
 		if s.runner.Reclaimable {
-			s.hazardPerSecond = t.hazard.RatePerHour(now, s.runner.FailureDomain, s.runner.VMClass) / time.Hour.Seconds()
+			s.hazard = t.hazard.RatePerHour(now, s.runner.FailureDomain, s.runner.VMClass) / time.Hour.Seconds()
 		}
 		t.rescore(i)
 		switch s.runner.State {
@@ -263,9 +263,9 @@
 	}
 }
 
-func (t *Table) indexModelKey(i int, key modelKey, wanted bool) {
+func (t *Table) indexModelKey(i int, key modelKey, wantedVersion bool) {
 	entry := t.loadedSlots[key]
-	if wanted {
+	if wantedVersion {
 		entry.wantedVersion = entry.wantedVersion.With(i)
 	} else {
 		entry.otherVersion = entry.otherVersion.With(i)
@@ -322,7 +322,7 @@
 	if r.MaxRunning > 0 {
 		s.batchSize = r.MaxRunning
 	}
-	s.reportedFreeTokens = float64(max(r.KVBlocksFree*prefix.BlockTokens, r.KVBlocksTotal*prefix.BlockTokens-r.RunningTokens))
+	s.freeTokens = float64(max(r.KVBlocksFree*prefix.BlockTokens, r.KVBlocksTotal*prefix.BlockTokens-r.RunningTokens))
 	t.sumChangesSinceReport(i)
 	t.rescore(i)
 	if replaced {
--- a/coordination/routing/targets.go
+++ b/coordination/routing/targets.go
@@ -33,7 +33,7 @@
 			FreeTokens:   freeTokens,
 			PrefillRate:  s.prefillRate,
 			QueuedTokens: max(int(c.queuedTokens), 0),
-			Risk:         s.hazardPerSecond * time.Hour.Seconds(),
+			Risk:         s.hazard * time.Hour.Seconds(),
 		})
 	}
 	return targets
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -59,12 +59,12 @@
 		Store: e.deps.Store,
 		Timing: lease.Timing{
 			TTL:             ttl,
-			RenewInterval:   ttl / renewalsPerLease,
+			Renew:           ttl / renewalsPerLease,
 			MaxOrderLatency: callTimeout,
 			MaxPause:        e.settings.Bounds.FreezeSlack,
 			Drift:           clockDrift,
 			RetryDelay:      ttl / 10,
-			ReadInterval:    ttl / 2,
+			ReadKey:         ttl / 2,
 		},
 		Clock: e.deps.Steady,
 		Changed: func(held bool, token uint64) {
--- a/daemon/edge/trialcontroller.go
+++ b/daemon/edge/trialcontroller.go
@@ -94,7 +94,7 @@
 	e.trials.mu.Lock()
 	next := d.holder.Tick(e.deps.Steady(), unix, e.settings.PeerAddress, fleet)
 	due := d.holder.FirstRecordUnwritten() || !next.Equal(d.holder.Record())
-	sent := d.holder.SentOrReserved()
+	sent := d.holder.Sent()
 	answers, failed := d.holder.Answers()
 	e.trials.mu.Unlock()
 	if !due {
--- a/daemon/holder/holder.go
+++ b/daemon/holder/holder.go
@@ -108,7 +108,7 @@
 // call makes one call to the service, with a timeout: a call that hangs would keep the machine
 // from renewing, and the lease would expire without need.
 func (h *Holder) call(ctx context.Context, e lease.Effect) lease.Result {
-	ctx, cancel := context.WithTimeout(ctx, h.opts.Timing.RenewInterval/2)
+	ctx, cancel := context.WithTimeout(ctx, h.opts.Timing.Renew/2)
 	defer cancel()
 	r := lease.Result{Attempt: e.Attempt, Outcome: lease.Done}
 	id := kv.LeaseID(e.Lease)
--- a/daemon/orders/lease_test.go
+++ b/daemon/orders/lease_test.go
@@ -151,7 +151,7 @@
 		c.waitSettled(1, "1")
 		first := c.holder(shardResponsibility)
 		first.cancel()
-		time.Sleep(lease.DefaultTiming().ReadInterval + time.Second)
+		time.Sleep(lease.DefaultTiming().ReadKey + time.Second)
 		c.True(c.holder(shardResponsibility) != nil)
 		c.True(c.holder(shardResponsibility) != first)
 		first.done <- <-first.done
