--- a/coordination/canary/canary_test.go
+++ b/coordination/canary/canary_test.go
@@ -31,15 +31,16 @@
 	"slow under load":  {slowFraction: 1, slowFactor: 5, minInFlight: 3},
 }
 
-// withinBounds reports whether a bad version got no more than its share of requests, got none
-// too late, and whether the verdict stayed final.
+// withinBounds reports whether a bad version got at most exposureShare of all requests plus
+// exposureSlack, got none later than rollbackTime after its fiftieth failed answer, and whether the
+// verdict stayed final.
 func (p *simulation) withinBounds() bool {
 	return float64(p.newVersionRequests) <= exposureShare*float64(p.totalRequests)+exposureSlack &&
 		(p.fiftiethFailureAt == 0 || p.lastNewVersionRequestAt <= p.fiftiethFailureAt+rollbackTime) && !p.verdictChanged
 }
 
-// Guards against a bad version that is promoted, or that gets more than its share of requests
-// before it is found to be bad. Each case is bad in a different way.
+// Guards against a bad version that is promoted, or that gets more requests than the
+// bound allows before it is found to be bad. Each case is bad in a different way.
 func TestBadVersionsAreRolledBack(t *testing.T) {
 	for name, v := range badVersions {
 		t.Run(name, func(t *testing.T) {
--- a/coordination/canary/order.go
+++ b/coordination/canary/order.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Version identifies the software that a runner executes.
+// Version identifies a version of the software that a runner executes.
 type Version string
 
 // Order is an operator's request to move a service to a version.
@@ -44,21 +44,23 @@
 	// Order is the revision of the order.
 	Order uint64 `json:"order"`
 	State State  `json:"state"`
-	// Reserved bounds the number of requests that may go to the new version while Running.
+	// Reserved is the most requests that may go to the new version while Running, summed over all
+	// daemons. The holder raises it in the record before it grants more.
 	Reserved int `json:"reserved"`
 	// Holder is the peer address of the daemon that grants allowances.
 	Holder string `json:"holder"`
 	// DeadlineMillis is when the order should be decided, as Unix time.
 	DeadlineMillis int64 `json:"deadline_unix_ms"`
-	// Avoid lists the versions of earlier orders that were not completed.
+	// Avoid lists the targets of earlier orders that were not completed. Their runners get no new
+	// requests.
 	Avoid []Version `json:"avoid,omitempty"`
-	// Reason is the reason for the last step.
+	// Reason is the reason for the last change of the record.
 	Reason Reason `json:"reason"`
 	// Route is the route whose answers decided; empty if none did.
 	Route string `json:"route,omitempty"`
 }
 
-// Reason is the reason for a step of an order.
+// Reason says why a holder changed the record of an order.
 type Reason string
 
 // Values of Reason.
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -10,7 +10,8 @@
 	"geraniumstack.org/geraniumstack/coordination/canary"
 )
 
-// requestKind is a kind of requests to the simulated service.
+// requestKind describes the requests of one route: how many arrive per second, and which fraction of
+// them fails on a good version.
 type requestKind struct {
 	route       string
 	perSecond   float64
@@ -52,7 +53,8 @@
 	oldInFlight  map[*canary.Gate]int
 	incarnations []int
 	holder       *canary.Holder
-	// previousHolder is a holder that does not know yet that it has been replaced.
+	// previousHolder is a holder that does not know yet that it has been replaced. It answers
+	// reports until previousStopsAt.
 	previousHolder          *canary.Holder
 	previousStopsAt         time.Duration
 	holders                 int
@@ -70,6 +72,8 @@
 	interruptedRequests     int
 }
 
+// backend is one simulated runner. slotFreeAt holds, for each slot, the time at which the slot's last
+// request ends.
 type backend struct{ slotFreeAt []time.Duration }
 
 // inFlight returns the number of requests in progress at the runner.
@@ -83,6 +87,7 @@
 	return n
 }
 
+// pendingAnswer is an answer that will arrive at time at.
 type pendingAnswer struct {
 	at       time.Duration
 	gate     *canary.Gate
--- a/coordination/config/export_test.go
+++ b/coordination/config/export_test.go
@@ -1,5 +1,5 @@
 package config
 
-// ResetInForceGeneration makes the follower forget which generation it has in force, so that
-// a test can show that its history check detects a missing guard in Learn.
+// ResetInForceGeneration makes the follower forget which generation it has in force. Learn then
+// accepts an earlier generation, and a test can show that its check detects that.
 func (f *Follower) ResetInForceGeneration() { f.inForce.Generation = 0 }
--- a/coordination/config/follower.go
+++ b/coordination/config/follower.go
@@ -7,8 +7,8 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// StoreSource denotes the key-value service as the source of a fetch; every other source is
-// a peer's address.
+// StoreSource denotes the key-value service as the source of an announcement or a fetch. Every
+// other source is a peer's address.
 const StoreSource = ""
 
 const (
@@ -17,9 +17,9 @@
 	// fetchRetryDelay is the delay before the next source is asked after a source has answered
 	// without all of the sections.
 	fetchRetryDelay = 200 * time.Millisecond
-	// startupHeadWait is how long a daemon without a configuration in force waits for heads from
-	// peers if the key-value service doesn't answer. After that, the highest generation that
-	// a peer has announced comes into force.
+	// startupHeadWait is how long a daemon without a configuration in force waits for further
+	// announcements after the first one, if the key-value service has not announced one. After
+	// that, the highest generation that a peer has announced comes into force.
 	startupHeadWait = time.Second
 	// maxSources bounds the number of peers remembered as having the wanted generation.
 	maxSources = 8
@@ -61,15 +61,17 @@
 	manifest *manifest.Manifest
 	// wanted is the accepted configuration whose sections are being fetched.
 	wanted Accepted
-	// rejectedGeneration is the latest generation that this program can't read.
+	// rejectedGeneration is the latest accepted generation that this program version can't read;
+	// zero if there is none.
 	rejectedGeneration ident.Generation
 	sections           map[manifest.Hash][]byte
 
-	// wantedSources are the wantedSources that have announced wanted; sourceIndex selects the next one.
+	// wantedSources are the peers' addresses and StoreSource, as far as they have announced the
+	// wanted generation. sourceIndex counts the fetches from them; the next source is chosen by it.
 	wantedSources []string
 	sourceIndex   int
 	fetchedAt     time.Time
-	// lastFetchFromStore is set if the last fetch went to the key-value service.
+	// lastFetchFromStore says that the last fetch went to the key-value service, not to a peer.
 	lastFetchFromStore bool
 
 	// firstHeadAt is when the first head arrived. storeHeadSeen is set once a head has
--- a/coordination/config/head.go
+++ b/coordination/config/head.go
@@ -1,7 +1,12 @@
-// Package config implements the configuration register as state machines without I/O. A
-// Submission gets a manifest accepted by compare-and-swap of a single head key. A Follower
-// brings accepted configurations into force in one daemon. A driver carries out the steps and
-// effects that they return.
+// Package config implements the configuration register as state machines without I/O. A driver
+// carries out the steps and effects that they return.
+//
+// The register is one key in the key-value service, the head key. Its value, the Head, names the
+// newest accepted configuration: its generation (a number that each accepted configuration
+// increases) and the hashes of its sections. The sections are the parts of a manifest; each is
+// stored under its hash. A Submission gets a manifest accepted by storing its sections and replacing
+// the head by compare-and-swap. A Follower learns of accepted configurations in one daemon, fetches
+// their sections and brings them into force: from then on the daemon works by them.
 package config
 
 import (
@@ -19,7 +24,8 @@
 type Accepted struct {
 	Generation ident.Generation `json:"generation"`
 	Sections   []manifest.Hash  `json:"sections"`
-	// SubmissionID was chosen by the submitter and is never used for another submission.
+	// SubmissionID was chosen by the submitter and is never used for another submission. A
+	// submitter finds its submission in a head by this ID.
 	SubmissionID       string `json:"submission_id"`
 	Author             string `json:"author"`
 	AcceptedUnixMillis int64  `json:"accepted_unix_ms"`
--- a/coordination/config/submission.go
+++ b/coordination/config/submission.go
@@ -43,12 +43,13 @@
 func (*Done) step()          {}
 func (*Failed) step()        {}
 
-// Submission is one attempt to get a manifest accepted.
+// Submission is one attempt to get a manifest accepted; see the package comment.
 type Submission struct {
 	id       string
 	author   string
 	expected int64
-	// knownGeneration is the highest generation that the submitter knows of.
+	// knownGeneration is the generation in force at the submitter's daemon when the submission
+	// was created.
 	knownGeneration ident.Generation
 	sections        []manifest.Section
 
@@ -59,7 +60,8 @@
 }
 
 // NewSubmission returns a submission whose first step reads the head. expected is the
-// generation to replace, or AnyGeneration. floor is the generation in force at the submitter.
+// generation to replace, or AnyGeneration. knownGeneration is the generation in force at
+// the submitter's daemon.
 // A manifest that daemons could not read back fails with the error of manifest.Join, because
 // it would block every daemon once accepted.
 func NewSubmission(m *manifest.Manifest, author, id string, expected int64, knownGeneration ident.Generation) (*Submission, error) {
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -24,7 +24,7 @@
 	Readmit Kind = "readmit"
 )
 
-// Effect is one action for the driver to carry out.
+// Effect is one action for the caller of the Tracker to carry out.
 type Effect struct {
 	Kind   Kind
 	Runner ident.RunnerID
@@ -49,7 +49,9 @@
 type Config struct {
 	// MaxConsecutiveFailures is the number of consecutive failures that ejects a runner.
 	MaxConsecutiveFailures int
-	// A share of FailureRatio of at least MinCalls calls within Window also ejects it.
+	// A runner is also ejected if at least MinCalls calls to it ended in the current window and at
+	// least the fraction FailureRatio of them failed. A window has the length Window; the next one
+	// begins with the first call after its end, with counts of zero.
 	FailureRatio float64
 	MinCalls     int
 	Window       time.Duration
@@ -57,8 +59,8 @@
 	// while probes fail.
 	FirstEjection time.Duration
 	MaxEjection   time.Duration
-	// MaxEjectedFraction is the fraction of the runners that may be ejected at once; of two or
-	// more runners, one may always be. If more fail, the cause is not in single runners, and
+	// MaxEjectedFraction is the fraction of a service's runners that may be ejected at once. If
+	// the service has two or more runners, one may always be ejected. If more fail, the cause is not in single runners, and
 	// without any runner no request could be served.
 	MaxEjectedFraction float64
 	// ProbeTimeout is the time after which an unanswered probe counts as failed.
@@ -79,6 +81,8 @@
 	}
 }
 
+// phase is what the tracker does with a runner at present. phaseEjected runners are out of routing;
+// phaseProbing runners are too, while a probe tests whether they can be readmitted.
 type phase uint8
 
 const (
@@ -90,6 +94,8 @@
 )
 
 // runner is the health of one runner. phaseEnd is when its ejection ends or its probe times out.
+// windowCalls and windowFailures count the calls that ended since the current window began.
+// ejectionDuration is the length of its latest ejection.
 type runner struct {
 	phase               phase
 	consecutiveFailures int
--- a/coordination/journal/entry.go
+++ b/coordination/journal/entry.go
@@ -1,7 +1,10 @@
 // Package journal keeps a log of actions per owner (the daemon that executes them) in the
 // key-value service, so that other daemons can tell after the owner's end which actions ran.
-// Entry n is stored at journal/<owner>/<n> and is created only if absent. Whoever creates the
-// next entry as a seal ends the log. The package does no I/O: it returns the writes to make.
+// Entry n is stored at journal/<owner>/<n> and is created only if absent. An entry contains intents
+// (actions that the owner is about to dispatch) and outcomes (results of actions). An action is
+// identified by its action key, which contains a token that the owner issued and that expires.
+// Any daemon can end the log by creating the next entry as a seal: the owner's next write then fails.
+// The package does no I/O: it returns the writes to make.
 package journal
 
 import (
--- a/coordination/journal/log.go
+++ b/coordination/journal/log.go
@@ -8,7 +8,9 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Log is the content of an owner's log as read so far.
+// Log is the content of an owner's log as read so far. nextIndex is the index after the last entry
+// read. floor is the highest Entry.Floor. intents maps the key of each action to the hash of its
+// request body.
 type Log struct {
 	owner     ident.Incarnation
 	nextIndex uint64
--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -111,7 +111,8 @@
 	outcomes  []Outcome
 	// outcomeBytes is the total size of the queued outcomes.
 	outcomeBytes int
-	// oldestOutcomeAt is when the oldest queued outcome was added.
+	// oldestOutcomeAt is when the oldest queued outcome was added. After an entry has taken some of
+	// the outcomes, it is the time of that entry.
 	oldestOutcomeAt time.Time
 	seal            *Seal
 
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -35,9 +35,10 @@
 	// waits this long plus MaxOrderLatency before it sends orders to such runners; see
 	// Quarantine.
 	MaxPause time.Duration
-	// Drift is the fraction, from 0 to 1, by which clock rates may differ.
+	// Drift is the largest difference between the rates of two clocks, as a fraction: 0.01 means
+	// that a clock may gain or lose a second in 100.
 	Drift float64
-	// RetryDelay is the delay after a failed call.
+	// RetryDelay is the delay after a failed call to the key-value service before the next call.
 	RetryDelay time.Duration
 	// ReadKey is the time between reads of the key by a daemon that waits to become the holder.
 	ReadKey time.Duration
@@ -72,7 +73,9 @@
 	return d + time.Duration(float64(d)*drift)
 }
 
-// renewalUsableFor returns how long after sending a renewal the holder may rely on it.
+// renewalUsableFor returns how long after sending a successful renewal the holder may still send
+// orders. An order sent up to then arrives before the lease expires, even if the holder's clock is
+// slow by Drift.
 func (t Timing) renewalUsableFor() time.Duration {
 	return t.TTL - time.Duration(float64(t.TTL)*t.Drift) - t.MaxOrderLatency
 }
@@ -103,7 +106,8 @@
 type Effect struct {
 	Kind  Kind
 	Lease uint64
-	// Attempt must be copied into the Result.
+	// Attempt is the number of the call. The caller copies it into the Result, so that Step can
+	// ignore results of earlier calls.
 	Attempt uint64
 }
 
@@ -148,7 +152,8 @@
 	Stopped
 )
 
-// Machine competes for one responsibility on behalf of one daemon.
+// Machine is the state machine by which one daemon competes for one responsibility. callSentAt is
+// when the pending call was sent, renewedAt when the last successful Grant or Renew was sent.
 type Machine struct {
 	timing Timing
 	state  State
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -10,7 +10,8 @@
 	"geraniumstack.org/geraniumstack/coordination/lease"
 )
 
-// store simulates the key-value service: one key under a lease that expires.
+// store simulates the key-value service: one key under a lease that expires. lastLease is the lease
+// granted last, keyLease the lease of the key (zero if there is no key).
 type store struct {
 	lastLease uint64
 	keyLease  uint64
@@ -50,6 +51,7 @@
 	return r
 }
 
+// order is an order that was sent with a fencing token, and the time at which it reaches the runner.
 type order struct {
 	token   uint64
 	arrival time.Duration
--- a/coordination/owners/owners.go
+++ b/coordination/owners/owners.go
@@ -1,4 +1,5 @@
-// Package owners selects the daemons that issue action tokens. Each daemon selects on its own
+// Package owners selects the daemons that issue action tokens. An owner is a daemon that issues
+// tokens for actions, executes these actions and keeps a journal of them (see package journal). Each daemon selects on its own
 // from its view of the directory. If views differ, a few more daemons keep journals for a while;
 // no guarantee is lost, because any daemon can be an owner.
 package owners
@@ -13,15 +14,17 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// DefaultMax is the default number of daemons that issue tokens. Each makes at most 30 writes per
+// DefaultMax is the default limit for Select. Each owner makes at most 30 writes per
 // second, together 240 of the several hundred that the key-value service handles.
 const DefaultMax = 8
 
-// candidate is a live daemon with its sort keys.
+// candidate is a live daemon with its sort keys. idHash and domainHash are the hashes of its ID and of
+// the name of its failure domain.
 type candidate struct {
 	daemon *view.Daemon
 	idHash uint64
-	// rankInDomain is the position within the failure domain by score, from zero.
+	// rankInDomain is the daemon's position among the candidates of its failure domain in
+	// descending order of idHash, from zero.
 	rankInDomain int
 	domainHash   uint64
 }
--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -13,7 +13,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Target is a runner of a service whose reports are read.
+// Target is a runner of a service whose load reports and cache events are read.
 type Target struct {
 	Service string
 	Runner  ident.RunnerID
@@ -28,10 +28,10 @@
 	IdleAfter    time.Duration
 	// InitialReportBytes is the assumed size of a load report until one has been read.
 	InitialReportBytes float64
-	// MaxSaved is how much unused budget can accumulate, as a time at the full rate.
+	// MaxSaved bounds the unused credit: at most as many bytes as the budget allows in this time.
 	MaxSaved time.Duration
-	// EventsBackoff is how long a target's cache events are not read after a page with a
-	// gap before it. It doubles up to MaxEventsBackoff.
+	// EventsBackoff is how long a target's cache events are not read after a read that
+	// showed a gap: events between its page and the previous page were lost. It doubles up to MaxEventsBackoff.
 	EventsBackoff    time.Duration
 	MaxEventsBackoff time.Duration
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// reportSizeWeight is the weight of the latest report in the mean size.
+// reportSizeWeight is the weight of the latest load report in the moving average of report sizes.
 const reportSizeWeight = 0.1
 
 // Read is one read to make: a load report and, if Events is set, a page of cache events.
@@ -70,7 +70,7 @@
 type target struct {
 	reading  bool
 	lastRead time.Time
-	// used counts the daemon's own attempts that started or ended since the last read.
+	// used counts this daemon's attempts that started or ended since the last read.
 	used          int
 	eventsAfter   time.Time
 	eventsBackoff time.Duration
@@ -78,17 +78,20 @@
 
 // Planner holds the budget and the targets of one daemon. It is not safe for concurrent use.
 type Planner struct {
-	cfg     Config
+	cfg Config
+	// budget is the number of bytes per second that all reads together may use.
 	budget  float64
 	targets map[Target]*target
-	// loadCredit is the number of bytes that load reports may use now, events the number
-	// that cache events may use. Both become negative after a read that was larger.
+	// loadCredit is the number of bytes that reads of load reports may use now, events the number
+	// that reads of cache events may use. Either becomes negative after a read that was larger
+	// than its credit.
 	loadCredit      float64
 	events          float64
 	creditAddedAt   time.Time
 	meanReportBytes float64
 	started         bool
-	// used is set by RecordUse until the next call of Next, which then sets lastUsed.
+	// used says that RecordUse was called since the last call of Next. lastUsed is when Next
+	// last found it set.
 	used     bool
 	lastUsed time.Time
 }
@@ -171,9 +174,10 @@
 	return min(p.cfg.Interval, time.Duration(math.Ceil(seconds*float64(time.Second))))
 }
 
-// mostUrgent returns the target with the highest product of the report's age and the number of
-// own attempts since, among the targets that are due. A target that has never been read comes
-// first. A target without attempts is also read once its report is old enough.
+// mostUrgent returns the target with the highest urgency among those that are due: the age of its
+// last report in seconds times one more than the number of this daemon's attempts there since. A
+// target that has never been read comes first. If no target is due, wait is the time until one is,
+// at most Config.Interval.
 func (p *Planner) mostUrgent(now time.Time) (best Target, wait time.Duration) {
 	wait = p.cfg.Interval
 	interval := p.interval(now)
--- a/coordination/prefill/prefill.go
+++ b/coordination/prefill/prefill.go
@@ -15,8 +15,9 @@
 import "time"
 
 const (
-	// Up to maxShortPrompt tokens the time consists mostly of the fixed part; from
-	// minLongPrompt tokens on it consists mostly of the prefill.
+	// The time to first token of a prompt of up to maxShortPrompt tokens consists mostly of the
+	// fixed part, so it updates the estimate of that part. From minLongPrompt tokens on the time
+	// consists mostly of the prefill, so it updates the estimate of the prefill rate.
 	maxShortPrompt = 500
 	minLongPrompt  = 2000
 	// A sample counts only if Ahead is at most maxAheadFraction of Tokens: almost no other
@@ -28,18 +29,20 @@
 	// estimate by the fraction maxRelativeStep*targetQuantile of itself, and a lower one divides it
 	// by 1 + maxRelativeStep*(1-targetQuantile).
 	maxRelativeStep = 0.06
-	// initialFixedTime is the estimate of the fixed part before short prompts have been observed.
+	// initialFixedTime is the estimate of the fixed part until the first short prompt.
 	initialFixedTime = 20 * time.Millisecond
 )
 
 // Sample is one observed time to first token.
 type Sample struct {
-	// Tokens is the number of prompt tokens to compute, Ahead the number queued before them.
+	// Tokens is the number of uncached prompt tokens that the engine computed. Ahead is the number
+	// of prompt tokens of other requests that were queued at the engine when this one was sent.
 	Tokens, Ahead int
 	TTFT          time.Duration
 }
 
-// Model estimates the prefill time of a service's engines.
+// Model estimates the prefill rate of a service's engines and the fixed part of their times to first
+// token. fixedSeconds is that part, secondsPerToken the prefill time per token.
 type Model struct {
 	fixedSeconds    float64
 	secondsPerToken float64
--- a/coordination/prefill/prefill_test.go
+++ b/coordination/prefill/prefill_test.go
@@ -29,6 +29,7 @@
 	}
 }
 
+// isWithin fails the test if got differs from want by more than the fraction tolerance of want.
 func isWithin(is *is.I, got, want, tolerance float64) {
 	is.Helper()
 	if got < want*(1-tolerance) || got > want*(1+tolerance) {
--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -12,7 +12,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Stream is one attempt of a request that runs at a leaving runner.
+// Stream is the output of one attempt of a request that a leaving runner is generating.
 type Stream struct {
 	Request ident.RequestID
 	Runner  ident.RunnerID
@@ -40,7 +40,7 @@
 	DecodeRate float64
 }
 
-// Target is a runner that can take over streams.
+// Target is a runner that can take over streams from leaving runners.
 type Target struct {
 	Runner ident.RunnerID
 	// Slots is the number of streams that the runner can decode at once in addition to its
@@ -52,7 +52,7 @@
 	PrefillRate float64
 	// QueuedTokens is the number of prompt tokens queued at the runner.
 	QueuedTokens int
-	// Risk is the reclaim risk of the runner's VM; lower is better.
+	// Risk is the expected number of reclaims of the runner's VM per hour.
 	Risk float64
 }
 
@@ -71,7 +71,7 @@
 	Streams []Stream
 	Targets []Target
 	Link    Link
-	// SafetyMargin is kept free before the end of each source.
+	// SafetyMargin is how long before the reclaim of a source its streams must have ended or left.
 	SafetyMargin time.Duration
 }
 
@@ -101,7 +101,8 @@
 	// Start and End are offsets from the time of the plan: those of the transfer for Move,
 	// those of the computation for Resume.
 	Start, End time.Duration
-	// Recomputed is the number of tokens that are computed a second time.
+	// Recomputed is the number of context tokens that a runner has to compute a second time because
+	// of the decision.
 	Recomputed int
 }
 
@@ -122,7 +123,9 @@
 	prefillBusyUntil time.Duration
 }
 
-// candidate is a stream that can't finish at its source, with the target assigned to it.
+// candidate is a stream that may not finish at its source in time, with the target assigned to it.
+// savedTokens is the number of context tokens that a transfer of the KV cache saves the target from
+// computing again.
 type candidate struct {
 	Stream
 	target           *targetState
@@ -172,7 +175,8 @@
 
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// deadline returns when everything for a stream must be done at its source.
+// deadline returns the time by which a stream must have ended at its source or left it, as an offset
+// from the time of the plan.
 func (p *plan) deadline(s Stream) time.Duration {
 	return p.sources[s.Runner].TimeLeft - p.b.SafetyMargin
 }
@@ -309,7 +313,7 @@
 	return rest
 }
 
-// savedTokensPerSecond returns the recomputed tokens that a move saves per second of transfer.
+// savedTokensPerSecond returns savedTokens per second of transfer time.
 func (c *candidate) savedTokensPerSecond() float64 {
 	if c.transferDuration <= 0 {
 		return 0
@@ -318,7 +322,9 @@
 }
 
 // schedule holds the accepted transfers on the link by deadline. Transfers run in the order of
-// their deadlines.
+// their deadlines, the first one at busyUntil. deadlines holds the different deadlines of all
+// candidates in ascending order, and load[i] is the total duration of the accepted transfers with the
+// deadline deadlines[i]. All times are offsets from the time of the plan.
 type schedule struct {
 	busyUntil time.Duration
 	deadlines []time.Duration
--- a/coordination/routing/hazard.go
+++ b/coordination/routing/hazard.go
@@ -14,7 +14,7 @@
 	// reclaim has been observed. PriorHours is the weight of that prior in VM hours.
 	PriorRate  float64
 	PriorHours float64
-	// HalfLife is the time after which a count has lost half of its weight.
+	// HalfLife is the time after which a reclaim or VM hour counts only half.
 	HalfLife time.Duration
 }
 
@@ -29,7 +29,8 @@
 	class  string
 }
 
-// exposure holds the number of VMs in a pool, and its reclaims and VM hours with decay.
+// exposure holds the current number of VMs in a pool, and the pool's numbers of reclaims and of VM
+// hours, both with exponential decay.
 type exposure struct {
 	vmCount   int
 	reclaims  float64
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// defaultMeanOutput is the initial estimate of the mean output length in tokens.
-// meanOutputWeight is the weight of each new answer in the moving average.
+// defaultMeanOutput is the initial value of Table.meanOutput, the moving average of the output
+// lengths in tokens. meanOutputWeight is the weight of each new answer in this average.
 const (
 	defaultMeanOutput = 200
 	meanOutputWeight  = 0.02
@@ -37,7 +37,8 @@
 // score holds the values of a slot that a choice reads. It is separate from slot and
 // small because every choice reads the scores of all candidates.
 type score struct {
-	// remotePenalty is added for a runner in another failure domain, in seconds.
+	// remotePenalty is the number of seconds added to the expected time to first token because
+	// the runner is in another failure domain; zero if it is not.
 	remotePenalty float64
 	// prefillSecondsPerToken is the prefill time per prompt token in seconds.
 	// secondsPerFreedToken is the mean time in seconds until the running requests free KV cache
@@ -60,7 +61,8 @@
 	priceRisk float64
 }
 
-// sumChangesSinceReport recomputes the sums of the own changes after the last report of slot i.
+// sumChangesSinceReport recomputes the sums of this gateway's load changes after the AsOf time of
+// the last report of slot i.
 func (t *Table) sumChangesSinceReport(i int) {
 	s := &t.slots[i]
 	s.prefillSinceReport, s.kvSinceReport, s.requestsSinceReport = 0, 0, 0
@@ -74,7 +76,8 @@
 	}
 }
 
-// recordChange applies an own change to the load of slot i and keeps it for later reports.
+// recordChange adds a load change to the load of slot i. It also stores the change, because the
+// next report may have been made before it.
 func (t *Table) recordChange(i int, c loadChange) {
 	log := &t.logs[i]
 	log.entries[log.nextEntry] = c
@@ -89,7 +92,7 @@
 	t.rescore(i)
 }
 
-// rescore computes the score of slot i from the last report and own changes.
+// rescore computes the score of slot i from the last report and the load changes since.
 func (t *Table) rescore(i int) {
 	s, c := &t.slots[i], &t.scores[i]
 	c.prefillSecondsPerToken = 1 / s.prefillRate
@@ -115,8 +118,10 @@
 }
 
 // waitForBatch returns the time in seconds until a request that arrives now gets a slot
-// in the batch. The queued prompt tokens don't tell this, because many queued prompts can
-// be short. Slots become free at the rate at which the running requests finish.
+// in the batch: the number of requests that must finish before, divided by the rate at which the
+// requests of a full batch finish. own is the number of this gateway's requests in progress at
+// the runner. The wait can't be derived from the number of queued prompt tokens, because many
+// short prompts can be queued.
 func (t *Table) waitForBatch(s *slot, own int) float64 {
 	ahead := s.requestsInProgress(own) - s.batchSize + 1
 	if ahead <= 0 {
@@ -126,7 +131,7 @@
 	return float64(ahead) / perSecond
 }
 
-// Capacity is the total capacity of the usable runners according to their reports.
+// Capacity is the total capacity of the live runners that are not ejected, by their reports.
 type Capacity struct {
 	Runners int
 	// BatchSlots is the total number of requests that can run at a time. DecodeRate is the
@@ -136,7 +141,8 @@
 	// FreeSlots is the number of free batch slots by the last reports and this gateway's load
 	// changes since.
 	FreeSlots int
-	// PromptCost is the cost of one uncached prompt token in output tokens.
+	// PromptCost is the number of output tokens that all runners together could generate in the
+	// time in which they compute one uncached prompt token.
 	PromptCost float64
 }
 
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -2,8 +2,16 @@
 //
 // The package reads no clock and does no I/O. A Table learns about runners from the
 // directory, about their load from reports that lag behind, and about their prefix caches
-// from events that can be late or missing. It corrects all three by the requests that
-// this gateway has dispatched and seen completed since.
+// from events that can be late or missing. It corrects the reports and the cache events by the
+// requests that this gateway has dispatched and seen completed since.
+//
+// Terms: own requests are those of this gateway, as opposed to those that other gateways send to the
+// same runners. A load change is the effect of one dispatch, first token or completion of an own
+// request. The hazard of a runner is the rate at which VMs like its own are reclaimed by the cloud.
+// The risk of a runner for a request is the probability of a reclaim while the request runs, plus the
+// runner's price in the same unit. The home of a shared prefix is the runner that all gateways assume
+// to have cached it as long as nothing is known. An ejected runner is kept out of routing because
+// calls to it fail (see package health); a suspect runner has not been heard from lately.
 package routing
 
 import (
@@ -27,7 +35,7 @@
 type Config struct {
 	// Self is the ID of the gateway. It determines the gateway's subset of a long runner list.
 	Self ident.DaemonID
-	// FailureDomain is the failure domain of the gateway.
+	// FailureDomain is the failure domain of the gateway. Runners in other ones get RemotePenalty.
 	FailureDomain ident.FailureDomain
 	// Samples is the number of random candidates that a choice considers in addition
 	// to the runners with the longest cached prefix; zero considers all runners.
@@ -79,13 +87,14 @@
 	}
 }
 
-// slot holds what the table knows of one runner.
+// slot holds what the table knows of one runner. A slot is a position in Table.slots that a runner
+// keeps while it is in the table; sets of runners are sets of slot indexes.
 type slot struct {
 	used bool
 	// epoch changes whenever the slot gets another runner, so that choices and tickets for the
 	// earlier runner have no effect.
 	epoch uint32
-	// hash is the hash of the runner's ID.
+	// hash is the hash of the runner's ID, from which Table.home computes rendezvous hashes.
 	hash        uint64
 	runner      view.Runner
 	reported    bool
@@ -95,10 +104,13 @@
 	freeTokens  float64
 	// batchSize is the number of requests that the runner serves at a time.
 	batchSize int
-	// pendingPrefill and pendingKV count the tokens of own requests in progress.
+	// pendingPrefill is the number of uncached prompt tokens of this gateway's requests at the
+	// runner that have no first token yet. pendingKV is the number of prompt and expected output
+	// tokens of all its requests in progress there.
 	pendingPrefill float64
 	pendingKV      float64
-	// prefillSinceReport, sinceKV and sinceRequests sum the own changes after the last report.
+	// prefillSinceReport, kvSinceReport and requestsSinceReport sum this gateway's load changes
+	// after the AsOf time of the last report.
 	prefillSinceReport  float64
 	kvSinceReport       float64
 	requestsSinceReport int
@@ -108,7 +120,8 @@
 // modelKey identifies a model or, if adapter is not empty, one of its adapters.
 type modelKey struct{ model, adapter string }
 
-// loadedSlots are the slots that have loaded a model: in a wanted version or in another one.
+// loadedSlots are the slots whose runners have loaded a model or adapter: in a version that
+// SetModels named (wantedVersion), or in another version.
 type loadedSlots struct{ wantedVersion, otherVersion prefix.Set }
 
 // Table routes the requests of one service. It is not safe for concurrent use.
@@ -154,7 +167,7 @@
 	}
 }
 
-// SetModels sets the model versions that should be served from now on.
+// SetModels sets the model versions that should be served from now on, canary versions included.
 func (t *Table) SetModels(models []manifest.Model) {
 	t.models = models
 	t.indexModels()
@@ -296,7 +309,8 @@
 	}
 }
 
-// Report applies a runner's load report, corrected by own changes since its AsOf time.
+// Report replaces a runner's load report. The runner's load is then the report plus this gateway's
+// load changes since the report's AsOf time. A report older than the current one is ignored.
 func (t *Table) Report(now time.Time, id ident.RunnerID, r load.Report) {
 	i, ok := t.byID[id]
 	if !ok {
@@ -396,8 +410,8 @@
 // OwnLoad is the load that this daemon's own requests put on one runner.
 type OwnLoad struct {
 	Runner ident.RunnerID
-	// Prefill is the number of prompt tokens of requests without a first token. KV is
-	// the number of all tokens of the requests in progress.
+	// Prefill is the number of uncached prompt tokens of requests without a first token. KV is
+	// the number of prompt and expected output tokens of all requests in progress.
 	Prefill  int
 	KV       int
 	Requests int
--- a/coordination/routing/targets.go
+++ b/coordination/routing/targets.go
@@ -11,7 +11,7 @@
 const defaultFreeTokens = 1 << 14
 
 // Targets returns the live runners to which streams can move from a runner that is being
-// reclaimed, with the capacity left by the reports and by this gateway's requests since.
+// reclaimed. Their free capacity is that of the last reports less this gateway's requests since.
 // Ejected runners are left out: a stream that moved to a failing runner would have to
 // move again.
 func (t *Table) Targets() []reclaim.Target {
--- a/coordination/routing/ticket.go
+++ b/coordination/routing/ticket.go
@@ -6,7 +6,7 @@
 	"geraniumstack.org/geraniumstack/state/prefix"
 )
 
-// phase is the progress of a dispatched request.
+// phase is the progress of a dispatched request; phaseNone means not dispatched or ended.
 type phase uint8
 
 const (
@@ -15,8 +15,9 @@
 	phaseDecode
 )
 
-// Ticket identifies one dispatched request in the load counts of a table. The zero value
-// stands for a request that was not dispatched. Calls in the wrong order have no effect.
+// Ticket stands for one dispatched request in the load counts of a table. The zero value stands for
+// a request that was not dispatched. FirstToken, Finished and NotStarted have no effect if they are
+// called a second time or after the end of the request.
 type Ticket struct {
 	slot               int
 	epoch              uint32
--- a/coordination/servicetime/servicetime.go
+++ b/coordination/servicetime/servicetime.go
@@ -1,5 +1,6 @@
 // Package servicetime estimates the mean service time of a plain service's runners from answers to
-// requests that did not wait for a slot.
+// requests that did not wait for a slot. A plain service is one that does not serve models; its
+// runners answer a fixed number of requests at a time, one per slot.
 //
 // The expected wait at a busy runner is derived from this mean. If the mean is too long, requests
 // are refused that would be answered in time; if it is too short, requests are sent to runners
@@ -11,7 +12,7 @@
 import "time"
 
 const (
-	// newAnswerWeight is the newAnswerWeight of each answer in the moving average.
+	// newAnswerWeight is the weight of each new answer in the moving average.
 	newAnswerWeight = 0.03
 	// minMean and maxMean bound the mean.
 	minMean = time.Millisecond
@@ -24,7 +25,7 @@
 // New returns a Mean with an initial guess.
 func New(first time.Duration) *Mean { return &Mean{first.Seconds()} }
 
-// Observe updates the mean with the time of an answer. running is the number of requests in
+// Observe updates the mean with the time from sending a request to its answer. running is the number of requests in
 // progress at the runner when the request was sent, slots the number that the runner can process at
 // once. An answer that may have waited for a slot does not count.
 func (m *Mean) Observe(serviceTime time.Duration, running, slots int) {
