--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -62,10 +62,10 @@
 
 // evidence holds the counts and the cumulative sums of one series.
 type evidence struct {
-	// answers and failed count the old version's answers, with decay; times is the
+	// oldAnswers and oldFailed count the old version's oldAnswers, with decay; times is the
 	// histogram of their durations.
-	answers, failed float64
-	times           [durationBuckets]float64
+	oldAnswers, oldFailed float64
+	oldDurations          [durationBuckets]float64
 	// failing and slow are the cumulative sums of log likelihood ratios for failed and
 	// for slow answers of the new version.
 	failing, slow float64
@@ -93,15 +93,15 @@
 	}
 	e.allOld.add(old)
 	e.allNew.add(fresh)
-	e.answers += float64(old.Answers)
-	e.failed += float64(old.Failed)
+	e.oldAnswers += float64(old.Answers)
+	e.oldFailed += float64(old.Failed)
 	for i, n := range old.Times {
-		e.times[i] += float64(n)
+		e.oldDurations[i] += float64(n)
 	}
 	if fresh.Answers == 0 {
 		return
 	}
-	e.failing = cusum(e.failing, e.failed/max(1, e.answers), failureRateIncrease, fresh.Failed, fresh.Answers)
+	e.failing = cusum(e.failing, e.oldFailed/max(1, e.oldAnswers), failureRateIncrease, fresh.Failed, fresh.Answers)
 	limit, slowRate := e.slowLimit()
 	slow := 0
 	for _, n := range fresh.Times[limit:] {
@@ -113,18 +113,18 @@
 // slowLimit returns the first histogram bucket of slow answers and the share of the old
 // version's answers in it and above.
 func (e *evidence) slowLimit() (int, float64) {
-	total := e.answers - e.failed
+	total := e.oldAnswers - e.oldFailed
 	if total < 1 {
 		return durationBuckets, 0
 	}
 	above, i := 0.0, durationBuckets
-	for i > 0 && above+e.times[i-1] <= usualSlowFraction*total {
+	for i > 0 && above+e.oldDurations[i-1] <= usualSlowFraction*total {
 		i--
-		above += e.times[i]
+		above += e.oldDurations[i]
 	}
 	i = min(durationBuckets, i+slowLimitMarginBuckets)
 	above = 0
-	for _, n := range e.times[i:] {
+	for _, n := range e.oldDurations[i:] {
 		above += n
 	}
 	return i, above / total
@@ -156,10 +156,10 @@
 	decay := math.Exp2(-float64(now-j.decayedAt) / float64(baselineHalfLife))
 	j.decayedAt = now
 	for _, e := range j.series {
-		e.answers *= decay
-		e.failed *= decay
-		for i := range e.times {
-			e.times[i] *= decay
+		e.oldAnswers *= decay
+		e.oldFailed *= decay
+		for i := range e.oldDurations {
+			e.oldDurations[i] *= decay
 		}
 	}
 }
--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -41,15 +41,15 @@
 	record Record
 	// completedAt is when the gate learned that the order is completed.
 	completedAt time.Duration
-	// sent counts the requests sent to the new version while Running, total all requests to the
+	// trialRequests counts the requests trialRequests to the new version while Running, totalRequests all requests to the
 	// service, both since the daemon created the gate.
-	sent, total int
+	trialRequests, totalRequests int
 	// reportNumber and reportedAt are the number and time of the latest report.
-	reportNumber uint64
-	reportedAt   time.Duration
-	allowance    Allowance
-	expiresAt    time.Duration
-	tally        Tally
+	reportNumber       uint64
+	reportedAt         time.Duration
+	allowance          Allowance
+	allowanceExpiresAt time.Duration
+	tally              Tally
 }
 
 // Allowance permits a daemon to send requests to the new version.
@@ -132,10 +132,10 @@
 	if placement != OldOnly || g.State() != Running {
 		return placement
 	}
-	if now >= g.expiresAt || g.sent >= g.allowance.Ceiling || random >= g.trialShare(route) {
+	if now >= g.allowanceExpiresAt || g.trialRequests >= g.allowance.Ceiling || random >= g.trialShare(route) {
 		return OldOnly
 	}
-	g.sent++
+	g.trialRequests++
 	return Trial
 }
 
@@ -168,7 +168,7 @@
 }
 
 // Dispatched counts a request that is sent for the first time.
-func (g *Gate) Dispatched() { g.total++ }
+func (g *Gate) Dispatched() { g.totalRequests++ }
 
 // TrialRunners returns how many of the new runners may get trial requests.
 func (g *Gate) TrialRunners() int { return g.allowance.Runners }
@@ -183,10 +183,10 @@
 	g.reportNumber++
 	g.reportedAt = now
 	r := Report{
-		Order: g.order.Revision, Ask: g.reportNumber, Total: g.total, Sent: g.sent,
+		Order: g.order.Revision, Ask: g.reportNumber, Total: g.totalRequests, Sent: g.trialRequests,
 		KnownState: g.State(), OldInFlight: oldInFlight, Tally: g.tally.clone(),
 	}
-	if now < g.expiresAt {
+	if now < g.allowanceExpiresAt {
 		r.Ceiling = g.allowance.Ceiling
 	}
 	return r
@@ -198,5 +198,5 @@
 		return
 	}
 	a.Halt = a.Halt || g.allowance.Halt
-	g.allowance, g.expiresAt = a, g.reportedAt+allowanceTTL
+	g.allowance, g.allowanceExpiresAt = a, g.reportedAt+allowanceTTL
 }
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -100,9 +100,9 @@
 	// report to this holder. Earlier holders granted that part, so it is counted in
 	// reservedByEarlierHolders and not again for the daemon.
 	firstReportedCeiling, ceiling int
-	// perSecond is the number of requests to the service that the daemon handled per second
+	// requestsPerSecond is the number of requests to the service that the daemon handled per second
 	// between its last two reports, whichever version served them.
-	perSecond float64
+	requestsPerSecond float64
 }
 
 // NewHolder returns a holder that continues an order. If the record found belongs to another
@@ -173,7 +173,7 @@
 	}
 	h.compare(a, &r)
 	if elapsed := (now - a.reportedAt).Seconds(); known && elapsed > 0 {
-		a.perSecond = float64(r.Total-a.report.Total) / elapsed
+		a.requestsPerSecond = float64(r.Total-a.report.Total) / elapsed
 	}
 	a.report, a.reportedAt, a.ceiling = r, now, heldCeiling
 	return h.grant(a), true
@@ -213,11 +213,11 @@
 
 // burstSize returns how many requests must still be grantable for a burst to start.
 func (h *Holder) burstSize() int {
-	perSecond := 0.0
+	requestsPerSecond := 0.0
 	for _, a := range h.daemons {
-		perSecond += a.perSecond
+		requestsPerSecond += a.requestsPerSecond
 	}
-	return min(max(int(burstFraction*perSecond*burstDuration.Seconds()), minBurst), maxBurst)
+	return min(max(int(burstFraction*requestsPerSecond*burstDuration.Seconds()), minBurst), maxBurst)
 }
 
 // grant raises a daemon's ceiling so that the daemon can send trial requests until its next
@@ -244,7 +244,7 @@
 	if h.fleet.OldRunners > 0 {
 		allowance.Share = min(allowance.Share, 0.5)
 	}
-	needed := int(math.Ceil(allowance.Share * a.perSecond * allowanceTTL.Seconds()))
+	needed := int(math.Ceil(allowance.Share * a.requestsPerSecond * allowanceTTL.Seconds()))
 	remaining := a.ceiling - a.report.Sent
 	a.ceiling += max(0, min(available, needed-remaining))
 	allowance.Ceiling = a.ceiling
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -13,9 +13,9 @@
 // requestKind describes the requests of one route: how many arrive per second, and which fraction of
 // them fails on a good version.
 type requestKind struct {
-	route       string
-	perSecond   float64
-	failureRate float64
+	route             string
+	requestsPerSecond float64
+	failureRate       float64
 }
 
 // version describes how the runners of a version answer.
@@ -179,7 +179,7 @@
 
 func (p *simulation) generateRequests() {
 	for _, k := range p.requestKinds {
-		for n := p.poisson(k.perSecond * tick.Seconds()); n > 0; n-- {
+		for n := p.poisson(k.requestsPerSecond * tick.Seconds()); n > 0; n-- {
 			p.serve(k)
 		}
 	}
--- a/coordination/config/follower.go
+++ b/coordination/config/follower.go
@@ -70,7 +70,7 @@
 	// wanted generation. sourceIndex counts the fetches from them; the next source is chosen by it.
 	wantedSources []string
 	sourceIndex   int
-	fetchedAt     time.Time
+	lastFetchAt   time.Time
 	// lastFetchFromStore says that the last fetch went to the key-value service, not to a peer.
 	lastFetchFromStore bool
 
@@ -135,7 +135,7 @@
 	f.wanted = head
 	f.wantedSources = nil
 	f.sourceIndex = 0
-	f.fetchedAt = time.Time{}
+	f.lastFetchAt = time.Time{}
 	f.lastFetchFromStore = false
 }
 
@@ -173,7 +173,7 @@
 			f.sections[hash] = data
 		}
 	}
-	f.fetchedAt = now.Add(fetchRetryDelay - fetchTimeout)
+	f.lastFetchAt = now.Add(fetchRetryDelay - fetchTimeout)
 	return f.advance(now)
 }
 
@@ -198,7 +198,7 @@
 		}
 		return f.activate()
 	}
-	if now.Sub(f.fetchedAt) < fetchTimeout {
+	if now.Sub(f.lastFetchAt) < fetchTimeout {
 		return nil
 	}
 	return f.fetch(now, f.nextSource())
@@ -208,7 +208,7 @@
 // announces the wanted generation while only the key-value service has been asked: the service
 // may be slow, and the peer has the sections.
 func (f *Follower) fetch(now time.Time, source string) []Effect {
-	f.fetchedAt = now
+	f.lastFetchAt = now
 	f.lastFetchFromStore = source == StoreSource
 	return []Effect{&Fetch{Source: source, Hashes: manifest.Missing(f.wanted.Sections, f.sections)}}
 }
--- a/coordination/config/submission.go
+++ b/coordination/config/submission.go
@@ -45,15 +45,15 @@
 
 // Submission is one attempt to get a manifest accepted; see the package comment.
 type Submission struct {
-	id       string
-	author   string
-	expected int64
+	id                 string
+	author             string
+	expectedGeneration int64
 	// knownGeneration is the generation in force at the submitter's daemon when the submission
 	// was created.
 	knownGeneration ident.Generation
 	sections        []manifest.Section
 
-	next           Step
+	nextStep       Step
 	sectionsStored bool
 	// lostSwapGeneration is the generation of a swap whose answer was lost; zero if there is none.
 	lostSwapGeneration ident.Generation
@@ -64,7 +64,7 @@
 // the submitter's daemon.
 // A manifest that daemons could not read back fails with the error of manifest.Join, because
 // it would block every daemon once accepted.
-func NewSubmission(m *manifest.Manifest, author, id string, expected int64, knownGeneration ident.Generation) (*Submission, error) {
+func NewSubmission(m *manifest.Manifest, author, id string, expectedGeneration int64, knownGeneration ident.Generation) (*Submission, error) {
 	sections, err := manifest.Split(m)
 	if err != nil {
 		return nil, err
@@ -73,8 +73,8 @@
 		return nil, err
 	}
 	return &Submission{
-		id: id, author: author, expected: expected, knownGeneration: knownGeneration,
-		sections: sections, next: &ReadHead{},
+		id: id, author: author, expectedGeneration: expectedGeneration, knownGeneration: knownGeneration,
+		sections: sections, nextStep: &ReadHead{},
 	}, nil
 }
 
@@ -87,34 +87,34 @@
 }
 
 // Step returns the next step. It returns the same step until the driver has answered it.
-func (s *Submission) Step() Step { return s.next }
+func (s *Submission) Step() Step { return s.nextStep }
 
 // SectionsStored answers StoreSections. The head is read again, because it may have changed
 // since it was read before the writes.
 func (s *Submission) SectionsStored() {
 	s.sectionsStored = true
-	s.next = &ReadHead{}
+	s.nextStep = &ReadHead{}
 }
 
 // HeadRead answers ReadHead; revision zero means that there is no head.
 func (s *Submission) HeadRead(now time.Time, head Head, revision uint64) {
 	if a, ok := head.Find(s.id); ok {
-		s.next = &Done{Accepted: a}
+		s.nextStep = &Done{Accepted: a}
 		return
 	}
 	if s.mayBeTruncated(head) {
-		s.next = &Failed{Err: &OutcomeUnknownError{SubmissionID: s.id}}
+		s.nextStep = &Failed{Err: &OutcomeUnknownError{SubmissionID: s.id}}
 		return
 	}
-	if s.expected != AnyGeneration && ident.Generation(s.expected) != head.Generation {
-		s.next = &Failed{Err: &ConflictError{Expected: s.expected, Current: head.Accepted}}
+	if s.expectedGeneration != AnyGeneration && ident.Generation(s.expectedGeneration) != head.Generation {
+		s.nextStep = &Failed{Err: &ConflictError{Expected: s.expectedGeneration, Current: head.Accepted}}
 		return
 	}
 	if !s.sectionsStored {
-		s.next = &StoreSections{Sections: s.sections}
+		s.nextStep = &StoreSections{Sections: s.sections}
 		return
 	}
-	s.next = &SwapHead{Expected: revision, Head: head.prepend(s.nextAccepted(now, head))}
+	s.nextStep = &SwapHead{Expected: revision, Head: head.prepend(s.nextAccepted(now, head))}
 }
 
 // mayBeTruncated reports whether a swap whose answer was lost may have been accepted and
@@ -142,29 +142,29 @@
 
 // Swapped answers SwapHead: the swap took effect.
 func (s *Submission) Swapped() {
-	if swap, ok := s.next.(*SwapHead); ok {
-		s.next = &Done{Accepted: swap.Head.Accepted}
+	if swap, ok := s.nextStep.(*SwapHead); ok {
+		s.nextStep = &Done{Accepted: swap.Head.Accepted}
 	}
 }
 
 // SwapConflict answers SwapHead: the swap did not take effect, or an earlier attempt of the
 // same swap did. Reading the head shows which.
-func (s *Submission) SwapConflict() { s.next = &ReadHead{} }
+func (s *Submission) SwapConflict() { s.nextStep = &ReadHead{} }
 
 // SwapLost answers SwapHead: no answer arrived, so the swap may take effect now, later or
 // never. The next read of the head decides. A repeated swap expects the same revision, so at
 // most one of the two can take effect.
 func (s *Submission) SwapLost() {
-	if swap, ok := s.next.(*SwapHead); ok {
+	if swap, ok := s.nextStep.(*SwapHead); ok {
 		s.lostSwapGeneration = swap.Head.Generation
 	}
-	s.next = &ReadHead{}
+	s.nextStep = &ReadHead{}
 }
 
 // AbortError returns the error to report when the driver stops before Done or Failed:
 // *OutcomeUnknownError if the answer to a swap is missing, else *NotAcceptedError.
 func (s *Submission) AbortError(cause error) error {
-	if _, swapping := s.next.(*SwapHead); swapping || s.lostSwapGeneration != 0 {
+	if _, swapping := s.nextStep.(*SwapHead); swapping || s.lostSwapGeneration != 0 {
 		return &OutcomeUnknownError{SubmissionID: s.id, Err: cause}
 	}
 	return &NotAcceptedError{SubmissionID: s.id, Err: cause}
--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -116,8 +116,8 @@
 	oldestOutcomeAt time.Time
 	seal            *Seal
 
-	// inFlight is the entry that is being written, or nil; the next fields belong to it.
-	inFlight           *Entry
+	// inFlightEntry is the entry that is being written, or nil; the next fields belong to it.
+	inFlightEntry      *Entry
 	inFlightValue      []byte
 	awaitingAnswer     bool
 	retryAt            time.Time
@@ -173,13 +173,13 @@
 // Unavailable reports whether the write in flight has been without an answer for longer than
 // Config.Timeout.
 func (w *Writer) Unavailable(now time.Time) bool {
-	return w.inFlight != nil && now.Sub(w.inFlightSince) >= w.cfg.Timeout
+	return w.inFlightEntry != nil && now.Sub(w.inFlightSince) >= w.cfg.Timeout
 }
 
 // UnavailableAt returns when the write in flight will reach Config.Timeout; zero if there is
 // none.
 func (w *Writer) UnavailableAt() time.Time {
-	if w.inFlight == nil {
+	if w.inFlightEntry == nil {
 		return time.Time{}
 	}
 	return w.inFlightSince.Add(w.cfg.Timeout)
@@ -195,7 +195,7 @@
 	if w.writeTokens < 1 {
 		return Write{}, false
 	}
-	if w.inFlight == nil {
+	if w.inFlightEntry == nil {
 		if !w.entryDue(now) {
 			return Write{}, false
 		}
@@ -215,7 +215,7 @@
 	// first, so an entry that is due gets the token and does not wait for deletions. While the
 	// write of an entry has no answer, nothing is deleted, because the key-value service may be
 	// down.
-	if w.sealed || w.inFlight != nil || w.writeTokens < 1 || len(w.retained) < 2 {
+	if w.sealed || w.inFlightEntry != nil || w.writeTokens < 1 || len(w.retained) < 2 {
 		return Collect{}, false
 	}
 	oldest := w.retained[0]
@@ -229,7 +229,7 @@
 
 // HandleWritten processes the result of a write.
 func (w *Writer) HandleWritten(now time.Time, r Written) Progress {
-	if w.inFlight == nil || r.Index != w.nextIndex || w.sealed {
+	if w.inFlightEntry == nil || r.Index != w.nextIndex || w.sealed {
 		return Progress{}
 	}
 	w.awaitingAnswer = false
@@ -237,7 +237,7 @@
 		w.retryAt = now.Add(w.cfg.RetryDelay)
 		return Progress{}
 	}
-	if r.Status == Conflict && r.Existing.Nonce != w.inFlight.Nonce {
+	if r.Status == Conflict && r.Existing.Nonce != w.inFlightEntry.Nonce {
 		w.sealed = true
 		return Progress{Sealed: true}
 	}
@@ -245,7 +245,7 @@
 }
 
 func (w *Writer) advance(revision uint64) Progress {
-	e := w.inFlight
+	e := w.inFlightEntry
 	p := Progress{Sealed: e.Seal != nil}
 	for _, i := range e.Intents {
 		p.Durable = append(p.Durable, i.ID)
@@ -253,7 +253,7 @@
 	w.sealed = p.Sealed
 	w.retained = append(w.retained, retained{Collect: Collect{Index: w.nextIndex, Revision: revision}, lastExpiry: w.inFlightLastExpiry})
 	w.floor = max(w.floor, e.Floor)
-	w.inFlight, w.inFlightValue = nil, nil
+	w.inFlightEntry, w.inFlightValue = nil, nil
 	w.nextIndex++
 	return p
 }
@@ -266,7 +266,7 @@
 	}
 	var due time.Time
 	switch {
-	case w.inFlight != nil:
+	case w.inFlightEntry != nil:
 		due = w.retryAt
 	case len(w.intents) > 0 || w.seal != nil:
 		due = now
@@ -313,7 +313,7 @@
 	if n == 0 && len(e.Intents) == 0 {
 		e.Seal, w.seal = w.seal, nil
 	}
-	w.inFlight = e
+	w.inFlightEntry = e
 	w.inFlightSince = now
 	w.inFlightLastExpiry = latestExpiry(e)
 	w.inFlightValue = mustEncode(e)
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -158,15 +158,15 @@
 	timing Timing
 	state  State
 	// pending is the outstanding call; its Kind is zero if there is none.
-	pending    Effect
-	callSentAt time.Duration
-	attempts   uint64
-	lease      uint64
-	token      uint64
-	renewedAt  time.Duration
-	heldSince  time.Duration
-	nextCall   time.Duration
-	stopping   bool
+	pending      Effect
+	callSentAt   time.Duration
+	lastAttempt  uint64
+	lease        uint64
+	fencingToken uint64
+	renewedAt    time.Duration
+	heldSince    time.Duration
+	nextCallAt   time.Duration
+	stopping     bool
 }
 
 // New returns a Machine that holds nothing.
@@ -180,7 +180,7 @@
 	if m.state != Holding {
 		return 0
 	}
-	return m.token
+	return m.fencingToken
 }
 
 // MayOrder reports whether an order may be sent at time now. checked says that the runner
@@ -199,7 +199,7 @@
 // should try to hold the responsibility.
 func (m *Machine) Tick(now time.Duration, candidate bool) []Effect {
 	m.expire(now)
-	if m.pending.Kind != 0 || now < m.nextCall {
+	if m.pending.Kind != 0 || now < m.nextCallAt {
 		return nil
 	}
 	switch {
@@ -230,13 +230,13 @@
 	}
 	m.pending = Effect{}
 	m.lease = 0
-	m.token = 0
-	m.nextCall = now + m.timing.RetryDelay
+	m.fencingToken = 0
+	m.nextCallAt = now + m.timing.RetryDelay
 }
 
 func (m *Machine) call(now time.Duration, k Kind) []Effect {
-	m.attempts++
-	m.pending = Effect{Kind: k, Lease: m.lease, Attempt: m.attempts}
+	m.lastAttempt++
+	m.pending = Effect{Kind: k, Lease: m.lease, Attempt: m.lastAttempt}
 	m.callSentAt = now
 	return []Effect{m.pending}
 }
@@ -244,9 +244,9 @@
 func (m *Machine) release(now time.Duration) []Effect {
 	lease := m.lease
 	m.reset(now)
-	m.attempts++
+	m.lastAttempt++
 	// The answer is not awaited: if the call is lost, the lease expires by itself.
-	return []Effect{{Kind: Revoke, Lease: lease, Attempt: m.attempts}}
+	return []Effect{{Kind: Revoke, Lease: lease, Attempt: m.lastAttempt}}
 }
 
 // Stop begins a graceful shutdown. It allows no more orders and revokes the lease at once, so
@@ -293,7 +293,7 @@
 	}
 	if r.FoundLease != 0 {
 		m.reset(now)
-		m.nextCall = now + m.timing.ReadKey
+		m.nextCallAt = now + m.timing.ReadKey
 		return nil
 	}
 	return m.call(now, Grant)
@@ -337,7 +337,7 @@
 		return
 	}
 	m.state = Holding
-	m.token = revision
+	m.fencingToken = revision
 	m.heldSince = now
 }
 
@@ -348,7 +348,7 @@
 	case Refused:
 		m.reset(now)
 	case Lost:
-		m.nextCall = now + m.timing.RetryDelay
+		m.nextCallAt = now + m.timing.RetryDelay
 	}
 	return nil
 }
--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -71,9 +71,9 @@
 	reading  bool
 	lastRead time.Time
 	// used counts this daemon's attempts that started or ended since the last read.
-	used          int
-	eventsAfter   time.Time
-	eventsBackoff time.Duration
+	used            int
+	eventsNotBefore time.Time
+	eventsBackoff   time.Duration
 }
 
 // Planner holds the budget and the targets of one daemon. It is not safe for concurrent use.
@@ -162,7 +162,7 @@
 	s := p.targets[next]
 	s.reading, s.lastRead, s.used = true, now, 0
 	p.loadCredit -= p.meanReportBytes
-	events := p.events > 0 && !now.Before(s.eventsAfter)
+	events := p.events > 0 && !now.Before(s.eventsNotBefore)
 	return Read{Target: next, Events: events, chargedBytes: p.meanReportBytes}, 0, true
 }
 
@@ -246,6 +246,6 @@
 		s.eventsBackoff = p.cfg.EventsBackoff
 		return
 	}
-	s.eventsAfter = now.Add(s.eventsBackoff)
+	s.eventsNotBefore = now.Add(s.eventsBackoff)
 	s.eventsBackoff = min(2*s.eventsBackoff, p.cfg.MaxEventsBackoff)
 }
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -97,9 +97,9 @@
 
 // orderState holds what the reports don't show yet about an order.
 type orderState struct {
-	// acceptedAt is when Plan last returned the order; zero after HandleFailure or Defer.
-	acceptedAt time.Duration
-	failures   int
+	// plannedAt is when Plan last returned the order; zero after HandleFailure or Defer.
+	plannedAt time.Duration
+	failures  int
 	// retryAt is when the order may be given again.
 	retryAt time.Duration
 }
@@ -166,7 +166,7 @@
 	wait := p.limits.FirstBackoff << min(s.failures, 16)
 	s.failures++
 	s.retryAt = now + min(wait, p.limits.MaxBackoff)
-	s.acceptedAt = 0
+	s.plannedAt = 0
 }
 
 // Defer records that an order was not sent and must wait, for example for the weight store's
@@ -174,7 +174,7 @@
 func (p *Planner) Defer(now time.Duration, o Order, wait time.Duration) {
 	s := p.stateOf(o)
 	s.retryAt = now + wait
-	s.acceptedAt = 0
+	s.plannedAt = 0
 }
 
 // Pending reports whether some orders are not yet shown as done by the reports.
@@ -209,7 +209,7 @@
 
 func (p *Planner) recordSent(now time.Duration, o Order) {
 	s := p.stateOf(o)
-	s.acceptedAt = now
+	s.plannedAt = now
 	s.retryAt = now + p.limits.RepeatAfter
 }
 
@@ -268,7 +268,7 @@
 			delete(t.planner.orders, o)
 			continue
 		}
-		if o.Kind != Unload && s.acceptedAt != 0 && t.now < s.retryAt {
+		if o.Kind != Unload && s.plannedAt != 0 && t.now < s.retryAt {
 			t.changing[o.Runner] = true
 		}
 	}
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -160,7 +160,7 @@
 // The result is the equal share of all slots or, if that is more, running plus
 // claimableFreeFraction of the free slots. Callers are not spread evenly over the gateways, and a gateway with many
 // callers must not refuse requests while runners are idle.
-func (c Capacity) Share(gateways, running int) (slots, perSecond float64) {
+func (c Capacity) Share(gateways, running int) (slots, tokensPerSecond float64) {
 	if c.BatchSlots == 0 {
 		return 0, 0
 	}
