--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -62,14 +62,15 @@
 
 // evidence holds the counts and the cumulative sums of one series.
 type evidence struct {
-	// oldAnswers and oldFailed count the old version's oldAnswers, with decay; times is the
-	// histogram of their durations.
+	// oldAnswers and oldFailed count the old version's answers and the failed ones among them.
+	// oldDurations is the histogram of the durations of the others. All three decay with
+	// baselineHalfLife.
 	oldAnswers, oldFailed float64
 	oldDurations          [durationBuckets]float64
 	// failing and slow are the cumulative sums of log likelihood ratios for failed and
 	// for slow answers of the new version.
 	failing, slow float64
-	// allOld and allNew count all answers, without decay.
+	// allOld and allNew count all answers since the order began, without decay.
 	allOld, allNew outcomes
 }
 
@@ -110,8 +111,8 @@
 	e.slow = cusum(e.slow, slowRate, slowRateIncrease, slow, fresh.Answers-fresh.Failed)
 }
 
-// slowLimit returns the first histogram bucket of slow answers and the share of the old
-// version's answers in it and above.
+// slowLimit returns the first histogram bucket of slow answers and the fraction of the old
+// version's complete answers in that bucket and above.
 func (e *evidence) slowLimit() (int, float64) {
 	total := e.oldAnswers - e.oldFailed
 	if total < 1 {
--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -41,8 +41,8 @@
 	record Record
 	// completedAt is when the gate learned that the order is completed.
 	completedAt time.Duration
-	// trialRequests counts the requests trialRequests to the new version while Running, totalRequests all requests to the
-	// service, both since the daemon created the gate.
+	// trialRequests counts the requests sent to the new version while Running, totalRequests all
+	// requests to the service, both since the daemon created the gate.
 	trialRequests, totalRequests int
 	// reportNumber and reportedAt are the number and time of the latest report.
 	reportNumber       uint64
@@ -139,7 +139,8 @@
 	return Trial
 }
 
-// trialShare returns the fraction of a route's requests to send to the new version.
+// trialShare returns the fraction of a route's requests that this daemon sends to the new version
+// while Running.
 func (g *Gate) trialShare(route string) float64 {
 	switch g.allowance.FavouredRoute {
 	case "":
@@ -150,7 +151,8 @@
 	return g.allowance.Share * otherFactor
 }
 
-// PlaceRetry decides where a request goes after a failed attempt.
+// PlaceRetry decides where a request goes after a failed attempt. Unlike PlaceRequest it never
+// returns Trial, so a retry does not use up the allowance.
 func (g *Gate) PlaceRetry(now time.Duration) Placement {
 	switch g.State() {
 	case Promoting:
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -82,7 +82,8 @@
 	burstOpen bool
 	// firstRecordUnwritten is set until the first record of the order has been written.
 	firstRecordUnwritten bool
-	// promotedAt is when this holder first saw the order as Promoting; negative before.
+	// promotedAt is the time of the first call of Tick at which this holder found the order in
+	// state Promoting; negative before.
 	promotedAt time.Duration
 	fleet      Fleet
 	// badReason and badSeries are the reason for a verdict against the new version and the
@@ -306,6 +307,8 @@
 	return h.running(unixMillis, self, f, r)
 }
 
+// running returns the next record of an order in state Running: promoted, rolled back, completed
+// if no old runners are left, or with a higher Reserved.
 func (h *Holder) running(unixMillis int64, self string, f Fleet, r Record) Record {
 	if r.Holder != self {
 		r.Holder, r.Reason = self, TookOver
@@ -338,6 +341,8 @@
 	return r
 }
 
+// promoting returns the next record of an order in state Promoting: completed once the old runners
+// are idle or the order's time is over.
 func (h *Holder) promoting(now time.Duration, unixMillis int64, r Record) Record {
 	if h.promotedAt < 0 {
 		h.promotedAt = now
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -157,6 +157,7 @@
 	return append(dst, Effect{Eject, id})
 }
 
+// startVerification asks for a probe of a runner that stays in routing meanwhile.
 func (t *Tracker) startVerification(now time.Time, id ident.RunnerID, r *runner, dst []Effect) []Effect {
 	if r.phase == phaseVerifying {
 		return dst
@@ -187,6 +188,7 @@
 	return r.windowCalls >= t.cfg.MinCalls && float64(r.windowFailures) >= t.cfg.FailureRatio*float64(r.windowCalls)
 }
 
+// mayEject reports whether one more runner may be ejected within MaxEjectedFraction.
 func (t *Tracker) mayEject() bool {
 	limit := int(t.cfg.MaxEjectedFraction * float64(len(t.runners)))
 	if len(t.runners) > 1 {
--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -14,7 +14,8 @@
 	// WritesPerSecond is the most writes per second that this owner makes to the key-value
 	// service, entries and deletions together.
 	WritesPerSecond float64
-	// Burst is how many writes may be made in a row after an idle period.
+	// Burst is the size of the token bucket that limits writes: how many writes may be made in a
+	// row after an idle period.
 	Burst float64
 	// MaxBytes bounds the size of an entry; the service stores values of up to a megabyte.
 	MaxBytes int
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -35,8 +35,8 @@
 	// waits this long plus MaxOrderLatency before it sends orders to such runners; see
 	// Quarantine.
 	MaxPause time.Duration
-	// Drift is the largest difference between the rates of two clocks, as a fraction: 0.01 means
-	// that a clock may gain or lose a second in 100.
+	// Drift is the largest difference between the rates of two clocks, as a fraction from 0 to 1.
+	// 0.01 means that a clock may gain or lose a second in 100.
 	Drift float64
 	// RetryDelay is the delay after a failed call to the key-value service before the next call.
 	RetryDelay time.Duration
@@ -214,15 +214,16 @@
 	return nil
 }
 
-// expire ends the holding by the holder's own clock. The key-value service may have been
-// unreachable for the whole lease, and another daemon may hold the key by now.
+// expire makes a holder give up the responsibility once its lease has expired by its own clock. The
+// key-value service may have been unreachable since the last renewal, and another daemon may hold
+// the key by now.
 func (m *Machine) expire(now time.Duration) {
 	if m.state == Holding && now >= m.renewedAt+m.timing.TTL {
 		m.reset(now)
 	}
 }
 
-// reset ends the holding or the attempt to acquire it.
+// reset gives up the responsibility, or the attempt to acquire it, without a call to the service.
 func (m *Machine) reset(now time.Duration) {
 	m.state = Idle
 	if m.stopping {
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -67,6 +67,8 @@
 
 const step = 100 * time.Millisecond
 
+// simulation runs the candidates for one responsibility. Without quarantine, they send orders as if
+// the runner checked fencing tokens.
 type simulation struct {
 	rng        *rand.Rand
 	timing     lease.Timing
@@ -76,6 +78,8 @@
 	quarantine bool
 }
 
+// effects executes calls of a candidate and the calls that follow from their results. Some of the
+// answers are lost.
 func (r *simulation) effects(now time.Duration, c *candidate, effects []lease.Effect) {
 	for len(effects) > 0 {
 		e := effects[0]
--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -56,6 +56,8 @@
 type Read struct {
 	Target       Target
 	Events       bool
+	// chargedBytes is the expected size that Next has already subtracted from the credit for load
+	// reports. HandleResult corrects it to the real size.
 	chargedBytes float64
 }
 
@@ -134,8 +136,8 @@
 }
 
 // addCredit adds the budget for the time since the last call. Credit that load reports leave
-// unused goes to cache events. Cache events have their own debt, so that a large page does not
-// delay load reports.
+// unused beyond the limit goes to cache events. A page of cache events that is larger than the credit
+// for cache events does not reduce the credit for load reports, so it does not delay them.
 func (p *Planner) addCredit(now time.Time) {
 	if !p.started {
 		p.started, p.creditAddedAt, p.lastUsed = true, now, now
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -1,6 +1,6 @@
 // Package rollout brings the models, adapters and versions on the runners to the state in the
 // manifest. It changes a few runners at a time to keep capacity, respects the rate limit of the
-// weight store, places a canary version on a share of the runners if the manifest has one, and
+// weight store, loads a canary version on a fraction of the runners if the manifest has one, and
 // backs off after failed loads.
 //
 // An order is a command to one runner. Orders describe the wanted state, so repeating them is safe. On every call the planner
@@ -79,7 +79,8 @@
 	// RepeatAfter is the time after which an order is given again if the runner's reports still
 	// don't show its effect.
 	RepeatAfter time.Duration
-	// FirstBackoff is the delay after a failed load; it doubles up to MaxBackoff.
+	// FirstBackoff is the delay before an order is given again after its first failure. The delay
+	// doubles with each further failure, up to MaxBackoff.
 	FirstBackoff time.Duration
 	MaxBackoff   time.Duration
 }
@@ -108,7 +109,7 @@
 type Planner struct {
 	limits Limits
 	orders map[Order]*orderState
-	// role is the wanted role of the runners; empty leaves their roles unchanged.
+	// role is the wanted role of the runners' engines; empty leaves their roles unchanged.
 	role string
 }
 
@@ -126,8 +127,8 @@
 	return name, version
 }
 
-// Targets returns the version that each runner should serve. The canary's share of the runners
-// is chosen by hash, so the choice remains stable when other runners are added or removed.
+// Targets returns the version that each runner should serve. The canary version goes to
+// the fraction Canary.Share of the runners, rounded up. These runners are chosen by hash, so the choice remains stable when other runners are added or removed.
 func Targets(m *manifest.Model, runners []ident.RunnerID) map[ident.RunnerID]string {
 	targets := make(map[ident.RunnerID]string, len(runners))
 	for _, r := range runners {
@@ -143,6 +144,8 @@
 	return targets
 }
 
+// byCanaryRank returns the runners in the order in which they get the canary version: by a hash of
+// the model's name, the canary version and the runner's ID.
 func byCanaryRank(m *manifest.Model, runners []ident.RunnerID) []ident.RunnerID {
 	type ranked struct {
 		id   ident.RunnerID
@@ -160,7 +163,8 @@
 	return out
 }
 
-// HandleFailure records that a runner refused an order or failed to execute it.
+// HandleFailure records that a runner refused an order or failed to execute it. The order is given
+// again after a delay that doubles with each failure.
 func (p *Planner) HandleFailure(now time.Duration, o Order) {
 	s := p.stateOf(o)
 	wait := p.limits.FirstBackoff << min(s.failures, 16)
@@ -221,7 +225,8 @@
 	runners []Runner
 	// targets holds the result of Targets for each of models.
 	targets []map[ident.RunnerID]string
-	// changing holds the runners that are loading or changing their role, or are about to.
+	// changing holds the runners that are loading or changing their role, and those with a load or
+	// role order that Plan has returned and that the reports don't show as done.
 	changing map[ident.RunnerID]bool
 	orders   []Order
 }
@@ -248,7 +253,8 @@
 }
 
 // dropObsoleteOrders drops the orders that the reports show as done and those whose runner is
-// gone. A runner with another accepted order counts as changing until the order may be repeated.
+// gone. A runner with a remaining load or role order counts as changing until the order may be
+// repeated.
 func (t *planning) dropObsoleteOrders() {
 	reported := map[ident.RunnerID]Runner{}
 	for _, r := range t.runners {
--- a/coordination/routing/candidates.go
+++ b/coordination/routing/candidates.go
@@ -13,7 +13,7 @@
 // Candidate is a runner that a request may be sent to.
 type Candidate struct {
 	Runner ident.RunnerID
-	// IdleEstimate is the expected time to first token if the runner had no other work.
+	// IdleEstimate is the time to first token to expect if the runner had no other requests.
 	IdleEstimate time.Duration
 	// Uncached is the number of prompt tokens that the runner would have to compute.
 	Uncached int
@@ -47,8 +47,8 @@
 }
 
 // QueueWait returns the expected time until a runner starts the prefill of a prompt that
-// is sent to it now. The tokens are prompt tokens queued at the runner in addition to
-// those in the table. It returns false if the runner accepts no new requests.
+// is sent to it now. tokens is the number of prompt tokens queued at the runner that the
+// table does not know of. It returns false if the runner accepts no new requests.
 func (t *Table) QueueWait(id ident.RunnerID, tokens int) (time.Duration, bool) {
 	i, ok := t.byID[id]
 	if !ok || !t.live.Minus(t.ejected).Has(i) {
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -113,8 +113,8 @@
 	return t.choice(best, r), nil
 }
 
-// ChoiceFor returns the Choice for a runner that the caller has already selected. It
-// returns false if the runner is not in the table.
+// ChoiceFor returns the Choice for a runner that the caller has already selected. It does not
+// check whether the runner accepts requests. It returns false if the runner is not in the table.
 func (t *Table) ChoiceFor(id ident.RunnerID, r *Request) (Choice, bool) {
 	i, ok := t.byID[id]
 	if !ok {
@@ -173,7 +173,8 @@
 // eligible returns the slots that may serve the request: live runners that have loaded
 // the wanted version, else any version of the model, else runners that have not
 // reported yet. Suspect and ejected runners are used only if no other runner is left:
-// an attempt, which the retry budget limits, serves the caller better than a refusal.
+// such a runner may still answer, which serves the caller better than a refusal.
+// The retry budget limits the number of these attempts.
 func (t *Table) eligible(r *Request) (prefix.Set, error) {
 	usable := t.live.Or(t.suspect)
 	if usable.Empty() {
@@ -197,7 +198,7 @@
 	return prefix.Set{}, errNotLoaded
 }
 
-// matchPrefix finds the slots that have cached a part of the request's prefix.
+// matchPrefix sets prefixMatch to the slots that have cached a part of the request's prefix.
 func (t *Table) matchPrefix(r *Request) {
 	t.prefixMatch.Held, t.prefixMatch.Deepest = prefix.Set{}, prefix.Set{}
 	if !t.cfg.IgnorePrefix {
@@ -286,6 +287,8 @@
 	return seconds
 }
 
+// cachedBlocks returns how many elements of Request.Prefix, from the first one on, slot i is
+// expected to have cached. It uses the result of the last call of matchPrefix.
 func (t *Table) cachedBlocks(i int) int {
 	if !t.prefixMatch.Held.Has(i) {
 		return 0
@@ -299,6 +302,8 @@
 	return max(1, r.PromptTokens-t.cachedTokens(i, r))
 }
 
+// cachedTokens returns the number of prompt tokens that slot i is expected to have cached. The home
+// slot is assumed to have cached the shared prefix.
 func (t *Table) cachedTokens(i int, r *Request) int {
 	cached := 0
 	if n := t.cachedBlocks(i); n > 0 && r.PrefixTokens != nil {
