--- a/coordination/config/cluster_test.go
+++ b/coordination/config/cluster_test.go
@@ -23,11 +23,15 @@
 	// delayedSwaps holds swaps that were sent and may still take effect.
 	delayedSwaps []*config.SwapHead
 
+	// followers has one element per daemon, and so has highestInForce: the highest generation
+	// that the daemon has had in force since its start.
 	followers      []*config.Follower
 	fetches        []fetch
 	highestInForce []ident.Generation
 
-	submissions   []*submission
+	submissions []*submission
+	// accepted holds the accepted configurations. acceptedCount is how many times the swap of each
+	// submission ID has taken effect.
 	accepted      map[ident.Generation]config.Accepted
 	acceptedCount map[string]int
 }
--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -31,7 +31,8 @@
 	// MaxSaved bounds the unused credit: at most as many bytes as the budget allows in this time.
 	MaxSaved time.Duration
 	// EventsBackoff is how long a target's cache events are not read after a read that
-	// showed a gap: events between its page and the previous page were lost. It doubles up to MaxEventsBackoff.
+	// showed a gap: events between its page and the previous page were lost. It doubles with each
+	// such read in a row, up to MaxEventsBackoff.
 	EventsBackoff    time.Duration
 	MaxEventsBackoff time.Duration
 }
@@ -54,8 +55,8 @@
 
 // Read is one read to make: a load report and, if Events is set, a page of cache events.
 type Read struct {
-	Target       Target
-	Events       bool
+	Target Target
+	Events bool
 	// chargedBytes is the expected size that Next has already subtracted from the credit for load
 	// reports. HandleResult corrects it to the real size.
 	chargedBytes float64
