--- a/daemon/control/apply.go
+++ b/daemon/control/apply.go
@@ -341,10 +341,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if inForce, _ := c.follower.InForce(); inForce.Generation > c.newest.Generation {
+	if inForce, _ := c.follower.InForce(); inForce.Generation > c.newestHead.Generation {
 		return []config.Accepted{inForce}
 	}
-	return c.newest.History()
+	return c.newestHead.History()
 }
 
 // Content returns the manifest of a generation that is still in the history.
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -63,9 +63,9 @@
 	table    *membership.Table
 	strategy *spread.Neighbours
 	links    map[ident.Incarnation]*link
-	// newest is the newest head read from the key-value service, with its
+	// newestHead is the newestHead head read from the key-value service, with its
 	// history. It is zero if the configuration came only from peers.
-	newest config.Head
+	newestHead config.Head
 	// activated is when this daemon activated the configuration now in force.
 	activated time.Time
 	// lastStoreResponse is when the key-value service last responded.
@@ -81,9 +81,9 @@
 
 	configChanged    chan struct{}
 	directoryChanged chan struct{}
-	members          cached[[]membership.Member]
-	daemons          cached[[]view.Daemon]
-	vms              cached[map[string][]view.Runner]
+	cachedMembers    cached[[]membership.Member]
+	cachedDaemons    cached[[]view.Daemon]
+	runnersByService cached[map[string][]view.Runner]
 
 	// runCtx is the context of Run. Work that handlers start ends with it.
 	runCtx context.Context
@@ -255,10 +255,10 @@
 
 func (c *Control) membersLocked() []membership.Member {
 	revision := c.table.Revision().Members
-	if c.members.revision != revision {
-		c.members = cached[[]membership.Member]{revision, c.table.Members()}
+	if c.cachedMembers.revision != revision {
+		c.cachedMembers = cached[[]membership.Member]{revision, c.table.Members()}
 	}
-	return c.members.value
+	return c.cachedMembers.value
 }
 
 // Daemons implements view.Directory.
@@ -266,15 +266,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	revision := c.table.Revision().Members
-	if c.daemons.revision == revision {
-		return c.daemons.value
+	if c.cachedDaemons.revision == revision {
+		return c.cachedDaemons.value
 	}
 	members := c.membersLocked()
 	daemons := make([]view.Daemon, 0, len(members))
 	for _, m := range members {
 		daemons = append(daemons, m.Daemon)
 	}
-	c.daemons = cached[[]view.Daemon]{revision, daemons}
+	c.cachedDaemons = cached[[]view.Daemon]{revision, daemons}
 	return daemons
 }
 
@@ -283,13 +283,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	revision := c.table.Revision().VMs
-	if c.vms.revision != revision || c.vms.value == nil {
-		c.vms = cached[map[string][]view.Runner]{revision, map[string][]view.Runner{}}
+	if c.runnersByService.revision != revision || c.runnersByService.value == nil {
+		c.runnersByService = cached[map[string][]view.Runner]{revision, map[string][]view.Runner{}}
 	}
-	runners, ok := c.vms.value[service]
+	runners, ok := c.runnersByService.value[service]
 	if !ok {
 		runners = c.table.Runners(service)
-		c.vms.value[service] = runners
+		c.runnersByService.value[service] = runners
 	}
 	return runners
 }
--- a/daemon/control/control_test.go
+++ b/daemon/control/control_test.go
@@ -146,7 +146,7 @@
 func TestPartitionedDomainsCatchUpDuringOutage(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
-		cut := func(on bool) {
+		setPartition := func(on bool) {
 			f.network.update(func(n *network) {
 				for _, a := range []int{0, 1, 4} {
 					for _, b := range []int{2, 3} {
@@ -156,7 +156,7 @@
 				}
 			})
 		}
-		cut(true)
+		setPartition(true)
 		f.network.update(func(*network) {
 			f.afterSwap = func() { f.store.SetFaults(kvserver.Faults{Outage: true}) }
 		})
@@ -171,7 +171,7 @@
 		}
 		is.Equal(lacking, 2)
 		time.Sleep(20 * time.Second)
-		cut(false)
+		setPartition(false)
 		f.waitUntil(5*time.Second, "in force at every daemon", f.inForce(1))
 		f.waitUntil(5*time.Second, "all live again", f.allLive)
 	})
@@ -223,7 +223,7 @@
 
 // All watches stall at once: their connections stay open, but no event arrives.
 // A change must reach all daemons without them.
-func TestSilentWatches(t *testing.T) {
+func TestStalledWatches(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
 		f.store.SetFaults(kvserver.Faults{SilentWatches: true})
@@ -267,7 +267,7 @@
 func TestEntryVMNoticeReachesAllDaemons(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
-		f.cloud.notice("vm-entry-2", "10.0.0.3", 30*time.Second)
+		f.cloud.addNotice("vm-entry-2", "10.0.0.3", 30*time.Second)
 		left := func() bool {
 			for _, d := range f.daemons {
 				if stateOf(d, 2, f) != view.Leaving {
--- a/daemon/control/follow.go
+++ b/daemon/control/follow.go
@@ -121,8 +121,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if head.Generation > c.newest.Generation {
-		c.newest = head
+	if head.Generation > c.newestHead.Generation {
+		c.newestHead = head
 	}
 	c.executeEffectsLocked(c.follower.Learn(time.Now(), head.Accepted, config.StoreSource))
 	c.publishChangesLocked()
--- a/daemon/control/history_test.go
+++ b/daemon/control/history_test.go
@@ -47,15 +47,15 @@
 		Init: func() []any { return []any{int64(0)} },
 		Step: func(state, input, output any) []any {
 			generation, call, answer := state.(int64), input.(submitCall), output.(submitResult)
-			fits := call.expected == config.AnyGeneration || call.expected == generation
+			matches := call.expected == config.AnyGeneration || call.expected == generation
 			switch {
-			case answer.outcome == accepted && fits && answer.generation == generation+1:
+			case answer.outcome == accepted && matches && answer.generation == generation+1:
 				return []any{generation + 1}
-			case answer.outcome == conflict && !fits && answer.generation == generation:
+			case answer.outcome == conflict && !matches && answer.generation == generation:
 				return []any{generation}
 			case answer.outcome == notAccepted:
 				return []any{generation}
-			case answer.outcome == unknown && fits:
+			case answer.outcome == unknown && matches:
 				return []any{generation, generation + 1}
 			case answer.outcome == unknown:
 				return []any{generation}
@@ -91,31 +91,31 @@
 
 // history records the operations of concurrent clients in virtual time.
 type history struct {
-	mu  sync.Mutex
-	all []porcupine.Operation
+	mu         sync.Mutex
+	operations []porcupine.Operation
 }
 
-func (h *history) add(client int, call time.Time, input, output any, open bool) {
+func (h *history) add(client int, call time.Time, input, output any, outcomeOpen bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	op := porcupine.Operation{
 		ClientId: client, Input: input, Call: call.UnixNano(), Output: output, Return: time.Now().UnixNano(),
 	}
-	if open {
+	if outcomeOpen {
 		op.Return = math.MaxInt64
 	}
-	h.all = append(h.all, op)
+	h.operations = append(h.operations, op)
 }
 
 // historyRun is a fleet under random faults, with concurrent operators and a
 // reader.
 type historyRun struct {
 	*fleet
-	random   *rand.Rand
-	register history
-	reads    map[ident.Incarnation]*history
-	starts   history
-	done     chan struct{}
+	random       *rand.Rand
+	register     history
+	reads        map[ident.Incarnation]*history
+	startHistory history
+	done         chan struct{}
 	// operators and reader track the goroutines of the run's clients.
 	operators sync.WaitGroup
 	reader    sync.WaitGroup
@@ -161,7 +161,7 @@
 	}
 	if err == nil && outcome.InForceEverywhere {
 		now := time.Now()
-		r.starts.add(0, now, observation{report: true}, int64(outcome.Accepted.Generation), false)
+		r.startHistory.add(0, now, observation{report: true}, int64(outcome.Accepted.Generation), false)
 	}
 	return submitResultOf(outcome, err)
 }
@@ -205,7 +205,7 @@
 	incarnation := d.Self().Incarnation
 	if r.reads[incarnation] == nil {
 		r.reads[incarnation] = &history{}
-		r.starts.add(1, d.started, observation{incarnation: incarnation}, int64(generation), false)
+		r.startHistory.add(1, d.started, observation{incarnation: incarnation}, int64(generation), false)
 	}
 	r.reads[incarnation].add(0, call, observation{incarnation: incarnation}, int64(generation), false)
 }
@@ -291,12 +291,12 @@
 	for seed := uint64(1); seed <= *trials; seed++ {
 		is := is.New(t)
 		r := runHistory(t, seed, false)
-		is.True(porcupine.CheckOperations(registerModel(), r.register.all))
-		is.True(porcupine.CheckOperations(inForceModel(), r.starts.all))
+		is.True(porcupine.CheckOperations(registerModel(), r.register.operations))
+		is.True(porcupine.CheckOperations(inForceModel(), r.startHistory.operations))
 		for _, h := range r.reads {
-			is.True(porcupine.CheckOperations(inForceModel(), h.all))
+			is.True(porcupine.CheckOperations(inForceModel(), h.operations))
 		}
-		for _, op := range r.register.all {
+		for _, op := range r.register.operations {
 			switch op.Output.(submitResult).outcome {
 			case accepted:
 				acceptedCount++
@@ -313,9 +313,9 @@
 
 // A client that repeats a submission under a new ID changes the register twice
 // for one response. The checker must detect this in the history.
-func TestCheckerSeesRepetitionUnderNewID(t *testing.T) {
+func TestCheckerDetectsResubmissionUnderNewID(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	r := runHistory(t, 1, true)
-	is.True(!porcupine.CheckOperations(registerModel(), r.register.all))
+	is.True(!porcupine.CheckOperations(registerModel(), r.register.operations))
 }
--- a/daemon/control/leaving_test.go
+++ b/daemon/control/leaving_test.go
@@ -15,17 +15,17 @@
 // one of them.
 type caller struct {
 	gateways []membership.Gateway
-	until    time.Time
+	expires  time.Time
 }
 
 // pick returns the address to which the caller sends its next request.
 func (c *caller) pick(f *fleet, random *rand.Rand) string {
-	if time.Now().After(c.until) {
+	if time.Now().After(c.expires) {
 		// A caller asks any entry VM for gateways, including the one that is
 		// leaving.
 		d := f.daemons[random.IntN(len(f.daemons))]
 		c.gateways = membership.Gateways(d.Daemons(), domains[random.IntN(len(domains))], random.Uint64())
-		c.until = time.Now().Add(membership.GatewayTTL)
+		c.expires = time.Now().Add(membership.GatewayTTL)
 	}
 	return c.gateways[random.IntN(len(c.gateways))].Address
 }
@@ -39,7 +39,7 @@
 		callers := make([]caller, 50)
 		for i := range callers {
 			callers[i].pick(f, random)
-			callers[i].until = time.Now().Add(randomDuration(random, membership.GatewayTTL))
+			callers[i].expires = time.Now().Add(randomDuration(random, membership.GatewayTTL))
 		}
 		var announcedAt time.Time
 		for step := range 400 {
@@ -69,9 +69,9 @@
 	t.Parallel()
 	is := is.New(t)
 	viaDaemon := func(f *fleet) { f.daemons[1].NoteLeaving("10.0.0.3", time.Minute) }
-	viaCloud := func(f *fleet) { f.cloud.notice("vm-2", "10.0.0.3", time.Minute) }
+	viaCloud := func(f *fleet) { f.cloud.addNotice("vm-2", "10.0.0.3", time.Minute) }
 	outage := func(f *fleet) { f.store.SetFaults(kvserver.Faults{Outage: true}) }
-	cut := func(f *fleet) {
+	partition := func(f *fleet) {
 		outage(f)
 		f.network.update(func(n *network) {
 			for _, i := range []int{0, 4} {
@@ -84,7 +84,7 @@
 		"cloud":              {func(*fleet) {}, viaCloud},
 		"one daemon":         {func(*fleet) {}, viaDaemon},
 		"one daemon, outage": {outage, viaDaemon},
-		"one daemon, outage, cut from a failure domain": {cut, viaDaemon},
+		"one daemon, outage, cut from a failure domain": {partition, viaDaemon},
 	} {
 		last := lastNewRequest(t, run[0], run[1])
 		t.Logf("%s: last new request %s after the first report", name, last)
--- a/daemon/control/network_test.go
+++ b/daemon/control/network_test.go
@@ -44,17 +44,17 @@
 
 func (e *unreachableError) Error() string { return "unreachable: " + e.address }
 
-// from returns the transport that the daemon at an address uses for its calls.
-func (n *network) from(address string) http.RoundTripper { return &endpoint{n, address} }
+// transportFrom returns the transport that the daemon at an address uses for its calls.
+func (n *network) transportFrom(address string) http.RoundTripper { return &transport{n, address} }
 
-type endpoint struct {
+type transport struct {
 	network *network
 	from    string
 }
 
 // RoundTrip waits for the one-way delay and while either endpoint is paused,
 // and then calls the receiver's handler.
-func (e *endpoint) RoundTrip(r *http.Request) (*http.Response, error) {
+func (e *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	n := e.network
 	for {
 		if !wait(r.Context(), n.oneWay()) {
@@ -132,7 +132,7 @@
 	return append([]cloudapi.VM{}, c.vms...), nil
 }
 
-func (c *cloud) notice(vm, address string, left time.Duration) {
+func (c *cloud) addNotice(vm, address string, left time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notices = append(c.notices, cloudapi.Notice{
@@ -164,12 +164,12 @@
 // fleet is a set of daemons, five by default, in four failure domains, with
 // stand-ins for the services they use.
 type fleet struct {
-	t       *testing.T
-	network *network
-	store   *kvserver.Store
-	cloud   *cloud
-	daemons []*daemon
-	starts  int
+	t          *testing.T
+	network    *network
+	store      *kvserver.Store
+	cloud      *cloud
+	daemons    []*daemon
+	startCount int
 	// afterSwap is called once, after the next swap of the head has taken
 	// effect and before its response is returned.
 	afterSwap func()
@@ -230,18 +230,18 @@
 // prepare creates a new incarnation of daemon i that answers calls but whose
 // Run has not begun.
 func (f *fleet) prepare(i int) *daemon {
-	f.starts++
+	f.startCount++
 	id := ident.DaemonID(fmt.Sprintf("entry-%d", i))
 	d := &daemon{address: address(i), started: time.Now(), done: make(chan struct{})}
 	d.Control = control.New(control.Config{
 		Self: view.Daemon{
-			ID: id, Incarnation: ident.NewIncarnation(id, []byte{byte(f.starts)}),
+			ID: id, Incarnation: ident.NewIncarnation(id, []byte{byte(f.startCount)}),
 			FailureDomain: domains[i%len(domains)],
 			CallerAddress: fmt.Sprintf("10.0.0.%d:8000", i+1), PeerAddress: d.address,
 		},
 		Seeds: []string{address(0), address(1)},
 		Store: &hookedStore{Store: f.store, fleet: f}, Lister: f.cloud, Cloud: f.cloud,
-		HTTPClient: &http.Client{Transport: f.network.from(d.address)},
+		HTTPClient: &http.Client{Transport: f.network.transportFrom(d.address)},
 	})
 	_, handler := d.Handler()
 	f.network.update(func(n *network) { n.handlers[d.address] = handler })
--- a/daemon/services/services.go
+++ b/daemon/services/services.go
@@ -122,29 +122,29 @@
 func (s *Services) tick(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, v := range s.services {
-		s.executeEffects(name, v, v.health.Tick(now, nil))
+	for name, state := range s.services {
+		s.executeEffects(name, state, state.health.Tick(now, nil))
 	}
 }
 
 // executeEffects executes the effects that a health tracker returns. The caller
 // must hold s.mu.
-func (s *Services) executeEffects(name string, v *service, effects []health.Effect) {
+func (s *Services) executeEffects(name string, state *service, effects []health.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
 		case health.Eject:
-			v.ejected[e.Runner] = true
+			state.ejected[e.Runner] = true
 			s.count(name, "ejections")
 		case health.Readmit:
-			delete(v.ejected, e.Runner)
+			delete(state.ejected, e.Runner)
 			s.count(name, "readmissions")
 		case health.Probe:
-			s.probe(name, v, e.Runner)
+			s.probe(name, state, e.Runner)
 		}
 	}
 }
 
-func (s *Services) probe(name string, v *service, id ident.RunnerID) {
+func (s *Services) probe(name string, state *service, id ident.RunnerID) {
 	if s.ctx == nil || s.ctx.Err() != nil {
 		return
 	}
@@ -161,7 +161,7 @@
 		err := s.cfg.Probe(ctx, address)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.executeEffects(name, v, v.health.HandleProbe(time.Now(), id, err == nil, nil))
+		s.executeEffects(name, state, state.health.HandleProbe(time.Now(), id, err == nil, nil))
 	})
 }
 
@@ -189,11 +189,11 @@
 		ctx, cancel = context.WithDeadline(ctx, c.Deadline)
 		defer cancel()
 	}
-	v := s.startCall(c.Service)
+	state := s.startCall(c.Service)
 	var tried []ident.RunnerID
 	ran := false
 	for {
-		answer, failure := s.attempt(ctx, v, c, &tried)
+		answer, failure := s.attempt(ctx, state, c, &tried)
 		if failure == nil {
 			return answer, nil
 		}
@@ -201,7 +201,7 @@
 		if ctx.Err() != nil {
 			return call.Answer{}, withExecutionUnknown(refusal.New(refusal.DeadlineExceeded, "no answer in time"), ran)
 		}
-		wait, stop := s.decideRetry(v, c, failure, len(tried))
+		wait, stop := s.decideRetry(state, c, failure, len(tried))
 		if stop != nil {
 			return failure.finalAnswer(answer, stop, ran)
 		}
@@ -236,19 +236,19 @@
 func (s *Services) startCall(name string) *service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.services[name]
-	if v == nil {
-		v = &service{health: health.New(s.cfg.Health), ejected: map[ident.RunnerID]bool{}, inFlight: map[ident.RunnerID]int{}}
+	state := s.services[name]
+	if state == nil {
+		state = &service{health: health.New(s.cfg.Health), ejected: map[ident.RunnerID]bool{}, inFlight: map[ident.RunnerID]int{}}
 		cfg := s.cfg.Retry
 		cfg.Seed = s.cfg.Seed
 		cfg.Count = func(reason retry.Reason, verdict retry.Verdict) {
 			s.count(name, "retry."+string(reason)+"."+string(verdict))
 		}
-		v.retry = retry.New(cfg)
-		s.services[name] = v
+		state.retry = retry.New(cfg)
+		s.services[name] = state
 	}
-	v.retry.FirstAttempt(time.Now())
-	return v
+	state.retry.FirstAttempt(time.Now())
+	return state
 }
 
 // failure describes a failed attempt. A 503 answer from the runner counts as a
@@ -280,8 +280,8 @@
 
 // attempt makes one attempt, preferably at a runner that has not been tried,
 // and records the runner in tried.
-func (s *Services) attempt(ctx context.Context, v *service, c call.ServiceCall, tried *[]ident.RunnerID) (call.Answer, *failure) {
-	r, ok := s.pick(v, c.Service, *tried)
+func (s *Services) attempt(ctx context.Context, state *service, c call.ServiceCall, tried *[]ident.RunnerID) (call.Answer, *failure) {
+	r, ok := s.pick(state, c.Service, *tried)
 	if !ok {
 		return call.Answer{}, &failure{
 			reason:  retry.ConnectFailed,
@@ -295,7 +295,7 @@
 	f := failureOf(attemptCtx, answer, err)
 	// An attempt that ended because the caller left says nothing about the
 	// runner's health.
-	s.finishAttempt(v, c.Service, r.ID, f, ctx.Err() == nil)
+	s.finishAttempt(state, c.Service, r.ID, f, ctx.Err() == nil)
 	return answer, f
 }
 
@@ -334,7 +334,7 @@
 // pick returns the less loaded of two random runners. It prefers live runners
 // that have not been tried, then suspect or ejected ones, then those already
 // tried.
-func (s *Services) pick(v *service, name string, tried []ident.RunnerID) (view.Runner, bool) {
+func (s *Services) pick(state *service, name string, tried []ident.RunnerID) (view.Runner, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []ident.RunnerID
@@ -347,31 +347,31 @@
 		switch {
 		case slices.Contains(tried, r.ID):
 			alreadyTried = append(alreadyTried, r)
-		case r.State == view.Suspect || v.ejected[r.ID]:
+		case r.State == view.Suspect || state.ejected[r.ID]:
 			fallback = append(fallback, r)
 		default:
 			preferred = append(preferred, r)
 		}
 	}
-	v.health.SetRunners(ids)
-	maps.DeleteFunc(v.ejected, func(id ident.RunnerID, _ bool) bool { return !slices.Contains(ids, id) })
+	state.health.SetRunners(ids)
+	maps.DeleteFunc(state.ejected, func(id ident.RunnerID, _ bool) bool { return !slices.Contains(ids, id) })
 	for _, from := range [][]view.Runner{preferred, fallback, alreadyTried} {
 		if len(from) > 0 {
-			r := s.lessLoaded(v, from)
-			v.inFlight[r.ID]++
+			r := s.lessLoaded(state, from)
+			state.inFlight[r.ID]++
 			return r, true
 		}
 	}
 	return view.Runner{}, false
 }
 
-func (s *Services) lessLoaded(v *service, from []view.Runner) view.Runner {
+func (s *Services) lessLoaded(state *service, from []view.Runner) view.Runner {
 	a, b := from[s.rng.IntN(len(from))], from[s.rng.IntN(len(from))]
 	own := s.cfg.Directory.Self().FailureDomain
 	switch {
-	case v.inFlight[a.ID] < v.inFlight[b.ID]:
+	case state.inFlight[a.ID] < state.inFlight[b.ID]:
 		return a
-	case v.inFlight[b.ID] < v.inFlight[a.ID]:
+	case state.inFlight[b.ID] < state.inFlight[a.ID]:
 		return b
 	case b.FailureDomain == own:
 		return b
@@ -381,17 +381,17 @@
 
 // finishAttempt records the end of an attempt. If affectsHealth is set, it
 // passes the outcome to the runner's health tracker.
-func (s *Services) finishAttempt(v *service, name string, id ident.RunnerID, f *failure, affectsHealth bool) {
+func (s *Services) finishAttempt(state *service, name string, id ident.RunnerID, f *failure, affectsHealth bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v.inFlight[id]--
-	if v.inFlight[id] <= 0 {
-		delete(v.inFlight, id)
+	state.inFlight[id]--
+	if state.inFlight[id] <= 0 {
+		delete(state.inFlight, id)
 	}
 	if !affectsHealth {
 		return
 	}
-	s.executeEffects(name, v, v.health.HandleOutcome(time.Now(), id, outcomeOf(f), nil))
+	s.executeEffects(name, state, state.health.HandleOutcome(time.Now(), id, outcomeOf(f), nil))
 }
 
 func outcomeOf(f *failure) health.Outcome {
@@ -406,10 +406,10 @@
 
 // decideRetry returns the delay before the next attempt, or the refusal that
 // ends the call.
-func (s *Services) decideRetry(v *service, c call.ServiceCall, f *failure, attempts int) (time.Duration, *refusal.Refusal) {
+func (s *Services) decideRetry(state *service, c call.ServiceCall, f *failure, attempts int) (time.Duration, *refusal.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := v.retry.Decide(time.Now(), retry.Failure{
+	d := state.retry.Decide(time.Now(), retry.Failure{
 		Reason:     f.reason,
 		MayHaveRun: f.mayHaveRun,
 		Repeatable: true,
