--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -81,8 +81,8 @@
 
 	configChanged    chan struct{}
 	directoryChanged chan struct{}
-	cachedMembers    cached[[]membership.Member]
-	cachedDaemons    cached[[]view.Daemon]
+	members          cached[[]membership.Member]
+	daemons          cached[[]view.Daemon]
 	runnersByService cached[map[string][]view.Runner]
 
 	// runCtx is the context of Run. Work that handlers start ends with it.
@@ -255,10 +255,10 @@
 
 func (c *Control) membersLocked() []membership.Member {
 	revision := c.table.Revision().Members
-	if c.cachedMembers.revision != revision {
-		c.cachedMembers = cached[[]membership.Member]{revision, c.table.Members()}
+	if c.members.revision != revision {
+		c.members = cached[[]membership.Member]{revision, c.table.Members()}
 	}
-	return c.cachedMembers.value
+	return c.members.value
 }
 
 // Daemons implements view.Directory.
@@ -266,15 +266,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	revision := c.table.Revision().Members
-	if c.cachedDaemons.revision == revision {
-		return c.cachedDaemons.value
+	if c.daemons.revision == revision {
+		return c.daemons.value
 	}
 	members := c.membersLocked()
 	daemons := make([]view.Daemon, 0, len(members))
 	for _, m := range members {
 		daemons = append(daemons, m.Daemon)
 	}
-	c.cachedDaemons = cached[[]view.Daemon]{revision, daemons}
+	c.daemons = cached[[]view.Daemon]{revision, daemons}
 	return daemons
 }
 
--- a/daemon/control/control_test.go
+++ b/daemon/control/control_test.go
@@ -146,7 +146,7 @@
 func TestPartitionedDomainsCatchUpDuringOutage(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
-		setPartition := func(on bool) {
+		cut := func(on bool) {
 			f.network.update(func(n *network) {
 				for _, a := range []int{0, 1, 4} {
 					for _, b := range []int{2, 3} {
@@ -156,7 +156,7 @@
 				}
 			})
 		}
-		setPartition(true)
+		cut(true)
 		f.network.update(func(*network) {
 			f.afterSwap = func() { f.store.SetFaults(kvserver.Faults{Outage: true}) }
 		})
@@ -171,7 +171,7 @@
 		}
 		is.Equal(lacking, 2)
 		time.Sleep(20 * time.Second)
-		setPartition(false)
+		cut(false)
 		f.waitUntil(5*time.Second, "in force at every daemon", f.inForce(1))
 		f.waitUntil(5*time.Second, "all live again", f.allLive)
 	})
--- a/daemon/control/leaving_test.go
+++ b/daemon/control/leaving_test.go
@@ -71,7 +71,7 @@
 	viaDaemon := func(f *fleet) { f.daemons[1].NoteLeaving("10.0.0.3", time.Minute) }
 	viaCloud := func(f *fleet) { f.cloud.addNotice("vm-2", "10.0.0.3", time.Minute) }
 	outage := func(f *fleet) { f.store.SetFaults(kvserver.Faults{Outage: true}) }
-	partition := func(f *fleet) {
+	cut := func(f *fleet) {
 		outage(f)
 		f.network.update(func(n *network) {
 			for _, i := range []int{0, 4} {
@@ -84,7 +84,7 @@
 		"cloud":              {func(*fleet) {}, viaCloud},
 		"one daemon":         {func(*fleet) {}, viaDaemon},
 		"one daemon, outage": {outage, viaDaemon},
-		"one daemon, outage, cut from a failure domain": {partition, viaDaemon},
+		"one daemon, outage, cut from a failure domain": {cut, viaDaemon},
 	} {
 		last := lastNewRequest(t, run[0], run[1])
 		t.Logf("%s: last new request %s after the first report", name, last)
