--- a/daemon/control/apply.go
+++ b/daemon/control/apply.go
@@ -54,9 +54,9 @@
 	// Daemons that are leaving are excluded from the next two counts.
 	// DaemonsBehind counts daemons that have reported a lower generation since
 	// this daemon activated its own. DaemonsUnheard counts daemons with a lower
-	// last reported generation that have reported nothing since then. If a
-	// third daemon reported that the domain has the generation, one daemon is
-	// subtracted from these two counts.
+	// last reported generation that have reported nothing since then. If only
+	// the report of a third daemon shows that the domain has the generation,
+	// one daemon is subtracted from these two counts.
 	Daemons        int
 	DaemonsBehind  int
 	DaemonsUnheard int
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -29,8 +29,8 @@
 
 // Config holds the dependencies and settings of a Control.
 type Config struct {
-	// Self describes this daemon. New overwrites State and Generation;
-	// LastHeard is not used.
+	// Self describes this daemon. Its State, LastHeard and Generation are
+	// ignored.
 	Self view.Daemon
 	// VM is the platform's ID of the VM this daemon runs on. It is empty if the
 	// daemon does not know it.
@@ -371,6 +371,7 @@
 	}
 }
 
+// applyNotices applies termination notices to the membership table.
 func (c *Control) applyNotices(notices []membership.Notice) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -393,6 +394,7 @@
 	}
 }
 
+// tick advances the membership table and the follower to the current time.
 func (c *Control) tick() {
 	now := time.Now()
 	c.mu.Lock()
--- a/daemon/control/designation.go
+++ b/daemon/control/designation.go
@@ -29,8 +29,9 @@
 // isDesignated reports whether this daemon is designated in a slot, that is,
 // among the first designatedPerDomain live daemons of its failure domain by
 // rank. Daemons with different membership views may disagree, so that for a
-// while too many or none of them are designated. The head and the registrations
-// are therefore re-read at a longer interval as well.
+// while too many or none of them are designated. Every daemon therefore also
+// reads the head at a longer interval, and the daemons that read the VM list
+// rotate.
 func (c *Control) isDesignated(slot int64) bool {
 	ownRank := designationRank(c.cfg.Self, slot)
 	ahead := 0
@@ -45,6 +46,8 @@
 	return ahead < designatedPerDomain
 }
 
+// designationRank returns a pseudo-random rank that differs between daemons and
+// slots. Lower ranks are designated first.
 func designationRank(d view.Daemon, slot int64) uint64 {
 	return xxhash.Sum64String(string(d.Incarnation) + "\x00" + strconv.FormatInt(slot, 10))
 }
--- a/daemon/control/follow.go
+++ b/daemon/control/follow.go
@@ -56,6 +56,8 @@
 	}
 }
 
+// activateLocked publishes a newly activated configuration to this daemon's
+// readers and, through the table, to its peers.
 func (c *Control) activateLocked(e *config.Activate) {
 	c.counters.activated.Inc(1)
 	klog.InfoS("Configuration in force", "generation", e.Head.Generation, "author", e.Head.Author)
@@ -101,6 +103,8 @@
 	return head, entry.Revision, err
 }
 
+// recordStoreResult records whether the key-value service responded. Errors
+// such as a conflict are responses, too.
 func (c *Control) recordStoreResult(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/daemon/control/mesh.go
+++ b/daemon/control/mesh.go
@@ -98,6 +98,8 @@
 	return connect.NewResponse(response), nil
 }
 
+// composeLocked returns the next message to a peer. It includes the head of the
+// configuration in force if the peer has a lower generation.
 func (c *Control) composeLocked(now time.Time, to ident.Incarnation, peerGeneration ident.Generation) *meshv1.Exchange {
 	var head *config.Accepted
 	if inForce, _ := c.follower.InForce(); inForce.Generation > peerGeneration {
@@ -106,6 +108,8 @@
 	return encodeExchange(now, c.table.Compose(to), head)
 }
 
+// learnFromPeerLocked passes the head in a peer's message, if any, to the
+// follower.
 func (c *Control) learnFromPeerLocked(now time.Time, x *meshv1.Exchange) {
 	if x.GetHead() == nil {
 		return
@@ -259,6 +263,8 @@
 	})
 }
 
+// linkLoop exchanges with the linked peer at jittered intervals, and earlier
+// when the link is woken.
 func (c *Control) linkLoop(ctx context.Context, l *link) {
 	for ctx.Err() == nil {
 		c.heartbeat(ctx, l.peer)
@@ -321,6 +327,8 @@
 	c.spawnLocked(work)
 }
 
+// seedTargets returns the seed addresses to try in a round. If there are more
+// than seedsPerRound, successive rounds cycle through them.
 func (c *Control) seedTargets(round int) []string {
 	known := map[string]bool{c.cfg.Self.PeerAddress: true}
 	for _, m := range c.Members() {
@@ -342,6 +350,8 @@
 	return doubled[start : start+seedsPerRound]
 }
 
+// suspectTarget returns the suspect peer to try in a round, or none. Successive
+// rounds cycle through the suspects.
 func (c *Control) suspectTarget(round int) []membership.Member {
 	var suspects []membership.Member
 	for _, m := range c.Members() {
--- a/daemon/control/platform.go
+++ b/daemon/control/platform.go
@@ -13,8 +13,8 @@
 
 const (
 	// minListInterval and listIntervalPerVM determine the interval between two
-	// reads of the VM list, which grows with the length of the list: 12,000 VMs
-	// are read once in a rotation period.
+	// reads of the VM list, which grows with the length of the list: a list of
+	// 12,000 VMs is read once in a rotation period.
 	minListInterval   = 2 * time.Second
 	listIntervalPerVM = 5 * time.Millisecond
 	// listConfirmDelay is the maximum delay before the list is read again to
--- a/daemon/control/store.go
+++ b/daemon/control/store.go
@@ -13,11 +13,16 @@
 
 // Keys and format of the control plane's data in the key-value service.
 const (
-	headKey             = "config/head"
-	sectionPrefix       = "config/sections/"
-	registrationPrefix  = "daemons/"
-	sectionHeaderEnd    = '\n'
-	minSectionAge       = 24 * time.Hour
+	headKey            = "config/head"
+	sectionPrefix      = "config/sections/"
+	registrationPrefix = "daemons/"
+	// sectionHeaderEnd separates a section's write time from its bytes.
+	sectionHeaderEnd = '\n'
+	// minSectionAge is how long a section is kept after its last write even if
+	// no configuration references it.
+	minSectionAge = 24 * time.Hour
+	// sectionRefreshAfter is the age from which a submission rewrites a stored
+	// section that it references; see storeSection.
 	sectionRefreshAfter = time.Hour
 )
 
