--- a/caller/action.go
+++ b/caller/action.go
@@ -133,9 +133,9 @@
 	}
 	if call.repeatable() {
 		// Without a timeout, a stalled connection would block the call forever.
-		idleCtx, cancel := context.WithTimeout(ctx, c.c.IdleTimeout)
+		boundedCtx, cancel := context.WithTimeout(ctx, c.c.IdleTimeout)
 		defer cancel()
-		ctx = idleCtx
+		ctx = boundedCtx
 	}
 	header := call.Header.Clone()
 	if header == nil {
