--- a/caller/action.go
+++ b/caller/action.go
@@ -40,8 +40,10 @@
 }
 
 const (
+	// keySuffixBytes is the number of random bytes in an idempotency key.
 	keySuffixBytes = 8
-	pollInterval   = 200 * time.Millisecond
+	// pollInterval is the delay between two polls of a pending call's outcome.
+	pollInterval = 200 * time.Millisecond
 )
 
 // NewKey returns a new idempotency key. It begins with the key token from the
@@ -118,6 +120,8 @@
 	return errors.As(err, &refused) && refused.Executed == refusal.ExecutedNo && refused.RetryAfterMillis > 0
 }
 
+// retryDelay returns the delay before a retry: the one that the refusal asks
+// for, but at least minRetryDelay.
 func retryDelay(err error) time.Duration {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -31,8 +31,9 @@
 	// HTTP is the client for all calls. It must not set a timeout, because that
 	// would end long streams.
 	HTTP *http.Client
-	// IdleTimeout is how long a connection may carry no data, not even
-	// heartbeats, before it counts as broken.
+	// IdleTimeout is how long a stream may carry no data, not even heartbeats,
+	// before its connection counts as broken. It also bounds one attempt of a
+	// repeatable call.
 	IdleTimeout time.Duration
 	// RetryTimeout bounds how long a call is retried; for a stream, the time
 	// since its last progress.
@@ -42,8 +43,10 @@
 const (
 	defaultIdleTimeout  = 6 * time.Second
 	defaultRetryTimeout = 30 * time.Second
-	minRetryDelay       = 100 * time.Millisecond
-	attemptTimeout      = 2 * time.Second
+	// minRetryDelay is the minimum delay between two attempts.
+	minRetryDelay = 100 * time.Millisecond
+	// attemptTimeout bounds one request for the gateway list.
+	attemptTimeout = 2 * time.Second
 	// acceptTimeout bounds how long a gateway may take to accept or refuse a
 	// request.
 	acceptTimeout  = 2 * time.Second
@@ -52,8 +55,10 @@
 
 // Client sends calls to the gateways. It is safe for concurrent use.
 type Client struct {
-	c       Config
-	mu      sync.Mutex
+	c  Config
+	mu sync.Mutex
+	// list is the cached gateway list, valid until expires. The next list is
+	// fetched from one of the URLs in bases.
 	list    gateway.GatewayList
 	expires time.Time
 	bases   []string
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -39,12 +39,21 @@
 )
 
 const (
-	incarnationBytes  = 8
-	requestIDBytes    = 12
+	// incarnationBytes and requestIDBytes are the numbers of random bytes in an
+	// incarnation and in a request ID.
+	incarnationBytes = 8
+	requestIDBytes   = 12
+	// engineIdleTimeout is how long an engine's stream may carry no line, not
+	// even a heartbeat, before the attempt fails.
 	engineIdleTimeout = 3 * time.Second
-	ordersInterval    = time.Second
-	stopGrace         = 30 * time.Second
-	shutdownMargin    = 2 * time.Second
+	// ordersInterval is the time between two rounds of the orders driver.
+	ordersInterval = time.Second
+	// stopGrace is the time that a runner gets to finish its work before a
+	// planned stop.
+	stopGrace = 30 * time.Second
+	// shutdownMargin is how long before the VM stops a graceful shutdown ends,
+	// and the time the servers then get to close their connections.
+	shutdownMargin = 2 * time.Second
 )
 
 // Daemon is the daemon process of one entry VM.
@@ -65,6 +74,7 @@
 	services *services.Services
 	orders   *orders.Driver
 	gateway  *gateway.Gateway
+	// aborted is closed by Abort, and draining when a graceful shutdown begins.
 	aborted  chan struct{}
 	draining chan struct{}
 }
--- a/daemon/network.go
+++ b/daemon/network.go
@@ -20,8 +20,9 @@
 type TCP struct{}
 
 const (
-	dialTimeout         = time.Second
-	keepAlive           = 5 * time.Second
+	dialTimeout = time.Second
+	keepAlive   = 5 * time.Second
+	// idleConnTimeout is how long an unused connection is kept open.
 	idleConnTimeout     = 30 * time.Second
 	maxIdleConnsPerHost = 64
 )
--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -50,6 +50,7 @@
 	d.control.Drain(end)
 	ctx, cancel := context.WithDeadline(work, end)
 	defer cancel()
+	// With little time left, at least half of it remains for draining.
 	lifetime := min(settings.Millis(d.settings.Limits.GatewaysLifetimeMillis), time.Until(end)/2)
 	pause.For(ctx, lifetime)
 	d.gateway.StopAccepting()
