--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -11,8 +11,8 @@
 	"geraniumstack.org/geraniumstack/standin/site"
 )
 
-// kind is how a request may be treated.
-type kind struct {
+// requestKind is how a request may be treated.
+type requestKind struct {
 	path   string
 	method string
 	// repeatable requests may run more than once for one attempt.
@@ -20,43 +20,43 @@
 	stream     bool
 }
 
-var requestKinds = []kind{
+var requestKinds = []requestKind{
 	{path: "/read/1", method: http.MethodGet, repeatable: true},
 	{path: "/pledge/1", method: http.MethodPost},
 	{path: "/draft/stream/1", method: http.MethodPost, repeatable: true, stream: true},
 	{path: "/match/stream/1", method: http.MethodPost, stream: true},
 }
 
-// call is one attempt of a caller and what it got.
-type call struct {
-	kind
+// attempt is one attempt of a caller and what it got.
+type attempt struct {
+	requestKind
 	id, key, body string
-	daemon        string
+	daemonAddress string
 	sent          time.Time
 	status        int
 	signature     string
 	answer        string
-	// cut says that the answer did not end as a whole one.
-	cut bool
+	// truncated says that the answer did not end as a whole one.
+	truncated bool
 }
 
-// record keeps all attempts.
-type record struct {
-	mu    sync.Mutex
-	calls map[string]*call
-	seq   int
+// attemptLog keeps all attempts.
+type attemptLog struct {
+	mu   sync.Mutex
+	byID map[string]*attempt
+	seq  int
 }
 
-func (r *record) next(seed int64, k kind, key, daemon string) *call {
+func (r *attemptLog) add(seed int64, k requestKind, key, daemon string) *attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seq++
 	id := fmt.Sprintf("s%d-%d", seed, r.seq)
-	c := &call{kind: k, id: id, key: key, daemon: daemon, sent: time.Now()}
+	c := &attempt{requestKind: k, id: id, key: key, daemonAddress: daemon, sent: time.Now()}
 	if k.method == http.MethodPost {
 		c.body = "body of " + id
 	}
-	r.calls[id] = c
+	r.byID[id] = c
 	return c
 }
 
@@ -64,24 +64,24 @@
 // callers do: it asks the directory which addresses to use, keeps its connections,
 // goes on using them until they break, and leaves now and then.
 type caller struct {
-	fleet     *fleet
-	record    *record
-	seed      int64
-	rng       *rand.Rand
-	client    *http.Client
-	addresses []string
-	until     time.Time
+	fleet           *fleet
+	attempts        *attemptLog
+	seed            int64
+	rng             *rand.Rand
+	client          *http.Client
+	addresses       []string
+	addressesExpire time.Time
 }
 
 const (
-	callerPatience = 3 * time.Second
-	// keepAddresses is how long callers keep what the directory said.
-	keepAddresses = 2 * time.Second
+	callerTimeout = 3 * time.Second
+	// addressTTL is how long callers keep what the directory said.
+	addressTTL = 2 * time.Second
 )
 
-func newCaller(f *fleet, r *record, seed int64, n int) *caller {
+func newCaller(f *fleet, r *attemptLog, seed int64, n int) *caller {
 	return &caller{
-		fleet: f, record: r, seed: seed, rng: rand.New(rand.NewPCG(uint64(seed), uint64(100+n))),
+		fleet: f, attempts: r, seed: seed, rng: rand.New(rand.NewPCG(uint64(seed), uint64(100+n))),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}},
 	}
 }
@@ -89,21 +89,21 @@
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		address := c.address(ctx)
+		address := c.pickAddress(ctx)
 		if address != "" {
 			k := requestKinds[c.rng.IntN(len(requestKinds))]
-			c.ask(ctx, c.record.next(c.seed, k, c.fleet.aKey(c.rng.IntN(8)), address))
+			c.send(ctx, c.attempts.add(c.seed, k, c.fleet.pickKey(c.rng.IntN(8)), address))
 		}
 		time.Sleep(time.Duration(c.rng.IntN(30)) * time.Millisecond)
 	}
 }
 
-// address picks one that the directory gave.
-func (c *caller) address(ctx context.Context) string {
-	if time.Now().After(c.until) {
+// pickAddress picks one that the directory gave.
+func (c *caller) pickAddress(ctx context.Context) string {
+	if time.Now().After(c.addressesExpire) {
 		d := c.fleet.daemons[c.rng.IntN(len(c.fleet.daemons))]
 		if found := c.resolve(ctx, d); len(found) > 0 {
-			c.addresses, c.until = found, time.Now().Add(keepAddresses)
+			c.addresses, c.addressesExpire = found, time.Now().Add(addressTTL)
 		}
 	}
 	if len(c.addresses) == 0 {
@@ -122,22 +122,22 @@
 	return found
 }
 
-func (c *caller) ask(ctx context.Context, a *call) {
-	patience := callerPatience
+func (c *caller) send(ctx context.Context, a *attempt) {
+	timeout := callerTimeout
 	if c.rng.IntN(20) == 0 {
-		patience = time.Duration(1+c.rng.IntN(60)) * time.Millisecond
+		timeout = time.Duration(1+c.rng.IntN(60)) * time.Millisecond
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answer, err := site.Ask(ctx, c.client, a.daemon, &site.Attempt{
+	answer, err := site.Ask(ctx, c.client, a.daemonAddress, &site.Attempt{
 		ID: a.id, Method: a.method, Host: site.Host, Path: a.path, Body: a.body, Key: a.key,
-		Patience: callerPatience, ForgedWorkspace: "forged",
+		Patience: callerTimeout, ForgedWorkspace: "forged",
 	})
-	c.record.mu.Lock()
-	defer c.record.mu.Unlock()
+	c.attempts.mu.Lock()
+	defer c.attempts.mu.Unlock()
 	if err != nil {
-		a.cut = true
+		a.truncated = true
 		return
 	}
-	a.status, a.signature, a.answer, a.cut = answer.Status, answer.Signature(), answer.Body, answer.Cut
+	a.status, a.signature, a.answer, a.truncated = answer.Status, answer.Signature(), answer.Body, answer.Cut
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -24,35 +24,35 @@
 
 // fleet is the real program in processes of its own, before stand-ins in this one.
 type fleet struct {
-	t       *testing.T
-	dir     string
-	binary  string
-	store   *site.Store
-	cloud   *site.Cloud
-	daemons []*daemon
-	seed    int64
-	record  *record
-
-	// configuring is held by the operator's one write at a time: versions grow in the
+	t        *testing.T
+	dir      string
+	binary   string
+	store    *site.Store
+	cloud    *site.Cloud
+	daemons  []*daemon
+	seed     int64
+	attempts *attemptLog
+
+	// configureMu is held by the operator's one write at a time: versions grow in the
 	// order of the store.
-	configuring sync.Mutex
+	configureMu sync.Mutex
 
-	mu      sync.Mutex
-	runners []*backend
-	gone    []*backend
-	version int
+	mu             sync.Mutex
+	runners        []*proxiedRunner
+	removedRunners []*proxiedRunner
+	version        int
 	// keys are in force; retired ones have been taken away, with the time at which
 	// the store had taken the version.
-	keys    []string
-	retired map[string]time.Time
-	// given is how many keys were given out.
-	given int
-	// thawed is when a daemon by its name went on after a pause.
-	thawed map[string]time.Time
+	keys      []string
+	revokedAt map[string]time.Time
+	// keysIssued is how many keys were keysIssued out.
+	keysIssued int
+	// resumedAt is when a daemon by its name went on after a pause.
+	resumedAt map[string]time.Time
 }
 
-// backend is a runner behind a proxy.
-type backend struct {
+// proxiedRunner is a runner behind a proxy.
+type proxiedRunner struct {
 	*site.Runner
 	proxy *proxy
 }
@@ -65,41 +65,41 @@
 	cloudProxy *proxy
 	settings   string
 
-	// restarting is held by what starts the process again, writing by what replaces
+	// restartMu is held by what starts the process again, settingsMu by what replaces
 	// its settings.
-	restarting, writing sync.Mutex
+	restartMu, settingsMu sync.Mutex
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
-	ended  chan struct{}
-	output *lockedBuffer
-	// told and killed say that the process was sent SIGTERM and SIGKILL.
-	told, killed bool
-	closed       bool
-	// logged is the length of the output when the process was started.
-	logged int
+	exited chan struct{}
+	output *syncBuffer
+	// sentTerm and sentKill say that the process was sent SIGTERM and SIGKILL.
+	sentTerm, sentKill bool
+	closed             bool
+	// outputStart is the length of the output when the process was started.
+	outputStart int
 }
 
-// lockedBuffer takes the output of one process after the other.
-type lockedBuffer struct {
+// syncBuffer takes the output of one process after the other.
+type syncBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Buffer.Write(p)
 }
 
-func (b *lockedBuffer) length() int {
+func (b *syncBuffer) length() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Len()
 }
 
-// has tells whether the output holds a text from a place on.
-func (b *lockedBuffer) has(from int, text string) bool {
+// containsFrom tells whether the output holds a text from a place on.
+func (b *syncBuffer) containsFrom(from int, text string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return bytes.Contains(b.Bytes()[from:], []byte(text))
@@ -107,9 +107,9 @@
 
 func newFleet(t *testing.T, binary string, seed int64, daemons, runners int) (*fleet, error) {
 	f := &fleet{
-		t: t, seed: seed, record: &record{calls: map[string]*call{}},
+		t: t, seed: seed, attempts: &attemptLog{byID: map[string]*attempt{}},
 		dir: t.TempDir(), binary: binary, store: site.NewStore(), cloud: site.NewCloud(),
-		retired: map[string]time.Time{}, thawed: map[string]time.Time{}, keys: []string{"k0"},
+		revokedAt: map[string]time.Time{}, resumedAt: map[string]time.Time{}, keys: []string{"k0"},
 	}
 	f.configure()
 	for range runners {
@@ -140,14 +140,14 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &daemon{Daemon: site.Daemon{IP: ip}, fleet: f, storeProxy: storeProxy, cloudProxy: cloudProxy, settings: filepath.Join(f.dir, ip), output: &lockedBuffer{}}
+	d := &daemon{Daemon: site.Daemon{IP: ip}, fleet: f, storeProxy: storeProxy, cloudProxy: cloudProxy, settings: filepath.Join(f.dir, ip), output: &syncBuffer{}}
 	return d, d.writeSettings("127.0.0.1:1")
 }
 
 // writeSettings replaces the settings file as the platform does.
 func (d *daemon) writeSettings(seeds string) error {
-	d.writing.Lock()
-	defer d.writing.Unlock()
+	d.settingsMu.Lock()
+	defer d.settingsMu.Unlock()
 	next := d.settings + ".next"
 	if err := os.WriteFile(next, []byte(d.Settings(d.storeProxy.address(), d.cloudProxy.address(), seeds,
 		fmt.Sprintf("bounds.grace_s=%d", int(grace.Seconds())), fmt.Sprintf("bounds.revoke_ms=%d", revokeWithin.Milliseconds()),
@@ -166,26 +166,26 @@
 	d.cmd = exec.Command(d.fleet.binary)
 	d.cmd.Env = append(os.Environ(), "GERANIUMSTACK_CONFIG="+d.settings)
 	d.cmd.Stdout, d.cmd.Stderr = d.output, d.output
-	d.told, d.killed = false, false
-	d.logged = d.output.length()
-	d.ended = make(chan struct{})
+	d.sentTerm, d.sentKill = false, false
+	d.outputStart = d.output.length()
+	d.exited = make(chan struct{})
 	if err := d.cmd.Start(); err != nil {
 		d.fleet.t.Errorf("start %s: %v", d.Name(), err)
-		close(d.ended)
+		close(d.exited)
 		return
 	}
-	go d.wait(d.cmd, d.ended)
+	go d.wait(d.cmd, d.exited)
 }
 
 // wait reports a process that ends by itself.
 func (d *daemon) wait(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	d.mu.Lock()
-	told, killed, logged := d.told, d.killed, d.logged
+	told, killed, logged := d.sentTerm, d.sentKill, d.outputStart
 	d.mu.Unlock()
 	// A process that has not begun yet has no handler for the signal, and has
 	// accepted nothing.
-	told = told && (err == nil || !d.output.has(logged, `"start" daemon=`))
+	told = told && (err == nil || !d.output.containsFrom(logged, `"start" daemon=`))
 	if !killed && !told {
 		d.fleet.t.Errorf("%s ended by itself or not as asked: %v", d.Name(), err)
 	}
@@ -196,17 +196,17 @@
 func (d *daemon) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.told = d.told || s == syscall.SIGTERM
-	d.killed = d.killed || s == syscall.SIGKILL
+	d.sentTerm = d.sentTerm || s == syscall.SIGTERM
+	d.sentKill = d.sentKill || s == syscall.SIGKILL
 	if err := d.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		d.fleet.t.Errorf("signal %s: %v", d.Name(), err)
 	}
 }
 
-// thaw lets a paused process go on and notes when.
-func (d *daemon) thaw() {
+// resume lets a paused process go on and notes when.
+func (d *daemon) resume() {
 	d.fleet.mu.Lock()
-	d.fleet.thawed[d.Name()] = time.Now()
+	d.fleet.resumedAt[d.Name()] = time.Now()
 	d.fleet.mu.Unlock()
 	d.signal(syscall.SIGCONT)
 }
@@ -215,7 +215,7 @@
 func (d *daemon) stop() {
 	d.signal(syscall.SIGTERM)
 	d.mu.Lock()
-	ended := d.ended
+	ended := d.exited
 	d.mu.Unlock()
 	select {
 	case <-ended:
@@ -227,7 +227,7 @@
 func (d *daemon) kill() {
 	d.signal(syscall.SIGKILL)
 	d.mu.Lock()
-	ended := d.ended
+	ended := d.exited
 	d.mu.Unlock()
 	<-ended
 }
@@ -247,7 +247,7 @@
 		d.close()
 	}
 	f.mu.Lock()
-	all := append(append([]*backend{}, f.runners...), f.gone...)
+	all := append(append([]*proxiedRunner{}, f.runners...), f.removedRunners...)
 	f.mu.Unlock()
 	for _, r := range all {
 		r.proxy.close()
@@ -259,8 +259,8 @@
 	f.cloud.Close()
 }
 
-// until tries a write of the operator or of a runner until the store takes it.
-func (f *fleet) until(write func() error) {
+// retryUntilAccepted tries a write of the operator or of a runner retryUntilAccepted the store takes it.
+func (f *fleet) retryUntilAccepted(write func() error) {
 	for write() != nil {
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -268,13 +268,13 @@
 
 // configure writes the next version with the keys that are in force.
 func (f *fleet) configure() {
-	f.configuring.Lock()
-	defer f.configuring.Unlock()
+	f.configureMu.Lock()
+	defer f.configureMu.Unlock()
 	f.mu.Lock()
 	f.version += 3
 	version, keys := f.version, append([]string{stableKey}, f.keys...)
 	f.mu.Unlock()
-	f.until(func() error { return f.store.Configure(version, routes, 10_000, keys...) })
+	f.retryUntilAccepted(func() error { return f.store.Configure(version, routes, 10_000, keys...) })
 }
 
 // routes are one of each kind.
@@ -290,22 +290,22 @@
 func (f *fleet) rotate() string {
 	f.mu.Lock()
 	old := f.keys[0]
-	f.given++
-	f.keys = append(f.keys[1:], fmt.Sprintf("k%d", f.given))
+	f.keysIssued++
+	f.keys = append(f.keys[1:], fmt.Sprintf("k%d", f.keysIssued))
 	f.mu.Unlock()
 	f.configure()
 	f.mu.Lock()
-	f.retired[old] = time.Now()
+	f.revokedAt[old] = time.Now()
 	f.mu.Unlock()
 	return old
 }
 
-// aKey is one that works, or one that was taken away.
-func (f *fleet) aKey(pick int) string {
+// pickKey is one that works, or one that was taken away.
+func (f *fleet) pickKey(pick int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if pick == 0 {
-		for key := range f.retired {
+		for key := range f.revokedAt {
 			return key
 		}
 	}
@@ -317,7 +317,7 @@
 
 func (f *fleet) addRunner() error {
 	f.mu.Lock()
-	id := fmt.Sprintf("i-%d", len(f.runners)+len(f.gone)+1)
+	id := fmt.Sprintf("i-%d", len(f.runners)+len(f.removedRunners)+1)
 	f.mu.Unlock()
 	r, err := site.NewRunner(id)
 	if err != nil {
@@ -327,7 +327,7 @@
 	if err != nil {
 		return err
 	}
-	b := &backend{r, p}
+	b := &proxiedRunner{r, p}
 	f.mu.Lock()
 	f.runners = append(f.runners, b)
 	f.mu.Unlock()
@@ -335,22 +335,22 @@
 	return nil
 }
 
-func (f *fleet) announce(b *backend, state string) {
-	f.until(func() error { return f.store.Announce(b.ID, b.proxy.address(), state) })
+func (f *fleet) announce(b *proxiedRunner, state string) {
+	f.retryUntilAccepted(func() error { return f.store.Announce(b.ID, b.proxy.address(), state) })
 }
 
-// leave drains a runner, waits as long as it must serve, and removes it.
-func (f *fleet) leave(b *backend) {
+// drainAndRemove drains a runner, waits as long as it must serve, and removes it.
+func (f *fleet) drainAndRemove(b *proxiedRunner) {
 	f.announce(b, site.Draining)
 	time.Sleep(3 * time.Second)
-	f.until(func() error { return f.store.Withdraw(b.ID) })
+	f.retryUntilAccepted(func() error { return f.store.Withdraw(b.ID) })
 	b.Close()
 	b.proxy.set(resetting)
 }
 
-// takeRunner removes a runner from those that faults choose from; nil if it is one
+// removeRunner removes a runner from those that faults choose from; nil if it is one
 // of the last two.
-func (f *fleet) takeRunner(pick int) *backend {
+func (f *fleet) removeRunner(pick int) *proxiedRunner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.runners) <= 2 {
@@ -359,11 +359,11 @@
 	i := pick % len(f.runners)
 	b := f.runners[i]
 	f.runners = append(f.runners[:i:i], f.runners[i+1:]...)
-	f.gone = append(f.gone, b)
+	f.removedRunners = append(f.removedRunners, b)
 	return b
 }
 
-func (f *fleet) runner(pick int) *backend {
+func (f *fleet) runner(pick int) *proxiedRunner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runners[pick%len(f.runners)]
--- a/soak/kept_test.go
+++ b/soak/kept_test.go
@@ -16,6 +16,6 @@
 		{401, 10 * time.Second, "a key was looked up in the former configuration and admitted by the age of the next"},
 		{424, 10 * time.Second, "a stream went on at a runner that answered with a body that is no stream, which was appended"},
 	} {
-		t.Run(one.cause, func(t *testing.T) { play(t, one.seed, one.length, 4) })
+		t.Run(one.cause, func(t *testing.T) { runSeed(t, one.seed, one.length, 4) })
 	}
 }
--- a/soak/operator_test.go
+++ b/soak/operator_test.go
@@ -11,13 +11,13 @@
 
 // The store loses an operator's answer without a word. The operator's write stood still
 // for good, and with it the soak (seeds 100 and 130): nothing more was injected.
-func TestOwnersWriteSurvivesLostAnswer(t *testing.T) {
+func TestOperatorWriteSurvivesLostAnswer(t *testing.T) {
 	s := site.NewStore()
 	defer s.Close()
 	f := &fleet{t: t, store: s}
 	s.KV.SetFaults(kvserver.Faults{LoseAnswers: 1, LoseSilently: true})
 	begun := time.Now()
-	f.until(func() error { return s.Announce("x", "127.0.0.1:1", site.Ready) })
+	f.retryUntilAccepted(func() error { return s.Announce("x", "127.0.0.1:1", site.Ready) })
 	if took := time.Since(begun); took > 3*time.Second {
 		t.Fatalf("the write took %v", took)
 	}
@@ -35,18 +35,18 @@
 func TestRotatedKeysAreNew(t *testing.T) {
 	s := site.NewStore()
 	defer s.Close()
-	f := &fleet{t: t, store: s, keys: []string{"k0"}, retired: map[string]time.Time{}}
+	f := &fleet{t: t, store: s, keys: []string{"k0"}, revokedAt: map[string]time.Time{}}
 	var rotating sync.WaitGroup
 	for range 16 {
 		rotating.Go(func() { f.rotate() })
 	}
 	rotating.Wait()
 	for _, key := range f.keys {
-		if _, ok := f.retired[key]; ok {
+		if _, ok := f.revokedAt[key]; ok {
 			t.Errorf("%q is in force and taken away", key)
 		}
 	}
-	if len(f.retired) != 16 {
-		t.Errorf("%d of 16 keys taken away", len(f.retired))
+	if len(f.revokedAt) != 16 {
+		t.Errorf("%d of 16 keys taken away", len(f.revokedAt))
 	}
 }
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -11,20 +11,20 @@
 	"geraniumstack.org/geraniumstack/standin/site"
 )
 
-// thawSlack is how long after a pause the calls of the paused daemon don't count:
+// resumeSlack is how long after a pause the calls of the paused daemon don't count:
 // they had left it before.
-const thawSlack = 300 * time.Millisecond
+const resumeSlack = 300 * time.Millisecond
 
-// broken checks what callers, runners and the cloud saw and lists what must not be.
-func (f *fleet) broken(r *record) []string {
+// violations checks what callers, runners and the cloud saw and lists what must not be.
+func (f *fleet) violations(r *attemptLog) []string {
 	b := &findings{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	runs := f.checkRuns(r, b)
-	for _, c := range r.calls {
+	for _, c := range r.byID {
 		c.check(b, runs[c.id])
 	}
-	f.checkDuties(b)
+	f.checkUsageReports(b)
 	return b.list
 }
 
@@ -34,27 +34,27 @@
 	seen map[string]int
 }
 
-const mostOfAKind = 3
+const maxPerKind = 3
 
 func (b *findings) add(what, format string, args ...any) {
 	if b.seen == nil {
 		b.seen = map[string]int{}
 	}
 	b.seen[what]++
-	if b.seen[what] <= mostOfAKind {
+	if b.seen[what] <= maxPerKind {
 		b.list = append(b.list, what+": "+fmt.Sprintf(format, args...))
 	}
 }
 
 // checkRuns checks what reached runners and counts the runs of each request.
-func (f *fleet) checkRuns(r *record, b *findings) map[string]int {
+func (f *fleet) checkRuns(r *attemptLog, b *findings) map[string]int {
 	runs := map[string]int{}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, backend := range append(append([]*backend{}, f.runners...), f.gone...) {
+	for _, backend := range append(append([]*proxiedRunner{}, f.runners...), f.removedRunners...) {
 		for _, run := range backend.Runs() {
 			runs[run.ID]++
-			c, known := r.calls[run.ID]
+			c, known := r.byID[run.ID]
 			if !known {
 				b.add("run that nobody asked for", "%q at %s", run.ID, backend.ID)
 				continue
@@ -65,8 +65,8 @@
 			if run.Workspace() != site.Workspace || run.KeyShown() {
 				b.add("workspace or key passed on", "%s with %q and its key: %v", c.id, run.Workspace(), run.KeyShown())
 			}
-			if at, ok := f.retired[c.key]; ok && c.sent.After(at.Add(revokeWithin)) {
-				b.add("revoked key", "%s ran, sent %v after its key was taken away, at %s", c.id, c.sent.Sub(at), c.daemon)
+			if at, ok := f.revokedAt[c.key]; ok && c.sent.After(at.Add(revokeWithin)) {
+				b.add("revoked key", "%s ran, sent %v after its key was taken away, at %s", c.id, c.sent.Sub(at), c.daemonAddress)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 // check compares what the caller was told with what ran.
-func (c *call) check(b *findings, runs int) {
+func (c *attempt) check(b *findings, runs int) {
 	if !c.repeatable && runs > 1 {
 		b.add("run twice", "%s %s ran %d times", c.path, c.id, runs)
 	}
@@ -83,21 +83,21 @@
 		c.checkAnswer(b)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if !c.repeatable && runs > 0 {
-			b.add("refused and run", "%s %s was answered %d by %s and ran", c.path, c.id, c.status, c.daemon)
+			b.add("refused and run", "%s %s was answered %d by %s and ran", c.path, c.id, c.status, c.daemonAddress)
 		}
 	case http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound, http.StatusBadRequest:
 		if c.key == stableKey {
-			b.add("denied", "%s %s was answered %d by %s", c.path, c.id, c.status, c.daemon)
+			b.add("denied", "%s %s was answered %d by %s", c.path, c.id, c.status, c.daemonAddress)
 		}
 	case http.StatusInternalServerError:
-		if c.signature != "" && c.answer != "oops" && !c.cut {
+		if c.signature != "" && c.answer != "oops" && !c.truncated {
 			b.add("mixed answer", "%s got %q for a runner's failure", c.id, c.answer)
 		}
 	}
 }
 
 // checkAnswer checks a success: the whole answer to this request, and to no other.
-func (c *call) checkAnswer(b *findings) {
+func (c *attempt) checkAnswer(b *findings) {
 	if !strings.HasSuffix(c.signature, "."+c.id) {
 		b.add("mixed answer", "%s is signed %q", c.id, c.signature)
 	}
@@ -111,24 +111,24 @@
 	// A runner that answers before it has read the body says this.
 	whole := c.answer == want || c.answer == "early"
 	switch {
-	case !c.cut && !whole:
+	case !c.truncated && !whole:
 		b.add("part for a whole", "%s %s got %q", c.path, c.id, c.answer)
-	case c.cut && !strings.HasPrefix(want, c.answer) && !strings.HasPrefix("early", c.answer):
+	case c.truncated && !strings.HasPrefix(want, c.answer) && !strings.HasPrefix("early", c.answer):
 		b.add("mixed answer", "%s %s got %q", c.path, c.id, c.answer)
 	}
 }
 
-// checkDuties checks that each window was reported with one set of counts, that
+// checkUsageReports checks that each window was reported with one set of counts, that
 // fencing tokens never fell, and that each was one daemon's.
-func (f *fleet) checkDuties(b *findings) {
+func (f *fleet) checkUsageReports(b *findings) {
 	counts := map[string]string{}
 	holders := map[uint64]string{}
 	last := uint64(0)
 	for _, c := range f.cloud.Calls("/usage") {
 		f.mu.Lock()
-		thawed := f.thawed[c.Holder]
+		thawed := f.resumedAt[c.Holder]
 		f.mu.Unlock()
-		if !c.At.Before(thawed) && c.At.Sub(thawed) <= thawSlack {
+		if !c.At.Before(thawed) && c.At.Sub(thawed) <= resumeSlack {
 			continue
 		}
 		token, err := strconv.ParseUint(c.Fence, 10, 64)
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -11,16 +11,16 @@
 type link int32
 
 const (
-	whole link = iota
+	linkUp link = iota
 	// delayed holds each piece up for linkDelay.
 	delayed
 	// resetting closes open connections with a reset and refuses new ones.
 	resetting
-	// deaf passes nothing on towards the server, mute nothing from it; the
+	// dropToServer passes nothing on towards the server, mute nothing from it; the
 	// connections stay open. silent is both, and new connections hang.
-	deaf
-	mute
-	silent
+	dropToServer
+	dropFromServer
+	blackhole
 )
 
 func (l link) String() string {
@@ -101,13 +101,13 @@
 	p.mu.Lock()
 	p.open[client], p.open[server] = true, true
 	p.mu.Unlock()
-	go p.copy(server, client, deaf)
-	p.copy(client, server, mute)
+	go p.copy(server, client, dropToServer)
+	p.copy(client, server, dropFromServer)
 }
 
 // copy passes one direction on. What comes while it is cut is lost, and so is all that
 // comes after it on this connection: a gap must not be closed up.
-func (p *proxy) copy(to, from net.Conn, cut link) {
+func (p *proxy) copy(to, from net.Conn, dropMode link) {
 	defer func() {
 		to.Close()
 		from.Close()
@@ -117,18 +117,18 @@
 		p.mu.Unlock()
 	}()
 	buffer := make([]byte, 32<<10)
-	lost := false
+	dropping := false
 	for {
 		n, err := from.Read(buffer)
 		switch mode := link(p.mode.Load()); {
 		case mode == delayed:
 			time.Sleep(linkDelay)
-		case mode == cut || mode == silent:
-			lost = true
+		case mode == dropMode || mode == blackhole:
+			dropping = true
 		}
-		if !lost {
+		if !dropping {
 			_, failed := to.Write(buffer[:n])
-			lost = failed != nil
+			dropping = failed != nil
 		}
 		if err != nil {
 			// A half that has ended ends the other one too: nobody here uses half
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -22,12 +22,12 @@
 )
 
 var (
-	seeds     = flag.Int("seeds", 2, "how many seeds TestSoak plays")
-	firstSeed = flag.Int64("first-seed", 1, "the first of them; 0 is one by the time of day")
-	length    = flag.Duration("length", 6*time.Second, "how long faults come in one seed")
-	daemons   = flag.Int("daemons", 4, "daemons of the fleet")
-	detector  = flag.Bool("detector", true, "build the program with the race detector")
-	keep      = flag.String("keep", "", "a directory for the daemons' logs of seeds that fail")
+	seeds        = flag.Int("seeds", 2, "how many seeds TestSoak plays")
+	firstSeed    = flag.Int64("first-seed", 1, "the first of them; 0 is one by the time of day")
+	length       = flag.Duration("length", 6*time.Second, "how long faults come in one seed")
+	daemons      = flag.Int("daemons", 4, "daemons of the fleet")
+	raceDetector = flag.Bool("detector", true, "build the program with the race detector")
+	logDir       = flag.String("keep", "", "a directory for the daemons' logs of seeds that fail")
 )
 
 const (
@@ -45,7 +45,7 @@
 	}
 	binary := filepath.Join(dir, "geraniumd")
 	args := []string{"build", "-o", binary}
-	if *detector {
+	if *raceDetector {
 		args = append(args, "-race")
 	}
 	out, err := exec.Command("go", append(args, "geraniumstack.org/geraniumstack/cmd/geraniumd")...).CombinedOutput()
@@ -70,12 +70,12 @@
 		first = time.Now().Unix()
 	}
 	for i := range int64(*seeds) {
-		t.Run(fmt.Sprint(first+i), func(t *testing.T) { play(t, first+i, *length, *daemons) })
+		t.Run(fmt.Sprint(first+i), func(t *testing.T) { runSeed(t, first+i, *length, *daemons) })
 	}
 }
 
-// play runs one seed.
-func play(t *testing.T, seed int64, length time.Duration, daemons int) {
+// runSeed runs one seed.
+func runSeed(t *testing.T, seed int64, length time.Duration, daemons int) {
 	binary, err := build()
 	if err != nil {
 		t.Fatal(err)
@@ -85,8 +85,8 @@
 		t.Fatal(err)
 	}
 	defer f.close()
-	f.untilReady(10 * time.Second)
-	r := f.record
+	f.waitReady(10 * time.Second)
+	r := f.attempts
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var asking sync.WaitGroup
@@ -94,20 +94,20 @@
 		c := newCaller(f, r, seed, n)
 		asking.Go(func() { c.run(ctx) })
 	}
-	faults := plan(seed, length, daemons)
+	faults := drawFaults(seed, length, daemons)
 	f.inject(faults)
-	f.heal()
-	f.untilReady(recoverWithin)
-	f.untilServing(r, seed)
+	f.clearFaults()
+	f.waitReady(recoverWithin)
+	f.waitServing(r, seed)
 	cancel()
 	asking.Wait()
 	// What may still run does so within the callers' patience.
-	time.Sleep(callerPatience)
-	broken := f.broken(r)
+	time.Sleep(callerTimeout)
+	broken := f.violations(r)
 	for _, b := range broken {
 		t.Error(b)
 	}
-	t.Logf("%d attempts, %d faults", len(r.calls), len(faults))
+	t.Logf("%d attempts, %d faults", len(r.byID), len(faults))
 	if t.Failed() {
 		t.Logf("seed %d:\n%s", seed, describe(faults))
 		f.saveLogs(seed)
@@ -120,27 +120,27 @@
 	var active sync.WaitGroup
 	for _, one := range faults {
 		time.Sleep(time.Until(begun.Add(one.at)))
-		active.Go(func() { one.do(f) })
+		active.Go(func() { one.apply(f) })
 	}
 	active.Wait()
 }
 
-// heal ends what a fault may have left.
-func (f *fleet) heal() {
+// clearFaults ends what a fault may have left.
+func (f *fleet) clearFaults() {
 	f.store.KV.SetFaults(kvserver.Faults{})
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, b := range f.runners {
 		b.Next()
-		b.proxy.set(whole)
+		b.proxy.set(linkUp)
 	}
 	for _, d := range f.daemons {
-		d.storeProxy.set(whole)
-		d.cloudProxy.set(whole)
+		d.storeProxy.set(linkUp)
+		d.cloudProxy.set(linkUp)
 	}
 }
 
-func (f *fleet) untilReady(limit time.Duration) {
+func (f *fleet) waitReady(limit time.Duration) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -155,17 +155,17 @@
 	}
 }
 
-// untilServing waits until every daemon serves many requests in a row.
-func (f *fleet) untilServing(r *record, seed int64) {
-	const inARow = 10
+// waitServing waits until every daemon serves many requests in a row.
+func (f *fleet) waitServing(r *attemptLog, seed int64) {
+	const requiredInARow = 10
 	ctx, cancel := context.WithTimeout(context.Background(), recoverWithin)
 	defer cancel()
 	c := newCaller(f, r, seed, callers)
 	for _, d := range f.daemons {
 		address := d.Front()
-		for served := 0; served < inARow; {
-			a := r.next(seed, requestKinds[0], stableKey, address)
-			c.ask(ctx, a)
+		for served := 0; served < requiredInARow; {
+			a := r.add(seed, requestKinds[0], stableKey, address)
+			c.send(ctx, a)
 			served++
 			if a.status != 200 {
 				served = 0
@@ -179,12 +179,12 @@
 }
 
 func (f *fleet) saveLogs(seed int64) {
-	if *keep == "" {
+	if *logDir == "" {
 		return
 	}
 	for _, d := range f.daemons {
 		d.output.mu.Lock()
-		err := os.WriteFile(filepath.Join(*keep, fmt.Sprintf("%d-%s.log", seed, d.IP)), d.output.Bytes(), 0o600)
+		err := os.WriteFile(filepath.Join(*logDir, fmt.Sprintf("%d-%s.log", seed, d.IP)), d.output.Bytes(), 0o600)
 		d.output.mu.Unlock()
 		if err != nil {
 			f.t.Errorf("keep the log of %s: %v", d.Name(), err)
