--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -115,7 +115,7 @@
 func (c *caller) resolve(ctx context.Context, d *daemon) []string {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	found, err := d.Directory(ctx, c.client, site.Host)
+	found, err := d.ResolveHost(ctx, c.client, site.Host)
 	if err != nil {
 		return nil
 	}
@@ -129,9 +129,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	answer, err := site.Ask(ctx, c.client, a.daemon, &site.Attempt{
-		ID: a.id, Method: a.method, Host: site.Host, Path: a.path, Body: a.body, Key: a.key,
-		Patience: callerPatience, ForgedWorkspace: "forged",
+	answer, err := site.SendRequest(ctx, c.client, a.daemon, &site.CallerRequest{
+		ID: a.id, Method: a.method, Host: site.Host, Path: a.path, Body: a.body, APIKey: a.key,
+		Timeout: callerPatience, SpoofedWorkspace: "forged",
 	})
 	c.record.mu.Lock()
 	defer c.record.mu.Unlock()
@@ -139,5 +139,5 @@
 		a.cut = true
 		return
 	}
-	a.status, a.signature, a.answer, a.cut = answer.Status, answer.Signature(), answer.Body, answer.Cut
+	a.status, a.signature, a.answer, a.cut = answer.Status, answer.Signature(), answer.Body, answer.Truncated
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -122,7 +122,7 @@
 		d.signal(syscall.SIGSTOP)
 		old := f.rotate()
 		time.Sleep(revokeWithin + 100*time.Millisecond)
-		address := d.Front()
+		address := d.CallerAddress()
 		for n := range 8 {
 			c := newCaller(f, f.record, f.seed, 1000+n)
 			go c.ask(context.Background(), f.record.next(f.seed, requestKinds[n%2], old, address))
@@ -186,7 +186,7 @@
 
 func runnerFault(rng *rand.Rand, _ int) fault {
 	all := []site.Fault{
-		site.LoseAnswer, site.Truncate, site.Double, site.Garbage, site.Full, site.Fail, site.Early, site.Unframed, site.CutStream, site.Hang,
+		site.DropResponse, site.TruncateBody, site.DuplicateResponse, site.MalformedResponse, site.QueueFull, site.InternalError, site.RespondBeforeBody, site.UnframedBody, site.TruncateStream, site.Hang,
 	}
 	i, n := rng.IntN(1000), 5+rng.IntN(40)
 	var next []site.Fault
@@ -195,7 +195,7 @@
 		// Between them the runner answers well now and then, and stays in use.
 		next = append(next, make([]site.Fault, rng.IntN(3))...)
 	}
-	return fault{what: fmt.Sprintf("runner %d: %d faults", i, n), do: func(f *fleet) { f.runner(i).Next(next...) }}
+	return fault{what: fmt.Sprintf("runner %d: %d faults", i, n), do: func(f *fleet) { f.runner(i).SetNextFaults(next...) }}
 }
 
 func leave(rng *rand.Rand, _ int) fault {
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -274,7 +274,7 @@
 	f.version += 3
 	version, keys := f.version, append([]string{stableKey}, f.keys...)
 	f.mu.Unlock()
-	f.until(func() error { return f.store.Configure(version, routes, 10_000, keys...) })
+	f.until(func() error { return f.store.PutConfig(version, routes, 10_000, keys...) })
 }
 
 // routes are one of each kind.
@@ -336,14 +336,14 @@
 }
 
 func (f *fleet) announce(b *backend, state string) {
-	f.until(func() error { return f.store.Announce(b.ID, b.proxy.address(), state) })
+	f.until(func() error { return f.store.RegisterRunner(b.ID, b.proxy.address(), state) })
 }
 
 // leave drains a runner, waits as long as it must serve, and removes it.
 func (f *fleet) leave(b *backend) {
 	f.announce(b, site.Draining)
 	time.Sleep(3 * time.Second)
-	f.until(func() error { return f.store.Withdraw(b.ID) })
+	f.until(func() error { return f.store.DeregisterRunner(b.ID) })
 	b.Close()
 	b.proxy.set(resetting)
 }
--- a/soak/operator_test.go
+++ b/soak/operator_test.go
@@ -17,12 +17,12 @@
 	f := &fleet{t: t, store: s}
 	s.KV.SetFaults(kvserver.Faults{LoseAnswers: 1, LoseSilently: true})
 	begun := time.Now()
-	f.until(func() error { return s.Announce("x", "127.0.0.1:1", site.Ready) })
+	f.until(func() error { return s.RegisterRunner("x", "127.0.0.1:1", site.Ready) })
 	if took := time.Since(begun); took > 3*time.Second {
 		t.Fatalf("the write took %v", took)
 	}
 	s.KV.SetFaults(kvserver.Faults{LoseAnswers: 1, LoseSilently: true})
-	for s.Withdraw("x") != nil {
+	for s.DeregisterRunner("x") != nil {
 		if time.Since(begun) > 5*time.Second {
 			t.Fatal("the key was not removed")
 		}
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -52,7 +52,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, backend := range append(append([]*backend{}, f.runners...), f.gone...) {
-		for _, run := range backend.Runs() {
+		for _, run := range backend.Executions() {
 			runs[run.ID]++
 			c, known := r.calls[run.ID]
 			if !known {
@@ -62,8 +62,8 @@
 			if run.Method != c.method || run.Target != c.path || run.Body != "" && run.Body != c.body {
 				b.add("changed request", "%s ran as %s %s %q", c.id, run.Method, run.Target, run.Body)
 			}
-			if run.Workspace() != site.Workspace || run.KeyShown() {
-				b.add("workspace or key passed on", "%s with %q and its key: %v", c.id, run.Workspace(), run.KeyShown())
+			if run.Workspace() != site.Workspace || run.HasAPIKey() {
+				b.add("workspace or key passed on", "%s with %q and its key: %v", c.id, run.Workspace(), run.HasAPIKey())
 			}
 			if at, ok := f.retired[c.key]; ok && c.sent.After(at.Add(revokeWithin)) {
 				b.add("revoked key", "%s ran, sent %v after its key was taken away, at %s", c.id, c.sent.Sub(at), c.daemon)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -131,7 +131,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, b := range f.runners {
-		b.Next()
+		b.SetNextFaults()
 		b.proxy.set(whole)
 	}
 	for _, d := range f.daemons {
@@ -162,7 +162,7 @@
 	defer cancel()
 	c := newCaller(f, r, seed, callers)
 	for _, d := range f.daemons {
-		address := d.Front()
+		address := d.CallerAddress()
 		for served := 0; served < inARow; {
 			a := r.next(seed, requestKinds[0], stableKey, address)
 			c.ask(ctx, a)
--- a/standin/site/cloud.go
+++ b/standin/site/cloud.go
@@ -25,7 +25,7 @@
 	mu    sync.Mutex
 	calls []Call
 	// NoSpot refuses orders of reclaimable runners.
-	noSpot bool
+	spotUnavailable bool
 }
 
 // NewCloud starts a cloud on the loopback interface.
@@ -38,11 +38,11 @@
 // Address is the cloud's IP and port.
 func (c *Cloud) Address() string { return c.Listener.Addr().String() }
 
-// NoSpot lets orders of reclaimable runners be refused.
-func (c *Cloud) NoSpot(none bool) {
+// SetSpotUnavailable lets orders of reclaimable runners be refused.
+func (c *Cloud) SetSpotUnavailable(unavailable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noSpot = none
+	c.spotUnavailable = unavailable
 }
 
 // Calls lists the calls to a path.
@@ -67,7 +67,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls = append(c.calls, call)
-	if c.noSpot && call.Body["spot"] == true {
+	if c.spotUnavailable && call.Body["spot"] == true {
 		w.WriteHeader(http.StatusConflict)
 	}
 }
--- a/standin/site/daemon.go
+++ b/standin/site/daemon.go
@@ -10,7 +10,7 @@
 
 // Ports at which a Daemon listens.
 const (
-	frontPort     = 18221
+	callerPort    = 18221
 	readyPort     = 18224
 	directoryPort = 18220
 )
@@ -22,21 +22,21 @@
 // Name is what the daemon is called in its settings.
 func (d Daemon) Name() string { return "edge-" + d.IP }
 
-// Front is where callers connect.
-func (d Daemon) Front() string { return fmt.Sprintf("%s:%d", d.IP, frontPort) }
+// CallerAddress is where callers connect.
+func (d Daemon) CallerAddress() string { return fmt.Sprintf("%s:%d", d.IP, callerPort) }
 
 // Settings is the text of the daemon's settings file, with more lines for what a test
 // needs beside.
-func (d Daemon) Settings(store, cloud, seeds string, more ...string) string {
+func (d Daemon) Settings(store, cloud, seeds string, extra ...string) string {
 	lines := []string{
 		"node_name=" + d.Name(), "zone=north", "ip=" + d.IP, "bootstrap=true", "port_range=17600,17601", "seeds=" + seeds,
-		"listen.front=" + d.Front(), fmt.Sprintf("listen.readiness=%s:%d", d.IP, readyPort),
+		"listen.front=" + d.CallerAddress(), fmt.Sprintf("listen.readiness=%s:%d", d.IP, readyPort),
 		fmt.Sprintf("listen.directory=%s:%d", d.IP, directoryPort),
 		"platform.address=" + store, "cloud.address=" + cloud,
 		"bounds.strict_revocation=true", "bounds.retry_budget_ratio=0.2", "bounds.budget_min_retries=50",
 		"bounds.usage_window_s=1", "bounds.usage_delay_s=5", "bounds.lease_ms=1500",
 	}
-	return strings.Join(append(lines, more...), "\n")
+	return strings.Join(append(lines, extra...), "\n")
 }
 
 // Ready asks as the platform does whether the daemon takes callers.
@@ -49,8 +49,8 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// Directory asks which addresses a caller should use for a host.
-func (d Daemon) Directory(ctx context.Context, client *http.Client, host string) ([]string, error) {
+// ResolveHost asks which addresses a caller should use for a host.
+func (d Daemon) ResolveHost(ctx context.Context, client *http.Client, host string) ([]string, error) {
 	url := fmt.Sprintf("http://%s:%d/v1/resolve?name=%s&region=x&zone=north", d.IP, directoryPort, host)
 	answer, err := get(ctx, client, url)
 	if err != nil {
--- a/standin/site/operator.go
+++ b/standin/site/operator.go
@@ -24,21 +24,21 @@
 	Public bool
 }
 
-// Configure writes a version whose routes all lead to the service of Announce.
-func (s *Store) Configure(version int, routes []Route, perSecond int, keys ...string) error {
-	var list []map[string]any
+// PutConfig writes a version whose routes all lead to the service of Announce.
+func (s *Store) PutConfig(version int, routes []Route, requestsPerSecond int, apiKeys ...string) error {
+	var routeDocuments []map[string]any
 	for _, r := range routes {
-		list = append(list, map[string]any{
+		routeDocuments = append(routeDocuments, map[string]any{
 			"name": r.Name, "hostname": Host, "path_prefix": "/" + r.Name + "/", "route_type": r.Kind,
 			"timeout_ms": r.TimeoutMillis, "target_latency_ms": r.TargetMillis, "max_attempts": r.Attempts,
 			"resumable": r.Resumable, "public": r.Public, "gap_aim_ms": 250, "service": "app",
 		})
 	}
 	return s.Put("op/config", map[string]any{
-		"version": version, "routes": list,
+		"version": version, "routes": routeDocuments,
 		"services": []map[string]any{{"name": "app", "health_path": "/healthz", "max_connections": 96}},
 		"limits":   map[string]any{"max_header_bytes": 16384, "max_body_bytes": 4194304, "header_timeout_ms": 3000, "idle_timeout_ms": 15000},
-		"tenants":  []map[string]any{{"name": Workspace, "api_keys": keys, "unit": "requests", "rate_per_s": perSecond, "burst": perSecond}},
+		"tenants":  []map[string]any{{"name": Workspace, "api_keys": apiKeys, "unit": "requests", "rate_per_s": requestsPerSecond, "burst": requestsPerSecond}},
 	})
 }
 
@@ -48,13 +48,13 @@
 	Draining = "draining"
 )
 
-// Announce writes a runner's entry, as the runner does itself; address is where it is
+// RegisterRunner writes a runner's entry, as the runner does itself; address is where it is
 // reached.
-func (s *Store) Announce(runner, address, state string) error {
+func (s *Store) RegisterRunner(runner, address, state string) error {
 	return s.Put("servers/"+runner, map[string]any{
 		"service": "app", "address": address, "zone": "north", "slots": 16, "state": state, "born": 1771390509100, "seq": 1,
 	})
 }
 
-// Withdraw removes a runner's entry.
-func (s *Store) Withdraw(runner string) error { return s.Remove("servers/" + runner) }
+// DeregisterRunner removes a runner's entry.
+func (s *Store) DeregisterRunner(runner string) error { return s.Remove("servers/" + runner) }
--- a/standin/site/runner.go
+++ b/standin/site/runner.go
@@ -16,44 +16,44 @@
 
 // Faults.
 const (
-	// LoseAnswer runs the request and closes the connection.
-	LoseAnswer Fault = "lose_answer"
-	// Truncate closes the connection in the middle of the answer's body.
-	Truncate Fault = "truncate"
-	// Double sends a second answer after the first.
-	Double Fault = "double"
-	// Garbage sends bytes that are no answer.
-	Garbage Fault = "garbage"
-	// Full refuses as one whose queue is full.
-	Full Fault = "full"
-	// Fail answers 500.
-	Fail Fault = "fail"
-	// Early answers before it has read the body.
-	Early Fault = "early"
-	// Unframed sends a body without a length that ends with the connection.
-	Unframed Fault = "unframed"
-	// CutStream ends a stream in the middle of an event.
-	CutStream Fault = "cut_stream"
+	// DropResponse runs the request and closes the connection.
+	DropResponse Fault = "lose_answer"
+	// TruncateBody closes the connection in the middle of the answer's body.
+	TruncateBody Fault = "truncate"
+	// DuplicateResponse sends a second answer after the first.
+	DuplicateResponse Fault = "double"
+	// MalformedResponse sends bytes that are no answer.
+	MalformedResponse Fault = "garbage"
+	// QueueFull refuses as one whose queue is full.
+	QueueFull Fault = "full"
+	// InternalError answers 500.
+	InternalError Fault = "fail"
+	// RespondBeforeBody answers before it has read the body.
+	RespondBeforeBody Fault = "early"
+	// UnframedBody sends a body without a length that ends with the connection.
+	UnframedBody Fault = "unframed"
+	// TruncateStream ends a stream in the middle of an event.
+	TruncateStream Fault = "cut_stream"
 	// Hang never answers.
 	Hang Fault = "hang"
 )
 
-// Run is one request that the runner began to work on.
-type Run struct {
+// Execution is one request that the runner began to work on.
+type Execution struct {
 	ID     string
 	Method string
 	Target string
 	Header http.Header
 	Body   string
-	// Left is set once the caller's connection has closed before the end.
-	Left bool
+	// Disconnected is set once the caller's connection has closed before the end.
+	Disconnected bool
 }
 
 // Workspace is the one that the daemon named for the request.
-func (r *Run) Workspace() string { return r.Header.Get("X-Tenant") }
+func (r *Execution) Workspace() string { return r.Header.Get("X-Tenant") }
 
-// KeyShown tells whether the caller's key came along, which no runner may see.
-func (r *Run) KeyShown() bool { return r.Header.Get("Authorization") != "" }
+// HasAPIKey tells whether the caller's key came along, which no runner may see.
+func (r *Execution) HasAPIKey() bool { return r.Header.Get("Authorization") != "" }
 
 // Runner is one backend server on the loopback interface. It speaks raw sockets, so
 // that it can break the protocol.
@@ -63,14 +63,14 @@
 	Address  string
 	listener net.Listener
 
-	mu     sync.Mutex
-	runs   []*Run
-	faults []Fault
+	mu         sync.Mutex
+	executions []*Execution
+	faults     []Fault
 	// Work is how long a request takes, Events how many events a stream has.
-	work   time.Duration
-	events int
-	conns  int
-	open   map[net.Conn]bool
+	work          time.Duration
+	events        int
+	acceptedConns int
+	openConns     map[net.Conn]bool
 }
 
 // NewRunner starts a runner.
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Runner{ID: id, Address: l.Addr().String(), listener: l, work: 2 * time.Millisecond, events: 5, open: map[net.Conn]bool{}}
+	r := &Runner{ID: id, Address: l.Addr().String(), listener: l, work: 2 * time.Millisecond, events: 5, openConns: map[net.Conn]bool{}}
 	go r.accept()
 	return r, nil
 }
@@ -89,42 +89,42 @@
 	r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c := range r.open {
+	for c := range r.openConns {
 		c.Close()
 	}
 }
 
-// Next sets how the next requests are met, one fault each, in place of what was set
+// SetNextFaults sets how the next requests are met, one fault each, in place of what was set
 // before.
-func (r *Runner) Next(faults ...Fault) {
+func (r *Runner) SetNextFaults(faults ...Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = faults
 }
 
-// Set changes how long a request takes and how many events a stream has.
-func (r *Runner) Set(work time.Duration, events int) {
+// SetWorkload changes how long a request takes and how many events a stream has.
+func (r *Runner) SetWorkload(work time.Duration, events int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.work, r.events = work, events
 }
 
-// Runs lists what the runner began to work on.
-func (r *Runner) Runs() []Run {
+// Executions lists what the runner began to work on.
+func (r *Runner) Executions() []Execution {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var runs []Run
-	for _, run := range r.runs {
-		runs = append(runs, *run)
+	var executions []Execution
+	for _, run := range r.executions {
+		executions = append(executions, *run)
 	}
-	return runs
+	return executions
 }
 
-// Connections is how many were accepted.
-func (r *Runner) Connections() int {
+// AcceptedConnections is how many were accepted.
+func (r *Runner) AcceptedConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.conns
+	return r.acceptedConns
 }
 
 func (r *Runner) accept() {
@@ -134,8 +134,8 @@
 			return
 		}
 		r.mu.Lock()
-		r.conns++
-		r.open[c] = true
+		r.acceptedConns++
+		r.openConns[c] = true
 		r.mu.Unlock()
 		go r.serve(c)
 	}
@@ -144,7 +144,7 @@
 func (r *Runner) serve(c net.Conn) {
 	defer func() {
 		r.mu.Lock()
-		delete(r.open, c)
+		delete(r.openConns, c)
 		r.mu.Unlock()
 		c.Close()
 	}()
@@ -154,13 +154,13 @@
 		if err != nil {
 			return
 		}
-		if !r.one(c, req) {
+		if !r.handleRequest(c, req) {
 			return
 		}
 	}
 }
 
-func (r *Runner) fault() Fault {
+func (r *Runner) takeNextFault() Fault {
 	if len(r.faults) == 0 {
 		return ""
 	}
@@ -169,8 +169,8 @@
 	return f
 }
 
-// one answers a request and tells whether the connection goes on.
-func (r *Runner) one(c net.Conn, req *http.Request) bool {
+// handleRequest answers a request and tells whether the connection goes on.
+func (r *Runner) handleRequest(c net.Conn, req *http.Request) bool {
 	id := req.Header.Get("X-Request-Id")
 	if req.URL.Path == "/healthz" {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Instance-Id: %s\r\nContent-Length: 0\r\n\r\n", r.ID)
@@ -182,16 +182,16 @@
 		return true
 	}
 	r.mu.Lock()
-	fault, work, events := r.fault(), r.work, r.events
+	fault, work, events := r.takeNextFault(), r.work, r.events
 	r.mu.Unlock()
-	if fault == Full {
+	if fault == QueueFull {
 		io.Copy(io.Discard, req.Body)
 		fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nX-Request-Id: %s\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", id)
 		return true
 	}
-	if fault == Early {
-		r.began(req, "")
-		fmt.Fprintf(c, "%sContent-Length: 5\r\n\r\nearly", head(200, id, r.ID))
+	if fault == RespondBeforeBody {
+		r.recordExecution(req, "")
+		fmt.Fprintf(c, "%sContent-Length: 5\r\n\r\nearly", responseHeader(200, id, r.ID))
 		time.Sleep(50 * time.Millisecond)
 		io.Copy(io.Discard, req.Body)
 		return true
@@ -200,78 +200,78 @@
 	if err != nil {
 		return false
 	}
-	run := r.began(req, string(body))
+	run := r.recordExecution(req, string(body))
 	if strings.Contains(req.URL.Path, "/stream/") {
-		return r.stream(c, req, run, fault, work, events)
+		return r.writeStream(c, req, run, fault, work, events)
 	}
-	return r.plain(c, run, fault, work)
+	return r.writeResponse(c, run, fault, work)
 }
 
-func (r *Runner) began(req *http.Request, body string) *Run {
-	run := &Run{ID: req.Header.Get("X-Request-Id"), Method: req.Method, Target: req.RequestURI, Header: req.Header, Body: body}
+func (r *Runner) recordExecution(req *http.Request, body string) *Execution {
+	run := &Execution{ID: req.Header.Get("X-Request-Id"), Method: req.Method, Target: req.RequestURI, Header: req.Header, Body: body}
 	r.mu.Lock()
-	r.runs = append(r.runs, run)
+	r.executions = append(r.executions, run)
 	r.mu.Unlock()
 	return run
 }
 
-func head(status int, id, runner string) string {
+func responseHeader(status int, id, runner string) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Request-Id: %s\r\nX-Server-Signature: sig.%s.%s\r\nKeep-Alive: timeout=5\r\n", status, http.StatusText(status), id, runner, id)
 }
 
-func (r *Runner) plain(c net.Conn, run *Run, fault Fault, work time.Duration) bool {
+func (r *Runner) writeResponse(c net.Conn, run *Execution, fault Fault, work time.Duration) bool {
 	time.Sleep(work)
 	body := "answer to " + run.ID
 	switch fault {
-	case LoseAnswer:
+	case DropResponse:
 		return false
 	case Hang:
 		buffer := make([]byte, 1)
 		_, _ = c.Read(buffer)
-		r.left(run)
+		r.markDisconnected(run)
 		return false
-	case Garbage:
+	case MalformedResponse:
 		fmt.Fprint(c, "this is no answer\r\n\r\n")
 		return false
-	case Truncate:
-		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(200, run.ID, r.ID), len(body), body[:4])
+	case TruncateBody:
+		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", responseHeader(200, run.ID, r.ID), len(body), body[:4])
 		return false
-	case Fail:
-		fmt.Fprintf(c, "%sContent-Length: 4\r\n\r\noops", head(500, run.ID, r.ID))
+	case InternalError:
+		fmt.Fprintf(c, "%sContent-Length: 4\r\n\r\noops", responseHeader(500, run.ID, r.ID))
 		return true
-	case Unframed:
-		fmt.Fprintf(c, "%sConnection: close\r\n\r\n%s", head(200, run.ID, r.ID), body)
+	case UnframedBody:
+		fmt.Fprintf(c, "%sConnection: close\r\n\r\n%s", responseHeader(200, run.ID, r.ID), body)
 		return false
 	}
-	whole := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head(200, run.ID, r.ID), len(body), body)
-	fmt.Fprint(c, whole)
-	if fault == Double {
+	response := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", responseHeader(200, run.ID, r.ID), len(body), body)
+	fmt.Fprint(c, response)
+	if fault == DuplicateResponse {
 		time.Sleep(20 * time.Millisecond)
-		fmt.Fprint(c, whole)
+		fmt.Fprint(c, response)
 	}
 	return true
 }
 
-func (r *Runner) left(run *Run) {
+func (r *Runner) markDisconnected(run *Execution) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	run.Left = true
+	run.Disconnected = true
 }
 
-func (r *Runner) stream(c net.Conn, req *http.Request, run *Run, fault Fault, work time.Duration, events int) bool {
-	after := 0
-	fmt.Sscanf(req.Header.Get("Last-Event-Id"), "%d", &after)
-	fmt.Fprintf(c, "%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", head(200, run.ID, r.ID))
-	for i := after + 1; i <= events; i++ {
+func (r *Runner) writeStream(c net.Conn, req *http.Request, run *Execution, fault Fault, work time.Duration, events int) bool {
+	lastEventID := 0
+	fmt.Sscanf(req.Header.Get("Last-Event-Id"), "%d", &lastEventID)
+	fmt.Fprintf(c, "%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", responseHeader(200, run.ID, r.ID))
+	for i := lastEventID + 1; i <= events; i++ {
 		time.Sleep(work)
 		event := fmt.Sprintf("id: %d\ndata: word%d\n\n", i, i)
-		if fault == CutStream && i == after+3 {
+		if fault == TruncateStream && i == lastEventID+3 {
 			event = event[:7]
 			fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event)
 			return false
 		}
 		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event); err != nil {
-			r.left(run)
+			r.markDisconnected(run)
 			return false
 		}
 	}
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -27,23 +27,23 @@
 }
 
 const (
-	defaultPage = 500
-	// ownerTimeout bounds the owners' own calls: an answer that is lost silently
+	defaultPageSize = 500
+	// directCallTimeout bounds the owners' own calls: an answer that is lost silently
 	// would keep them for good.
-	ownerTimeout = time.Second
+	directCallTimeout = time.Second
 )
 
 // NewStore starts a store on the loopback interface.
 func NewStore() *Store {
-	s := &Store{KV: kvserver.New(), PageSize: defaultPage}
+	s := &Store{KV: kvserver.New(), PageSize: defaultPageSize}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/kv-key", s.get)
 	mux.HandleFunc("GET /v1/kv-range", s.list)
 	mux.HandleFunc("GET /v1/kv-watch", s.watch)
 	mux.HandleFunc("POST /v1/kv-txn", s.transact)
-	mux.HandleFunc("POST /v1/kv-lease", s.grant)
-	mux.HandleFunc("POST /v1/kv-keep/{id}", s.keep)
-	mux.HandleFunc("DELETE /v1/kv-lease-end/{id}", s.end)
+	mux.HandleFunc("POST /v1/kv-lease", s.grantLease)
+	mux.HandleFunc("POST /v1/kv-keep/{id}", s.keepLeaseAlive)
+	mux.HandleFunc("DELETE /v1/kv-lease-end/{id}", s.revokeLease)
 	s.Server = httptest.NewServer(mux)
 	return s
 }
@@ -62,7 +62,7 @@
 
 // PutBytes writes any bytes.
 func (s *Store) PutBytes(key string, data []byte) error {
-	ctx, cancel := context.WithTimeout(context.Background(), ownerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), directCallTimeout)
 	defer cancel()
 	entry, err := s.KV.Get(ctx, key)
 	if err != nil {
@@ -74,7 +74,7 @@
 
 // Remove deletes a key.
 func (s *Store) Remove(key string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), ownerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), directCallTimeout)
 	defer cancel()
 	entry, err := s.KV.Get(ctx, key)
 	if err != nil {
@@ -95,11 +95,11 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-func itemOf(e kv.Entry) wireItem {
+func toWireItem(e kv.Entry) wireItem {
 	return wireItem{Key: e.Key, Value: e.Value, Revision: uint64(e.Revision), Lease: uint64(e.Lease)}
 }
 
-func (s *Store) revision(ctx context.Context) uint64 {
+func (s *Store) currentRevision(ctx context.Context) uint64 {
 	_, next, err := s.KV.Watch(ctx, "no such key", 0, 0)
 	var compacted *kv.CompactedError
 	if errors.As(err, &compacted) {
@@ -110,28 +110,28 @@
 
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	entry, err := s.KV.Get(r.Context(), r.URL.Query().Get("key"))
-	if fail(w, err) {
+	if writeFailure(w, err) {
 		return
 	}
 	if entry.Revision == 0 {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, itemOf(entry))
+	writeJSON(w, http.StatusOK, toWireItem(entry))
 }
 
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	entries, err := s.KV.List(r.Context(), q.Get("path_prefix"), q.Get("after"), s.PageSize+1)
-	if fail(w, err) {
+	if writeFailure(w, err) {
 		return
 	}
 	more := len(entries) > s.PageSize
 	items := []wireItem{}
 	for _, e := range entries[:min(len(entries), s.PageSize)] {
-		items = append(items, itemOf(e))
+		items = append(items, toWireItem(e))
 	}
-	answer(w, http.StatusOK, map[string]any{"items": items, "has_more": more, "store_revision": s.revision(r.Context())})
+	writeJSON(w, http.StatusOK, map[string]any{"items": items, "has_more": more, "store_revision": s.currentRevision(r.Context())})
 }
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
@@ -144,16 +144,16 @@
 		w.WriteHeader(http.StatusGone)
 		return
 	}
-	if fail(w, err) {
+	if writeFailure(w, err) {
 		return
 	}
 	items := []wireItem{}
 	for _, c := range changes {
-		i := itemOf(c.Entry)
-		i.Deleted = c.Deleted
-		items = append(items, i)
+		item := toWireItem(c.Entry)
+		item.Deleted = c.Deleted
+		items = append(items, item)
 	}
-	answer(w, http.StatusOK, map[string]any{"events": items, "store_revision": uint64(next)})
+	writeJSON(w, http.StatusOK, map[string]any{"events": items, "store_revision": uint64(next)})
 }
 
 type wireTransaction struct {
@@ -188,15 +188,15 @@
 	var expired *kv.LeaseExpiredError
 	switch {
 	case errors.As(err, &conflict):
-		answer(w, http.StatusPreconditionFailed, map[string]any{"items": []wireItem{itemOf(conflict.Current)}})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]any{"items": []wireItem{toWireItem(conflict.Current)}})
 	case errors.As(err, &expired):
 		w.WriteHeader(http.StatusNotFound)
-	case !fail(w, err):
-		answer(w, http.StatusOK, map[string]uint64{"revision": uint64(revision)})
+	case !writeFailure(w, err):
+		writeJSON(w, http.StatusOK, map[string]uint64{"revision": uint64(revision)})
 	}
 }
 
-func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		TTL int64 `json:"ttl_ms"`
 	}
@@ -205,20 +205,20 @@
 		return
 	}
 	id, err := s.KV.Grant(r.Context(), time.Duration(request.TTL)*time.Millisecond)
-	if !fail(w, err) {
-		answer(w, http.StatusOK, map[string]uint64{"lease": uint64(id), "ttl_ms": uint64(request.TTL)})
+	if !writeFailure(w, err) {
+		writeJSON(w, http.StatusOK, map[string]uint64{"lease": uint64(id), "ttl_ms": uint64(request.TTL)})
 	}
 }
 
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
-	s.onLease(w, r, s.KV.KeepAlive)
+func (s *Store) keepLeaseAlive(w http.ResponseWriter, r *http.Request) {
+	s.callWithLease(w, r, s.KV.KeepAlive)
 }
 
-func (s *Store) end(w http.ResponseWriter, r *http.Request) {
-	s.onLease(w, r, s.KV.Revoke)
+func (s *Store) revokeLease(w http.ResponseWriter, r *http.Request) {
+	s.callWithLease(w, r, s.KV.Revoke)
 }
 
-func (s *Store) onLease(w http.ResponseWriter, r *http.Request, call func(context.Context, kv.LeaseID) error) {
+func (s *Store) callWithLease(w http.ResponseWriter, r *http.Request, call func(context.Context, kv.LeaseID) error) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	err := call(r.Context(), kv.LeaseID(id))
 	var expired *kv.LeaseExpiredError
@@ -226,14 +226,14 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if !fail(w, err) {
-		answer(w, http.StatusOK, map[string]int{"ttl_ms": 0})
+	if !writeFailure(w, err) {
+		writeJSON(w, http.StatusOK, map[string]int{"ttl_ms": 0})
 	}
 }
 
-// fail answers for a call that the faults made fail; a lost answer cuts the
+// writeFailure answers for a call that the faults made writeFailure; a lost answer cuts the
 // connection.
-func fail(w http.ResponseWriter, err error) bool {
+func writeFailure(w http.ResponseWriter, err error) bool {
 	var lost *kvserver.LostAnswerError
 	switch {
 	case err == nil:
@@ -245,7 +245,7 @@
 	return true
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	// A client that has gone needs no answer.
