--- a/standin/site/caller.go
+++ b/standin/site/caller.go
@@ -9,37 +9,39 @@
 	"time"
 )
 
-// CallerRequest is one request of a caller; each has an id of its own.
+// CallerRequest is one HTTP request of a caller. Every request has a unique ID.
 type CallerRequest struct {
 	ID, Method, Host, Path, Body string
-	// APIKey of the caller; empty is none.
+	// APIKey is sent in the Authorization header unless it is empty.
 	APIKey string
-	// Timeout is how long the caller says that it will wait.
+	// Timeout is sent to the daemon as the time that the caller will wait.
 	Timeout time.Duration
-	// SpoofedWorkspace is what a caller may claim to be; empty is nothing.
+	// SpoofedWorkspace is sent in the X-Tenant header, which only a daemon
+	// may set, unless it is empty.
 	SpoofedWorkspace string
 }
 
-// CallerResponse is what the caller got.
+// CallerResponse is the response that a caller received.
 type CallerResponse struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Truncated says that the body did not end as a whole one.
+	// Truncated reports whether the connection failed before the body was complete.
 	Truncated bool
 }
 
-// Signature is the runner's mark on its answer; empty if it is none of a runner's.
+// Signature returns the signature that runners add to their responses. It is empty
+// for responses that a daemon made itself.
 func (a *CallerResponse) Signature() string { return a.Header.Get("X-Server-Signature") }
 
-// SendRequest sends an attempt to a daemon's address and reads the answer as far as it comes. An
-// error means that there was none.
+// SendRequest sends a request to a daemon's address and reads the response as far as it
+// arrives. It returns an error only if no response header arrived.
 func SendRequest(ctx context.Context, client *http.Client, address string, a *CallerRequest) (*CallerResponse, error) {
 	req, err := http.NewRequestWithContext(ctx, a.Method, "http://"+address+a.Path, strings.NewReader(a.Body))
 	if err != nil {
-		return nil, fmt.Errorf("ask %s: %w", address, err)
+		return nil, fmt.Errorf("create request to %s: %w", address, err)
 	}
-	// With it net/http's client repeats some requests by itself.
+	// With GetBody set, net/http's client retries some requests by itself.
 	req.GetBody = nil
 	req.Host = a.Host
 	req.Header.Set("X-Request-Id", a.ID)
@@ -52,7 +54,7 @@
 	}
 	response, err := client.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("ask %s: %w", address, err)
+		return nil, fmt.Errorf("send request to %s: %w", address, err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
--- a/standin/site/cloud.go
+++ b/standin/site/cloud.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Call is one call to the cloud.
+// Call is one recorded call to the cloud API.
 type Call struct {
 	Path   string
 	Holder string
 	Fence  string
 	Body   map[string]any
-	// At is when it came.
+	// At is the time at which the call arrived.
 	At time.Time
 }
 
-// Cloud takes reports and orders.
+// Cloud is a stand-in for the cloud API. It records every report and order.
 type Cloud struct {
 	*httptest.Server
 
 	mu    sync.Mutex
 	calls []Call
-	// NoSpot refuses orders of reclaimable runners.
+	// spotUnavailable makes the cloud refuse orders of spot runners.
 	spotUnavailable bool
 }
 
@@ -35,17 +35,17 @@
 	return c
 }
 
-// Address is the cloud's IP and port.
+// Address returns the cloud's IP address and port.
 func (c *Cloud) Address() string { return c.Listener.Addr().String() }
 
-// SetSpotUnavailable lets orders of reclaimable runners be refused.
+// SetSpotUnavailable sets whether orders of spot (reclaimable) runners are refused.
 func (c *Cloud) SetSpotUnavailable(unavailable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.spotUnavailable = unavailable
 }
 
-// Calls lists the calls to a path.
+// Calls returns the recorded calls to a path, in the order of their arrival.
 func (c *Cloud) Calls(path string) []Call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/site/daemon.go
+++ b/standin/site/daemon.go
@@ -8,25 +8,25 @@
 	"strings"
 )
 
-// Ports at which a Daemon listens.
+// Ports on which a Daemon listens.
 const (
 	callerPort    = 18221
 	readyPort     = 18224
 	directoryPort = 18220
 )
 
-// Daemon is a daemon under test at an address of its own on the loopback interface, as
-// the platform and callers see it.
+// Daemon is a client's view of a daemon under test, which listens on its own IP address
+// of the loopback interface.
 type Daemon struct{ IP string }
 
-// Name is what the daemon is called in its settings.
+// Name returns the node name in the daemon's settings.
 func (d Daemon) Name() string { return "edge-" + d.IP }
 
-// CallerAddress is where callers connect.
+// CallerAddress returns the address to which callers connect.
 func (d Daemon) CallerAddress() string { return fmt.Sprintf("%s:%d", d.IP, callerPort) }
 
-// Settings is the text of the daemon's settings file, with more lines for what a test
-// needs beside.
+// Settings returns the text of the daemon's settings file, followed by the extra lines
+// of a test.
 func (d Daemon) Settings(store, cloud, seeds string, extra ...string) string {
 	lines := []string{
 		"node_name=" + d.Name(), "zone=north", "ip=" + d.IP, "bootstrap=true", "port_range=17600,17601", "seeds=" + seeds,
@@ -39,7 +39,8 @@
 	return strings.Join(append(lines, extra...), "\n")
 }
 
-// Ready asks as the platform does whether the daemon takes callers.
+// Ready reports whether the daemon's readiness endpoint, which the platform polls,
+// says that the daemon accepts callers.
 func (d Daemon) Ready(ctx context.Context, client *http.Client) bool {
 	answer, err := get(ctx, client, fmt.Sprintf("http://%s:%d/v1/readyz", d.IP, readyPort))
 	if err != nil {
@@ -49,7 +50,8 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// ResolveHost asks which addresses a caller should use for a host.
+// ResolveHost asks the daemon's directory endpoint which addresses a caller should use for
+// a host.
 func (d Daemon) ResolveHost(ctx context.Context, client *http.Client, host string) ([]string, error) {
 	url := fmt.Sprintf("http://%s:%d/v1/resolve?name=%s&region=x&zone=north", d.IP, directoryPort, host)
 	answer, err := get(ctx, client, url)
@@ -61,7 +63,7 @@
 		Addresses []string `json:"addresses"`
 	}
 	if err := json.NewDecoder(answer.Body).Decode(&body); err != nil {
-		return nil, fmt.Errorf("directory of %s: %w", d.IP, err)
+		return nil, fmt.Errorf("decode directory response of %s: %w", d.IP, err)
 	}
 	return body.Addresses, nil
 }
--- a/standin/site/operator.go
+++ b/standin/site/operator.go
@@ -1,30 +1,31 @@
 package site
 
-// Host is the one that all routes of Configure are of, Workspace the one whose keys they
-// take.
+// Every route that PutConfig writes belongs to Host, and its API keys to Workspace.
 const (
 	Host      = "a.example"
 	Workspace = "shelter"
 )
 
-// Kinds of a Route.
+// Values of Route.Kind.
 const (
 	Idempotent = "idempotent"
 	AtMostOnce = "non_idempotent"
 	Stream     = "streaming"
 )
 
-// Route is one of an operator's; its paths begin with its name.
+// Route is a route in the operator's configuration. Its path prefix is its name.
 type Route struct {
 	Name, Kind string
-	// TimeoutMillis and TargetMillis bound an answer, Attempts its runners.
+	// TimeoutMillis bounds the time of a response and TargetMillis is its target
+	// latency. Attempts bounds the number of runners that are tried.
 	TimeoutMillis, TargetMillis, Attempts int
 	Resumable                             bool
-	// Public routes need no key.
+	// Public routes need no API key.
 	Public bool
 }
 
-// PutConfig writes a version whose routes all lead to the service of Announce.
+// PutConfig writes a version of the operator's configuration. All routes lead to the
+// service "app", to which RegisterRunner adds runners.
 func (s *Store) PutConfig(version int, routes []Route, requestsPerSecond int, apiKeys ...string) error {
 	var routeDocuments []map[string]any
 	for _, r := range routes {
@@ -42,19 +43,19 @@
 	})
 }
 
-// States of a runner's entry.
+// States of a registered runner.
 const (
 	Ready    = "ready"
 	Draining = "draining"
 )
 
-// RegisterRunner writes a runner's entry, as the runner does itself; address is where it is
-// reached.
+// RegisterRunner writes a runner's registration, which on the real platform the runner
+// writes itself. The daemons connect to address.
 func (s *Store) RegisterRunner(runner, address, state string) error {
 	return s.Put("servers/"+runner, map[string]any{
 		"service": "app", "address": address, "zone": "north", "slots": 16, "state": state, "born": 1771390509100, "seq": 1,
 	})
 }
 
-// DeregisterRunner removes a runner's entry.
+// DeregisterRunner removes a runner's registration.
 func (s *Store) DeregisterRunner(runner string) error { return s.Remove("servers/" + runner) }
--- a/standin/site/runner.go
+++ b/standin/site/runner.go
@@ -11,54 +11,56 @@
 	"time"
 )
 
-// Fault is how a runner misbehaves.
+// Fault selects how a runner mishandles one request.
 type Fault string
 
-// Faults.
+// Faults of a runner.
 const (
-	// DropResponse runs the request and closes the connection.
+	// DropResponse executes the request and closes the connection without a response.
 	DropResponse Fault = "lose_answer"
-	// TruncateBody closes the connection in the middle of the answer's body.
+	// TruncateBody closes the connection in the middle of the response body.
 	TruncateBody Fault = "truncate"
-	// DuplicateResponse sends a second answer after the first.
+	// DuplicateResponse sends the response twice.
 	DuplicateResponse Fault = "double"
-	// MalformedResponse sends bytes that are no answer.
+	// MalformedResponse sends bytes that are not an HTTP response.
 	MalformedResponse Fault = "garbage"
-	// QueueFull refuses as one whose queue is full.
+	// QueueFull refuses the request with status 503, as a runner with a full queue does.
 	QueueFull Fault = "full"
-	// InternalError answers 500.
+	// InternalError responds with status 500.
 	InternalError Fault = "fail"
-	// RespondBeforeBody answers before it has read the body.
+	// RespondBeforeBody responds before it has read the request body.
 	RespondBeforeBody Fault = "early"
-	// UnframedBody sends a body without a length that ends with the connection.
+	// UnframedBody sends a body without a length; closing the connection ends the body.
 	UnframedBody Fault = "unframed"
-	// TruncateStream ends a stream in the middle of an event.
+	// TruncateStream closes the connection in the middle of a stream's event.
 	TruncateStream Fault = "cut_stream"
-	// Hang never answers.
+	// Hang never responds.
 	Hang Fault = "hang"
 )
 
-// Execution is one request that the runner began to work on.
+// Execution is one request that the runner began to execute.
 type Execution struct {
 	ID     string
 	Method string
 	Target string
 	Header http.Header
 	Body   string
-	// Disconnected is set once the caller's connection has closed before the end.
+	// Disconnected reports whether the client closed the connection before the response
+	// was complete.
 	Disconnected bool
 }
 
-// Workspace is the one that the daemon named for the request.
+// Workspace returns the workspace that the daemon set for the request.
 func (r *Execution) Workspace() string { return r.Header.Get("X-Tenant") }
 
-// HasAPIKey tells whether the caller's key came along, which no runner may see.
+// HasAPIKey reports whether the request carries the caller's API key, which no runner
+// may see.
 func (r *Execution) HasAPIKey() bool { return r.Header.Get("Authorization") != "" }
 
-// Runner is one backend server on the loopback interface. It speaks raw sockets, so
-// that it can break the protocol.
+// Runner is one backend server on the loopback interface. It writes to raw sockets, so
+// that it can violate HTTP.
 type Runner struct {
-	// ID is what it checks a request's target against.
+	// ID must equal the X-Target-Instance header of a request if that header is set.
 	ID       string
 	Address  string
 	listener net.Listener
@@ -66,7 +68,8 @@
 	mu         sync.Mutex
 	executions []*Execution
 	faults     []Fault
-	// Work is how long a request takes, Events how many events a stream has.
+	// work is the time that a request takes, or one event of a stream. events is the
+	// number of events in a stream.
 	work          time.Duration
 	events        int
 	acceptedConns int
@@ -84,7 +87,7 @@
 	return r, nil
 }
 
-// Close ends the runner as a crash does.
+// Close stops listening and closes all connections at once, as a crash does.
 func (r *Runner) Close() {
 	r.listener.Close()
 	r.mu.Lock()
@@ -94,22 +97,22 @@
 	}
 }
 
-// SetNextFaults sets how the next requests are met, one fault each, in place of what was set
-// before.
+// SetNextFaults replaces the faults of the next requests. Each request takes one fault.
 func (r *Runner) SetNextFaults(faults ...Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = faults
 }
 
-// SetWorkload changes how long a request takes and how many events a stream has.
+// SetWorkload changes the time that a request or an event takes and the number of events in
+// a stream.
 func (r *Runner) SetWorkload(work time.Duration, events int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.work, r.events = work, events
 }
 
-// Executions lists what the runner began to work on.
+// Executions returns copies of all executions so far.
 func (r *Runner) Executions() []Execution {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +123,7 @@
 	return executions
 }
 
-// AcceptedConnections is how many were accepted.
+// AcceptedConnections returns the number of connections accepted so far.
 func (r *Runner) AcceptedConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,7 +172,7 @@
 	return f
 }
 
-// handleRequest answers a request and tells whether the connection goes on.
+// handleRequest responds to a request and reports whether the connection stays open.
 func (r *Runner) handleRequest(c net.Conn, req *http.Request) bool {
 	id := req.Header.Get("X-Request-Id")
 	if req.URL.Path == "/healthz" {
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -1,8 +1,8 @@
-// Package site holds small stand-ins of the users' platform for tests, spoken to by
-// its published protocol: the metadata store (over the product's own key-value
-// stand-in and its faults), runners that can misbehave on the wire, and the cloud.
-// It states the wire names a second time on purpose: a name that the adapter gets
-// wrong must not be right here by using the same constant.
+// Package site holds small stand-ins for the customers' platform that tests reach
+// through the platform's published protocol: the metadata store (backed by package
+// kvserver with its fault injection), runners that can violate HTTP, and the cloud API.
+// The wire names are repeated here instead of being shared with the platform adapter,
+// so that tests detect a wrong name in the adapter.
 package site
 
 import (
@@ -18,18 +18,18 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Store serves a key-value stand-in by the platform's protocol.
+// Store serves a kvserver.Store through the platform's protocol.
 type Store struct {
 	*httptest.Server
 	KV *kvserver.Store
-	// PageSize bounds the items of one page.
+	// PageSize is the maximum number of items in one page of a list.
 	PageSize int
 }
 
 const (
 	defaultPageSize = 500
-	// directCallTimeout bounds the owners' own calls: an answer that is lost silently
-	// would keep them for good.
+	// directCallTimeout bounds the calls of Put, PutBytes and Remove, which would block
+	// forever when a fault drops the response without an error.
 	directCallTimeout = time.Second
 )
 
@@ -48,10 +48,10 @@
 	return s
 }
 
-// Address is the store's IP and port.
+// Address returns the store's IP address and port.
 func (s *Store) Address() string { return s.Listener.Addr().String() }
 
-// Put writes a key as its owner does, whatever stands there.
+// Put writes value as JSON, whatever the key's present revision.
 func (s *Store) Put(key string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return s.PutBytes(key, data)
 }
 
-// PutBytes writes any bytes.
+// PutBytes writes data without encoding it, so that tests can store invalid JSON.
 func (s *Store) PutBytes(key string, data []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), directCallTimeout)
 	defer cancel()
@@ -72,7 +72,7 @@
 	return err
 }
 
-// Remove deletes a key.
+// Remove deletes a key, whatever its present revision. A missing key is no error.
 func (s *Store) Remove(key string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), directCallTimeout)
 	defer cancel()
@@ -81,7 +81,7 @@
 		return err
 	}
 	if entry.Revision == 0 {
-		// The answer to a former try was lost.
+		// The response to an earlier attempt to remove the key was lost.
 		return nil
 	}
 	return s.KV.Delete(ctx, key, entry.Revision)
@@ -169,7 +169,8 @@
 	Remove []string `json:"remove"`
 }
 
-// transact takes what the product sends: one condition with one put or removal.
+// transact supports only the transactions that the platform adapter sends: one expected
+// revision with one put or one removal.
 func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
 	var t wireTransaction
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil || len(t.Expected) != 1 || len(t.Puts)+len(t.Remove) != 1 {
@@ -231,8 +232,8 @@
 	}
 }
 
-// writeFailure answers for a call that the faults made writeFailure; a lost answer cuts the
-// connection.
+// writeFailure responds with status 503 if err is set, and reports whether it is. For a
+// lost answer it aborts the connection instead.
 func writeFailure(w http.ResponseWriter, err error) bool {
 	var lost *kvserver.LostAnswerError
 	switch {
@@ -248,6 +249,6 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A client that has gone needs no answer.
+	// Encoding fails only when the client has closed the connection.
 	_ = json.NewEncoder(w).Encode(body)
 }
