--- a/standin/site/runner.go
+++ b/standin/site/runner.go
@@ -163,7 +163,7 @@
 	}
 }
 
-func (r *Runner) takeNextFault() Fault {
+func (r *Runner) nextFault() Fault {
 	if len(r.faults) == 0 {
 		return ""
 	}
@@ -185,14 +185,14 @@
 		return true
 	}
 	r.mu.Lock()
-	fault, work, events := r.takeNextFault(), r.work, r.events
+	nextFault, work, events := r.nextFault(), r.work, r.events
 	r.mu.Unlock()
-	if fault == QueueFull {
+	if nextFault == QueueFull {
 		io.Copy(io.Discard, req.Body)
 		fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nX-Request-Id: %s\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", id)
 		return true
 	}
-	if fault == RespondBeforeBody {
+	if nextFault == RespondBeforeBody {
 		r.recordExecution(req, "")
 		fmt.Fprintf(c, "%sContent-Length: 5\r\n\r\nearly", responseHeader(200, id, r.ID))
 		time.Sleep(50 * time.Millisecond)
@@ -205,9 +205,9 @@
 	}
 	run := r.recordExecution(req, string(body))
 	if strings.Contains(req.URL.Path, "/stream/") {
-		return r.writeStream(c, req, run, fault, work, events)
+		return r.writeStream(c, req, run, nextFault, work, events)
 	}
-	return r.writeResponse(c, run, fault, work)
+	return r.writeResponse(c, run, nextFault, work)
 }
 
 func (r *Runner) recordExecution(req *http.Request, body string) *Execution {
