--- a/daemon/actions/history_test.go
+++ b/daemon/actions/history_test.go
@@ -64,7 +64,7 @@
 		w.sleep(100 * time.Millisecond)
 		_, key, _ := strings.Cut(r.Header.Get(dispatch.HeaderAction), "/")
 		answer := fmt.Sprintf("%s#%d", body, w.intN(1<<30))
-		w.history.Ran(time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, string(body), answer)
+		w.history.RecordRun(time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, string(body), answer)
 		switch behavior {
 		case 1:
 			panic(http.ErrAbortHandler)
@@ -134,7 +134,7 @@
 	if err != nil {
 		r.Refusal = refusal.From(err)
 	}
-	w.history.Told(from, time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, body, r)
+	w.history.RecordResult(from, time.Now(), actionkey.ID{Workspace: "huaman", Key: key}, body, r)
 }
 
 // injectFault injects one random fault.
@@ -213,10 +213,10 @@
 	w.f.daemons = append(w.f.daemons, d)
 }
 
-// Checks random histories of calls and faults against the guarantees given to
-// callers: a call runs at most once, and answers about it don't contradict each
-// other. The gateways run as in a daemon, with their goroutines, calls to each
-// other and connections to runners.
+// TestHistories checks random histories of calls and faults against the
+// guarantees given to callers: a call runs at most once, and answers about it
+// don't contradict each other. The gateways run as in a daemon, with their
+// goroutines, calls to each other and connections to runners.
 func TestHistories(t *testing.T) {
 	var yes, no, unknown, runs int
 	for seed := range *histories {
@@ -234,7 +234,7 @@
 			time.Sleep(time.Minute)
 			synctest.Wait()
 		})
-		if !w.history.Legal() {
+		if !w.history.IsValid() {
 			t.Errorf("seed %d: history violates the guarantees", seed)
 		}
 		yes, no, unknown, runs = yes+w.history.Yes, no+w.history.No, unknown+w.history.Unknown, runs+w.history.Runs
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -10,8 +10,8 @@
 	"geraniumstack.org/geraniumstack/transport/exposition"
 )
 
-// adminHandler serves the operators' listener: health, readiness, metrics,
-// profiles and the administration API.
+// adminHandler returns the handler of the admin listener: health, readiness,
+// metrics, profiles and the admin API.
 func (d *Daemon) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", d.health)
@@ -32,19 +32,19 @@
 		credentials = append(credentials, adminapi.Credential{Name: c.Name, KeyHash: c.KeyHash, Role: adminapi.Role(c.Role)})
 	}
 	return adminapi.NewHandler(adminapi.Config{
-		Control: d.control, Store: d.store, Credentials: credentials, Usage: d.usageList,
+		Control: d.control, Store: d.store, Credentials: credentials, Usage: d.listUsage,
 	})
 }
 
-func (d *Daemon) usageList() []adminapi.Usage {
+func (d *Daemon) listUsage() []adminapi.Usage {
 	var out []adminapi.Usage
-	for ws, c := range d.usage.Snapshot() {
+	for workspace, c := range d.usage.Snapshot() {
 		refused := map[string]int64{}
 		for reason, n := range c.Refused {
 			refused[string(reason)] = n
 		}
 		out = append(out, adminapi.Usage{
-			Workspace: string(ws), Accepted: c.Accepted, Answered: c.Answered,
+			Workspace: string(workspace), Accepted: c.Accepted, Answered: c.Answered,
 			GeneratedTokens: c.GeneratedTokens, Refused: refused,
 		})
 	}
@@ -52,30 +52,32 @@
 	return out
 }
 
-// health says that the process answers.
-func (d *Daemon) health(w http.ResponseWriter, _ *http.Request) { answerProbe(w, true, "ok") }
+// health serves the liveness probe: it always succeeds while the process can
+// answer.
+func (d *Daemon) health(w http.ResponseWriter, _ *http.Request) { writeProbeResponse(w, true, "ok") }
 
-// ready says whether callers should be sent here: a configuration is in force
+// ready serves the readiness probe: it succeeds if a configuration is in force
 // and no shutdown has begun.
 func (d *Daemon) ready(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-d.draining:
-		answerProbe(w, false, "draining")
+		writeProbeResponse(w, false, "draining")
 		return
 	default:
 	}
 	if m, _ := d.control.Current(); m == nil {
-		answerProbe(w, false, "no configuration in force")
+		writeProbeResponse(w, false, "no configuration in force")
 		return
 	}
-	answerProbe(w, true, "ready")
+	writeProbeResponse(w, true, "ready")
 }
 
-func answerProbe(w http.ResponseWriter, good bool, text string) {
+func writeProbeResponse(w http.ResponseWriter, ok bool, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	if !good {
+	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	// The prober has gone when this fails; there is nobody to tell.
+	// A write error means that the prober has disconnected, so there is nobody
+	// to report it to.
 	_, _ = w.Write([]byte(text + "\n"))
 }
--- a/daemon/control/collect.go
+++ b/daemon/control/collect.go
@@ -14,31 +14,33 @@
 )
 
 const (
-	// collectEvery is the number of generations between two collections of
-	// unreferenced sections.
-	collectEvery = 64
-	collectPage  = 16
-	// collectRetry is the pause after a collection that failed.
-	collectRetry = 5 * time.Second
+	// collectionInterval is the number of generations between two collections
+	// of unreferenced sections.
+	collectionInterval = 64
+	collectionPageSize = 16
+	// collectionRetryDelay is the delay before a failed collection is retried.
+	collectionRetryDelay = 5 * time.Second
 )
 
-// noteCollection makes a collection due if it is a generation's turn. Guards
-// against a collection that nobody makes: one that was only started at the
-// acceptance was lost when Run had not begun or the key-value service went down,
-// and showed as sections that stayed for 64 more changes. The note waits in the
-// channel for collectLoop, which tries until it has succeeded. A crash in
-// between still leaves the sections to the next turn.
-func (c *Control) noteCollection(generation ident.Generation) {
-	if generation%collectEvery != 0 {
+// scheduleCollection signals collectLoop that a collection is due if the
+// generation is a multiple of collectionInterval. A collection that was started
+// directly at acceptance was lost if Run had not begun or the key-value service
+// went down, and the unreferenced sections then stayed for 64 more changes. The
+// signal waits in the channel instead, and collectLoop retries until the
+// collection succeeds. A crash in between still postpones the collection by
+// collectionInterval generations.
+func (c *Control) scheduleCollection(generation ident.Generation) {
+	if generation%collectionInterval != 0 {
 		return
 	}
 	select {
 	case c.collectionDue <- struct{}{}:
-	default: // one is due already
+	default: // a collection is already due
 	}
 }
 
-// collectLoop makes the collections that are due.
+// collectLoop runs the collections that scheduleCollection signals and retries
+// each until it succeeds.
 func (c *Control) collectLoop(ctx context.Context) {
 	for {
 		select {
@@ -51,25 +53,26 @@
 			if err == nil {
 				break
 			}
-			klog.V(1).InfoS("Collection of sections ended early", "err", err)
-			if !pause.For(ctx, c.jittered(collectRetry)) {
+			klog.V(1).InfoS("Collection of unreferenced sections failed; it will be retried", "err", err)
+			if !pause.For(ctx, c.jittered(collectionRetryDelay)) {
 				return
 			}
 		}
 	}
 }
 
-// collect deletes the old sections that no remembered configuration names.
+// collect deletes the sections older than minSectionAge that no configuration
+// in the history references.
 func (c *Control) collect(ctx context.Context) error {
 	after := sectionPrefix
 	for {
-		page, err := c.listPage(ctx, sectionPrefix, after, collectPage)
+		page, err := c.listPage(ctx, sectionPrefix, after, collectionPageSize)
 		if err != nil || len(page) == 0 {
 			return err
 		}
 		after = page[len(page)-1].Key
-		// The head is read after the list, so a section that it names by now is
-		// not taken for unreferenced.
+		// The head is read after the page of sections, so a section that the
+		// head has begun to reference in the meantime is not deleted.
 		head, _, err := c.readHead(ctx)
 		if err != nil {
 			return err
@@ -81,15 +84,15 @@
 }
 
 func (c *Control) deleteUnreferenced(ctx context.Context, page []kv.Entry, head config.Head) error {
-	named := map[string]bool{}
+	referenced := map[string]bool{}
 	for _, accepted := range head.History() {
 		for _, hash := range accepted.Sections {
-			named[sectionKey(hash)] = true
+			referenced[sectionKey(hash)] = true
 		}
 	}
 	for _, entry := range page {
 		written, _, err := decodeSection(entry.Key, entry.Value)
-		if named[entry.Key] || (err == nil && time.Since(written) < sectionKeepAtLeast) {
+		if referenced[entry.Key] || (err == nil && time.Since(written) < minSectionAge) {
 			continue
 		}
 		err = c.write(func() error { return c.cfg.Store.Delete(ctx, entry.Key, entry.Revision) })
--- a/daemon/control/control_test.go
+++ b/daemon/control/control_test.go
@@ -17,19 +17,20 @@
 	"geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// inBubble runs a test of a whole fleet in virtual time.
-func inBubble(t *testing.T, test func(is *is.I, f *fleet)) {
+// runWithFleet runs a test with five daemons in a synctest bubble, that is, in
+// virtual time.
+func runWithFleet(t *testing.T, test func(is *is.I, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
-		f.until(5*time.Second, "all know each other", f.acquainted)
+		f.waitUntil(5*time.Second, "all daemons see each other as live", f.allLive)
 		test(is.New(t), f)
 	})
 }
 
 func TestAcceptedConfigurationIsInForceEverywhere(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		m, generation := f.daemons[0].Current()
 		is.True(m == nil)
 		is.Equal(int(generation), 0)
@@ -39,25 +40,24 @@
 		is.True(outcome.InForceEverywhere)
 		is.Equal(len(outcome.Domains), 4)
 		is.True(time.Since(begin) < time.Second)
-		f.until(time.Second, "in force at every daemon", f.inForce(1))
+		f.waitUntil(time.Second, "in force at every daemon", f.inForce(1))
 	})
 }
 
-// measureSpread brings one configuration into force, then changes the network or
-// the service in the moment in which the next is accepted, and returns how long
-// that one takes to the last daemon. Links have 20 ms one way, as if between
-// regions.
-func measureSpread(t *testing.T, harm func(f *fleet)) (took time.Duration) {
-	inBubble(t, func(is *is.I, f *fleet) {
-		f.network.set(func(n *network) { n.delay = 20 * time.Millisecond })
+// measurePropagation brings one configuration into force, injects faults at the
+// moment the next one is accepted, and returns how long that one takes to reach
+// the last daemon. The one-way delay is 20 ms, as between regions.
+func measurePropagation(t *testing.T, injectFaults func(f *fleet)) (took time.Duration) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
+		f.network.update(func(n *network) { n.delay = 20 * time.Millisecond })
 		_, err := f.apply(0, 4, "first")
 		is.NoErr(err)
-		f.until(time.Second, "first in force", f.inForce(1))
+		f.waitUntil(time.Second, "first in force", f.inForce(1))
 		var begin time.Time
-		f.network.set(func(*network) {
+		f.network.update(func(*network) {
 			f.afterSwap = func() {
 				begin = time.Now()
-				harm(f)
+				injectFaults(f)
 			}
 		})
 		done := make(chan struct{})
@@ -66,16 +66,17 @@
 			_, err := f.apply(3, 5, "second")
 			is.NoErr(err)
 		}()
-		f.until(12*time.Second, "second in force at every daemon", f.inForce(2))
+		f.waitUntil(12*time.Second, "second in force at every daemon", f.inForce(2))
 		took = time.Since(begin)
 		<-done
 	})
 	return took
 }
 
-// An operator's apply succeeds, and in the same moment the key-value service goes
-// down, slow or silent. The users of the other failure domains would be served
-// by the old settings until it is well again, if only it could tell of new ones.
+// The key-value service goes down, becomes slow or stops answering watches at
+// the moment a configuration is accepted. Daemons must learn of it from their
+// peers; otherwise other failure domains would use the old configuration until
+// the service recovers.
 func TestTimeFromAcceptanceToInForce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -83,7 +84,7 @@
 	for name, faults := range map[string]kvserver.Faults{
 		"up": {}, "down": {Outage: true}, "slow": {DelayMillis: 1500}, "silent": {SilentWatches: true},
 	} {
-		times[name] = measureSpread(t, func(f *fleet) { f.store.SetFaults(faults) })
+		times[name] = measurePropagation(t, func(f *fleet) { f.store.SetFaults(faults) })
 		t.Logf("service %s: in force at the last daemon %s after acceptance", name, times[name])
 	}
 	is.True(times["up"] < time.Second)
@@ -91,60 +92,62 @@
 	is.True(times["slow"] < 3*time.Second)
 }
 
-// The answer to the accepting swap is lost and the service goes down with it. The
-// operator must not be told that nothing happened, and once the service is back
-// the same call has to find the change accepted, once.
-func TestLostAnswerAndOutage(t *testing.T) {
+// The response to the swap that accepts a configuration is lost, and the
+// service goes down at the same time. The error must say that the outcome is
+// unknown, and after the outage a repeated submission must find the
+// configuration accepted exactly once.
+func TestLostSwapResponseFollowedByOutage(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		f.store.SetFaults(kvserver.Faults{LoseAnswers: 1, LosePrefix: "config/head"})
-		f.network.set(func(*network) {
+		f.network.update(func(*network) {
 			f.afterSwap = func() { f.store.SetFaults(kvserver.Faults{Outage: true}) }
 		})
 		_, err := f.apply(0, 4, "first")
 		var unknown *config.OutcomeUnknownError
 		is.True(errors.As(err, &unknown))
 		f.store.SetFaults(kvserver.Faults{})
-		f.until(15*time.Second, "in force at every daemon", f.inForce(1))
+		f.waitUntil(15*time.Second, "in force at every daemon", f.inForce(1))
 		outcome, err := f.apply(2, 4, "first")
 		is.NoErr(err)
 		is.Equal(int(outcome.Accepted.Generation), 1)
 	})
 }
 
-// The daemon that took an operator's call crashes in the moment of acceptance, and
-// all watches are silent. The change is accepted and nobody is told of it.
+// The daemon that handles an apply crashes at the moment of acceptance while
+// all watches are stalled, so no daemon is told of the accepted configuration.
+// It must still come into force everywhere.
 func TestAcceptingDaemonCrashesAndWatchesAreSilent(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		f.store.SetFaults(kvserver.Faults{SilentWatches: true})
-		f.network.set(func(*network) {
+		f.network.update(func(*network) {
 			f.afterSwap = func() { f.daemons[3].cancel() }
 		})
 		ctx, cancel := context.WithCancel(f.t.Context())
-		f.network.set(func(n *network) {
+		f.network.update(func(n *network) {
 			for j := range 5 {
 				n.cut[[2]string{address(3), address(j)}] = true
 				n.cut[[2]string{address(j), address(3)}] = true
 			}
 		})
-		_, _ = f.daemons[3].Apply(ctx, control.Submission{Manifest: sample(4), Author: "ana", ID: "first", Expected: -1})
+		_, _ = f.daemons[3].Apply(ctx, control.Submission{Manifest: testManifest(4), Author: "ana", ID: "first", Expected: -1})
 		cancel()
-		f.network.set(func(n *network) { n.cut = map[[2]string]bool{} })
+		f.network.update(func(n *network) { n.cut = map[[2]string]bool{} })
 		f.restart(3)
-		took := f.until(30*time.Second, "in force at every daemon", f.inForce(1))
+		took := f.waitUntil(30*time.Second, "in force at every daemon", f.inForce(1))
 		f.t.Logf("in force at the last daemon %s after acceptance", took)
 	})
 }
 
-// Two failure domains lose sight of the other two while an operator changes the
-// settings on one side and the service is down right after. The other side has
-// to catch up when the cut is over, without the service.
-func TestCutDomainsAndOutage(t *testing.T) {
+// Two failure domains are partitioned from the other two while a configuration
+// is applied on one side, and the key-value service goes down right after. Once
+// the partition heals, the other side must catch up without the service.
+func TestPartitionedDomainsCatchUpDuringOutage(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		cut := func(on bool) {
-			f.network.set(func(n *network) {
+			f.network.update(func(n *network) {
 				for _, a := range []int{0, 1, 4} {
 					for _, b := range []int{2, 3} {
 						n.cut[[2]string{address(a), address(b)}] = on
@@ -154,7 +157,7 @@
 			})
 		}
 		cut(true)
-		f.network.set(func(*network) {
+		f.network.update(func(*network) {
 			f.afterSwap = func() { f.store.SetFaults(kvserver.Faults{Outage: true}) }
 		})
 		outcome, err := f.apply(0, 4, "first")
@@ -169,73 +172,74 @@
 		is.Equal(lacking, 2)
 		time.Sleep(20 * time.Second)
 		cut(false)
-		f.until(5*time.Second, "in force at every daemon", f.inForce(1))
-		f.until(5*time.Second, "all live again", f.acquainted)
+		f.waitUntil(5*time.Second, "in force at every daemon", f.inForce(1))
+		f.waitUntil(5*time.Second, "all live again", f.allLive)
 	})
 }
 
-// A daemon restarts while the key-value service is down. Its callers would be
-// refused for the whole outage although the daemons around it have the
-// configuration.
-func TestRestartInOutageTakesThePeersConfiguration(t *testing.T) {
+// A daemon restarts while the key-value service is down. It must fetch the
+// configuration from its peers; otherwise it would refuse its callers for the
+// whole outage.
+func TestRestartDuringOutageFetchesConfigurationFromPeers(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		_, err := f.apply(0, 4, "first")
 		is.NoErr(err)
-		f.until(time.Second, "first in force", f.inForce(1))
+		f.waitUntil(time.Second, "first in force", f.inForce(1))
 		f.store.SetFaults(kvserver.Faults{Outage: true})
 		f.crash(4)
 		f.restart(4)
 		m, _ := f.daemons[4].Current()
 		is.True(m == nil)
-		f.until(3*time.Second, "in force at the restarted one", f.inForce(1))
+		f.waitUntil(3*time.Second, "in force at the restarted daemon", f.inForce(1))
 	})
 }
 
-// The key-value service comes back from an outage with the state of yesterday.
-// Daemons that obeyed it would fall back to old limits and credentials, and the
-// next change would get a generation that is in force already and be ignored.
-func TestRestoredServiceDoesNotRevert(t *testing.T) {
+// The key-value service is restored from an old backup. Daemons that followed
+// it would revert to old limits and credentials, and the next change would get
+// a generation that is already in force and be ignored.
+func TestRestoredStoreDoesNotRevertConfiguration(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		_, err := f.apply(0, 4, "first")
 		is.NoErr(err)
 		old, err := f.store.Get(t.Context(), "config/head")
 		is.NoErr(err)
 		_, err = f.apply(1, 5, "second")
 		is.NoErr(err)
-		f.until(time.Second, "second in force", f.inForce(2))
+		f.waitUntil(time.Second, "second in force", f.inForce(2))
 		now, err := f.store.Get(t.Context(), "config/head")
 		is.NoErr(err)
 		_, err = f.store.CompareAndSwap(t.Context(), "config/head", now.Revision, old.Value, 0)
 		is.NoErr(err)
 		time.Sleep(time.Minute)
-		f.until(0, "second still in force", f.inForce(2))
+		f.waitUntil(0, "second still in force", f.inForce(2))
 		outcome, err := f.apply(2, 6, "third")
 		is.NoErr(err)
 		is.Equal(int(outcome.Accepted.Generation), 3)
-		f.until(time.Second, "third in force", f.inForce(3))
+		f.waitUntil(time.Second, "third in force", f.inForce(3))
 	})
 }
 
-// All watches go silent at once: the connections stay open and nothing comes.
-// One daemon's change would never reach the others if they relied on them.
+// All watches stall at once: their connections stay open, but no event arrives.
+// A change must reach all daemons without them.
 func TestSilentWatches(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		f.store.SetFaults(kvserver.Faults{SilentWatches: true})
 		outcome, err := f.apply(2, 4, "first")
 		is.NoErr(err)
 		is.True(outcome.InForceEverywhere)
-		f.until(time.Second, "in force at every daemon", f.inForce(1))
+		f.waitUntil(time.Second, "in force at every daemon", f.inForce(1))
 	})
 }
 
-// The cloud's notice for a runner's VM reaches one daemon. Calls that others
-// send there would be cut off when it goes.
-func TestNoticedRunnerLeavesEverywhere(t *testing.T) {
+// One daemon learns that a runner's VM is leaving. All daemons must learn of
+// it; otherwise calls that they send to that runner would be cut off when the
+// VM stops.
+func TestRunnerNoticeReachesAllDaemons(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		f.cloud.mu.Lock()
 		f.cloud.vms = []cloudapi.VM{{ID: "vm-1", Address: "10.1.0.1:9000", Service: "casos", State: cloudapi.VMLive}}
 		f.cloud.mu.Unlock()
@@ -250,18 +254,19 @@
 				return true
 			}
 		}
-		f.until(5*time.Second, "runner listed", state(view.Live))
+		f.waitUntil(5*time.Second, "runner listed", state(view.Live))
 		f.daemons[1].NoteLeaving("10.1.0.1:9000", 20*time.Second)
-		took := f.until(3*time.Second, "leaving everywhere", state(view.Leaving))
-		f.t.Logf("leaving everywhere %s after the first word", took)
+		took := f.waitUntil(3*time.Second, "leaving everywhere", state(view.Leaving))
+		f.t.Logf("leaving everywhere %s after the first report", took)
 	})
 }
 
-// An entry VM gets its notice. Callers that are still sent there would lose
-// what they have just begun; the daemon itself has to hear of it, too.
-func TestNoticedEntryVMLeavesEverywhere(t *testing.T) {
+// An entry VM gets a termination notice. All daemons, including the one on that
+// VM, must learn of it; otherwise callers sent there would lose requests that
+// they have just begun.
+func TestEntryVMNoticeReachesAllDaemons(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		f.cloud.notice("vm-entry-2", "10.0.0.3", 30*time.Second)
 		left := func() bool {
 			for _, d := range f.daemons {
@@ -271,7 +276,7 @@
 			}
 			return f.daemons[2].Self().State == view.Leaving
 		}
-		took := f.until(3*time.Second, "leaving everywhere", left)
+		took := f.waitUntil(3*time.Second, "leaving everywhere", left)
 		f.t.Logf("leaving everywhere %s after the notice", took)
 	})
 }
@@ -286,42 +291,44 @@
 	return view.Gone
 }
 
-// A daemon is paused for ten seconds and goes on. The others suspect it; if that
-// were final, a healthy entry VM would never be used again.
-func TestPausedDaemonComesBack(t *testing.T) {
+// A daemon pauses for ten seconds and resumes. The others mark it suspect, but
+// must mark it live again; otherwise a healthy entry VM would never be used
+// again.
+func TestPausedDaemonBecomesLiveAgain(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
-		f.network.set(func(n *network) { n.paused[address(4)] = true })
-		f.until(10*time.Second, "suspect", func() bool { return stateOf(f.daemons[0], 4, f) == view.Suspect })
-		f.network.set(func(n *network) { n.paused[address(4)] = false })
-		f.until(5*time.Second, "live again everywhere", f.acquainted)
+	runWithFleet(t, func(is *is.I, f *fleet) {
+		f.network.update(func(n *network) { n.paused[address(4)] = true })
+		f.waitUntil(10*time.Second, "suspect", func() bool { return stateOf(f.daemons[0], 4, f) == view.Suspect })
+		f.network.update(func(n *network) { n.paused[address(4)] = false })
+		f.waitUntil(5*time.Second, "live again everywhere", f.allLive)
 	})
 }
 
-// An entry VM crashes and is replaced at the same address. As long as the former
-// incarnation counts as a daemon, work that only it can do is waited for.
-func TestReplacedEntryVMEndsTheFormerIncarnation(t *testing.T) {
+// An entry VM crashes and is replaced at the same address. The previous
+// incarnation must be removed from the directory; otherwise other daemons would
+// keep waiting for work that only it can do.
+func TestReplacedEntryVMRemovesPreviousIncarnation(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		f.crash(3)
 		f.restart(3)
-		f.until(10*time.Second, "only the new incarnation", func() bool {
+		f.waitUntil(10*time.Second, "only the new incarnation", func() bool {
 			for _, d := range f.daemons {
 				if len(d.Daemons()) != 5 {
 					return false
 				}
 			}
-			return f.acquainted()
+			return f.allLive()
 		})
 	})
 }
 
-// Two daemons cannot reach each other while both reach the rest. Each would
-// spread its suspicion and take the other out of service for everybody.
-func TestCutPairStaysInService(t *testing.T) {
+// Two daemons cannot reach each other, but both reach the rest. Neither must be
+// taken out of service because the other suspects it.
+func TestPartitionedPairStaysLive(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
-		f.network.set(func(n *network) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
+		f.network.update(func(n *network) {
 			n.cut[[2]string{address(0), address(1)}] = true
 			n.cut[[2]string{address(1), address(0)}] = true
 		})
@@ -336,81 +343,83 @@
 	})
 }
 
-// The control traffic of daemons that have no news must stay what the heartbeats
-// cost: news that is sent back and forth for ever would fill the network.
-func TestQuietFleetSendsHeartbeatsOnly(t *testing.T) {
+// Without changes, daemons must exchange heartbeats only. Changes that daemons
+// keep sending back and forth would fill the network.
+func TestIdleFleetSendsOnlyHeartbeats(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		_, err := f.apply(0, 4, "first")
 		is.NoErr(err)
 		time.Sleep(10 * time.Second)
 		var calls, bytes int64
-		f.network.set(func(n *network) { calls, bytes = n.calls, n.bytes })
+		f.network.update(func(n *network) { calls, bytes = n.calls, n.bytes })
 		time.Sleep(time.Minute)
-		f.network.set(func(n *network) { calls, bytes = n.calls-calls, n.bytes-bytes })
+		f.network.update(func(n *network) { calls, bytes = n.calls-calls, n.bytes-bytes })
 		f.t.Logf("%.1f calls/s, %.0f body bytes a call", float64(calls)/60, float64(bytes)/float64(calls))
-		is.True(calls < 60*5*5) // five daemons with four links each, once a second
+		is.True(calls < 60*5*5) // five daemons with four links each, one exchange a second
 	})
 }
 
-// Operators change the settings for years. Sections that no remembered
-// configuration names would fill the key-value service.
+// Sections that no configuration in the history references must be deleted;
+// otherwise they would fill the key-value service over the years.
 func TestOldSectionsAreCollected(t *testing.T) {
 	t.Parallel()
-	collectedAfter(t, (*fleet).changeTwice)
+	checkCollection(t, (*fleet).acceptLastTwo)
 }
 
-// The change that a collection is due with is accepted by a daemon that has just
-// started and whose Run has not begun. The collection was dropped then, and the
-// old sections stayed until 64 changes later.
+// The change that makes a collection due is accepted by a daemon whose Run has
+// not begun. The collection used to be dropped then, and the unreferenced
+// sections stayed for 64 more changes.
 func TestCollectionDueBeforeRun(t *testing.T) {
 	t.Parallel()
-	collectedAfter(t, func(f *fleet) {
+	checkCollection(t, func(f *fleet) {
 		f.crash(0)
 		f.reconnect(0)
 		f.daemons[0] = f.prepare(0)
-		f.changeTwice()
+		f.acceptLastTwo()
 		f.run(f.daemons[0])
 	})
 }
 
-// The key-value service goes down just after the change that a collection is due
-// with. The collection was given up then, and nobody tried it again when the
-// service came back: the old sections stayed until 64 changes later.
-func TestCollectionOutlastsOutage(t *testing.T) {
+// The key-value service goes down just after the change that makes a collection
+// due. The collection used to be abandoned without a retry, and the
+// unreferenced sections stayed for 64 more changes.
+func TestCollectionIsRetriedAfterOutage(t *testing.T) {
 	t.Parallel()
-	collectedAfter(t, func(f *fleet) {
-		f.change(62)
-		f.network.set(func(*network) {
+	checkCollection(t, func(f *fleet) {
+		f.acceptChange(62)
+		f.network.update(func(*network) {
 			f.afterSwap = func() { f.store.SetFaults(kvserver.Faults{Outage: true}) }
 		})
-		f.change(63)
+		f.acceptChange(63)
 		time.Sleep(time.Minute)
 		f.store.SetFaults(kvserver.Faults{})
 	})
 }
 
-// change accepts a configuration that differs from all others in one section.
-func (f *fleet) change(n int) {
+// acceptChange applies a configuration that differs from all others in one
+// section.
+func (f *fleet) acceptChange(n int) {
 	if _, err := f.apply(0, n+1, fmt.Sprint(n)); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *fleet) changeTwice() {
-	f.change(62)
-	f.change(63)
+func (f *fleet) acceptLastTwo() {
+	f.acceptChange(62)
+	f.acceptChange(63)
 }
 
-// collectedAfter makes 62 changes, lets them grow old, and checks that the old
-// sections go a minute after the last two, which are up to the caller.
-func collectedAfter(t *testing.T, lastTwo func(f *fleet)) {
+// checkCollection applies 62 changes, advances the clock until their sections
+// are old enough to delete, runs lastTwo, which applies the last two changes,
+// and checks a minute later that the unreferenced sections are deleted.
+func checkCollection(t *testing.T, lastTwo func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleetOf(t, 1)
 		defer f.stop()
 		for n := range 62 {
-			f.change(n)
+			f.acceptChange(n)
 		}
 		f.crash(0)
 		time.Sleep(25 * time.Hour)
@@ -419,8 +428,8 @@
 		time.Sleep(time.Minute)
 		sections, err := f.store.List(t.Context(), "config/sections/", "", 1000)
 		is.NoErr(err)
-		// 33 remembered configurations differ in one section, the four others are
-		// shared.
+		// The 33 configurations in the history differ in one section and share
+		// the four others.
 		is.Equal(len(sections), 33+4)
 		m, err := f.daemons[0].Content(t.Context(), 40)
 		is.NoErr(err)
@@ -431,13 +440,13 @@
 	})
 }
 
-// An operator applies a change, is told that it is in force everywhere, and sees
-// one daemon behind in every failure domain beside it: news of a domain came by
-// way of a third daemon before the daemon's own word.
-func TestApplyCountsNoDaemonBehindThatIsNot(t *testing.T) {
+// Apply reported a configuration as in force everywhere, but also one daemon
+// behind in every other failure domain: a third daemon had reported the
+// domain's generation before the daemon that has it reported it directly.
+func TestApplyDoesNotReportCurrentDaemonAsBehind(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
-		f.network.set(func(n *network) { n.delay = 20 * time.Millisecond })
+	runWithFleet(t, func(is *is.I, f *fleet) {
+		f.network.update(func(n *network) { n.delay = 20 * time.Millisecond })
 		for n := range 8 {
 			outcome, err := f.apply(n%5, n+1, fmt.Sprint(n))
 			is.NoErr(err)
@@ -451,12 +460,13 @@
 	})
 }
 
-// One of two daemons of a failure domain is paused during a change. It must not
-// be counted among those that have it, nor as one that said to be behind.
-func TestApplyCountsPausedDaemonAsNotHeard(t *testing.T) {
+// One of two daemons of a failure domain is paused during a change. Apply must
+// count it as unheard: neither as having the generation nor as having reported
+// a lower one.
+func TestApplyCountsPausedDaemonAsUnheard(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
-		f.network.set(func(n *network) { n.paused[address(4)] = true })
+	runWithFleet(t, func(is *is.I, f *fleet) {
+		f.network.update(func(n *network) { n.paused[address(4)] = true })
 		outcome, err := f.apply(1, 4, "first")
 		is.NoErr(err)
 		is.True(outcome.InForceEverywhere)
@@ -467,11 +477,11 @@
 	})
 }
 
-// Nothing changes for minutes, and the status shows that all daemons were last
-// heard minutes ago: the list was kept from the last change on.
-func TestStatusTellsWhenDaemonsWereHeard(t *testing.T) {
+// The status used to show that all daemons were last heard minutes ago, because
+// the member list was cached since the last change.
+func TestMembersNowReturnsCurrentLastHeard(t *testing.T) {
 	t.Parallel()
-	inBubble(t, func(is *is.I, f *fleet) {
+	runWithFleet(t, func(is *is.I, f *fleet) {
 		time.Sleep(5 * time.Minute)
 		for _, m := range f.daemons[0].MembersNow() {
 			is.True(time.Since(m.LastHeard) < 3*time.Second)
--- a/daemon/services/services.go
+++ b/daemon/services/services.go
@@ -1,7 +1,7 @@
 // Package services sends repeatable calls of plain services to their runners.
-// A call that failed is made again at another runner under the service's retry
-// budget. Calls that the manifest doesn't call repeatable are refused here: they
-// belong to the actions.
+// It retries a failed call at another runner, within the service's retry
+// budget. It refuses calls that the manifest does not mark as repeatable;
+// package actions handles those.
 package services
 
 import (
@@ -29,41 +29,43 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Sender makes one call at a runner. It must repeat nothing by itself: Go's
-// HTTP transport does so on a reused connection that breaks, outside of any
-// budget. Its errors are or wrap *refusal.Refusal.
+// Sender makes one call at a runner. It must not retry by itself, because such
+// retries would bypass the retry budget; Go's HTTP transport, for example,
+// retries when a reused connection breaks. Its errors are or wrap
+// *refusal.Refusal.
 type Sender interface {
 	Send(ctx context.Context, address string, c call.ServiceCall) (call.Answer, error)
 }
 
-// Dialer opens a connection; probes use it.
+// Dialer checks that a runner accepts a new connection. Probes use it.
 type Dialer func(ctx context.Context, address string) error
 
-// Config is what Services works with.
+// Config holds the dependencies and settings of Services.
 type Config struct {
 	Directory view.Directory
 	Config    view.Config
 	Sender    Sender
-	// Probe connects anew to a runner that was left out.
+	// Probe opens a new connection to an ejected runner.
 	Probe   Dialer
 	Metrics metrics.Registry
 	Retry   retry.Config
 	Health  health.Config
-	// AttemptTimeout bounds one attempt, so that a connection gone silent does
-	// not take the caller's whole time.
+	// AttemptTimeout bounds one attempt, so that a stalled connection does not
+	// use up the caller's whole deadline.
 	AttemptTimeout time.Duration
-	// Tick is the precision of ejections.
+	// Tick is the interval at which the health trackers are advanced, and thus
+	// the precision of ejection times.
 	Tick time.Duration
 	Seed uint64
 }
 
-// Defaults of Config.
+// Default values for Config.
 const (
 	DefaultAttemptTimeout = 5 * time.Second
 	DefaultTick           = 100 * time.Millisecond
 )
 
-// retryAfter is asked of callers when no runner could be had.
+// retryAfter is the delay that refusals ask callers to wait before they retry.
 const retryAfter = time.Second
 
 // Services implements call.Services. It is safe for concurrent use.
@@ -80,7 +82,7 @@
 
 var _ call.Services = (*Services)(nil)
 
-// service is one plain service's state.
+// service holds the state of one plain service.
 type service struct {
 	retry    *retry.Policy
 	health   *health.Tracker
@@ -88,7 +90,7 @@
 	inFlight map[ident.RunnerID]int
 }
 
-// New returns services without any state.
+// New returns a Services without state for any service.
 func New(cfg Config) *Services {
 	return &Services{
 		cfg:      cfg,
@@ -97,7 +99,7 @@
 	}
 }
 
-// Run probes runners that were left out until ctx ends.
+// Run probes ejected runners until ctx ends.
 func (s *Services) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer s.wg.Wait()
@@ -121,12 +123,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, v := range s.services {
-		s.carryOut(name, v, v.health.Tick(now, nil))
+		s.executeEffects(name, v, v.health.Tick(now, nil))
 	}
 }
 
-// carryOut runs with s.mu held.
-func (s *Services) carryOut(name string, v *service, effects []health.Effect) {
+// executeEffects executes the effects that a health tracker returns. The caller
+// must hold s.mu.
+func (s *Services) executeEffects(name string, v *service, effects []health.Effect) {
 	for _, e := range effects {
 		switch e.Kind {
 		case health.Eject:
@@ -158,7 +161,7 @@
 		err := s.cfg.Probe(ctx, address)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.carryOut(name, v, v.health.HandleProbe(time.Now(), id, err == nil, nil))
+		s.executeEffects(name, v, v.health.HandleProbe(time.Now(), id, err == nil, nil))
 	})
 }
 
@@ -178,7 +181,7 @@
 }
 
 func (s *Services) call(ctx context.Context, c call.ServiceCall) (call.Answer, error) {
-	if err := s.check(c); err != nil {
+	if err := s.checkRepeatable(c); err != nil {
 		return call.Answer{}, err
 	}
 	if !c.Deadline.IsZero() {
@@ -186,7 +189,7 @@
 		ctx, cancel = context.WithDeadline(ctx, c.Deadline)
 		defer cancel()
 	}
-	v := s.begin(c.Service)
+	v := s.startCall(c.Service)
 	var tried []ident.RunnerID
 	ran := false
 	for {
@@ -196,20 +199,21 @@
 		}
 		ran = ran || failure.mayHaveRun
 		if ctx.Err() != nil {
-			return call.Answer{}, withRan(refusal.New(refusal.DeadlineExceeded, "no answer in time"), ran)
+			return call.Answer{}, withExecutionUnknown(refusal.New(refusal.DeadlineExceeded, "no answer in time"), ran)
 		}
-		wait, stop := s.again(v, c, failure, len(tried))
+		wait, stop := s.decideRetry(v, c, failure, len(tried))
 		if stop != nil {
-			return failure.last(answer, stop, ran)
+			return failure.finalAnswer(answer, stop, ran)
 		}
 		if !pause.For(ctx, wait) {
-			return call.Answer{}, withRan(refusal.New(refusal.DeadlineExceeded, "no answer in time"), ran)
+			return call.Answer{}, withExecutionUnknown(refusal.New(refusal.DeadlineExceeded, "no answer in time"), ran)
 		}
 	}
 }
 
-// check refuses what is not a repeatable call of a plain service.
-func (s *Services) check(c call.ServiceCall) error {
+// checkRepeatable refuses a call unless it is a repeatable call of a plain
+// service.
+func (s *Services) checkRepeatable(c call.ServiceCall) error {
 	m, _ := s.cfg.Config.Current()
 	if m == nil {
 		return refusal.New(refusal.NotReady, "no configuration in force yet").After(retryAfter)
@@ -229,7 +233,7 @@
 	return nil
 }
 
-func (s *Services) begin(name string) *service {
+func (s *Services) startCall(name string) *service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.services[name]
@@ -247,32 +251,35 @@
 	return v
 }
 
-// failure is a failed attempt. An answer that asks to come back is one, too.
+// failure describes a failed attempt. A 503 answer from the runner counts as a
+// failed attempt, too.
 type failure struct {
 	reason     retry.Reason
 	mayHaveRun bool
-	after      time.Duration
+	retryDelay time.Duration
 	refusal    *refusal.Refusal
 }
 
-// last is what the caller gets when there is no other attempt: the runner's own
-// answer if there is one.
-func (f *failure) last(answer call.Answer, stop *refusal.Refusal, ran bool) (call.Answer, error) {
+// finalAnswer returns what the caller gets when no further attempt is made: the
+// runner's own answer if there is one, otherwise the refusal.
+func (f *failure) finalAnswer(answer call.Answer, stop *refusal.Refusal, ran bool) (call.Answer, error) {
 	if f.refusal == nil {
 		return answer, nil
 	}
-	return call.Answer{}, withRan(stop, ran)
+	return call.Answer{}, withExecutionUnknown(stop, ran)
 }
 
-func withRan(r *refusal.Refusal, ran bool) *refusal.Refusal {
+// withExecutionUnknown marks the refusal's execution status as unknown if an
+// earlier attempt may have run the call.
+func withExecutionUnknown(r *refusal.Refusal, ran bool) *refusal.Refusal {
 	if ran {
 		return r.Unknown()
 	}
 	return r
 }
 
-// attempt makes one attempt at a runner that was not tried before, if there is
-// one.
+// attempt makes one attempt, preferably at a runner that has not been tried,
+// and records the runner in tried.
 func (s *Services) attempt(ctx context.Context, v *service, c call.ServiceCall, tried *[]ident.RunnerID) (call.Answer, *failure) {
 	r, ok := s.pick(v, c.Service, *tried)
 	if !ok {
@@ -282,12 +289,13 @@
 		}
 	}
 	*tried = append(*tried, r.ID)
-	bounded, cancel := context.WithTimeout(ctx, s.cfg.AttemptTimeout)
+	attemptCtx, cancel := context.WithTimeout(ctx, s.cfg.AttemptTimeout)
 	defer cancel()
-	answer, err := s.cfg.Sender.Send(bounded, r.Address, c)
-	f := failureOf(bounded, answer, err)
-	// A caller that goes away says nothing of the runner.
-	s.end(v, c.Service, r.ID, f, ctx.Err() == nil)
+	answer, err := s.cfg.Sender.Send(attemptCtx, r.Address, c)
+	f := failureOf(attemptCtx, answer, err)
+	// An attempt that ended because the caller left says nothing about the
+	// runner's health.
+	s.finishAttempt(v, c.Service, r.ID, f, ctx.Err() == nil)
 	return answer, f
 }
 
@@ -296,10 +304,10 @@
 		if answer.Status != http.StatusServiceUnavailable {
 			return nil
 		}
-		return &failure{reason: retry.Busy, mayHaveRun: true, after: answeredAfter(answer)}
+		return &failure{reason: retry.Busy, mayHaveRun: true, retryDelay: retryAfterHeader(answer)}
 	}
 	r := refusal.From(err)
-	f := &failure{reason: retry.Broken, mayHaveRun: r.Executed != refusal.ExecutedNo, after: r.RetryAfter, refusal: r}
+	f := &failure{reason: retry.Broken, mayHaveRun: r.Executed != refusal.ExecutedNo, retryDelay: r.RetryAfter, refusal: r}
 	switch {
 	case r.Reason == refusal.RunnerRefused:
 		f.reason = retry.Busy
@@ -311,7 +319,7 @@
 	return f
 }
 
-func answeredAfter(a call.Answer) time.Duration {
+func retryAfterHeader(a call.Answer) time.Duration {
 	for _, h := range a.Headers {
 		if !strings.EqualFold(h.Name, "Retry-After") {
 			continue
@@ -323,13 +331,14 @@
 	return 0
 }
 
-// pick takes the less loaded of two random runners: live ones that were not
-// tried, else suspect or left out, else tried ones.
+// pick returns the less loaded of two random runners. It prefers live runners
+// that have not been tried, then suspect or ejected ones, then those already
+// tried.
 func (s *Services) pick(v *service, name string, tried []ident.RunnerID) (view.Runner, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []ident.RunnerID
-	var best, rest, again []view.Runner
+	var preferred, fallback, alreadyTried []view.Runner
 	for _, r := range s.cfg.Directory.Runners(name) {
 		if r.State != view.Live && r.State != view.Suspect {
 			continue
@@ -337,16 +346,16 @@
 		ids = append(ids, r.ID)
 		switch {
 		case slices.Contains(tried, r.ID):
-			again = append(again, r)
+			alreadyTried = append(alreadyTried, r)
 		case r.State == view.Suspect || v.ejected[r.ID]:
-			rest = append(rest, r)
+			fallback = append(fallback, r)
 		default:
-			best = append(best, r)
+			preferred = append(preferred, r)
 		}
 	}
 	v.health.SetRunners(ids)
 	maps.DeleteFunc(v.ejected, func(id ident.RunnerID, _ bool) bool { return !slices.Contains(ids, id) })
-	for _, from := range [][]view.Runner{best, rest, again} {
+	for _, from := range [][]view.Runner{preferred, fallback, alreadyTried} {
 		if len(from) > 0 {
 			r := s.lessLoaded(v, from)
 			v.inFlight[r.ID]++
@@ -370,18 +379,19 @@
 	return a
 }
 
-// end takes in how an attempt ended.
-func (s *Services) end(v *service, name string, id ident.RunnerID, f *failure, tells bool) {
+// finishAttempt records the end of an attempt. If affectsHealth is set, it
+// passes the outcome to the runner's health tracker.
+func (s *Services) finishAttempt(v *service, name string, id ident.RunnerID, f *failure, affectsHealth bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v.inFlight[id]--
 	if v.inFlight[id] <= 0 {
 		delete(v.inFlight, id)
 	}
-	if !tells {
+	if !affectsHealth {
 		return
 	}
-	s.carryOut(name, v, v.health.HandleOutcome(time.Now(), id, outcomeOf(f), nil))
+	s.executeEffects(name, v, v.health.HandleOutcome(time.Now(), id, outcomeOf(f), nil))
 }
 
 func outcomeOf(f *failure) health.Outcome {
@@ -394,9 +404,9 @@
 	return health.Failure
 }
 
-// again returns how long to wait before the next attempt, or the refusal that
+// decideRetry returns the delay before the next attempt, or the refusal that
 // ends the call.
-func (s *Services) again(v *service, c call.ServiceCall, f *failure, attempts int) (time.Duration, *refusal.Refusal) {
+func (s *Services) decideRetry(v *service, c call.ServiceCall, f *failure, attempts int) (time.Duration, *refusal.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := v.retry.Decide(time.Now(), retry.Failure{
@@ -404,7 +414,7 @@
 		MayHaveRun: f.mayHaveRun,
 		Repeatable: true,
 		Attempts:   max(1, attempts),
-		RetryAfter: f.after,
+		RetryAfter: f.retryDelay,
 		Deadline:   c.Deadline,
 	})
 	switch d.Verdict {
--- a/internal/actionhistory/actionhistory.go
+++ b/internal/actionhistory/actionhistory.go
@@ -1,5 +1,6 @@
-// Package actionhistory records what befell actions in a test and checks it:
-// no action runs twice, and what callers were told is true.
+// Package actionhistory records the history of actions in a test and checks it
+// with a linearizability checker: no action may run more than once, and the
+// results returned to callers must be true.
 package actionhistory
 
 import (
@@ -13,19 +14,21 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// History is a concurrent run. It is safe for concurrent use.
+// History records concurrent operations on actions. It is safe for concurrent
+// use.
 type History struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
-	// Yes, No and Unknown count what callers were told.
+	// Yes, No and Unknown count the results returned to callers, by their
+	// execution status.
 	Yes, No, Unknown int
-	// Runs counts executions at runners.
+	// Runs counts the executions at runners.
 	Runs int
 }
 
-// observed is one step of an action's history: a run at a runner, or what a
-// caller was told.
-type observed struct {
+// event is one operation in an action's history: an execution at a runner, or a
+// result returned to a caller.
+type event struct {
 	id       actionkey.ID
 	run      bool
 	body     string
@@ -33,17 +36,18 @@
 	answer   string
 }
 
-// Ran records an execution; each has an answer of its own.
-func (h *History) Ran(at time.Time, id actionkey.ID, body, answer string) {
+// RecordRun records an execution. Each execution must have a different answer.
+func (h *History) RecordRun(at time.Time, id actionkey.ID, body, answer string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Runs++
-	h.add(at, at, observed{id: id, run: true, body: body, answer: answer})
+	h.add(at, at, event{id: id, run: true, body: body, answer: answer})
 }
 
-// Told records what a caller was told; an empty body asked by key alone.
-// "Unknown" claims nothing and is only counted.
-func (h *History) Told(from, to time.Time, id actionkey.ID, body string, r action.Result) {
+// RecordResult records a result returned to a caller. An empty body means that
+// the caller asked by key alone. A result with status unknown makes no claim
+// and is only counted.
+func (h *History) RecordResult(from, to time.Time, id actionkey.ID, body string, r action.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch r.Executed() {
@@ -55,63 +59,65 @@
 		h.Unknown++
 		return
 	}
-	h.add(from, to, observed{id: id, body: body, executed: r.Executed(), answer: string(r.Answer.Body)})
+	h.add(from, to, event{id: id, body: body, executed: r.Executed(), answer: string(r.Answer.Body)})
 }
 
-func (h *History) add(from, to time.Time, o observed) {
+func (h *History) add(from, to time.Time, o event) {
 	h.operations = append(h.operations, porcupine.Operation{
 		Input: o, Call: from.UnixNano(), Return: to.UnixNano(),
 	})
 }
 
-// Len is the number of steps that were recorded.
+// Len returns the number of recorded operations.
 func (h *History) Len() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.operations)
 }
 
-// Legal tells whether every action has a life that explains all that was seen.
-func (h *History) Legal() bool {
+// IsValid reports whether the history is linearizable, that is, whether each
+// action has a sequence of states that explains all recorded operations.
+func (h *History) IsValid() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return porcupine.CheckOperations(atMostOnce, h.operations)
+	return porcupine.CheckOperations(atMostOnceModel, h.operations)
 }
 
-// register is an action's true life: undecided, then run once or never.
-type register struct {
-	ran    bool
-	never  bool
-	body   string
-	answer string
+// actionState is the state of an action in the model: undecided, run once, or
+// never to run.
+type actionState struct {
+	ran       bool
+	neverRuns bool
+	body      string
+	answer    string
 }
 
-func (r register) step(o observed) (bool, register) {
+func (r actionState) step(o event) (bool, actionState) {
 	switch {
 	case o.run:
-		return !r.ran && !r.never, register{ran: true, body: o.body, answer: o.answer}
+		return !r.ran && !r.neverRuns, actionState{ran: true, body: o.body, answer: o.answer}
 	case o.executed == refusal.ExecutedYes:
 		return r.ran && r.answer == o.answer && (o.body == "" || r.body == o.body), r
 	default:
-		return !r.ran, register{never: true}
+		return !r.ran, actionState{neverRuns: true}
 	}
 }
 
-var atMostOnce = porcupine.Model{
+var atMostOnceModel = porcupine.Model{
 	Partition: partition,
-	Init:      func() any { return register{} },
+	Init:      func() any { return actionState{} },
 	Step: func(state, in, _ any) (bool, any) {
-		return state.(register).step(in.(observed))
+		return state.(actionState).step(in.(event))
 	},
 }
 
-// partition splits a history by actions, which have nothing to do with each
+// partition splits a history by action, because actions are independent of each
 // other.
 func partition(operations []porcupine.Operation) [][]porcupine.Operation {
 	byID := map[actionkey.ID]int{}
 	var parts [][]porcupine.Operation
 	for _, op := range operations {
-		id := op.Input.(observed).id
+		id := op.Input.(event).id
 		i, ok := byID[id]
 		if !ok {
 			i = len(parts)
--- a/transport/gateway/auth.go
+++ b/transport/gateway/auth.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	bearerPrefix       = "Bearer "
-	workspaceKey       = "workspace"
-	notReadyRetryAfter = 500 * time.Millisecond
-	authorization      = "Authorization"
-	timeoutHeader      = "X-Timeout-Ms"
-	requestIDHeader    = "X-Request-Id"
+	bearerPrefix        = "Bearer "
+	workspaceKey        = "workspace"
+	notReadyRetryAfter  = 500 * time.Millisecond
+	authorizationHeader = "Authorization"
+	timeoutHeader       = "X-Timeout-Ms"
+	requestIDHeader     = "X-Request-Id"
 )
 
-// credentials maps key hashes to workspaces for one generation at a time.
+// credentials maps the hashes of API keys to workspaces. The index belongs to one configuration
+// generation and is rebuilt when the generation changes.
 type credentials struct{ index atomic.Pointer[keyIndex] }
 
 type keyIndex struct {
@@ -52,13 +53,13 @@
 	return index
 }
 
-// authenticate returns the manifest in force and the caller's workspace.
+// authenticate returns the current manifest and the caller's workspace.
 func (g *Gateway) authenticate(c *echo.Context) (*manifest.Manifest, ident.Workspace, error) {
 	m, err := currentManifest(g.Configuration)
 	if err != nil {
 		return nil, "", err
 	}
-	key, ok := strings.CutPrefix(c.Request().Header.Get(authorization), bearerPrefix)
+	key, ok := strings.CutPrefix(c.Request().Header.Get(authorizationHeader), bearerPrefix)
 	if !ok {
 		return nil, "", refusal.New(refusal.Unauthenticated, "a bearer key is required")
 	}
--- a/transport/gateway/services.go
+++ b/transport/gateway/services.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	idempotencyKey    = "Idempotency-Key"
-	executedHeader    = "X-Executed"
-	pendingRetryAfter = 200 * time.Millisecond
+	idempotencyKeyHeader = "Idempotency-Key"
+	executedHeader       = "X-Executed"
+	pendingRetryAfter    = 200 * time.Millisecond
 )
 
-// excludedHeaders concern one connection only (RFC 9110, section 7.6.1) or are ours.
+// excludedHeaders apply to one connection only (RFC 9110, section 7.6.1) or are set by this system.
 var excludedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
-	"Proxy-Connection": true, "Authorization": true, idempotencyKey: true, timeoutHeader: true,
+	"Proxy-Connection": true, "Authorization": true, idempotencyKeyHeader: true, timeoutHeader: true,
 }
 
-// callService passes a call to a plain service: by the action path unless the
-// manifest says that the call may run twice.
+// callService passes a call to a plain service. Unless the manifest marks the route as repeatable,
+// the call is executed at most once under its idempotency key.
 func (g *Gateway) callService(c *echo.Context) error {
 	m, ws, err := g.authenticate(c)
 	if err != nil {
 		return err
 	}
-	sc, route, err := g.parseServiceCall(c, m, ws)
+	serviceCall, route, err := g.parseServiceCall(c, m, ws)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(c.Request().Context(), sc.Deadline)
+	ctx, cancel := context.WithDeadline(c.Request().Context(), serviceCall.Deadline)
 	defer cancel()
 	c.Set(outcomeKnownKey, true)
-	answer, err := g.dispatchService(ctx, sc, route)
+	answer, err := g.dispatchService(ctx, serviceCall, route)
 	if err != nil {
 		return err
 	}
@@ -52,18 +52,19 @@
 	return writeAnswer(c, answer)
 }
 
-// outcomeKnownKey marks a call that reached its key's owner, or needs none.
+// outcomeKnownKey is set in the context of a call that was passed on. Its refusal then states
+// correctly whether the call was executed.
 const outcomeKnownKey = "judged"
 
-// markKeyedRefusalsUnknown takes back the "not executed" of a call with an idempotency key
-// that this gateway refused by itself, because it drains or has no place left.
-// The call may be the repetition of one that ran: told "no", its caller would
-// book again under a new key, and the slot would be sold twice. Only the key's
-// owner, or who speaks for it, knows.
+// markKeyedRefusalsUnknown changes "not executed" to "unknown" if this gateway itself refused a
+// call with an idempotency key, for example because it drains or is overloaded. The call may be a
+// retry of one that was executed: if the caller were told "not executed", it would call again with
+// a new key, and the action would run twice. Only the daemon that owns the key, or its substitute,
+// knows the outcome.
 func (g *Gateway) markKeyedRefusalsUnknown(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		err := next(c)
-		if err == nil || c.Request().Header.Get(idempotencyKey) == "" || c.Get(outcomeKnownKey) != nil {
+		if err == nil || c.Request().Header.Get(idempotencyKeyHeader) == "" || c.Get(outcomeKnownKey) != nil {
 			return err
 		}
 		r := toRefusal(err)
@@ -83,40 +84,40 @@
 	}
 	if sc.Key == "" {
 		return call.Answer{}, refusal.New(refusal.KeyRequired,
-			"this call may not be repeated: send an %s made of the key_token of /v1/gateways and a suffix of your own", idempotencyKey)
+			"this call may not be repeated: send an %s made of the key_token of /v1/gateways and a suffix of your own", idempotencyKeyHeader)
 	}
 	return g.Actions.Execute(ctx, sc)
 }
 
 func (g *Gateway) parseServiceCall(c *echo.Context, m *manifest.Manifest, ws ident.Workspace) (call.ServiceCall, *manifest.Route, error) {
-	var none call.ServiceCall
+	var empty call.ServiceCall
 	service := m.ServiceNamed(c.Param("service"))
 	if service == nil || service.Kind != manifest.KindPlain {
-		return none, nil, refusal.New(refusal.UnknownService, "no plain service %q", c.Param("service"))
+		return empty, nil, refusal.New(refusal.UnknownService, "no plain service %q", c.Param("service"))
 	}
 	r := c.Request()
 	path := "/" + c.Param("*")
 	route := service.RouteFor(r.Method, path)
 	if route == nil {
-		return none, nil, refusal.New(refusal.UnknownRoute, "service %q has no route for %s %s", service.Name, r.Method, path)
+		return empty, nil, refusal.New(refusal.UnknownRoute, "service %q has no route for %s %s", service.Name, r.Method, path)
 	}
 	body, err := g.readBody(c)
 	if err != nil {
-		return none, nil, err
+		return empty, nil, err
 	}
 	deadline, err := requestDeadline(c, g.serviceTimeout(m, route))
 	if err != nil {
-		return none, nil, err
+		return empty, nil, err
 	}
 	return call.ServiceCall{
 		Workspace: ws, Service: service.Name,
-		Key: r.Header.Get(idempotencyKey), Method: r.Method, Path: withQuery(path, r.URL),
+		Key: r.Header.Get(idempotencyKeyHeader), Method: r.Method, Path: withQuery(path, r.URL),
 		Headers: endToEndHeaders(r.Header), Body: body, Deadline: deadline,
 	}, route, nil
 }
 
-// serviceTimeout applies where the caller gives no time of its own: the deadline
-// of the route's class, within the gateway's bound.
+// serviceTimeout returns the timeout of a call whose caller sets none: the deadline of the route's
+// class, but at most the gateway's limit.
 func (g *Gateway) serviceTimeout(m *manifest.Manifest, route *manifest.Route) time.Duration {
 	class := m.ClassNamed(route.Class)
 	if class == nil || class.DeadlineMillis == 0 {
@@ -164,7 +165,7 @@
 	return c.Blob(a.Status, contentType, a.Body)
 }
 
-// readOutcome tells what became of an earlier call that may not be repeated.
+// readOutcome returns the outcome of an earlier call that may run at most once.
 func (g *Gateway) readOutcome(c *echo.Context) error {
 	_, ws, err := g.authenticate(c)
 	if err != nil {
