--- a/daemon/models/harness_test.go
+++ b/daemon/models/harness_test.go
@@ -52,7 +52,7 @@
 // cluster is a set of daemons and engines on an in-memory network.
 type cluster struct {
 	*pipe.Network
-	ledger  *engine.Ledger
+	ledger  *engine.TokenCounter
 	engines []*engine.Engine
 
 	mu      sync.Mutex
@@ -63,13 +63,13 @@
 }
 
 func newCluster(runners int) *cluster {
-	c := &cluster{Network: pipe.NewNetwork(), ledger: engine.NewLedger(), changed: make(chan struct{})}
+	c := &cluster{Network: pipe.NewNetwork(), ledger: engine.NewTokenCounter(), changed: make(chan struct{})}
 	for i := range runners {
 		id := ident.RunnerID(fmt.Sprintf("runner-%d", i))
 		cfg := engine.DefaultConfig(string(id), model, "1")
 		cfg.BytesPerToken = 1 << 20 // large, so that the export of a KV cache takes a noticeable time
 		client := c.Client()
-		e := engine.New(cfg, engine.WithLedger(c.ledger), engine.WithClient(client))
+		e := engine.New(cfg, engine.WithTokenCounter(c.ledger), engine.WithClient(client))
 		c.serve(address(i), e.Handler(), client)
 		c.stops = append(c.stops, e.Close)
 		c.engines = append(c.engines, e)
--- a/daemon/models/random_faults_test.go
+++ b/daemon/models/random_faults_test.go
@@ -53,7 +53,7 @@
 	i := len(f.c.engines)
 	id := ident.RunnerID(fmt.Sprintf("runner-%d", i))
 	client := f.c.Client()
-	e := engine.New(engine.DefaultConfig(string(id), model, "1"), engine.WithLedger(f.c.ledger), engine.WithClient(client))
+	e := engine.New(engine.DefaultConfig(string(id), model, "1"), engine.WithTokenCounter(f.c.ledger), engine.WithClient(client))
 	f.c.stops = append(f.c.stops, e.Close)
 	f.c.serve(address(i), e.Handler(), client)
 	f.c.engines = append(f.c.engines, e)
--- a/daemon/models/reclaim_test.go
+++ b/daemon/models/reclaim_test.go
@@ -33,7 +33,7 @@
 		c.announceReclaim(20*time.Second, 0)
 		is.True(readAll(t, g, r, 0) < time.Second)
 		is.Equal(g.counter("reclaim.planned.move"), int64(1))
-		is.True(c.ledger.Totals().Recomputed < 20) // the tokens emitted during the transfer
+		is.True(c.ledger.TokenTotals().Recomputed < 20) // the tokens emitted during the transfer
 	})
 }
 
@@ -45,7 +45,7 @@
 		c.announceReclaim(20*time.Second, 0)
 		readAll(t, g, r, 0)
 		is.Equal(g.counter("reclaim.planned.finish"), int64(1))
-		is.Equal(c.ledger.Totals().Recomputed, 0)
+		is.Equal(c.ledger.TokenTotals().Recomputed, 0)
 	})
 }
 
@@ -108,7 +108,7 @@
 		time.Sleep(5 * time.Minute)
 		cfg := engine.DefaultConfig("runner-9", model, "1")
 		client := c.Client()
-		e := engine.New(cfg, engine.WithLedger(c.ledger), engine.WithClient(client))
+		e := engine.New(cfg, engine.WithTokenCounter(c.ledger), engine.WithClient(client))
 		c.stops = append(c.stops, e.Close)
 		c.serve("runner-9:80", e.Handler(), client)
 		c.updateDirectory(func() {
@@ -140,7 +140,7 @@
 		for _, r := range all {
 			readAll(t, second, r, 10)
 		}
-		is.Equal(c.ledger.Totals().Recomputed < 12*400, true)
+		is.Equal(c.ledger.TokenTotals().Recomputed < 12*400, true)
 	})
 }
 
--- a/daemon/orders/harness_test.go
+++ b/daemon/orders/harness_test.go
@@ -122,8 +122,8 @@
 	defer c.mu.Unlock()
 	cfg := engine.DefaultConfig(vm.ID, "m", "1")
 	cfg.Models = nil
-	cfg.OrderTime = loadTime
-	cfg.ChecksFencing = c.manifest.Services[0].ChecksFencing
+	cfg.LoadTime = loadTime
+	cfg.CheckFencing = c.manifest.Services[0].ChecksFencing
 	c.engines[vm.ID] = engine.New(cfg)
 	return vm.ID, nil
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -147,7 +147,7 @@
 		case <-progress.C:
 			s := d.tally.summary()
 			d.say("accepted %d, answered whole %d, refused %s, recomputed %d tokens",
-				s.Accepted, s.AnsweredWhole, refusedText(s), d.env.standins.Ledger.Totals().Recomputed)
+				s.Accepted, s.AnsweredWhole, refusedText(s), d.env.standins.TokenCounter.TokenTotals().Recomputed)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 
 // check compares what callers were told with what the runners did.
 func (d *show) check() {
-	totals := d.env.standins.Ledger.Totals()
+	totals := d.env.standins.TokenCounter.TokenTotals()
 	counts := d.env.standins.Executions.Counts()
 	d.tally.update(func(s *Summary) {
 		s.Computed = totals.Computed
--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -28,8 +28,8 @@
 	return d.Sum64()
 }
 
-// SeedToken is output token i, from 0, of the prompt with the given seed.
-func SeedToken(seed uint64, i int) string {
+// TokenFromSeed is output token i, from 0, of the prompt with the given seed.
+func TokenFromSeed(seed uint64, i int) string {
 	x := seed + uint64(i+1)*0x9e3779b97f4a7c15
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -42,7 +42,7 @@
 // Token is output token i, from 0, of a prompt to a model. It depends on
 // nothing else, so a checker can tell whole answers from mixed ones.
 func Token(model, prompt string, i int) string {
-	return SeedToken(OutputSeed(model, prompt), i)
+	return TokenFromSeed(OutputSeed(model, prompt), i)
 }
 
 // Tokens is the first n output tokens of a prompt to a model.
@@ -50,7 +50,7 @@
 	seed := OutputSeed(model, prompt)
 	tokens := make([]string, n)
 	for i := range tokens {
-		tokens[i] = SeedToken(seed, i)
+		tokens[i] = TokenFromSeed(seed, i)
 	}
 	return tokens
 }
@@ -85,7 +85,7 @@
 	words := strings.Fields(r.Prompt)
 	prompt := len(words)
 	words = append(words, r.Emitted...)
-	whole := len(words) - len(words)%prefixhash.BlockTokens
+	completeBlockTokens := len(words) - len(words)%prefixhash.BlockTokens
 	return Attempt{
 		RequestID:      r.RequestID,
 		AttemptID:      r.AttemptID,
@@ -95,11 +95,11 @@
 		PromptTokens:   prompt,
 		EmittedTokens:  len(r.Emitted),
 		Blocks:         prefixhash.Blocks(prefixhash.Root(r.Model, r.Adapter), words),
-		Tail:           words[whole:],
+		Tail:           words[completeBlockTokens:],
 		MaxTokens:      r.MaxTokens,
 		Priority:       r.Priority,
 		ImportedHandle: r.ImportedHandle,
 	}
 }
 
-func (a *Attempt) known() int { return a.PromptTokens + a.EmittedTokens }
+func (a *Attempt) knownTokens() int { return a.PromptTokens + a.EmittedTokens }
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -7,11 +7,11 @@
 // tokens to come. Stored blocks that nothing refers to are evicted, least
 // recently used first.
 type blockCache struct {
-	total   int
-	private int
-	stored  map[uint64]*block
-	idle    *list.List // of *block without references, least recent first
-	changed func(hash uint64, stored bool)
+	total         int
+	privateBlocks int
+	stored        map[uint64]*block
+	idle          *list.List // of *block without references, least recent first
+	onChange      func(hash uint64, stored bool)
 }
 
 type block struct {
@@ -20,22 +20,22 @@
 	idle *list.Element
 }
 
-func newBlockCache(total int, changed func(hash uint64, stored bool)) *blockCache {
+func newBlockCache(total int, onChange func(hash uint64, stored bool)) *blockCache {
 	return &blockCache{
-		total:   total,
-		stored:  map[uint64]*block{},
-		idle:    list.New(),
-		changed: changed,
+		total:    total,
+		stored:   map[uint64]*block{},
+		idle:     list.New(),
+		onChange: onChange,
 	}
 }
 
 // free is the number of blocks that can be had, by eviction too.
 func (c *blockCache) free() int {
-	return c.total - c.private - len(c.stored) + c.idle.Len()
+	return c.total - c.privateBlocks - len(c.stored) + c.idle.Len()
 }
 
-// match is how many leading blocks of a chain are stored.
-func (c *blockCache) match(chain []uint64) int {
+// matchPrefix is how many leading blocks of a chain are stored.
+func (c *blockCache) matchPrefix(chain []uint64) int {
 	for i, hash := range chain {
 		if c.stored[hash] == nil {
 			return i
@@ -47,11 +47,11 @@
 // acquire refers to the stored blocks of the chain.
 func (c *blockCache) acquire(chain []uint64) {
 	for _, hash := range chain {
-		c.refer(c.stored[hash])
+		c.addReference(c.stored[hash])
 	}
 }
 
-func (c *blockCache) refer(b *block) {
+func (c *blockCache) addReference(b *block) {
 	if b.idle != nil {
 		c.idle.Remove(b.idle)
 		b.idle = nil
@@ -77,8 +77,8 @@
 	if c.free() < n {
 		return false
 	}
-	c.private += n
-	for c.private+len(c.stored) > c.total {
+	c.privateBlocks += n
+	for c.privateBlocks+len(c.stored) > c.total {
 		c.evict()
 	}
 	return true
@@ -87,18 +87,18 @@
 func (c *blockCache) evict() {
 	b := c.idle.Remove(c.idle.Front()).(*block)
 	delete(c.stored, b.hash)
-	c.changed(b.hash, false)
+	c.onChange(b.hash, false)
 }
 
 // store turns one private block into a stored one with a reference. Where
 // another sequence stored the same before, the private one is given back.
 func (c *blockCache) store(hash uint64) {
-	c.private--
+	c.privateBlocks--
 	b := c.stored[hash]
 	if b == nil {
 		b = &block{hash: hash}
 		c.stored[hash] = b
-		c.changed(hash, true)
+		c.onChange(hash, true)
 	}
-	c.refer(b)
+	c.addReference(b)
 }
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -14,14 +14,14 @@
 
 // control is what orders and notices change.
 type control struct {
-	models   []engineapi.LoadedModel
-	loads    []load
-	role     string
-	fencing  uint64
-	leaving  bool
-	noticed  time.Time
-	deadline time.Time
-	dead     bool
+	models       []engineapi.LoadedModel
+	pendingLoads []load
+	role         string
+	fencing      uint64
+	leaving      bool
+	noticeTime   time.Time
+	deadline     time.Time
+	dead         bool
 }
 
 // load is an order that takes until ready.
@@ -38,7 +38,7 @@
 		return &DeadError{}
 	}
 	if o.Fencing < c.control.fencing {
-		if c.cfg.ChecksFencing {
+		if c.cfg.CheckFencing {
 			c.counters.RefusedOrders++
 			return &StaleFencingError{Seen: c.control.fencing}
 		}
@@ -62,7 +62,7 @@
 func (c *Core) Notice(now, deadline time.Time) {
 	c.advance(now)
 	if !c.control.leaving {
-		c.control.noticed = now
+		c.control.noticeTime = now
 	}
 	c.control.leaving = true
 	c.control.deadline = deadline
@@ -77,7 +77,7 @@
 // Dead reports whether the engine is gone.
 func (c *Core) Dead() bool { return c.control.dead }
 
-func (c *control) find(model, version string) *engineapi.LoadedModel {
+func (c *control) findModel(model, version string) *engineapi.LoadedModel {
 	for i := range c.models {
 		if c.models[i].Model == model && (version == "" || c.models[i].Version == version) {
 			return &c.models[i]
@@ -86,55 +86,55 @@
 	return nil
 }
 
-func (c *control) serves(model, adapter string) bool {
+func (c *control) servesModel(model, adapter string) bool {
 	for _, m := range c.models {
 		if m.Model != model || m.Loading {
 			continue
 		}
-		if adapter == "" || slices.ContainsFunc(m.Adapters, func(loaded string) bool { return names(adapter, loaded) }) {
+		if adapter == "" || slices.ContainsFunc(m.Adapters, func(loaded string) bool { return matchesAdapter(adapter, loaded) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// names reports whether a request's adapter means the loaded one: its whole
+// matchesAdapter reports whether a request's adapter means the loaded one: its whole
 // name, or the part before its version.
-func names(adapter, loaded string) bool {
+func matchesAdapter(adapter, loaded string) bool {
 	name, _, _ := strings.Cut(loaded, versionSeparator)
 	return adapter == loaded || adapter == name
 }
 
 // load begins what an order asks for, unless it is there or has begun.
 func (c *Core) load(now time.Time, o engineapi.Order) {
-	if c.control.holds(o) {
+	if c.control.isLoadedOrLoading(o) {
 		return
 	}
-	ready := now.Add(c.cfg.OrderTime)
-	if c.cfg.Transfer != nil {
-		ready = ready.Add(c.cfg.Transfer(now, o))
+	ready := now.Add(c.cfg.LoadTime)
+	if c.cfg.WeightTransferTime != nil {
+		ready = ready.Add(c.cfg.WeightTransferTime(now, o))
 	}
-	if c.control.find(o.Model, o.Version) == nil {
+	if c.control.findModel(o.Model, o.Version) == nil {
 		c.control.models = append(c.control.models, engineapi.LoadedModel{Model: o.Model, Version: o.Version, Loading: true})
 	}
-	c.control.loads = append(c.control.loads, load{model: o.Model, version: o.Version, adapter: o.Adapter, ready: ready})
+	c.control.pendingLoads = append(c.control.pendingLoads, load{model: o.Model, version: o.Version, adapter: o.Adapter, ready: ready})
 }
 
-// holds reports whether an order asks for nothing that is not there or on its
+// isLoadedOrLoading reports whether an order asks for nothing that is not there or on its
 // way.
-func (c *control) holds(o engineapi.Order) bool {
-	loaded := c.find(o.Model, o.Version)
+func (c *control) isLoadedOrLoading(o engineapi.Order) bool {
+	loaded := c.findModel(o.Model, o.Version)
 	if loaded != nil && (o.Adapter == "" || slices.Contains(loaded.Adapters, o.Adapter)) {
 		return true
 	}
-	return slices.ContainsFunc(c.loads, func(l load) bool {
+	return slices.ContainsFunc(c.pendingLoads, func(l load) bool {
 		return l.model == o.Model && l.version == o.Version && l.adapter == o.Adapter
 	})
 }
 
 func (c *control) unload(o engineapi.Order) {
 	if o.Adapter != "" {
-		if loaded := c.find(o.Model, o.Version); loaded != nil {
+		if loaded := c.findModel(o.Model, o.Version); loaded != nil {
 			loaded.Adapters = slices.DeleteFunc(slices.Clone(loaded.Adapters), func(a string) bool { return a == o.Adapter })
 		}
 	} else {
@@ -142,17 +142,17 @@
 			return m.Model == o.Model && m.Version == o.Version
 		})
 	}
-	c.loads = slices.DeleteFunc(c.loads, func(l load) bool {
+	c.pendingLoads = slices.DeleteFunc(c.pendingLoads, func(l load) bool {
 		return l.model == o.Model && l.version == o.Version && (o.Adapter == "" || l.adapter == o.Adapter)
 	})
 }
 
-func (c *control) finishOrders(now time.Time) {
-	c.loads = slices.DeleteFunc(c.loads, func(l load) bool {
+func (c *control) finishLoads(now time.Time) {
+	c.pendingLoads = slices.DeleteFunc(c.pendingLoads, func(l load) bool {
 		if l.ready.After(now) {
 			return false
 		}
-		if m := c.find(l.model, l.version); m != nil {
+		if m := c.findModel(l.model, l.version); m != nil {
 			m.Loading = false
 			if l.adapter != "" {
 				m.Adapters = append(slices.Clone(m.Adapters), l.adapter)
@@ -162,13 +162,13 @@
 	})
 }
 
-// nextDone is when the next order, or the engine itself, ends.
-func (c *control) nextDone() (time.Time, bool) {
+// nextEventTime is when the next order, or the engine itself, ends.
+func (c *control) nextEventTime() (time.Time, bool) {
 	var next time.Time
 	if c.leaving && !c.dead {
 		next = c.deadline
 	}
-	for _, l := range c.loads {
+	for _, l := range c.pendingLoads {
 		if next.IsZero() || l.ready.Before(next) {
 			next = l.ready
 		}
@@ -183,9 +183,9 @@
 	next time.Time
 }
 
-// publish takes a new load report if one is due. Nothing has changed since the
+// publishLoad takes a new load report if one is due. Nothing has changed since the
 // last call, so the state now is what it was when the report was due.
-func (c *Core) publish(now time.Time) {
+func (c *Core) publishLoad(now time.Time) {
 	if now.Before(c.report.next) {
 		return
 	}
@@ -194,10 +194,10 @@
 		c.report.at = c.report.next.Add(now.Sub(c.report.next) / period * period)
 		c.report.next = c.report.at.Add(period)
 	}
-	c.report.load = c.loadNow()
+	c.report.load = c.currentLoad()
 }
 
-func (c *Core) loadNow() engineapi.Load {
+func (c *Core) currentLoad() engineapi.Load {
 	l := engineapi.Load{
 		RunnerID:      c.cfg.RunnerID,
 		Running:       len(c.running),
@@ -211,11 +211,11 @@
 		Leaving:       c.control.leaving,
 	}
 	for _, s := range c.queue {
-		l.QueuedTokens += s.known
+		l.QueuedTokens += s.knownTokens
 	}
 	for _, s := range c.running {
-		l.RunningTokens += s.known
-		l.QueuedTokens += s.known - s.computed
+		l.RunningTokens += s.knownTokens
+		l.QueuedTokens += s.knownTokens - s.computedTokens
 	}
 	for _, m := range c.control.models {
 		m.Adapters = slices.Clone(m.Adapters)
@@ -239,12 +239,12 @@
 // eventLog keeps the cache events until they are published and for a while
 // after it.
 type eventLog struct {
-	lag    time.Duration
-	gap    uint64
-	keep   int
-	first  uint64
-	next   uint64
-	events []loggedEvent
+	delay        time.Duration
+	dropEveryNth uint64
+	maxRetained  int
+	first        uint64
+	next         uint64
+	events       []loggedEvent
 }
 
 type loggedEvent struct {
@@ -255,12 +255,12 @@
 func (l *eventLog) add(now time.Time, hash uint64, stored bool) {
 	sequence := l.next
 	l.next++
-	if l.gap > 0 && sequence%l.gap == 0 {
+	if l.dropEveryNth > 0 && sequence%l.dropEveryNth == 0 {
 		return
 	}
 	l.events = append(l.events, loggedEvent{at: now, event: engineapi.CacheEvent{Sequence: sequence, Block: hash, Stored: stored}})
-	if extra := len(l.events) - 2*l.keep; l.keep > 0 && extra > 0 {
-		l.events = append([]loggedEvent(nil), l.events[len(l.events)-l.keep:]...)
+	if excess := len(l.events) - 2*l.maxRetained; l.maxRetained > 0 && excess > 0 {
+		l.events = append([]loggedEvent(nil), l.events[len(l.events)-l.maxRetained:]...)
 		l.first = l.events[0].event.Sequence
 	}
 }
@@ -270,10 +270,10 @@
 func (c *Core) CacheEvents(now time.Time, from uint64, limit int) engineapi.CacheEvents {
 	c.advance(now)
 	page := engineapi.CacheEvents{RunnerID: c.cfg.RunnerID, First: c.events.first, Next: max(from, c.events.first)}
-	kept := c.events.events
-	start := sort.Search(len(kept), func(i int) bool { return kept[i].event.Sequence >= from })
-	for _, e := range kept[start:] {
-		if e.at.Add(c.events.lag).After(now) || (limit > 0 && len(page.Events) == limit) {
+	retained := c.events.events
+	start := sort.Search(len(retained), func(i int) bool { return retained[i].event.Sequence >= from })
+	for _, e := range retained[start:] {
+		if e.at.Add(c.events.delay).After(now) || (limit > 0 && len(page.Events) == limit) {
 			break
 		}
 		page.Events = append(page.Events, e.event)
--- a/standin/engine/core.go
+++ b/standin/engine/core.go
@@ -38,19 +38,19 @@
 	HandleLifetime time.Duration
 	// LoadPeriod is the time between two load reports.
 	LoadPeriod time.Duration
-	// EventLag is the time until a cache event is published.
-	EventLag time.Duration
-	// EventGap drops each so many-th cache event; zero drops none.
-	EventGap uint64
-	// EventsKept bounds the cache events that can be read again.
-	EventsKept int
-	// OrderTime is how long loading a model or adapter takes.
-	OrderTime time.Duration
-	// Transfer, if set, is how long the weights of an order that begins at now
+	// EventDelay is the time until a cache event is published.
+	EventDelay time.Duration
+	// DropEveryNthEvent drops each so many-th cache event; zero drops none.
+	DropEveryNthEvent uint64
+	// MaxRetainedEvents bounds the cache events that can be read again.
+	MaxRetainedEvents int
+	// LoadTime is how long loading a model or adapter takes.
+	LoadTime time.Duration
+	// WeightTransferTime, if set, is how long the weights of an order that begins at now
 	// take to arrive, before OrderTime.
-	Transfer func(now time.Time, o engineapi.Order) time.Duration
-	// ChecksFencing refuses orders with an older fencing number than one seen.
-	ChecksFencing bool
+	WeightTransferTime func(now time.Time, o engineapi.Order) time.Duration
+	// CheckFencing refuses orders with an older fencing number than one seen.
+	CheckFencing bool
 	// RefuseWhenLeaving refuses new attempts once a notice has come.
 	RefuseWhenLeaving bool
 }
@@ -58,20 +58,20 @@
 // DefaultConfig is a middling engine with one model loaded.
 func DefaultConfig(runnerID, model, version string) Config {
 	return Config{
-		RunnerID:        runnerID,
-		Models:          []engineapi.LoadedModel{{Model: model, Version: version}},
-		PrefillRate:     8000,
-		StepTime:        20 * time.Millisecond,
-		ChunkTokens:     512,
-		MaxBatch:        16,
-		KVBlocks:        4096,
-		BytesPerToken:   128 << 10,
-		ExportBandwidth: 1.25e9,
-		HandleLifetime:  time.Minute,
-		LoadPeriod:      500 * time.Millisecond,
-		EventLag:        time.Second,
-		EventsKept:      4096,
-		OrderTime:       5 * time.Second,
+		RunnerID:          runnerID,
+		Models:            []engineapi.LoadedModel{{Model: model, Version: version}},
+		PrefillRate:       8000,
+		StepTime:          20 * time.Millisecond,
+		ChunkTokens:       512,
+		MaxBatch:          16,
+		KVBlocks:          4096,
+		BytesPerToken:     128 << 10,
+		ExportBandwidth:   1.25e9,
+		HandleLifetime:    time.Minute,
+		LoadPeriod:        500 * time.Millisecond,
+		EventDelay:        time.Second,
+		MaxRetainedEvents: 4096,
+		LoadTime:          5 * time.Second,
 	}
 }
 
@@ -81,9 +81,9 @@
 	Event engineapi.GenerateEvent
 }
 
-// Work says that the tokens From up to but not To of a request's prompt and
+// ComputedRange says that the tokens From up to but not To of a request's prompt and
 // output were computed.
-type Work struct {
+type ComputedRange struct {
 	RequestID string
 	AttemptID string
 	From, To  int
@@ -94,8 +94,8 @@
 // Result is what a step brought about. Its slices are good until the next call
 // of Step.
 type Result struct {
-	Lines []Line
-	Work  []Work
+	Lines    []Line
+	Computed []ComputedRange
 }
 
 // Core is a model engine without I/O and without a clock: each call gets the
@@ -107,23 +107,23 @@
 // decoding sequence and each one whose prompt became complete has one token
 // more.
 type Core struct {
-	cfg       Config
-	cache     *blockCache
-	queue     []*sequence // best first
-	running   []*sequence // best first
-	attempts  map[string]*sequence
-	arrivals  uint64
-	iteration iteration
-	result    Result
-	spare     Result // what the last step returned
-	now       time.Time
-	handles   []*handle // oldest first
-	lastID    int
-	linkFree  time.Time
-	control   control
-	events    eventLog
-	report    report
-	counters  Counters
+	cfg              Config
+	cache            *blockCache
+	queue            []*sequence // best first
+	running          []*sequence // best first
+	attempts         map[string]*sequence
+	nextArrival      uint64
+	iteration        iteration
+	result           Result
+	previousResult   Result // what the last step returned
+	now              time.Time
+	handles          []*cacheHandle // oldest first
+	lastHandleID     int
+	exportLinkFreeAt time.Time
+	control          control
+	events           eventLog
+	report           report
+	counters         Counters
 }
 
 // Counters add up over an engine's life.
@@ -150,22 +150,22 @@
 
 type sequence struct {
 	Attempt
-	arrival uint64
-	// chain holds the hashes of the whole blocks of what is known.
-	chain []uint64
-	tail  []string
-	// known is the prompt and output so far, in tokens.
-	known int
-	// computed of the known tokens are in memory.
-	computed int
-	// acquired blocks of the chain are stored and referred to.
-	acquired int
-	private  int
-	cached   int
-	// anew is how many tokens had to be computed before the first new one.
-	anew   int
-	offset int
-	told   bool
+	arrivalOrder uint64
+	// blockHashes holds the hashes of the whole blocks of what is known.
+	blockHashes  []uint64
+	partialBlock []string
+	// knownTokens is the prompt and output so far, in tokens.
+	knownTokens int
+	// computedTokens of the known tokens are in memory.
+	computedTokens int
+	// acquiredBlocks blocks of the chain are stored and referred to.
+	acquiredBlocks int
+	privateBlocks  int
+	cachedTokens   int
+	// prefillTokens is how many tokens had to be computed before the first new one.
+	prefillTokens int
+	nextOffset    int
+	statsSent     bool
 }
 
 type iteration struct {
@@ -187,11 +187,11 @@
 		attempts: map[string]*sequence{},
 		now:      now,
 	}
-	c.events = eventLog{lag: cfg.EventLag, gap: cfg.EventGap, keep: cfg.EventsKept, first: 1, next: 1}
+	c.events = eventLog{delay: cfg.EventDelay, dropEveryNth: cfg.DropEveryNthEvent, maxRetained: cfg.MaxRetainedEvents, first: 1, next: 1}
 	c.cache = newBlockCache(cfg.KVBlocks, func(hash uint64, stored bool) { c.events.add(c.now, hash, stored) })
 	c.control.models = append(c.control.models, cfg.Models...)
 	c.report.next = now
-	c.publish(now)
+	c.publishLoad(now)
 	return c
 }
 
@@ -199,37 +199,37 @@
 // nothing of the attempt was run.
 func (c *Core) Submit(now time.Time, a Attempt) error {
 	c.advance(now)
-	if err := c.admissible(a); err != nil {
+	if err := c.checkAdmission(a); err != nil {
 		c.counters.Refused++
 		return err
 	}
 	c.counters.Accepted++
 	if c.control.leaving {
 		c.counters.AcceptedLeaving++
-		c.counters.LastAfterNotice = now.Sub(c.control.noticed)
+		c.counters.LastAfterNotice = now.Sub(c.control.noticeTime)
 	}
 	s := &sequence{
-		Attempt: a,
-		arrival: c.arrivals,
-		chain:   append([]uint64(nil), a.Blocks...),
-		tail:    append([]string(nil), a.Tail...),
-		known:   a.known(),
-		offset:  a.EmittedTokens,
+		Attempt:      a,
+		arrivalOrder: c.nextArrival,
+		blockHashes:  append([]uint64(nil), a.Blocks...),
+		partialBlock: append([]string(nil), a.Tail...),
+		knownTokens:  a.knownTokens(),
+		nextOffset:   a.EmittedTokens,
 	}
-	c.arrivals++
+	c.nextArrival++
 	c.attempts[a.AttemptID] = s
 	c.enqueue(s)
-	c.begin(now)
+	c.startIteration(now)
 	return nil
 }
 
-func (c *Core) admissible(a Attempt) error {
+func (c *Core) checkAdmission(a Attempt) error {
 	switch {
 	case c.control.dead:
 		return &DeadError{}
 	case c.control.leaving && c.cfg.RefuseWhenLeaving:
 		return &LeavingError{}
-	case !c.control.serves(a.Model, a.Adapter):
+	case !c.control.servesModel(a.Model, a.Adapter):
 		return &NotLoadedError{Model: a.Model, Adapter: a.Adapter}
 	case c.attempts[a.AttemptID] != nil:
 		return &DuplicateAttemptError{AttemptID: a.AttemptID}
@@ -258,8 +258,8 @@
 func (c *Core) Step(now time.Time) Result {
 	c.advance(now)
 	r := c.result
-	c.result = Result{Lines: c.spare.Lines[:0], Work: c.spare.Work[:0]}
-	c.spare = r
+	c.result = Result{Lines: c.previousResult.Lines[:0], Computed: c.previousResult.Computed[:0]}
+	c.previousResult = r
 	return r
 }
 
@@ -269,7 +269,7 @@
 	if len(c.result.Lines) > 0 {
 		return c.now, true
 	}
-	next, ok := c.control.nextDone()
+	next, ok := c.control.nextEventTime()
 	if c.iteration.active && (!ok || c.iteration.end.Before(next)) {
 		return c.iteration.end, true
 	}
@@ -282,20 +282,20 @@
 func (c *Core) advance(now time.Time) {
 	for c.iteration.active && !c.iteration.end.After(now) && !c.control.dead {
 		end := c.iteration.end
-		c.elapse(end)
+		c.processDeadlines(end)
 		if c.control.dead {
 			return
 		}
-		c.complete()
-		c.begin(end)
+		c.finishIteration()
+		c.startIteration(end)
 	}
-	c.elapse(now)
+	c.processDeadlines(now)
 }
 
-// elapse lets time go on with nothing computed meanwhile.
-func (c *Core) elapse(now time.Time) {
-	c.publish(now)
-	c.control.finishOrders(now)
+// processDeadlines lets time go on with nothing computed meanwhile.
+func (c *Core) processDeadlines(now time.Time) {
+	c.publishLoad(now)
+	c.control.finishLoads(now)
 	c.expireHandles(now)
 	if c.control.leaving && !now.Before(c.control.deadline) {
 		c.Die(c.control.deadline)
@@ -305,16 +305,16 @@
 	}
 }
 
-// begin plans the next iteration, unless one is on or there is no work.
-func (c *Core) begin(now time.Time) {
+// startIteration plans the next iteration, unless one is on or there is no work.
+func (c *Core) startIteration(now time.Time) {
 	if c.iteration.active || c.control.dead {
 		return
 	}
-	c.fill()
+	c.fillBatch()
 	it := iteration{active: true, prefill: c.iteration.prefill[:0], decode: c.iteration.decode[:0]}
 	budget := max(c.cfg.ChunkTokens, 1)
 	for _, s := range c.running {
-		missing := s.known - s.computed
+		missing := s.knownTokens - s.computedTokens
 		if missing == 0 {
 			it.decode = append(it.decode, s)
 			continue
@@ -329,95 +329,95 @@
 	c.iteration = it
 }
 
-func (c *Core) duration(it iteration, tokens int) time.Duration {
-	d := time.Duration(float64(tokens) / c.cfg.PrefillRate * float64(time.Second))
+func (c *Core) duration(it iteration, promptTokens int) time.Duration {
+	d := time.Duration(float64(promptTokens) / c.cfg.PrefillRate * float64(time.Second))
 	if len(it.decode) > 0 {
 		d += c.cfg.StepTime
 	}
 	return max(d, time.Microsecond)
 }
 
-// complete does what the present iteration computed. A sequence that was
+// finishIteration does what the present iteration computed. A sequence that was
 // cancelled meanwhile is left out.
-func (c *Core) complete() {
+func (c *Core) finishIteration() {
 	c.iteration.active = false
 	for _, p := range c.iteration.prefill {
 		if c.attempts[p.seq.AttemptID] == p.seq {
-			c.prefilled(p.seq, p.tokens)
+			c.finishPrefillChunk(p.seq, p.tokens)
 		}
 	}
 	for _, s := range c.iteration.decode {
 		if c.attempts[s.AttemptID] == s {
-			c.emit(s)
+			c.emitToken(s)
 		}
 	}
 }
 
-func (c *Core) prefilled(s *sequence, tokens int) {
-	c.result.Work = append(c.result.Work, Work{RequestID: s.RequestID, AttemptID: s.AttemptID, From: s.computed, To: s.computed + tokens})
-	s.computed += tokens
-	s.anew += tokens
+func (c *Core) finishPrefillChunk(s *sequence, tokens int) {
+	c.result.Computed = append(c.result.Computed, ComputedRange{RequestID: s.RequestID, AttemptID: s.AttemptID, From: s.computedTokens, To: s.computedTokens + tokens})
+	s.computedTokens += tokens
+	s.prefillTokens += tokens
 	c.counters.ComputedTokens += tokens
 	if s.EmittedTokens > 0 {
 		c.counters.ResumedTokens += tokens
 	}
 	c.storeBlocks(s)
-	if s.computed == s.known {
-		c.emit(s)
+	if s.computedTokens == s.knownTokens {
+		c.emitToken(s)
 	}
 }
 
-// emit adds the next output token, unless the output is complete.
-func (c *Core) emit(s *sequence) {
-	if s.offset < s.MaxTokens {
-		c.decode(s)
+// emitToken adds the next output token, unless the output is complete.
+func (c *Core) emitToken(s *sequence) {
+	if s.nextOffset < s.MaxTokens {
+		c.decodeToken(s)
 	}
-	if s.offset >= s.MaxTokens {
+	if s.nextOffset >= s.MaxTokens {
 		c.counters.Finished++
 		c.finish(s, FinishLength)
 	}
 }
 
-func (c *Core) decode(s *sequence) {
-	token := SeedToken(s.Seed, s.offset)
+func (c *Core) decodeToken(s *sequence) {
+	token := TokenFromSeed(s.Seed, s.nextOffset)
 	line := c.line(s)
 	line.Event.Token = token
-	if !s.told {
-		s.told = true
-		line.Event.CachedTokens = s.cached
-		line.Event.ComputedTokens = s.anew
+	if !s.statsSent {
+		s.statsSent = true
+		line.Event.CachedTokens = s.cachedTokens
+		line.Event.ComputedTokens = s.prefillTokens
 	}
 	c.result.Lines = append(c.result.Lines, line)
-	c.result.Work = append(c.result.Work, Work{RequestID: s.RequestID, AttemptID: s.AttemptID, From: s.known, To: s.known + 1, Decoded: true})
+	c.result.Computed = append(c.result.Computed, ComputedRange{RequestID: s.RequestID, AttemptID: s.AttemptID, From: s.knownTokens, To: s.knownTokens + 1, Decoded: true})
 	c.counters.DecodedTokens++
-	s.offset++
-	c.extend(s, token)
+	s.nextOffset++
+	c.appendToken(s, token)
 }
 
-// extend appends an output token to what is known and in memory.
-func (c *Core) extend(s *sequence, token string) {
-	s.known++
-	s.computed++
-	s.tail = append(s.tail, token)
-	if len(s.tail) < prefixhash.BlockTokens {
+// appendToken appends an output token to what is known and in memory.
+func (c *Core) appendToken(s *sequence, token string) {
+	s.knownTokens++
+	s.computedTokens++
+	s.partialBlock = append(s.partialBlock, token)
+	if len(s.partialBlock) < prefixhash.BlockTokens {
 		return
 	}
 	previous := prefixhash.Root(s.Model, s.Adapter)
-	if len(s.chain) > 0 {
-		previous = s.chain[len(s.chain)-1]
+	if len(s.blockHashes) > 0 {
+		previous = s.blockHashes[len(s.blockHashes)-1]
 	}
-	s.chain = append(s.chain, prefixhash.Next(previous, s.tail))
-	s.tail = s.tail[:0]
+	s.blockHashes = append(s.blockHashes, prefixhash.Next(previous, s.partialBlock))
+	s.partialBlock = s.partialBlock[:0]
 	c.storeBlocks(s)
 }
 
 // storeBlocks makes the blocks that are computed whole available to others.
 func (c *Core) storeBlocks(s *sequence) {
-	whole := min(s.computed/prefixhash.BlockTokens, len(s.chain))
-	for s.acquired < whole && s.private > 0 {
-		c.cache.store(s.chain[s.acquired])
-		s.acquired++
-		s.private--
+	completeBlocks := min(s.computedTokens/prefixhash.BlockTokens, len(s.blockHashes))
+	for s.acquiredBlocks < completeBlocks && s.privateBlocks > 0 {
+		c.cache.store(s.blockHashes[s.acquiredBlocks])
+		s.acquiredBlocks++
+		s.privateBlocks--
 	}
 }
 
@@ -425,7 +425,7 @@
 	return Line{At: c.now, Event: engineapi.GenerateEvent{
 		RequestID: s.RequestID,
 		AttemptID: s.AttemptID,
-		Offset:    s.offset,
+		Offset:    s.nextOffset,
 	}}
 }
 
@@ -433,18 +433,18 @@
 	line := c.line(s)
 	line.Event.Done = true
 	line.Event.FinishReason = reason
-	line.Event.CachedTokens = s.cached
-	line.Event.ComputedTokens = s.anew
+	line.Event.CachedTokens = s.cachedTokens
+	line.Event.ComputedTokens = s.prefillTokens
 	c.result.Lines = append(c.result.Lines, line)
 	delete(c.attempts, s.AttemptID)
-	c.queue = without(c.queue, s)
-	c.running = without(c.running, s)
-	c.vacate(s)
+	c.queue = removeSequence(c.queue, s)
+	c.running = removeSequence(c.running, s)
+	c.releaseMemory(s)
 }
 
-// vacate gives a sequence's memory back; what it stored stays until evicted.
-func (c *Core) vacate(s *sequence) {
-	c.cache.release(s.chain[:s.acquired])
-	c.cache.private -= s.private
-	s.acquired, s.private, s.computed = 0, 0, 0
+// releaseMemory gives a sequence's memory back; what it stored stays until evicted.
+func (c *Core) releaseMemory(s *sequence) {
+	c.cache.release(s.blockHashes[:s.acquiredBlocks])
+	c.cache.privateBlocks -= s.privateBlocks
+	s.acquiredBlocks, s.privateBlocks, s.computedTokens = 0, 0, 0
 }
--- a/standin/engine/core_test.go
+++ b/standin/engine/core_test.go
@@ -21,13 +21,13 @@
 	return engineapi.GenerateRequest{RequestID: id, AttemptID: id + "/1", Model: "m", Prompt: text, MaxTokens: maxTokens}
 }
 
-// drain steps a core until nothing is due and returns all that came about.
-func drain(c *Core) Result {
+// stepUntilIdle steps a core until nothing is due and returns all that came about.
+func stepUntilIdle(c *Core) Result {
 	all := Result{}
 	for next, ok := c.Next(); ok; next, ok = c.Next() {
 		r := c.Step(next)
 		all.Lines = append(all.Lines, r.Lines...)
-		all.Work = append(all.Work, r.Work...)
+		all.Computed = append(all.Computed, r.Computed...)
 	}
 	return all
 }
@@ -39,7 +39,7 @@
 	c := NewCore(cfg, epoch)
 	text := prompt("a", 160)
 	is.NoErr(c.Submit(epoch, NewAttempt(request("x", text, 3))))
-	lines := drain(c).Lines
+	lines := stepUntilIdle(c).Lines
 	is.Equal(len(lines), 4)
 	is.Equal(lines[0].At.Sub(epoch), 160*time.Millisecond)
 	is.Equal(lines[2].At.Sub(epoch), 180*time.Millisecond)
@@ -48,7 +48,7 @@
 
 	now := lines[3].At
 	is.NoErr(c.Submit(now, NewAttempt(request("y", text+"b", 1))))
-	first := drain(c).Lines[0]
+	first := stepUntilIdle(c).Lines[0]
 	is.Equal(first.Event.CachedTokens, 160)
 	is.Equal(first.Event.ComputedTokens, 1)
 	is.Equal(first.At.Sub(now), time.Millisecond)
@@ -66,7 +66,7 @@
 	is.NoErr(c.Submit(epoch.Add(100*time.Millisecond), NewAttempt(urgent)))
 	var finished []string
 	tokens := 0
-	for _, line := range drain(c).Lines {
+	for _, line := range stepUntilIdle(c).Lines {
 		if line.Event.Done {
 			finished = append(finished, line.Event.RequestID)
 		}
@@ -81,24 +81,24 @@
 
 func TestResumeCountsRecomputedTokens(t *testing.T) {
 	is := is.New(t)
-	ledger := NewLedger()
+	tokenCounter := NewTokenCounter()
 	text := prompt("a", 100)
 	first := NewCore(DefaultConfig("r1", "m", "1"), epoch)
 	is.NoErr(first.Submit(epoch, NewAttempt(request("x", text, 40))))
 	r := first.Step(epoch.Add(200 * time.Millisecond))
-	ledger.Add(r.Work)
+	tokenCounter.Add(r.Computed)
 	emitted := len(r.Lines)
 	is.True(emitted > 0 && emitted < 40)
-	is.Equal(ledger.Totals().Recomputed, 0)
+	is.Equal(tokenCounter.TokenTotals().Recomputed, 0)
 
 	resume := request("x", text, 40)
 	resume.AttemptID, resume.Emitted = "x/2", Tokens("m", text, emitted)
 	second := NewCore(DefaultConfig("r2", "m", "1"), epoch)
 	is.NoErr(second.Submit(epoch, NewAttempt(resume)))
-	rest := drain(second)
-	ledger.Add(rest.Work)
+	rest := stepUntilIdle(second)
+	tokenCounter.Add(rest.Computed)
 	is.Equal(rest.Lines[0].Event.Offset, emitted)
-	is.Equal(ledger.Totals(), Totals{Computed: 2*(100+emitted) + 40 - emitted, Recomputed: 100 + emitted, Attempts: 2})
+	is.Equal(tokenCounter.TokenTotals(), TokenTotals{Computed: 2*(100+emitted) + 40 - emitted, Recomputed: 100 + emitted, Attempts: 2})
 }
 
 func TestImportedCacheIsNotRecomputed(t *testing.T) {
@@ -110,34 +110,34 @@
 	is.NoErr(source.Submit(epoch, NewAttempt(request("x", text, 40))))
 	now := epoch.Add(200 * time.Millisecond)
 	emitted := len(source.Step(now).Lines)
-	offer, err := source.Export(now, "x/1")
+	export, err := source.Export(now, "x/1")
 	is.NoErr(err)
-	is.Equal(offer.Tokens, 100+emitted)
-	exported, arrives, err := source.Fetch(now, offer.Handle)
+	is.Equal(export.Tokens, 100+emitted)
+	exported, arrives, err := source.StartTransfer(now, export.Handle)
 	is.NoErr(err)
-	is.Equal(arrives.Sub(now), time.Duration(offer.Tokens)*time.Millisecond)
+	is.Equal(arrives.Sub(now), time.Duration(export.Tokens)*time.Millisecond)
 
 	target := NewCore(DefaultConfig("r2", "m", "1"), epoch)
 	imported := target.Import(arrives, exported)
-	is.Equal(imported.Tokens, offer.Tokens)
+	is.Equal(imported.Tokens, export.Tokens)
 	resume := request("x", text, 40)
 	resume.AttemptID, resume.Emitted, resume.ImportedHandle = "x/2", Tokens("m", text, emitted), imported.Handle
 	is.NoErr(target.Submit(arrives, NewAttempt(resume)))
-	drain(target)
+	stepUntilIdle(target)
 	is.Equal(target.Counters().ComputedTokens, 1) // the last one, for its output
-	is.Equal(target.cache.private, 0)
+	is.Equal(target.cache.privateBlocks, 0)
 }
 
 func TestOrdersAndFencing(t *testing.T) {
 	is := is.New(t)
 	for _, checks := range []bool{true, false} {
 		cfg := DefaultConfig("r", "m", "1")
-		cfg.ChecksFencing = checks
+		cfg.CheckFencing = checks
 		c := NewCore(cfg, epoch)
 		is.NoErr(c.Order(epoch, engineapi.Order{Kind: engineapi.OrderLoad, Fencing: 7, Model: "n", Version: "2"}))
 		attempt := NewAttempt(engineapi.GenerateRequest{AttemptID: "a", Model: "n", Prompt: "p", MaxTokens: 1})
 		is.True(c.Submit(epoch, attempt) != nil) // still loading
-		now := epoch.Add(cfg.OrderTime)
+		now := epoch.Add(cfg.LoadTime)
 		is.NoErr(c.Submit(now, attempt))
 		err := c.Order(now, engineapi.Order{Kind: engineapi.OrderUnload, Fencing: 6, Model: "n", Version: "2"})
 		is.Equal(err != nil, checks)
@@ -159,7 +159,7 @@
 func TestLoadReportAndCacheEventsLag(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig("r", "m", "1")
-	cfg.EventGap = 3
+	cfg.DropEveryNthEvent = 3
 	c := NewCore(cfg, epoch)
 	is.NoErr(c.Submit(epoch, NewAttempt(request("x", prompt("a", 80), 100))))
 	now := epoch.Add(300 * time.Millisecond)
@@ -183,7 +183,7 @@
 	is.NoErr(c.Submit(epoch.Add(500*time.Millisecond), NewAttempt(request("y", "a", 1))))
 	is.Equal(c.Counters().LastAfterNotice, 500*time.Millisecond)
 	is.True(c.Load(epoch.Add(600 * time.Millisecond)).Leaving)
-	for _, line := range drain(c).Lines {
+	for _, line := range stepUntilIdle(c).Lines {
 		is.True(!line.At.After(epoch.Add(time.Second)))
 	}
 	is.True(c.Dead())
@@ -224,7 +224,7 @@
 				c.Cancel(now, fmt.Sprint(rapid.IntRange(0, 30).Draw(t, "victim")))
 			case 1:
 				if offer, err := c.Export(now, fmt.Sprint(rapid.IntRange(0, 30).Draw(t, "export"))); err == nil {
-					exported, _, _ := c.Fetch(now, offer.Handle)
+					exported, _, _ := c.StartTransfer(now, offer.Handle)
 					c.Import(now, exported)
 				}
 			default:
@@ -238,15 +238,15 @@
 				}
 			}
 		}
-		read(drain(c))
+		read(stepUntilIdle(c))
 		for id := range texts {
 			if done[id] != 1 {
 				t.Fatalf("%s: %d last lines", id, done[id])
 			}
 		}
 		c.Step(c.now.Add(2 * time.Second))
-		if c.cache.free() != cfg.KVBlocks || c.cache.private != 0 {
-			t.Fatalf("memory lost: %d of %d free, %d private", c.cache.free(), cfg.KVBlocks, c.cache.private)
+		if c.cache.free() != cfg.KVBlocks || c.cache.privateBlocks != 0 {
+			t.Fatalf("memory lost: %d of %d free, %d private", c.cache.free(), cfg.KVBlocks, c.cache.privateBlocks)
 		}
 	})
 }
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -23,7 +23,7 @@
 	StreamGap StreamFault = "gap"
 )
 
-const noCancel = -1
+const notCancelled = -1
 
 // Identifiers of a crossed line that belongs to no running attempt.
 const (
@@ -63,9 +63,9 @@
 	return e.faults
 }
 
-// claim returns the fault that befalls a stream after its first tokens, and
+// takeStreamFault returns the fault that befalls a stream after its first tokens, and
 // takes it off the number of streams that are to meet it.
-func (e *Engine) claim(written int) StreamFault {
+func (e *Engine) takeStreamFault(written int) StreamFault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Hang {
@@ -78,8 +78,8 @@
 	return e.faults.Stream
 }
 
-// crossed returns a line of another attempt than the given one.
-func (e *Engine) crossed(own *stream) engineapi.GenerateEvent {
+// lineOfOtherAttempt returns a line of another attempt than the given one.
+func (e *Engine) lineOfOtherAttempt(own *stream) engineapi.GenerateEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, other := range e.streams {
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -27,13 +27,13 @@
 )
 
 const (
-	maxBodyBytes = 16 << 20
-	lineType     = "application/x-ndjson"
+	maxBodyBytes      = 16 << 20
+	ndjsonContentType = "application/x-ndjson"
 )
 
 // NoticeRequest is the body of PathNotice.
 type NoticeRequest struct {
-	LeftMillis int64 `json:"left_ms"`
+	RemainingMillis int64 `json:"left_ms"`
 }
 
 // Handler serves the engine's HTTP interface and the admin paths.
@@ -49,21 +49,21 @@
 		jsonhttp.Write(w, http.StatusOK, e.cacheEvents(from, limit))
 	})
 	api.HandleFunc("GET "+engineapi.PathExported, e.serveExported)
-	post(api, engineapi.PathCancel, func(_ context.Context, r engineapi.CancelRequest) (jsonhttp.Empty, error) {
+	handlePost(api, engineapi.PathCancel, func(_ context.Context, r engineapi.CancelRequest) (jsonhttp.Empty, error) {
 		if !e.Cancel(r.AttemptID) {
 			return jsonhttp.Empty{}, &UnknownAttemptError{AttemptID: r.AttemptID}
 		}
 		return jsonhttp.Empty{}, nil
 	})
-	post(api, engineapi.PathExport, func(_ context.Context, r engineapi.ExportRequest) (engineapi.ExportResponse, error) {
+	handlePost(api, engineapi.PathExport, func(_ context.Context, r engineapi.ExportRequest) (engineapi.ExportResponse, error) {
 		return e.export(r.AttemptID)
 	})
-	post(api, engineapi.PathImport, e.fetch)
-	post(api, engineapi.PathOrder, func(_ context.Context, o engineapi.Order) (jsonhttp.Empty, error) {
+	handlePost(api, engineapi.PathImport, e.importFromSource)
+	handlePost(api, engineapi.PathOrder, func(_ context.Context, o engineapi.Order) (jsonhttp.Empty, error) {
 		return jsonhttp.Empty{}, e.Order(o)
 	})
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", e.gate(api))
+	mux.Handle("/v1/", e.applyConnectionFaults(api))
 	e.handleAdmin(mux)
 	return mux
 }
@@ -75,7 +75,7 @@
 		if !jsonhttp.Read(w, r, maxBodyBytes, &notice) {
 			return
 		}
-		e.Notice(time.Duration(notice.LeftMillis) * time.Millisecond)
+		e.Notice(time.Duration(notice.RemainingMillis) * time.Millisecond)
 		jsonhttp.Write(w, http.StatusOK, jsonhttp.Empty{})
 	})
 	mux.HandleFunc("POST "+PathDie, func(w http.ResponseWriter, _ *http.Request) {
@@ -87,9 +87,9 @@
 	})
 }
 
-// gate breaks connections to a dead engine and leaves those to a hanging one
+// applyConnectionFaults breaks connections to a dead engine and leaves those to a hanging one
 // without an answer.
-func (e *Engine) gate(next http.Handler) http.Handler {
+func (e *Engine) applyConnectionFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.isDead() {
 			panic(http.ErrAbortHandler)
@@ -123,7 +123,7 @@
 		writeError(w, err)
 		return
 	}
-	w.Header().Set("Content-Type", lineType)
+	w.Header().Set("Content-Type", ndjsonContentType)
 	w.WriteHeader(http.StatusOK)
 	writer := &lineWriter{
 		engine: e,
@@ -153,7 +153,7 @@
 	heartbeat := time.NewTicker(DefaultHeartbeat)
 	defer heartbeat.Stop()
 	for {
-		for _, line := range w.take() {
+		for _, line := range w.takeLines() {
 			w.line(line)
 			if w.ended {
 				return
@@ -176,7 +176,7 @@
 	}
 }
 
-func (w *lineWriter) take() []engineapi.GenerateEvent {
+func (w *lineWriter) takeLines() []engineapi.GenerateEvent {
 	w.engine.mu.Lock()
 	defer w.engine.mu.Unlock()
 	lines := w.stream.lines
@@ -193,7 +193,7 @@
 }
 
 func (w *lineWriter) line(line engineapi.GenerateEvent) {
-	if w.befall(w.engine.claim(w.written)) {
+	if w.applyFault(w.engine.takeStreamFault(w.written)) {
 		return
 	}
 	w.write(line)
@@ -206,11 +206,11 @@
 		return
 	}
 	w.written++
-	w.engine.countLate(w.stream)
+	w.engine.countLateLine(w.stream)
 }
 
-// befall brings a fault about and reports whether the line is lost by it.
-func (w *lineWriter) befall(fault StreamFault) bool {
+// applyFault brings a fault about and reports whether the line is lost by it.
+func (w *lineWriter) applyFault(fault StreamFault) bool {
 	switch fault {
 	case StreamStall:
 		_ = w.flush()
@@ -226,7 +226,7 @@
 	case StreamDuplicate:
 		w.duplicate = true
 	case StreamCross:
-		w.write(w.engine.crossed(w.stream))
+		w.write(w.engine.lineOfOtherAttempt(w.stream))
 	case StreamGap:
 		w.written++
 		return true
@@ -237,16 +237,16 @@
 // write leaves a failed write to the next flush, which reports it.
 func (w *lineWriter) write(line engineapi.GenerateEvent) { _ = w.enc.Encode(line) }
 
-// countLate cancels an attempt in the core once its late lines are written.
-func (e *Engine) countLate(s *stream) {
+// countLateLine cancels an attempt in the core once its late lines are written.
+func (e *Engine) countLateLine(s *stream) {
 	defer e.wakeUp()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.late == noCancel {
+	if s.lateLines == notCancelled {
 		return
 	}
-	s.late--
-	if s.late <= 0 && e.streams[s.attemptID] == s {
+	s.lateLines--
+	if s.lateLines <= 0 && e.streams[s.attemptID] == s {
 		e.core.Cancel(time.Now(), s.attemptID)
 	}
 }
@@ -263,41 +263,41 @@
 	jsonhttp.Write(w, http.StatusOK, exported)
 }
 
-// fetch gets an exported cache from its source and imports it.
-func (e *Engine) fetch(ctx context.Context, r engineapi.ImportRequest) (engineapi.ImportResponse, error) {
+// importFromSource gets an exported cache from its source and imports it.
+func (e *Engine) importFromSource(ctx context.Context, r engineapi.ImportRequest) (engineapi.ImportResponse, error) {
 	exported, err := e.download(ctx, r)
 	if err != nil {
 		return engineapi.ImportResponse{}, &TransferError{Source: r.Source, Err: err}
 	}
-	return e.accept(exported), nil
+	return e.importCache(exported), nil
 }
 
-func (e *Engine) download(ctx context.Context, r engineapi.ImportRequest) (Exported, error) {
+func (e *Engine) download(ctx context.Context, r engineapi.ImportRequest) (ExportedCache, error) {
 	base := r.Source
 	if !strings.Contains(base, "://") {
 		base = "http://" + base
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, base+engineapi.PathExported, nil)
 	if err != nil {
-		return Exported{}, err
+		return ExportedCache{}, err
 	}
 	query := request.URL.Query()
 	query.Set("handle", r.Handle)
 	request.URL.RawQuery = query.Encode()
 	response, err := e.client.Do(request)
 	if err != nil {
-		return Exported{}, err
+		return ExportedCache{}, err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return Exported{}, &UnknownHandleError{Handle: r.Handle}
+		return ExportedCache{}, &UnknownHandleError{Handle: r.Handle}
 	}
-	var exported Exported
+	var exported ExportedCache
 	err = json.NewDecoder(response.Body).Decode(&exported)
 	return exported, err
 }
 
-func post[Request, Response any](mux *http.ServeMux, path string, call func(context.Context, Request) (Response, error)) {
+func handlePost[Request, Response any](mux *http.ServeMux, path string, call func(context.Context, Request) (Response, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var request Request
 		if !readBody(w, r, &request) {
@@ -331,18 +331,18 @@
 	if errors.As(err, &stale) {
 		return http.StatusConflict, engineapi.ErrorBody{Code: engineapi.CodeStaleFencing, Fencing: stale.Seen}
 	}
-	for _, known := range refusals {
-		if known.is(err) {
-			return known.status, engineapi.ErrorBody{Code: known.code}
+	for _, response := range errorResponses {
+		if response.matches(err) {
+			return response.status, engineapi.ErrorBody{Code: response.code}
 		}
 	}
 	return http.StatusServiceUnavailable, engineapi.ErrorBody{Code: engineapi.CodeUnavailable}
 }
 
-type refusal struct {
-	is     func(error) bool
-	status int
-	code   engineapi.Code
+type errorResponse struct {
+	matches func(error) bool
+	status  int
+	code    engineapi.Code
 }
 
 func matches[T error](err error) bool {
@@ -350,7 +350,7 @@
 	return errors.As(err, &target)
 }
 
-var refusals = []refusal{
+var errorResponses = []errorResponse{
 	{matches[*NotLoadedError], http.StatusNotFound, engineapi.CodeNotLoaded},
 	{matches[*LeavingError], http.StatusServiceUnavailable, engineapi.CodeLeaving},
 	{matches[*QueueFullError], http.StatusTooManyRequests, engineapi.CodeQueueFull},
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -15,8 +15,8 @@
 // Option changes an Engine.
 type Option func(*Engine)
 
-// WithLedger enters the engine's work in a ledger that others share.
-func WithLedger(l *Ledger) Option { return func(e *Engine) { e.ledger = l } }
+// WithTokenCounter enters the engine's work in a ledger that others share.
+func WithTokenCounter(l *TokenCounter) Option { return func(e *Engine) { e.tokenCounter = l } }
 
 // WithClient is used to fetch exported caches from other engines.
 func WithClient(c *http.Client) Option { return func(e *Engine) { e.client = c } }
@@ -25,11 +25,11 @@
 // for concurrent use and works inside a testing/synctest bubble; its goroutine
 // ends when it dies.
 type Engine struct {
-	client *http.Client
-	ledger *Ledger
-	poke   chan struct{}
-	died   chan struct{}
-	done   chan struct{}
+	client       *http.Client
+	tokenCounter *TokenCounter
+	wake         chan struct{}
+	died         chan struct{}
+	done         chan struct{}
 
 	mu      sync.Mutex
 	core    *Core
@@ -44,21 +44,21 @@
 	// Guarded by Engine.mu:
 	lines []engineapi.GenerateEvent
 	last  engineapi.GenerateEvent
-	// late counts the lines that still come after a cancel; minus one is no
+	// lateLines counts the lines that still come after a cancel; minus one is no
 	// cancel yet.
-	late int
+	lateLines int
 }
 
 // New starts an engine.
 func New(cfg Config, options ...Option) *Engine {
 	e := &Engine{
-		client:  http.DefaultClient,
-		ledger:  NewLedger(),
-		poke:    make(chan struct{}, 1),
-		died:    make(chan struct{}),
-		done:    make(chan struct{}),
-		core:    NewCore(cfg, time.Now()),
-		streams: map[string]*stream{},
+		client:       http.DefaultClient,
+		tokenCounter: NewTokenCounter(),
+		wake:         make(chan struct{}, 1),
+		died:         make(chan struct{}),
+		done:         make(chan struct{}),
+		core:         NewCore(cfg, time.Now()),
+		streams:      map[string]*stream{},
 	}
 	for _, option := range options {
 		option(e)
@@ -95,7 +95,7 @@
 		}
 		select {
 		case <-timer:
-		case <-e.poke:
+		case <-e.wake:
 		case <-e.died:
 			return
 		}
@@ -107,12 +107,12 @@
 	defer e.mu.Unlock()
 	now := time.Now()
 	r := e.core.Step(now)
-	e.ledger.Add(r.Work)
+	e.tokenCounter.Add(r.Computed)
 	for _, line := range r.Lines {
 		e.deliver(line.Event)
 	}
 	if e.core.Dead() {
-		e.announceDeath()
+		e.closeDied()
 	}
 	next, ok := e.core.Next()
 	return next.Sub(now), ok
@@ -134,7 +134,7 @@
 	}
 }
 
-func (e *Engine) announceDeath() {
+func (e *Engine) closeDied() {
 	if !e.isDead() {
 		close(e.died)
 	}
@@ -143,7 +143,7 @@
 // wakeUp makes the engine look for work that a call has brought.
 func (e *Engine) wakeUp() {
 	select {
-	case e.poke <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
@@ -158,7 +158,7 @@
 	if err := e.core.Submit(time.Now(), NewAttempt(r)); err != nil {
 		return nil, err
 	}
-	s := &stream{attemptID: r.AttemptID, wake: make(chan struct{}, 1), late: noCancel}
+	s := &stream{attemptID: r.AttemptID, wake: make(chan struct{}, 1), lateLines: notCancelled}
 	s.last = engineapi.GenerateEvent{RequestID: r.RequestID, AttemptID: r.AttemptID, Offset: len(r.Emitted)}
 	e.streams[r.AttemptID] = s
 	return s, nil
@@ -170,8 +170,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s := e.streams[attemptID]; s != nil && e.faults.LateLines > 0 {
-		if s.late == noCancel {
-			s.late = e.faults.LateLines
+		if s.lateLines == notCancelled {
+			s.lateLines = e.faults.LateLines
 		}
 		return true
 	}
@@ -189,12 +189,12 @@
 }
 
 // Notice tells that the VM goes after left; the engine dies then.
-func (e *Engine) Notice(left time.Duration) {
+func (e *Engine) Notice(remaining time.Duration) {
 	defer e.wakeUp()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	e.core.Notice(now, now.Add(left))
+	e.core.Notice(now, now.Add(remaining))
 }
 
 // Die ends the engine at once: open connections break, new ones too.
@@ -203,7 +203,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.core.Die(time.Now())
-	e.announceDeath()
+	e.closeDied()
 }
 
 // Died is closed when the engine has died.
@@ -216,8 +216,8 @@
 	return e.core.Counters()
 }
 
-// Ledger returns the ledger that the engine's work is entered in.
-func (e *Engine) Ledger() *Ledger { return e.ledger }
+// TokenCounter returns the ledger that the engine's work is entered in.
+func (e *Engine) TokenCounter() *TokenCounter { return e.tokenCounter }
 
 // Load returns the last published load report.
 func (e *Engine) Load() engineapi.Load {
@@ -248,27 +248,27 @@
 }
 
 // transfer waits as long as an exported cache takes over the engine's link.
-func (e *Engine) transfer(ctx context.Context, name string) (Exported, error) {
+func (e *Engine) transfer(ctx context.Context, name string) (ExportedCache, error) {
 	e.mu.Lock()
 	now := time.Now()
-	exported, end, err := e.core.Fetch(now, name)
-	broken := err == nil && e.faults.FailExports > 0
-	if broken {
+	exported, end, err := e.core.StartTransfer(now, name)
+	injectFailure := err == nil && e.faults.FailExports > 0
+	if injectFailure {
 		e.faults.FailExports--
 	}
 	e.mu.Unlock()
 	if err != nil {
-		return Exported{}, err
+		return ExportedCache{}, err
 	}
 	wait := end.Sub(now)
-	if broken {
+	if injectFailure {
 		wait /= 2
 	}
 	if err := e.sleep(ctx, wait); err != nil {
-		return Exported{}, err
+		return ExportedCache{}, err
 	}
-	if broken {
-		return Exported{}, &InjectedError{Fault: "fail_exports"}
+	if injectFailure {
+		return ExportedCache{}, &InjectedError{Fault: "fail_exports"}
 	}
 	return exported, nil
 }
@@ -286,7 +286,7 @@
 	}
 }
 
-func (e *Engine) accept(exported Exported) engineapi.ImportResponse {
+func (e *Engine) importCache(exported ExportedCache) engineapi.ImportResponse {
 	defer e.wakeUp()
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/server_test.go
+++ b/standin/engine/server_test.go
@@ -16,19 +16,19 @@
 	client "geraniumstack.org/geraniumstack/transport/engine"
 )
 
-const silence = 2 * time.Second
+const idleTimeout = 2 * time.Second
 
-// world is a network in a bubble with engines that end with the test.
-type world struct {
+// testNetwork is a network in a bubble with engines that end with the test.
+type testNetwork struct {
 	t       *testing.T
 	network *pipe.Network
 	cleanup []func()
 }
 
-// bubble runs a test in virtual time.
-func bubble(t *testing.T, test func(is *is.I, w *world)) {
+// runInBubble runs a test in virtual time.
+func runInBubble(t *testing.T, test func(is *is.I, w *testNetwork)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, network: pipe.NewNetwork()}
+		w := &testNetwork{t: t, network: pipe.NewNetwork()}
 		test(is.New(t), w)
 		for _, f := range w.cleanup {
 			f()
@@ -36,14 +36,14 @@
 	})
 }
 
-func (w *world) client() *http.Client {
+func (w *testNetwork) client() *http.Client {
 	c := w.network.Client()
 	w.cleanup = append(w.cleanup, c.CloseIdleConnections)
 	return c
 }
 
-// serve starts an engine at its runner ID, port 80.
-func (w *world) serve(cfg Config) (*Engine, *client.Client) {
+// startEngine starts an engine at its runner ID, port 80.
+func (w *testNetwork) startEngine(cfg Config) (*Engine, *client.Client) {
 	address := cfg.RunnerID + ":80"
 	l, err := w.network.Listen(address)
 	if err != nil {
@@ -56,9 +56,9 @@
 	return e, client.New(address, w.client())
 }
 
-func collect(c *client.Client, r engineapi.GenerateRequest, silent time.Duration) ([]engineapi.GenerateEvent, error) {
+func collect(c *client.Client, r engineapi.GenerateRequest, idle time.Duration) ([]engineapi.GenerateEvent, error) {
 	var events []engineapi.GenerateEvent
-	err := c.Generate(context.Background(), r, silent, func(e engineapi.GenerateEvent) error {
+	err := c.Generate(context.Background(), r, idle, func(e engineapi.GenerateEvent) error {
 		if !e.Heartbeat {
 			events = append(events, e)
 		}
@@ -68,10 +68,10 @@
 }
 
 func TestGenerateOverHTTP(t *testing.T) {
-	bubble(t, func(is *is.I, w *world) {
-		e, c := w.serve(DefaultConfig("r", "m", "1"))
+	runInBubble(t, func(is *is.I, w *testNetwork) {
+		e, c := w.startEngine(DefaultConfig("r", "m", "1"))
 		text := prompt("a", 20)
-		events, err := collect(c, request("x", text, 5), silence)
+		events, err := collect(c, request("x", text, 5), idleTimeout)
 		is.NoErr(err)
 		is.Equal(len(events), 6)
 		for i, want := range Tokens("m", text, 5) {
@@ -82,7 +82,7 @@
 
 		unknown := request("y", text, 5)
 		unknown.Model = "n"
-		_, err = collect(c, unknown, silence)
+		_, err = collect(c, unknown, idleTimeout)
 		var refused *client.RefusedError
 		is.True(errors.As(err, &refused))
 		is.Equal(refused.Body.Code, engineapi.CodeNotLoaded)
@@ -95,10 +95,10 @@
 // The client ends the stream after its bound and the attempt can be cancelled
 // over a new connection.
 func TestStalledStreamIsSilent(t *testing.T) {
-	bubble(t, func(is *is.I, w *world) {
-		e, c := w.serve(DefaultConfig("r", "m", "1"))
+	runInBubble(t, func(is *is.I, w *testNetwork) {
+		e, c := w.startEngine(DefaultConfig("r", "m", "1"))
 		e.SetFaults(Faults{Stream: StreamStall, Streams: 1, AfterTokens: 2})
-		events, err := collect(c, request("x", "a b", 16000), silence)
+		events, err := collect(c, request("x", "a b", 16000), idleTimeout)
 		var silent *client.StreamIdleError
 		is.True(errors.As(err, &silent))
 		is.True(client.MayHaveStarted(err))
@@ -110,11 +110,11 @@
 // A caller must not take an answer for whole that only ended early, twice, in
 // a mix with another's, or with a token missing: each shows in the lines.
 func TestStreamFaults(t *testing.T) {
-	bubble(t, func(is *is.I, w *world) {
-		e, c := w.serve(DefaultConfig("r", "m", "1"))
+	runInBubble(t, func(is *is.I, w *testNetwork) {
+		e, c := w.startEngine(DefaultConfig("r", "m", "1"))
 		run := func(id string, fault StreamFault) ([]engineapi.GenerateEvent, error) {
 			e.SetFaults(Faults{Stream: fault, Streams: 1, AfterTokens: 2})
-			return collect(c, request(id, "a b", 4), silence)
+			return collect(c, request(id, "a b", 4), idleTimeout)
 		}
 		events, err := run("truncate", StreamTruncate)
 		var truncated *client.TruncatedStreamError
@@ -139,11 +139,11 @@
 // A stream that its caller cancelled still brings lines. They were on their
 // way when the cancel came; then the stream ends.
 func TestLateLinesAfterCancel(t *testing.T) {
-	bubble(t, func(is *is.I, w *world) {
-		e, c := w.serve(DefaultConfig("r", "m", "1"))
+	runInBubble(t, func(is *is.I, w *testNetwork) {
+		e, c := w.startEngine(DefaultConfig("r", "m", "1"))
 		e.SetFaults(Faults{LateLines: 3})
 		cancelled, after := false, 0
-		err := c.Generate(context.Background(), request("x", "a b", 16000), silence, func(ev engineapi.GenerateEvent) error {
+		err := c.Generate(context.Background(), request("x", "a b", 16000), idleTimeout, func(ev engineapi.GenerateEvent) error {
 			if cancelled && ev.Token != "" {
 				after++
 			}
@@ -160,15 +160,15 @@
 }
 
 func TestExportAndImportOverHTTP(t *testing.T) {
-	bubble(t, func(is *is.I, w *world) {
-		source, from := w.serve(DefaultConfig("r1", "m", "1"))
-		_, to := w.serve(DefaultConfig("r2", "m", "1"))
+	runInBubble(t, func(is *is.I, w *testNetwork) {
+		source, from := w.startEngine(DefaultConfig("r1", "m", "1"))
+		_, to := w.startEngine(DefaultConfig("r2", "m", "1"))
 		ctx := context.Background()
 		streaming := make(chan struct{})
 		ended := make(chan error)
 		go func() {
 			started := false
-			ended <- from.Generate(ctx, request("x", prompt("a", 64), 16000), silence, func(engineapi.GenerateEvent) error {
+			ended <- from.Generate(ctx, request("x", prompt("a", 64), 16000), idleTimeout, func(engineapi.GenerateEvent) error {
 				if !started {
 					started = true
 					close(streaming)
@@ -202,12 +202,12 @@
 }
 
 func TestHeartbeatsWhileWaiting(t *testing.T) {
-	bubble(t, func(is *is.I, w *world) {
+	runInBubble(t, func(is *is.I, w *testNetwork) {
 		cfg := DefaultConfig("r", "m", "1")
 		cfg.PrefillRate = 10 // the prompt takes 100 s
-		_, c := w.serve(cfg)
+		_, c := w.startEngine(cfg)
 		beats := 0
-		err := c.Generate(context.Background(), request("x", prompt("a", 1000), 1), silence, func(e engineapi.GenerateEvent) error {
+		err := c.Generate(context.Background(), request("x", prompt("a", 1000), 1), idleTimeout, func(e engineapi.GenerateEvent) error {
 			if e.Heartbeat {
 				beats++
 			}
--- a/standin/engine/ledger.go
+++ b/standin/engine/token_counter.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// Ledger adds up the work that several engines did for the same requests. It
+// TokenCounter adds up the work that several engines did for the same requests. It
 // is safe for concurrent use.
-type Ledger struct {
+type TokenCounter struct {
 	mu       sync.Mutex
 	requests map[string]*progress
-	total    Totals
+	total    TokenTotals
 }
 
-// Totals are a ledger's sums, in tokens.
-type Totals struct {
+// TokenTotals are a ledger's sums, in tokens.
+type TokenTotals struct {
 	// Computed counts all tokens that were computed, put in or decoded.
 	Computed int `json:"computed_tokens"`
 	// Recomputed counts those of them that lie before the furthest token that
@@ -22,15 +22,15 @@
 }
 
 type progress struct {
-	reached  int
-	attempts map[string]struct{}
+	furthestToken int
+	attempts      map[string]struct{}
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{requests: map[string]*progress{}} }
+// NewTokenCounter returns an empty ledger.
+func NewTokenCounter() *TokenCounter { return &TokenCounter{requests: map[string]*progress{}} }
 
 // Add enters the work of one step of one engine.
-func (l *Ledger) Add(work []Work) {
+func (l *TokenCounter) Add(work []ComputedRange) {
 	if len(work) == 0 {
 		return
 	}
@@ -41,7 +41,7 @@
 	}
 }
 
-func (l *Ledger) add(w Work) {
+func (l *TokenCounter) add(w ComputedRange) {
 	p := l.requests[w.RequestID]
 	if p == nil {
 		p = &progress{attempts: map[string]struct{}{}}
@@ -52,12 +52,12 @@
 		l.total.Attempts++
 	}
 	l.total.Computed += w.To - w.From
-	l.total.Recomputed += max(0, min(w.To, p.reached)-w.From)
-	p.reached = max(p.reached, w.To)
+	l.total.Recomputed += max(0, min(w.To, p.furthestToken)-w.From)
+	p.furthestToken = max(p.furthestToken, w.To)
 }
 
-// Totals returns the sums so far.
-func (l *Ledger) Totals() Totals {
+// TokenTotals returns the sums so far.
+func (l *TokenCounter) TokenTotals() TokenTotals {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.total
--- a/standin/engine/transfer.go
+++ b/standin/engine/transfer.go
@@ -9,8 +9,8 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// Exported is a KV cache on its way: what it covers, in place of the numbers.
-type Exported struct {
+// ExportedCache is a KV cache on its way: what it covers, in place of the numbers.
+type ExportedCache struct {
 	Model   string   `json:"model"`
 	Adapter string   `json:"adapter,omitempty"`
 	Seed    uint64   `json:"seed,string"`
@@ -19,26 +19,26 @@
 	Bytes   int64    `json:"bytes"`
 }
 
-// handle is a cache that was exported here or imported for an attempt to come.
-type handle struct {
-	Exported
+// cacheHandle is a cache that was exported here or imported for an attempt to come.
+type cacheHandle struct {
+	ExportedCache
 	name     string
 	imported bool
 	tokens   int
-	// acquired blocks are kept from eviction until the handle is used.
-	acquired int
-	// partial is one private block for tokens after the last whole block.
-	partial int
-	expires time.Time
+	// acquiredBlocks blocks are kept from eviction until the handle is used.
+	acquiredBlocks int
+	// partialBlocks is one private block for tokens after the last whole block.
+	partialBlocks int
+	expires       time.Time
 }
 
 // matches reports whether a sequence goes on from what the cache covers.
-func (h *handle) matches(s *sequence) bool {
-	if h.Model != s.Model || h.Adapter != s.Adapter || h.Seed != s.Seed || h.tokens > s.known {
+func (h *cacheHandle) matches(s *sequence) bool {
+	if h.Model != s.Model || h.Adapter != s.Adapter || h.Seed != s.Seed || h.tokens > s.knownTokens {
 		return false
 	}
-	whole := min(len(h.Blocks), h.tokens/prefixhash.BlockTokens)
-	return whole == 0 || (whole <= len(s.chain) && s.chain[whole-1] == h.Blocks[whole-1])
+	completeBlocks := min(len(h.Blocks), h.tokens/prefixhash.BlockTokens)
+	return completeBlocks == 0 || (completeBlocks <= len(s.blockHashes) && s.blockHashes[completeBlocks-1] == h.Blocks[completeBlocks-1])
 }
 
 // Export offers what is computed of an attempt to another engine. The attempt
@@ -49,69 +49,69 @@
 	if s == nil {
 		return engineapi.ExportResponse{}, &UnknownAttemptError{AttemptID: attemptID}
 	}
-	whole := min(s.computed/prefixhash.BlockTokens, len(s.chain))
-	h := &handle{
-		Exported: Exported{
+	completeBlocks := min(s.computedTokens/prefixhash.BlockTokens, len(s.blockHashes))
+	h := &cacheHandle{
+		ExportedCache: ExportedCache{
 			Model:   s.Model,
 			Adapter: s.Adapter,
 			Seed:    s.Seed,
-			Blocks:  append([]uint64(nil), s.chain[:whole]...),
-			Tokens:  s.computed,
-			Bytes:   int64(s.computed) * c.cfg.BytesPerToken,
+			Blocks:  append([]uint64(nil), s.blockHashes[:completeBlocks]...),
+			Tokens:  s.computedTokens,
+			Bytes:   int64(s.computedTokens) * c.cfg.BytesPerToken,
 		},
 		expires: now.Add(c.cfg.HandleLifetime),
 	}
-	name := c.keep(h)
+	name := c.addHandle(h)
 	return engineapi.ExportResponse{Handle: name, Tokens: h.Tokens, Bytes: h.Bytes}, nil
 }
 
-// Fetch returns an exported cache and when its transfer is over. Transfers of
+// StartTransfer returns an exported cache and when its transfer is over. Transfers of
 // one engine go over its link one after another.
-func (c *Core) Fetch(now time.Time, name string) (Exported, time.Time, error) {
+func (c *Core) StartTransfer(now time.Time, name string) (ExportedCache, time.Time, error) {
 	c.advance(now)
-	h := c.handle(name)
+	h := c.cacheHandle(name)
 	if h == nil || h.imported {
-		return Exported{}, now, &UnknownHandleError{Handle: name}
+		return ExportedCache{}, now, &UnknownHandleError{Handle: name}
 	}
 	start := now
-	if c.linkFree.After(now) {
-		start = c.linkFree
+	if c.exportLinkFreeAt.After(now) {
+		start = c.exportLinkFreeAt
 	}
-	c.linkFree = start.Add(time.Duration(float64(h.Bytes) / c.cfg.ExportBandwidth * float64(time.Second)))
-	return h.Exported, c.linkFree, nil
+	c.exportLinkFreeAt = start.Add(time.Duration(float64(h.Bytes) / c.cfg.ExportBandwidth * float64(time.Second)))
+	return h.ExportedCache, c.exportLinkFreeAt, nil
 }
 
 // Import takes a cache that has arrived, as much of it as there is memory for.
 // An attempt that names the handle computes only what it does not cover.
-func (c *Core) Import(now time.Time, e Exported) engineapi.ImportResponse {
+func (c *Core) Import(now time.Time, e ExportedCache) engineapi.ImportResponse {
 	c.advance(now)
-	h := &handle{Exported: e, imported: true, expires: now.Add(c.cfg.HandleLifetime)}
+	h := &cacheHandle{ExportedCache: e, imported: true, expires: now.Add(c.cfg.HandleLifetime)}
 	for _, hash := range e.Blocks {
 		if b := c.cache.stored[hash]; b != nil {
-			c.cache.refer(b)
+			c.cache.addReference(b)
 		} else if !c.cache.reserve(1) {
 			break
 		} else {
 			c.cache.store(hash)
 		}
-		h.acquired++
+		h.acquiredBlocks++
 	}
-	h.tokens = min(h.acquired*prefixhash.BlockTokens, e.Tokens)
-	if h.acquired == len(e.Blocks) && h.tokens < e.Tokens && c.cache.reserve(1) {
-		h.partial = 1
+	h.tokens = min(h.acquiredBlocks*prefixhash.BlockTokens, e.Tokens)
+	if h.acquiredBlocks == len(e.Blocks) && h.tokens < e.Tokens && c.cache.reserve(1) {
+		h.partialBlocks = 1
 		h.tokens = e.Tokens
 	}
-	return engineapi.ImportResponse{Handle: c.keep(h), Tokens: h.tokens}
+	return engineapi.ImportResponse{Handle: c.addHandle(h), Tokens: h.tokens}
 }
 
-func (c *Core) keep(h *handle) string {
-	c.lastID++
-	h.name = fmt.Sprintf("%s/%d", c.cfg.RunnerID, c.lastID)
+func (c *Core) addHandle(h *cacheHandle) string {
+	c.lastHandleID++
+	h.name = fmt.Sprintf("%s/%d", c.cfg.RunnerID, c.lastHandleID)
 	c.handles = append(c.handles, h)
 	return h.name
 }
 
-func (c *Core) handle(name string) *handle {
+func (c *Core) cacheHandle(name string) *cacheHandle {
 	for _, h := range c.handles {
 		if h.name == name {
 			return h
@@ -120,26 +120,26 @@
 	return nil
 }
 
-// drop forgets a handle; what was imported with it may be evicted then.
-func (c *Core) drop(h *handle) {
+// releaseHandle forgets a handle; what was imported with it may be evicted then.
+func (c *Core) releaseHandle(h *cacheHandle) {
 	if h.imported {
-		c.cache.release(h.Blocks[:h.acquired])
-		c.cache.private -= h.partial
+		c.cache.release(h.Blocks[:h.acquiredBlocks])
+		c.cache.privateBlocks -= h.partialBlocks
 	}
-	c.handles = slices.DeleteFunc(c.handles, func(other *handle) bool { return other == h })
+	c.handles = slices.DeleteFunc(c.handles, func(other *cacheHandle) bool { return other == h })
 }
 
 func (c *Core) expireHandles(now time.Time) {
 	for len(c.handles) > 0 && !c.handles[0].expires.After(now) {
-		c.drop(c.handles[0])
+		c.releaseHandle(c.handles[0])
 	}
 }
 
-// dropImported gives up the oldest imported cache that the sequence does not
+// evictImportedHandle gives up the oldest imported cache that the sequence does not
 // name, its own last, and reports whether there was one. Without it, caches
 // whose attempts never come would keep the queue waiting for memory.
-func (c *Core) dropImported(s *sequence) bool {
-	var victim *handle
+func (c *Core) evictImportedHandle(s *sequence) bool {
+	var victim *cacheHandle
 	for _, h := range c.handles {
 		if !h.imported {
 			continue
@@ -151,6 +151,6 @@
 	if victim == nil {
 		return false
 	}
-	c.drop(victim)
+	c.releaseHandle(victim)
 	return true
 }
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -65,8 +65,8 @@
 	Weights *cloudapi.Weights
 	// Executions is shared by all runners of plain services, Ledger by all
 	// engines.
-	Executions *service.Log
-	Ledger     *engine.Ledger
+	Executions   *service.Log
+	TokenCounter *engine.TokenCounter
 
 	settings Settings
 	options  Options
@@ -101,13 +101,13 @@
 		options.Network = TCP{}
 	}
 	f := &Fleet{
-		KV:         kvserver.New(),
-		Executions: service.NewLog(),
-		Ledger:     engine.NewLedger(),
-		settings:   s,
-		options:    options,
-		client:     &http.Client{Transport: &http.Transport{DialContext: options.Network.Dial}},
-		runners:    map[string]*Runner{},
+		KV:           kvserver.New(),
+		Executions:   service.NewLog(),
+		TokenCounter: engine.NewTokenCounter(),
+		settings:     s,
+		options:      options,
+		client:       &http.Client{Transport: &http.Transport{DialContext: options.Network.Dial}},
+		runners:      map[string]*Runner{},
 	}
 	f.KV.SetLimits(s.KeyValue)
 	f.Cloud = cloudapi.New(f.cloudSettings())
@@ -243,8 +243,8 @@
 	var handler http.Handler
 	if s.Kind == manifest.KindModel {
 		cfg := f.settings.engineConfig(vm.ID, s, models)
-		cfg.Transfer = f.transfer
-		r.Engine = engine.New(cfg, engine.WithLedger(f.Ledger), engine.WithClient(f.client))
+		cfg.WeightTransferTime = f.transfer
+		r.Engine = engine.New(cfg, engine.WithTokenCounter(f.TokenCounter), engine.WithClient(f.client))
 		handler = r.Engine.Handler()
 	} else {
 		r.Service = service.New(vm.ID, f.Executions)
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -91,7 +91,7 @@
 		})
 		is.NoErr(err)
 		is.Equal(tokens, 3)
-		is.Equal(f.Ledger.Totals().Recomputed, 0)
+		is.Equal(f.TokenCounter.TokenTotals().Recomputed, 0)
 		connections.CloseIdleConnections()
 		f.Close()
 	})
--- a/standin/fleet/settings.go
+++ b/standin/fleet/settings.go
@@ -221,12 +221,12 @@
 	set(&cfg.BytesPerToken, e.KVBytesPerToken)
 	set(&cfg.ExportBandwidth, e.ExportBytesPerSecond)
 	set(&cfg.LoadPeriod, millis(e.LoadReportMillis))
-	set(&cfg.EventLag, millis(e.CacheEventLagMillis))
-	set(&cfg.EventGap, e.CacheEventGap)
-	set(&cfg.OrderTime, millis(e.OrderMillis))
+	set(&cfg.EventDelay, millis(e.CacheEventLagMillis))
+	set(&cfg.DropEveryNthEvent, e.CacheEventGap)
+	set(&cfg.LoadTime, millis(e.OrderMillis))
 	cfg.PreemptRunning = e.PreemptRunning
 	cfg.RefuseWhenLeaving = e.RefuseAttemptsWhenLeaving
-	cfg.ChecksFencing = service.ChecksFencing
+	cfg.CheckFencing = service.ChecksFencing
 	return cfg
 }
 
