--- a/standin/engine/core.go
+++ b/standin/engine/core.go
@@ -81,9 +81,9 @@
 	Event engineapi.GenerateEvent
 }
 
-// ComputedRange says that the tokens From up to but not To of a request's prompt and
+// Work says that the tokens From up to but not To of a request's prompt and
 // output were computed.
-type ComputedRange struct {
+type Work struct {
 	RequestID string
 	AttemptID string
 	From, To  int
@@ -94,8 +94,8 @@
 // Result is what a step brought about. Its slices are good until the next call
 // of Step.
 type Result struct {
-	Lines    []Line
-	Computed []ComputedRange
+	Lines []Line
+	Work  []Work
 }
 
 // Core is a model engine without I/O and without a clock: each call gets the
@@ -258,7 +258,7 @@
 func (c *Core) Step(now time.Time) Result {
 	c.advance(now)
 	r := c.result
-	c.result = Result{Lines: c.previousResult.Lines[:0], Computed: c.previousResult.Computed[:0]}
+	c.result = Result{Lines: c.previousResult.Lines[:0], Work: c.previousResult.Work[:0]}
 	c.previousResult = r
 	return r
 }
@@ -354,7 +354,7 @@
 }
 
 func (c *Core) finishPrefillChunk(s *sequence, tokens int) {
-	c.result.Computed = append(c.result.Computed, ComputedRange{RequestID: s.RequestID, AttemptID: s.AttemptID, From: s.computedTokens, To: s.computedTokens + tokens})
+	c.result.Work = append(c.result.Work, Work{RequestID: s.RequestID, AttemptID: s.AttemptID, From: s.computedTokens, To: s.computedTokens + tokens})
 	s.computedTokens += tokens
 	s.prefillTokens += tokens
 	c.counters.ComputedTokens += tokens
@@ -388,7 +388,7 @@
 		line.Event.ComputedTokens = s.prefillTokens
 	}
 	c.result.Lines = append(c.result.Lines, line)
-	c.result.Computed = append(c.result.Computed, ComputedRange{RequestID: s.RequestID, AttemptID: s.AttemptID, From: s.knownTokens, To: s.knownTokens + 1, Decoded: true})
+	c.result.Work = append(c.result.Work, Work{RequestID: s.RequestID, AttemptID: s.AttemptID, From: s.knownTokens, To: s.knownTokens + 1, Decoded: true})
 	c.counters.DecodedTokens++
 	s.nextOffset++
 	c.appendToken(s, token)
--- a/standin/engine/core_test.go
+++ b/standin/engine/core_test.go
@@ -27,7 +27,7 @@
 	for next, ok := c.Next(); ok; next, ok = c.Next() {
 		r := c.Step(next)
 		all.Lines = append(all.Lines, r.Lines...)
-		all.Computed = append(all.Computed, r.Computed...)
+		all.Work = append(all.Work, r.Work...)
 	}
 	return all
 }
@@ -86,7 +86,7 @@
 	first := NewCore(DefaultConfig("r1", "m", "1"), epoch)
 	is.NoErr(first.Submit(epoch, NewAttempt(request("x", text, 40))))
 	r := first.Step(epoch.Add(200 * time.Millisecond))
-	tokenCounter.Add(r.Computed)
+	tokenCounter.Add(r.Work)
 	emitted := len(r.Lines)
 	is.True(emitted > 0 && emitted < 40)
 	is.Equal(tokenCounter.TokenTotals().Recomputed, 0)
@@ -96,7 +96,7 @@
 	second := NewCore(DefaultConfig("r2", "m", "1"), epoch)
 	is.NoErr(second.Submit(epoch, NewAttempt(resume)))
 	rest := stepUntilIdle(second)
-	tokenCounter.Add(rest.Computed)
+	tokenCounter.Add(rest.Work)
 	is.Equal(rest.Lines[0].Event.Offset, emitted)
 	is.Equal(tokenCounter.TokenTotals(), TokenTotals{Computed: 2*(100+emitted) + 40 - emitted, Recomputed: 100 + emitted, Attempts: 2})
 }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -107,7 +107,7 @@
 	defer e.mu.Unlock()
 	now := time.Now()
 	r := e.core.Step(now)
-	e.tokenCounter.Add(r.Computed)
+	e.tokenCounter.Add(r.Work)
 	for _, line := range r.Lines {
 		e.deliver(line.Event)
 	}
--- a/standin/engine/token_counter.go
+++ b/standin/engine/token_counter.go
@@ -30,7 +30,7 @@
 func NewTokenCounter() *TokenCounter { return &TokenCounter{requests: map[string]*progress{}} }
 
 // Add enters the work of one step of one engine.
-func (l *TokenCounter) Add(work []ComputedRange) {
+func (l *TokenCounter) Add(work []Work) {
 	if len(work) == 0 {
 		return
 	}
@@ -41,7 +41,7 @@
 	}
 }
 
-func (l *TokenCounter) add(w ComputedRange) {
+func (l *TokenCounter) add(w Work) {
 	p := l.requests[w.RequestID]
 	if p == nil {
 		p = &progress{attempts: map[string]struct{}{}}
