--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// Finish reasons of a stream's last line.
+// Finish reasons in a stream's final line.
 const (
 	FinishLength    = "length"
 	FinishCancelled = "cancelled"
@@ -18,7 +18,8 @@
 
 const tokenBase = 36
 
-// OutputSeed is what the output tokens of a prompt to a model are made from.
+// OutputSeed returns the seed that determines the output tokens of a prompt
+// to a model.
 func OutputSeed(model, prompt string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -28,7 +29,8 @@
 	return d.Sum64()
 }
 
-// TokenFromSeed is output token i, from 0, of the prompt with the given seed.
+// TokenFromSeed returns output token i, counted from 0, of the prompt with
+// the given seed.
 func TokenFromSeed(seed uint64, i int) string {
 	x := seed + uint64(i+1)*0x9e3779b97f4a7c15
 	x ^= x >> 30
@@ -39,13 +41,14 @@
 	return strconv.FormatUint(x>>24, tokenBase)
 }
 
-// Token is output token i, from 0, of a prompt to a model. It depends on
-// nothing else, so a checker can tell whole answers from mixed ones.
+// Token returns output token i, counted from 0, of a prompt to a model. The
+// token depends on nothing else, so a test can detect lines of another
+// answer, and missing or repeated tokens.
 func Token(model, prompt string, i int) string {
 	return TokenFromSeed(OutputSeed(model, prompt), i)
 }
 
-// Tokens is the first n output tokens of a prompt to a model.
+// Tokens returns the first n output tokens of a prompt to a model.
 func Tokens(model, prompt string, n int) []string {
 	seed := OutputSeed(model, prompt)
 	tokens := make([]string, n)
@@ -55,32 +58,34 @@
 	return tokens
 }
 
-// Attempt is a generate request as the core sees it. A benchmark may fill it
-// without any prompt text.
+// Attempt is a generate request in the form that Core takes. It holds lengths
+// and hashes in place of the text, so a benchmark can create one without a
+// prompt.
 type Attempt struct {
 	RequestID string
 	AttemptID string
 	Model     string
 	Adapter   string
-	// Seed makes the output; see OutputSeed.
+	// Seed determines the output tokens; see OutputSeed.
 	Seed uint64
-	// PromptTokens and EmittedTokens are the lengths of what is computed
-	// before the first new token.
+	// PromptTokens and EmittedTokens are the lengths of the prompt and of the
+	// output that earlier attempts of the same request emitted. Both are
+	// prefilled.
 	PromptTokens  int
 	EmittedTokens int
-	// Blocks are the prefix hashes of the whole blocks of prompt and emitted
-	// tokens, and Tail the words after them.
+	// Blocks are the prefix hashes of the complete blocks of prompt and
+	// emitted tokens, and Tail holds the tokens after them.
 	Blocks []uint64
 	Tail   []string
-	// MaxTokens bounds the output, emitted tokens included.
+	// MaxTokens bounds the output, including the emitted tokens.
 	MaxTokens int
-	// Priority orders the queue; higher first.
+	// Priority orders the queue, highest first.
 	Priority int
 	// ImportedHandle names a cache that was imported for this attempt.
 	ImportedHandle string
 }
 
-// NewAttempt reads a generate request.
+// NewAttempt converts a generate request.
 func NewAttempt(r engineapi.GenerateRequest) Attempt {
 	words := strings.Fields(r.Prompt)
 	prompt := len(words)
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -15,6 +15,8 @@
 	return list
 }
 
+// scheduledBefore orders sequences by priority, highest first, then by
+// arrival.
 func scheduledBefore(a, b *sequence) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
@@ -32,7 +34,8 @@
 
 func (c *Core) enqueue(s *sequence) { c.queue = insertSorted(c.queue, s) }
 
-// fillBatch moves the queue's head into the batch while there is room.
+// fillBatch moves sequences from the head of the queue into the batch while
+// there is room.
 func (c *Core) fillBatch() {
 	for len(c.queue) > 0 {
 		head := c.queue[0]
@@ -44,8 +47,9 @@
 	}
 }
 
-// admitToBatch takes memory for all that a sequence will need, so that none runs out
-// of it half way.
+// admitToBatch reserves memory for the sequence's whole prompt and output, so
+// that no running sequence runs out of memory. It returns false if the batch
+// or the memory is full.
 func (c *Core) admitToBatch(s *sequence) bool {
 	if len(c.running) >= c.cfg.MaxBatch {
 		return false
@@ -74,8 +78,9 @@
 	return true
 }
 
-// reusableTokens is how many known tokens need no computing: those of matched blocks
-// or of the imported cache, but never the last one, whose output is wanted.
+// reusableTokens returns how many known tokens need no prefill because a
+// cached block or the imported cache covers them. The last known token is
+// always computed, because its result is the next output token.
 func (c *Core) reusableTokens(s *sequence) int {
 	matched := s.acquiredBlocks * prefixhash.BlockTokens
 	if h := c.cacheHandle(s.ImportedHandle); h != nil && h.imported && h.matches(s) {
@@ -85,8 +90,9 @@
 	return max(0, min(matched, s.knownTokens-1))
 }
 
-// preempt makes room for a sequence by putting back the worst running one of
-// lower priority, and reports whether it did.
+// preempt moves the running sequence that is last in scheduling order back to
+// the queue if its priority is lower than that of s. It reports whether it
+// did.
 func (c *Core) preempt(s *sequence) bool {
 	if !c.cfg.PreemptRunning || len(c.running) == 0 {
 		return false
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -2,15 +2,15 @@
 
 import "container/list"
 
-// blockCache is the engine's memory for KV blocks: stored ones, which have a
-// prefix hash and can be shared, and private ones, which sequences hold for
-// tokens to come. Stored blocks that nothing refers to are evicted, least
-// recently used first.
+// blockCache manages the engine's memory for KV blocks. Stored blocks have a
+// prefix hash and can be shared between sequences; private blocks are
+// reserved by one sequence for tokens that are not computed yet. Stored
+// blocks without references are evicted in least-recently-used order.
 type blockCache struct {
 	total         int
 	privateBlocks int
 	stored        map[uint64]*block
-	idle          *list.List // of *block without references, least recent first
+	idle          *list.List // of *block without references, least recently used first
 	onChange      func(hash uint64, stored bool)
 }
 
@@ -29,12 +29,12 @@
 	}
 }
 
-// free is the number of blocks that can be had, by eviction too.
+// free returns the number of blocks that are unused or can be evicted.
 func (c *blockCache) free() int {
 	return c.total - c.privateBlocks - len(c.stored) + c.idle.Len()
 }
 
-// matchPrefix is how many leading blocks of a chain are stored.
+// matchPrefix returns how many leading blocks of the chain are stored.
 func (c *blockCache) matchPrefix(chain []uint64) int {
 	for i, hash := range chain {
 		if c.stored[hash] == nil {
@@ -44,7 +44,8 @@
 	return len(chain)
 }
 
-// acquire refers to the stored blocks of the chain.
+// acquire adds a reference to every block of the chain, all of which must be
+// stored.
 func (c *blockCache) acquire(chain []uint64) {
 	for _, hash := range chain {
 		c.addReference(c.stored[hash])
@@ -59,8 +60,9 @@
 	b.refs++
 }
 
-// release drops the references to the chain. Its end becomes idle first, so
-// that eviction never leaves a block whose prefix is gone.
+// release removes a reference from every block of the chain. The last block
+// becomes idle first, so that eviction never removes a block before the
+// blocks that follow it.
 func (c *blockCache) release(chain []uint64) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		b := c.stored[chain[i]]
@@ -71,8 +73,8 @@
 	}
 }
 
-// reserve takes n private blocks, evicting idle ones, or none if there are not
-// so many.
+// reserve takes n private blocks, evicting idle blocks if needed. It takes
+// none and returns false if fewer than n can be freed.
 func (c *blockCache) reserve(n int) bool {
 	if c.free() < n {
 		return false
@@ -90,8 +92,9 @@
 	c.onChange(b.hash, false)
 }
 
-// store turns one private block into a stored one with a reference. Where
-// another sequence stored the same before, the private one is given back.
+// store turns one private block into a stored block and adds a reference to
+// it. If another sequence has stored the same block already, the private
+// block is freed.
 func (c *blockCache) store(hash uint64) {
 	c.privateBlocks--
 	b := c.stored[hash]
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -9,10 +9,10 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// versionSeparator stands between an adapter's name and its version.
+// versionSeparator separates an adapter's name from its version.
 const versionSeparator = "@"
 
-// control is what orders and notices change.
+// control is the state that orders and reclaim notices change.
 type control struct {
 	models       []engineapi.LoadedModel
 	pendingLoads []load
@@ -24,14 +24,14 @@
 	dead         bool
 }
 
-// load is an order that takes until ready.
+// load is an order to load a model or adapter that completes at ready.
 type load struct {
 	model, version, adapter string
 	ready                   time.Time
 }
 
-// Order carries out an order or refuses it. Loading goes on after it returns
-// and shows in the load report.
+// Order carries out an order or refuses it. Loading continues in the
+// background; the load report shows its progress.
 func (c *Core) Order(now time.Time, o engineapi.Order) error {
 	c.advance(now)
 	if c.control.dead {
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// Notice tells that the VM goes at deadline; the engine is gone then.
+// Notice announces that the VM will be reclaimed. The engine terminates at
+// deadline.
 func (c *Core) Notice(now, deadline time.Time) {
 	c.advance(now)
 	if !c.control.leaving {
@@ -68,13 +69,13 @@
 	c.control.deadline = deadline
 }
 
-// Die ends the engine at once; it makes no line any more.
+// Die terminates the engine at once. It produces no more lines.
 func (c *Core) Die(now time.Time) {
 	c.control.dead = true
 	c.iteration.active = false
 }
 
-// Dead reports whether the engine is gone.
+// Dead reports whether the engine has terminated.
 func (c *Core) Dead() bool { return c.control.dead }
 
 func (c *control) findModel(model, version string) *engineapi.LoadedModel {
@@ -98,14 +99,15 @@
 	return false
 }
 
-// matchesAdapter reports whether a request's adapter means the loaded one: its whole
-// name, or the part before its version.
+// matchesAdapter reports whether the adapter named in a request is the loaded
+// one. A request may give the whole name or leave out the version.
 func matchesAdapter(adapter, loaded string) bool {
 	name, _, _ := strings.Cut(loaded, versionSeparator)
 	return adapter == loaded || adapter == name
 }
 
-// load begins what an order asks for, unless it is there or has begun.
+// load starts loading a model or adapter, unless it is loaded or loading
+// already.
 func (c *Core) load(now time.Time, o engineapi.Order) {
 	if c.control.isLoadedOrLoading(o) {
 		return
@@ -120,8 +122,8 @@
 	c.control.pendingLoads = append(c.control.pendingLoads, load{model: o.Model, version: o.Version, adapter: o.Adapter, ready: ready})
 }
 
-// isLoadedOrLoading reports whether an order asks for nothing that is not there or on its
-// way.
+// isLoadedOrLoading reports whether the model or adapter of the order is
+// loaded or is being loaded.
 func (c *control) isLoadedOrLoading(o engineapi.Order) bool {
 	loaded := c.findModel(o.Model, o.Version)
 	if loaded != nil && (o.Adapter == "" || slices.Contains(loaded.Adapters, o.Adapter)) {
@@ -162,7 +164,8 @@
 	})
 }
 
-// nextEventTime is when the next order, or the engine itself, ends.
+// nextEventTime returns the earliest time at which a load completes or the
+// engine terminates.
 func (c *control) nextEventTime() (time.Time, bool) {
 	var next time.Time
 	if c.leaving && !c.dead {
@@ -176,15 +179,16 @@
 	return next, !next.IsZero()
 }
 
-// report is the load that was last published.
+// report is the last published load report.
 type report struct {
 	load engineapi.Load
 	at   time.Time
 	next time.Time
 }
 
-// publishLoad takes a new load report if one is due. Nothing has changed since the
-// last call, so the state now is what it was when the report was due.
+// publishLoad takes a new load report if one is due. No state has changed
+// since the last call, so the present state is the state at the time when the
+// report was due.
 func (c *Core) publishLoad(now time.Time) {
 	if now.Before(c.report.next) {
 		return
@@ -224,8 +228,9 @@
 	return l
 }
 
-// Load returns the last published report. QueuedTokens are prompt tokens not
-// yet computed, RunningTokens those in the batch with their output so far.
+// Load returns the last published load report. QueuedTokens are the prompt
+// tokens that are not computed yet, and RunningTokens the prompt and output
+// tokens of the sequences in the batch.
 func (c *Core) Load(now time.Time) engineapi.Load {
 	c.advance(now)
 	l := c.report.load
@@ -236,8 +241,8 @@
 	return l
 }
 
-// eventLog keeps the cache events until they are published and for a while
-// after it.
+// eventLog holds the cache events that are not published yet, and the most
+// recent published ones.
 type eventLog struct {
 	delay        time.Duration
 	dropEveryNth uint64
@@ -265,8 +270,9 @@
 	}
 }
 
-// CacheEvents returns the published events with a sequence number of at least
-// from, at most limit (zero: no bound). A missing number among them is a gap.
+// CacheEvents returns the published events whose sequence number is at least
+// from. It returns at most limit events; zero means no bound. A missing
+// sequence number means that an event was lost.
 func (c *Core) CacheEvents(now time.Time, from uint64, limit int) engineapi.CacheEvents {
 	c.advance(now)
 	page := engineapi.CacheEvents{RunnerID: c.cfg.RunnerID, First: c.events.first, Next: max(from, c.events.first)}
--- a/standin/engine/core.go
+++ b/standin/engine/core.go
@@ -1,6 +1,7 @@
-// Package engine is a stand-in for a model engine: a pure core that batches,
-// caches and decodes (Core), an HTTP server around it (Engine), and switches
-// for its faults. docs/protocols/engine.md describes it.
+// Package engine is a stand-in for a model engine. Core is a deterministic
+// simulation without I/O that batches requests, caches prefixes and decodes
+// tokens; Engine serves it over HTTP; Faults injects failures.
+// docs/protocols/engine.md describes the protocol.
 package engine
 
 import (
@@ -10,52 +11,61 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// Config is an engine's size, speed and habits.
+// Config sets the capacity, speed and behaviour of an engine.
 type Config struct {
 	RunnerID string
-	// Models are loaded at the start.
+	// Models are loaded when the engine starts.
 	Models []engineapi.LoadedModel
-	// PrefillRate is in tokens per second.
+	// PrefillRate is in prompt tokens per second.
 	PrefillRate float64
-	// StepTime is one decode step of the whole batch.
+	// StepTime is the duration of one decode step of the whole batch.
 	StepTime time.Duration
 	// ChunkTokens bounds the prompt tokens that are computed between two
 	// decode steps.
 	ChunkTokens int
 	// MaxBatch bounds the sequences that are computed together.
 	MaxBatch int
-	// MaxQueue bounds those that wait; zero is no bound.
+	// MaxQueue bounds the sequences that wait for the batch; zero means no
+	// bound.
 	MaxQueue int
-	// PreemptRunning puts a running sequence of lower priority back into the
-	// queue where one of higher priority finds no room.
+	// PreemptRunning moves a running sequence back into the queue when a
+	// waiting sequence of higher priority finds no room in the batch.
 	PreemptRunning bool
-	// KVBlocks is the memory, in blocks of prefixhash.BlockTokens tokens.
+	// KVBlocks is the size of the KV cache memory, in blocks of
+	// prefixhash.BlockTokens tokens.
 	KVBlocks      int
 	BytesPerToken int64
-	// ExportBandwidth is in bytes per second over all exports of the engine.
+	// ExportBandwidth is in bytes per second, shared by all exports of the
+	// engine.
 	ExportBandwidth float64
 	// HandleLifetime is how long an exported or imported cache is kept.
 	HandleLifetime time.Duration
-	// LoadPeriod is the time between two load reports.
+	// LoadPeriod is the interval between two load reports.
 	LoadPeriod time.Duration
-	// EventDelay is the time until a cache event is published.
+	// EventDelay is the time between a change of the cache and the
+	// publication of its event.
 	EventDelay time.Duration
-	// DropEveryNthEvent drops each so many-th cache event; zero drops none.
+	// DropEveryNthEvent drops the cache events whose sequence number is a
+	// multiple of it; zero drops none.
 	DropEveryNthEvent uint64
-	// MaxRetainedEvents bounds the cache events that can be read again.
+	// MaxRetainedEvents bounds the cache events that can still be read after
+	// their publication; zero means no bound.
 	MaxRetainedEvents int
 	// LoadTime is how long loading a model or adapter takes.
 	LoadTime time.Duration
-	// WeightTransferTime, if set, is how long the weights of an order that begins at now
-	// take to arrive, before OrderTime.
+	// WeightTransferTime, if set, returns how long the weights take to arrive
+	// for an order received at now. LoadTime is added to it.
 	WeightTransferTime func(now time.Time, o engineapi.Order) time.Duration
-	// CheckFencing refuses orders with an older fencing number than one seen.
+	// CheckFencing makes the engine refuse orders whose fencing number is
+	// lower than the highest one seen.
 	CheckFencing bool
-	// RefuseWhenLeaving refuses new attempts once a notice has come.
+	// RefuseWhenLeaving makes the engine refuse new attempts after a reclaim
+	// notice.
 	RefuseWhenLeaving bool
 }
 
-// DefaultConfig is a middling engine with one model loaded.
+// DefaultConfig returns the configuration of a medium-sized engine with one
+// model loaded.
 func DefaultConfig(runnerID, model, version string) Config {
 	return Config{
 		RunnerID:          runnerID,
@@ -75,47 +85,49 @@
 	}
 }
 
-// Line is one line of an attempt's stream, made at a time.
+// Line is one line of an attempt's response stream and the time at which it
+// was produced.
 type Line struct {
 	At    time.Time
 	Event engineapi.GenerateEvent
 }
 
-// Work says that the tokens From up to but not To of a request's prompt and
-// output were computed.
+// Work records that the tokens [From, To) of a request's prompt and output
+// were computed.
 type Work struct {
 	RequestID string
 	AttemptID string
 	From, To  int
-	// Decoded tokens are output, others were put in.
+	// Decoded means that the tokens are output; otherwise they are prefilled
+	// input.
 	Decoded bool
 }
 
-// Result is what a step brought about. Its slices are good until the next call
-// of Step.
+// Result holds what a call of Step produced. Its slices are valid until the
+// next call of Step.
 type Result struct {
 	Lines []Line
 	Work  []Work
 }
 
-// Core is a model engine without I/O and without a clock: each call gets the
-// time, which must not go back, and Step does all work that is due. Not safe
-// for concurrent use.
+// Core simulates a model engine without I/O and without a clock: every call
+// takes the present time, which must not decrease, and Step does all work
+// that is due. Core is not safe for concurrent use.
 //
-// It computes in iterations. One takes the time of a decode step if any
-// sequence decodes, and of up to ChunkTokens tokens of prompt; at its end each
-// decoding sequence and each one whose prompt became complete has one token
-// more.
+// Core computes in iterations. An iteration prefills up to ChunkTokens prompt
+// tokens, and lasts as long as the prefill plus one decode step if any
+// sequence decodes. At its end, every decoding sequence and every sequence
+// whose prefill is complete gets one more output token.
 type Core struct {
 	cfg              Config
 	cache            *blockCache
-	queue            []*sequence // best first
-	running          []*sequence // best first
+	queue            []*sequence // in scheduling order
+	running          []*sequence // in scheduling order
 	attempts         map[string]*sequence
 	nextArrival      uint64
 	iteration        iteration
 	result           Result
-	previousResult   Result // what the last step returned
+	previousResult   Result // returned by the last Step; its slices are reused
 	now              time.Time
 	handles          []*cacheHandle // oldest first
 	lastHandleID     int
@@ -126,24 +138,27 @@
 	counters         Counters
 }
 
-// Counters add up over an engine's life.
+// Counters are totals since the engine started.
 type Counters struct {
 	Accepted  int `json:"accepted"`
 	Refused   int `json:"refused"`
 	Finished  int `json:"finished"`
 	Cancelled int `json:"cancelled"`
 	Preempted int `json:"preempted"`
-	// ComputedTokens were put in and computed, ResumedTokens those of them
-	// that belonged to attempts with emitted tokens.
+	// ComputedTokens counts the input tokens that were prefilled.
+	// ResumedTokens counts the part of them that belongs to attempts which
+	// resume earlier output (EmittedTokens > 0).
 	ComputedTokens int `json:"computed_tokens"`
 	ResumedTokens  int `json:"resumed_tokens"`
 	CachedTokens   int `json:"cached_tokens"`
 	DecodedTokens  int `json:"decoded_tokens"`
-	// AcceptedLeaving are attempts that came after a notice; the last of them
-	// came LastAfterNotice after it.
+	// AcceptedLeaving counts attempts that were accepted after a reclaim
+	// notice. LastAfterNotice is the time from the notice to the last of
+	// them.
 	AcceptedLeaving int           `json:"accepted_leaving"`
 	LastAfterNotice time.Duration `json:"last_after_notice_ns"`
-	// StaleOrders were carried out with an older fencing number than one seen.
+	// StaleOrders counts orders that were carried out although their fencing
+	// number was lower than the highest one seen.
 	StaleOrders   int `json:"stale_orders"`
 	RefusedOrders int `json:"refused_orders"`
 }
@@ -151,18 +166,23 @@
 type sequence struct {
 	Attempt
 	arrivalOrder uint64
-	// blockHashes holds the hashes of the whole blocks of what is known.
+	// blockHashes are the prefix hashes of all complete blocks of the known
+	// tokens, and partialBlock holds the tokens after them.
 	blockHashes  []uint64
 	partialBlock []string
-	// knownTokens is the prompt and output so far, in tokens.
+	// knownTokens is the length of the prompt and the output so far.
 	knownTokens int
-	// computedTokens of the known tokens are in memory.
+	// computedTokens is how many of the known tokens have their KV cache in
+	// memory.
 	computedTokens int
-	// acquiredBlocks blocks of the chain are stored and referred to.
+	// acquiredBlocks is how many leading blockHashes the sequence holds a
+	// reference to in the cache. privateBlocks is the memory reserved for the
+	// remaining tokens.
 	acquiredBlocks int
 	privateBlocks  int
 	cachedTokens   int
-	// prefillTokens is how many tokens had to be computed before the first new one.
+	// prefillTokens is how many tokens were computed before the first new
+	// output token.
 	prefillTokens int
 	nextOffset    int
 	statsSent     bool
@@ -180,7 +200,7 @@
 	tokens int
 }
 
-// NewCore returns an idle engine that starts now.
+// NewCore returns an idle engine whose time starts at now.
 func NewCore(cfg Config, now time.Time) *Core {
 	c := &Core{
 		cfg:      cfg,
@@ -195,8 +215,8 @@
 	return c
 }
 
-// Submit takes an attempt. A refusal has one of this package's error types and
-// nothing of the attempt was run.
+// Submit queues an attempt. On refusal it returns one of this package's error
+// types, and nothing of the attempt was executed.
 func (c *Core) Submit(now time.Time, a Attempt) error {
 	c.advance(now)
 	if err := c.checkAdmission(a); err != nil {
@@ -242,7 +262,8 @@
 	}
 }
 
-// Cancel ends an attempt with a last line and reports whether it was there.
+// Cancel ends an attempt with a final line and reports whether the attempt
+// existed.
 func (c *Core) Cancel(now time.Time, attemptID string) bool {
 	c.advance(now)
 	s := c.attempts[attemptID]
@@ -254,7 +275,8 @@
 	return true
 }
 
-// Step does all work that is due and returns what it brought about.
+// Step does all work that is due and returns the lines and work since the
+// last call.
 func (c *Core) Step(now time.Time) Result {
 	c.advance(now)
 	r := c.result
@@ -263,8 +285,8 @@
 	return r
 }
 
-// Next is when Step has to be called again; false if nothing is due before the
-// next other call.
+// Next returns the time at which Step has to be called again. It returns
+// false if nothing is due until another method is called.
 func (c *Core) Next() (time.Time, bool) {
 	if len(c.result.Lines) > 0 {
 		return c.now, true
@@ -292,7 +314,9 @@
 	c.processDeadlines(now)
 }
 
-// processDeadlines lets time go on with nothing computed meanwhile.
+// processDeadlines publishes load reports, finishes loads, expires handles
+// and terminates a reclaimed engine, as far as they are due at now. It
+// computes no tokens.
 func (c *Core) processDeadlines(now time.Time) {
 	c.publishLoad(now)
 	c.control.finishLoads(now)
@@ -305,7 +329,8 @@
 	}
 }
 
-// startIteration plans the next iteration, unless one is on or there is no work.
+// startIteration plans the next iteration, unless one is in progress or there
+// is no work.
 func (c *Core) startIteration(now time.Time) {
 	if c.iteration.active || c.control.dead {
 		return
@@ -337,8 +362,8 @@
 	return max(d, time.Microsecond)
 }
 
-// finishIteration does what the present iteration computed. A sequence that was
-// cancelled meanwhile is left out.
+// finishIteration applies the results of the present iteration. Sequences
+// that were cancelled during the iteration are skipped.
 func (c *Core) finishIteration() {
 	c.iteration.active = false
 	for _, p := range c.iteration.prefill {
@@ -367,7 +392,8 @@
 	}
 }
 
-// emitToken adds the next output token, unless the output is complete.
+// emitToken adds the next output token, and finishes the sequence once it has
+// MaxTokens output tokens.
 func (c *Core) emitToken(s *sequence) {
 	if s.nextOffset < s.MaxTokens {
 		c.decodeToken(s)
@@ -394,7 +420,7 @@
 	c.appendToken(s, token)
 }
 
-// appendToken appends an output token to what is known and in memory.
+// appendToken adds an output token to the known and computed tokens.
 func (c *Core) appendToken(s *sequence, token string) {
 	s.knownTokens++
 	s.computedTokens++
@@ -411,7 +437,8 @@
 	c.storeBlocks(s)
 }
 
-// storeBlocks makes the blocks that are computed whole available to others.
+// storeBlocks moves the complete computed blocks into the shared cache, where
+// other sequences can use them.
 func (c *Core) storeBlocks(s *sequence) {
 	completeBlocks := min(s.computedTokens/prefixhash.BlockTokens, len(s.blockHashes))
 	for s.acquiredBlocks < completeBlocks && s.privateBlocks > 0 {
@@ -442,7 +469,8 @@
 	c.releaseMemory(s)
 }
 
-// releaseMemory gives a sequence's memory back; what it stored stays until evicted.
+// releaseMemory returns a sequence's memory. Its stored blocks stay in the
+// cache until they are evicted.
 func (c *Core) releaseMemory(s *sequence) {
 	c.cache.release(s.blockHashes[:s.acquiredBlocks])
 	c.cache.privateBlocks -= s.privateBlocks
--- a/standin/engine/core_test.go
+++ b/standin/engine/core_test.go
@@ -21,7 +21,8 @@
 	return engineapi.GenerateRequest{RequestID: id, AttemptID: id + "/1", Model: "m", Prompt: text, MaxTokens: maxTokens}
 }
 
-// stepUntilIdle steps a core until nothing is due and returns all that came about.
+// stepUntilIdle steps a core until nothing is due and returns everything that
+// it produced.
 func stepUntilIdle(c *Core) Result {
 	all := Result{}
 	for next, ok := c.Next(); ok; next, ok = c.Next() {
@@ -76,7 +77,7 @@
 	}
 	is.Equal(finished, []string{"urgent", "long"})
 	is.Equal(c.Counters().Preempted, 1)
-	is.Equal(c.Counters().DecodedTokens, 52) // no output token is made twice
+	is.Equal(c.Counters().DecodedTokens, 52) // no output token is decoded twice
 }
 
 func TestResumeCountsRecomputedTokens(t *testing.T) {
@@ -124,7 +125,7 @@
 	resume.AttemptID, resume.Emitted, resume.ImportedHandle = "x/2", Tokens("m", text, emitted), imported.Handle
 	is.NoErr(target.Submit(arrives, NewAttempt(resume)))
 	stepUntilIdle(target)
-	is.Equal(target.Counters().ComputedTokens, 1) // the last one, for its output
+	is.Equal(target.Counters().ComputedTokens, 1) // the last input token
 	is.Equal(target.cache.privateBlocks, 0)
 }
 
@@ -189,8 +190,9 @@
 	is.True(c.Dead())
 }
 
-// Property: whatever is submitted, cancelled and moved, each attempt gets its
-// own tokens in order and one last line, and no memory is lost.
+// Property: after any sequence of submits, cancels and cache transfers, each
+// attempt gets its own tokens in order and exactly one final line, and all
+// memory is freed.
 func TestCoreProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig("r", "m", "1")
@@ -241,18 +243,19 @@
 		read(stepUntilIdle(c))
 		for id := range texts {
 			if done[id] != 1 {
-				t.Fatalf("%s: %d last lines", id, done[id])
+				t.Fatalf("attempt %s: got %d final lines, want 1", id, done[id])
 			}
 		}
 		c.Step(c.now.Add(2 * time.Second))
 		if c.cache.free() != cfg.KVBlocks || c.cache.privateBlocks != 0 {
-			t.Fatalf("memory lost: %d of %d free, %d private", c.cache.free(), cfg.KVBlocks, c.cache.privateBlocks)
+			t.Fatalf("leaked memory: %d of %d blocks are free, %d are private", c.cache.free(), cfg.KVBlocks, c.cache.privateBlocks)
 		}
 	})
 }
 
-// BenchmarkCore is the cost of a generated token: 300 engines in virtual time
-// with full batches and prompts that share half their prefix.
+// BenchmarkCore measures the cost per generated token of 300 engines in
+// virtual time, with full batches and prompts that share half of their tokens
+// as a prefix.
 func BenchmarkCore(b *testing.B) {
 	const engines = 300
 	shared := prompt("shared", 512)
--- a/standin/engine/errors.go
+++ b/standin/engine/errors.go
@@ -2,77 +2,88 @@
 
 import "fmt"
 
-// DeadError says that the engine's VM is gone.
+// DeadError reports that the engine's VM has terminated.
 type DeadError struct{}
 
-func (*DeadError) Error() string { return "engine is gone" }
+func (*DeadError) Error() string { return "engine has terminated" }
 
-// LeavingError says that the engine takes no new attempts because its VM goes.
+// LeavingError reports that the engine refuses new attempts because its VM
+// will be reclaimed.
 type LeavingError struct{}
 
-func (*LeavingError) Error() string { return "engine is leaving" }
+func (*LeavingError) Error() string { return "engine refuses new attempts after a reclaim notice" }
 
-// NotLoadedError says that the model or adapter is not loaded.
+// NotLoadedError reports that the model or adapter is not loaded.
 type NotLoadedError struct{ Model, Adapter string }
 
 func (e *NotLoadedError) Error() string {
 	return fmt.Sprintf("model %q with adapter %q is not loaded", e.Model, e.Adapter)
 }
 
-// DuplicateAttemptError says that the attempt runs already.
+// DuplicateAttemptError reports that an attempt with the same ID is active.
 type DuplicateAttemptError struct{ AttemptID string }
 
 func (e *DuplicateAttemptError) Error() string {
-	return fmt.Sprintf("attempt %q runs already", e.AttemptID)
+	return fmt.Sprintf("attempt %q is already active", e.AttemptID)
 }
 
-// QueueFullError says that too many attempts wait.
+// QueueFullError reports that the queue has reached Config.MaxQueue.
 type QueueFullError struct{ Waiting int }
 
-func (e *QueueFullError) Error() string { return fmt.Sprintf("%d attempts wait already", e.Waiting) }
+func (e *QueueFullError) Error() string {
+	return fmt.Sprintf("queue is full: %d attempts are waiting", e.Waiting)
+}
 
-// TooLongError says that a prompt and its output can never fit the memory.
+// TooLongError reports that a prompt and its output do not fit into the
+// engine's memory.
 type TooLongError struct{ Tokens, Limit int }
 
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("%d tokens are over the limit of %d", e.Tokens, e.Limit)
+	return fmt.Sprintf("prompt and output of %d tokens exceed the limit of %d", e.Tokens, e.Limit)
 }
 
-// UnknownAttemptError says that no such attempt is there.
+// UnknownAttemptError reports that no active attempt has this ID.
 type UnknownAttemptError struct{ AttemptID string }
 
-func (e *UnknownAttemptError) Error() string { return fmt.Sprintf("no attempt %q", e.AttemptID) }
+func (e *UnknownAttemptError) Error() string {
+	return fmt.Sprintf("attempt %q is not active", e.AttemptID)
+}
 
-// UnknownHandleError says that no such exported cache is kept.
+// UnknownHandleError reports that no exported cache has this handle.
 type UnknownHandleError struct{ Handle string }
 
-func (e *UnknownHandleError) Error() string { return fmt.Sprintf("no exported cache %q", e.Handle) }
+func (e *UnknownHandleError) Error() string {
+	return fmt.Sprintf("exported cache %q does not exist", e.Handle)
+}
 
-// StaleFencingError says that an order's fencing number is older than Seen.
+// StaleFencingError reports that an order's fencing number is lower than
+// Seen, the highest number seen.
 type StaleFencingError struct{ Seen uint64 }
 
 func (e *StaleFencingError) Error() string {
-	return fmt.Sprintf("fencing number is older than %d", e.Seen)
+	return fmt.Sprintf("fencing number of the order is lower than %d", e.Seen)
 }
 
-// UnknownOrderError says that the order's kind is none of engineapi's.
+// UnknownOrderError reports that package engineapi does not define the
+// order's kind.
 type UnknownOrderError struct{ Kind string }
 
-func (e *UnknownOrderError) Error() string { return fmt.Sprintf("unknown order %q", e.Kind) }
+func (e *UnknownOrderError) Error() string { return fmt.Sprintf("unknown kind of order %q", e.Kind) }
 
-// InjectedError says that a fault switch asked for this failure.
+// InjectedError reports a failure that was injected through Faults.
 type InjectedError struct{ Fault string }
 
 func (e *InjectedError) Error() string { return fmt.Sprintf("injected fault: %s", e.Fault) }
 
-// TransferError says that an exported cache did not arrive whole.
+// TransferError reports that an exported cache could not be downloaded
+// completely.
 type TransferError struct {
 	Source string
 	Err    error
 }
 
 func (e *TransferError) Error() string {
-	return fmt.Sprintf("transfer from %s: %v", e.Source, e.Err)
+	return fmt.Sprintf("transfer of exported cache from %s: %v", e.Source, e.Err)
 }
 
 // Unwrap returns the cause.
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -2,69 +2,77 @@
 
 import "geraniumstack.org/geraniumstack/transport/engineapi"
 
-// StreamFault is what goes wrong with a stream.
+// StreamFault selects a fault of a response stream.
 type StreamFault string
 
 // Faults of a stream.
 const (
-	// StreamStall ends the lines, heartbeats too; the connection stays open
-	// and the engine goes on computing.
+	// StreamStall stops all lines, including heartbeats. The connection stays
+	// open and the engine continues to compute.
 	StreamStall StreamFault = "stall"
-	// StreamTruncate ends the answer in good order but before its last line.
+	// StreamTruncate ends the HTTP response properly, but before the final
+	// line.
 	StreamTruncate StreamFault = "truncate"
-	// StreamBreak breaks the connection.
+	// StreamBreak closes the connection.
 	StreamBreak StreamFault = "break"
-	// StreamDuplicate writes every line twice from there on.
+	// StreamDuplicate writes every following line twice.
 	StreamDuplicate StreamFault = "duplicate"
-	// StreamCross writes one line of another attempt in between, with the
-	// other's identifiers, or with invented ones if no other runs.
+	// StreamCross inserts one line of another attempt with that attempt's
+	// identifiers, or with StrayRequestID and StrayAttemptID if no other
+	// attempt has a line.
 	StreamCross StreamFault = "cross"
 	// StreamGap leaves one token out.
 	StreamGap StreamFault = "gap"
 )
 
+// notCancelled is the value of stream.lateLines before a cancellation.
 const notCancelled = -1
 
-// Identifiers of a crossed line that belongs to no running attempt.
+// Identifiers of the line that StreamCross inserts if no other attempt has a
+// line.
 const (
 	StrayRequestID = "stray-request"
 	StrayAttemptID = "stray-attempt"
 )
 
-// Faults are the switches of an engine; the zero value is a healthy one.
+// Faults are the injected faults of an engine; the zero value injects none.
 type Faults struct {
-	// Refuse answers 503 to every attempt before it starts.
+	// Refuse responds to every new attempt with status 503.
 	Refuse bool `json:"refuse,omitempty"`
-	// Hang answers nothing more, on open streams neither; connections stay
-	// open, also after the switch is off.
+	// Hang stops all responses, including open streams. Connections that hang
+	// stay open without a response even after Hang is set to false.
 	Hang bool `json:"hang,omitempty"`
-	// Stream is what happens to the next Streams streams, open ones too, once
-	// they have written AfterTokens tokens.
+	// Stream is the fault of the next Streams streams, including open ones.
+	// It occurs once a stream has written AfterTokens tokens.
 	Stream      StreamFault `json:"stream,omitempty"`
 	Streams     int         `json:"streams,omitempty"`
 	AfterTokens int         `json:"after_tokens,omitempty"`
-	// LateLines is how many token lines still come after a cancel.
+	// LateLines is how many token lines a stream still sends after its
+	// cancellation.
 	LateLines int `json:"late_lines,omitempty"`
-	// FailExports breaks the next transfers of exported caches half way.
+	// FailExports is how many of the next transfers of exported caches fail
+	// halfway.
 	FailExports int `json:"fail_exports,omitempty"`
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all injected faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Faults returns the switches as they stand.
+// Faults returns the injected faults. Streams and FailExports count down as
+// the faults occur.
 func (e *Engine) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// takeStreamFault returns the fault that befalls a stream after its first tokens, and
-// takes it off the number of streams that are to meet it.
+// takeStreamFault returns the fault that applies to a stream with this many
+// written tokens, and decrements the number of streams that the fault still
+// applies to.
 func (e *Engine) takeStreamFault(written int) StreamFault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -78,7 +86,8 @@
 	return e.faults.Stream
 }
 
-// lineOfOtherAttempt returns a line of another attempt than the given one.
+// lineOfOtherAttempt returns the last line of an attempt other than that of
+// own.
 func (e *Engine) lineOfOtherAttempt(own *stream) engineapi.GenerateEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -16,13 +16,14 @@
 
 // Admin paths of the stand-in.
 const (
-	// PathFaults takes GET for the switches and PUT to replace them.
+	// PathFaults takes GET to read the injected faults and PUT to replace
+	// them.
 	PathFaults = "/faults"
 	// PathNotice takes POST with a NoticeRequest.
 	PathNotice = "/faults/notice"
-	// PathDie takes POST and ends the engine at once.
+	// PathDie takes POST and terminates the engine at once.
 	PathDie = "/faults/die"
-	// PathCounters takes GET.
+	// PathCounters takes GET and returns Counters.
 	PathCounters = "/counters"
 )
 
@@ -31,8 +32,9 @@
 	ndjsonContentType = "application/x-ndjson"
 )
 
-// NoticeRequest is the body of PathNotice.
+// NoticeRequest is the body of a request to PathNotice.
 type NoticeRequest struct {
+	// RemainingMillis is the time until the VM is reclaimed.
 	RemainingMillis int64 `json:"left_ms"`
 }
 
@@ -87,15 +89,16 @@
 	})
 }
 
-// applyConnectionFaults breaks connections to a dead engine and leaves those to a hanging one
-// without an answer.
+// applyConnectionFaults aborts connections to a terminated engine and, while
+// Faults.Hang is set, leaves requests without a response.
 func (e *Engine) applyConnectionFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.isDead() {
 			panic(http.ErrAbortHandler)
 		}
 		if e.Faults().Hang {
-			// net/http sees that a caller has gone only once its body is read.
+			// net/http detects that a caller has disconnected only after the
+			// request body has been read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			e.hang(r.Context())
 		}
@@ -103,8 +106,8 @@
 	})
 }
 
-// hang waits until the caller gives up or the engine dies, and then breaks the
-// connection.
+// hang waits until the caller disconnects or the engine terminates, and then
+// aborts the connection.
 func (e *Engine) hang(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -136,7 +139,7 @@
 	writer.run()
 }
 
-// lineWriter writes one stream and brings its faults about.
+// lineWriter writes one response stream and applies the stream faults.
 type lineWriter struct {
 	engine    *Engine
 	stream    *stream
@@ -209,7 +212,8 @@
 	w.engine.countLateLine(w.stream)
 }
 
-// applyFault brings a fault about and reports whether the line is lost by it.
+// applyFault applies a stream fault and reports whether the current line must
+// be skipped.
 func (w *lineWriter) applyFault(fault StreamFault) bool {
 	switch fault {
 	case StreamStall:
@@ -234,10 +238,11 @@
 	return false
 }
 
-// write leaves a failed write to the next flush, which reports it.
+// write ignores errors of the encoder: the next flush reports a failed write.
 func (w *lineWriter) write(line engineapi.GenerateEvent) { _ = w.enc.Encode(line) }
 
-// countLateLine cancels an attempt in the core once its late lines are written.
+// countLateLine counts a token line written after a cancellation. After the
+// last one it cancels the attempt in the core.
 func (e *Engine) countLateLine(s *stream) {
 	defer e.wakeUp()
 	e.mu.Lock()
@@ -263,7 +268,8 @@
 	jsonhttp.Write(w, http.StatusOK, exported)
 }
 
-// importFromSource gets an exported cache from its source and imports it.
+// importFromSource downloads an exported cache from another engine and
+// imports it.
 func (e *Engine) importFromSource(ctx context.Context, r engineapi.ImportRequest) (engineapi.ImportResponse, error) {
 	exported, err := e.download(ctx, r)
 	if err != nil {
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -9,21 +9,23 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// DefaultHeartbeat is the time between two heartbeat lines of a stream.
+// DefaultHeartbeat is the interval between two heartbeat lines of a stream.
 const DefaultHeartbeat = 500 * time.Millisecond
 
-// Option changes an Engine.
+// Option configures an Engine.
 type Option func(*Engine)
 
-// WithTokenCounter enters the engine's work in a ledger that others share.
+// WithTokenCounter makes the engine add its work to a counter that several
+// engines share.
 func WithTokenCounter(l *TokenCounter) Option { return func(e *Engine) { e.tokenCounter = l } }
 
-// WithClient is used to fetch exported caches from other engines.
+// WithClient sets the HTTP client that downloads exported caches from other
+// engines.
 func WithClient(c *http.Client) Option { return func(e *Engine) { e.client = c } }
 
-// Engine runs a Core on the time package and serves it over HTTP. It is safe
-// for concurrent use and works inside a testing/synctest bubble; its goroutine
-// ends when it dies.
+// Engine runs a Core in real time and serves it over HTTP. It is safe for
+// concurrent use and works inside a testing/synctest bubble; its goroutine
+// ends when the engine terminates.
 type Engine struct {
 	client       *http.Client
 	tokenCounter *TokenCounter
@@ -37,15 +39,15 @@
 	faults  Faults
 }
 
-// stream carries an attempt's lines from the core to its HTTP handler.
+// stream passes an attempt's lines from the core to its HTTP handler.
 type stream struct {
 	attemptID string
 	wake      chan struct{}
-	// Guarded by Engine.mu:
+	// The fields below are guarded by Engine.mu.
 	lines []engineapi.GenerateEvent
 	last  engineapi.GenerateEvent
-	// lateLines counts the lines that still come after a cancel; minus one is no
-	// cancel yet.
+	// lateLines is how many token lines the stream still sends after a
+	// cancellation, or notCancelled.
 	lateLines int
 }
 
@@ -67,7 +69,7 @@
 	return e
 }
 
-// Close ends the engine as Die does and waits for its goroutine.
+// Close terminates the engine and waits until its goroutine has ended.
 func (e *Engine) Close() {
 	e.Die()
 	<-e.done
@@ -140,7 +142,8 @@
 	}
 }
 
-// wakeUp makes the engine look for work that a call has brought.
+// wakeUp makes the engine's goroutine call Step, because a call may have
+// added work.
 func (e *Engine) wakeUp() {
 	select {
 	case e.wake <- struct{}{}:
@@ -164,7 +167,8 @@
 	return s, nil
 }
 
-// Cancel ends an attempt and reports whether it was there.
+// Cancel ends an attempt and reports whether it existed. With
+// Faults.LateLines set, the stream continues for that many lines.
 func (e *Engine) Cancel(attemptID string) bool {
 	defer e.wakeUp()
 	e.mu.Lock()
@@ -178,7 +182,7 @@
 	return e.core.Cancel(time.Now(), attemptID)
 }
 
-// abandon ends an attempt whose caller has gone.
+// abandon cancels an attempt whose caller has disconnected.
 func (e *Engine) abandon(s *stream) {
 	defer e.wakeUp()
 	e.mu.Lock()
@@ -188,7 +192,8 @@
 	}
 }
 
-// Notice tells that the VM goes after left; the engine dies then.
+// Notice announces that the VM will be reclaimed. The engine terminates after
+// remaining.
 func (e *Engine) Notice(remaining time.Duration) {
 	defer e.wakeUp()
 	e.mu.Lock()
@@ -197,7 +202,8 @@
 	e.core.Notice(now, now.Add(remaining))
 }
 
-// Die ends the engine at once: open connections break, new ones too.
+// Die terminates the engine at once. Open connections are aborted, and so is
+// every new one.
 func (e *Engine) Die() {
 	defer e.wakeUp()
 	e.mu.Lock()
@@ -206,7 +212,7 @@
 	e.closeDied()
 }
 
-// Died is closed when the engine has died.
+// Died returns a channel that is closed when the engine has terminated.
 func (e *Engine) Died() <-chan struct{} { return e.died }
 
 // Counters returns the core's totals.
@@ -216,7 +222,7 @@
 	return e.core.Counters()
 }
 
-// TokenCounter returns the ledger that the engine's work is entered in.
+// TokenCounter returns the counter to which the engine adds its work.
 func (e *Engine) TokenCounter() *TokenCounter { return e.tokenCounter }
 
 // Load returns the last published load report.
@@ -227,7 +233,7 @@
 	return e.core.Load(time.Now())
 }
 
-// Order carries out an order.
+// Order carries out an order or refuses it; see Core.Order.
 func (e *Engine) Order(o engineapi.Order) error {
 	defer e.wakeUp()
 	e.mu.Lock()
@@ -247,7 +253,8 @@
 	return e.core.Export(time.Now(), attemptID)
 }
 
-// transfer waits as long as an exported cache takes over the engine's link.
+// transfer returns an exported cache after the time that its transfer over
+// the engine's link takes.
 func (e *Engine) transfer(ctx context.Context, name string) (ExportedCache, error) {
 	e.mu.Lock()
 	now := time.Now()
--- a/standin/engine/server_test.go
+++ b/standin/engine/server_test.go
@@ -18,14 +18,16 @@
 
 const idleTimeout = 2 * time.Second
 
-// testNetwork is a network in a bubble with engines that end with the test.
+// testNetwork is an in-memory network with engines that are closed at the end
+// of the test.
 type testNetwork struct {
 	t       *testing.T
 	network *pipe.Network
 	cleanup []func()
 }
 
-// runInBubble runs a test in virtual time.
+// runInBubble runs a test in a testing/synctest bubble, which has virtual
+// time.
 func runInBubble(t *testing.T, test func(is *is.I, w *testNetwork)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &testNetwork{t: t, network: pipe.NewNetwork()}
@@ -42,7 +44,8 @@
 	return c
 }
 
-// startEngine starts an engine at its runner ID, port 80.
+// startEngine starts an engine that listens on port 80 of a host named after
+// its runner ID.
 func (w *testNetwork) startEngine(cfg Config) (*Engine, *client.Client) {
 	address := cfg.RunnerID + ":80"
 	l, err := w.network.Listen(address)
@@ -90,10 +93,10 @@
 	})
 }
 
-// A caller's answer stops in the middle and its connection stays open. Nothing
-// more comes on it, heartbeats neither, while the engine goes on computing.
-// The client ends the stream after its bound and the attempt can be cancelled
-// over a new connection.
+// A stream stalls while its connection stays open: neither tokens nor
+// heartbeats arrive, but the engine continues to compute. The client must end
+// the stream after its idle timeout, and it must be possible to cancel the
+// attempt over a new connection.
 func TestStalledStreamIsSilent(t *testing.T) {
 	runInBubble(t, func(is *is.I, w *testNetwork) {
 		e, c := w.startEngine(DefaultConfig("r", "m", "1"))
@@ -107,8 +110,9 @@
 	})
 }
 
-// A caller must not take an answer for whole that only ended early, twice, in
-// a mix with another's, or with a token missing: each shows in the lines.
+// A client must not take a response for complete that ended early, repeats
+// lines, contains a line of another attempt or lacks a token. Each of these
+// faults must be visible in the lines that the client receives.
 func TestStreamFaults(t *testing.T) {
 	runInBubble(t, func(is *is.I, w *testNetwork) {
 		e, c := w.startEngine(DefaultConfig("r", "m", "1"))
@@ -126,7 +130,7 @@
 		is.Equal(len(events), 2)
 		events, err = run("duplicate", StreamDuplicate)
 		is.NoErr(err)
-		is.Equal(len(events), 7) // two tokens, two twice, the last line once
+		is.Equal(len(events), 7) // two tokens once, two tokens twice and the final line once
 		events, err = run("cross", StreamCross)
 		is.NoErr(err)
 		is.Equal(events[2].AttemptID, StrayAttemptID)
@@ -136,8 +140,8 @@
 	})
 }
 
-// A stream that its caller cancelled still brings lines. They were on their
-// way when the cancel came; then the stream ends.
+// Token lines that were already on their way when the caller cancelled still
+// arrive; after them, the stream ends.
 func TestLateLinesAfterCancel(t *testing.T) {
 	runInBubble(t, func(is *is.I, w *testNetwork) {
 		e, c := w.startEngine(DefaultConfig("r", "m", "1"))
@@ -181,7 +185,7 @@
 		is.NoErr(err)
 		is.True(offer.Tokens >= 65)
 
-		// The first transfer breaks half way: nothing arrives. The second is whole.
+		// The first transfer fails halfway and imports nothing. The second succeeds.
 		source.SetFaults(Faults{FailExports: 1})
 		order := engineapi.ImportRequest{Source: "r1:80", Handle: offer.Handle}
 		_, err = to.Import(ctx, order)
--- a/standin/engine/token_counter.go
+++ b/standin/engine/token_counter.go
@@ -2,22 +2,22 @@
 
 import "sync"
 
-// TokenCounter adds up the work that several engines did for the same requests. It
-// is safe for concurrent use.
+// TokenCounter adds up the tokens that several engines computed for the same
+// requests. It is safe for concurrent use.
 type TokenCounter struct {
 	mu       sync.Mutex
 	requests map[string]*progress
 	total    TokenTotals
 }
 
-// TokenTotals are a ledger's sums, in tokens.
+// TokenTotals are the sums of a TokenCounter.
 type TokenTotals struct {
-	// Computed counts all tokens that were computed, put in or decoded.
+	// Computed counts all computed tokens, prefilled or decoded.
 	Computed int `json:"computed_tokens"`
-	// Recomputed counts those of them that lie before the furthest token that
-	// was reached for the same request before.
+	// Recomputed counts the computed tokens that an earlier computation for
+	// the same request had already covered.
 	Recomputed int `json:"recomputed_tokens"`
-	// Attempts counts attempts on which work was done.
+	// Attempts counts the attempts for which at least one token was computed.
 	Attempts int `json:"attempts"`
 }
 
@@ -26,10 +26,10 @@
 	attempts      map[string]struct{}
 }
 
-// NewTokenCounter returns an empty ledger.
+// NewTokenCounter returns a counter with all sums at zero.
 func NewTokenCounter() *TokenCounter { return &TokenCounter{requests: map[string]*progress{}} }
 
-// Add enters the work of one step of one engine.
+// Add adds the work of one step of one engine.
 func (l *TokenCounter) Add(work []Work) {
 	if len(work) == 0 {
 		return
--- a/standin/engine/transfer.go
+++ b/standin/engine/transfer.go
@@ -9,7 +9,8 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// ExportedCache is a KV cache on its way: what it covers, in place of the numbers.
+// ExportedCache describes a transferred KV cache: which tokens it covers, in
+// place of the tensors.
 type ExportedCache struct {
 	Model   string   `json:"model"`
 	Adapter string   `json:"adapter,omitempty"`
@@ -19,20 +20,24 @@
 	Bytes   int64    `json:"bytes"`
 }
 
-// cacheHandle is a cache that was exported here or imported for an attempt to come.
+// cacheHandle refers to a cache that was exported by this engine, or imported
+// for a later attempt.
 type cacheHandle struct {
 	ExportedCache
 	name     string
 	imported bool
 	tokens   int
-	// acquiredBlocks blocks are kept from eviction until the handle is used.
+	// acquiredBlocks is how many leading blocks the handle protects from
+	// eviction until it is used.
 	acquiredBlocks int
-	// partialBlocks is one private block for tokens after the last whole block.
+	// partialBlocks is 1 if a private block holds the tokens after the last
+	// complete block, and 0 otherwise.
 	partialBlocks int
 	expires       time.Time
 }
 
-// matches reports whether a sequence goes on from what the cache covers.
+// matches reports whether the cache covers a prefix of the sequence's known
+// tokens.
 func (h *cacheHandle) matches(s *sequence) bool {
 	if h.Model != s.Model || h.Adapter != s.Adapter || h.Seed != s.Seed || h.tokens > s.knownTokens {
 		return false
@@ -41,8 +46,9 @@
 	return completeBlocks == 0 || (completeBlocks <= len(s.blockHashes) && s.blockHashes[completeBlocks-1] == h.Blocks[completeBlocks-1])
 }
 
-// Export offers what is computed of an attempt to another engine. The attempt
-// goes on; tokens that it makes later are not covered.
+// Export creates a handle with which another engine can download the computed
+// tokens of an attempt. The attempt continues; tokens computed after the call
+// are not part of the export.
 func (c *Core) Export(now time.Time, attemptID string) (engineapi.ExportResponse, error) {
 	c.advance(now)
 	s := c.attempts[attemptID]
@@ -65,8 +71,8 @@
 	return engineapi.ExportResponse{Handle: name, Tokens: h.Tokens, Bytes: h.Bytes}, nil
 }
 
-// StartTransfer returns an exported cache and when its transfer is over. Transfers of
-// one engine go over its link one after another.
+// StartTransfer returns an exported cache and the time at which its transfer
+// ends. The transfers of one engine share its link and run one after another.
 func (c *Core) StartTransfer(now time.Time, name string) (ExportedCache, time.Time, error) {
 	c.advance(now)
 	h := c.cacheHandle(name)
@@ -81,8 +87,9 @@
 	return h.ExportedCache, c.exportLinkFreeAt, nil
 }
 
-// Import takes a cache that has arrived, as much of it as there is memory for.
-// An attempt that names the handle computes only what it does not cover.
+// Import stores a downloaded cache, as much of it as fits into memory. An
+// attempt that names the returned handle prefills only the tokens that the
+// cache does not cover.
 func (c *Core) Import(now time.Time, e ExportedCache) engineapi.ImportResponse {
 	c.advance(now)
 	h := &cacheHandle{ExportedCache: e, imported: true, expires: now.Add(c.cfg.HandleLifetime)}
@@ -120,7 +127,8 @@
 	return nil
 }
 
-// releaseHandle forgets a handle; what was imported with it may be evicted then.
+// releaseHandle removes a handle. The blocks of an imported cache become
+// evictable.
 func (c *Core) releaseHandle(h *cacheHandle) {
 	if h.imported {
 		c.cache.release(h.Blocks[:h.acquiredBlocks])
@@ -135,9 +143,10 @@
 	}
 }
 
-// evictImportedHandle gives up the oldest imported cache that the sequence does not
-// name, its own last, and reports whether there was one. Without it, caches
-// whose attempts never come would keep the queue waiting for memory.
+// evictImportedHandle releases the oldest imported cache, preferring those
+// that the sequence does not name, and reports whether there was one. Without
+// it, imported caches whose attempts never arrive would hold the memory that
+// queued sequences wait for.
 func (c *Core) evictImportedHandle(s *sequence) bool {
 	var victim *cacheHandle
 	for _, h := range c.handles {
