--- a/daemon/orders/harness_test.go
+++ b/daemon/orders/harness_test.go
@@ -123,7 +123,7 @@
 	cfg := engine.DefaultConfig(vm.ID, "m", "1")
 	cfg.Models = nil
 	cfg.LoadTime = loadTime
-	cfg.CheckFencing = c.manifest.Services[0].ChecksFencing
+	cfg.ChecksFencing = c.manifest.Services[0].ChecksFencing
 	c.engines[vm.ID] = engine.New(cfg)
 	return vm.ID, nil
 }
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -38,7 +38,7 @@
 		return &DeadError{}
 	}
 	if o.Fencing < c.control.fencing {
-		if c.cfg.CheckFencing {
+		if c.cfg.ChecksFencing {
 			c.counters.RefusedOrders++
 			return &StaleFencingError{Seen: c.control.fencing}
 		}
--- a/standin/engine/core.go
+++ b/standin/engine/core.go
@@ -56,9 +56,9 @@
 	// WeightTransferTime, if set, returns how long the weights take to arrive
 	// for an order received at now. LoadTime is added to it.
 	WeightTransferTime func(now time.Time, o engineapi.Order) time.Duration
-	// CheckFencing makes the engine refuse orders whose fencing number is
+	// ChecksFencing makes the engine refuse orders whose fencing number is
 	// lower than the highest one seen.
-	CheckFencing bool
+	ChecksFencing bool
 	// RefuseWhenLeaving makes the engine refuse new attempts after a reclaim
 	// notice.
 	RefuseWhenLeaving bool
--- a/standin/engine/core_test.go
+++ b/standin/engine/core_test.go
@@ -133,7 +133,7 @@
 	is := is.New(t)
 	for _, checks := range []bool{true, false} {
 		cfg := DefaultConfig("r", "m", "1")
-		cfg.CheckFencing = checks
+		cfg.ChecksFencing = checks
 		c := NewCore(cfg, epoch)
 		is.NoErr(c.Order(epoch, engineapi.Order{Kind: engineapi.OrderLoad, Fencing: 7, Model: "n", Version: "2"}))
 		attempt := NewAttempt(engineapi.GenerateRequest{AttemptID: "a", Model: "n", Prompt: "p", MaxTokens: 1})
--- a/standin/fleet/settings.go
+++ b/standin/fleet/settings.go
@@ -226,7 +226,7 @@
 	set(&cfg.LoadTime, millis(e.OrderMillis))
 	cfg.PreemptRunning = e.PreemptRunning
 	cfg.RefuseWhenLeaving = e.RefuseAttemptsWhenLeaving
-	cfg.CheckFencing = service.ChecksFencing
+	cfg.ChecksFencing = service.ChecksFencing
 	return cfg
 }
 
