--- a/standin/kvserver/faults.go
+++ b/standin/kvserver/faults.go
@@ -30,7 +30,7 @@
 func (c Calls) Writes() int {
 	writes := 0
 	for kind, n := range c {
-		if kind.write() {
+		if kind.isWrite() {
 			writes += n
 		}
 	}
@@ -114,26 +114,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls = nil
-	s.meter = meter{}
+	s.callMeter = callMeter{}
 }
 
-// enter counts a call and applies the faults that come before its effect.
-func (s *Store) enter(ctx context.Context, kind CallKind) error {
+// beforeCall counts a call and applies the faults that come before its effect.
+func (s *Store) beforeCall(ctx context.Context, kind CallKind) error {
 	s.mu.Lock()
 	if s.calls == nil {
 		s.calls = Calls{}
 	}
 	s.calls[kind]++
-	s.meter.count(kind, time.Now())
-	f, limit := s.faults, s.reads
-	if kind.write() {
-		limit = s.writes
+	s.callMeter.count(kind, time.Now())
+	f, limit := s.faults, s.readLimiter
+	if kind.isWrite() {
+		limit = s.writeLimiter
 	}
 	s.mu.Unlock()
 	if f.Outage {
 		return &kv.UnavailableError{Err: &OutageError{}}
 	}
-	if err := s.turn(ctx, limit); err != nil {
+	if err := s.waitForLimit(ctx, limit); err != nil {
 		return err
 	}
 	if f.DelayMillis > 0 {
@@ -154,22 +154,22 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return s.outage()
+		return s.checkOutage()
 	case <-ctx.Done():
 		return &kv.UnavailableError{Err: ctx.Err()}
 	}
 }
 
-func (s *Store) outage() error {
+func (s *Store) checkOutage() error {
 	if s.Faults().Outage {
 		return &kv.UnavailableError{Err: &OutageError{}}
 	}
 	return nil
 }
 
-// leave loses the answer of a write that took effect, if the switch says so.
-func (s *Store) leave(ctx context.Context, key string) error {
-	silently, lost := s.loses(key)
+// afterWrite loses the answer of a write that took effect, if the switch says so.
+func (s *Store) afterWrite(ctx context.Context, key string) error {
+	silently, lost := s.takeLostAnswer(key)
 	if !lost {
 		return nil
 	}
@@ -180,7 +180,7 @@
 	return &kv.UnavailableError{Err: &LostAnswerError{}}
 }
 
-func (s *Store) loses(key string) (silently, lost bool) {
+func (s *Store) takeLostAnswer(key string) (silently, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseAnswers <= 0 || !strings.HasPrefix(key, s.faults.LosePrefix) {
@@ -190,10 +190,10 @@
 	return s.faults.LoseSilently, true
 }
 
-// silence blocks a watch until its caller gives up if the switch for silent
+// blockIfSilent blocks a watch until its caller gives up if the switch for silent
 // watches is on. It stays silent when the switch goes off: the connection is
 // lost track of for good, while new ones work.
-func (s *Store) silence(ctx context.Context) error {
+func (s *Store) blockIfSilent(ctx context.Context) error {
 	if !s.Faults().SilentWatches {
 		return nil
 	}
--- a/standin/kvserver/lease.go
+++ b/standin/kvserver/lease.go
@@ -10,11 +10,11 @@
 
 // Grant implements kv.Store. IDs only grow.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
-	if err := s.enter(ctx, CallGrant); err != nil {
+	if err := s.beforeCall(ctx, CallGrant); err != nil {
 		return 0, err
 	}
 	id := s.grant(ttl)
-	return id, s.leave(ctx, "")
+	return id, s.afterWrite(ctx, "")
 }
 
 func (s *Store) grant(ttl time.Duration) kv.LeaseID {
@@ -22,20 +22,20 @@
 	defer s.mu.Unlock()
 	s.lastLease++
 	l := &lease{id: s.lastLease, ttl: ttl, expires: time.Now().Add(ttl), keys: map[string]struct{}{}}
-	l.timer = time.AfterFunc(ttl, func() { s.lapse(l) })
+	l.timer = time.AfterFunc(ttl, func() { s.expireIfDue(l) })
 	s.leases[l.id] = l
 	return l.id
 }
 
 // KeepAlive implements kv.Store.
 func (s *Store) KeepAlive(ctx context.Context, id kv.LeaseID) error {
-	if err := s.enter(ctx, CallKeepAlive); err != nil {
+	if err := s.beforeCall(ctx, CallKeepAlive); err != nil {
 		return err
 	}
 	if err := s.renew(id); err != nil {
 		return err
 	}
-	return s.leave(ctx, "")
+	return s.afterWrite(ctx, "")
 }
 
 func (s *Store) renew(id kv.LeaseID) error {
@@ -52,13 +52,13 @@
 
 // Revoke implements kv.Store.
 func (s *Store) Revoke(ctx context.Context, id kv.LeaseID) error {
-	if err := s.enter(ctx, CallRevoke); err != nil {
+	if err := s.beforeCall(ctx, CallRevoke); err != nil {
 		return err
 	}
 	if !s.Expire(id) {
 		return &kv.LeaseExpiredError{Lease: id}
 	}
-	return s.leave(ctx, "")
+	return s.afterWrite(ctx, "")
 }
 
 // Expire ends a lease now, as if its time were over, and reports whether it
@@ -70,7 +70,7 @@
 	if l == nil {
 		return false
 	}
-	s.end(l)
+	s.endLease(l)
 	return true
 }
 
@@ -86,18 +86,18 @@
 	return ids
 }
 
-// lapse runs when a lease's timer fires. A renewal can win the lock between
+// expireIfDue runs when a lease's timer fires. A renewal can win the lock between
 // the firing and this call; the expiry time tells.
-func (s *Store) lapse(l *lease) {
+func (s *Store) expireIfDue(l *lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leases[l.id] != l || time.Now().Before(l.expires) {
 		return
 	}
-	s.end(l)
+	s.endLease(l)
 }
 
-func (s *Store) end(l *lease) {
+func (s *Store) endLease(l *lease) {
 	l.timer.Stop()
 	delete(s.leases, l.id)
 	keys := make([]string, 0, len(l.keys))
--- a/standin/kvserver/limits.go
+++ b/standin/kvserver/limits.go
@@ -22,18 +22,18 @@
 	Reads  int `json:"reads"`
 }
 
-// meter counts the calls of the present second.
-type meter struct {
+// callMeter counts the calls of the present second.
+type callMeter struct {
 	second int64
 	now    Peak
 	peak   Peak
 }
 
-func (m *meter) count(kind CallKind, now time.Time) {
+func (m *callMeter) count(kind CallKind, now time.Time) {
 	if second := now.Unix(); second != m.second {
 		m.second, m.now = second, Peak{}
 	}
-	if kind.write() {
+	if kind.isWrite() {
 		m.now.Writes++
 	} else {
 		m.now.Reads++
@@ -42,8 +42,8 @@
 	m.peak.Reads = max(m.peak.Reads, m.now.Reads)
 }
 
-// write tells the calls that change the store from the others.
-func (k CallKind) write() bool {
+// isWrite tells the calls that change the store from the others.
+func (k CallKind) isWrite() bool {
 	switch k {
 	case CallGet, CallList, CallWatch:
 		return false
@@ -56,7 +56,7 @@
 func (s *Store) SetLimits(l Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.writes, s.reads = limiter(l.WritesPerSecond), limiter(l.ReadsPerSecond)
+	s.writeLimiter, s.readLimiter = limiter(l.WritesPerSecond), limiter(l.ReadsPerSecond)
 }
 
 func limiter(perSecond float64) *rate.Limiter {
@@ -70,16 +70,16 @@
 func (s *Store) Peak() Peak {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.meter.peak
+	return s.callMeter.peak
 }
 
-// turn waits until the limit lets a call in.
-func (s *Store) turn(ctx context.Context, l *rate.Limiter) error {
+// waitForLimit waits until the limit lets a call in.
+func (s *Store) waitForLimit(ctx context.Context, l *rate.Limiter) error {
 	if l == nil {
 		return nil
 	}
 	if err := l.Wait(ctx); err != nil {
 		return &kv.UnavailableError{Err: err}
 	}
-	return s.outage()
+	return s.checkOutage()
 }
--- a/standin/kvserver/store.go
+++ b/standin/kvserver/store.go
@@ -29,21 +29,21 @@
 // kv.Store, so a test can use it without HTTP. Leases run on the time package,
 // and so on virtual time inside a testing/synctest bubble.
 type Store struct {
-	mu        sync.Mutex
-	revision  kv.Revision
-	entries   map[string]kv.Entry
-	leases    map[kv.LeaseID]*lease
-	lastLease kv.LeaseID
-	history   []kv.Event
-	kept      int // bytes of values in history
-	keep      int
-	compacted kv.Revision
-	watchers  map[*watcher]struct{}
-	calls     Calls
-	faults    Faults
-	meter     meter
-	writes    *rate.Limiter // nil is no limit
-	reads     *rate.Limiter
+	mu                sync.Mutex
+	revision          kv.Revision
+	entries           map[string]kv.Entry
+	leases            map[kv.LeaseID]*lease
+	lastLease         kv.LeaseID
+	history           []kv.Event
+	historyBytes      int // bytes of values in history
+	maxHistory        int
+	compactedRevision kv.Revision
+	watchers          map[*watcher]struct{}
+	calls             Calls
+	faults            Faults
+	callMeter         callMeter
+	writeLimiter      *rate.Limiter // nil is no limit
+	readLimiter       *rate.Limiter
 }
 
 var _ kv.Store = (*Store)(nil)
@@ -66,18 +66,18 @@
 
 // NewWithHistory returns an empty store that keeps the given number of changes
 // for watches; a watch from an earlier revision gets a *kv.CompactedError.
-func NewWithHistory(keep int) *Store {
+func NewWithHistory(maxHistory int) *Store {
 	return &Store{
-		entries:  map[string]kv.Entry{},
-		leases:   map[kv.LeaseID]*lease{},
-		keep:     keep,
-		watchers: map[*watcher]struct{}{},
+		entries:    map[string]kv.Entry{},
+		leases:     map[kv.LeaseID]*lease{},
+		maxHistory: maxHistory,
+		watchers:   map[*watcher]struct{}{},
 	}
 }
 
 // Get implements kv.Store.
 func (s *Store) Get(ctx context.Context, key string) (kv.Entry, error) {
-	if err := s.enter(ctx, CallGet); err != nil {
+	if err := s.beforeCall(ctx, CallGet); err != nil {
 		return kv.Entry{}, err
 	}
 	s.mu.Lock()
@@ -87,7 +87,7 @@
 
 // List implements kv.Store.
 func (s *Store) List(ctx context.Context, prefix, after string, limit int) ([]kv.Entry, error) {
-	if err := s.enter(ctx, CallList); err != nil {
+	if err := s.beforeCall(ctx, CallList); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -107,7 +107,7 @@
 
 // CompareAndSwap implements kv.Store.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, expected kv.Revision, value []byte, id kv.LeaseID) (kv.Revision, error) {
-	if err := s.enter(ctx, CallCompareAndSwap); err != nil {
+	if err := s.beforeCall(ctx, CallCompareAndSwap); err != nil {
 		return 0, err
 	}
 	if len(value) > MaxValueBytes {
@@ -117,40 +117,40 @@
 	if err != nil {
 		return 0, err
 	}
-	return revision, s.leave(ctx, key)
+	return revision, s.afterWrite(ctx, key)
 }
 
 func (s *Store) compareAndSwap(key string, expected kv.Revision, value []byte, id kv.LeaseID) (kv.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	holder := s.leases[id]
-	if id != 0 && holder == nil {
+	attachedLease := s.leases[id]
+	if id != 0 && attachedLease == nil {
 		return 0, &kv.LeaseExpiredError{Lease: id}
 	}
 	current := s.current(key)
 	if current.Revision != expected {
 		return 0, &kv.ConflictError{Current: current}
 	}
-	s.detach(current)
+	s.detachFromLease(current)
 	s.revision++
 	e := kv.Entry{Key: key, Value: append([]byte(nil), value...), Revision: s.revision, Lease: id}
 	s.entries[key] = e
-	if holder != nil {
-		holder.keys[key] = struct{}{}
+	if attachedLease != nil {
+		attachedLease.keys[key] = struct{}{}
 	}
-	s.publish(kv.Event{Entry: e})
+	s.publishEvent(kv.Event{Entry: e})
 	return s.revision, nil
 }
 
 // Delete implements kv.Store.
 func (s *Store) Delete(ctx context.Context, key string, expected kv.Revision) error {
-	if err := s.enter(ctx, CallDelete); err != nil {
+	if err := s.beforeCall(ctx, CallDelete); err != nil {
 		return err
 	}
 	if err := s.deleteExpected(key, expected); err != nil {
 		return err
 	}
-	return s.leave(ctx, key)
+	return s.afterWrite(ctx, key)
 }
 
 func (s *Store) deleteExpected(key string, expected kv.Revision) error {
@@ -168,24 +168,24 @@
 
 // Watch implements kv.Store. A waiting watch counts as one call.
 func (s *Store) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) ([]kv.Event, kv.Revision, error) {
-	if err := s.enter(ctx, CallWatch); err != nil {
+	if err := s.beforeCall(ctx, CallWatch); err != nil {
 		return nil, after, err
 	}
-	if err := s.silence(ctx); err != nil {
+	if err := s.blockIfSilent(ctx); err != nil {
 		return nil, after, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	w := &watcher{prefix: prefix, wake: make(chan struct{}, 1)}
-	defer s.forget(w)
+	defer s.removeWatcher(w)
 	for {
-		events, revision, err := s.changes(w, after)
+		events, revision, err := s.eventsAfter(w, after)
 		if err != nil || len(events) > 0 {
 			return events, revision, err
 		}
 		select {
 		case <-w.wake:
-			if err := s.silence(ctx); err != nil {
+			if err := s.blockIfSilent(ctx); err != nil {
 				return nil, after, err
 			}
 		case <-timer.C:
@@ -193,20 +193,20 @@
 		case <-ctx.Done():
 			return nil, after, &kv.UnavailableError{Err: ctx.Err()}
 		}
-		if err := s.outage(); err != nil {
+		if err := s.checkOutage(); err != nil {
 			return nil, after, err
 		}
 	}
 }
 
-// changes returns the events under the watcher's prefix later than after and
+// eventsAfter returns the events under the watcher's prefix later than after and
 // registers the watcher for the next one.
-func (s *Store) changes(w *watcher, after kv.Revision) ([]kv.Event, kv.Revision, error) {
+func (s *Store) eventsAfter(w *watcher, after kv.Revision) ([]kv.Event, kv.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers[w] = struct{}{}
-	if after < s.compacted {
-		return nil, after, &kv.CompactedError{Oldest: s.compacted, Current: s.revision}
+	if after < s.compactedRevision {
+		return nil, after, &kv.CompactedError{Oldest: s.compactedRevision, Current: s.revision}
 	}
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].Revision > after })
 	var events []kv.Event
@@ -218,7 +218,7 @@
 	return events, max(after, s.revision), nil
 }
 
-func (s *Store) forget(w *watcher) {
+func (s *Store) removeWatcher(w *watcher) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.watchers, w)
@@ -232,27 +232,27 @@
 	return kv.Entry{Key: key}
 }
 
-func (s *Store) detach(e kv.Entry) {
-	if holder := s.leases[e.Lease]; holder != nil {
-		delete(holder.keys, e.Key)
+func (s *Store) detachFromLease(e kv.Entry) {
+	if attachedLease := s.leases[e.Lease]; attachedLease != nil {
+		delete(attachedLease.keys, e.Key)
 	}
 }
 
 func (s *Store) remove(e kv.Entry) {
-	s.detach(e)
+	s.detachFromLease(e)
 	delete(s.entries, e.Key)
 	s.revision++
-	s.publish(kv.Event{Entry: kv.Entry{Key: e.Key, Revision: s.revision}, Deleted: true})
+	s.publishEvent(kv.Event{Entry: kv.Entry{Key: e.Key, Revision: s.revision}, Deleted: true})
 }
 
-func (s *Store) publish(e kv.Event) {
+func (s *Store) publishEvent(e kv.Event) {
 	s.history = append(s.history, e)
-	s.kept += len(e.Value)
-	if len(s.history) > 2*s.keep {
-		s.compact(len(s.history) - s.keep)
+	s.historyBytes += len(e.Value)
+	if len(s.history) > 2*s.maxHistory {
+		s.discardHistory(len(s.history) - s.maxHistory)
 	}
-	if s.kept > maxHistoryBytes {
-		s.compact((len(s.history) + 1) / 2)
+	if s.historyBytes > maxHistoryBytes {
+		s.discardHistory((len(s.history) + 1) / 2)
 	}
 	for w := range s.watchers {
 		if strings.HasPrefix(e.Key, w.prefix) {
@@ -261,10 +261,10 @@
 	}
 }
 
-func (s *Store) compact(n int) {
-	s.compacted = s.history[n-1].Revision
+func (s *Store) discardHistory(n int) {
+	s.compactedRevision = s.history[n-1].Revision
 	for _, e := range s.history[:n] {
-		s.kept -= len(e.Value)
+		s.historyBytes -= len(e.Value)
 	}
 	s.history = append([]kv.Event(nil), s.history[n:]...)
 }
@@ -275,7 +275,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.history) > 0 {
-		s.compact(len(s.history))
+		s.discardHistory(len(s.history))
 	}
 }
 
--- a/standin/kvserver/store_test.go
+++ b/standin/kvserver/store_test.go
@@ -168,7 +168,7 @@
 		revision, err = s.CompareAndSwap(context.Background(), "a", revision, value, 0)
 		is.NoErr(err)
 	}
-	is.True(s.kept <= maxHistoryBytes)
+	is.True(s.historyBytes <= maxHistoryBytes)
 	_, _, err = s.Watch(context.Background(), "", 0, 0)
 	var compacted *kv.CompactedError
 	is.True(errors.As(err, &compacted))
