--- a/standin/kvserver/faults.go
+++ b/standin/kvserver/faults.go
@@ -8,7 +8,7 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// CallKind names a kind of call.
+// CallKind is the kind of a call to the service.
 type CallKind string
 
 // Kinds of calls.
@@ -23,10 +23,10 @@
 	CallWatch          CallKind = "watch"
 )
 
-// Calls counts calls by kind, also those that met a fault.
+// Calls counts calls by kind, including calls that failed because of a fault.
 type Calls map[CallKind]int
 
-// Writes is the number of calls that change the store.
+// Writes returns the number of calls that change the store.
 func (c Calls) Writes() int {
 	writes := 0
 	for kind, n := range c {
@@ -37,7 +37,8 @@
 	return writes
 }
 
-// Reads is the number of calls that do not; a waiting watch is one.
+// Reads returns the number of calls that do not change the store. A watch
+// counts as one call, however long it waits.
 func (c Calls) Reads() int {
 	all := 0
 	for _, n := range c {
@@ -46,42 +47,44 @@
 	return all - c.Writes()
 }
 
-// Faults are the switches of the service; the zero value is a healthy one.
+// Faults are the injected faults of the service; the zero value injects none.
 type Faults struct {
-	// Outage makes every call fail at once without effect. Leases go on
-	// lapsing.
+	// Outage makes every call fail at once without effect. Leases continue to
+	// expire.
 	Outage bool `json:"outage,omitempty"`
-	// DelayMillis is waited before each call takes effect.
+	// DelayMillis delays every call before it takes effect.
 	DelayMillis int64 `json:"delay_ms,omitempty"`
-	// LateEffects lets a delayed call take effect although its caller gave up
-	// meanwhile. A caller without HTTP between waits the delay out.
+	// LateEffects lets a delayed call take effect even if its caller has
+	// given up. A caller that uses the Store without HTTP is blocked for the
+	// whole delay.
 	LateEffects bool `json:"late_effects,omitempty"`
-	// LoseAnswers is how many of the next writes take effect and lose their
-	// answer.
+	// LoseAnswers is how many of the next writes take effect without
+	// returning their response.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// LosePrefix restricts LoseAnswers to keys with this prefix; writes
-	// without a key (leases) count for the empty prefix only.
+	// LosePrefix restricts LoseAnswers to keys with this prefix. Lease calls
+	// have no key, so they are affected only if the prefix is empty.
 	LosePrefix string `json:"lose_prefix,omitempty"`
-	// LoseSilently keeps the caller waiting for a lost answer until it gives
-	// up, in place of an error at once.
+	// LoseSilently blocks the caller of a write whose response is lost until
+	// it gives up, instead of returning an error at once.
 	LoseSilently bool `json:"lose_silently,omitempty"`
-	// SilentWatches keeps watches, also those that wait already, from ever
-	// answering; the connection stays open. Watches made after the switch is
-	// off again work.
+	// SilentWatches keeps all watches, including those that are waiting, from
+	// ever returning; their connections stay open. Watches that start after
+	// the fault is removed work.
 	SilentWatches bool `json:"silent_watches,omitempty"`
 }
 
-// OutageError says that the service was down and the call had no effect.
+// OutageError reports that the service was down and the call had no effect.
 type OutageError struct{}
 
 func (*OutageError) Error() string { return "service is down" }
 
-// LostAnswerError says that a write took effect and its answer was lost.
+// LostAnswerError reports that a write took effect but its response was lost.
 type LostAnswerError struct{}
 
-func (*LostAnswerError) Error() string { return "answer lost after the effect" }
+func (*LostAnswerError) Error() string { return "response was lost after the call took effect" }
 
-// SetFaults replaces all switches. Watches that wait notice it.
+// SetFaults replaces all injected faults. It also applies to watches that are
+// waiting.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,14 +94,15 @@
 	}
 }
 
-// Faults returns the switches as they stand.
+// Faults returns the injected faults. LoseAnswers counts down as responses
+// are lost.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Calls returns the counts so far.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +113,7 @@
 	return counts
 }
 
-// ResetCalls sets all counts and the peak to zero.
+// ResetCalls sets all call counts and the peak to zero.
 func (s *Store) ResetCalls() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +121,8 @@
 	s.callMeter = callMeter{}
 }
 
-// beforeCall counts a call and applies the faults that come before its effect.
+// beforeCall counts a call, waits for the rate limit and applies the faults
+// that occur before the call's effect.
 func (s *Store) beforeCall(ctx context.Context, kind CallKind) error {
 	s.mu.Lock()
 	if s.calls == nil {
@@ -148,7 +153,8 @@
 	return nil
 }
 
-// delay waits and then looks again, since an outage may have begun meanwhile.
+// delay waits and then checks for an outage, which may have begun during the
+// wait.
 func (s *Store) delay(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -167,7 +173,8 @@
 	return nil
 }
 
-// afterWrite loses the answer of a write that took effect, if the switch says so.
+// afterWrite is called after a write took effect. It returns an error if
+// LoseAnswers applies to the write.
 func (s *Store) afterWrite(ctx context.Context, key string) error {
 	silently, lost := s.takeLostAnswer(key)
 	if !lost {
@@ -190,9 +197,9 @@
 	return s.faults.LoseSilently, true
 }
 
-// blockIfSilent blocks a watch until its caller gives up if the switch for silent
-// watches is on. It stays silent when the switch goes off: the connection is
-// lost track of for good, while new ones work.
+// blockIfSilent blocks a watch until its caller gives up if SilentWatches is
+// set. The watch stays blocked when the fault is removed: it simulates a
+// connection whose state was lost in the network, while new connections work.
 func (s *Store) blockIfSilent(ctx context.Context) error {
 	if !s.Faults().SilentWatches {
 		return nil
--- a/standin/kvserver/http.go
+++ b/standin/kvserver/http.go
@@ -11,21 +11,22 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Admin paths of the stand-in, which the service itself does not have.
+// Admin paths of the stand-in. The real service does not have them.
 const (
-	// PathFaults takes GET for the switches and PUT to replace them.
+	// PathFaults takes GET to read the injected faults and PUT to replace
+	// them.
 	PathFaults = "/faults"
-	// PathExpire takes POST with a kv.LeaseBody and ends the lease now.
+	// PathExpire takes POST with a kv.LeaseBody and ends the lease at once.
 	PathExpire = "/faults/expire-lease"
-	// PathCompact takes POST and forgets all changes so far.
+	// PathCompact takes POST and discards all changes so far.
 	PathCompact = "/faults/compact"
-	// PathCalls takes GET for the counts and DELETE to reset them.
+	// PathCalls takes GET for the call counts and DELETE to reset them.
 	PathCalls = "/calls"
-	// PathPeak takes GET for the most calls in one second.
+	// PathPeak takes GET for the highest number of calls within one second.
 	PathPeak = "/calls/peak"
 )
 
-// maxBodyBytes leaves room for the largest value in base64.
+// maxBodyBytes fits a value of MaxValueBytes in base64.
 const maxBodyBytes = 4 * MaxValueBytes
 
 // Handler serves the store's HTTP interface and the admin paths.
@@ -107,8 +108,8 @@
 	})
 }
 
-// writeError answers with the typed error, or breaks the connection where the
-// answer is lost.
+// writeError responds with the code of a typed error. For a lost answer it
+// aborts the connection instead.
 func writeError(w http.ResponseWriter, err error) {
 	if lost := (*LostAnswerError)(nil); errors.As(err, &lost) {
 		panic(http.ErrAbortHandler)
--- a/standin/kvserver/lease.go
+++ b/standin/kvserver/lease.go
@@ -8,7 +8,7 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Grant implements kv.Store. IDs only grow.
+// Grant implements kv.Store. Every lease ID is higher than all earlier ones.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
 	if err := s.beforeCall(ctx, CallGrant); err != nil {
 		return 0, err
@@ -61,8 +61,8 @@
 	return s.afterWrite(ctx, "")
 }
 
-// Expire ends a lease now, as if its time were over, and reports whether it
-// was there. It is the fault switch for a lease that lapses early.
+// Expire ends a lease at once and reports whether the lease existed. Tests
+// use it to inject a lease that expires early.
 func (s *Store) Expire(id kv.LeaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +74,7 @@
 	return true
 }
 
-// Leases lists the live leases, oldest first.
+// Leases returns the IDs of the leases that have not expired, oldest first.
 func (s *Store) Leases() []kv.LeaseID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,8 +86,9 @@
 	return ids
 }
 
-// expireIfDue runs when a lease's timer fires. A renewal can win the lock between
-// the firing and this call; the expiry time tells.
+// expireIfDue runs when a lease's timer fires. It checks the expiry time
+// again, because a renewal can acquire the lock between the firing of the
+// timer and this call.
 func (s *Store) expireIfDue(l *lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// Close stops the leases' timers.
+// Close stops the timers of all leases.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/kvserver/limits.go
+++ b/standin/kvserver/limits.go
@@ -9,20 +9,20 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Limits are the rates that the service takes, in calls a second; zero is no
-// bound. Calls above them wait for their turn.
+// Limits are the rate limits of the service in calls per second; zero means
+// no limit. Calls above the limit wait.
 type Limits struct {
 	WritesPerSecond float64 `json:"writes_per_second,omitempty"`
 	ReadsPerSecond  float64 `json:"reads_per_second,omitempty"`
 }
 
-// Peak is the most calls that came in one second.
+// Peak is the highest number of calls within one second.
 type Peak struct {
 	Writes int `json:"writes"`
 	Reads  int `json:"reads"`
 }
 
-// callMeter counts the calls of the present second.
+// callMeter counts the calls of the current second.
 type callMeter struct {
 	second int64
 	now    Peak
@@ -42,7 +42,7 @@
 	m.peak.Reads = max(m.peak.Reads, m.now.Reads)
 }
 
-// isWrite tells the calls that change the store from the others.
+// isWrite reports whether the call changes the store.
 func (k CallKind) isWrite() bool {
 	switch k {
 	case CallGet, CallList, CallWatch:
@@ -52,7 +52,8 @@
 	}
 }
 
-// SetLimits replaces the limits; a burst of a tenth of a second is free.
+// SetLimits replaces the limits. The calls of a tenth of a second can be made
+// at once as a burst.
 func (s *Store) SetLimits(l Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,14 +67,14 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/10)))
 }
 
-// Peak returns the most calls that came in one second of the clock.
+// Peak returns the highest number of calls within one second of the clock.
 func (s *Store) Peak() Peak {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.callMeter.peak
 }
 
-// waitForLimit waits until the limit lets a call in.
+// waitForLimit blocks until the limiter admits the call.
 func (s *Store) waitForLimit(ctx context.Context, l *rate.Limiter) error {
 	if l == nil {
 		return nil
--- a/standin/kvserver/store.go
+++ b/standin/kvserver/store.go
@@ -1,6 +1,7 @@
 // Package kvserver is a stand-in for the platform's key-value service: an
 // in-memory store with compare-and-swap, leases and watches, an HTTP server
-// around it, and switches for its faults. docs/protocols/kv.md describes it.
+// around it, and injectable faults. docs/protocols/kv.md describes the
+// protocol.
 package kvserver
 
 import (
@@ -15,19 +16,21 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// MaxValueBytes is the largest value that the service holds.
+// MaxValueBytes is the size limit of a value.
 const MaxValueBytes = 1 << 20
 
-// DefaultHistory is how many changes are kept for watches that lag, and
-// maxHistoryBytes how much of their values.
+// DefaultHistory is the number of changes that are kept for watches that
+// start at an earlier revision. maxHistoryBytes bounds the total size of
+// their values.
 const (
 	DefaultHistory  = 4096
 	maxHistoryBytes = 64 << 20
 )
 
-// Store is the service's state. It is safe for concurrent use and implements
-// kv.Store, so a test can use it without HTTP. Leases run on the time package,
-// and so on virtual time inside a testing/synctest bubble.
+// Store is the state of the service. It is safe for concurrent use and
+// implements kv.Store, so a test can use it without HTTP. Leases use timers
+// of package time, so they follow virtual time inside a testing/synctest
+// bubble.
 type Store struct {
 	mu                sync.Mutex
 	revision          kv.Revision
@@ -35,14 +38,14 @@
 	leases            map[kv.LeaseID]*lease
 	lastLease         kv.LeaseID
 	history           []kv.Event
-	historyBytes      int // bytes of values in history
+	historyBytes      int // total size of the values in history
 	maxHistory        int
 	compactedRevision kv.Revision
 	watchers          map[*watcher]struct{}
 	calls             Calls
 	faults            Faults
 	callMeter         callMeter
-	writeLimiter      *rate.Limiter // nil is no limit
+	writeLimiter      *rate.Limiter // nil means no limit
 	readLimiter       *rate.Limiter
 }
 
@@ -61,11 +64,12 @@
 	wake   chan struct{}
 }
 
-// New returns an empty store without faults that keeps DefaultHistory changes.
+// New returns an empty store without faults that keeps DefaultHistory
+// changes.
 func New() *Store { return NewWithHistory(DefaultHistory) }
 
-// NewWithHistory returns an empty store that keeps the given number of changes
-// for watches; a watch from an earlier revision gets a *kv.CompactedError.
+// NewWithHistory returns an empty store that keeps about maxHistory changes
+// for watches. A watch from an earlier revision gets a *kv.CompactedError.
 func NewWithHistory(maxHistory int) *Store {
 	return &Store{
 		entries:    map[string]kv.Entry{},
@@ -166,7 +170,8 @@
 	return nil
 }
 
-// Watch implements kv.Store. A waiting watch counts as one call.
+// Watch implements kv.Store. A watch counts as one call, however long it
+// waits.
 func (s *Store) Watch(ctx context.Context, prefix string, after kv.Revision, wait time.Duration) ([]kv.Event, kv.Revision, error) {
 	if err := s.beforeCall(ctx, CallWatch); err != nil {
 		return nil, after, err
@@ -199,8 +204,8 @@
 	}
 }
 
-// eventsAfter returns the events under the watcher's prefix later than after and
-// registers the watcher for the next one.
+// eventsAfter returns the events under the watcher's prefix with a revision
+// higher than after, and registers the watcher for the next event.
 func (s *Store) eventsAfter(w *watcher, after kv.Revision) ([]kv.Event, kv.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,7 +229,8 @@
 	delete(s.watchers, w)
 }
 
-// current returns a zero revision where the key is absent.
+// current returns the entry of a key. If the key is absent, the entry's
+// revision is zero.
 func (s *Store) current(key string) kv.Entry {
 	if e, ok := s.entries[key]; ok {
 		return e
@@ -269,8 +275,8 @@
 	s.history = append([]kv.Event(nil), s.history[n:]...)
 }
 
-// Compact forgets all changes so far, so that a watch from an earlier revision
-// gets a *kv.CompactedError.
+// Compact discards all changes so far, so that a watch from an earlier
+// revision gets a *kv.CompactedError.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/kvserver/store_test.go
+++ b/standin/kvserver/store_test.go
@@ -69,9 +69,9 @@
 	})
 }
 
-// A writer sees its compare-and-swap fail with a broken connection and takes
-// it for lost. The write took effect; only the answer went missing, so the
-// writer finds its own value when it reads back.
+// A write takes effect but its response is lost with the connection. The
+// writer sees an unavailable service, and must find its own value when it
+// reads the key. The client must not retry the write by itself.
 func TestLostAnswerKeepsEffect(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -89,12 +89,13 @@
 	e, err := c.Get(ctx, "head")
 	is.NoErr(err)
 	is.Equal(string(e.Value), "mine")
-	is.Equal(s.Calls()[CallCompareAndSwap], 2) // no hidden retry
+	is.Equal(s.Calls()[CallCompareAndSwap], 2) // the client did not retry
 }
 
-// A reader waits for the next configuration and never hears of it. Its watch's
-// connection went silent while it waited; the change came after that. The
-// watch gives up by its own bound and a new one finds the change at once.
+// The connection of a waiting watch loses its state in the network, and a
+// change comes after that. The watch must stay silent until its caller's
+// timeout, even though the fault is removed; a new watch must return the
+// change at once.
 func TestSilentWatchStaysSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -188,7 +189,7 @@
 			is.NoErr(err)
 		}
 		took := time.Since(start)
-		is.True(took >= 990*time.Millisecond && took <= 1010*time.Millisecond) // ten are free
+		is.True(took >= 990*time.Millisecond && took <= 1010*time.Millisecond) // ten calls pass at once as a burst
 		is.True(s.Peak().Writes >= 100)
 		is.Equal(s.Calls().Reads(), 110)
 	})
