--- a/daemon/control/control_test.go
+++ b/daemon/control/control_test.go
@@ -223,7 +223,7 @@
 
 // All watches stall at once: their connections stay open, but no event arrives.
 // A change must reach all daemons without them.
-func TestSilentWatches(t *testing.T) {
+func TestStalledWatches(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
 		f.store.SetFaults(kvserver.Faults{SilentWatches: true})
@@ -267,7 +267,7 @@
 func TestEntryVMNoticeReachesAllDaemons(t *testing.T) {
 	t.Parallel()
 	runWithFleet(t, func(is *is.I, f *fleet) {
-		f.cloud.notice("vm-entry-2", "10.0.0.3", 30*time.Second)
+		f.cloud.addNotice("vm-entry-2", "10.0.0.3", 30*time.Second)
 		left := func() bool {
 			for _, d := range f.daemons {
 				if stateOf(d, 2, f) != view.Leaving {
