--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -117,7 +117,7 @@
 func (c *caller) resolve(ctx context.Context, d *daemon) []string {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	found, err := d.Directory(ctx, c.client, site.Host)
+	found, err := d.ResolveHost(ctx, c.client, site.Host)
 	if err != nil {
 		return nil
 	}
@@ -131,9 +131,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answer, err := site.Ask(ctx, c.client, a.daemonAddress, &site.Attempt{
-		ID: a.id, Method: a.method, Host: site.Host, Path: a.path, Body: a.body, Key: a.key,
-		Patience: callerTimeout, ForgedWorkspace: "forged",
+	answer, err := site.SendRequest(ctx, c.client, a.daemonAddress, &site.CallerRequest{
+		ID: a.id, Method: a.method, Host: site.Host, Path: a.path, Body: a.body, APIKey: a.key,
+		Timeout: callerTimeout, SpoofedWorkspace: "forged",
 	})
 	c.attempts.mu.Lock()
 	defer c.attempts.mu.Unlock()
@@ -141,5 +141,5 @@
 		a.truncated = true
 		return
 	}
-	a.status, a.signature, a.answer, a.truncated = answer.Status, answer.Signature(), answer.Body, answer.Cut
+	a.status, a.signature, a.answer, a.truncated = answer.Status, answer.Signature(), answer.Body, answer.Truncated
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -124,7 +124,7 @@
 		d.signal(syscall.SIGSTOP)
 		old := f.rotate()
 		time.Sleep(revokeWithin + 100*time.Millisecond)
-		address := d.Front()
+		address := d.CallerAddress()
 		for n := range 8 {
 			c := newCaller(f, f.attempts, f.seed, 1000+n)
 			go c.send(context.Background(), f.attempts.add(f.seed, requestKinds[n%2], old, address))
@@ -188,7 +188,7 @@
 
 func runnerFault(rng *rand.Rand, _ int) fault {
 	all := []site.Fault{
-		site.LoseAnswer, site.Truncate, site.Double, site.Garbage, site.Full, site.Fail, site.Early, site.Unframed, site.CutStream, site.Hang,
+		site.DropResponse, site.TruncateBody, site.DuplicateResponse, site.MalformedResponse, site.QueueFull, site.InternalError, site.RespondBeforeBody, site.UnframedBody, site.TruncateStream, site.Hang,
 	}
 	i, n := rng.IntN(1000), 5+rng.IntN(40)
 	var next []site.Fault
@@ -198,7 +198,7 @@
 		// using the runner.
 		next = append(next, make([]site.Fault, rng.IntN(3))...)
 	}
-	return fault{description: fmt.Sprintf("runner %d: %d faults", i, n), apply: func(f *fleet) { f.runner(i).Next(next...) }}
+	return fault{description: fmt.Sprintf("runner %d: %d faults", i, n), apply: func(f *fleet) { f.runner(i).SetNextFaults(next...) }}
 }
 
 func drainRunner(rng *rand.Rand, _ int) fault {
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -281,7 +281,7 @@
 	f.version += 3
 	version, keys := f.version, append([]string{stableKey}, f.keys...)
 	f.mu.Unlock()
-	f.retryUntilAccepted(func() error { return f.store.Configure(version, routes, 10_000, keys...) })
+	f.retryUntilAccepted(func() error { return f.store.PutConfig(version, routes, 10_000, keys...) })
 }
 
 // routes has one route for each kind of request.
@@ -344,7 +344,7 @@
 }
 
 func (f *fleet) announce(b *proxiedRunner, state string) {
-	f.retryUntilAccepted(func() error { return f.store.Announce(b.ID, b.proxy.address(), state) })
+	f.retryUntilAccepted(func() error { return f.store.RegisterRunner(b.ID, b.proxy.address(), state) })
 }
 
 // drainAndRemove announces that a runner drains, keeps it serving for 3 s, and then
@@ -352,7 +352,7 @@
 func (f *fleet) drainAndRemove(b *proxiedRunner) {
 	f.announce(b, site.Draining)
 	time.Sleep(3 * time.Second)
-	f.retryUntilAccepted(func() error { return f.store.Withdraw(b.ID) })
+	f.retryUntilAccepted(func() error { return f.store.DeregisterRunner(b.ID) })
 	b.Close()
 	b.proxy.set(resetting)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -132,7 +132,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, b := range f.runners {
-		b.Next()
+		b.SetNextFaults()
 		b.proxy.set(linkUp)
 	}
 	for _, d := range f.daemons {
@@ -163,7 +163,7 @@
 	defer cancel()
 	c := newCaller(f, r, seed, callers)
 	for _, d := range f.daemons {
-		address := d.Front()
+		address := d.CallerAddress()
 		for served := 0; served < requiredInARow; {
 			a := r.add(seed, requestKinds[0], stableKey, address)
 			c.send(ctx, a)
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -9,27 +9,29 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// DefaultHeartbeat is the time between two heartbeat lines of a stream.
+// DefaultHeartbeat is the interval between two heartbeat lines of a stream.
 const DefaultHeartbeat = 500 * time.Millisecond
 
-// Option changes an Engine.
+// Option configures an Engine.
 type Option func(*Engine)
 
-// WithLedger enters the engine's work in a ledger that others share.
-func WithLedger(l *Ledger) Option { return func(e *Engine) { e.ledger = l } }
+// WithTokenCounter makes the engine add its work to a counter that several
+// engines share.
+func WithTokenCounter(l *TokenCounter) Option { return func(e *Engine) { e.tokenCounter = l } }
 
-// WithClient is used to fetch exported caches from other engines.
+// WithClient sets the HTTP client that downloads exported caches from other
+// engines.
 func WithClient(c *http.Client) Option { return func(e *Engine) { e.client = c } }
 
-// Engine runs a Core on the time package and serves it over HTTP. It is safe
-// for concurrent use and works inside a testing/synctest bubble; its goroutine
-// ends when it dies.
+// Engine runs a Core in real time and serves it over HTTP. It is safe for
+// concurrent use and works inside a testing/synctest bubble; its goroutine
+// ends when the engine terminates.
 type Engine struct {
-	client *http.Client
-	ledger *Ledger
-	poke   chan struct{}
-	died   chan struct{}
-	done   chan struct{}
+	client       *http.Client
+	tokenCounter *TokenCounter
+	wake         chan struct{}
+	died         chan struct{}
+	done         chan struct{}
 
 	mu      sync.Mutex
 	core    *Core
@@ -37,28 +39,28 @@
 	faults  Faults
 }
 
-// stream carries an attempt's lines from the core to its HTTP handler.
+// stream passes an attempt's lines from the core to its HTTP handler.
 type stream struct {
 	attemptID string
 	wake      chan struct{}
-	// Guarded by Engine.mu:
+	// The fields below are guarded by Engine.mu.
 	lines []engineapi.GenerateEvent
 	last  engineapi.GenerateEvent
-	// late counts the lines that still come after a cancel; minus one is no
-	// cancel yet.
-	late int
+	// lateLines is how many token lines the stream still sends after a
+	// cancellation, or notCancelled.
+	lateLines int
 }
 
 // New starts an engine.
 func New(cfg Config, options ...Option) *Engine {
 	e := &Engine{
-		client:  http.DefaultClient,
-		ledger:  NewLedger(),
-		poke:    make(chan struct{}, 1),
-		died:    make(chan struct{}),
-		done:    make(chan struct{}),
-		core:    NewCore(cfg, time.Now()),
-		streams: map[string]*stream{},
+		client:       http.DefaultClient,
+		tokenCounter: NewTokenCounter(),
+		wake:         make(chan struct{}, 1),
+		died:         make(chan struct{}),
+		done:         make(chan struct{}),
+		core:         NewCore(cfg, time.Now()),
+		streams:      map[string]*stream{},
 	}
 	for _, option := range options {
 		option(e)
@@ -67,7 +69,7 @@
 	return e
 }
 
-// Close ends the engine as Die does and waits for its goroutine.
+// Close terminates the engine and waits until its goroutine has ended.
 func (e *Engine) Close() {
 	e.Die()
 	<-e.done
@@ -95,7 +97,7 @@
 		}
 		select {
 		case <-timer:
-		case <-e.poke:
+		case <-e.wake:
 		case <-e.died:
 			return
 		}
@@ -107,12 +109,12 @@
 	defer e.mu.Unlock()
 	now := time.Now()
 	r := e.core.Step(now)
-	e.ledger.Add(r.Work)
+	e.tokenCounter.Add(r.Work)
 	for _, line := range r.Lines {
 		e.deliver(line.Event)
 	}
 	if e.core.Dead() {
-		e.announceDeath()
+		e.closeDied()
 	}
 	next, ok := e.core.Next()
 	return next.Sub(now), ok
@@ -134,16 +136,17 @@
 	}
 }
 
-func (e *Engine) announceDeath() {
+func (e *Engine) closeDied() {
 	if !e.isDead() {
 		close(e.died)
 	}
 }
 
-// wakeUp makes the engine look for work that a call has brought.
+// wakeUp makes the engine's goroutine call Step, because a call may have
+// added work.
 func (e *Engine) wakeUp() {
 	select {
-	case e.poke <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
@@ -158,27 +161,28 @@
 	if err := e.core.Submit(time.Now(), NewAttempt(r)); err != nil {
 		return nil, err
 	}
-	s := &stream{attemptID: r.AttemptID, wake: make(chan struct{}, 1), late: noCancel}
+	s := &stream{attemptID: r.AttemptID, wake: make(chan struct{}, 1), lateLines: notCancelled}
 	s.last = engineapi.GenerateEvent{RequestID: r.RequestID, AttemptID: r.AttemptID, Offset: len(r.Emitted)}
 	e.streams[r.AttemptID] = s
 	return s, nil
 }
 
-// Cancel ends an attempt and reports whether it was there.
+// Cancel ends an attempt and reports whether it existed. With
+// Faults.LateLines set, the stream continues for that many lines.
 func (e *Engine) Cancel(attemptID string) bool {
 	defer e.wakeUp()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s := e.streams[attemptID]; s != nil && e.faults.LateLines > 0 {
-		if s.late == noCancel {
-			s.late = e.faults.LateLines
+		if s.lateLines == notCancelled {
+			s.lateLines = e.faults.LateLines
 		}
 		return true
 	}
 	return e.core.Cancel(time.Now(), attemptID)
 }
 
-// abandon ends an attempt whose caller has gone.
+// abandon cancels an attempt whose caller has disconnected.
 func (e *Engine) abandon(s *stream) {
 	defer e.wakeUp()
 	e.mu.Lock()
@@ -188,25 +192,27 @@
 	}
 }
 
-// Notice tells that the VM goes after left; the engine dies then.
-func (e *Engine) Notice(left time.Duration) {
+// Notice announces that the VM will be reclaimed. The engine terminates after
+// remaining.
+func (e *Engine) Notice(remaining time.Duration) {
 	defer e.wakeUp()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	e.core.Notice(now, now.Add(left))
+	e.core.Notice(now, now.Add(remaining))
 }
 
-// Die ends the engine at once: open connections break, new ones too.
+// Die terminates the engine at once. Open connections are aborted, and so is
+// every new one.
 func (e *Engine) Die() {
 	defer e.wakeUp()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.core.Die(time.Now())
-	e.announceDeath()
+	e.closeDied()
 }
 
-// Died is closed when the engine has died.
+// Died returns a channel that is closed when the engine has terminated.
 func (e *Engine) Died() <-chan struct{} { return e.died }
 
 // Counters returns the core's totals.
@@ -216,8 +222,8 @@
 	return e.core.Counters()
 }
 
-// Ledger returns the ledger that the engine's work is entered in.
-func (e *Engine) Ledger() *Ledger { return e.ledger }
+// TokenCounter returns the counter to which the engine adds its work.
+func (e *Engine) TokenCounter() *TokenCounter { return e.tokenCounter }
 
 // Load returns the last published load report.
 func (e *Engine) Load() engineapi.Load {
@@ -227,7 +233,7 @@
 	return e.core.Load(time.Now())
 }
 
-// Order carries out an order.
+// Order carries out an order or refuses it; see Core.Order.
 func (e *Engine) Order(o engineapi.Order) error {
 	defer e.wakeUp()
 	e.mu.Lock()
@@ -247,28 +253,29 @@
 	return e.core.Export(time.Now(), attemptID)
 }
 
-// transfer waits as long as an exported cache takes over the engine's link.
-func (e *Engine) transfer(ctx context.Context, name string) (Exported, error) {
+// transfer returns an exported cache after the time that its transfer over
+// the engine's link takes.
+func (e *Engine) transfer(ctx context.Context, name string) (ExportedCache, error) {
 	e.mu.Lock()
 	now := time.Now()
-	exported, end, err := e.core.Fetch(now, name)
-	broken := err == nil && e.faults.FailExports > 0
-	if broken {
+	exported, end, err := e.core.StartTransfer(now, name)
+	injectFailure := err == nil && e.faults.FailExports > 0
+	if injectFailure {
 		e.faults.FailExports--
 	}
 	e.mu.Unlock()
 	if err != nil {
-		return Exported{}, err
+		return ExportedCache{}, err
 	}
 	wait := end.Sub(now)
-	if broken {
+	if injectFailure {
 		wait /= 2
 	}
 	if err := e.sleep(ctx, wait); err != nil {
-		return Exported{}, err
+		return ExportedCache{}, err
 	}
-	if broken {
-		return Exported{}, &InjectedError{Fault: "fail_exports"}
+	if injectFailure {
+		return ExportedCache{}, &InjectedError{Fault: "fail_exports"}
 	}
 	return exported, nil
 }
@@ -286,7 +293,7 @@
 	}
 }
 
-func (e *Engine) accept(exported Exported) engineapi.ImportResponse {
+func (e *Engine) importCache(exported ExportedCache) engineapi.ImportResponse {
 	defer e.wakeUp()
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/kvserver/lease.go
+++ b/standin/kvserver/lease.go
@@ -8,13 +8,13 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Grant implements kv.Store. IDs only grow.
+// Grant implements kv.Store. Every lease ID is higher than all earlier ones.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (kv.LeaseID, error) {
-	if err := s.enter(ctx, CallGrant); err != nil {
+	if err := s.beforeCall(ctx, CallGrant); err != nil {
 		return 0, err
 	}
 	id := s.grant(ttl)
-	return id, s.leave(ctx, "")
+	return id, s.afterWrite(ctx, "")
 }
 
 func (s *Store) grant(ttl time.Duration) kv.LeaseID {
@@ -22,20 +22,20 @@
 	defer s.mu.Unlock()
 	s.lastLease++
 	l := &lease{id: s.lastLease, ttl: ttl, expires: time.Now().Add(ttl), keys: map[string]struct{}{}}
-	l.timer = time.AfterFunc(ttl, func() { s.lapse(l) })
+	l.timer = time.AfterFunc(ttl, func() { s.expireIfDue(l) })
 	s.leases[l.id] = l
 	return l.id
 }
 
 // KeepAlive implements kv.Store.
 func (s *Store) KeepAlive(ctx context.Context, id kv.LeaseID) error {
-	if err := s.enter(ctx, CallKeepAlive); err != nil {
+	if err := s.beforeCall(ctx, CallKeepAlive); err != nil {
 		return err
 	}
 	if err := s.renew(id); err != nil {
 		return err
 	}
-	return s.leave(ctx, "")
+	return s.afterWrite(ctx, "")
 }
 
 func (s *Store) renew(id kv.LeaseID) error {
@@ -52,17 +52,17 @@
 
 // Revoke implements kv.Store.
 func (s *Store) Revoke(ctx context.Context, id kv.LeaseID) error {
-	if err := s.enter(ctx, CallRevoke); err != nil {
+	if err := s.beforeCall(ctx, CallRevoke); err != nil {
 		return err
 	}
 	if !s.Expire(id) {
 		return &kv.LeaseExpiredError{Lease: id}
 	}
-	return s.leave(ctx, "")
+	return s.afterWrite(ctx, "")
 }
 
-// Expire ends a lease now, as if its time were over, and reports whether it
-// was there. It is the fault switch for a lease that lapses early.
+// Expire ends a lease at once and reports whether the lease existed. Tests
+// use it to inject a lease that expires early.
 func (s *Store) Expire(id kv.LeaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,11 +70,11 @@
 	if l == nil {
 		return false
 	}
-	s.end(l)
+	s.endLease(l)
 	return true
 }
 
-// Leases lists the live leases, oldest first.
+// Leases returns the IDs of the leases that have not expired, oldest first.
 func (s *Store) Leases() []kv.LeaseID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,18 +86,19 @@
 	return ids
 }
 
-// lapse runs when a lease's timer fires. A renewal can win the lock between
-// the firing and this call; the expiry time tells.
-func (s *Store) lapse(l *lease) {
+// expireIfDue runs when a lease's timer fires. It checks the expiry time
+// again, because a renewal can acquire the lock between the firing of the
+// timer and this call.
+func (s *Store) expireIfDue(l *lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leases[l.id] != l || time.Now().Before(l.expires) {
 		return
 	}
-	s.end(l)
+	s.endLease(l)
 }
 
-func (s *Store) end(l *lease) {
+func (s *Store) endLease(l *lease) {
 	l.timer.Stop()
 	delete(s.leases, l.id)
 	keys := make([]string, 0, len(l.keys))
@@ -110,7 +111,7 @@
 	}
 }
 
-// Close stops the leases' timers.
+// Close stops the timers of all leases.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
