--- a/coordination/accounting/accounting.go
+++ b/coordination/accounting/accounting.go
@@ -32,11 +32,11 @@
 type Timing struct {
 	// Length is the length of a window.
 	Length time.Duration
-	// Due is how long after its end a window must have been reported.
-	Due time.Duration
-	// Settle is how long after the end of a window counts that daemons send directly may
+	// ReportWithin is how long after its end a window must have been reported.
+	ReportWithin time.Duration
+	// SettleAfter is how long after the end of a window counts that daemons send directly may
 	// still arrive.
-	Settle time.Duration
+	SettleAfter time.Duration
 }
 
 // SettleAfter covers the time that counts take to reach the holder of the reporting duty: a
@@ -153,22 +153,22 @@
 // all of them within a second, because each of the other daemons begins at a different
 // name.
 func (l *Ledger) NextEndedDaemon(now time.Time, last ident.Incarnation, alive map[ident.Incarnation]bool) (ident.Incarnation, bool) {
-	var first, next ident.Incarnation
+	var smallest, smallestAfter ident.Incarnation
 	for id := range l.counts {
 		if id == l.self || alive[id] || !l.hasOpenWindows(now, id) {
 			continue
 		}
-		if first == "" || id < first {
-			first = id
+		if smallest == "" || id < smallest {
+			smallest = id
 		}
-		if id > last && (next == "" || id < next) {
-			next = id
+		if id > last && (smallestAfter == "" || id < smallestAfter) {
+			smallestAfter = id
 		}
 	}
-	if next == "" {
-		next = first
+	if smallestAfter == "" {
+		smallestAfter = smallest
 	}
-	return next, next != ""
+	return smallestAfter, smallestAfter != ""
 }
 
 // Sum returns the total counts of a window over all daemons.
@@ -225,14 +225,16 @@
 func (l *Ledger) TimeSinceEnd(now time.Time, w Window) time.Duration { return now.Sub(l.end(w)) }
 
 // PastDue reports whether it is too late to report the window.
-func (l *Ledger) PastDue(now time.Time, w Window) bool { return !l.end(w).Add(l.timing.Due).After(now) }
+func (l *Ledger) PastDue(now time.Time, w Window) bool {
+	return !l.end(w).Add(l.timing.ReportWithin).After(now)
+}
 
 // WindowsDue returns the windows to report now, oldest first: those that have ended and
 // settled, are not past due and are not known to have been reported. A window without any
 // request is reported as well.
 func (l *Ledger) WindowsDue(now time.Time) []Window {
 	var due []Window
-	for w := l.WindowAt(now) - keptWindows; !l.end(w).Add(l.timing.Settle).After(now); w++ {
+	for w := l.WindowAt(now) - keptWindows; !l.end(w).Add(l.timing.SettleAfter).After(now); w++ {
 		if l.reported[w] || l.PastDue(now, w) {
 			continue
 		}
--- a/coordination/accounting/accounting_test.go
+++ b/coordination/accounting/accounting_test.go
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-var timing = accounting.Timing{Length: 5 * time.Second, Due: 10 * time.Second, Settle: time.Second}
+var timing = accounting.Timing{Length: 5 * time.Second, ReportWithin: 10 * time.Second, SettleAfter: time.Second}
 
 func at(seconds float64) time.Time { return time.UnixMilli(int64(seconds * 1000)) }
 
@@ -79,15 +79,15 @@
 	}
 	b.Receive("old", map[accounting.Window]accounting.Counts{190: {"shelter": 1}})
 	alive := map[ident.Incarnation]bool{"b": true}
-	var told []ident.Incarnation
+	var order []ident.Incarnation
 	last := ident.Incarnation("m")
 	for range 4 {
 		next, ok := b.NextEndedDaemon(at(1003), last, alive)
 		is.True(ok)
-		told = append(told, next)
+		order = append(order, next)
 		last = next
 	}
-	is.Equal(told, []ident.Incarnation{"x", "z", "a", "x"})
+	is.Equal(order, []ident.Incarnation{"x", "z", "a", "x"})
 	_, ok := b.NextEndedDaemon(at(1020), last, alive)
 	is.True(!ok)
 }
--- a/coordination/accounting/coverage.go
+++ b/coordination/accounting/coverage.go
@@ -71,9 +71,9 @@
 
 // Missing returns, sorted, those of the given daemons whose counts have not been received
 // since the time since, and those that have ended.
-func (c *Coverage) Missing(ids []ident.Incarnation, since time.Duration) []ident.Incarnation {
+func (c *Coverage) Missing(daemons []ident.Incarnation, since time.Duration) []ident.Incarnation {
 	var missing []ident.Incarnation
-	for _, id := range ids {
+	for _, id := range daemons {
 		if _, ended := c.ended[id]; ended || !c.receivedSince(id, since) {
 			missing = append(missing, id)
 		}
--- a/coordination/accounting/snapshot.go
+++ b/coordination/accounting/snapshot.go
@@ -33,7 +33,7 @@
 		windows := map[Window][]int64{}
 		for w, counts := range l.OpenWindows(now, id) {
 			if !l.reported[w] {
-				windows[w] = ByPlace(s.Workspaces, counts)
+				windows[w] = IndexedCounts(s.Workspaces, counts)
 			}
 		}
 		if len(windows) > 0 {
@@ -48,30 +48,30 @@
 	for _, d := range s.Daemons {
 		windows := make(map[Window]Counts, len(d.Windows))
 		for w, counts := range d.Windows {
-			windows[w] = FromPlaces(s.Workspaces, counts)
+			windows[w] = CountsFromIndexed(s.Workspaces, counts)
 		}
 		l.Receive(d.Incarnation, windows)
 	}
 }
 
-// ByPlace returns the counts in the order of the workspaces, without trailing zeros.
-func ByPlace(workspaces []ident.Workspace, counts Counts) []int64 {
-	var byPlace []int64
-	for place, ws := range workspaces {
+// IndexedCounts returns the counts in the order of the workspaces, without trailing zeros.
+func IndexedCounts(workspaces []ident.Workspace, counts Counts) []int64 {
+	var indexed []int64
+	for index, ws := range workspaces {
 		if n := counts[ws]; n > 0 {
-			byPlace = append(byPlace, make([]int64, place-len(byPlace))...)
-			byPlace = append(byPlace, n)
+			indexed = append(indexed, make([]int64, index-len(indexed))...)
+			indexed = append(indexed, n)
 		}
 	}
-	return byPlace
+	return indexed
 }
 
-// FromPlaces is the inverse of ByPlace. Counts beyond the last workspace are dropped.
-func FromPlaces(workspaces []ident.Workspace, byPlace []int64) Counts {
+// CountsFromIndexed is the inverse of ByPlace. Counts beyond the last workspace are dropped.
+func CountsFromIndexed(workspaces []ident.Workspace, indexed []int64) Counts {
 	counts := Counts{}
-	for place, n := range byPlace[:min(len(byPlace), len(workspaces))] {
+	for index, n := range indexed[:min(len(indexed), len(workspaces))] {
 		if n > 0 {
-			counts[workspaces[place]] = n
+			counts[workspaces[index]] = n
 		}
 	}
 	return counts
--- a/coordination/feed/feed.go
+++ b/coordination/feed/feed.go
@@ -151,7 +151,7 @@
 	if after < l.forgottenThrough || l.revision == 0 || slices.ContainsFunc(l.gaps, func(g gap) bool { return g.from < after && after < g.to }) {
 		return Batch{}, false
 	}
-	p := Batch{After: after, Through: l.revision}
+	batch := Batch{After: after, Through: l.revision}
 	from, _ := slices.BinarySearchFunc(l.changes, after+1, func(c Change, r uint64) int { return cmp.Compare(c.Revision, r) })
 	size := 0
 	for _, c := range l.changes[from:] {
@@ -160,11 +160,11 @@
 		}
 		size += len(c.Key) + len(c.Value) + changeOverhead
 		// Changes with the same revision are never split between two batches.
-		if n := len(p.Changes); size > maxBytes && n > 0 && c.Revision > p.Changes[n-1].Revision {
-			p.Through = min(p.Through, c.Revision-1)
+		if n := len(batch.Changes); size > maxBytes && n > 0 && c.Revision > batch.Changes[n-1].Revision {
+			batch.Through = min(batch.Through, c.Revision-1)
 			break
 		}
-		p.Changes = append(p.Changes, c)
+		batch.Changes = append(batch.Changes, c)
 	}
-	return p, true
+	return batch, true
 }
--- a/coordination/feed/feed_test.go
+++ b/coordination/feed/feed_test.go
@@ -42,13 +42,13 @@
 
 // follower applies batches as a daemon does.
 type follower struct {
-	at        uint64
+	revision  uint64
 	revisions map[string]uint64
 	keys      map[string]uint64
 }
 
 func (f *follower) apply(p feed.Batch) {
-	if p.After > f.at {
+	if p.After > f.revision {
 		return
 	}
 	for _, c := range p.Changes {
@@ -61,7 +61,7 @@
 			delete(f.keys, c.Key)
 		}
 	}
-	f.at = max(f.at, p.Through)
+	f.revision = max(f.revision, p.Through)
 }
 
 // Guards against a follower that misses a change: batches are lost, delayed and duplicated,
@@ -94,7 +94,7 @@
 				l.Reset(s.list(), at)
 				watchedThrough[i] = from
 			case 4:
-				if p, ok := l.Since(f.at, rapid.IntRange(1, 200).Draw(t, "bytes")); ok {
+				if p, ok := l.Since(f.revision, rapid.IntRange(1, 200).Draw(t, "bytes")); ok {
 					f.apply(p)
 					delayed = append(delayed, p)
 				}
@@ -105,16 +105,16 @@
 			}
 		}
 		logs[0].Apply(s.changes[watchedThrough[0]:], s.revision)
-		for f.at < s.revision {
-			before := f.at
-			p, ok := logs[0].Since(f.at, 100)
+		for f.revision < s.revision {
+			before := f.revision
+			p, ok := logs[0].Since(f.revision, 100)
 			if !ok {
 				// The follower lists the service itself.
-				f.at, f.keys = s.revision, maps.Clone(s.keys)
+				f.revision, f.keys = s.revision, maps.Clone(s.keys)
 				break
 			}
 			f.apply(p)
-			if f.at == before && len(p.Changes) == 0 {
+			if f.revision == before && len(p.Changes) == 0 {
 				t.Fatal("no progress")
 			}
 		}
--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -21,8 +21,8 @@
 // candidates are the offers sorted by expected price, and the number of failure domains
 // that they cover.
 type candidates struct {
-	list    []candidate
-	domains int
+	sortedOffers []candidate
+	domainCount  int
 }
 
 // listCandidates returns the offers as candidates. A pool in backoff can hold at most its
@@ -43,7 +43,7 @@
 	slices.SortStableFunc(list, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.expectedPrice, b.expectedPrice), cmp.Compare(a.FailureDomain, b.FailureDomain), cmp.Compare(a.Class, b.Class))
 	})
-	return candidates{list: list, domains: len(index)}
+	return candidates{sortedOffers: list, domainCount: len(index)}
 }
 
 // allocation is a tentative plan. It is reused for every attempt, because planning a large
@@ -61,12 +61,12 @@
 }
 
 func newAllocation(c candidates, w Target) *allocation {
-	return &allocation{candidates: c, counts: make([]int, len(c.list)), vmsByDomain: make([]int, c.domains), atRisk: make([]int, c.domains), target: w, maxCost: w.MaxCostPerHour}
+	return &allocation{candidates: c, counts: make([]int, len(c.sortedOffers)), vmsByDomain: make([]int, c.domainCount), atRisk: make([]int, c.domainCount), target: w, maxCost: w.MaxCostPerHour}
 }
 
 // allocate places total VMs in the cheapest candidates, after giving each failure domain
 // its minimum. In any failure domain at most perDomain VMs may be lost with it.
-func (f *allocation) allocate(total, perDomain int) {
+func (f *allocation) allocate(total, maxAtRisk int) {
 	clear(f.counts)
 	clear(f.vmsByDomain)
 	clear(f.atRisk)
@@ -75,8 +75,8 @@
 	if f.target.MaxPerDomain > 0 {
 		maxPerDomain = f.target.MaxPerDomain
 	}
-	f.addCheapest(unlimited, f.target.MinPerDomain, perDomain)
-	f.addCheapest(total, maxPerDomain, perDomain)
+	f.addCheapest(unlimited, f.target.MinPerDomain, maxAtRisk)
+	f.addCheapest(total, maxPerDomain, maxAtRisk)
 }
 
 // lostWithDomain reports whether a candidate's VMs are lost if their failure domain is
@@ -87,12 +87,12 @@
 
 // addCheapest adds VMs from the cheapest candidates until the allocation holds total VMs,
 // perDomain VMs in a failure domain, or atRisk VMs that are lost with their domain.
-func (f *allocation) addCheapest(total, perDomain, atRisk int) {
-	for i := range f.list {
-		c := &f.list[i]
-		n := min(total-f.allocated, perDomain-f.vmsByDomain[c.domainIndex], c.maxVMs-f.counts[i])
+func (f *allocation) addCheapest(total, maxPerDomain, maxAtRisk int) {
+	for i := range f.sortedOffers {
+		c := &f.sortedOffers[i]
+		n := min(total-f.allocated, maxPerDomain-f.vmsByDomain[c.domainIndex], c.maxVMs-f.counts[i])
 		if f.lostWithDomain(c) {
-			n = min(n, atRisk-f.atRisk[c.domainIndex])
+			n = min(n, maxAtRisk-f.atRisk[c.domainIndex])
 		}
 		if f.maxCost > 0 {
 			n = min(n, int((f.maxCost-f.expectedPrice)/c.PricePerHour))
@@ -114,7 +114,7 @@
 	plan := map[Pool]int{}
 	for i, n := range f.counts {
 		if n > 0 {
-			plan[f.list[i].Pool] += n
+			plan[f.sortedOffers[i].Pool] += n
 		}
 	}
 	return plan
@@ -128,25 +128,25 @@
 		f.allocate(w.Runners, w.Runners)
 		return f.plan(), w.Runners - f.allocated
 	}
-	best, bestCost := 0, 0.0
-	minAtRisk := minInFullestDomain(w.Runners, c.domains)
+	bestMaxAtRisk, bestCost := 0, 0.0
+	minAtRisk := minInFullestDomain(w.Runners, c.domainCount)
 	if w.ReclaimsOnly {
 		minAtRisk = 0
 	}
 	found := false
-	for m := minAtRisk; m <= w.Runners; m++ {
-		f.allocate(w.Runners+m, m)
+	for maxAtRisk := minAtRisk; maxAtRisk <= w.Runners; maxAtRisk++ {
+		f.allocate(w.Runners+maxAtRisk, maxAtRisk)
 		if f.allocated-slices.Max(f.atRisk) < w.Runners {
 			continue
 		}
 		if !found || f.expectedPrice < bestCost {
-			found, best, bestCost = true, m, f.expectedPrice
+			found, bestMaxAtRisk, bestCost = true, maxAtRisk, f.expectedPrice
 		}
 	}
 	if !found {
 		return f.degradedPlan(w)
 	}
-	f.allocate(w.Runners+best, best)
+	f.allocate(w.Runners+bestMaxAtRisk, bestMaxAtRisk)
 	return f.plan(), 0
 }
 
@@ -164,14 +164,14 @@
 // loss of a failure domain. It gives up the spare VMs for such a loss before runners that
 // must serve now.
 func (f *allocation) degradedPlan(w Target) (map[Pool]int, int) {
-	evenShare := (w.Runners + f.domains - 1) / max(f.domains, 1)
-	best, bestGot, bestCost := 0, -1, 0.0
-	for m := max(evenShare, 1); m <= w.Runners+evenShare; m++ {
-		f.allocate(w.Runners+evenShare, m)
-		if f.allocated > bestGot || f.allocated == bestGot && f.expectedPrice < bestCost {
-			best, bestGot, bestCost = m, f.allocated, f.expectedPrice
+	evenShare := (w.Runners + f.domainCount - 1) / max(f.domainCount, 1)
+	bestMaxAtRisk, bestAllocated, bestCost := 0, -1, 0.0
+	for maxAtRisk := max(evenShare, 1); maxAtRisk <= w.Runners+evenShare; maxAtRisk++ {
+		f.allocate(w.Runners+evenShare, maxAtRisk)
+		if f.allocated > bestAllocated || f.allocated == bestAllocated && f.expectedPrice < bestCost {
+			bestMaxAtRisk, bestAllocated, bestCost = maxAtRisk, f.allocated, f.expectedPrice
 		}
 	}
-	f.allocate(w.Runners+evenShare, best)
-	return f.plan(), max(w.Runners-bestGot, 0)
+	f.allocate(w.Runners+evenShare, bestMaxAtRisk)
+	return f.plan(), max(w.Runners-bestAllocated, 0)
 }
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -125,8 +125,8 @@
 
 // surplusStops returns the VMs to stop once the surplus has lasted for SurplusHold.
 func (t *planningRound) surplusStops() []string {
-	ids := t.removableVMs()
-	if len(ids) == 0 {
+	vmIDs := t.removableVMIDs()
+	if len(vmIDs) == 0 {
 		t.p.hasSurplus = false
 		return nil
 	}
@@ -137,10 +137,10 @@
 	if t.now < t.p.surplusSince+t.p.limits.SurplusHold {
 		return nil
 	}
-	return ids
+	return vmIDs
 }
 
-// removableVMs returns VMs of pools that hold more VMs than the plan, in order of falling
+// removableVMIDs returns VMs of pools that hold more VMs than the plan, in order of falling
 // price, as long as the target is met without them. If VMs of other pools were stopped, the
 // planner would start them again: they would be surplus in one round and worth moving to in
 // the next.
@@ -148,7 +148,7 @@
 // Only serving VMs count, because a VM that is still starting may fail and must not replace
 // one that is stopped. A fleet that costs more than MaxCostPerHour shrinks to the plan even
 // if the target is then missed.
-func (t *planningRound) removableVMs() []string {
+func (t *planningRound) removableVMIDs() []string {
 	excess := t.excess()
 	if len(excess) == 0 {
 		return nil
@@ -158,7 +158,7 @@
 	serving = slices.DeleteFunc(serving, func(v VM) bool { return v.ID == "" || excess[v.Pool] == 0 })
 	t.sortByPriceDescending(serving)
 	overBudget := t.target.MaxCostPerHour > 0 && cost(t.current, t.offers) > t.target.MaxCostPerHour
-	var ids []string
+	var vmIDs []string
 	for _, v := range serving {
 		if excess[v.Pool] == 0 {
 			continue
@@ -169,9 +169,9 @@
 			continue
 		}
 		excess[v.Pool]--
-		ids = append(ids, v.ID)
+		vmIDs = append(vmIDs, v.ID)
 	}
-	return ids
+	return vmIDs
 }
 
 // excess returns by how many VMs each pool exceeds the plan, without pools that don't.
@@ -208,14 +208,14 @@
 	domains map[ident.FailureDomain]int
 	// atRisk counts the VMs that are lost if their failure domain is lost.
 	atRisk map[ident.FailureDomain]int
-	// safe holds the pools that lose no VMs with their failure domain.
-	safe map[Pool]bool
+	// notAtRisk holds the pools that lose no VMs with their failure domain.
+	notAtRisk map[Pool]bool
 }
 
 func (s *domainTotals) add(id Pool, n int) {
 	s.total += n
 	s.domains[id.FailureDomain] += n
-	if !s.safe[id] {
+	if !s.notAtRisk[id] {
 		s.atRisk[id.FailureDomain] += n
 	}
 }
@@ -223,9 +223,9 @@
 // domainTotals counts the VMs of the pools in all failure domains of the plan, including
 // those without VMs.
 func (t *planningRound) domainTotals(pools map[Pool]int) *domainTotals {
-	s := &domainTotals{domains: map[ident.FailureDomain]int{}, atRisk: map[ident.FailureDomain]int{}, safe: map[Pool]bool{}}
+	s := &domainTotals{domains: map[ident.FailureDomain]int{}, atRisk: map[ident.FailureDomain]int{}, notAtRisk: map[Pool]bool{}}
 	for _, o := range t.offers {
-		s.safe[o.Pool] = t.target.ReclaimsOnly && !o.Reclaimable
+		s.notAtRisk[o.Pool] = t.target.ReclaimsOnly && !o.Reclaimable
 	}
 	for id, n := range pools {
 		s.add(id, n)
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -7,10 +7,10 @@
 
 // DemandConfig sets how much capacity above the mean load runners must provide.
 type DemandConfig struct {
-	// Headroom is the number of standard deviations of the work arriving within Work.Wait
-	// that must fit on top of the mean. ComfortableHeadroom is the same for runners that
+	// HeadroomDeviations is the number of standard deviations of the work arriving within Work.Wait
+	// that must fit on top of the mean. ComfortableHeadroomDeviations is the same for runners that
 	// cost little.
-	Headroom, ComfortableHeadroom float64
+	HeadroomDeviations, ComfortableHeadroomDeviations float64
 	// MaxSlowdown is by what factor a request may take longer than when it runs alone.
 	// Prompts are read between the tokens of streams, so each request slows down as a batch
 	// fills up or more slots are taken.
@@ -22,26 +22,26 @@
 	RiseTime, FallTime, ComfortableFallTime time.Duration
 	// VarianceTime is the time constant of the variance.
 	VarianceTime time.Duration
-	// Settle is how long there must have been work before the estimate relies on
+	// MinWorkTime is how long there must have been work before the estimate relies on
 	// measurements. Until then the estimate is at least InitialShare of the runners present
 	// at the start, or ComfortableInitialShare for runners that cost little.
-	Settle                                time.Duration
+	MinWorkTime                           time.Duration
 	InitialShare, ComfortableInitialShare float64
 }
 
 // DefaultDemand returns a configuration for engines that start within seconds.
 func DefaultDemand() DemandConfig {
 	return DemandConfig{
-		Headroom:                0.5,
-		ComfortableHeadroom:     2.5,
-		MaxSlowdown:             3,
-		RiseTime:                1500 * time.Millisecond,
-		FallTime:                5 * time.Second,
-		ComfortableFallTime:     15 * time.Second,
-		VarianceTime:            15 * time.Second,
-		Settle:                  4 * time.Second,
-		InitialShare:            0.5,
-		ComfortableInitialShare: 0.8,
+		HeadroomDeviations:            0.5,
+		ComfortableHeadroomDeviations: 2.5,
+		MaxSlowdown:                   3,
+		RiseTime:                      1500 * time.Millisecond,
+		FallTime:                      5 * time.Second,
+		ComfortableFallTime:           15 * time.Second,
+		VarianceTime:                  15 * time.Second,
+		MinWorkTime:                   4 * time.Second,
+		InitialShare:                  0.5,
+		ComfortableInitialShare:       0.8,
 	}
 }
 
@@ -54,12 +54,12 @@
 	PromptTokens float64
 	// PrefillRate is the number of prompt tokens that a runner reads per second.
 	PrefillRate float64
-	// Wait is how long a prompt may wait before its answer counts as late.
-	Wait time.Duration
+	// MaxPromptWait is how long a prompt may wait before its answer counts as late.
+	MaxPromptWait time.Duration
 	// Requests is the number of requests in progress, Slots the number of slots in the
 	// batch of one runner.
-	Requests int
-	Slots    int
+	Requests       int
+	SlotsPerRunner int
 }
 
 // Demand estimates how many runners a service needs. Work arrives unevenly, and what
@@ -76,43 +76,43 @@
 	prefill, batch loadStats
 	// comfortable holds the same loads with ComfortableFallTime, for runners that cost
 	// little.
-	comfortable struct{ prefill, batch loadStats }
-	wait        time.Duration
-	slots       int
+	comfortable    struct{ prefill, batch loadStats }
+	maxPromptWait  time.Duration
+	slotsPerRunner int
 	// blockEnd and promptTokens are the time and the value of Work.PromptTokens at the end
 	// of the last block.
 	blockEnd     time.Duration
 	promptTokens float64
 	sampled      bool
-	// firstSample is the time of the first sample, firstWork that of the first sample with
+	// firstSampleAt is the time of the first sample, firstWork that of the first sample with
 	// requests in progress, now that of the last sample.
-	firstSample time.Duration
-	firstWork   time.Duration
-	now         time.Duration
+	firstSampleAt time.Duration
+	firstWorkAt   time.Duration
+	lastSampleAt  time.Duration
 	// resumesAt is when blocks count again after this daemon was suspended.
 	resumesAt time.Duration
-	// initial is the largest number of runners seen before Settle has passed.
-	initial int
+	// initialRunners is the largest number of runners seen before Settle has passed.
+	initialRunners int
 }
 
 // loadStats holds the mean of a load and its variance over one second.
 type loadStats struct {
 	mean, variance float64
-	blocks         int
+	blockCount     int
 }
 
 // add adds the work of a span of time. The first spans have equal weights, because the slow
 // rise of the mean from zero would otherwise count as variance.
 func (l *loadStats) add(cfg *DemandConfig, fall time.Duration, work float64, span time.Duration) {
-	l.blocks++
-	equalWeight := 1 / float64(l.blocks)
+	l.blockCount++
+	equalWeight := 1 / float64(l.blockCount)
 	diff := work - l.mean
 	timeConstant := cfg.RiseTime
 	if diff < 0 {
 		timeConstant = fall
 	}
 	l.mean += diff * max(equalWeight, weight(span, timeConstant))
-	if l.blocks > 1 {
+	if l.blockCount > 1 {
 		l.variance += (diff*diff*span.Seconds() - l.variance) * max(equalWeight, weight(span, cfg.VarianceTime))
 	}
 }
@@ -139,27 +139,27 @@
 
 // Sample records the work at the time now.
 func (d *Demand) Sample(now time.Duration, w Work) {
-	d.now, d.wait, d.slots = now, w.Wait, w.Slots
+	d.lastSampleAt, d.maxPromptWait, d.slotsPerRunner = now, w.MaxPromptWait, w.SlotsPerRunner
 	if !d.sampled {
-		d.firstSample = now
+		d.firstSampleAt = now
 	}
-	if now-d.firstSample < d.cfg.Settle {
+	if now-d.firstSampleAt < d.cfg.MinWorkTime {
 		// Only runners that were there before any order took effect count.
-		d.initial = max(d.initial, w.Runners)
+		d.initialRunners = max(d.initialRunners, w.Runners)
 	}
-	if d.firstWork == 0 && w.Requests > 0 {
-		d.firstWork = now
+	if d.firstWorkAt == 0 && w.Requests > 0 {
+		d.firstWorkAt = now
 	}
 	span, promptTokens := now-d.blockEnd, w.PromptTokens-d.promptTokens
 	if d.sampled && span < minBlock {
 		return
 	}
-	initial := !d.sampled
+	isFirstSample := !d.sampled
 	d.blockEnd, d.promptTokens, d.sampled = now, w.PromptTokens, true
 	if span > maxBlock {
 		d.resumesAt = now + maxBlock
 	}
-	if initial || d.firstWork == 0 || now < d.resumesAt {
+	if isFirstSample || d.firstWorkAt == 0 || now < d.resumesAt {
 		return
 	}
 	if w.PrefillRate > 0 {
@@ -181,13 +181,13 @@
 // number of standard deviations.
 func (d *Demand) requiredRunners(prefill, batch *loadStats, deviations, initialShare float64) int {
 	needed := d.withHeadroom(prefill.mean, deviations*d.deviation(prefill))
-	if d.slots > 0 {
+	if d.slotsPerRunner > 0 {
 		requests := d.withHeadroom(batch.mean, deviations*math.Sqrt(batch.mean))
-		needed = max(needed, requests/float64(d.slots))
+		needed = max(needed, requests/float64(d.slotsPerRunner))
 	}
 	n := int(math.Ceil(needed))
 	if d.neverServed && !d.settled() {
-		n = max(n, int(math.Ceil(initialShare*float64(d.initial))))
+		n = max(n, int(math.Ceil(initialShare*float64(d.initialRunners))))
 	}
 	return max(1, n)
 }
@@ -208,8 +208,8 @@
 // Estimate returns the number of runners needed as of the last sample.
 func (d *Demand) Estimate() Estimate {
 	return Estimate{
-		Runners:     d.requiredRunners(&d.prefill, &d.batch, d.cfg.Headroom, d.cfg.InitialShare),
-		Comfortable: d.requiredRunners(&d.comfortable.prefill, &d.comfortable.batch, d.cfg.ComfortableHeadroom, d.cfg.ComfortableInitialShare),
+		Runners:     d.requiredRunners(&d.prefill, &d.batch, d.cfg.HeadroomDeviations, d.cfg.InitialShare),
+		Comfortable: d.requiredRunners(&d.comfortable.prefill, &d.comfortable.batch, d.cfg.ComfortableHeadroomDeviations, d.cfg.ComfortableInitialShare),
 		Busy:        d.prefill.mean,
 		Deviation:   d.deviation(&d.prefill),
 		Settled:     d.settled(),
@@ -217,11 +217,13 @@
 }
 
 func (d *Demand) deviation(prefill *loadStats) float64 {
-	if d.wait <= 0 {
+	if d.maxPromptWait <= 0 {
 		return 0
 	}
-	return math.Sqrt(prefill.variance / d.wait.Seconds())
+	return math.Sqrt(prefill.variance / d.maxPromptWait.Seconds())
 }
 
 // settled reports whether there has been work for long enough to rely on the measurements.
-func (d *Demand) settled() bool { return d.firstWork != 0 && d.now-d.firstWork >= d.cfg.Settle }
+func (d *Demand) settled() bool {
+	return d.firstWorkAt != 0 && d.lastSampleAt-d.firstWorkAt >= d.cfg.MinWorkTime
+}
--- a/coordination/fleet/demand_test.go
+++ b/coordination/fleet/demand_test.go
@@ -24,15 +24,15 @@
 func newLoad(neverServed bool) *load {
 	return &load{
 		Demand: fleet.NewDemand(fleet.DefaultDemand(), neverServed), rng: rand.New(rand.NewPCG(7, 1)), meanPrompt: 2000,
-		work: fleet.Work{Runners: 12, PrefillRate: 50_000, Slots: 64, Wait: 500 * time.Millisecond},
+		work: fleet.Work{Runners: 12, PrefillRate: 50_000, SlotsPerRunner: 64, MaxPromptWait: 500 * time.Millisecond},
 	}
 }
 
 // run adds perSecond prompt tokens per second, in prompts that arrive independently.
-func (l *load) run(span time.Duration, perSecond float64, requests int) fleet.Estimate {
+func (l *load) run(span time.Duration, tokensPerSecond float64, requests int) fleet.Estimate {
 	l.work.Requests = requests
 	for end := l.now + span; l.now < end; l.now += sampleEvery {
-		for left := perSecond * sampleEvery.Seconds() / l.meanPrompt; left > 0; left-- {
+		for left := tokensPerSecond * sampleEvery.Seconds() / l.meanPrompt; left > 0; left-- {
 			if l.rng.Float64() < left {
 				l.work.PromptTokens += 2 * l.meanPrompt * l.rng.Float64()
 			}
@@ -63,7 +63,7 @@
 	is := is.New(t)
 	headroom := func(perSecond, meanPrompt float64, wait time.Duration) float64 {
 		l := newLoad(false)
-		l.meanPrompt, l.work.Wait = meanPrompt, wait
+		l.meanPrompt, l.work.MaxPromptWait = meanPrompt, wait
 		sum := 0.0
 		for range 40 {
 			e := l.run(2*time.Second, perSecond, 20)
@@ -82,9 +82,9 @@
 func TestDemandCountsBatchSlots(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
-	l.work.Slots = 16
+	l.work.SlotsPerRunner = 16
 	is.True(l.run(20*time.Second, 10_000, 160).Runners >= 10)
-	l.work.Slots = 6 // as in a plain service
+	l.work.SlotsPerRunner = 6 // as in a plain service
 	l.work.PrefillRate = 0
 	is.True(l.run(20*time.Second, 0, 30).Runners >= 6)
 }
@@ -163,7 +163,7 @@
 func TestRelayedCountsTolerateLostMessages(t *testing.T) {
 	is := is.New(t)
 	var tally fleet.Tally
-	tally.SetRelayed(true)
+	tally.SetViaRelays(true)
 	const every = 400 * time.Millisecond
 	count := 0.0
 	for i := range 100 {
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -143,7 +143,7 @@
 	is.Equal(p.Decide(0, w, []fleet.Offer{risky, stable}, nil).Starts[0].Pool, stable.Pool)
 }
 
-func TestCostBoundCutsSpareBeforeRunners(t *testing.T) {
+func TestCostLimitCutsSpareVMsBeforeRunners(t *testing.T) {
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
 	offers := []fleet.Offer{offer("a", "spot", 1, true), offer("b", "spot", 1, true)}
@@ -187,7 +187,7 @@
 
 // An operator lowers the cost limit. The running VMs meet the target, but the limit takes
 // precedence: the fleet must shrink to it.
-func TestLoweredCostBoundShrinksTheFleet(t *testing.T) {
+func TestLoweredCostLimitShrinksFleet(t *testing.T) {
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
 	offers := []fleet.Offer{offer("a", "spot", 1, true), offer("b", "spot", 1, true)}
--- a/coordination/fleet/orders.go
+++ b/coordination/fleet/orders.go
@@ -18,9 +18,9 @@
 }
 
 type poolOrders struct {
-	present  int
-	starting []time.Duration
-	stopping []time.Duration
+	present       int
+	startExpiries []time.Duration
+	stopExpiries  []time.Duration
 }
 
 // NewOrders returns Orders that drop an order if it has no effect within timeout.
@@ -43,34 +43,34 @@
 		o.pool(id)
 	}
 	for id, p := range o.pools {
-		n := present[id]
-		p.starting = dropCompleted(p.starting, n-p.present, now)
-		p.stopping = dropCompleted(p.stopping, p.present-n, now)
-		p.present = n
+		presentNow := present[id]
+		p.startExpiries = dropCompleted(p.startExpiries, presentNow-p.present, now)
+		p.stopExpiries = dropCompleted(p.stopExpiries, p.present-presentNow, now)
+		p.present = presentNow
 	}
 }
 
 // dropCompleted removes the n oldest orders, which have taken effect, and those that have
 // expired.
-func dropCompleted(orders []time.Duration, n int, now time.Duration) []time.Duration {
-	orders = orders[min(max(n, 0), len(orders)):]
-	return slices.DeleteFunc(orders, func(until time.Duration) bool { return now >= until })
+func dropCompleted(expiries []time.Duration, completed int, now time.Duration) []time.Duration {
+	expiries = expiries[min(max(completed, 0), len(expiries)):]
+	return slices.DeleteFunc(expiries, func(until time.Duration) bool { return now >= until })
 }
 
 // RecordReclaims records that VMs of the pool got notice of a reclaim. Pending starts in
 // the pool are dropped: those VMs won't come and would prevent orders in other pools.
-func (o *Orders) RecordReclaims(id Pool) { o.pool(id).starting = nil }
+func (o *Orders) RecordReclaims(id Pool) { o.pool(id).startExpiries = nil }
 
 // VMs returns the present and the starting VMs for Planner.Decide. The IDs are made up and
 // don't identify actual VMs.
 func (o *Orders) VMs() []VM {
 	var vms []VM
 	for id, p := range o.pools {
-		serving := max(0, p.present-len(p.stopping))
+		serving := max(0, p.present-len(p.stopExpiries))
 		for i := range serving {
 			vms = append(vms, VM{ID: fmt.Sprintf("%s/%s/%d", id.FailureDomain, id.Class, i), Pool: id})
 		}
-		for range p.starting {
+		for range p.startExpiries {
 			vms = append(vms, VM{Pool: id, Starting: true})
 		}
 	}
@@ -81,23 +81,23 @@
 // Target returns the number of VMs to order from the cloud in a pool.
 func (o *Orders) Target(id Pool) int {
 	p := o.pool(id)
-	return max(0, p.present-len(p.stopping)) + len(p.starting)
+	return max(0, p.present-len(p.stopExpiries)) + len(p.startExpiries)
 }
 
 // Change orders n more VMs of a pool, or -n fewer if n is negative.
-func (o *Orders) Change(now time.Duration, id Pool, n int) {
+func (o *Orders) Change(now time.Duration, id Pool, change int) {
 	p := o.pool(id)
-	for range max(n, 0) {
-		p.starting = append(p.starting, now+o.timeout)
+	for range max(change, 0) {
+		p.startExpiries = append(p.startExpiries, now+o.timeout)
 	}
-	for range max(-n, 0) {
-		p.stopping = append(p.stopping, now+o.timeout)
+	for range max(-change, 0) {
+		p.stopExpiries = append(p.stopExpiries, now+o.timeout)
 	}
 }
 
 // Undo reverts the last Change of the pool, e.g. after a refusal.
-func (o *Orders) Undo(id Pool, n int) {
+func (o *Orders) Undo(id Pool, change int) {
 	p := o.pool(id)
-	p.starting = p.starting[:max(0, len(p.starting)-max(n, 0))]
-	p.stopping = p.stopping[:max(0, len(p.stopping)-max(-n, 0))]
+	p.startExpiries = p.startExpiries[:max(0, len(p.startExpiries)-max(change, 0))]
+	p.stopExpiries = p.stopExpiries[:max(0, len(p.stopExpiries)-max(-change, 0))]
 }
--- a/coordination/fleet/orders_test.go
+++ b/coordination/fleet/orders_test.go
@@ -29,7 +29,7 @@
 
 // The cloud reclaims all VMs of a pool. Orders in that pool must not count as starting, or
 // nothing would be ordered elsewhere until the orders expire.
-func TestReclaimedAreNotStarting(t *testing.T) {
+func TestReclaimedVMsDoNotCountAsStarting(t *testing.T) {
 	is := is.New(t)
 	o := fleet.NewOrders(6 * time.Second)
 	o.Sync(0, map[fleet.Pool]int{northSpot: 4})
@@ -51,7 +51,7 @@
 }
 
 // The plan respects the limits of each failure domain for any number of runners.
-func TestPlanKeepsBoundsOfDomains(t *testing.T) {
+func TestPlanRespectsVMLimitsPerDomain(t *testing.T) {
 	is := is.New(t)
 	var offers []fleet.Offer
 	for _, d := range []ident.FailureDomain{"a", "b", "c"} {
--- a/coordination/fleet/releasable.go
+++ b/coordination/fleet/releasable.go
@@ -11,27 +11,27 @@
 // of falling price. During that time every reclaimable VM may be taken at any moment, so
 // only the other ones count: keep of them must stay, and minPerDomain in each failure
 // domain. VMs that are still starting may fail and are ignored.
-func Releasable(vms []VM, offers []Offer, keep, minPerDomain int) []string {
-	price := map[Pool]float64{}
+func Releasable(vms []VM, offers []Offer, minNonReclaimable, minPerDomain int) []string {
+	nonReclaimablePrice := map[Pool]float64{}
 	for _, o := range offers {
 		if !o.Reclaimable {
-			price[o.Pool] = o.PricePerHour
+			nonReclaimablePrice[o.Pool] = o.PricePerHour
 		}
 	}
 	var nonReclaimable []VM
 	inDomain := map[ident.FailureDomain]int{}
 	for _, v := range vms {
-		if _, ok := price[v.Pool]; ok && !v.Starting && !v.Leaving {
+		if _, ok := nonReclaimablePrice[v.Pool]; ok && !v.Starting && !v.Leaving {
 			nonReclaimable = append(nonReclaimable, v)
 			inDomain[v.Pool.FailureDomain]++
 		}
 	}
 	slices.SortFunc(nonReclaimable, func(a, b VM) int {
-		return cmp.Or(cmp.Compare(price[b.Pool], price[a.Pool]), compareVMs(&a, &b))
+		return cmp.Or(cmp.Compare(nonReclaimablePrice[b.Pool], nonReclaimablePrice[a.Pool]), compareVMs(&a, &b))
 	})
 	var releasable []string
 	for _, v := range nonReclaimable {
-		if len(nonReclaimable)-len(releasable) <= keep {
+		if len(nonReclaimable)-len(releasable) <= minNonReclaimable {
 			break
 		}
 		if inDomain[v.Pool.FailureDomain] <= minPerDomain {
--- a/coordination/fleet/releasable_test.go
+++ b/coordination/fleet/releasable_test.go
@@ -26,23 +26,23 @@
 		}
 		vms = append(vms, fleet.VM{Pool: onDemand, Starting: true})
 	}
-	release := func(keep, minPerDomain int) (n int, byDomain map[byte]int) {
+	releasedVMs := func(minNonReclaimable, minPerDomain int) (n int, byDomain map[byte]int) {
 		byDomain = map[byte]int{}
-		for _, id := range fleet.Releasable(vms, offers, keep, minPerDomain) {
+		for _, id := range fleet.Releasable(vms, offers, minNonReclaimable, minPerDomain) {
 			is.True(id[5:10] == "/full")
 			byDomain[id[0]]++
 			n++
 		}
 		return n, byDomain
 	}
-	n, perDomain := release(12, 1)
+	n, perDomain := releasedVMs(12, 1)
 	is.Equal(n, 8)
 	is.Equal(perDomain['n'], 8) // the most expensive first
-	n, perDomain = release(2, 4)
+	n, perDomain = releasedVMs(2, 4)
 	is.Equal(n, 12)
 	is.Equal(perDomain['n'], 6)
-	n, _ = release(20, 1)
+	n, _ = releasedVMs(20, 1)
 	is.Equal(n, 0)
-	n, _ = release(30, 1)
+	n, _ = releasedVMs(30, 1)
 	is.Equal(n, 0)
 }
--- a/coordination/fleet/tally.go
+++ b/coordination/fleet/tally.go
@@ -23,7 +23,7 @@
 type Tally struct {
 	total       float64
 	lastReading map[ident.Incarnation]reading
-	relayed     bool
+	viaRelays   bool
 }
 
 // reading is a daemon's counter at the time at.
@@ -32,8 +32,8 @@
 	count float64
 }
 
-// SetRelayed sets whether the counters arrive through relays, as in a large fleet.
-func (t *Tally) SetRelayed(relayed bool) { t.relayed = relayed }
+// SetViaRelays sets whether the counters arrive through relays, as in a large fleet.
+func (t *Tally) SetViaRelays(viaRelays bool) { t.viaRelays = viaRelays }
 
 // Receive adds the growth of a daemon's counter since its last message.
 func (t *Tally) Receive(now time.Duration, id ident.Incarnation, count float64) {
@@ -41,7 +41,7 @@
 		t.lastReading = map[ident.Incarnation]reading{}
 	}
 	silence := maxSilence
-	if t.relayed {
+	if t.viaRelays {
 		silence = maxRelayedSilence
 	}
 	if previous, ok := t.lastReading[id]; ok && now-previous.at <= silence {
--- a/coordination/freshness/freshness_test.go
+++ b/coordination/freshness/freshness_test.go
@@ -32,7 +32,7 @@
 
 // A daemon is suspended while a peer's statement waits in its socket. If the statement were
 // dated by its receipt, a key that was revoked during the suspension would go on working.
-func TestStatementDelayedWhileFrozen(t *testing.T) {
+func TestStatementDelayedWhileSuspended(t *testing.T) {
 	is := is.New(t)
 	f := freshness.New()
 	f.RecordRead(5, 0)
--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -99,7 +99,7 @@
 	if !ok || r.member == t.self {
 		return
 	}
-	r.failures = 0
+	r.failedCalls = 0
 	r.member.LastHeard = now
 	if m.Generation > r.member.Generation {
 		r.member.Generation = m.Generation
@@ -116,8 +116,8 @@
 	if !ok || r.member == t.self {
 		return false
 	}
-	r.failures++
-	return r.member.State != view.Suspect && r.failures >= ProbeFailures
+	r.failedCalls++
+	return r.member.State != view.Suspect && r.failedCalls >= ProbeFailures
 }
 
 // ReachedByPeer records that another daemon could call a daemon that this one could not.
@@ -125,7 +125,7 @@
 // other out of service everywhere.
 func (t *Table) ReachedByPeer(i ident.Incarnation) {
 	if r, ok := t.log.records[memberKey(i)]; ok {
-		r.failures = 0
+		r.failedCalls = 0
 	}
 }
 
@@ -135,7 +135,7 @@
 func (t *Table) MarkUnreachable(now time.Time, i ident.Incarnation) {
 	key := memberKey(i)
 	r, ok := t.log.records[key]
-	if !ok || r.member == t.self || r.failures < ProbeFailures {
+	if !ok || r.member == t.self || r.failedCalls < ProbeFailures {
 		return
 	}
 	switch {
@@ -183,7 +183,7 @@
 		vm.Since = now
 		t.mergeVM(now, vm, "")
 		if r, ok := t.log.records[vmKey(vm.ID)]; ok {
-			r.missed = 0
+			r.missedLists = 0
 		}
 	}
 	needsRecheck := false
@@ -200,11 +200,11 @@
 // that is known only from a peer is not counted within listLag, because lists lag by
 // different times and this daemon's list may not contain the VM yet.
 func (t *Table) recordMissing(now time.Time, key string, r *record) bool {
-	if r.missed < 0 && now.Sub(r.known) < listLag {
+	if r.missedLists < 0 && now.Sub(r.learnedAt) < listLag {
 		return false
 	}
-	r.missed = max(r.missed, 0) + 1
-	if r.missed < maxMissedLists {
+	r.missedLists = max(r.missedLists, 0) + 1
+	if r.missedLists < maxMissedLists {
 		return true
 	}
 	r.vm.State = VMGone
@@ -220,7 +220,7 @@
 		if vm.State >= VMLeaving && now.Sub(vm.Since) > ForgetAfter {
 			return
 		}
-		t.log.records[key] = &record{vm: &vm, missed: -1, known: now}
+		t.log.records[key] = &record{vm: &vm, missedLists: -1, learnedAt: now}
 		t.markChanged(key, from)
 		return
 	}
@@ -245,8 +245,8 @@
 // ApplyNotice applies a notice that a VM is leaving, from any source. It returns true if
 // the notice concerns this daemon's own VM.
 func (t *Table) ApplyNotice(now time.Time, n Notice) bool {
-	leavesAt := now.Add(n.Left)
-	for _, id := range t.matchingVMs(n) {
+	leavesAt := now.Add(n.TimeLeft)
+	for _, id := range t.matchingVMIDs(n) {
 		t.mergeVM(now, VM{
 			ID: id, Address: n.Address, State: VMLeaving, LeavesAt: leavesAt, Since: now,
 		}, "")
@@ -268,20 +268,20 @@
 	return t.self.State != view.Live && n.matches(*t.self)
 }
 
-// matchingVMs returns the IDs of the VMs that a notice applies to. A notice that has only
+// matchingVMIDs returns the IDs of the VMs that a notice applies to. A notice that has only
 // an address applies to the VMs known at that address now, never to a VM that takes over
 // the address later.
-func (t *Table) matchingVMs(n Notice) []string {
+func (t *Table) matchingVMIDs(n Notice) []string {
 	if n.VM != "" {
 		return []string{n.VM}
 	}
-	var ids []string
+	var vmIDs []string
 	for _, r := range t.log.records {
 		if r.vm != nil && r.vm.State != VMGone && r.vm.Address == n.Address {
-			ids = append(ids, r.vm.ID)
+			vmIDs = append(vmIDs, r.vm.ID)
 		}
 	}
-	return ids
+	return vmIDs
 }
 
 // matches reports whether the notice applies to the daemon. If the VM IDs of both are
@@ -292,7 +292,7 @@
 	if m.VM != "" && n.VM != "" {
 		return m.VM == n.VM
 	}
-	if n.Left <= 0 || n.Address == "" {
+	if n.TimeLeft <= 0 || n.Address == "" {
 		return false
 	}
 	return sameAddress(n.Address, m.PeerAddress) || sameAddress(n.Address, m.CallerAddress)
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -27,8 +27,8 @@
 		return m
 	}
 	p := t.peer(to)
-	records, reached := t.log.changedAfter(p.acked, to, MaxChanges)
-	m.Ack = p.received
+	records, reached := t.log.changedAfter(p.ackedByPeer, to, MaxChanges)
+	m.Ack = p.receivedFromPeer
 	m.Seq = reached
 	for _, r := range records {
 		m.Changes = append(m.Changes, r.toChange())
@@ -98,11 +98,11 @@
 // messages cross, a position may fall, which only causes changes to be sent again.
 func (t *Table) acknowledge(now time.Time, m Message) {
 	p := t.peer(m.From.Incarnation)
-	p.acked = m.Ack
-	p.received = m.Seq
+	p.ackedByPeer = m.Ack
+	p.receivedFromPeer = m.Seq
 	if m.Digest == t.log.digest {
-		p.acked = t.log.seq
-		p.received = m.Last
+		p.ackedByPeer = t.log.seq
+		p.receivedFromPeer = m.Last
 		p.differSince = time.Time{}
 		return
 	}
@@ -113,7 +113,7 @@
 // resyncAfter although every change was acknowledged. Otherwise records that one side
 // dropped or never logged would keep the tables different forever.
 func (t *Table) resync(now time.Time, p *peerState) {
-	if p.acked < t.log.seq {
+	if p.ackedByPeer < t.log.seq {
 		p.differSince = time.Time{}
 		return
 	}
@@ -122,7 +122,7 @@
 		return
 	}
 	if now.Sub(p.differSince) > resyncAfter {
-		p.acked = 0
+		p.ackedByPeer = 0
 		p.differSince = time.Time{}
 	}
 }
--- a/coordination/membership/log.go
+++ b/coordination/membership/log.go
@@ -18,13 +18,13 @@
 	// from is the peer that sent the last change; the change is not sent back to it.
 	from ident.Incarnation
 	hash uint64
-	// failures counts consecutive failed calls to the daemon. It is local and never sent.
-	failures int
-	// missed counts consecutive VM lists without the VM. It is -1 until the VM has been in
+	// failedCalls counts consecutive failed calls to the daemon. It is local and never sent.
+	failedCalls int
+	// missedLists counts consecutive VM lists without the VM. It is -1 until the VM has been in
 	// a list that this daemon read.
-	missed int
-	// known is when this daemon first learned of the VM.
-	known time.Time
+	missedLists int
+	// learnedAt is when this daemon first learned of the VM.
+	learnedAt time.Time
 }
 
 type logEntry struct {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -68,8 +68,8 @@
 	g.inFlight = append(g.inFlight, delivery{b, g.tables[a].Compose(g.incarnation(b))})
 }
 
-// deliver delivers or loses a random message in flight.
-func (g *cluster) deliver(t *rapid.T) {
+// deliverOrLose delivers or loses a random message in flight.
+func (g *cluster) deliverOrLose(t *rapid.T) {
 	if len(g.inFlight) == 0 {
 		t.Skip("no message is in flight")
 	}
@@ -102,7 +102,7 @@
 		t.Skip("entry-0 never leaves")
 	}
 	g.tables[a].ApplyNotice(g.now, membership.Notice{
-		VM: fmt.Sprintf("vm-%d", b), Address: fmt.Sprintf("10.0.0.%d", b), Left: time.Hour,
+		VM: fmt.Sprintf("vm-%d", b), Address: fmt.Sprintf("10.0.0.%d", b), TimeLeft: time.Hour,
 	})
 }
 
@@ -135,7 +135,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := newCluster(rapid.IntRange(2, 5).Draw(t, "daemons"))
 		t.Repeat(map[string]func(*rapid.T){
-			"send": g.send, "deliver": g.deliver, "suspect": g.suspect,
+			"send": g.send, "deliver": g.deliverOrLose, "suspect": g.suspect,
 			"tick": g.tick, "notice": g.notice, "": g.check,
 		})
 		g.checkConvergence(t)
@@ -174,14 +174,14 @@
 	self := member(0, 1)
 	self.VM = "vm-new"
 	table := membership.New(now, self)
-	is.True(!table.ApplyNotice(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", Left: time.Minute}))
+	is.True(!table.ApplyNotice(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", TimeLeft: time.Minute}))
 	is.Equal(table.Self().State, view.Live)
 
 	// If no VM ID is known, the address decides, but only until the time of the notice is
 	// over.
 	table = membership.New(now, member(0, 1))
-	is.True(!table.ApplyNotice(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", Left: -time.Second}))
-	is.True(table.ApplyNotice(now, membership.Notice{VM: "vm-0", Address: "10.0.0.0", Left: time.Minute}))
+	is.True(!table.ApplyNotice(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", TimeLeft: -time.Second}))
+	is.True(table.ApplyNotice(now, membership.Notice{VM: "vm-0", Address: "10.0.0.0", TimeLeft: time.Minute}))
 	is.Equal(table.Self().State, view.Leaving)
 }
 
@@ -192,7 +192,7 @@
 	now := time.Unix(100000, 0)
 	table := membership.New(now, member(0, 1))
 	listed := []membership.VM{{ID: "vm-1", Address: "10.1.0.1:9000", Service: "casos", State: membership.VMLive}}
-	table.ApplyNotice(now, membership.Notice{VM: "vm-1", Address: "10.1.0.1", Left: 30 * time.Second})
+	table.ApplyNotice(now, membership.Notice{VM: "vm-1", Address: "10.1.0.1", TimeLeft: 30 * time.Second})
 	is.Equal(len(table.Runners("casos")), 0)
 	table.ApplyVMList(now.Add(time.Second), listed)
 	runners := table.Runners("casos")
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -33,9 +33,9 @@
 
 // peerState is the progress of the log exchange with one peer.
 type peerState struct {
-	acked       uint64
-	received    uint64
-	differSince time.Time
+	ackedByPeer      uint64
+	receivedFromPeer uint64
+	differSince      time.Time
 }
 
 const (
--- a/coordination/membership/types.go
+++ b/coordination/membership/types.go
@@ -72,9 +72,9 @@
 	// VM is the VM's ID. It may be empty if only the address is known.
 	VM      string
 	Address string
-	// Left is the time left until the VM ends. It is zero or negative once the VM's time is
+	// TimeLeft is the time left until the VM ends. It is zero or negative once the VM's time is
 	// over.
-	Left time.Duration
+	TimeLeft time.Duration
 }
 
 // Change is one changed record of the table; exactly one field is set.
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -86,18 +86,18 @@
 // entry is what this daemon knows of another daemon.
 type entry struct {
 	Member
-	// seq is the number of the last message received directly, memberSeq that of the
+	// heardSeq is the number of the last message received directly, rowSeq that of the
 	// message from which Member was taken.
-	seq, memberSeq uint64
-	// heard is when a message was last received directly, seen when the daemon was last
-	// mentioned by any source, introduced when an introduction last counted.
-	heard, seen, introduced time.Duration
+	heardSeq, rowSeq uint64
+	// lastHeard is when a message was last received directly, lastMentioned when the daemon was last
+	// mentioned by any source, lastIntroduced when an introduction last counted.
+	lastHeard, lastMentioned, lastIntroduced time.Duration
 }
 
 // roster holds the daemons that a relay hears directly.
 type roster struct {
-	at   time.Duration
-	rows map[ident.Incarnation]bool
+	receivedAt time.Duration
+	rows       map[ident.Incarnation]bool
 	// fleetSize is the number of daemons that the relay knows, domainCount that of failure
 	// domains.
 	fleetSize, domainCount int
@@ -140,8 +140,8 @@
 	}
 }
 
-// Learn records an address at which a daemon may be listening.
-func (t *Table) Learn(now time.Duration, address string) {
+// LearnAddress records an address at which a daemon may be listening.
+func (t *Table) LearnAddress(now time.Duration, address string) {
 	_, known := t.addresses[address]
 	if address == "" || address == t.self.PeerAddress || !known && len(t.addresses) >= MaxAddresses {
 		return
@@ -157,25 +157,25 @@
 		return false, nil
 	}
 	e, known := t.entries[m.Incarnation]
-	if known && seq <= e.seq {
+	if known && seq <= e.heardSeq {
 		return false, nil
 	}
 	if !known {
-		e = &entry{introduced: freshness.Never}
+		e = &entry{lastIntroduced: freshness.Never}
 		t.entries[m.Incarnation] = e
 	}
-	if !known || e.heard == freshness.Never {
+	if !known || e.lastHeard == freshness.Never {
 		ended = t.removeReplaced(m)
 	}
-	e.Member, e.seq, e.memberSeq, e.heard, e.seen = m, seq, max(seq, e.memberSeq), now, now
-	t.Learn(now, m.PeerAddress)
+	e.Member, e.heardSeq, e.rowSeq, e.lastHeard, e.lastMentioned = m, seq, max(seq, e.rowSeq), now, now
+	t.LearnAddress(now, m.PeerAddress)
 	return true, ended
 }
 
 // ReceiveRoster applies the roster of a relay, which replaces the relay's previous one. It
 // returns the incarnations that have ended because another one listens at their address.
-func (t *Table) ReceiveRoster(now time.Duration, by ident.Incarnation, rows []Row, fleetSize, domainCount int) []ident.Incarnation {
-	received := roster{at: now, rows: make(map[ident.Incarnation]bool, len(rows)), fleetSize: fleetSize, domainCount: domainCount}
+func (t *Table) ReceiveRoster(now time.Duration, relay ident.Incarnation, rows []Row, fleetSize, domainCount int) []ident.Incarnation {
+	received := roster{receivedAt: now, rows: make(map[ident.Incarnation]bool, len(rows)), fleetSize: fleetSize, domainCount: domainCount}
 	var ended []ident.Incarnation
 	for _, r := range rows {
 		if t.shouldIgnore(now, r) {
@@ -184,7 +184,7 @@
 		received.rows[r.Incarnation] = true
 		ended = append(ended, t.mergeRow(now, r)...)
 	}
-	t.rosters[by] = received
+	t.rosters[relay] = received
 	return ended
 }
 
@@ -201,11 +201,11 @@
 // ReintroduceAfter.
 func (t *Table) Reintroduce(now time.Duration, r Row) {
 	e, known := t.entries[r.Incarnation]
-	if known && now-e.introduced < ReintroduceAfter || t.shouldIgnore(now, r) {
+	if known && now-e.lastIntroduced < ReintroduceAfter || t.shouldIgnore(now, r) {
 		return
 	}
 	t.mergeRow(now, r)
-	t.entries[r.Incarnation].introduced = now
+	t.entries[r.Incarnation].lastIntroduced = now
 }
 
 // shouldIgnore reports whether a row is about this daemon, names no incarnation, or is
@@ -219,14 +219,14 @@
 func (t *Table) mergeRow(now time.Duration, r Row) []ident.Incarnation {
 	e, known := t.entries[r.Incarnation]
 	if known {
-		e.seen = now
-		if r.Seq > e.memberSeq {
-			e.Member, e.memberSeq = r.Member, r.Seq
+		e.lastMentioned = now
+		if r.Seq > e.rowSeq {
+			e.Member, e.rowSeq = r.Member, r.Seq
 		}
 		return nil
 	}
-	t.entries[r.Incarnation] = &entry{Member: r.Member, memberSeq: r.Seq, heard: freshness.Never, seen: now, introduced: freshness.Never}
-	t.Learn(now, r.PeerAddress)
+	t.entries[r.Incarnation] = &entry{Member: r.Member, rowSeq: r.Seq, lastHeard: freshness.Never, lastMentioned: now, lastIntroduced: freshness.Never}
+	t.LearnAddress(now, r.PeerAddress)
 	return t.removeReplaced(r.Member)
 }
 
@@ -239,7 +239,7 @@
 		return true
 	}
 	for id, e := range t.entries {
-		if id != m.Incarnation && e.PeerAddress == m.PeerAddress && (now-e.heard <= t.aliveFor || e.Started > m.Started) {
+		if id != m.Incarnation && e.PeerAddress == m.PeerAddress && (now-e.lastHeard <= t.aliveFor || e.Started > m.Started) {
 			return true
 		}
 	}
@@ -263,13 +263,13 @@
 func (t *Table) Tick(now time.Duration) []ident.Incarnation {
 	var ended []ident.Incarnation
 	for id, e := range t.entries {
-		if now-e.seen > ForgetAfter {
+		if now-e.lastMentioned > ForgetAfter {
 			delete(t.entries, id)
 			ended = append(ended, id)
 		}
 	}
 	for by, r := range t.rosters {
-		if now-r.at > RosterTTL {
+		if now-r.receivedAt > RosterTTL {
 			delete(t.rosters, by)
 		}
 	}
@@ -299,11 +299,11 @@
 // incarnation.
 func (t *Table) Confirmed(now time.Duration) []Member { return t.list(now, false) }
 
-func (t *Table) list(now time.Duration, introduced bool) []Member {
+func (t *Table) list(now time.Duration, includeIntroduced bool) []Member {
 	inRosters := t.inRosters(now)
 	var list []Member
 	for id, e := range t.entries {
-		if now-e.heard <= t.aliveFor || introduced && now-e.introduced <= IntroductionTTL || inRosters[id] {
+		if now-e.lastHeard <= t.aliveFor || includeIntroduced && now-e.lastIntroduced <= IntroductionTTL || inRosters[id] {
 			list = append(list, e.Member)
 		}
 	}
@@ -311,12 +311,12 @@
 	return list
 }
 
-// SeenSince returns the other daemons that were last mentioned at the time at or later,
+// MentionedSince returns the other daemons that were last mentioned at the time at or later,
 // unsorted. Some of them may have lost their relays, others may have ended.
-func (t *Table) SeenSince(at time.Duration) []ident.Incarnation {
+func (t *Table) MentionedSince(since time.Duration) []ident.Incarnation {
 	var list []ident.Incarnation
 	for id, e := range t.entries {
-		if e.seen >= at {
+		if e.lastMentioned >= since {
 			list = append(list, id)
 		}
 	}
@@ -327,7 +327,7 @@
 func (t *Table) inRosters(now time.Duration) map[ident.Incarnation]bool {
 	inRosters := map[ident.Incarnation]bool{}
 	for by, r := range t.rosters {
-		if !t.HeardRecently(now, by) || now-r.at > RosterTTL {
+		if !t.HeardRecently(now, by) || now-r.receivedAt > RosterTTL {
 			continue
 		}
 		for id := range r.rows {
@@ -341,7 +341,7 @@
 // AliveFor.
 func (t *Table) HeardRecently(now time.Duration, id ident.Incarnation) bool {
 	e, known := t.entries[id]
-	return known && now-e.heard <= t.aliveFor
+	return known && now-e.lastHeard <= t.aliveFor
 }
 
 // Rows returns the last known records of the given daemons, without those that are unknown.
@@ -349,7 +349,7 @@
 	rows := make([]Row, 0, len(ids))
 	for _, id := range ids {
 		if e, known := t.entries[id]; known {
-			rows = append(rows, Row{Member: e.Member, Seq: e.memberSeq})
+			rows = append(rows, Row{Member: e.Member, Seq: e.rowSeq})
 		}
 	}
 	return rows
@@ -360,7 +360,7 @@
 func (t *Table) Domains(now time.Duration) int {
 	domainCount := 0
 	for _, r := range t.rosters {
-		if now-r.at <= RosterTTL {
+		if now-r.receivedAt <= RosterTTL {
 			domainCount = max(domainCount, r.domainCount)
 		}
 	}
--- a/coordination/peers/peers_test.go
+++ b/coordination/peers/peers_test.go
@@ -11,21 +11,21 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-func member(id, run string) peers.Member {
+func member(id, startID string) peers.Member {
 	return peers.Member{
-		ID: ident.DaemonID(id), Incarnation: ident.Incarnation(id + "~" + run), FailureDomain: "north",
+		ID: ident.DaemonID(id), Incarnation: ident.Incarnation(id + "~" + startID), FailureDomain: "north",
 		CallerAddress: id + ":80", PeerAddress: id + ":76", Phase: peers.Ready,
 	}
 }
 
 func liveIDs(t *peers.Table, now time.Duration) []string {
-	var ids []string
+	var daemonIDs []string
 	for _, d := range t.Directory(now) {
 		if d.State == view.Live {
-			ids = append(ids, string(d.ID))
+			daemonIDs = append(daemonIDs, string(d.ID))
 		}
 	}
-	return ids
+	return daemonIDs
 }
 
 func TestDirectoryListsHeardAndReadyDaemons(t *testing.T) {
@@ -72,9 +72,9 @@
 	is.Equal(table.FleetSize(), 2)
 }
 
-func rows(ids ...string) []peers.Row {
+func rows(daemonIDs ...string) []peers.Row {
 	var list []peers.Row
-	for _, id := range ids {
+	for _, id := range daemonIDs {
 		list = append(list, peers.Row{Member: member(id, "1"), Seq: 5})
 	}
 	return list
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -123,8 +123,8 @@
 
 // decayingSum is an amount that decays exponentially with time constant usageDecay.
 type decayingSum struct {
-	amount float64
-	at     time.Duration
+	amount    float64
+	updatedAt time.Duration
 }
 
 func (r *decayingSum) add(now time.Duration, amount float64) {
@@ -132,7 +132,7 @@
 }
 
 func (r *decayingSum) value(now time.Duration) float64 {
-	return r.amount * math.Exp(-(now-r.at).Seconds()/usageDecay.Seconds())
+	return r.amount * math.Exp(-(now-r.updatedAt).Seconds()/usageDecay.Seconds())
 }
 
 // peerState is what this daemon knows of another daemon.
@@ -141,8 +141,8 @@
 	taken     map[ident.Workspace]float64
 	// recentUsage is the recent use by the peer's requests.
 	recentUsage map[ident.Workspace]*decayingSum
-	// ownTaken is the value of bucket.taken when the peer was last heard.
-	ownTaken map[ident.Workspace]float64
+	// ownTakenWhenHeard is the value of bucket.taken when the peer was last heard.
+	ownTakenWhenHeard map[ident.Workspace]float64
 	// silent is set when the peer has been unheard for SilentAfter. reserved is what has
 	// been set aside for it since then.
 	silent   bool
@@ -153,16 +153,16 @@
 type Limiter struct {
 	window          time.Duration
 	tolerance       Tolerance
-	started         time.Duration
+	startedAt       time.Duration
 	firstFleetStart bool
 	buckets         map[ident.Workspace]*bucket
 	peers           map[ident.Incarnation]*peerState
 	// expectedDaemons is how many daemons may exist, including this one, whether or not
 	// they have been heard.
 	expectedDaemons int
-	// isolatedParts is the number of parts into which the buckets are divided while no
+	// isolationShares is the number of parts into which the buckets are divided while no
 	// other daemon is heard. Zero means that this daemon is not isolated.
-	isolatedParts int
+	isolationShares int
 	// synced is set once the bucket levels of an older daemon were taken over.
 	synced bool
 }
@@ -171,7 +171,7 @@
 // never served before.
 func New(now, window time.Duration, tolerance Tolerance, firstStart bool) *Limiter {
 	return &Limiter{
-		window: window, tolerance: tolerance, started: now, firstFleetStart: firstStart,
+		window: window, tolerance: tolerance, startedAt: now, firstFleetStart: firstStart,
 		buckets: map[ident.Workspace]*bucket{}, peers: map[ident.Incarnation]*peerState{},
 	}
 }
@@ -245,11 +245,11 @@
 	case now < b.budgetEnds:
 	case !allPeersRecent && !b.uninformedBudgetUsed && l.daemonCount() > 1:
 		b.uninformedBudgetUsed = true
-		part := uninformedShare * b.level / float64(l.daemonCount())
-		if need <= uninformedMaxShares*part {
-			part = max(part, need)
+		uninformedBudget := uninformedShare * b.level / float64(l.daemonCount())
+		if need <= uninformedMaxShares*uninformedBudget {
+			uninformedBudget = max(uninformedBudget, need)
 		}
-		b.budget = max(b.budget, part)
+		b.budget = max(b.budget, uninformedBudget)
 	case allPeersRecent:
 		b.uninformedBudgetUsed = false
 		b.budgetEnds = now + BudgetInterval
@@ -285,7 +285,7 @@
 func (l *Limiter) budgetShare(now time.Duration, ws ident.Workspace, b *bucket) float64 {
 	equalShare := 1 / float64(l.daemonCount())
 	ownUsage := b.recentUsage.value(now)
-	if now-l.started < syncPeriod || ownUsage <= 0 {
+	if now-l.startedAt < syncPeriod || ownUsage <= 0 {
 		return equalShare
 	}
 	totalUsage := ownUsage
@@ -326,38 +326,38 @@
 
 // refill adds the refill since refilledAt, less the shares reserved for silent daemons.
 func (l *Limiter) refill(now time.Duration, ws ident.Workspace, b *bucket) {
-	l.markSilentPeers(now)
+	l.reserveForSilentPeers(now)
 	elapsed := (now - b.refilledAt).Seconds()
 	if elapsed <= 0 {
 		return
 	}
 	b.refilledAt = now
 	gained := l.rate(b.limit) * elapsed
-	part := gained / float64(l.daemonCount())
-	gained -= part * float64(max(0, l.isolatedParts-1-len(l.peers)))
+	refillShare := gained / float64(l.daemonCount())
+	gained -= refillShare * float64(max(0, l.isolationShares-1-len(l.peers)))
 	for _, p := range l.peers {
 		if p.silent {
-			p.reserved[ws] += part
-			gained -= part
+			p.reserved[ws] += refillShare
+			gained -= refillShare
 		}
 	}
 	b.level = min(l.capacity(b.limit), b.level+gained)
 }
 
-// markSilentPeers finds the peers that have just become silent and reserves for each its
+// reserveForSilentPeers finds the peers that have just become silent and reserves for each its
 // share of the buckets. Such a peer is assumed to have taken as much as this daemon since
 // it was last heard, because a flood reaches all daemons alike.
-func (l *Limiter) markSilentPeers(now time.Duration) {
+func (l *Limiter) reserveForSilentPeers(now time.Duration) {
 	for _, p := range l.peers {
 		if p.silent || now-p.lastHeard <= SilentAfter {
 			continue
 		}
 		p.silent = true
 		for ws, b := range l.buckets {
-			part := max(0, b.taken-p.ownTaken[ws])
-			part += max(0, b.level-part) / float64(l.daemonCount())
-			b.level -= part
-			p.reserved[ws] += part
+			reserve := max(0, b.taken-p.ownTakenWhenHeard[ws])
+			reserve += max(0, b.level-reserve) / float64(l.daemonCount())
+			b.level -= reserve
+			p.reserved[ws] += reserve
 		}
 	}
 }
@@ -365,9 +365,9 @@
 // daemonCount is the number of daemons that may take from the buckets, including this one.
 func (l *Limiter) daemonCount() int {
 	if l.firstFleetStart {
-		return max(1+len(l.peers), l.isolatedParts)
+		return max(1+len(l.peers), l.isolationShares)
 	}
-	return max(1+len(l.peers), l.expectedDaemons, l.isolatedParts)
+	return max(1+len(l.peers), l.expectedDaemons, l.isolationShares)
 }
 
 // Age is for how long this daemon has known the levels of the buckets, as reported to the
@@ -375,17 +375,17 @@
 // syncPeriod, because it knows as much as the older one.
 func (l *Limiter) Age(now time.Duration) time.Duration {
 	if l.synced {
-		return max(syncPeriod, now-l.started)
+		return max(syncPeriod, now-l.startedAt)
 	}
-	return now - l.started
+	return now - l.startedAt
 }
 
-// SetIsolatedParts sets the number of parts into which the buckets are divided while this
+// SetIsolationShares sets the number of parts into which the buckets are divided while this
 // daemon hears no other; its own part is included. Zero ends the division.
-func (l *Limiter) SetIsolatedParts(parts int) { l.isolatedParts = parts }
+func (l *Limiter) SetIsolationShares(shares int) { l.isolationShares = shares }
 
-// record adds amount to the recent use of the workspace by the peer.
-func (p *peerState) record(now time.Duration, ws ident.Workspace, amount float64) {
+// recordUse adds amount to the recent use of the workspace by the peer.
+func (p *peerState) recordUse(now time.Duration, ws ident.Workspace, amount float64) {
 	recentUsage, ok := p.recentUsage[ws]
 	if !ok {
 		recentUsage = &decayingSum{}
@@ -399,7 +399,7 @@
 // the number has no effect.
 func (l *Limiter) SetExpectedDaemons(now time.Duration, daemons int) {
 	l.expectedDaemons = daemons
-	if now-l.started >= syncPeriod {
+	if now-l.startedAt >= syncPeriod {
 		l.expectedDaemons = 0
 	}
 }
@@ -411,7 +411,7 @@
 	if !known {
 		p = &peerState{
 			taken: map[ident.Workspace]float64{}, recentUsage: map[ident.Workspace]*decayingSum{},
-			ownTaken: map[ident.Workspace]float64{}, reserved: map[ident.Workspace]float64{},
+			ownTakenWhenHeard: map[ident.Workspace]float64{}, reserved: map[ident.Workspace]float64{},
 		}
 		l.peers[id] = p
 		p.lastHeard = now
@@ -419,16 +419,16 @@
 	for ws, b := range l.buckets {
 		l.refill(now, ws, b)
 	}
-	for ws, record := range states {
+	for ws, state := range states {
 		b := l.bucket(ws)
 		if known {
-			b.level += p.reserved[ws] - (record.Taken - p.taken[ws])
+			b.level += p.reserved[ws] - (state.Taken - p.taken[ws])
 			b.level = min(b.level, l.capacity(b.limit))
-			p.record(now, ws, record.Taken-p.taken[ws])
-		} else if now-l.started < syncPeriod && b.limit.PerSecond > 0 {
-			l.syncLevel(b, record, age)
+			p.recordUse(now, ws, state.Taken-p.taken[ws])
+		} else if now-l.startedAt < syncPeriod && b.limit.PerSecond > 0 {
+			l.syncLevel(b, state, age)
 		}
-		p.taken[ws] = record.Taken
+		p.taken[ws] = state.Taken
 	}
 	if !known && age >= syncPeriod {
 		l.synced = true
@@ -436,7 +436,7 @@
 	p.lastHeard, p.silent = now, false
 	clear(p.reserved)
 	for ws, b := range l.buckets {
-		p.ownTaken[ws] = b.taken
+		p.ownTakenWhenHeard[ws] = b.taken
 	}
 }
 
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -452,12 +452,12 @@
 
 // Guards against daemons that lose contact with all others at once and each grant the whole
 // quota.
-func TestIsolatedDaemonTakesOnlyItsPart(t *testing.T) {
+func TestIsolatedDaemonGrantsOnlyItsShare(t *testing.T) {
 	is := is.New(t)
 	const daemons, cost = 120, 2000.0
 	l := quota.New(0, window, quota.Tolerance{Overage: overage, Slack: slack}, false)
 	l.SetLimits(0, limits(perSecond, burst))
-	l.SetIsolatedParts(daemons)
+	l.SetIsolationShares(daemons)
 	taken := 0.0
 	for now := time.Duration(0); now < window; now += 10 * time.Millisecond {
 		if _, ok := l.Take(now, ws, cost); ok {
--- a/coordination/relays/confirmation.go
+++ b/coordination/relays/confirmation.go
@@ -42,9 +42,9 @@
 
 // Receive records whether another relay considers this daemon a relay. It returns true for
 // the first contradiction since the last confirmation.
-func (s *Confirmation) Receive(now time.Duration, elects bool) bool {
+func (s *Confirmation) Receive(now time.Duration, confirms bool) bool {
 	switch {
-	case elects:
+	case confirms:
 		s.confirmedAt, s.doubted = now, false
 	case !s.doubted && !s.Confirmed(now):
 		s.doubted = true
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -42,10 +42,10 @@
 	// Alive holds the other daemons that are considered alive. It must include all daemons
 	// in this daemon's own failure domain and, on a relay, those of all domains.
 	Alive []peers.Member
-	// Fleet is the number of daemons and Domains the number of failure domains known to
+	// FleetSize is the number of daemons and Domains the number of failure domains known to
 	// relays. They may exceed what this daemon knows; zero means unknown.
-	Fleet   int
-	Domains int
+	FleetSize   int
+	DomainCount int
 	// DirectFleet is the largest fleet in which every daemon sends to every other; zero
 	// selects the constant DirectFleet.
 	DirectFleet int
@@ -72,7 +72,7 @@
 	// to others: if RelaysPerDomain were, daemons with a wrong value would confirm each
 	// other.
 	RelaysPerDomain int
-	Domains         int
+	DomainCount     int
 	// Direct is set if the fleet is small enough for all daemons to be relays, AllWatch if
 	// it is small enough for all to watch the key-value service.
 	Direct, AllWatch bool
@@ -82,20 +82,20 @@
 func Elect(v View) Plan {
 	members := append(slices.Clone(v.Alive), v.Self)
 	domains := groupByDomain(members)
-	fleet := max(v.Fleet, len(members))
+	fleet := max(v.FleetSize, len(members))
 	direct := cmp.Or(v.DirectFleet, DirectFleet)
 	p := Plan{
-		RelaysPerDomain: relaysPerDomain(fleet, max(v.Domains, len(domains)), direct), Domains: len(domains),
+		RelaysPerDomain: relaysPerDomain(fleet, max(v.DomainCount, len(domains)), direct), DomainCount: len(domains),
 		Direct: fleet <= direct, AllWatch: fleet <= AllWatchFleet,
 	}
 	var candidates []peers.Member
 	for domain, inDomain := range domains {
-		first := longestRunning(slices.Clone(inDomain), 1)
+		oldest := longestRunning(slices.Clone(inDomain), 1)
 		if !p.Direct {
 			inDomain = longestRunning(inDomain, p.RelaysPerDomain)
 		}
 		for _, r := range inDomain {
-			if p.AllWatch || len(first) > 0 && r.Incarnation == first[0].Incarnation {
+			if p.AllWatch || len(oldest) > 0 && r.Incarnation == oldest[0].Incarnation {
 				p.addWatcher(v.Self, r)
 			}
 			if r.Incarnation == v.Self.Incarnation {
@@ -164,11 +164,11 @@
 // moves only its own followers.
 func chooseRelays(self ident.DaemonID, relays []peers.Member) []peers.Member {
 	slices.SortFunc(relays, func(a, b peers.Member) int {
-		return cmp.Or(cmp.Compare(rank(self, b), rank(self, a)), cmp.Compare(a.Incarnation, b.Incarnation))
+		return cmp.Or(cmp.Compare(rendezvousHash(self, b), rendezvousHash(self, a)), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	return relays[:min(RelaysPerFollower, len(relays))]
 }
 
-func rank(self ident.DaemonID, relay peers.Member) uint64 {
+func rendezvousHash(self ident.DaemonID, relay peers.Member) uint64 {
 	return xxhash.Sum64String(string(self) + "\x00" + string(relay.Incarnation))
 }
--- a/coordination/relays/relays_test.go
+++ b/coordination/relays/relays_test.go
@@ -28,7 +28,7 @@
 
 func planFor(members []peers.Member, i int) relays.Plan {
 	others := slices.Delete(slices.Clone(members), i, i+1)
-	return relays.Elect(relays.View{Self: members[i], Alive: others, Fleet: len(members)})
+	return relays.Elect(relays.View{Self: members[i], Alive: others, FleetSize: len(members)})
 }
 
 func TestAllDaemonsOfSmallFleetAreRelays(t *testing.T) {
@@ -71,7 +71,7 @@
 }
 
 // Guards against a change of relays whenever a daemon joins.
-func TestNewcomerDisplacesNoRelay(t *testing.T) {
+func TestNewDaemonReplacesNoRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(60, 6)
 	before := planFor(members, 59)
@@ -112,7 +112,7 @@
 	known := slices.DeleteFunc(slices.Clone(members[:118]), func(m peers.Member) bool {
 		return m.FailureDomain != members[118].FailureDomain && m.FailureDomain != members[0].FailureDomain
 	})
-	p := relays.Elect(relays.View{Self: members[118], Alive: known[:6], Fleet: len(members), Domains: 6})
+	p := relays.Elect(relays.View{Self: members[118], Alive: known[:6], FleetSize: len(members), DomainCount: 6})
 	is.Equal(p.RelaysPerDomain, relays.RelaysPerDomain(119, 6))
 	is.True(!p.Relay)
 }
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -17,7 +17,7 @@
 	strategies map[string]spread.Strategy
 	ids        []string
 	inFlight   []sent
-	count      map[spread.Kind]int
+	sentByKind map[spread.Kind]int
 }
 
 type sent struct {
@@ -28,7 +28,7 @@
 var zero time.Time
 
 func newNetwork(n int, newStrategy func(self string, all []string) spread.Strategy) *network {
-	w := &network{strategies: map[string]spread.Strategy{}, count: map[spread.Kind]int{}}
+	w := &network{strategies: map[string]spread.Strategy{}, sentByKind: map[spread.Kind]int{}}
 	for i := range n {
 		w.ids = append(w.ids, fmt.Sprintf("m%02d", i))
 	}
@@ -53,7 +53,7 @@
 
 func (w *network) enqueue(from string, sends []spread.Send) {
 	for _, s := range sends {
-		w.count[s.Message.Kind]++
+		w.sentByKind[s.Message.Kind]++
 		w.inFlight = append(w.inFlight, sent{from, s})
 	}
 }
@@ -92,9 +92,9 @@
 		w.enqueue("m00", w.strategies["m00"].Publish(zero, 1))
 		w.deliverAll(nil, firstIndex)
 		is.Equal(len(w.missing(nil)), 0)
-		is.Equal(w.count[spread.Tree], n-1)
-		is.Equal(w.count[spread.Ack], n-1)
-		is.Equal(w.count[spread.Deliver], 0)
+		is.Equal(w.sentByKind[spread.Tree], n-1)
+		is.Equal(w.sentByKind[spread.Ack], n-1)
+		is.Equal(w.sentByKind[spread.Deliver], 0)
 	}
 }
 
--- a/coordination/spread/tree.go
+++ b/coordination/spread/tree.go
@@ -27,8 +27,8 @@
 	source  string
 	// pending holds the children that have not acknowledged the current version.
 	pending map[int]pendingAck
-	// sent holds the members to which the current version was sent.
-	sent map[int]bool
+	// sentTo holds the members to which the current version was sentTo.
+	sentTo map[int]bool
 }
 
 // pendingAck is an acknowledgement that a child owes. Once all children for a parent have
@@ -54,7 +54,7 @@
 
 func (t *HierarchicalTree) reset() {
 	t.pending = map[int]pendingAck{}
-	t.sent = map[int]bool{}
+	t.sentTo = map[int]bool{}
 }
 
 // cluster appends c(i,s) of the paper to into: first the member i with bit s-1 inverted,
@@ -181,8 +181,8 @@
 		if t.suspect[k] {
 			kind = Deliver
 		}
-		if !t.sent[k] {
-			t.sent[k] = true
+		if !t.sentTo[k] {
+			t.sentTo[k] = true
 			sends = append(sends, t.send(k, kind))
 			if kind == Tree {
 				t.pending[k] = pendingAck{parent: parent}
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -74,5 +74,5 @@
 	// NoteLeaving records that the runner at an address is leaving, as learned from the
 	// runner itself or from its refusal of a request. The information spreads to the other
 	// daemons.
-	NoteLeaving(address string, left time.Duration)
+	NoteLeaving(address string, timeLeft time.Duration)
 }
--- a/coordination/walltime/walltime.go
+++ b/coordination/walltime/walltime.go
@@ -30,8 +30,8 @@
 }
 
 // Receive stores a peer's estimate of the time of day, received at now.
-func (e *Estimate) Receive(id ident.Incarnation, theirs time.Time, now time.Duration) {
-	e.peerBases[id] = theirs.Add(-now)
+func (e *Estimate) Receive(id ident.Incarnation, peerTime time.Time, now time.Duration) {
+	e.peerBases[id] = peerTime.Add(-now)
 }
 
 // PeerEnded removes the estimate of a peer.
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -296,7 +296,7 @@
 
 // NoteLeaving implements view.Directory.
 func (c *Control) NoteLeaving(address string, left time.Duration) {
-	c.applyNotices([]membership.Notice{{Address: address, Left: left}})
+	c.applyNotices([]membership.Notice{{Address: address, TimeLeft: left}})
 }
 
 // Drain permanently marks this daemon as leaving and tells its peers at once.
--- a/daemon/control/platform.go
+++ b/daemon/control/platform.go
@@ -122,7 +122,7 @@
 		c.counters.notices.Inc(1)
 		after = max(after, n.Sequence)
 		received = append(received, membership.Notice{
-			VM: n.VM, Address: n.Address, Left: time.Duration(n.LeftMillis) * time.Millisecond,
+			VM: n.VM, Address: n.Address, TimeLeft: time.Duration(n.LeftMillis) * time.Millisecond,
 		})
 	}
 	c.applyNotices(received)
--- a/daemon/edge/demand.go
+++ b/daemon/edge/demand.go
@@ -24,7 +24,7 @@
 		c.MaxSlowdown = math.Inf(1)
 	}
 	if !p.Uses(RoomForChance) {
-		c.Headroom, c.ComfortableHeadroom = 0, 0
+		c.HeadroomDeviations, c.ComfortableHeadroomDeviations = 0, 0
 	}
 	return c
 }
@@ -43,9 +43,9 @@
 		p.countedOffered += p.offered - p.lastOffered
 	}
 	p.lastOffered = p.offered
-	w := fleet.Work{PromptTokens: p.countedOffered + offered, PrefillRate: p.prefillModel.Rate(), Wait: wait}
+	w := fleet.Work{PromptTokens: p.countedOffered + offered, PrefillRate: p.prefillModel.Rate(), MaxPromptWait: wait}
 	if p.service.Engine != nil {
-		w.Slots = p.service.Engine.Slots
+		w.SlotsPerRunner = p.service.Engine.Slots
 	}
 	for _, own := range p.table.OwnLoads(nil) {
 		r, ok := p.runners[own.Runner]
@@ -54,7 +54,7 @@
 		}
 		w.Runners++
 		if p.service.Engine == nil {
-			w.Slots = max(w.Slots, r.Slots)
+			w.SlotsPerRunner = max(w.SlotsPerRunner, r.Slots)
 		}
 		w.Requests += own.Requests + p.peerLoads[own.Runner].Requests
 	}
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -158,7 +158,7 @@
 		stamps:           map[ident.Incarnation]freshness.Stamp{},
 		wallClock:        walltime.New(time.Now(), now),
 		usageLedger: accounting.NewLedger(self, accounting.Timing{
-			Length: settings.Bounds.UsageWindow, Due: settings.Bounds.UsageDue, Settle: accounting.SettleAfter,
+			Length: settings.Bounds.UsageWindow, ReportWithin: settings.Bounds.UsageDue, SettleAfter: accounting.SettleAfter,
 		}),
 		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FirstStart),
 		// Each daemon begins at its own ID, so that all daemons together have sent the counts
@@ -178,7 +178,7 @@
 	e.allWatch.Store(e.relayPlan.AllWatch)
 	e.relayMode.Store(e.relayPlan.Relay)
 	for _, seed := range settings.Seeds {
-		e.peers.Learn(now, seed)
+		e.peers.LearnAddress(now, seed)
 	}
 	return e
 }
@@ -188,7 +188,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, a := range addresses {
-		e.peers.Learn(e.deps.Steady(), a)
+		e.peers.LearnAddress(e.deps.Steady(), a)
 	}
 }
 
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -116,8 +116,8 @@
 		counts = &offeredTally{}
 		t.offered[o.Service] = counts
 	}
-	counts.followers.SetRelayed(relayed)
-	counts.all.SetRelayed(relayed)
+	counts.followers.SetViaRelays(relayed)
+	counts.all.SetViaRelays(relayed)
 	switch from {
 	case sourceFollower:
 		counts.followers.Receive(now, id, o.PromptTokens)
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -130,7 +130,7 @@
 		e.peers.Reintroduce(now, decodeRow(r))
 	}
 	for _, a := range h.Addresses {
-		e.peers.Learn(now, a)
+		e.peers.LearnAddress(now, a)
 	}
 	for _, former := range ended {
 		e.removePeer(former, "replaced")
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -69,7 +69,7 @@
 	e.electRelays(now)
 	e.reported.updateMostKnown(now, len(e.relayPlan.OtherRelays))
 	e.limiter.SetExpectedDaemons(now, e.quotaSharers(now))
-	e.limiter.SetIsolatedParts(e.isolatedQuotaParts(now))
+	e.limiter.SetIsolationShares(e.isolatedQuotaParts(now))
 	e.limiter.Tick(now)
 	e.usageLedger.Tick(e.wallClock.At(now))
 	e.refreshPhase(now)
@@ -84,7 +84,7 @@
 	}
 	e.peers.SetAliveFor(alive)
 	e.alive = e.peers.Alive(now)
-	v := relays.View{Self: e.peers.Self(), Alive: e.alive, Fleet: e.peers.FleetSize(), Domains: e.peers.Domains(now), DirectFleet: e.settings.Policy.DirectFleet()}
+	v := relays.View{Self: e.peers.Self(), Alive: e.alive, FleetSize: e.peers.FleetSize(), DomainCount: e.peers.Domains(now), DirectFleet: e.settings.Policy.DirectFleet()}
 	previous := e.relayPlan
 	e.relayPlan = relays.Elect(v)
 	e.directMode.Store(e.relayPlan.Direct)
@@ -103,7 +103,7 @@
 		for _, r := range e.relayPlan.Followed {
 			followed = append(followed, r.Incarnation)
 		}
-		e.log.Note("role", decisions.F("relay", e.relayPlan.Relay), decisions.F("follows", followed), decisions.F("daemons", v.Fleet))
+		e.log.Note("role", decisions.F("relay", e.relayPlan.Relay), decisions.F("follows", followed), decisions.F("daemons", v.FleetSize))
 	}
 }
 
@@ -277,7 +277,7 @@
 }
 
 func (e *Edge) buildRoster(ids []ident.Incarnation) *peersv1.Roster {
-	return &peersv1.Roster{Rows: e.rosterRows(ids), Fleet: uint32(e.peers.KnownCount()), Domains: uint32(e.relayPlan.Domains)}
+	return &peersv1.Roster{Rows: e.rosterRows(ids), Fleet: uint32(e.peers.KnownCount()), Domains: uint32(e.relayPlan.DomainCount)}
 }
 
 // rosterRows returns the latest known state of the given daemons. The caller must hold e.mu.
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -127,7 +127,7 @@
 // daemons that may have lost both their relays and are therefore not heard. The caller must
 // hold e.mu.
 func (e *Edge) uncounted(now, since time.Duration) []ident.Incarnation {
-	return e.coverage.Missing(e.peers.SeenSince(now-refollowWithin), since)
+	return e.coverage.Missing(e.peers.MentionedSince(now-refollowWithin), since)
 }
 
 // followerCounts returns the counts of some of the followers whose primary this relay is, in
@@ -189,7 +189,7 @@
 func encodeWindows(workspaces []ident.Workspace, counts map[accounting.Window]accounting.Counts) []*peersv1.Window {
 	windows := make([]*peersv1.Window, 0, len(counts))
 	for w, c := range counts {
-		windows = append(windows, &peersv1.Window{Number: int64(w), ByPlace: accounting.ByPlace(workspaces, c)})
+		windows = append(windows, &peersv1.Window{Number: int64(w), ByPlace: accounting.IndexedCounts(workspaces, c)})
 	}
 	return windows
 }
@@ -226,7 +226,7 @@
 func decodeWindows(workspaces []ident.Workspace, encoded []*peersv1.Window) map[accounting.Window]accounting.Counts {
 	windows := make(map[accounting.Window]accounting.Counts, len(encoded))
 	for _, w := range encoded {
-		windows[accounting.Window(w.Number)] = accounting.FromPlaces(workspaces, w.ByPlace)
+		windows[accounting.Window(w.Number)] = accounting.CountsFromIndexed(workspaces, w.ByPlace)
 	}
 	return windows
 }
