--- a/coordination/accounting/accounting.go
+++ b/coordination/accounting/accounting.go
@@ -32,10 +32,13 @@
 type Timing struct {
 	// Length is the length of a window.
 	Length time.Duration
-	// ReportWithin is how long after its end a window must have been reported.
+	// ReportWithin is the time after the end of a window within which the window must be
+	// reported.
 	ReportWithin time.Duration
-	// SettleAfter is how long after the end of a window counts that daemons send directly may
-	// still arrive.
+	// SettleAfter is how long after the end of a window the holder of the reporting duty
+	// waits for counts that daemons send to it directly. It says nothing of counts that
+	// reach the holder through a relay or another third daemon; Coverage tells whether
+	// those have arrived.
 	SettleAfter time.Duration
 }
 
--- a/coordination/accounting/snapshot.go
+++ b/coordination/accounting/snapshot.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// IndexedCounts returns the counts in the order of the workspaces, without trailing zeros.
+// IndexedCounts returns the counts as a list in the order of workspaces, without trailing
+// zeros.
 func IndexedCounts(workspaces []ident.Workspace, counts Counts) []int64 {
 	var indexed []int64
 	for index, ws := range workspaces {
@@ -66,7 +67,8 @@
 	return indexed
 }
 
-// CountsFromIndexed is the inverse of ByPlace. Counts beyond the last workspace are dropped.
+// CountsFromIndexed is the inverse of IndexedCounts. Counts beyond the last workspace are
+// dropped.
 func CountsFromIndexed(workspaces []ident.Workspace, indexed []int64) Counts {
 	counts := Counts{}
 	for index, n := range indexed[:min(len(indexed), len(workspaces))] {
--- a/coordination/feed/feed.go
+++ b/coordination/feed/feed.go
@@ -27,8 +27,8 @@
 type Batch struct {
 	// After is the revision that was asked for.
 	After uint64
-	// Through is the revision up to which a receiver that knows everything through After is
-	// complete once it has applied the changes.
+	// Through is the revision through which the receiver has all changes after it has
+	// applied Changes, provided that it had all changes through After.
 	Through uint64
 	Changes []Change
 }
@@ -49,7 +49,8 @@
 	revision uint64
 	// forgottenThrough is the revision of the latest deletion that was forgotten.
 	forgottenThrough uint64
-	// gaps are the ranges of revisions for which only the resulting keys were listed.
+	// gaps holds the ranges of revisions that the log skipped because it was reset from a
+	// list of keys instead of following a watch.
 	gaps []gap
 	// changes is sorted by revision. Changes that latest doesn't refer to are superseded.
 	changes   []Change
@@ -57,9 +58,10 @@
 	deletions int
 }
 
-// gap is a range of revisions, exclusive at both ends, in which keys may have been written
-// and deleted without the log learning of it. A follower whose revision lies within the
-// range may hold such a key.
+// gap is a range of revisions, exclusive at both ends, within which the log doesn't know
+// every change. A list shows only the keys that exist at its revision, so the log knows
+// nothing of a key that was both written and deleted within the range. A follower whose
+// revision lies within the range may still hold such a key.
 type gap struct{ from, to uint64 }
 
 // NewLog returns an empty log.
--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -85,8 +85,11 @@
 	return c.Reclaimable || !f.target.ReclaimsOnly
 }
 
-// addCheapest adds VMs from the cheapest candidates until the allocation holds total VMs,
-// perDomain VMs in a failure domain, or atRisk VMs that are lost with their domain.
+// addCheapest goes through the offers from the cheapest to the most expensive one and adds
+// as many VMs of each as the limits allow: total VMs in the allocation, maxPerDomain VMs
+// in a failure domain, maxAtRisk VMs that are lost with their failure domain, the maxVMs
+// of the offer, and the cost limit. An offer without room is skipped, and the following
+// ones are still tried.
 func (f *allocation) addCheapest(total, maxPerDomain, maxAtRisk int) {
 	for i := range f.sortedOffers {
 		c := &f.sortedOffers[i]
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -140,14 +140,14 @@
 	return vmIDs
 }
 
-// removableVMIDs returns VMs of pools that hold more VMs than the plan, in order of falling
-// price, as long as the target is met without them. If VMs of other pools were stopped, the
-// planner would start them again: they would be surplus in one round and worth moving to in
-// the next.
+// removableVMIDs returns the IDs of VMs that can be stopped without missing the target, in
+// order of falling price. It takes them only from pools that hold more VMs than the plan.
+// If a VM of any other pool were stopped, the pool would have fewer VMs than planned, and
+// the planner would start a VM there again in a later round.
 //
-// Only serving VMs count, because a VM that is still starting may fail and must not replace
-// one that is stopped. A fleet that costs more than MaxCostPerHour shrinks to the plan even
-// if the target is then missed.
+// Only serving VMs count towards the target, because a VM that is still starting may fail
+// and must not replace one that is stopped. A fleet that costs more than MaxCostPerHour
+// shrinks to the plan even if the target is then missed.
 func (t *planningRound) removableVMIDs() []string {
 	excess := t.excess()
 	if len(excess) == 0 {
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -7,9 +7,9 @@
 
 // DemandConfig sets how much capacity above the mean load runners must provide.
 type DemandConfig struct {
-	// HeadroomDeviations is the number of standard deviations of the work arriving within Work.Wait
-	// that must fit on top of the mean. ComfortableHeadroomDeviations is the same for runners that
-	// cost little.
+	// HeadroomDeviations is the number of standard deviations of the work arriving within
+	// Work.MaxPromptWait that must fit on top of the mean. ComfortableHeadroomDeviations
+	// is the same for runners that cost little.
 	HeadroomDeviations, ComfortableHeadroomDeviations float64
 	// MaxSlowdown is by what factor a request may take longer than when it runs alone.
 	// Prompts are read between the tokens of streams, so each request slows down as a batch
@@ -22,9 +22,11 @@
 	RiseTime, FallTime, ComfortableFallTime time.Duration
 	// VarianceTime is the time constant of the variance.
 	VarianceTime time.Duration
-	// MinWorkTime is how long there must have been work before the estimate relies on
-	// measurements. Until then the estimate is at least InitialShare of the runners present
-	// at the start, or ComfortableInitialShare for runners that cost little.
+	// MinWorkTime is how long after the first sample with requests in progress the
+	// measurements must continue before the estimate relies on them alone. Until then, the
+	// estimate for a service that has never served is at least InitialShare (for
+	// Estimate.Runners) or ComfortableInitialShare (for Estimate.Comfortable) of the
+	// largest number of runners seen within MinWorkTime after the first sample.
 	MinWorkTime                           time.Duration
 	InitialShare, ComfortableInitialShare float64
 }
@@ -84,14 +86,15 @@
 	blockEnd     time.Duration
 	promptTokens float64
 	sampled      bool
-	// firstSampleAt is the time of the first sample, firstWork that of the first sample with
-	// requests in progress, now that of the last sample.
+	// firstSampleAt is the time of the first sample, firstWorkAt that of the first sample
+	// with requests in progress, lastSampleAt that of the last sample.
 	firstSampleAt time.Duration
 	firstWorkAt   time.Duration
 	lastSampleAt  time.Duration
 	// resumesAt is when blocks count again after this daemon was suspended.
 	resumesAt time.Duration
-	// initialRunners is the largest number of runners seen before Settle has passed.
+	// initialRunners is the largest number of runners in any sample taken within
+	// MinWorkTime after the first sample.
 	initialRunners int
 }
 
@@ -144,7 +147,8 @@
 		d.firstSampleAt = now
 	}
 	if now-d.firstSampleAt < d.cfg.MinWorkTime {
-		// Only runners that were there before any order took effect count.
+		// Only the runners from before any order could take effect count. Otherwise the
+		// runners that are ordered because of this minimum would raise the minimum.
 		d.initialRunners = max(d.initialRunners, w.Runners)
 	}
 	if d.firstWorkAt == 0 && w.Requests > 0 {
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -123,8 +123,10 @@
 	hasSurplus   bool
 	movesSince   time.Duration
 	hasMoves     bool
-	// skipMoveHold lets the next moves start without waiting for SurplusHold, because the
-	// current VMs replaced VMs of pools that are available again.
+	// skipMoveHold lets the next moves start without waiting for SurplusHold. ResetBackoff
+	// sets it when the pools that refused starts have VMs again. The current VMs were
+	// started in other pools in place of VMs of those pools, and need not be kept for
+	// longer.
 	skipMoveHold bool
 }
 
--- a/coordination/fleet/orders.go
+++ b/coordination/fleet/orders.go
@@ -17,6 +17,8 @@
 	timeout time.Duration
 }
 
+// poolOrders holds the pending orders of one pool, oldest first. The elements of
+// startExpiries and stopExpiries are the times at which the orders of one VM expire.
 type poolOrders struct {
 	present       int
 	startExpiries []time.Duration
@@ -50,8 +52,8 @@
 	}
 }
 
-// dropCompleted removes the n oldest orders, which have taken effect, and those that have
-// expired.
+// dropCompleted removes the oldest completed orders, which have taken effect, and the
+// orders whose expiry time has passed.
 func dropCompleted(expiries []time.Duration, completed int, now time.Duration) []time.Duration {
 	expiries = expiries[min(max(completed, 0), len(expiries)):]
 	return slices.DeleteFunc(expiries, func(until time.Duration) bool { return now >= until })
@@ -84,7 +86,8 @@
 	return max(0, p.present-len(p.stopExpiries)) + len(p.startExpiries)
 }
 
-// Change orders n more VMs of a pool, or -n fewer if n is negative.
+// Change orders more VMs of a pool if change is positive, or gives back -change VMs if
+// change is negative.
 func (o *Orders) Change(now time.Duration, id Pool, change int) {
 	p := o.pool(id)
 	for range max(change, 0) {
@@ -95,7 +98,8 @@
 	}
 }
 
-// Undo reverts the last Change of the pool, e.g. after a refusal.
+// Undo reverts the newest orders of a pool, e.g. after a refusal. It drops the newest
+// change starts if change is positive, and the newest -change stops if change is negative.
 func (o *Orders) Undo(id Pool, change int) {
 	p := o.pool(id)
 	p.startExpiries = p.startExpiries[:max(0, len(p.startExpiries)-max(change, 0))]
--- a/coordination/fleet/releasable.go
+++ b/coordination/fleet/releasable.go
@@ -7,10 +7,11 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Releasable returns the VMs that may be stopped while reclaimable VMs are scarce, in order
-// of falling price. During that time every reclaimable VM may be taken at any moment, so
-// only the other ones count: keep of them must stay, and minPerDomain in each failure
-// domain. VMs that are still starting may fail and are ignored.
+// Releasable returns the IDs of the VMs that may be stopped while reclaimable VMs are
+// scarce, in order of falling price. During that time the cloud may reclaim any
+// reclaimable VM at any moment, so only the non-reclaimable ones count. At least
+// minNonReclaimable of these stay, and at least minPerDomain in each failure domain. VMs
+// that are still starting may fail and are ignored.
 func Releasable(vms []VM, offers []Offer, minNonReclaimable, minPerDomain int) []string {
 	nonReclaimablePrice := map[Pool]float64{}
 	for _, o := range offers {
--- a/coordination/freshness/freshness.go
+++ b/coordination/freshness/freshness.go
@@ -47,10 +47,13 @@
 // Statement is what a peer reports about its configuration.
 type Statement struct {
 	Revision uint64
-	// Echo is the last stamp of this daemon that the peer received.
+	// Echo is the time at which the receiver of the statement sent the last stamp that
+	// reached the peer, on the receiver's clock.
 	Echo time.Duration
-	// Lag is the time by which the peer's proof precedes the receipt of that stamp; zero if
-	// the proof came after it.
+	// Lag is the time from the peer's proof to the peer's receipt of that stamp, on the
+	// peer's clock; zero if the proof is later than the receipt. The stamp was sent no
+	// later than it was received, so Echo minus Lag is no later than the proof, on the
+	// receiver's clock.
 	Lag time.Duration
 	// Proved is false if the peer has no proof or has received no stamp.
 	Proved bool
--- a/coordination/freshness/freshness_test.go
+++ b/coordination/freshness/freshness_test.go
@@ -27,7 +27,7 @@
 	f.RecordRead(5, 0)
 	newer := f.Receive(freshness.Statement{Revision: 6, Proved: true, Echo: 9 * time.Second})
 	is.True(newer)
-	is.Equal(f.Age(10*time.Second), 10*time.Second) // this daemon's configuration is not the newest
+	is.Equal(f.Age(10*time.Second), 10*time.Second) // the peer's proof is of revision 6; for revision 5 only the read at time 0 counts
 }
 
 // A daemon is suspended while a peer's statement waits in its socket. If the statement were
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -177,8 +177,8 @@
 	is.True(!table.ApplyNotice(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", TimeLeft: time.Minute}))
 	is.Equal(table.Self().State, view.Live)
 
-	// If no VM ID is known, the address decides, but only until the time of the notice is
-	// over.
+	// A daemon that doesn't know its own VM ID is matched by its address, but only until
+	// the time of the notice is over.
 	table = membership.New(now, member(0, 1))
 	is.True(!table.ApplyNotice(now, membership.Notice{VM: "vm-old", Address: "10.0.0.0", TimeLeft: -time.Second}))
 	is.True(table.ApplyNotice(now, membership.Notice{VM: "vm-0", Address: "10.0.0.0", TimeLeft: time.Minute}))
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -256,8 +256,10 @@
 	return runners
 }
 
-// Tick removes expired records and marks leaving daemons and VMs as gone once their time is
-// over.
+// Tick marks a leaving daemon as gone once goneAfterLeaving has passed since its LeavesAt,
+// if that is known, and a VM as gone once it has been leaving for ForgetAfter, whatever
+// its LeavesAt. It removes suspect and gone daemons and gone VMs whose state is older than
+// ForgetAfter.
 func (t *Table) Tick(now time.Time) {
 	for key, r := range t.log.records {
 		switch {
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -86,11 +86,14 @@
 // entry is what this daemon knows of another daemon.
 type entry struct {
 	Member
-	// heardSeq is the number of the last message received directly, rowSeq that of the
-	// message from which Member was taken.
+	// heardSeq is the number of the last message received directly, rowSeq the number of
+	// the message from which Member was taken, which may have come in a row of a roster or
+	// introduction.
 	heardSeq, rowSeq uint64
-	// lastHeard is when a message was last received directly, lastMentioned when the daemon was last
-	// mentioned by any source, lastIntroduced when an introduction last counted.
+	// lastHeard is when a message was last received directly, lastMentioned when any
+	// source last mentioned the daemon. lastIntroduced is when this daemon last accepted
+	// an introduction of it; Reintroduce ignores those that follow within
+	// ReintroduceAfter.
 	lastHeard, lastMentioned, lastIntroduced time.Duration
 }
 
@@ -311,8 +314,9 @@
 	return list
 }
 
-// MentionedSince returns the other daemons that were last mentioned at the time at or later,
-// unsorted. Some of them may have lost their relays, others may have ended.
+// MentionedSince returns, unsorted, the other daemons that a message, a roster or an
+// introduction has mentioned at or after the time since. Some of them may be alive but
+// without a relay at the moment, others may have ended.
 func (t *Table) MentionedSince(since time.Duration) []ident.Incarnation {
 	var list []ident.Incarnation
 	for id, e := range t.entries {
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -4,18 +4,20 @@
 // A quota is a rate with a burst: in any window a workspace may use what the rate yields in
 // that window plus one burst. Every daemon keeps a replica of the workspace's token bucket.
 // A daemon takes its own requests out of its replica at once, and takes out what the other
-// daemons used as soon as their messages arrive, a moment later. The following rules bound
-// what the replicas can grant together:
+// daemons used as soon as their messages arrive, a moment later. The level of a replica is
+// the number of tokens that it holds; a request takes as many tokens as it costs. The
+// following rules bound what the replicas can grant together:
 //
-//   - Within one BudgetInterval a daemon takes no more than its share of what the bucket
-//     held at the start of the interval. Otherwise a workspace that floods all daemons
-//     would take the same tokens at each of them before any daemon hears of the others.
-//   - A daemon that has become silent may still be granting requests. The other daemons
-//     reserve its share of the bucket and of the refill until it is heard again or
-//     forgotten, and assume that since it was last heard it has taken as much as they have
-//     themselves.
-//   - A daemon that hears none of the daemons that it knows of grants only its own share,
-//     because it can't tell whether they are down or go on without it.
+//   - In each BudgetInterval a daemon has a budget, i.e. its share of what the bucket held
+//     at the start of the interval, and takes no more than that. Otherwise a workspace that
+//     floods all daemons would take the same tokens at each of them before any daemon hears
+//     of the others.
+//   - A daemon that has not been heard for SilentAfter is silent. It may still be granting
+//     requests. The other daemons reserve its share of the bucket and of the refill until
+//     it is heard again or forgotten, and assume that since it was last heard it has taken
+//     as much as they have themselves.
+//   - A daemon that hears none of the daemons that it knows of is isolated. It grants only
+//     its own share, because it can't tell whether the others are down or go on without it.
 //   - A daemon that starts takes over the bucket levels of the others. If no other daemon
 //     answers and the fleet has served before, its bucket starts empty. Whatever was
 //     granted a moment ago, no window then holds more than it would have without the
@@ -59,46 +61,57 @@
 }
 
 const (
-	// BudgetInterval is the longest time between two messages of a daemon if one message is
-	// lost. Each daemon gets a new budget once in this interval.
+	// BudgetInterval is the time for which a daemon's budget is valid, and the longest
+	// time since the last message of a peer for which this daemon's knowledge of the peer
+	// counts as recent. Daemons send every 100 ms, so 200 ms pass between two messages if
+	// one is lost; 50 ms more allow for delays.
 	BudgetInterval = 250 * time.Millisecond
-	// SilentAfter is how long a daemon may go unheard before its share is reserved for it.
-	// By then five messages, sent every 100 ms, are missing.
+	// SilentAfter is how long a daemon may go unheard before it counts as silent and the
+	// other daemons reserve its share. Messages are sent every 100 ms, so by then five are
+	// missing.
 	SilentAfter = 600 * time.Millisecond
 	// ForgetAfter is how long the share of an unheard daemon stays reserved.
 	ForgetAfter = 10 * time.Second
-	// minRateShare is the fraction of the refill of one interval that a daemon may take at
-	// any time. A workspace below its quota whose callers all use one daemon needs it.
-	// Above fullMinShareDaemons daemons, which can together take four times the rate in
-	// this way, the fraction falls with their number: otherwise 33 daemons could take six
-	// seconds' worth of the rate before any hears of the others. A workspace whose callers
-	// use few of many daemons then depends on its share of the recent use.
+	// minRateShare is the fraction of one interval's refill that each daemon may take in
+	// any case. Without it a workspace below its quota whose callers all use one daemon
+	// would be refused. Up to fullMinShareDaemons daemons have the full fraction; together
+	// they may take 6 × 0.7 = 4.2 times the rate in this way. Above that number the
+	// fraction falls in proportion, so that the sum stays the same: with the full
+	// fraction, 33 daemons could take 33 × 0.7 × 250 ms = 5.8 seconds' worth of the rate
+	// before any hears of the others. In a large fleet, a workspace whose callers use few
+	// daemons therefore relies on budgetShare.
 	minRateShare        = 0.7
 	fullMinShareDaemons = 6
-	// uninformedShare is the fraction of an equal share that a daemon may take once while
-	// it is uninformed, i.e. while a peer is overdue but not yet considered silent.
+	// uninformedShare is the fraction of an equal share of the bucket that a daemon may
+	// take once while it is uninformed, i.e. while some peer has not been heard for
+	// BudgetInterval but is not yet considered silent.
 	uninformedShare = 1.0
-	// uninformedMaxShares is how many such shares a single long prompt may take.
+	// uninformedMaxShares is the largest cost, in such fractions, that a single long
+	// prompt may take from an uninformed daemon.
 	uninformedMaxShares = 2.0
 	// usageDecay is the time constant with which recent use decays when shares are
 	// computed. It is several intervals long, so that a single request changes little.
 	usageDecay = time.Second
-	// burstTolerance is the fraction of the tolerance that is added to the burst, because a
-	// single prompt may cost a third of a second's worth of the rate and a level is partly
-	// an estimate. The rest of the tolerance covers what daemons take before they hear of
-	// each other.
+	// burstTolerance is the fraction of the tolerance that is added to the burst. A single
+	// prompt may cost a third of a second's worth of the rate, and the level is partly an
+	// estimate; the addition keeps such a prompt from being refused. For example, with a
+	// rate of 300,000 per second, a burst of 300,000, a window of 8 s, an Overage of 0.1
+	// and a Slack of 190,000, the tolerance is 460,000 and the addition 174,800, while
+	// such a prompt costs 100,000. The rest of the tolerance covers what daemons take
+	// before they hear of each other.
 	burstTolerance = 0.38
 	// minRetryWait is the shortest wait that a refusal reports, so that callers don't retry
 	// at once.
 	minRetryWait = 5 * time.Millisecond
-	// steadyFraction is the fraction of a window's allowance beyond the rate that is
-	// granted as additional refill; the rest is the bucket's capacity. A workspace that
-	// constantly sends a little over its rate is within its quota in every window, but a
-	// bucket as large as the burst that is refilled at the bare rate would refuse it. The
-	// remaining capacity holds several of the longest prompts.
+	// steadyFraction is the fraction of windowBurst that is granted evenly over the
+	// window, as additional refill; the rest of windowBurst is the bucket's capacity. A
+	// workspace that constantly sends a little over its rate is within its quota in every
+	// window, but a bucket with the whole windowBurst as capacity that is refilled at the
+	// bare rate would refuse it. The remaining capacity still holds several of the longest
+	// prompts.
 	steadyFraction = 0.5
-	// syncPeriod is how long after its start a daemon takes over the bucket levels of the
-	// others.
+	// syncPeriod is the time after its start during which a daemon takes over the bucket
+	// levels of daemons that have been running for at least this time.
 	syncPeriod = 3 * time.Second
 )
 
@@ -141,7 +154,7 @@
 	taken     map[ident.Workspace]float64
 	// recentUsage is the recent use by the peer's requests.
 	recentUsage map[ident.Workspace]*decayingSum
-	// ownTakenWhenHeard is the value of bucket.taken when the peer was last heard.
+	// ownTakenWhenHeard is what bucket.taken was when the peer was last heard.
 	ownTakenWhenHeard map[ident.Workspace]float64
 	// silent is set when the peer has been unheard for SilentAfter. reserved is what has
 	// been set aside for it since then.
@@ -160,8 +173,9 @@
 	// expectedDaemons is how many daemons may exist, including this one, whether or not
 	// they have been heard.
 	expectedDaemons int
-	// isolationShares is the number of parts into which the buckets are divided while no
-	// other daemon is heard. Zero means that this daemon is not isolated.
+	// isolationShares is the number of equal shares into which the buckets are divided
+	// while this daemon is isolated, i.e. hears no other daemon although it knows of some.
+	// Zero means that this daemon is not isolated.
 	isolationShares int
 	// synced is set once the bucket levels of an older daemon were taken over.
 	synced bool
@@ -176,8 +190,8 @@
 	}
 }
 
-// windowBurst is what a window may hold beyond the rate: the burst and burstTolerance of
-// the tolerance.
+// windowBurst is what a workspace may use in a window on top of the rate: the burst plus
+// the fraction burstTolerance of the tolerance.
 func (l *Limiter) windowBurst(limit Limit) float64 {
 	quota := limit.PerSecond*l.window.Seconds() + limit.Burst
 	return limit.Burst + burstTolerance*(l.tolerance.Overage*quota+l.tolerance.Slack)
@@ -243,6 +257,11 @@
 	}
 	switch allPeersRecent := l.allPeersRecent(now); {
 	case now < b.budgetEnds:
+	// A peer is overdue. The daemon keeps its previous budget, because daemons that have just
+	// lost contact with each other would take the same tokens again from a new one. It adds
+	// uninformedShare of an equal share once. Otherwise, from the end of any daemon until it
+	// counts as silent, the others would refuse requests of workspaces that they had not
+	// served a moment before.
 	case !allPeersRecent && !b.uninformedBudgetUsed && l.daemonCount() > 1:
 		b.uninformedBudgetUsed = true
 		uninformedBudget := uninformedShare * b.level / float64(l.daemonCount())
@@ -300,11 +319,7 @@
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // allPeersRecent reports whether every daemon that is not silent was heard within the last
-// BudgetInterval. Otherwise the daemon keeps its previous budget and gets one additional
-// part of an equal share. With a new budget in each interval, daemons that have just lost
-// contact would take the same tokens again. Without the additional part, the end of one
-// daemon would make the others refuse requests of workspaces that they had not served a
-// moment before, until that daemon counts as silent.
+// BudgetInterval.
 func (l *Limiter) allPeersRecent(now time.Duration) bool {
 	for _, p := range l.peers {
 		if !p.silent && now-p.lastHeard > BudgetInterval {
@@ -344,9 +359,10 @@
 	b.level = min(l.capacity(b.limit), b.level+gained)
 }
 
-// reserveForSilentPeers finds the peers that have just become silent and reserves for each its
-// share of the buckets. Such a peer is assumed to have taken as much as this daemon since
-// it was last heard, because a flood reaches all daemons alike.
+// reserveForSilentPeers finds the peers that have just become silent and takes a reserve
+// for each of them out of every bucket. Such a peer is assumed to have taken as much since
+// it was last heard as this daemon did, because a flood reaches all daemons alike. The
+// peer's equal share of what remains is reserved as well.
 func (l *Limiter) reserveForSilentPeers(now time.Duration) {
 	for _, p := range l.peers {
 		if p.silent || now-p.lastHeard <= SilentAfter {
@@ -380,11 +396,12 @@
 	return now - l.startedAt
 }
 
-// SetIsolationShares sets the number of parts into which the buckets are divided while this
-// daemon hears no other; its own part is included. Zero ends the division.
+// SetIsolationShares sets the number of equal shares into which the buckets are divided
+// while this daemon hears no other one; this daemon's own share is included. Zero ends the
+// division.
 func (l *Limiter) SetIsolationShares(shares int) { l.isolationShares = shares }
 
-// recordUse adds amount to the recent use of the workspace by the peer.
+// recordUse adds amount to the recent use of the workspace at the peer.
 func (p *peerState) recordUse(now time.Duration, ws ident.Workspace, amount float64) {
 	recentUsage, ok := p.recentUsage[ws]
 	if !ok {
@@ -471,7 +488,8 @@
 	delete(l.peers, id)
 }
 
-// PeerEnded removes a daemon that has ended.
+// PeerEnded removes a daemon that has ended. What was reserved for the daemon counts as
+// taken and is not returned to the buckets.
 func (l *Limiter) PeerEnded(id ident.Incarnation) { delete(l.peers, id) }
 
 // Tick removes the peers that have not been heard for ForgetAfter.
--- a/coordination/relays/confirmation_test.go
+++ b/coordination/relays/confirmation_test.go
@@ -9,8 +9,9 @@
 	"geraniumstack.org/geraniumstack/coordination/relays"
 )
 
-// Guards against a daemon that uses an entire quota in addition to relays that don't count
-// that daemon.
+// Guards against use above a quota. A daemon may wrongly consider itself a relay while the
+// actual relays divide the entire quota among themselves and don't count that daemon. It
+// must grant nothing until another relay confirms it.
 func TestRelayThatNobodyElectsSharesNothing(t *testing.T) {
 	is := is.New(t)
 	var s relays.Confirmation
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -42,8 +42,8 @@
 	// Alive holds the other daemons that are considered alive. It must include all daemons
 	// in this daemon's own failure domain and, on a relay, those of all domains.
 	Alive []peers.Member
-	// FleetSize is the number of daemons and Domains the number of failure domains known to
-	// relays. They may exceed what this daemon knows; zero means unknown.
+	// FleetSize is the number of daemons and DomainCount the number of failure domains
+	// known to relays. They may exceed what this daemon knows itself; zero means unknown.
 	FleetSize   int
 	DomainCount int
 	// DirectFleet is the largest fleet in which every daemon sends to every other; zero
@@ -67,10 +67,10 @@
 	WatchesStore  bool
 	OtherWatchers []peers.Member
 	WatchSource   peers.Member
-	// RelaysPerDomain is the number of relays that each failure domain should have. Domains
-	// is the number of failure domains that this daemon knows itself. Only Domains is sent
-	// to others: if RelaysPerDomain were, daemons with a wrong value would confirm each
-	// other.
+	// RelaysPerDomain is the number of relays that each failure domain should have.
+	// DomainCount is the number of failure domains that this daemon knows itself. Only
+	// DomainCount is sent to other daemons: if RelaysPerDomain were sent and used, daemons
+	// with a wrong value would confirm each other's value.
 	RelaysPerDomain int
 	DomainCount     int
 	// Direct is set if the fleet is small enough for all daemons to be relays, AllWatch if
--- a/coordination/relays/relays_test.go
+++ b/coordination/relays/relays_test.go
@@ -104,8 +104,10 @@
 	is.Equal(len(p.Followed), 0)
 }
 
-// Guards against a daemon that stays an additional relay in its failure domain because it
-// knows few failure domains and concludes that each of them needs more relays.
+// Guards against a daemon that stays an additional relay in its failure domain. The total
+// number of relays is divided by the number of failure domains, so a daemon that used only
+// the few domains that it knows itself would compute too many relays for each of them. The
+// number of domains known to the relays must count.
 func TestKnowingFewDomainsElectsNoExtraRelays(t *testing.T) {
 	is := is.New(t)
 	members := fleet(119, 6)
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -72,7 +72,7 @@
 	// Changed returns a channel that is closed at the next change of any of these.
 	Changed() <-chan struct{}
 	// NoteLeaving records that the runner at an address is leaving, as learned from the
-	// runner itself or from its refusal of a request. The information spreads to the other
-	// daemons.
+	// runner itself or from its refusal of a request. timeLeft is the time until the
+	// runner ends. The information spreads to the other daemons.
 	NoteLeaving(address string, timeLeft time.Duration)
 }
