--- a/coordination/feed/feed.go
+++ b/coordination/feed/feed.go
@@ -27,8 +27,8 @@
 type Batch struct {
 	// After is the revision that was asked for.
 	After uint64
-	// Through is the revision up to which a receiver that knows everything through After is
-	// complete once it has applied the changes.
+	// Through is the revision through which the receiver has all changes after it has
+	// applied Changes, provided that it had all changes through After.
 	Through uint64
 	Changes []Change
 }
@@ -49,7 +49,8 @@
 	revision uint64
 	// forgottenThrough is the revision of the latest deletion that was forgotten.
 	forgottenThrough uint64
-	// gaps are the ranges of revisions for which only the resulting keys were listed.
+	// gaps holds the ranges of revisions that the log skipped because it was reset from a
+	// list of keys instead of following a watch.
 	gaps []gap
 	// changes is sorted by revision. Changes that latest doesn't refer to are superseded.
 	changes   []Change
@@ -57,9 +58,10 @@
 	deletions int
 }
 
-// gap is a range of revisions, exclusive at both ends, in which keys may have been written
-// and deleted without the log learning of it. A follower whose revision lies within the
-// range may hold such a key.
+// gap is a range of revisions, exclusive at both ends, within which the log doesn't know
+// every change. A list shows only the keys that exist at its revision, so the log knows
+// nothing of a key that was both written and deleted within the range. A follower whose
+// revision lies within the range may still hold such a key.
 type gap struct{ from, to uint64 }
 
 // NewLog returns an empty log.
@@ -151,7 +153,7 @@
 	if after < l.forgottenThrough || l.revision == 0 || slices.ContainsFunc(l.gaps, func(g gap) bool { return g.from < after && after < g.to }) {
 		return Batch{}, false
 	}
-	p := Batch{After: after, Through: l.revision}
+	batch := Batch{After: after, Through: l.revision}
 	from, _ := slices.BinarySearchFunc(l.changes, after+1, func(c Change, r uint64) int { return cmp.Compare(c.Revision, r) })
 	size := 0
 	for _, c := range l.changes[from:] {
@@ -160,11 +162,11 @@
 		}
 		size += len(c.Key) + len(c.Value) + changeOverhead
 		// Changes with the same revision are never split between two batches.
-		if n := len(p.Changes); size > maxBytes && n > 0 && c.Revision > p.Changes[n-1].Revision {
-			p.Through = min(p.Through, c.Revision-1)
+		if n := len(batch.Changes); size > maxBytes && n > 0 && c.Revision > batch.Changes[n-1].Revision {
+			batch.Through = min(batch.Through, c.Revision-1)
 			break
 		}
-		p.Changes = append(p.Changes, c)
+		batch.Changes = append(batch.Changes, c)
 	}
-	return p, true
+	return batch, true
 }
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -1,8 +1,8 @@
-// Package site holds small stand-ins of the users' platform for tests, spoken to by
-// its published protocol: the metadata store (over the product's own key-value
-// stand-in and its faults), runners that can misbehave on the wire, and the cloud.
-// It states the wire names a second time on purpose: a name that the adapter gets
-// wrong must not be right here by using the same constant.
+// Package site holds small stand-ins for the customers' platform that tests reach
+// through the platform's published protocol: the metadata store (backed by package
+// kvserver with its fault injection), runners that can violate HTTP, and the cloud API.
+// The wire names are repeated here instead of being shared with the platform adapter,
+// so that tests detect a wrong name in the adapter.
 package site
 
 import (
@@ -18,40 +18,40 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Store serves a key-value stand-in by the platform's protocol.
+// Store serves a kvserver.Store through the platform's protocol.
 type Store struct {
 	*httptest.Server
 	KV *kvserver.Store
-	// PageSize bounds the items of one page.
+	// PageSize is the maximum number of items in one page of a list.
 	PageSize int
 }
 
 const (
-	defaultPage = 500
-	// ownerTimeout bounds the owners' own calls: an answer that is lost silently
-	// would keep them for good.
-	ownerTimeout = time.Second
+	defaultPageSize = 500
+	// directCallTimeout bounds the calls of Put, PutBytes and Remove, which would block
+	// forever when a fault drops the response without an error.
+	directCallTimeout = time.Second
 )
 
 // NewStore starts a store on the loopback interface.
 func NewStore() *Store {
-	s := &Store{KV: kvserver.New(), PageSize: defaultPage}
+	s := &Store{KV: kvserver.New(), PageSize: defaultPageSize}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/kv-key", s.get)
 	mux.HandleFunc("GET /v1/kv-range", s.list)
 	mux.HandleFunc("GET /v1/kv-watch", s.watch)
 	mux.HandleFunc("POST /v1/kv-txn", s.transact)
-	mux.HandleFunc("POST /v1/kv-lease", s.grant)
-	mux.HandleFunc("POST /v1/kv-keep/{id}", s.keep)
-	mux.HandleFunc("DELETE /v1/kv-lease-end/{id}", s.end)
+	mux.HandleFunc("POST /v1/kv-lease", s.grantLease)
+	mux.HandleFunc("POST /v1/kv-keep/{id}", s.keepLeaseAlive)
+	mux.HandleFunc("DELETE /v1/kv-lease-end/{id}", s.revokeLease)
 	s.Server = httptest.NewServer(mux)
 	return s
 }
 
-// Address is the store's IP and port.
+// Address returns the store's IP address and port.
 func (s *Store) Address() string { return s.Listener.Addr().String() }
 
-// Put writes a key as its owner does, whatever stands there.
+// Put writes value as JSON, whatever the key's present revision.
 func (s *Store) Put(key string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -60,9 +60,9 @@
 	return s.PutBytes(key, data)
 }
 
-// PutBytes writes any bytes.
+// PutBytes writes data without encoding it, so that tests can store invalid JSON.
 func (s *Store) PutBytes(key string, data []byte) error {
-	ctx, cancel := context.WithTimeout(context.Background(), ownerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), directCallTimeout)
 	defer cancel()
 	entry, err := s.KV.Get(ctx, key)
 	if err != nil {
@@ -72,16 +72,16 @@
 	return err
 }
 
-// Remove deletes a key.
+// Remove deletes a key, whatever its present revision. A missing key is no error.
 func (s *Store) Remove(key string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), ownerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), directCallTimeout)
 	defer cancel()
 	entry, err := s.KV.Get(ctx, key)
 	if err != nil {
 		return err
 	}
 	if entry.Revision == 0 {
-		// The answer to a former try was lost.
+		// The response to an earlier attempt to remove the key was lost.
 		return nil
 	}
 	return s.KV.Delete(ctx, key, entry.Revision)
@@ -95,11 +95,11 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-func itemOf(e kv.Entry) wireItem {
+func toWireItem(e kv.Entry) wireItem {
 	return wireItem{Key: e.Key, Value: e.Value, Revision: uint64(e.Revision), Lease: uint64(e.Lease)}
 }
 
-func (s *Store) revision(ctx context.Context) uint64 {
+func (s *Store) currentRevision(ctx context.Context) uint64 {
 	_, next, err := s.KV.Watch(ctx, "no such key", 0, 0)
 	var compacted *kv.CompactedError
 	if errors.As(err, &compacted) {
@@ -110,28 +110,28 @@
 
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	entry, err := s.KV.Get(r.Context(), r.URL.Query().Get("key"))
-	if fail(w, err) {
+	if writeFailure(w, err) {
 		return
 	}
 	if entry.Revision == 0 {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, itemOf(entry))
+	writeJSON(w, http.StatusOK, toWireItem(entry))
 }
 
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	entries, err := s.KV.List(r.Context(), q.Get("path_prefix"), q.Get("after"), s.PageSize+1)
-	if fail(w, err) {
+	if writeFailure(w, err) {
 		return
 	}
 	more := len(entries) > s.PageSize
 	items := []wireItem{}
 	for _, e := range entries[:min(len(entries), s.PageSize)] {
-		items = append(items, itemOf(e))
+		items = append(items, toWireItem(e))
 	}
-	answer(w, http.StatusOK, map[string]any{"items": items, "has_more": more, "store_revision": s.revision(r.Context())})
+	writeJSON(w, http.StatusOK, map[string]any{"items": items, "has_more": more, "store_revision": s.currentRevision(r.Context())})
 }
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
@@ -144,16 +144,16 @@
 		w.WriteHeader(http.StatusGone)
 		return
 	}
-	if fail(w, err) {
+	if writeFailure(w, err) {
 		return
 	}
 	items := []wireItem{}
 	for _, c := range changes {
-		i := itemOf(c.Entry)
-		i.Deleted = c.Deleted
-		items = append(items, i)
+		item := toWireItem(c.Entry)
+		item.Deleted = c.Deleted
+		items = append(items, item)
 	}
-	answer(w, http.StatusOK, map[string]any{"events": items, "store_revision": uint64(next)})
+	writeJSON(w, http.StatusOK, map[string]any{"events": items, "store_revision": uint64(next)})
 }
 
 type wireTransaction struct {
@@ -169,7 +169,8 @@
 	Remove []string `json:"remove"`
 }
 
-// transact takes what the product sends: one condition with one put or removal.
+// transact supports only the transactions that the platform adapter sends: one expected
+// revision with one put or one removal.
 func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
 	var t wireTransaction
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil || len(t.Expected) != 1 || len(t.Puts)+len(t.Remove) != 1 {
@@ -188,15 +189,15 @@
 	var expired *kv.LeaseExpiredError
 	switch {
 	case errors.As(err, &conflict):
-		answer(w, http.StatusPreconditionFailed, map[string]any{"items": []wireItem{itemOf(conflict.Current)}})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]any{"items": []wireItem{toWireItem(conflict.Current)}})
 	case errors.As(err, &expired):
 		w.WriteHeader(http.StatusNotFound)
-	case !fail(w, err):
-		answer(w, http.StatusOK, map[string]uint64{"revision": uint64(revision)})
+	case !writeFailure(w, err):
+		writeJSON(w, http.StatusOK, map[string]uint64{"revision": uint64(revision)})
 	}
 }
 
-func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		TTL int64 `json:"ttl_ms"`
 	}
@@ -205,20 +206,20 @@
 		return
 	}
 	id, err := s.KV.Grant(r.Context(), time.Duration(request.TTL)*time.Millisecond)
-	if !fail(w, err) {
-		answer(w, http.StatusOK, map[string]uint64{"lease": uint64(id), "ttl_ms": uint64(request.TTL)})
+	if !writeFailure(w, err) {
+		writeJSON(w, http.StatusOK, map[string]uint64{"lease": uint64(id), "ttl_ms": uint64(request.TTL)})
 	}
 }
 
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
-	s.onLease(w, r, s.KV.KeepAlive)
+func (s *Store) keepLeaseAlive(w http.ResponseWriter, r *http.Request) {
+	s.callWithLease(w, r, s.KV.KeepAlive)
 }
 
-func (s *Store) end(w http.ResponseWriter, r *http.Request) {
-	s.onLease(w, r, s.KV.Revoke)
+func (s *Store) revokeLease(w http.ResponseWriter, r *http.Request) {
+	s.callWithLease(w, r, s.KV.Revoke)
 }
 
-func (s *Store) onLease(w http.ResponseWriter, r *http.Request, call func(context.Context, kv.LeaseID) error) {
+func (s *Store) callWithLease(w http.ResponseWriter, r *http.Request, call func(context.Context, kv.LeaseID) error) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	err := call(r.Context(), kv.LeaseID(id))
 	var expired *kv.LeaseExpiredError
@@ -226,14 +227,14 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if !fail(w, err) {
-		answer(w, http.StatusOK, map[string]int{"ttl_ms": 0})
+	if !writeFailure(w, err) {
+		writeJSON(w, http.StatusOK, map[string]int{"ttl_ms": 0})
 	}
 }
 
-// fail answers for a call that the faults made fail; a lost answer cuts the
-// connection.
-func fail(w http.ResponseWriter, err error) bool {
+// writeFailure responds with status 503 if err is set, and reports whether it is. For a
+// lost answer it aborts the connection instead.
+func writeFailure(w http.ResponseWriter, err error) bool {
 	var lost *kvserver.LostAnswerError
 	switch {
 	case err == nil:
@@ -245,9 +246,9 @@
 	return true
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A client that has gone needs no answer.
+	// Encoding fails only when the client has closed the connection.
 	_ = json.NewEncoder(w).Encode(body)
 }
