--- a/standin/cloudapi/cloud.go
+++ b/standin/cloudapi/cloud.go
@@ -65,26 +65,26 @@
 	settings Settings
 	started  time.Time
 
-	mu      sync.Mutex
-	vms     map[string]*vm
-	order   []*vm
-	tokens  map[string]*vm
-	lastID  int
-	fencing uint64
-	notices []notice
-	changed chan struct{} // closed at the next notice or change of faults
-	faults  Faults
-	refused int
-	// reclaimed is when a failure domain last had a notice.
-	reclaimed map[ident.FailureDomain]time.Time
-	timers    []*time.Timer
-	closed    bool
+	mu              sync.Mutex
+	vms             map[string]*vm
+	vmsInOrder      []*vm
+	vmsByStartToken map[string]*vm
+	lastID          int
+	fencing         uint64
+	notices         []notice
+	changed         chan struct{} // closed at the next notice or change of faults
+	faults          Faults
+	refusedStarts   int
+	// lastReclaim is when a failure domain last had a notice.
+	lastReclaim map[ident.FailureDomain]time.Time
+	killTimers  []*time.Timer
+	closed      bool
 }
 
 // vm keeps when a VM's state changed, so that the list can tell what it was.
 type vm struct {
 	cloudapi.VM
-	born, live, noticed, deadline, gone time.Time
+	createdAt, liveAt, noticed, deadline, goneAt time.Time
 }
 
 type notice struct {
@@ -100,51 +100,51 @@
 // New returns a cloud without VMs.
 func New(s Settings) *Cloud {
 	return &Cloud{
-		settings: s,
-		started:  time.Now(),
-		vms:      map[string]*vm{},
-		tokens:   map[string]*vm{},
-		changed:  make(chan struct{}),
+		settings:        s,
+		started:         time.Now(),
+		vms:             map[string]*vm{},
+		vmsByStartToken: map[string]*vm{},
+		changed:         make(chan struct{}),
 
-		reclaimed: map[ident.FailureDomain]time.Time{},
+		lastReclaim: map[ident.FailureDomain]time.Time{},
 	}
 }
 
 // Start implements cloudapi.Cloud.
 func (c *Cloud) Start(ctx context.Context, r cloudapi.StartRequest) (cloudapi.VM, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beforeCall(ctx); err != nil {
 		return cloudapi.VM{}, err
 	}
-	v, fresh, err := c.start(r)
+	v, created, err := c.start(r)
 	if err != nil {
 		return cloudapi.VM{}, err
 	}
-	if fresh && c.settings.Hooks.Launch != nil {
+	if created && c.settings.Hooks.Launch != nil {
 		if err := c.launch(v); err != nil {
 			return cloudapi.VM{}, err
 		}
 	}
-	if c.losesAnswer() {
+	if c.takeLostAnswer() {
 		return cloudapi.VM{}, &cloudapi.UnavailableError{Err: &LostAnswerError{}}
 	}
 	return c.Describe(v.ID)
 }
 
-func (c *Cloud) start(r cloudapi.StartRequest) (started *vm, fresh bool, err error) {
+func (c *Cloud) start(r cloudapi.StartRequest) (started *vm, created bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.fence(r.Fencing); err != nil {
+	if err := c.checkFencing(r.Fencing); err != nil {
 		return nil, false, err
 	}
-	if v := c.tokens[r.Token]; v != nil {
+	if v := c.vmsByStartToken[r.Token]; v != nil {
 		return v, false, nil
 	}
 	class, ok := c.class(r.Class)
-	if !ok || !c.has(r.FailureDomain) {
+	if !ok || !c.hasFailureDomain(r.FailureDomain) {
 		return nil, false, &cloudapi.NotFoundError{Resource: fmt.Sprintf("class %q in %q", r.Class, r.FailureDomain)}
 	}
-	if reason := c.refuses(r, class); reason != "" {
-		c.refused++
+	if reason := c.refusalReason(r, class); reason != "" {
+		c.refusedStarts++
 		return nil, false, &cloudapi.StartRefusedError{Reason: reason}
 	}
 	now := time.Now()
@@ -155,7 +155,7 @@
 		PricePerHour:  c.price(r.FailureDomain, class, now),
 		Service:       r.Service,
 	}, now, now.Add(c.settings.StartTime))
-	c.tokens[r.Token] = v
+	c.vmsByStartToken[r.Token] = v
 	return v, true, nil
 }
 
@@ -165,14 +165,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		v.gone = time.Now()
+		v.goneAt = time.Now()
 		return &cloudapi.UnavailableError{Err: fmt.Errorf("launch %s: %w", v.ID, err)}
 	}
 	v.Address = address
 	return nil
 }
 
-func (c *Cloud) fence(fencing uint64) error {
+func (c *Cloud) checkFencing(fencing uint64) error {
 	if c.settings.ChecksFencing && fencing < c.fencing {
 		return &cloudapi.StaleFencingError{Seen: c.fencing}
 	}
@@ -180,43 +180,43 @@
 	return nil
 }
 
-func (c *Cloud) add(described cloudapi.VM, born, live time.Time) *vm {
+func (c *Cloud) add(description cloudapi.VM, createdAt, liveAt time.Time) *vm {
 	c.lastID++
-	if described.ID == "" {
-		described.ID = fmt.Sprintf("vm-%s-%d", described.FailureDomain, c.lastID)
+	if description.ID == "" {
+		description.ID = fmt.Sprintf("vm-%s-%d", description.FailureDomain, c.lastID)
 	}
-	v := &vm{VM: described, born: born, live: live}
+	v := &vm{VM: description, createdAt: createdAt, liveAt: liveAt}
 	c.vms[v.ID] = v
-	c.order = append(c.order, v)
+	c.vmsInOrder = append(c.vmsInOrder, v)
 	return v
 }
 
 // Register enters a VM that runs already, such as an entry VM or a runner of
 // the first set. An empty ID is filled in.
-func (c *Cloud) Register(described cloudapi.VM) cloudapi.VM {
+func (c *Cloud) Register(description cloudapi.VM) cloudapi.VM {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	v := c.add(described, now.Add(-c.settings.ListLag), now.Add(-c.settings.ListLag))
-	return v.at(now)
+	v := c.add(description, now.Add(-c.settings.ListLag), now.Add(-c.settings.ListLag))
+	return v.stateAt(now)
 }
 
 // Stop implements cloudapi.Cloud. Stopping a VM that is gone succeeds.
 func (c *Cloud) Stop(ctx context.Context, id string, fencing uint64) error {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beforeCall(ctx); err != nil {
 		return err
 	}
-	if err := c.stoppable(id, fencing); err != nil {
+	if err := c.checkStop(id, fencing); err != nil {
 		return err
 	}
 	c.Kill(id)
 	return nil
 }
 
-func (c *Cloud) stoppable(id string, fencing uint64) error {
+func (c *Cloud) checkStop(id string, fencing uint64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.fence(fencing); err != nil {
+	if err := c.checkFencing(fencing); err != nil {
 		return err
 	}
 	if c.vms[id] == nil {
@@ -229,54 +229,54 @@
 func (c *Cloud) Kill(id string) bool {
 	c.mu.Lock()
 	v := c.vms[id]
-	if v == nil || !v.gone.IsZero() {
+	if v == nil || !v.goneAt.IsZero() {
 		c.mu.Unlock()
 		return false
 	}
-	v.gone = time.Now()
-	described := v.VM
+	v.goneAt = time.Now()
+	description := v.VM
 	c.mu.Unlock()
 	if removed := c.settings.Hooks.Removed; removed != nil {
-		removed(described)
+		removed(description)
 	}
 	return true
 }
 
 // Reclaim gives notice to one VM; it is gone after left. It reports whether
 // the VM was there without an earlier notice.
-func (c *Cloud) Reclaim(id string, left time.Duration) bool {
+func (c *Cloud) Reclaim(id string, remaining time.Duration) bool {
 	c.mu.Lock()
 	v := c.vms[id]
-	if v == nil || !v.gone.IsZero() || !v.noticed.IsZero() {
+	if v == nil || !v.goneAt.IsZero() || !v.noticed.IsZero() {
 		c.mu.Unlock()
 		return false
 	}
 	v.noticed = time.Now()
-	v.deadline = v.noticed.Add(left)
-	c.reclaimed[v.FailureDomain] = v.noticed
+	v.deadline = v.noticed.Add(remaining)
+	c.lastReclaim[v.FailureDomain] = v.noticed
 	if !c.faults.DropNotices {
 		c.notices = append(c.notices, notice{
 			Notice:   cloudapi.Notice{Sequence: uint64(len(c.notices) + 1), VM: id, Address: v.Address},
 			deadline: v.deadline,
 		})
-		c.wake()
+		c.notifyWaiters()
 	}
 	described := v.VM
 	c.mu.Unlock()
 	if noticed := c.settings.Hooks.Noticed; noticed != nil {
-		noticed(described, left)
+		noticed(described, remaining)
 	}
-	c.killAfter(id, left)
+	c.killAfter(id, remaining)
 	return true
 }
 
-func (c *Cloud) killAfter(id string, left time.Duration) {
+func (c *Cloud) killAfter(id string, remaining time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
-	c.timers = append(c.timers, time.AfterFunc(left, func() { c.Kill(id) }))
+	c.killTimers = append(c.killTimers, time.AfterFunc(remaining, func() { c.Kill(id) }))
 }
 
 // Close keeps the VMs that have a notice from being killed later.
@@ -284,17 +284,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for _, timer := range c.timers {
+	for _, timer := range c.killTimers {
 		timer.Stop()
 	}
 }
 
 // ReclaimDomain gives notice to all reclaimable VMs of a failure domain and
 // returns their IDs.
-func (c *Cloud) ReclaimDomain(domain ident.FailureDomain, left time.Duration) []string {
+func (c *Cloud) ReclaimDomain(domain ident.FailureDomain, remaining time.Duration) []string {
 	var reclaimed []string
 	for _, v := range c.VMs() {
-		if v.FailureDomain == domain && v.Reclaimable && c.Reclaim(v.ID, left) {
+		if v.FailureDomain == domain && v.Reclaimable && c.Reclaim(v.ID, remaining) {
 			reclaimed = append(reclaimed, v.ID)
 		}
 	}
@@ -303,7 +303,7 @@
 
 // Notices implements cloudapi.Cloud.
 func (c *Cloud) Notices(ctx context.Context, after uint64, wait time.Duration) ([]cloudapi.Notice, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beforeCall(ctx); err != nil {
 		return nil, err
 	}
 	timer := time.NewTimer(wait)
@@ -339,7 +339,7 @@
 
 // Quotes implements cloudapi.Cloud.
 func (c *Cloud) Quotes(ctx context.Context) ([]cloudapi.Quote, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beforeCall(ctx); err != nil {
 		return nil, err
 	}
 	now := time.Now()
@@ -371,7 +371,7 @@
 	return Class{}, false
 }
 
-func (c *Cloud) has(domain ident.FailureDomain) bool {
+func (c *Cloud) hasFailureDomain(domain ident.FailureDomain) bool {
 	for _, d := range c.settings.FailureDomains {
 		if d == domain {
 			return true
@@ -382,22 +382,22 @@
 
 // List implements cloudapi.Lister: the VMs as they were a ListLag ago.
 func (c *Cloud) List(ctx context.Context) ([]cloudapi.VM, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beforeCall(ctx); err != nil {
 		return nil, err
 	}
-	return c.asOf(time.Now().Add(-c.settings.ListLag)), nil
+	return c.vmsAt(time.Now().Add(-c.settings.ListLag)), nil
 }
 
 // VMs lists the VMs as they are now, by ID.
-func (c *Cloud) VMs() []cloudapi.VM { return c.asOf(time.Now()) }
+func (c *Cloud) VMs() []cloudapi.VM { return c.vmsAt(time.Now()) }
 
-func (c *Cloud) asOf(t time.Time) []cloudapi.VM {
+func (c *Cloud) vmsAt(t time.Time) []cloudapi.VM {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var listed []cloudapi.VM
-	for _, v := range c.order {
-		if described := v.at(t); described.State != "" {
-			listed = append(listed, described)
+	for _, v := range c.vmsInOrder {
+		if description := v.stateAt(t); description.State != "" {
+			listed = append(listed, description)
 		}
 	}
 	sort.Slice(listed, func(i, j int) bool { return listed[i].ID < listed[j].ID })
@@ -409,22 +409,22 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if v := c.vms[id]; v != nil {
-		if described := v.at(time.Now()); described.State != "" {
-			return described, nil
+		if description := v.stateAt(time.Now()); description.State != "" {
+			return description, nil
 		}
 	}
 	return cloudapi.VM{}, &cloudapi.NotFoundError{Resource: id}
 }
 
-// at is the VM as it was at t, with an empty state if it was not there.
-func (v *vm) at(t time.Time) cloudapi.VM {
+// stateAt is the VM as it was stateAt t, with an empty state if it was not there.
+func (v *vm) stateAt(t time.Time) cloudapi.VM {
 	described := v.VM
 	switch {
-	case t.Before(v.born), !v.gone.IsZero() && !t.Before(v.gone):
+	case t.Before(v.createdAt), !v.goneAt.IsZero() && !t.Before(v.goneAt):
 		described.State = ""
 	case !v.noticed.IsZero() && !t.Before(v.noticed):
 		described.State = cloudapi.VMLeaving
-	case t.Before(v.live):
+	case t.Before(v.liveAt):
 		described.State = cloudapi.VMStarting
 	default:
 		described.State = cloudapi.VMLive
@@ -438,12 +438,12 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	cost := 0.0
-	for _, v := range c.order {
+	for _, v := range c.vmsInOrder {
 		end := now
-		if !v.gone.IsZero() {
-			end = v.gone
+		if !v.goneAt.IsZero() {
+			end = v.goneAt
 		}
-		cost += v.PricePerHour * end.Sub(v.born).Hours()
+		cost += v.PricePerHour * end.Sub(v.createdAt).Hours()
 	}
 	return cost
 }
--- a/standin/cloudapi/cloudapi_test.go
+++ b/standin/cloudapi/cloudapi_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// serve runs a test in a bubble with a client of the handler.
-func serve(t *testing.T, handler func() http.Handler, test func(is *is.I, c *cloudapi.Client)) {
+// runWithClient runs a test in a bubble with a client of the handler.
+func runWithClient(t *testing.T, handler func() http.Handler, test func(is *is.I, c *cloudapi.Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := pipe.NewNetwork()
@@ -48,7 +48,7 @@
 // the cloud that it is the same.
 func TestLostStartIsRepeatedSafely(t *testing.T) {
 	var cloud *Cloud
-	serve(t, func() http.Handler { cloud = New(settings()); return cloud.Handler() }, func(is *is.I, c *cloudapi.Client) {
+	runWithClient(t, func() http.Handler { cloud = New(settings()); return cloud.Handler() }, func(is *is.I, c *cloudapi.Client) {
 		ctx := context.Background()
 		cloud.SetFaults(Faults{LoseAnswers: 1})
 		request := cloudapi.StartRequest{Token: "t1", FailureDomain: "a", Class: "spot", Service: "s"}
@@ -64,7 +64,7 @@
 
 func TestRefusedStarts(t *testing.T) {
 	var cloud *Cloud
-	serve(t, func() http.Handler { cloud = New(settings()); return cloud.Handler() }, func(is *is.I, c *cloudapi.Client) {
+	runWithClient(t, func() http.Handler { cloud = New(settings()); return cloud.Handler() }, func(is *is.I, c *cloudapi.Client) {
 		ctx := context.Background()
 		cloud.SetFaults(Faults{RefuseDomains: []ident.FailureDomain{"a"}})
 		_, err := c.Start(ctx, cloudapi.StartRequest{Token: "t1", FailureDomain: "a", Class: "spot"})
@@ -105,11 +105,11 @@
 	is := is.New(t)
 	w := NewWeights(1, 1, cloudapi.Weight{Name: "m", Version: "1", Bytes: 100})
 	now := time.Now()
-	is.Equal(w.Transfer(now, "m", "1"), time.Duration(0))
+	is.Equal(w.TransferTime(now, "m", "1"), time.Duration(0))
 	w.LimitTransfers(10)
-	is.Equal(w.Transfer(now, "m", "1"), 10*time.Second)
-	is.Equal(w.Transfer(now, "m", "1"), 20*time.Second)
-	is.Equal(w.Transfer(now.Add(time.Minute), "m", "1"), 10*time.Second)
+	is.Equal(w.TransferTime(now, "m", "1"), 10*time.Second)
+	is.Equal(w.TransferTime(now, "m", "1"), 20*time.Second)
+	is.Equal(w.TransferTime(now.Add(time.Minute), "m", "1"), 10*time.Second)
 }
 
 func TestNoticeListLagAndRemoval(t *testing.T) {
@@ -121,7 +121,7 @@
 		cloud = New(s)
 		return cloud.Handler()
 	}
-	serve(t, handler, func(is *is.I, c *cloudapi.Client) {
+	runWithClient(t, handler, func(is *is.I, c *cloudapi.Client) {
 		ctx := context.Background()
 		cloud.Register(cloudapi.VM{ID: "r1", FailureDomain: "a", Reclaimable: true, PricePerHour: 6})
 		cloud.Register(cloudapi.VM{ID: "r2", FailureDomain: "a"})
@@ -193,7 +193,7 @@
 	store := func() http.Handler {
 		return NewWeights(1, 2, cloudapi.Weight{Name: "m", Version: "1", Bytes: 9}).Handler()
 	}
-	serve(t, store, func(is *is.I, c *cloudapi.Client) {
+	runWithClient(t, store, func(is *is.I, c *cloudapi.Client) {
 		ctx := context.Background()
 		weight, err := c.Stat(ctx, "m", "1")
 		is.NoErr(err)
--- a/standin/cloudapi/faults.go
+++ b/standin/cloudapi/faults.go
@@ -49,7 +49,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = f
-	c.wake()
+	c.notifyWaiters()
 }
 
 // Faults returns the switches as they stand.
@@ -63,20 +63,20 @@
 func (c *Cloud) RefusedStarts() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refused
+	return c.refusedStarts
 }
 
-func (c *Cloud) wake() {
+func (c *Cloud) notifyWaiters() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-func (c *Cloud) enter(ctx context.Context) error {
-	return pass(ctx, c.Faults().Outage, c.Faults().DelayMillis)
+func (c *Cloud) beforeCall(ctx context.Context) error {
+	return applyCallFaults(ctx, c.Faults().Outage, c.Faults().DelayMillis)
 }
 
-// pass applies the faults that come before a call's effect.
-func pass(ctx context.Context, outage bool, delayMillis int64) error {
+// applyCallFaults applies the faults that come before a call's effect.
+func applyCallFaults(ctx context.Context, outage bool, delayMillis int64) error {
 	if outage {
 		return &cloudapi.UnavailableError{Err: &OutageError{}}
 	}
@@ -96,11 +96,11 @@
 	}
 }
 
-// refuses returns why a start is refused, or nothing.
-func (c *Cloud) refuses(r cloudapi.StartRequest, class Class) string {
+// refusalReason returns why a start is refused, or nothing.
+func (c *Cloud) refusalReason(r cloudapi.StartRequest, class Class) string {
 	f := &c.faults
 	switch {
-	case class.Reclaimable && time.Since(c.reclaimed[r.FailureDomain]) < c.settings.RefuseAfterReclaim:
+	case class.Reclaimable && time.Since(c.lastReclaim[r.FailureDomain]) < c.settings.RefuseAfterReclaim:
 		return fmt.Sprintf("no reclaimable capacity in %s", r.FailureDomain)
 	case slices.Contains(f.RefuseDomains, r.FailureDomain):
 		return fmt.Sprintf("no capacity in %s", r.FailureDomain)
@@ -114,7 +114,7 @@
 	}
 }
 
-func (c *Cloud) losesAnswer() bool {
+func (c *Cloud) takeLostAnswer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faults.LoseAnswers <= 0 {
--- a/standin/cloudapi/http.go
+++ b/standin/cloudapi/http.go
@@ -28,9 +28,9 @@
 // ReclaimRequest gives notice to one VM, or to the reclaimable ones of a
 // failure domain.
 type ReclaimRequest struct {
-	VM            string              `json:"vm,omitempty"`
-	FailureDomain ident.FailureDomain `json:"failure_domain,omitempty"`
-	LeftMillis    int64               `json:"left_ms"`
+	VM              string              `json:"vm,omitempty"`
+	FailureDomain   ident.FailureDomain `json:"failure_domain,omitempty"`
+	RemainingMillis int64               `json:"left_ms"`
 }
 
 // ReclaimResponse lists the VMs that got a notice.
@@ -50,12 +50,12 @@
 	mux.HandleFunc("POST "+cloudapi.PathStop, c.serveStop)
 	mux.HandleFunc("GET "+cloudapi.PathQuotes, func(w http.ResponseWriter, r *http.Request) {
 		quotes, err := c.Quotes(r.Context())
-		write(w, cloudapi.QuotesResponse{Quotes: quotes}, err)
+		writeResult(w, cloudapi.QuotesResponse{Quotes: quotes}, err)
 	})
 	mux.HandleFunc("GET "+cloudapi.PathNotices, c.serveNotices)
 	mux.HandleFunc("GET "+cloudapi.PathVMs, func(w http.ResponseWriter, r *http.Request) {
 		vms, err := c.List(r.Context())
-		write(w, cloudapi.ListResponse{VMs: vms}, err)
+		writeResult(w, cloudapi.ListResponse{VMs: vms}, err)
 	})
 	jsonhttp.Switches(mux, PathFaults, c.Faults, c.SetFaults)
 	mux.HandleFunc("POST "+PathReclaim, c.serveReclaim)
@@ -65,62 +65,62 @@
 
 func (c *Cloud) serveStart(w http.ResponseWriter, r *http.Request) {
 	var request cloudapi.StartRequest
-	if !read(w, r, &request) {
+	if !readBody(w, r, &request) {
 		return
 	}
 	vm, err := c.Start(r.Context(), request)
-	write(w, vm, err)
+	writeResult(w, vm, err)
 }
 
 func (c *Cloud) serveStop(w http.ResponseWriter, r *http.Request) {
 	var request cloudapi.StopRequest
-	if !read(w, r, &request) {
+	if !readBody(w, r, &request) {
 		return
 	}
-	write(w, jsonhttp.Empty{}, c.Stop(r.Context(), request.ID, request.Fencing))
+	writeResult(w, jsonhttp.Empty{}, c.Stop(r.Context(), request.ID, request.Fencing))
 }
 
 func (c *Cloud) serveNotices(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.FormValue(cloudapi.ParamAfter), 10, 64)
 	if err != nil {
-		malformed(w, err)
+		writeMalformed(w, err)
 		return
 	}
 	wait, err := strconv.ParseInt(r.FormValue(cloudapi.ParamWait), 10, 64)
 	if err != nil {
-		malformed(w, err)
+		writeMalformed(w, err)
 		return
 	}
 	notices, err := c.Notices(r.Context(), after, time.Duration(wait)*time.Millisecond)
-	write(w, cloudapi.NoticesResponse{Notices: notices}, err)
+	writeResult(w, cloudapi.NoticesResponse{Notices: notices}, err)
 }
 
 func (c *Cloud) serveReclaim(w http.ResponseWriter, r *http.Request) {
 	var request ReclaimRequest
-	if !read(w, r, &request) {
+	if !readBody(w, r, &request) {
 		return
 	}
-	left := time.Duration(request.LeftMillis) * time.Millisecond
+	remaining := time.Duration(request.RemainingMillis) * time.Millisecond
 	var response ReclaimResponse
-	if request.VM != "" && c.Reclaim(request.VM, left) {
+	if request.VM != "" && c.Reclaim(request.VM, remaining) {
 		response.VMs = append(response.VMs, request.VM)
 	}
 	if request.FailureDomain != "" {
-		response.VMs = append(response.VMs, c.ReclaimDomain(request.FailureDomain, left)...)
+		response.VMs = append(response.VMs, c.ReclaimDomain(request.FailureDomain, remaining)...)
 	}
-	write(w, response, nil)
+	writeResult(w, response, nil)
 }
 
 func (c *Cloud) serveKill(w http.ResponseWriter, r *http.Request) {
 	var request KillRequest
-	if !read(w, r, &request) {
+	if !readBody(w, r, &request) {
 		return
 	}
 	if !c.Kill(request.VM) {
-		write(w, nil, &cloudapi.NotFoundError{Resource: request.VM})
+		writeResult(w, nil, &cloudapi.NotFoundError{Resource: request.VM})
 		return
 	}
-	write(w, jsonhttp.Empty{}, nil)
+	writeResult(w, jsonhttp.Empty{}, nil)
 }
 
 // Handler serves the weight store and its admin path.
@@ -128,28 +128,28 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+cloudapi.PathWeights, func(rw http.ResponseWriter, r *http.Request) {
 		weight, err := w.Stat(r.Context(), r.FormValue(cloudapi.ParamName), r.FormValue(cloudapi.ParamVersion))
-		write(rw, weight, err)
+		writeResult(rw, weight, err)
 	})
 	jsonhttp.Switches(mux, PathFaults, w.Faults, w.SetFaults)
 	return mux
 }
 
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
+func readBody(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(v); err != nil {
-		malformed(w, err)
+		writeMalformed(w, err)
 		return false
 	}
 	return true
 }
 
-func malformed(w http.ResponseWriter, err error) {
+func writeMalformed(w http.ResponseWriter, err error) {
 	jsonhttp.Write(w, http.StatusBadRequest, cloudapi.ErrorBody{Code: cloudapi.CodeMalformed, Message: err.Error()})
 }
 
-// write answers, or breaks the connection where the answer is lost.
-func write(w http.ResponseWriter, answer any, err error) {
+// writeResult answers, or breaks the connection where the answer is lost.
+func writeResult(w http.ResponseWriter, response any, err error) {
 	if err == nil {
-		jsonhttp.Write(w, http.StatusOK, answer)
+		jsonhttp.Write(w, http.StatusOK, response)
 		return
 	}
 	if lost := (*LostAnswerError)(nil); errors.As(err, &lost) {
--- a/standin/cloudapi/weights.go
+++ b/standin/cloudapi/weights.go
@@ -27,11 +27,11 @@
 	mu      sync.Mutex
 	weights map[string]cloudapi.Weight
 	// bandwidth is in bytes per second over all transfers; zero is no bound.
-	bandwidth float64
-	linkFree  time.Time
-	faults    WeightFaults
-	calls     int
-	limited   int
+	bandwidth   float64
+	linkFreeAt  time.Time
+	faults      WeightFaults
+	calls       int
+	rateLimited int
 }
 
 var _ cloudapi.WeightStore = (*Weights)(nil)
@@ -58,7 +58,7 @@
 // Stat implements cloudapi.Weights.
 func (w *Weights) Stat(ctx context.Context, name, version string) (cloudapi.Weight, error) {
 	f := w.Faults()
-	if err := pass(ctx, f.Outage, f.DelayMillis); err != nil {
+	if err := applyCallFaults(ctx, f.Outage, f.DelayMillis); err != nil {
 		return cloudapi.Weight{}, err
 	}
 	w.mu.Lock()
@@ -66,7 +66,7 @@
 	w.calls++
 	now := time.Now()
 	if wait := w.reserve(now); wait > 0 {
-		w.limited++
+		w.rateLimited++
 		return cloudapi.Weight{}, &cloudapi.RateLimitedError{RetryAfter: wait}
 	}
 	weight, ok := w.weights[weightKey(name, version)]
@@ -93,27 +93,27 @@
 	w.bandwidth = bandwidth
 }
 
-// Transfer is how long a runner that begins to load a version at now has to
+// TransferTime is how long a runner that begins to load a version at now has to
 // wait for it: transfers share the store's bandwidth one after another.
-func (w *Weights) Transfer(now time.Time, name, version string) time.Duration {
+func (w *Weights) TransferTime(now time.Time, name, version string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.bandwidth <= 0 {
 		return 0
 	}
-	if w.linkFree.Before(now) {
-		w.linkFree = now
+	if w.linkFreeAt.Before(now) {
+		w.linkFreeAt = now
 	}
 	bytes := w.weights[weightKey(name, version)].Bytes
-	w.linkFree = w.linkFree.Add(time.Duration(float64(bytes) / w.bandwidth * float64(time.Second)))
-	return w.linkFree.Sub(now)
+	w.linkFreeAt = w.linkFreeAt.Add(time.Duration(float64(bytes) / w.bandwidth * float64(time.Second)))
+	return w.linkFreeAt.Sub(now)
 }
 
 // Calls is how many calls came, and how many of them were over the limit.
-func (w *Weights) Calls() (all, limited int) {
+func (w *Weights) Calls() (all, rateLimited int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.calls, w.limited
+	return w.calls, w.rateLimited
 }
 
 // SetFaults replaces all switches.
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -269,7 +269,7 @@
 	if o.Adapter != "" {
 		return 0
 	}
-	return f.Weights.Transfer(now, o.Model, o.Version)
+	return f.Weights.TransferTime(now, o.Model, o.Version)
 }
 
 func (f *Fleet) noticed(vm api.VM, left time.Duration) {
