--- a/standin/cloudapi/cloud.go
+++ b/standin/cloudapi/cloud.go
@@ -1,6 +1,7 @@
-// Package cloudapi is a stand-in for the cloud around the system: the cloud
-// API with reclaim notices and refused starts, the lagging VM list and the
-// rate-limited weight store. docs/protocols/cloudapi.md describes them.
+// Package cloudapi is a stand-in for the cloud provider: the cloud API with
+// reclaim notices and refused starts, the VM list, which shows an earlier
+// state, and the rate-limited weight store. docs/protocols/cloudapi.md
+// describes the protocols.
 package cloudapi
 
 import (
@@ -15,51 +16,53 @@
 	"geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// Class is a kind of VM that the cloud sells in every failure domain.
+// Class is a VM class, which the cloud offers in every failure domain.
 type Class struct {
 	Name         string
 	Reclaimable  bool
 	PricePerHour float64
 }
 
-// Settings are a cloud's size and habits.
+// Settings set the capacity, prices and delays of a cloud.
 type Settings struct {
 	FailureDomains []ident.FailureDomain
 	Classes        []Class
-	// Seed makes the prices.
+	// Seed determines the prices.
 	Seed uint64
-	// PriceSpread is how far a price moves from the list price, as a share of
-	// it: 0.3 is up to 30 percent up and down.
+	// PriceSpread is the largest deviation of a price from the list price, as
+	// a fraction of the list price: 0.3 means up to 30 percent higher or
+	// lower.
 	PriceSpread float64
-	// PricePeriod is how long a price stays; zero is for good.
+	// PricePeriod is how long a price stays the same; zero means forever.
 	PricePeriod time.Duration
-	// StartTime is between a start and the VM being live.
+	// StartTime is the time from the start of a VM until it is live.
 	StartTime time.Duration
-	// ListLag is how old the VM list is.
+	// ListLag is the age of the state that the VM list shows.
 	ListLag time.Duration
-	// RefuseAfterReclaim refuses starts of reclaimable classes in a failure
-	// domain for that long after a notice there.
+	// RefuseAfterReclaim is how long after a reclaim notice the cloud refuses
+	// starts of reclaimable classes in the same failure domain.
 	RefuseAfterReclaim time.Duration
-	// ChecksFencing refuses starts and stops with an older fencing number than
-	// one seen.
+	// ChecksFencing makes the cloud refuse starts and stops whose fencing
+	// number is lower than the highest one seen.
 	ChecksFencing bool
-	// Hooks run what the VMs hold.
+	// Hooks start and stop the processes of the VMs.
 	Hooks Hooks
 }
 
-// Hooks are told of what happens to a VM; nil ones are left out. They are
-// called without the cloud's lock.
+// Hooks are called when the state of a VM changes; nil hooks are skipped. The
+// cloud does not hold its lock during a call.
 type Hooks struct {
-	// Launch runs a started VM's process and returns its address.
+	// Launch starts the process of a VM and returns the process's address.
 	Launch func(cloudapi.VM) (address string, err error)
-	// Noticed tells that the VM goes after left.
+	// Noticed is called when a VM gets a reclaim notice, with the time that
+	// is left until the VM is removed.
 	Noticed func(vm cloudapi.VM, left time.Duration)
-	// Removed tells that the VM is gone.
+	// Removed is called when a VM has been removed.
 	Removed func(cloudapi.VM)
 }
 
 // Cloud is the state behind the cloud API and the VM list. It is safe for
-// concurrent use, implements cloudapi.Cloud and cloudapi.Lister, and works
+// concurrent use, implements cloudapi.Cloud and cloudapi.VMLister, and works
 // inside a testing/synctest bubble.
 type Cloud struct {
 	settings Settings
@@ -72,16 +75,18 @@
 	lastID          int
 	fencing         uint64
 	notices         []notice
-	changed         chan struct{} // closed at the next notice or change of faults
+	changed         chan struct{} // closed and replaced at every notice or change of faults
 	faults          Faults
 	refusedStarts   int
-	// lastReclaim is when a failure domain last had a notice.
+	// lastReclaim is the time of the last reclaim notice in each failure
+	// domain.
 	lastReclaim map[ident.FailureDomain]time.Time
 	killTimers  []*time.Timer
 	closed      bool
 }
 
-// vm keeps when a VM's state changed, so that the list can tell what it was.
+// vm keeps the times of a VM's state changes, so that its state at an earlier
+// time can be reconstructed for the VM list.
 type vm struct {
 	cloudapi.VM
 	createdAt, liveAt, noticed, deadline, goneAt time.Time
@@ -159,7 +164,7 @@
 	return v, true, nil
 }
 
-// launch runs the VM's process. One that fails leaves a VM that is gone.
+// launch starts the VM's process. If that fails, the VM counts as removed.
 func (c *Cloud) launch(v *vm) error {
 	address, err := c.settings.Hooks.Launch(v.VM)
 	c.mu.Lock()
@@ -191,8 +196,8 @@
 	return v
 }
 
-// Register enters a VM that runs already, such as an entry VM or a runner of
-// the first set. An empty ID is filled in.
+// Register adds a VM that is already running, such as an entry VM or a runner
+// of the initial fleet. If its ID is empty, the cloud chooses one.
 func (c *Cloud) Register(description cloudapi.VM) cloudapi.VM {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,7 +206,8 @@
 	return v.stateAt(now)
 }
 
-// Stop implements cloudapi.Cloud. Stopping a VM that is gone succeeds.
+// Stop implements cloudapi.Cloud. Stopping a VM that was removed earlier
+// succeeds.
 func (c *Cloud) Stop(ctx context.Context, id string, fencing uint64) error {
 	if err := c.beforeCall(ctx); err != nil {
 		return err
@@ -225,7 +231,8 @@
 	return nil
 }
 
-// Kill ends a VM at once, without notice, and reports whether it was there.
+// Kill removes a VM at once without a reclaim notice, and reports whether the
+// VM existed.
 func (c *Cloud) Kill(id string) bool {
 	c.mu.Lock()
 	v := c.vms[id]
@@ -242,8 +249,8 @@
 	return true
 }
 
-// Reclaim gives notice to one VM; it is gone after left. It reports whether
-// the VM was there without an earlier notice.
+// Reclaim gives a reclaim notice to one VM, which is removed after remaining.
+// It reports whether the VM existed and had no earlier notice.
 func (c *Cloud) Reclaim(id string, remaining time.Duration) bool {
 	c.mu.Lock()
 	v := c.vms[id]
@@ -279,7 +286,7 @@
 	c.killTimers = append(c.killTimers, time.AfterFunc(remaining, func() { c.Kill(id) }))
 }
 
-// Close keeps the VMs that have a notice from being killed later.
+// Close cancels the pending removals of VMs that have a reclaim notice.
 func (c *Cloud) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -289,8 +296,8 @@
 	}
 }
 
-// ReclaimDomain gives notice to all reclaimable VMs of a failure domain and
-// returns their IDs.
+// ReclaimDomain gives a reclaim notice to all reclaimable VMs of a failure
+// domain and returns their IDs.
 func (c *Cloud) ReclaimDomain(domain ident.FailureDomain, remaining time.Duration) []string {
 	var reclaimed []string
 	for _, v := range c.VMs() {
@@ -352,7 +359,8 @@
 	return quotes, nil
 }
 
-// price depends on the seed, the domain, the class and the period alone.
+// price depends only on the seed, the failure domain, the class and the price
+// period.
 func (c *Cloud) price(domain ident.FailureDomain, class Class, now time.Time) float64 {
 	period := uint64(0)
 	if c.settings.PricePeriod > 0 {
@@ -380,7 +388,8 @@
 	return false
 }
 
-// List implements cloudapi.Lister: the VMs as they were a ListLag ago.
+// List implements cloudapi.VMLister. It returns the VMs in the state that
+// they had ListLag ago.
 func (c *Cloud) List(ctx context.Context) ([]cloudapi.VM, error) {
 	if err := c.beforeCall(ctx); err != nil {
 		return nil, err
@@ -388,7 +397,7 @@
 	return c.vmsAt(time.Now().Add(-c.settings.ListLag)), nil
 }
 
-// VMs lists the VMs as they are now, by ID.
+// VMs returns the VMs in their present state, sorted by ID.
 func (c *Cloud) VMs() []cloudapi.VM { return c.vmsAt(time.Now()) }
 
 func (c *Cloud) vmsAt(t time.Time) []cloudapi.VM {
@@ -404,7 +413,7 @@
 	return listed
 }
 
-// Describe returns a VM that is there now.
+// Describe returns the present state of a VM that has not been removed.
 func (c *Cloud) Describe(id string) (cloudapi.VM, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -416,7 +425,8 @@
 	return cloudapi.VM{}, &cloudapi.NotFoundError{Resource: id}
 }
 
-// stateAt is the VM as it was stateAt t, with an empty state if it was not there.
+// stateAt returns the VM in its state at time t. The state is empty if the VM
+// did not exist at that time.
 func (v *vm) stateAt(t time.Time) cloudapi.VM {
 	described := v.VM
 	switch {
@@ -432,7 +442,8 @@
 	return described
 }
 
-// Cost is what all VMs have cost until now, at the price of their start.
+// Cost returns the cost of all VMs until now, each at the price at the time
+// of its start.
 func (c *Cloud) Cost() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/cloudapi/cloudapi_test.go
+++ b/standin/cloudapi/cloudapi_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// runWithClient runs a test in a bubble with a client of the handler.
+// runWithClient runs a test in a testing/synctest bubble with a client that
+// is connected to the handler.
 func runWithClient(t *testing.T, handler func() http.Handler, test func(is *is.I, c *cloudapi.Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -43,9 +44,9 @@
 	})
 }
 
-// An operator sees one VM more than was asked for and pays for it. The start
-// took effect, its answer was lost and the start was repeated; the token tells
-// the cloud that it is the same.
+// A start takes effect but its response is lost, and the caller repeats the
+// start with the same token. The cloud must not start a second VM, for which
+// the customer would pay.
 func TestLostStartIsRepeatedSafely(t *testing.T) {
 	var cloud *Cloud
 	runWithClient(t, func() http.Handler { cloud = New(settings()); return cloud.Handler() }, func(is *is.I, c *cloudapi.Client) {
@@ -79,8 +80,9 @@
 	})
 }
 
-// Starts are refused just when replacements are needed: the reclaim that took
-// the VMs shows that the failure domain has none to give.
+// After a reclaim, the cloud has no reclaimable capacity left in that failure
+// domain and refuses starts there for a while, which is just when
+// replacements are needed.
 func TestRefusedAfterReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -136,7 +138,7 @@
 		is.Equal(notices, []cloudapi.Notice{{Sequence: 1, VM: "r1", LeftMillis: 30000}})
 		listed, err := c.List(ctx)
 		is.NoErr(err)
-		is.Equal(listed[0].State, cloudapi.VMLive) // the list lags
+		is.Equal(listed[0].State, cloudapi.VMLive) // the list shows the state of 10 s ago
 		time.Sleep(10 * time.Second)
 		listed, err = c.List(ctx)
 		is.NoErr(err)
@@ -150,7 +152,7 @@
 		is.Equal(len(more), 0)
 		cost := cloud.Cost()
 		time.Sleep(time.Hour)
-		is.Equal(cloud.Cost(), cost) // a VM that is gone costs nothing more
+		is.Equal(cloud.Cost(), cost) // a removed VM adds no cost
 	})
 }
 
--- a/standin/cloudapi/faults.go
+++ b/standin/cloudapi/faults.go
@@ -12,39 +12,40 @@
 	"geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// Faults are the switches of the cloud API and the VM list; the zero value is
-// a healthy cloud.
+// Faults are the injected faults of the cloud API and the VM list; the zero
+// value injects none.
 type Faults struct {
 	// Outage makes every call fail at once without effect.
 	Outage bool `json:"outage,omitempty"`
-	// DelayMillis is waited before each call takes effect.
+	// DelayMillis delays every call before it takes effect.
 	DelayMillis int64 `json:"delay_ms,omitempty"`
-	// RefuseStarts refuses the next starts.
+	// RefuseStarts is how many of the next starts are refused.
 	RefuseStarts int `json:"refuse_starts,omitempty"`
-	// RefuseDomains and RefuseClasses refuse all starts in or of them.
+	// RefuseDomains and RefuseClasses refuse all starts in these failure
+	// domains and of these classes.
 	RefuseDomains []ident.FailureDomain `json:"refuse_domains,omitempty"`
 	RefuseClasses []string              `json:"refuse_classes,omitempty"`
-	// LoseAnswers is how many of the next starts take effect and lose their
-	// answer.
+	// LoseAnswers is how many of the next starts take effect without
+	// returning their response.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// SilentNotices keeps waits for notices from ever answering.
+	// SilentNotices keeps calls that wait for notices from ever returning.
 	SilentNotices bool `json:"silent_notices,omitempty"`
-	// DropNotices gives no notice through the API; the VM and the list still
-	// tell.
+	// DropNotices leaves reclaim notices out of the cloud API. The Noticed
+	// hook and the VM list still show them.
 	DropNotices bool `json:"drop_notices,omitempty"`
 }
 
-// OutageError says that the service was down and the call had no effect.
+// OutageError reports that the service was down and the call had no effect.
 type OutageError struct{}
 
 func (*OutageError) Error() string { return "service is down" }
 
-// LostAnswerError says that a start took effect and its answer was lost.
+// LostAnswerError reports that a start took effect but its response was lost.
 type LostAnswerError struct{}
 
-func (*LostAnswerError) Error() string { return "answer lost after the effect" }
+func (*LostAnswerError) Error() string { return "response was lost after the call took effect" }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all injected faults.
 func (c *Cloud) SetFaults(f Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,14 +53,15 @@
 	c.notifyWaiters()
 }
 
-// Faults returns the switches as they stand.
+// Faults returns the injected faults. RefuseStarts and LoseAnswers count down
+// as the faults occur.
 func (c *Cloud) Faults() Faults {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.faults
 }
 
-// RefusedStarts is how many starts were refused so far.
+// RefusedStarts returns the number of starts refused so far.
 func (c *Cloud) RefusedStarts() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +77,7 @@
 	return applyCallFaults(ctx, c.Faults().Outage, c.Faults().DelayMillis)
 }
 
-// applyCallFaults applies the faults that come before a call's effect.
+// applyCallFaults applies the faults that occur before a call's effect.
 func applyCallFaults(ctx context.Context, outage bool, delayMillis int64) error {
 	if outage {
 		return &cloudapi.UnavailableError{Err: &OutageError{}}
@@ -96,7 +98,8 @@
 	}
 }
 
-// refusalReason returns why a start is refused, or nothing.
+// refusalReason returns why a start is refused, or an empty string if it is
+// accepted.
 func (c *Cloud) refusalReason(r cloudapi.StartRequest, class Class) string {
 	f := &c.faults
 	switch {
--- a/standin/cloudapi/http.go
+++ b/standin/cloudapi/http.go
@@ -14,9 +14,10 @@
 
 // Admin paths of the stand-ins.
 const (
-	// PathFaults takes GET for the switches and PUT to replace them.
+	// PathFaults takes GET to read the injected faults and PUT to replace
+	// them.
 	PathFaults = "/faults"
-	// PathReclaim takes POST with a ReclaimRequest; the answer is a
+	// PathReclaim takes POST with a ReclaimRequest and returns a
 	// ReclaimResponse.
 	PathReclaim = "/faults/reclaim"
 	// PathKill takes POST with a KillRequest.
@@ -25,20 +26,20 @@
 
 const maxBodyBytes = 1 << 20
 
-// ReclaimRequest gives notice to one VM, or to the reclaimable ones of a
-// failure domain.
+// ReclaimRequest gives a reclaim notice to one VM, or to all reclaimable VMs
+// of a failure domain.
 type ReclaimRequest struct {
 	VM              string              `json:"vm,omitempty"`
 	FailureDomain   ident.FailureDomain `json:"failure_domain,omitempty"`
 	RemainingMillis int64               `json:"left_ms"`
 }
 
-// ReclaimResponse lists the VMs that got a notice.
+// ReclaimResponse lists the VMs that got a reclaim notice.
 type ReclaimResponse struct {
 	VMs []string `json:"vms"`
 }
 
-// KillRequest ends a VM without notice.
+// KillRequest removes a VM without a reclaim notice.
 type KillRequest struct {
 	VM string `json:"vm"`
 }
@@ -146,7 +147,8 @@
 	jsonhttp.Write(w, http.StatusBadRequest, cloudapi.ErrorBody{Code: cloudapi.CodeMalformed, Message: err.Error()})
 }
 
-// writeResult answers, or breaks the connection where the answer is lost.
+// writeResult responds with the result or error of a call. For a lost answer
+// it aborts the connection instead.
 func writeResult(w http.ResponseWriter, response any, err error) {
 	if err == nil {
 		jsonhttp.Write(w, http.StatusOK, response)
@@ -180,7 +182,8 @@
 	}
 }
 
-// ceilMillis rounds up, so that a caller that waits so long is not too early.
+// ceilMillis rounds up, so that a caller that waits for the rounded time does
+// not retry too early.
 func ceilMillis(d time.Duration) int64 {
 	return (d + time.Millisecond - 1).Milliseconds()
 }
--- a/standin/cloudapi/weights.go
+++ b/standin/cloudapi/weights.go
@@ -11,22 +11,23 @@
 	"geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// WeightFaults are the switches of the weight store.
+// WeightFaults are the injected faults of the weight store.
 type WeightFaults struct {
 	// Outage makes every call fail at once.
 	Outage bool `json:"outage,omitempty"`
-	// DelayMillis is waited before each answer.
+	// DelayMillis delays every response.
 	DelayMillis int64 `json:"delay_ms,omitempty"`
 }
 
-// Weights is a weight store with a limit on its calls. It is safe for
-// concurrent use and implements cloudapi.Weights.
+// Weights is a weight store with rate-limited calls. It is safe for
+// concurrent use and implements cloudapi.WeightStore.
 type Weights struct {
 	limiter *rate.Limiter
 
 	mu      sync.Mutex
 	weights map[string]cloudapi.Weight
-	// bandwidth is in bytes per second over all transfers; zero is no bound.
+	// bandwidth is in bytes per second, shared by all transfers; zero means
+	// no limit.
 	bandwidth   float64
 	linkFreeAt  time.Time
 	faults      WeightFaults
@@ -36,8 +37,8 @@
 
 var _ cloudapi.WeightStore = (*Weights)(nil)
 
-// NewWeights returns a store that answers perSecond calls a second and burst
-// at once.
+// NewWeights returns a store that admits perSecond calls per second and
+// bursts of up to burst calls.
 func NewWeights(perSecond float64, burst int, weights ...cloudapi.Weight) *Weights {
 	w := &Weights{limiter: rate.NewLimiter(rate.Limit(perSecond), burst), weights: map[string]cloudapi.Weight{}}
 	for _, weight := range weights {
@@ -46,7 +47,7 @@
 	return w
 }
 
-// Add puts a version into the store.
+// Add adds the weights of one version of a model to the store.
 func (w *Weights) Add(weight cloudapi.Weight) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,7 +56,7 @@
 
 func weightKey(name, version string) string { return name + "\x00" + version }
 
-// Stat implements cloudapi.Weights.
+// Stat implements cloudapi.WeightStore.
 func (w *Weights) Stat(ctx context.Context, name, version string) (cloudapi.Weight, error) {
 	f := w.Faults()
 	if err := applyCallFaults(ctx, f.Outage, f.DelayMillis); err != nil {
@@ -76,7 +77,8 @@
 	return weight, nil
 }
 
-// reserve takes a call out of the limit, or returns how long there is none.
+// reserve admits a call and returns zero, or returns the time until the rate
+// limiter will admit one.
 func (w *Weights) reserve(now time.Time) time.Duration {
 	reservation := w.limiter.ReserveN(now, 1)
 	wait := reservation.DelayFrom(now)
@@ -86,15 +88,17 @@
 	return wait
 }
 
-// LimitTransfers makes transfers share a bandwidth in bytes per second.
+// LimitTransfers sets the bandwidth that all transfers share, in bytes per
+// second.
 func (w *Weights) LimitTransfers(bandwidth float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bandwidth = bandwidth
 }
 
-// TransferTime is how long a runner that begins to load a version at now has to
-// wait for it: transfers share the store's bandwidth one after another.
+// TransferTime returns how long the weights take to arrive at a runner that
+// starts to load them at now. Transfers share the store's bandwidth and run
+// one after another.
 func (w *Weights) TransferTime(now time.Time, name, version string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -109,21 +113,22 @@
 	return w.linkFreeAt.Sub(now)
 }
 
-// Calls is how many calls came, and how many of them were over the limit.
+// Calls returns the number of calls and how many of them exceeded the rate
+// limit.
 func (w *Weights) Calls() (all, rateLimited int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.calls, w.rateLimited
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all injected faults.
 func (w *Weights) SetFaults(f WeightFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = f
 }
 
-// Faults returns the switches as they stand.
+// Faults returns the injected faults.
 func (w *Weights) Faults() WeightFaults {
 	w.mu.Lock()
 	defer w.mu.Unlock()
