--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -18,46 +18,49 @@
 const (
 	grace        = 4 * time.Second
 	revokeWithin = 5 * time.Second
-	// stableKey is held by every configuration, so it must never be denied.
+	// stableKey is part of every configuration, so requests with it must never be
+	// denied.
 	stableKey = "stable"
 )
 
-// fleet is the real program in processes of its own, before stand-ins in this one.
+// fleet runs daemons as separate processes, against stand-ins for the store, the cloud
+// and the runners in the test process.
 type fleet struct {
-	t       *testing.T
-	dir     string
-	binary  string
-	store   *site.Store
-	cloud   *site.Cloud
-	daemons []*daemon
-	seed    int64
-	record  *record
-
-	// configuring is held by the operator's one write at a time: versions grow in the
-	// order of the store.
-	configuring sync.Mutex
-
-	mu      sync.Mutex
-	runners []*backend
-	gone    []*backend
-	version int
-	// keys are in force; retired ones have been taken away, with the time at which
-	// the store had taken the version.
-	keys    []string
-	retired map[string]time.Time
-	// given is how many keys were given out.
-	given int
-	// thawed is when a daemon by its name went on after a pause.
-	thawed map[string]time.Time
+	t        *testing.T
+	dir      string
+	binary   string
+	store    *site.Store
+	cloud    *site.Cloud
+	daemons  []*daemon
+	seed     int64
+	attempts *attemptLog
+
+	// configureMu serializes the operator's writes, so that versions grow in the order
+	// in which the store accepts them.
+	configureMu sync.Mutex
+
+	mu             sync.Mutex
+	runners        []*proxiedRunner
+	removedRunners []*proxiedRunner
+	version        int
+	// keys are the valid keys. revokedAt holds the time at which the store had
+	// accepted the version that revoked a key.
+	keys      []string
+	revokedAt map[string]time.Time
+	// keysIssued counts the keys issued so far.
+	keysIssued int
+	// resumedAt is the time at which a daemon, by name, last resumed after a pause.
+	resumedAt map[string]time.Time
 }
 
-// backend is a runner behind a proxy.
-type backend struct {
+// proxiedRunner is a runner that daemons reach through a proxy.
+type proxiedRunner struct {
 	*site.Runner
 	proxy *proxy
 }
 
-// daemon is one process and the proxies through which it reaches the outside.
+// daemon is one daemon process and the proxies through which it reaches the store and
+// the cloud.
 type daemon struct {
 	site.Daemon
 	fleet      *fleet
@@ -65,41 +68,43 @@
 	cloudProxy *proxy
 	settings   string
 
-	// restarting is held by what starts the process again, writing by what replaces
-	// its settings.
-	restarting, writing sync.Mutex
+	// restartMu serializes restarts of the process, settingsMu replacements of its
+	// settings file.
+	restartMu, settingsMu sync.Mutex
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
-	ended  chan struct{}
-	output *lockedBuffer
-	// told and killed say that the process was sent SIGTERM and SIGKILL.
-	told, killed bool
-	closed       bool
-	// logged is the length of the output when the process was started.
-	logged int
+	exited chan struct{}
+	output *syncBuffer
+	// sentTerm and sentKill record whether the current process was sent SIGTERM or
+	// SIGKILL.
+	sentTerm, sentKill bool
+	closed             bool
+	// outputStart is the length of the output at the start of the current process.
+	outputStart int
 }
 
-// lockedBuffer takes the output of one process after the other.
-type lockedBuffer struct {
+// syncBuffer collects the output of a daemon's successive processes. It is safe for
+// concurrent use.
+type syncBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Buffer.Write(p)
 }
 
-func (b *lockedBuffer) length() int {
+func (b *syncBuffer) length() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Len()
 }
 
-// has tells whether the output holds a text from a place on.
-func (b *lockedBuffer) has(from int, text string) bool {
+// containsFrom reports whether the output contains text at or after an offset.
+func (b *syncBuffer) containsFrom(from int, text string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return bytes.Contains(b.Bytes()[from:], []byte(text))
@@ -107,9 +112,9 @@
 
 func newFleet(t *testing.T, binary string, seed int64, daemons, runners int) (*fleet, error) {
 	f := &fleet{
-		t: t, seed: seed, record: &record{calls: map[string]*call{}},
+		t: t, seed: seed, attempts: &attemptLog{byID: map[string]*attempt{}},
 		dir: t.TempDir(), binary: binary, store: site.NewStore(), cloud: site.NewCloud(),
-		retired: map[string]time.Time{}, thawed: map[string]time.Time{}, keys: []string{"k0"},
+		revokedAt: map[string]time.Time{}, resumedAt: map[string]time.Time{}, keys: []string{"k0"},
 	}
 	f.configure()
 	for range runners {
@@ -118,7 +123,8 @@
 		}
 	}
 	for i := range daemons {
-		// Two soaks on one machine, also of the same seed, must not share addresses.
+		// Soaks that run at the same time on one machine, even with the same seed,
+		// must not share addresses.
 		d, err := f.newDaemon(fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, 1+seed%250, 11+i))
 		if err != nil {
 			return nil, err
@@ -140,14 +146,14 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &daemon{Daemon: site.Daemon{IP: ip}, fleet: f, storeProxy: storeProxy, cloudProxy: cloudProxy, settings: filepath.Join(f.dir, ip), output: &lockedBuffer{}}
+	d := &daemon{Daemon: site.Daemon{IP: ip}, fleet: f, storeProxy: storeProxy, cloudProxy: cloudProxy, settings: filepath.Join(f.dir, ip), output: &syncBuffer{}}
 	return d, d.writeSettings("127.0.0.1:1")
 }
 
-// writeSettings replaces the settings file as the platform does.
+// writeSettings replaces the settings file by a rename, as the platform does.
 func (d *daemon) writeSettings(seeds string) error {
-	d.writing.Lock()
-	defer d.writing.Unlock()
+	d.settingsMu.Lock()
+	defer d.settingsMu.Unlock()
 	next := d.settings + ".next"
 	if err := os.WriteFile(next, []byte(d.Settings(d.storeProxy.address(), d.cloudProxy.address(), seeds,
 		fmt.Sprintf("bounds.grace_s=%d", int(grace.Seconds())), fmt.Sprintf("bounds.revoke_ms=%d", revokeWithin.Milliseconds()),
@@ -166,56 +172,57 @@
 	d.cmd = exec.Command(d.fleet.binary)
 	d.cmd.Env = append(os.Environ(), "GERANIUMSTACK_CONFIG="+d.settings)
 	d.cmd.Stdout, d.cmd.Stderr = d.output, d.output
-	d.told, d.killed = false, false
-	d.logged = d.output.length()
-	d.ended = make(chan struct{})
+	d.sentTerm, d.sentKill = false, false
+	d.outputStart = d.output.length()
+	d.exited = make(chan struct{})
 	if err := d.cmd.Start(); err != nil {
 		d.fleet.t.Errorf("start %s: %v", d.Name(), err)
-		close(d.ended)
+		close(d.exited)
 		return
 	}
-	go d.wait(d.cmd, d.ended)
+	go d.wait(d.cmd, d.exited)
 }
 
-// wait reports a process that ends by itself.
+// wait waits for the process and fails the test if it exited although no signal asked
+// for it, or if it failed after SIGTERM.
 func (d *daemon) wait(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	d.mu.Lock()
-	told, killed, logged := d.told, d.killed, d.logged
+	told, killed, logged := d.sentTerm, d.sentKill, d.outputStart
 	d.mu.Unlock()
-	// A process that has not begun yet has no handler for the signal, and has
-	// accepted nothing.
-	told = told && (err == nil || !d.output.has(logged, `"start" daemon=`))
+	// SIGTERM also ends a process that has not installed its signal handler yet. That
+	// is no failure: such a process has accepted no requests.
+	told = told && (err == nil || !d.output.containsFrom(logged, `"start" daemon=`))
 	if !killed && !told {
-		d.fleet.t.Errorf("%s ended by itself or not as asked: %v", d.Name(), err)
+		d.fleet.t.Errorf("%s exited without being asked to, or failed during shutdown: %v", d.Name(), err)
 	}
 	close(ended)
 }
 
-// signal sends a signal to the process that this soak started, by its id.
+// signal sends a signal to the current process by its process ID.
 func (d *daemon) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.told = d.told || s == syscall.SIGTERM
-	d.killed = d.killed || s == syscall.SIGKILL
+	d.sentTerm = d.sentTerm || s == syscall.SIGTERM
+	d.sentKill = d.sentKill || s == syscall.SIGKILL
 	if err := d.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		d.fleet.t.Errorf("signal %s: %v", d.Name(), err)
 	}
 }
 
-// thaw lets a paused process go on and notes when.
-func (d *daemon) thaw() {
+// resume continues a paused process and records the time.
+func (d *daemon) resume() {
 	d.fleet.mu.Lock()
-	d.fleet.thawed[d.Name()] = time.Now()
+	d.fleet.resumedAt[d.Name()] = time.Now()
 	d.fleet.mu.Unlock()
 	d.signal(syscall.SIGCONT)
 }
 
-// stop asks the process to end and kills it after the grace.
+// stop sends SIGTERM and kills the process if it still runs after the grace period.
 func (d *daemon) stop() {
 	d.signal(syscall.SIGTERM)
 	d.mu.Lock()
-	ended := d.ended
+	ended := d.exited
 	d.mu.Unlock()
 	select {
 	case <-ended:
@@ -227,12 +234,12 @@
 func (d *daemon) kill() {
 	d.signal(syscall.SIGKILL)
 	d.mu.Lock()
-	ended := d.ended
+	ended := d.exited
 	d.mu.Unlock()
 	<-ended
 }
 
-// close ends the process for good.
+// close kills the process, prevents further restarts and closes the proxies.
 func (d *daemon) close() {
 	d.mu.Lock()
 	d.closed = true
@@ -247,7 +254,7 @@
 		d.close()
 	}
 	f.mu.Lock()
-	all := append(append([]*backend{}, f.runners...), f.gone...)
+	all := append(append([]*proxiedRunner{}, f.runners...), f.removedRunners...)
 	f.mu.Unlock()
 	for _, r := range all {
 		r.proxy.close()
@@ -259,25 +266,25 @@
 	f.cloud.Close()
 }
 
-// until tries a write of the operator or of a runner until the store takes it.
-func (f *fleet) until(write func() error) {
+// retryUntilAccepted repeats a write until the store accepts it.
+func (f *fleet) retryUntilAccepted(write func() error) {
 	for write() != nil {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// configure writes the next version with the keys that are in force.
+// configure writes the next configuration version, with the keys that are valid now.
 func (f *fleet) configure() {
-	f.configuring.Lock()
-	defer f.configuring.Unlock()
+	f.configureMu.Lock()
+	defer f.configureMu.Unlock()
 	f.mu.Lock()
 	f.version += 3
 	version, keys := f.version, append([]string{stableKey}, f.keys...)
 	f.mu.Unlock()
-	f.until(func() error { return f.store.PutConfig(version, routes, 10_000, keys...) })
+	f.retryUntilAccepted(func() error { return f.store.PutConfig(version, routes, 10_000, keys...) })
 }
 
-// routes are one of each kind.
+// routes has one route for each kind of request.
 var routes = []site.Route{
 	{Name: "read", Kind: site.Idempotent, TimeoutMillis: 4000, TargetMillis: 200, Attempts: 2},
 	{Name: "pledge", Kind: site.AtMostOnce, TimeoutMillis: 4000, TargetMillis: 200, Attempts: 2},
@@ -285,27 +292,28 @@
 	{Name: "match", Kind: site.Stream, TimeoutMillis: 4000, TargetMillis: 200, Attempts: 2},
 }
 
-// rotate takes the oldest key away, gives out a new one, and returns the old one once
-// the store has taken that.
+// rotate replaces the oldest key by a new one and returns the old key once the store
+// has accepted the change.
 func (f *fleet) rotate() string {
 	f.mu.Lock()
 	old := f.keys[0]
-	f.given++
-	f.keys = append(f.keys[1:], fmt.Sprintf("k%d", f.given))
+	f.keysIssued++
+	f.keys = append(f.keys[1:], fmt.Sprintf("k%d", f.keysIssued))
 	f.mu.Unlock()
 	f.configure()
 	f.mu.Lock()
-	f.retired[old] = time.Now()
+	f.revokedAt[old] = time.Now()
 	f.mu.Unlock()
 	return old
 }
 
-// aKey is one that works, or one that was taken away.
-func (f *fleet) aKey(pick int) string {
+// pickKey returns a revoked key for 0 (if there is one), the newest key for other even
+// numbers and stableKey for odd ones.
+func (f *fleet) pickKey(pick int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if pick == 0 {
-		for key := range f.retired {
+		for key := range f.revokedAt {
 			return key
 		}
 	}
@@ -317,7 +325,7 @@
 
 func (f *fleet) addRunner() error {
 	f.mu.Lock()
-	id := fmt.Sprintf("i-%d", len(f.runners)+len(f.gone)+1)
+	id := fmt.Sprintf("i-%d", len(f.runners)+len(f.removedRunners)+1)
 	f.mu.Unlock()
 	r, err := site.NewRunner(id)
 	if err != nil {
@@ -327,7 +335,7 @@
 	if err != nil {
 		return err
 	}
-	b := &backend{r, p}
+	b := &proxiedRunner{r, p}
 	f.mu.Lock()
 	f.runners = append(f.runners, b)
 	f.mu.Unlock()
@@ -335,22 +343,23 @@
 	return nil
 }
 
-func (f *fleet) announce(b *backend, state string) {
-	f.until(func() error { return f.store.RegisterRunner(b.ID, b.proxy.address(), state) })
+func (f *fleet) announce(b *proxiedRunner, state string) {
+	f.retryUntilAccepted(func() error { return f.store.RegisterRunner(b.ID, b.proxy.address(), state) })
 }
 
-// leave drains a runner, waits as long as it must serve, and removes it.
-func (f *fleet) leave(b *backend) {
+// drainAndRemove announces that a runner drains, keeps it serving for 3 s, and then
+// removes it.
+func (f *fleet) drainAndRemove(b *proxiedRunner) {
 	f.announce(b, site.Draining)
 	time.Sleep(3 * time.Second)
-	f.until(func() error { return f.store.DeregisterRunner(b.ID) })
+	f.retryUntilAccepted(func() error { return f.store.DeregisterRunner(b.ID) })
 	b.Close()
 	b.proxy.set(resetting)
 }
 
-// takeRunner removes a runner from those that faults choose from; nil if it is one
-// of the last two.
-func (f *fleet) takeRunner(pick int) *backend {
+// removeRunner takes a runner out of the set that faults choose from. It returns nil
+// if only two runners are left.
+func (f *fleet) removeRunner(pick int) *proxiedRunner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.runners) <= 2 {
@@ -359,11 +368,11 @@
 	i := pick % len(f.runners)
 	b := f.runners[i]
 	f.runners = append(f.runners[:i:i], f.runners[i+1:]...)
-	f.gone = append(f.gone, b)
+	f.removedRunners = append(f.removedRunners, b)
 	return b
 }
 
-func (f *fleet) runner(pick int) *backend {
+func (f *fleet) runner(pick int) *proxiedRunner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runners[pick%len(f.runners)]
