--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -68,11 +68,11 @@
 	Executions   *service.Log
 	TokenCounter *engine.TokenCounter
 
-	settings Settings
-	options  Options
-	client   *http.Client
-	urls     Addresses
-	servers  []*http.Server
+	settings  Settings
+	options   Options
+	client    *http.Client
+	addresses Addresses
+	servers   []*http.Server
 
 	mu      sync.Mutex
 	runners map[string]*Runner
@@ -111,7 +111,7 @@
 	}
 	f.KV.SetLimits(s.KeyValue)
 	f.Cloud = cloudapi.New(f.cloudSettings())
-	f.Weights = f.weights()
+	f.Weights = f.newWeightStore()
 	if err := f.startPlatform(); err != nil {
 		f.Close()
 		return nil, err
@@ -136,7 +136,7 @@
 
 		RefuseAfterReclaim: millis(c.RefuseAfterReclaimMillis),
 
-		Hooks: cloudapi.Hooks{Launch: f.launchEmpty, Noticed: f.noticed, Removed: f.removed},
+		Hooks: cloudapi.Hooks{Launch: f.launchWithoutModels, Noticed: f.handleNotice, Removed: f.handleRemoval},
 	}
 	for _, class := range f.settings.VMClasses {
 		s.Classes = append(s.Classes, cloudapi.Class{Name: class.Name, Reclaimable: class.Reclaimable, PricePerHour: class.PricePerHour})
@@ -144,10 +144,10 @@
 	return s
 }
 
-func (f *Fleet) weights() *cloudapi.Weights {
+func (f *Fleet) newWeightStore() *cloudapi.Weights {
 	calls, burst := float64(DefaultWeightCalls), DefaultWeightBurst
-	set(&calls, f.settings.Weights.CallsPerSecond)
-	set(&burst, f.settings.Weights.Burst)
+	setIfNonZero(&calls, f.settings.Weights.CallsPerSecond)
+	setIfNonZero(&burst, f.settings.Weights.Burst)
 	w := cloudapi.NewWeights(calls, burst)
 	w.LimitTransfers(f.settings.Weights.BytesPerSecond)
 	for _, s := range f.settings.Services {
@@ -160,18 +160,18 @@
 
 func (f *Fleet) startPlatform() error {
 	var err error
-	if f.urls.KeyValue, err = f.serve(f.settings.Listen.KeyValue, f.KV.Handler()); err != nil {
+	if f.addresses.KeyValue, err = f.servePlatform(f.settings.Listen.KeyValue, f.KV.Handler()); err != nil {
 		return err
 	}
-	if f.urls.Cloud, err = f.serve(f.settings.Listen.Cloud, f.Cloud.Handler()); err != nil {
+	if f.addresses.Cloud, err = f.servePlatform(f.settings.Listen.Cloud, f.Cloud.Handler()); err != nil {
 		return err
 	}
-	f.urls.VMList = f.urls.Cloud
-	f.urls.Weights, err = f.serve(f.settings.Listen.Weights, f.Weights.Handler())
+	f.addresses.VMList = f.addresses.Cloud
+	f.addresses.Weights, err = f.servePlatform(f.settings.Listen.Weights, f.Weights.Handler())
 	return err
 }
 
-func (f *Fleet) serve(address string, handler http.Handler) (url string, err error) {
+func (f *Fleet) servePlatform(address string, handler http.Handler) (url string, err error) {
 	server, bound, err := f.listen(address, handler)
 	if err != nil {
 		return "", err
@@ -192,11 +192,11 @@
 
 func (f *Fleet) startRunners() error {
 	for _, vm := range f.settings.EntryVMs {
-		f.Cloud.Register(f.describe(vm.ID, "", vm.VMClass, vm.Address, f.domainIndex(vm)))
+		f.Cloud.Register(f.newVM(vm.ID, "", vm.VMClass, vm.Address, f.domainIndex(vm)))
 	}
 	for _, s := range f.settings.Services {
 		for i := range s.Runners {
-			vm := f.describe(fmt.Sprintf("%s-%02d", s.Name, i+1), s.Name, s.VMClass, "", i)
+			vm := f.newVM(fmt.Sprintf("%s-%02d", s.Name, i+1), s.Name, s.VMClass, "", i)
 			address, err := f.launch(vm, s.Models)
 			if err != nil {
 				return err
@@ -217,7 +217,7 @@
 	return 0
 }
 
-func (f *Fleet) describe(id, serviceName, className, address string, i int) api.VM {
+func (f *Fleet) newVM(id, serviceName, className, address string, i int) api.VM {
 	class := f.settings.class(className)
 	domains := f.settings.FailureDomains
 	return api.VM{
@@ -231,7 +231,7 @@
 	}
 }
 
-func (f *Fleet) launchEmpty(vm api.VM) (string, error) { return f.launch(vm, nil) }
+func (f *Fleet) launchWithoutModels(vm api.VM) (string, error) { return f.launch(vm, nil) }
 
 // launch runs the process of a VM with models loaded.
 func (f *Fleet) launch(vm api.VM, models []Model) (string, error) {
@@ -243,7 +243,7 @@
 	var handler http.Handler
 	if s.Kind == manifest.KindModel {
 		cfg := f.settings.engineConfig(vm.ID, s, models)
-		cfg.WeightTransferTime = f.transfer
+		cfg.WeightTransferTime = f.weightTransferTime
 		r.Engine = engine.New(cfg, engine.WithTokenCounter(f.TokenCounter), engine.WithClient(f.client))
 		handler = r.Engine.Handler()
 	} else {
@@ -264,29 +264,29 @@
 	return address, nil
 }
 
-// transfer is how long a model's weights take; adapters are small.
-func (f *Fleet) transfer(now time.Time, o engineapi.Order) time.Duration {
+// weightTransferTime is how long a model's weights take; adapters are small.
+func (f *Fleet) weightTransferTime(now time.Time, o engineapi.Order) time.Duration {
 	if o.Adapter != "" {
 		return 0
 	}
 	return f.Weights.TransferTime(now, o.Model, o.Version)
 }
 
-func (f *Fleet) noticed(vm api.VM, left time.Duration) {
-	klog.InfoS("VM is going to be reclaimed", "vm", vm.ID, "failureDomain", vm.FailureDomain, "left", left)
+func (f *Fleet) handleNotice(vm api.VM, remaining time.Duration) {
+	klog.InfoS("VM is going to be reclaimed", "vm", vm.ID, "failureDomain", vm.FailureDomain, "left", remaining)
 	r := f.Runner(vm.ID)
 	switch {
 	case r == nil && f.options.EntryNoticed != nil:
-		f.options.EntryNoticed(vm, left)
+		f.options.EntryNoticed(vm, remaining)
 	case r == nil:
 	case r.Engine != nil:
-		r.Engine.Notice(left)
+		r.Engine.Notice(remaining)
 	default:
 		r.Service.Notice()
 	}
 }
 
-func (f *Fleet) removed(vm api.VM) {
+func (f *Fleet) handleRemoval(vm api.VM) {
 	klog.InfoS("VM is gone", "vm", vm.ID, "failureDomain", vm.FailureDomain)
 	f.mu.Lock()
 	r := f.runners[vm.ID]
@@ -331,7 +331,7 @@
 }
 
 // Addresses returns the base URLs of the platform's services.
-func (f *Fleet) Addresses() Addresses { return f.urls }
+func (f *Fleet) Addresses() Addresses { return f.addresses }
 
 // Settings returns what the set was started with.
 func (f *Fleet) Settings() Settings { return f.settings }
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 )
 
 // The built-in sets run what the example manifests ask for.
-func TestBuiltInSetsAgreeWithExamples(t *testing.T) {
+func TestBuiltInSettingsAgreeWithExamples(t *testing.T) {
 	is := is.New(t)
 	for path, set := range map[string]func() (Settings, error){
 		"../../examples/huaman.json":       Huaman,
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestSettingsFaultsAreToldAtOnce(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte(`{
 		"listen": {"key_value": "x", "cloud": "x", "weights": "x", "runner_host": "x"},
--- a/standin/fleet/manifest.go
+++ b/standin/fleet/manifest.go
@@ -57,11 +57,11 @@
 		if model.Service != service {
 			continue
 		}
-		loaded := Model{Name: model.Name, Version: model.Version, Bytes: defaultWeightBytes}
+		modelSettings := Model{Name: model.Name, Version: model.Version, Bytes: defaultWeightBytes}
 		for _, a := range model.Adapters {
-			loaded.Adapters = append(loaded.Adapters, a.Name+"@"+a.Version)
+			modelSettings.Adapters = append(modelSettings.Adapters, a.Name+"@"+a.Version)
 		}
-		models = append(models, loaded)
+		models = append(models, modelSettings)
 	}
 	return models
 }
--- a/standin/fleet/settings.go
+++ b/standin/fleet/settings.go
@@ -213,28 +213,28 @@
 		cfg.Models = append(cfg.Models, engineapi.LoadedModel{Model: m.Name, Version: m.Version, Adapters: m.Adapters})
 	}
 	e := s.Engine
-	set(&cfg.PrefillRate, e.PrefillTokensPerSecond)
-	set(&cfg.StepTime, time.Duration(e.DecodeStepMillis*float64(time.Millisecond)))
-	set(&cfg.MaxBatch, e.MaxBatch)
-	set(&cfg.MaxQueue, e.MaxQueue)
-	set(&cfg.KVBlocks, e.KVBlocks)
-	set(&cfg.BytesPerToken, e.KVBytesPerToken)
-	set(&cfg.ExportBandwidth, e.ExportBytesPerSecond)
-	set(&cfg.LoadPeriod, millis(e.LoadReportMillis))
-	set(&cfg.EventDelay, millis(e.CacheEventLagMillis))
-	set(&cfg.DropEveryNthEvent, e.CacheEventGap)
-	set(&cfg.LoadTime, millis(e.OrderMillis))
+	setIfNonZero(&cfg.PrefillRate, e.PrefillTokensPerSecond)
+	setIfNonZero(&cfg.StepTime, time.Duration(e.DecodeStepMillis*float64(time.Millisecond)))
+	setIfNonZero(&cfg.MaxBatch, e.MaxBatch)
+	setIfNonZero(&cfg.MaxQueue, e.MaxQueue)
+	setIfNonZero(&cfg.KVBlocks, e.KVBlocks)
+	setIfNonZero(&cfg.BytesPerToken, e.KVBytesPerToken)
+	setIfNonZero(&cfg.ExportBandwidth, e.ExportBytesPerSecond)
+	setIfNonZero(&cfg.LoadPeriod, millis(e.LoadReportMillis))
+	setIfNonZero(&cfg.EventDelay, millis(e.CacheEventLagMillis))
+	setIfNonZero(&cfg.DropEveryNthEvent, e.CacheEventGap)
+	setIfNonZero(&cfg.LoadTime, millis(e.OrderMillis))
 	cfg.PreemptRunning = e.PreemptRunning
 	cfg.RefuseWhenLeaving = e.RefuseAttemptsWhenLeaving
 	cfg.ChecksFencing = service.ChecksFencing
 	return cfg
 }
 
-// set changes a default where the settings say something.
-func set[T comparable](field *T, setting T) {
-	var none T
-	if setting != none {
-		*field = setting
+// setIfNonZero changes a default where the settings say something.
+func setIfNonZero[T comparable](target *T, setting T) {
+	var zero T
+	if setting != zero {
+		*target = setting
 	}
 }
 
