--- a/daemon/actions/actions_test.go
+++ b/daemon/actions/actions_test.go
@@ -134,7 +134,7 @@
 		_, err = f.outcome(0, keys[19])
 		f.is.NoErr(err)
 		f.is.Equal(f.executionCount(old), 0)
-		f.is.Equal(len(f.log.RunTwice()), 0)
+		f.is.Equal(len(f.log.ExecutedRepeatedly()), 0)
 	})
 }
 
--- a/daemon/actions/harness_test.go
+++ b/daemon/actions/harness_test.go
@@ -75,7 +75,7 @@
 	is      *is.I
 	network *pipe.Network
 	store   *kvserver.Store
-	log     *service.Log
+	log     *service.ExecutionLog
 	runners []*service.Service
 	nodes   []*node
 	// maxOwners is the maximum number of gateways that issue tokens; zero means
@@ -106,7 +106,7 @@
 // virtual time.
 func withThreeGateways(t *testing.T, test func(f *fleet)) {
 	t.Helper()
-	log := service.NewLog()
+	log := service.NewExecutionLog()
 	var runners []*service.Service
 	withSmallFleet(t, func(name string) http.Handler {
 		runners = append(runners, service.New(name, log))
--- a/daemon/actions/tokens_test.go
+++ b/daemon/actions/tokens_test.go
@@ -36,7 +36,7 @@
 
 func withFleetOfSize(t *testing.T, size, maxOwners int, test func(f *fleet)) {
 	t.Helper()
-	log := service.NewLog()
+	log := service.NewExecutionLog()
 	runner := func(name string) http.Handler { return service.New(name, log).Handler() }
 	withFleet(t, size, maxOwners, runner, func(f *fleet) {
 		f.log = log
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -65,7 +65,7 @@
 	Weights *cloudapi.Weights
 	// Executions is shared by all runners of plain services, Ledger by all
 	// engines.
-	Executions   *service.Log
+	Executions   *service.ExecutionLog
 	TokenCounter *engine.TokenCounter
 
 	settings  Settings
@@ -102,7 +102,7 @@
 	}
 	f := &Fleet{
 		KV:           kvserver.New(),
-		Executions:   service.NewLog(),
+		Executions:   service.NewExecutionLog(),
 		TokenCounter: engine.NewTokenCounter(),
 		settings:     s,
 		options:      options,
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -72,8 +72,8 @@
 	Number int `json:"number"`
 }
 
-// Answer is the JSON body of an executed call.
-type Answer struct {
+// Response is the JSON body of an executed call.
+type Response struct {
 	Runner string `json:"runner"`
 	Action string `json:"action,omitempty"`
 	Number int    `json:"number"`
@@ -81,18 +81,18 @@
 	Echo string `json:"echo,omitempty"`
 }
 
-// Log records the executions of all runners of a service. It is safe for
+// ExecutionLog records the executions of all runners of a service. It is safe for
 // concurrent use.
-type Log struct {
+type ExecutionLog struct {
 	mu         sync.Mutex
 	executions []Execution
 	counts     map[string]int
 }
 
-// NewLog returns an empty log.
-func NewLog() *Log { return &Log{counts: map[string]int{}} }
+// NewExecutionLog returns an empty log.
+func NewExecutionLog() *ExecutionLog { return &ExecutionLog{counts: map[string]int{}} }
 
-func (l *Log) add(e Execution) Execution {
+func (l *ExecutionLog) add(e Execution) Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e.Number = len(l.executions) + 1
@@ -104,14 +104,14 @@
 }
 
 // Count is how often an action was executed.
-func (l *Log) Count(action string) int {
+func (l *ExecutionLog) Count(action string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts[action]
 }
 
 // Counts is how often each action was executed.
-func (l *Log) Counts() map[string]int {
+func (l *ExecutionLog) Counts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	counts := make(map[string]int, len(l.counts))
@@ -121,20 +121,20 @@
 	return counts
 }
 
-// RunTwice lists the actions that were executed more than once, sorted.
-func (l *Log) RunTwice() []string {
-	var twice []string
+// ExecutedRepeatedly lists the actions that were executed more than once, sorted.
+func (l *ExecutionLog) ExecutedRepeatedly() []string {
+	var repeated []string
 	for action, n := range l.Counts() {
 		if n > 1 {
-			twice = append(twice, action)
+			repeated = append(repeated, action)
 		}
 	}
-	sort.Strings(twice)
-	return twice
+	sort.Strings(repeated)
+	return repeated
 }
 
 // Executions lists all runs in order.
-func (l *Log) Executions() []Execution {
+func (l *ExecutionLog) Executions() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Execution(nil), l.executions...)
@@ -143,7 +143,7 @@
 // Service is one runner of a plain service. It is safe for concurrent use.
 type Service struct {
 	runner string
-	log    *Log
+	log    *ExecutionLog
 	died   chan struct{}
 
 	mu      sync.Mutex
@@ -153,7 +153,7 @@
 }
 
 // New returns a runner that records its executions in log.
-func New(runner string, log *Log) *Service {
+func New(runner string, log *ExecutionLog) *Service {
 	return &Service{runner: runner, log: log, died: make(chan struct{})}
 }
 
@@ -211,15 +211,15 @@
 type outcome int
 
 const (
-	answered outcome = iota
-	closedUnexecuted
-	closedExecuted
-	refusedBefore
-	failedAfter
+	responded outcome = iota
+	closedBeforeExecution
+	closedAfterExecution
+	refusedBeforeExecution
+	failedAfterExecution
 	hung
 )
 
-func take(n *int) bool {
+func decrement(n *int) bool {
 	if *n <= 0 {
 		return false
 	}
@@ -227,25 +227,25 @@
 	return true
 }
 
-func (s *Service) claim() outcome {
+func (s *Service) nextOutcome() outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := &s.faults
 	switch {
 	case s.dead:
-		return closedUnexecuted
-	case s.leaving || take(&f.RefuseBefore):
-		return refusedBefore
-	case take(&f.CloseAfterRead):
-		return closedUnexecuted
-	case take(&f.CloseAfterExecute):
-		return closedExecuted
-	case take(&f.FailAfter):
-		return failedAfter
-	case take(&f.HangSilently):
+		return closedBeforeExecution
+	case s.leaving || decrement(&f.RefuseBefore):
+		return refusedBeforeExecution
+	case decrement(&f.CloseAfterRead):
+		return closedBeforeExecution
+	case decrement(&f.CloseAfterExecute):
+		return closedAfterExecution
+	case decrement(&f.FailAfter):
+		return failedAfterExecution
+	case decrement(&f.HangSilently):
 		return hung
 	default:
-		return answered
+		return responded
 	}
 }
 
@@ -256,11 +256,11 @@
 		jsonhttp.Write(w, http.StatusBadRequest, jsonhttp.Failure{Error: err.Error()})
 		return
 	}
-	what := s.claim()
-	switch what {
-	case closedUnexecuted:
+	callOutcome := s.nextOutcome()
+	switch callOutcome {
+	case closedBeforeExecution:
 		panic(http.ErrAbortHandler)
-	case refusedBefore:
+	case refusedBeforeExecution:
 		w.Header().Set(NotExecutedHeader, NotExecuted)
 		jsonhttp.Write(w, http.StatusServiceUnavailable, jsonhttp.Failure{Error: "refused before running"})
 		return
@@ -269,24 +269,24 @@
 	s.wait(context.WithoutCancel(r.Context()), f.ExecuteDelayMillis)
 	e := s.log.add(Execution{Action: r.Header.Get(ActionHeader), Method: r.Method, Path: r.URL.Path, Body: body.Bytes()})
 	s.wait(r.Context(), f.DelayMillis)
-	s.answer(w, r, what, e)
+	s.respond(w, r, callOutcome, e)
 }
 
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, what outcome, e Execution) {
-	switch what {
-	case closedExecuted:
+func (s *Service) respond(w http.ResponseWriter, r *http.Request, callOutcome outcome, e Execution) {
+	switch callOutcome {
+	case closedAfterExecution:
 		panic(http.ErrAbortHandler)
-	case failedAfter:
+	case failedAfterExecution:
 		jsonhttp.Write(w, http.StatusInternalServerError, jsonhttp.Failure{Error: "failed after running"})
 	case hung:
-		s.wait(r.Context(), forever)
+		s.wait(r.Context(), foreverMillis)
 		panic(http.ErrAbortHandler)
 	default:
-		jsonhttp.Write(w, http.StatusOK, Answer{Runner: s.runner, Action: e.Action, Number: e.Number, Echo: string(e.Body)})
+		jsonhttp.Write(w, http.StatusOK, Response{Runner: s.runner, Action: e.Action, Number: e.Number, Echo: string(e.Body)})
 	}
 }
 
-const forever = int64(365*24*time.Hour) / int64(time.Millisecond)
+const foreverMillis = int64(365*24*time.Hour) / int64(time.Millisecond)
 
 // wait ends early when the caller has gone; a service that has died meanwhile
 // does nothing more.
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -14,14 +14,14 @@
 	"geraniumstack.org/geraniumstack/standin/pipe"
 )
 
-// in runs a test with one service in a bubble.
-func in(t *testing.T, test func(is *is.I, s *Service, log *Log, call func(action string, timeout time.Duration) (*http.Response, error))) {
+// runInBubble runs a test with one service runInBubble a bubble.
+func runInBubble(t *testing.T, test func(is *is.I, s *Service, log *ExecutionLog, call func(action string, timeout time.Duration) (*http.Response, error))) {
 	synctest.Test(t, func(t *testing.T) {
 		n := pipe.NewNetwork()
 		l, err := n.Listen("casos:80")
 		is := is.New(t)
 		is.NoErr(err)
-		log := NewLog()
+		log := NewExecutionLog()
 		s := New("casos-1", log)
 		server := &http.Server{Handler: s.Handler()}
 		go server.Serve(l)
@@ -34,7 +34,7 @@
 			r.Header.Set(ActionHeader, action)
 			response, err := client.Do(r)
 			if err == nil {
-				var answer Answer
+				var answer Response
 				is.NoErr(json.NewDecoder(response.Body).Decode(&answer))
 				response.Body.Close()
 			}
@@ -48,8 +48,8 @@
 // A pledge's answer is missing in four ways. What the service ran differs:
 // nothing for a refusal and a close after reading, the pledge for a close after
 // executing and for silence. Only the refusal may be told as not executed.
-func TestMissingAnswers(t *testing.T) {
-	in(t, func(is *is.I, s *Service, log *Log, call func(string, time.Duration) (*http.Response, error)) {
+func TestExecutionWithoutResponse(t *testing.T) {
+	runInBubble(t, func(is *is.I, s *Service, log *ExecutionLog, call func(string, time.Duration) (*http.Response, error)) {
 		s.SetFaults(Faults{RefuseBefore: 1, CloseAfterRead: 1, CloseAfterExecute: 1, HangSilently: 1})
 		response, err := call("refused", time.Minute)
 		is.NoErr(err)
@@ -69,14 +69,14 @@
 		response, err = call("executed", time.Minute)
 		is.NoErr(err)
 		is.Equal(response.StatusCode, http.StatusOK)
-		is.Equal(log.RunTwice(), []string{"executed"})
+		is.Equal(log.ExecutedRepeatedly(), []string{"executed"})
 	})
 }
 
 // A caller gives up and is told nothing. The service had read the call and
 // runs it all the same, after the caller went.
 func TestExecutesAfterCallerGaveUp(t *testing.T) {
-	in(t, func(is *is.I, s *Service, log *Log, call func(string, time.Duration) (*http.Response, error)) {
+	runInBubble(t, func(is *is.I, s *Service, log *ExecutionLog, call func(string, time.Duration) (*http.Response, error)) {
 		s.SetFaults(Faults{ExecuteDelayMillis: 5000})
 		_, err := call("late", time.Second)
 		is.True(err != nil)
@@ -88,7 +88,7 @@
 }
 
 func TestLeavingRefusesAndDeadBreaks(t *testing.T) {
-	in(t, func(is *is.I, s *Service, log *Log, call func(string, time.Duration) (*http.Response, error)) {
+	runInBubble(t, func(is *is.I, s *Service, log *ExecutionLog, call func(string, time.Duration) (*http.Response, error)) {
 		s.Notice()
 		response, err := call("a", time.Second)
 		is.NoErr(err)
