--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -72,8 +72,8 @@
 	Number int `json:"number"`
 }
 
-// Response is the JSON body of an executed call.
-type Response struct {
+// CallResponse is the JSON body of an executed call.
+type CallResponse struct {
 	Runner string `json:"runner"`
 	Action string `json:"action,omitempty"`
 	Number int    `json:"number"`
@@ -282,7 +282,7 @@
 		s.wait(r.Context(), foreverMillis)
 		panic(http.ErrAbortHandler)
 	default:
-		jsonhttp.Write(w, http.StatusOK, Response{Runner: s.runner, Action: e.Action, Number: e.Number, Echo: string(e.Body)})
+		jsonhttp.Write(w, http.StatusOK, CallResponse{Runner: s.runner, Action: e.Action, Number: e.Number, Echo: string(e.Body)})
 	}
 }
 
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -34,7 +34,7 @@
 			r.Header.Set(ActionHeader, action)
 			response, err := client.Do(r)
 			if err == nil {
-				var answer Response
+				var answer CallResponse
 				is.NoErr(json.NewDecoder(response.Body).Decode(&answer))
 				response.Body.Close()
 			}
