--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,7 @@
-// Package service is a stand-in for a plain service whose calls may not all be
-// repeated: bounty pledges, case closures and slot bookings. It counts how
-// often each action was executed. docs/protocols/service.md describes it.
+// Package service is a stand-in for a plain service some of whose calls must
+// not be repeated: bounty pledges, case closures and slot bookings. It counts
+// the executions of every action. docs/protocols/service.md describes the
+// protocol.
 package service
 
 import (
@@ -16,10 +17,11 @@
 )
 
 const (
-	// ActionHeader names the action that a call carries out.
+	// ActionHeader is the header with the ID of the action that a call
+	// executes.
 	ActionHeader = "X-Geranium-Action"
-	// NotExecutedHeader with value NotExecuted marks a refusal before any of
-	// the call was run.
+	// NotExecutedHeader with the value NotExecuted marks the refusal of a
+	// call of which nothing was executed.
 	NotExecutedHeader = "X-Not-Executed"
 	// NotExecuted is the value of NotExecutedHeader.
 	NotExecuted = "1"
@@ -27,62 +29,66 @@
 
 // Admin paths of the stand-in.
 const (
-	// PathFaults takes GET for the switches and PUT to replace them.
+	// PathFaults takes GET to read the injected faults and PUT to replace
+	// them.
 	PathFaults = "/faults"
-	// PathExecutions takes GET for the counts by action.
+	// PathExecutions takes GET for the number of executions of each action.
 	PathExecutions = "/executions"
-	// PathNotice takes POST and makes the service refuse all that is new.
+	// PathNotice takes POST. After it, the service refuses all new calls.
 	PathNotice = "/faults/notice"
-	// PathDie takes POST and breaks all connections.
+	// PathDie takes POST and aborts all connections.
 	PathDie = "/faults/die"
 )
 
 const maxBodyBytes = 16 << 20
 
-// Faults are the switches of a service; the zero value is a healthy one. The
-// counted ones befall the next calls that are not of an admin path.
+// Faults are the injected faults of a service; the zero value injects none. A
+// count applies to the next calls, not including calls of the admin paths.
 type Faults struct {
-	// CloseAfterRead reads the next calls whole, does not execute them and
-	// closes the connection without an answer.
+	// CloseAfterRead reads the next calls completely and closes the
+	// connection without executing the call or responding.
 	CloseAfterRead int `json:"close_after_read,omitempty"`
 	// CloseAfterExecute executes the next calls and closes the connection
-	// without an answer.
+	// without a response.
 	CloseAfterExecute int `json:"close_after_execute,omitempty"`
-	// RefuseBefore refuses the next calls with 503 and NotExecutedHeader.
+	// RefuseBefore refuses the next calls with status 503 and
+	// NotExecutedHeader.
 	RefuseBefore int `json:"refuse_before,omitempty"`
-	// FailAfter executes the next calls and answers 500 all the same.
+	// FailAfter executes the next calls but responds with status 500.
 	FailAfter int `json:"fail_after,omitempty"`
-	// HangSilently executes the next calls and never answers; the connection
+	// HangSilently executes the next calls and never responds; the connection
 	// stays open.
 	HangSilently int `json:"hang_silently,omitempty"`
-	// DelayMillis is waited between executing and answering each call.
+	// DelayMillis is the delay between the execution of a call and its
+	// response.
 	DelayMillis int64 `json:"delay_ms,omitempty"`
-	// ExecuteDelayMillis is waited before executing each call, which is done
-	// although the caller has gone meanwhile.
+	// ExecuteDelayMillis is the delay before the execution of a call. The
+	// call is executed even if the caller disconnects during the delay.
 	ExecuteDelayMillis int64 `json:"execute_delay_ms,omitempty"`
 }
 
-// Execution is one run of a call.
+// Execution is one execution of a call.
 type Execution struct {
 	Action string `json:"action"`
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   []byte `json:"body,omitempty"`
-	// Number counts the service's executions from 1.
+	// Number counts the executions of all runners of the service, starting at
+	// 1.
 	Number int `json:"number"`
 }
 
-// CallResponse is the JSON body of an executed call.
+// CallResponse is the JSON body of the response to an executed call.
 type CallResponse struct {
 	Runner string `json:"runner"`
 	Action string `json:"action,omitempty"`
 	Number int    `json:"number"`
-	// Echo is the call's body.
+	// Echo is the request body of the call.
 	Echo string `json:"echo,omitempty"`
 }
 
-// ExecutionLog records the executions of all runners of a service. It is safe for
-// concurrent use.
+// ExecutionLog records the executions of all runners of a service. It is safe
+// for concurrent use.
 type ExecutionLog struct {
 	mu         sync.Mutex
 	executions []Execution
@@ -103,14 +109,14 @@
 	return e
 }
 
-// Count is how often an action was executed.
+// Count returns the number of executions of an action.
 func (l *ExecutionLog) Count(action string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts[action]
 }
 
-// Counts is how often each action was executed.
+// Counts returns the number of executions of each action.
 func (l *ExecutionLog) Counts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +127,8 @@
 	return counts
 }
 
-// ExecutedRepeatedly lists the actions that were executed more than once, sorted.
+// ExecutedRepeatedly returns the sorted IDs of the actions that were executed
+// more than once.
 func (l *ExecutionLog) ExecutedRepeatedly() []string {
 	var repeated []string
 	for action, n := range l.Counts() {
@@ -133,7 +140,7 @@
 	return repeated
 }
 
-// Executions lists all runs in order.
+// Executions returns all executions in order.
 func (l *ExecutionLog) Executions() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,28 +164,30 @@
 	return &Service{runner: runner, log: log, died: make(chan struct{})}
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all injected faults.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Faults returns the switches as they stand.
+// Faults returns the injected faults. Each count decreases as its fault
+// occurs.
 func (s *Service) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Notice makes the service refuse new calls, truthfully, from now on.
+// Notice makes the service refuse all new calls. The refusals are marked with
+// NotExecutedHeader.
 func (s *Service) Notice() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// Die breaks all connections, now and later.
+// Die aborts all open connections and every later one.
 func (s *Service) Die() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +197,7 @@
 	}
 }
 
-// Handler serves every path as a call of the service, but for the admin paths.
+// Handler serves the admin paths. Every other path is a call of the service.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
@@ -207,7 +216,7 @@
 	return mux
 }
 
-// outcome is what befalls one call.
+// outcome is the result of one call, which the injected faults determine.
 type outcome int
 
 const (
@@ -288,8 +297,8 @@
 
 const foreverMillis = int64(365*24*time.Hour) / int64(time.Millisecond)
 
-// wait ends early when the caller has gone; a service that has died meanwhile
-// does nothing more.
+// wait returns early if the caller disconnects. If the service dies during
+// the wait, it aborts the call.
 func (s *Service) wait(ctx context.Context, millis int64) {
 	timer := time.NewTimer(time.Duration(millis) * time.Millisecond)
 	defer timer.Stop()
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -14,7 +14,7 @@
 	"geraniumstack.org/geraniumstack/standin/pipe"
 )
 
-// runInBubble runs a test with one service runInBubble a bubble.
+// runInBubble runs a test with one service in a testing/synctest bubble.
 func runInBubble(t *testing.T, test func(is *is.I, s *Service, log *ExecutionLog, call func(action string, timeout time.Duration) (*http.Response, error))) {
 	synctest.Test(t, func(t *testing.T) {
 		n := pipe.NewNetwork()
@@ -45,9 +45,9 @@
 	})
 }
 
-// A pledge's answer is missing in four ways. What the service ran differs:
-// nothing for a refusal and a close after reading, the pledge for a close after
-// executing and for silence. Only the refusal may be told as not executed.
+// A pledge's call fails in four ways. A refusal and a close after reading
+// execute nothing; a close after executing and a silent hang execute the
+// pledge. Only the refusal may be marked as not executed.
 func TestExecutionWithoutResponse(t *testing.T) {
 	runInBubble(t, func(is *is.I, s *Service, log *ExecutionLog, call func(string, time.Duration) (*http.Response, error)) {
 		s.SetFaults(Faults{RefuseBefore: 1, CloseAfterRead: 1, CloseAfterExecute: 1, HangSilently: 1})
@@ -73,8 +73,8 @@
 	})
 }
 
-// A caller gives up and is told nothing. The service had read the call and
-// runs it all the same, after the caller went.
+// A caller times out after the service has read its call. The service must
+// execute the call all the same, after the caller has disconnected.
 func TestExecutesAfterCallerGaveUp(t *testing.T) {
 	runInBubble(t, func(is *is.I, s *Service, log *ExecutionLog, call func(string, time.Duration) (*http.Response, error)) {
 		s.SetFaults(Faults{ExecuteDelayMillis: 5000})
