--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs a whole set of stand-ins: the key-value service, the cloud
-// API with the VM list, the weight store, and runners that come and go with
-// their VMs.
+// Package fleet runs a complete set of stand-ins: the key-value service, the
+// cloud API with the VM list, the weight store, and runners that start and
+// stop with their VMs.
 package fleet
 
 import (
@@ -24,16 +24,17 @@
 	api "geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// Network opens listeners and connections; pipe.Network is one in memory.
+// Network opens listeners and connections. Package pipe has an implementation
+// in memory.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// TCP is the Network of the machine.
+// TCP is the Network of the operating system.
 type TCP struct{}
 
-// Listen opens a TCP listener at an IP address and port.
+// Listen opens a TCP listener on an IP address and port.
 func (TCP) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // Dial opens a TCP connection.
@@ -42,29 +43,31 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// UnknownServiceError says that a start asked for a service that the settings
-// don't have.
+// UnknownServiceError reports the start of a VM for a service that the
+// settings do not define.
 type UnknownServiceError struct{ Service string }
 
 func (e *UnknownServiceError) Error() string { return fmt.Sprintf("unknown service %q", e.Service) }
 
-// Options connect a set to what runs beside it; all are optional.
+// Options connect a fleet to the test or program that runs it. All fields are
+// optional.
 type Options struct {
-	// Network is TCP{} if nil.
+	// Network defaults to TCP{}.
 	Network Network
-	// EntryNoticed and EntryRemoved tell of reclaims of entry VMs.
+	// EntryNoticed and EntryRemoved are called when an entry VM, which runs a
+	// daemon outside of the fleet, gets a reclaim notice or is removed.
 	EntryNoticed func(vm api.VM, left time.Duration)
 	EntryRemoved func(vm api.VM)
 }
 
-// Fleet is a running set.
+// Fleet is a running set of stand-ins.
 type Fleet struct {
 	// KV, Cloud and Weights are the platform's services.
 	KV      *kvserver.Store
 	Cloud   *cloudapi.Cloud
 	Weights *cloudapi.Weights
-	// Executions is shared by all runners of plain services, Ledger by all
-	// engines.
+	// Executions is shared by all runners of plain services, and TokenCounter
+	// by all engines.
 	Executions   *service.ExecutionLog
 	TokenCounter *engine.TokenCounter
 
@@ -78,8 +81,8 @@
 	runners map[string]*Runner
 }
 
-// Addresses are the base URLs of the platform's services, named as a daemon's
-// settings name them.
+// Addresses are the base URLs of the platform's services. The JSON keys are
+// those of a daemon's settings.
 type Addresses struct {
 	KeyValue string `json:"key_value"`
 	VMList   string `json:"vm_list"`
@@ -87,7 +90,7 @@
 	Weights  string `json:"weights"`
 }
 
-// Runner is the process of one VM. One of Engine and Service is set.
+// Runner is the process of one VM. Either Engine or Service is set.
 type Runner struct {
 	VM      api.VM
 	Engine  *engine.Engine
@@ -95,7 +98,7 @@
 	server  *http.Server
 }
 
-// Start runs a set. The caller closes it.
+// Start starts a fleet. The caller must close it.
 func Start(s Settings, options Options) (*Fleet, error) {
 	if options.Network == nil {
 		options.Network = TCP{}
@@ -183,7 +186,7 @@
 func (f *Fleet) listen(address string, handler http.Handler) (*http.Server, string, error) {
 	l, err := f.options.Network.Listen(address)
 	if err != nil {
-		return nil, "", fmt.Errorf("listen at %s: %w", address, err)
+		return nil, "", fmt.Errorf("listen on %s: %w", address, err)
 	}
 	server := &http.Server{Handler: handler}
 	go server.Serve(l)
@@ -233,7 +236,7 @@
 
 func (f *Fleet) launchWithoutModels(vm api.VM) (string, error) { return f.launch(vm, nil) }
 
-// launch runs the process of a VM with models loaded.
+// launch starts the process of a VM with models loaded.
 func (f *Fleet) launch(vm api.VM, models []Model) (string, error) {
 	s, ok := f.settings.service(vm.Service)
 	if !ok {
@@ -264,7 +267,8 @@
 	return address, nil
 }
 
-// weightTransferTime is how long a model's weights take; adapters are small.
+// weightTransferTime returns how long the weights of an order take to arrive.
+// Adapters are small, so their transfer takes no time.
 func (f *Fleet) weightTransferTime(now time.Time, o engineapi.Order) time.Duration {
 	if o.Adapter != "" {
 		return 0
@@ -287,7 +291,7 @@
 }
 
 func (f *Fleet) handleRemoval(vm api.VM) {
-	klog.InfoS("VM is gone", "vm", vm.ID, "failureDomain", vm.FailureDomain)
+	klog.InfoS("VM was removed", "vm", vm.ID, "failureDomain", vm.FailureDomain)
 	f.mu.Lock()
 	r := f.runners[vm.ID]
 	f.mu.Unlock()
@@ -298,7 +302,7 @@
 	}
 }
 
-// close breaks the runner's connections. A second call does nothing.
+// close aborts the runner's connections. It may be called more than once.
 func (r *Runner) close() {
 	if r.Engine != nil {
 		r.Engine.Close()
@@ -310,15 +314,15 @@
 	}
 }
 
-// Runner returns the process of a VM, also of one that is gone; nil for entry
-// VMs and unknown ones.
+// Runner returns the process of a VM, including a VM that was removed. It
+// returns nil for entry VMs and unknown VMs.
 func (f *Fleet) Runner(vm string) *Runner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runners[vm]
 }
 
-// Runners lists all runners there ever were, by VM.
+// Runners returns all runners ever started, sorted by VM ID.
 func (f *Fleet) Runners() []*Runner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -333,10 +337,10 @@
 // Addresses returns the base URLs of the platform's services.
 func (f *Fleet) Addresses() Addresses { return f.addresses }
 
-// Settings returns what the set was started with.
+// Settings returns the settings with which the fleet was started.
 func (f *Fleet) Settings() Settings { return f.settings }
 
-// Close ends all stand-ins at once.
+// Close stops all stand-ins at once.
 func (f *Fleet) Close() {
 	for _, r := range f.Runners() {
 		r.close()
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -20,7 +20,8 @@
 	client "geraniumstack.org/geraniumstack/transport/engine"
 )
 
-// The built-in sets run what the example manifests ask for.
+// The built-in settings must contain the failure domains, VM classes and
+// services of the example manifests.
 func TestBuiltInSettingsAgreeWithExamples(t *testing.T) {
 	is := is.New(t)
 	for path, set := range map[string]func() (Settings, error){
@@ -54,9 +55,9 @@
 	is.Equal(len(invalid.Problems), 3)
 }
 
-// A whole set runs in a bubble: a failure domain is reclaimed, its runners are
-// gone when the notice is over, and a replacement started through the cloud API
-// serves a model once it is ordered to load it.
+// A whole failure domain is reclaimed. Its runners must be gone when the
+// notice period is over, and a replacement started through the cloud API must
+// serve a model after an order to load it.
 func TestReclaimAndReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/standin/fleet/manifest.go
+++ b/standin/fleet/manifest.go
@@ -6,7 +6,8 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// loopback is where everything listens, on ports that the system chooses.
+// All stand-ins listen on the loopback address, on ports that the operating
+// system chooses.
 const (
 	loopback     = "127.0.0.1"
 	loopbackPort = loopback + ":0"
@@ -14,9 +15,10 @@
 
 const defaultWeightBytes = 16_000_000_000
 
-// FromManifest returns a set with what a manifest asks for already running, on
-// reclaimable VMs where it has such a class for the service. Everything listens
-// on loopback.
+// FromManifest returns the settings of a fleet that already runs what a
+// manifest requests. Runners use reclaimable VMs if the manifest has a
+// reclaimable class for their service. All stand-ins listen on the loopback
+// address.
 func FromManifest(m *manifest.Manifest) Settings {
 	s := Settings{
 		Listen:         Listen{KeyValue: loopbackPort, Cloud: loopbackPort, Weights: loopbackPort, RunnerHost: loopback},
--- a/standin/fleet/settings.go
+++ b/standin/fleet/settings.go
@@ -16,64 +16,67 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// Settings describe a whole set of stand-ins. Zero values of optional fields
-// are defaults.
+// Settings describe a complete set of stand-ins. Optional fields with the
+// zero value get their defaults.
 type Settings struct {
 	Listen         Listen                `json:"listen"`
 	FailureDomains []ident.FailureDomain `json:"failure_domains" jsonschema:"minItems=1"`
 	VMClasses      []VMClass             `json:"vm_classes" jsonschema:"minItems=1"`
 	Services       []Service             `json:"services" jsonschema:"minItems=1"`
-	// EntryVMs are put into the VM list; the set does not run them.
+	// EntryVMs are added to the VM list. The fleet does not run their
+	// processes.
 	EntryVMs []EntryVM `json:"entry_vms,omitempty"`
-	// KeyValue limits the key-value service.
+	// KeyValue sets the rate limits of the key-value service.
 	KeyValue kvserver.Limits `json:"key_value,omitempty"`
 	Engine   Engine          `json:"engine,omitempty"`
 	Cloud    Cloud           `json:"cloud,omitempty"`
 	Weights  Weights         `json:"weights,omitempty"`
 }
 
-// Listen holds the addresses, IP and port, of the platform's services. Port 0
-// is chosen by the system.
+// Listen holds the addresses (IP and port) on which the platform's services
+// listen. With port 0 the operating system chooses a port.
 type Listen struct {
 	KeyValue string `json:"key_value" jsonschema:"minLength=1"`
 	Cloud    string `json:"cloud" jsonschema:"minLength=1"`
 	Weights  string `json:"weights" jsonschema:"minLength=1"`
-	// RunnerHost is the IP that all runners listen at, each on a port of its
-	// own that the system chooses.
+	// RunnerHost is the IP address on which all runners listen. The operating
+	// system chooses the port of each runner.
 	RunnerHost string `json:"runner_host" jsonschema:"minLength=1"`
 }
 
-// VMClass is a kind of VM that the cloud sells in every failure domain.
+// VMClass is a VM class, which the cloud offers in every failure domain.
 type VMClass struct {
 	Name         string  `json:"name" jsonschema:"minLength=1"`
 	Reclaimable  bool    `json:"reclaimable"`
 	PricePerHour float64 `json:"price_per_hour" jsonschema:"exclusiveMinimum=0"`
 }
 
-// Service is a set of runners, spread over the failure domains in turn.
+// Service is a set of runners, which are distributed over the failure domains
+// in rotation.
 type Service struct {
 	Name string        `json:"name" jsonschema:"minLength=1"`
 	Kind manifest.Kind `json:"kind" jsonschema:"enum=model,enum=plain"`
-	// Runners run from the start.
+	// Runners is the number of runners that are started with the fleet.
 	Runners int    `json:"runners" jsonschema:"minimum=0"`
 	VMClass string `json:"vm_class" jsonschema:"minLength=1"`
-	// Models are loaded on the runners from the start. Those that the cloud
-	// API starts are empty until they are ordered to load.
+	// Models are loaded on the runners that are started with the fleet.
+	// Runners that are started through the cloud API have no models until an
+	// order to load them.
 	Models        []Model `json:"models,omitempty"`
 	ChecksFencing bool    `json:"checks_fencing,omitempty"`
 }
 
-// Model is a model that runners of a service hold.
+// Model is a model that the runners of a service load.
 type Model struct {
 	Name    string `json:"name" jsonschema:"minLength=1"`
 	Version string `json:"version" jsonschema:"minLength=1"`
-	// Adapters are as the load report names them: name@version.
+	// Adapters are named name@version, as in the load report.
 	Adapters []string `json:"adapters,omitempty"`
-	// Bytes is its size in the weight store.
+	// Bytes is the size of the model's weights in the weight store.
 	Bytes int64 `json:"bytes,omitempty" jsonschema:"minimum=0"`
 }
 
-// EntryVM is a VM that holds a daemon.
+// EntryVM is a VM on which a daemon runs.
 type EntryVM struct {
 	ID            string              `json:"id" jsonschema:"minLength=1"`
 	Address       string              `json:"address" jsonschema:"minLength=1"`
@@ -81,7 +84,7 @@
 	VMClass       string              `json:"vm_class" jsonschema:"minLength=1"`
 }
 
-// Engine changes the speed and size of every model engine.
+// Engine overrides the default speed and capacity of all model engines.
 type Engine struct {
 	PrefillTokensPerSecond    float64 `json:"prefill_tokens_per_second,omitempty" jsonschema:"minimum=0"`
 	DecodeStepMillis          float64 `json:"decode_step_ms,omitempty" jsonschema:"minimum=0"`
@@ -98,7 +101,7 @@
 	RefuseAttemptsWhenLeaving bool    `json:"refuse_attempts_when_leaving,omitempty"`
 }
 
-// Cloud changes the cloud API and the VM list.
+// Cloud sets the prices, delays and checks of the cloud API and the VM list.
 type Cloud struct {
 	Seed                     uint64  `json:"seed,omitempty"`
 	PriceSpread              float64 `json:"price_spread,omitempty" jsonschema:"minimum=0,maximum=1"`
@@ -109,15 +112,16 @@
 	ChecksFencing            bool    `json:"checks_fencing,omitempty"`
 }
 
-// Weights limits the weight store; zero is its default.
+// Weights sets the limits of the weight store. Zero selects the defaults.
 type Weights struct {
 	CallsPerSecond float64 `json:"calls_per_second,omitempty" jsonschema:"minimum=0"`
 	Burst          int     `json:"burst,omitempty" jsonschema:"minimum=0"`
-	// BytesPerSecond is shared by all loads; zero is no bound.
+	// BytesPerSecond is the bandwidth that all transfers of weights share;
+	// zero means no limit.
 	BytesPerSecond float64 `json:"bytes_per_second,omitempty" jsonschema:"minimum=0"`
 }
 
-// Defaults of the weight store's limit.
+// Default rate limit of the weight store, in calls per second, and its burst.
 const (
 	DefaultWeightCalls = 5
 	DefaultWeightBurst = 10
@@ -130,14 +134,15 @@
 	aspenCoulee []byte
 )
 
-// Huaman returns a set of the sizes of the Huamán Lost Pet Alert Routing Fleet.
+// Huaman returns settings of the size of the Huamán Lost Pet Alert Routing
+// Fleet.
 func Huaman() (Settings, error) { return Parse(huaman) }
 
-// AspenCoulee returns a set of the sizes of the Aspen Coulee Slot Brokerage
+// AspenCoulee returns settings of the size of the Aspen Coulee Slot Brokerage
 // Model Fleet.
 func AspenCoulee() (Settings, error) { return Parse(aspenCoulee) }
 
-// Load reads and checks a settings file. Faults of its content are an
+// Load reads and checks a settings file. For invalid content it returns a
 // *document.InvalidError.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
@@ -147,7 +152,7 @@
 	return Parse(data)
 }
 
-// Parse checks settings.
+// Parse decodes and checks settings.
 func Parse(data []byte) (Settings, error) {
 	var s Settings
 	if err := document.Decode(data, &s); err != nil {
@@ -156,7 +161,8 @@
 	return s, nil
 }
 
-// Check finds names that nothing defines, and those defined twice.
+// Check reports undefined and repeated names, and model services without a
+// model.
 func (s *Settings) Check() []document.Problem {
 	var problems []document.Problem
 	seen := map[string]bool{}
@@ -205,7 +211,7 @@
 	return s.Services[i], true
 }
 
-// engineConfig is what a runner of the service is made with.
+// engineConfig returns the configuration of a runner's engine.
 func (s *Settings) engineConfig(runnerID string, service Service, models []Model) engine.Config {
 	cfg := engine.DefaultConfig(runnerID, "", "")
 	cfg.Models = nil
@@ -230,7 +236,8 @@
 	return cfg
 }
 
-// setIfNonZero changes a default where the settings say something.
+// setIfNonZero overrides a default with a setting, unless the setting is
+// zero.
 func setIfNonZero[T comparable](target *T, setting T) {
 	var zero T
 	if setting != zero {
