--- a/standin/pipe/pipe.go
+++ b/standin/pipe/pipe.go
@@ -15,12 +15,12 @@
 
 const (
 	bufferBytes = 32 << 10
-	anyPort     = "0"
+	portZero    = "0"
 	firstPort   = 40000
 )
 
-// past is a deadline that is over on every clock, virtual ones too.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that is over on every clock, virtual ones too.
+var expiredDeadline = time.Unix(1, 0)
 
 // RefusedError says that nothing listens at an address.
 type RefusedError struct{ Address string }
@@ -64,9 +64,9 @@
 
 // link relays one connection between its two ends.
 type link struct {
-	to     Address
-	client net.Conn // the relay's own ends
-	server net.Conn
+	to          Address
+	relayClient net.Conn // the relay's own ends
+	relayServer net.Conn
 
 	mu     sync.Mutex
 	silent bool
@@ -77,7 +77,7 @@
 func (n *Network) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if host, port, err := net.SplitHostPort(address); err == nil && port == anyPort {
+	if host, port, err := net.SplitHostPort(address); err == nil && port == portZero {
 		n.lastPort++
 		address = net.JoinHostPort(host, strconv.Itoa(n.lastPort))
 	}
@@ -110,7 +110,7 @@
 	case <-ctx.Done():
 		return nil, &net.OpError{Op: "dial", Net: a.Network(), Addr: a, Err: ctx.Err()}
 	}
-	n.relay(&link{to: a, client: relayClient, server: relayServer})
+	n.relay(&link{to: a, relayClient: relayClient, relayServer: relayServer})
 	return client, nil
 }
 
@@ -125,8 +125,8 @@
 	n.links[l] = struct{}{}
 	n.mu.Unlock()
 	var ends sync.WaitGroup
-	ends.Go(func() { l.copy(l.server, l.client) })
-	ends.Go(func() { l.copy(l.client, l.server) })
+	ends.Go(func() { l.copy(l.relayServer, l.relayClient) })
+	ends.Go(func() { l.copy(l.relayClient, l.relayServer) })
 	go func() {
 		ends.Wait()
 		n.mu.Lock()
@@ -140,9 +140,9 @@
 func (l *link) copy(dst, src net.Conn) {
 	buffer := make([]byte, bufferBytes)
 	for {
-		read, err := src.Read(buffer)
-		if read > 0 && !l.isSilent() {
-			if _, failed := dst.Write(buffer[:read]); failed != nil && !l.isSilent() {
+		n, err := src.Read(buffer)
+		if n > 0 && !l.isSilent() {
+			if _, writeErr := dst.Write(buffer[:n]); writeErr != nil && !l.isSilent() {
 				src.Close()
 				return
 			}
@@ -170,8 +170,8 @@
 	l.mu.Lock()
 	l.silent = true
 	l.mu.Unlock()
-	l.client.SetWriteDeadline(past)
-	l.server.SetWriteDeadline(past)
+	l.relayClient.SetWriteDeadline(expiredDeadline)
+	l.relayServer.SetWriteDeadline(expiredDeadline)
 }
 
 // Silence makes every established connection to address go silent for good:
@@ -198,8 +198,8 @@
 	count := 0
 	for l := range n.links {
 		if l.to == Address(address) {
-			l.client.Close()
-			l.server.Close()
+			l.relayClient.Close()
+			l.relayServer.Close()
 			count++
 		}
 	}
