--- a/standin/cloudapi/http.go
+++ b/standin/cloudapi/http.go
@@ -58,7 +58,7 @@
 		vms, err := c.List(r.Context())
 		writeResult(w, cloudapi.ListResponse{VMs: vms}, err)
 	})
-	jsonhttp.Switches(mux, PathFaults, c.Faults, c.SetFaults)
+	jsonhttp.HandleFaults(mux, PathFaults, c.Faults, c.SetFaults)
 	mux.HandleFunc("POST "+PathReclaim, c.serveReclaim)
 	mux.HandleFunc("POST "+PathKill, c.serveKill)
 	return mux
@@ -131,7 +131,7 @@
 		weight, err := w.Stat(r.Context(), r.FormValue(cloudapi.ParamName), r.FormValue(cloudapi.ParamVersion))
 		writeResult(rw, weight, err)
 	})
-	jsonhttp.Switches(mux, PathFaults, w.Faults, w.SetFaults)
+	jsonhttp.HandleFaults(mux, PathFaults, w.Faults, w.SetFaults)
 	return mux
 }
 
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -71,7 +71,7 @@
 }
 
 func (e *Engine) handleAdmin(mux *http.ServeMux) {
-	jsonhttp.Switches(mux, PathFaults, e.Faults, e.SetFaults)
+	jsonhttp.HandleFaults(mux, PathFaults, e.Faults, e.SetFaults)
 	mux.HandleFunc("POST "+PathNotice, func(w http.ResponseWriter, r *http.Request) {
 		var notice NoticeRequest
 		if !jsonhttp.Read(w, r, maxBodyBytes, &notice) {
--- a/standin/jsonhttp/jsonhttp.go
+++ b/standin/jsonhttp/jsonhttp.go
@@ -6,13 +6,13 @@
 	"net/http"
 )
 
-const maxSwitchBytes = 64 << 10
+const maxFaultsBytes = 64 << 10
 
 // Empty is the JSON body "{}".
 type Empty struct{}
 
-// Failure is the JSON body of an admin path's refusal.
-type Failure struct {
+// ErrorBody is the JSON body of an admin path's refusal.
+type ErrorBody struct {
 	Error string `json:"error"`
 }
 
@@ -29,23 +29,23 @@
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, limit))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
-		Write(w, http.StatusBadRequest, Failure{Error: err.Error()})
+		Write(w, http.StatusBadRequest, ErrorBody{Error: err.Error()})
 		return false
 	}
 	return true
 }
 
-// Switches serves a set of fault switches: GET reads them, PUT replaces all.
-func Switches[T any](mux *http.ServeMux, path string, get func() T, set func(T)) {
+// HandleFaults serves a set of fault switches: GET reads them, PUT replaces all.
+func HandleFaults[T any](mux *http.ServeMux, path string, get func() T, set func(T)) {
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
 		Write(w, http.StatusOK, get())
 	})
 	mux.HandleFunc("PUT "+path, func(w http.ResponseWriter, r *http.Request) {
-		var switches T
-		if !Read(w, r, maxSwitchBytes, &switches) {
+		var faults T
+		if !Read(w, r, maxFaultsBytes, &faults) {
 			return
 		}
-		set(switches)
+		set(faults)
 		Write(w, http.StatusOK, get())
 	})
 }
--- a/standin/kvserver/http.go
+++ b/standin/kvserver/http.go
@@ -69,7 +69,7 @@
 }
 
 func (s *Store) handleAdmin(mux *http.ServeMux) {
-	jsonhttp.Switches(mux, PathFaults, s.Faults, s.SetFaults)
+	jsonhttp.HandleFaults(mux, PathFaults, s.Faults, s.SetFaults)
 	handle(mux, PathExpire, func(_ context.Context, r kv.LeaseBody) (jsonhttp.Empty, error) {
 		if !s.Expire(r.Lease) {
 			return jsonhttp.Empty{}, &kv.LeaseExpiredError{Lease: r.Lease}
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -201,7 +201,7 @@
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
-	jsonhttp.Switches(mux, PathFaults, s.Faults, s.SetFaults)
+	jsonhttp.HandleFaults(mux, PathFaults, s.Faults, s.SetFaults)
 	mux.HandleFunc("GET "+PathExecutions, func(w http.ResponseWriter, _ *http.Request) {
 		jsonhttp.Write(w, http.StatusOK, s.log.Counts())
 	})
@@ -262,7 +262,7 @@
 	var body bytes.Buffer
 	if _, err := io.Copy(&body, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 		w.Header().Set(NotExecutedHeader, NotExecuted)
-		jsonhttp.Write(w, http.StatusBadRequest, jsonhttp.Failure{Error: err.Error()})
+		jsonhttp.Write(w, http.StatusBadRequest, jsonhttp.ErrorBody{Error: err.Error()})
 		return
 	}
 	callOutcome := s.nextOutcome()
@@ -271,7 +271,7 @@
 		panic(http.ErrAbortHandler)
 	case refusedBeforeExecution:
 		w.Header().Set(NotExecutedHeader, NotExecuted)
-		jsonhttp.Write(w, http.StatusServiceUnavailable, jsonhttp.Failure{Error: "refused before running"})
+		jsonhttp.Write(w, http.StatusServiceUnavailable, jsonhttp.ErrorBody{Error: "refused before running"})
 		return
 	}
 	f := s.Faults()
@@ -286,7 +286,7 @@
 	case closedAfterExecution:
 		panic(http.ErrAbortHandler)
 	case failedAfterExecution:
-		jsonhttp.Write(w, http.StatusInternalServerError, jsonhttp.Failure{Error: "failed after running"})
+		jsonhttp.Write(w, http.StatusInternalServerError, jsonhttp.ErrorBody{Error: "failed after running"})
 	case hung:
 		s.wait(r.Context(), foreverMillis)
 		panic(http.ErrAbortHandler)
