--- a/standin/pipe/pipe.go
+++ b/standin/pipe/pipe.go
@@ -64,9 +64,9 @@
 
 // link relays one connection between its two ends.
 type link struct {
-	to          Address
-	relayClient net.Conn // the relay's own ends
-	relayServer net.Conn
+	to     Address
+	client net.Conn // the relay's own ends
+	server net.Conn
 
 	mu     sync.Mutex
 	silent bool
@@ -110,7 +110,7 @@
 	case <-ctx.Done():
 		return nil, &net.OpError{Op: "dial", Net: a.Network(), Addr: a, Err: ctx.Err()}
 	}
-	n.relay(&link{to: a, relayClient: relayClient, relayServer: relayServer})
+	n.relay(&link{to: a, client: relayClient, server: relayServer})
 	return client, nil
 }
 
@@ -125,8 +125,8 @@
 	n.links[l] = struct{}{}
 	n.mu.Unlock()
 	var ends sync.WaitGroup
-	ends.Go(func() { l.copy(l.relayServer, l.relayClient) })
-	ends.Go(func() { l.copy(l.relayClient, l.relayServer) })
+	ends.Go(func() { l.copy(l.server, l.client) })
+	ends.Go(func() { l.copy(l.client, l.server) })
 	go func() {
 		ends.Wait()
 		n.mu.Lock()
@@ -170,8 +170,8 @@
 	l.mu.Lock()
 	l.silent = true
 	l.mu.Unlock()
-	l.relayClient.SetWriteDeadline(expiredDeadline)
-	l.relayServer.SetWriteDeadline(expiredDeadline)
+	l.client.SetWriteDeadline(expiredDeadline)
+	l.server.SetWriteDeadline(expiredDeadline)
 }
 
 // Silence makes every established connection to address go silent for good:
@@ -198,8 +198,8 @@
 	count := 0
 	for l := range n.links {
 		if l.to == Address(address) {
-			l.relayClient.Close()
-			l.relayServer.Close()
+			l.client.Close()
+			l.server.Close()
 			count++
 		}
 	}
