--- a/standin/pipe/pipe.go
+++ b/standin/pipe/pipe.go
@@ -1,6 +1,6 @@
-// Package pipe is a network in memory for tests in testing/synctest bubbles:
-// listeners and dialled connections over net.Pipe, of which established ones
-// can be made to go silent for good while new ones work.
+// Package pipe is an in-memory network for tests that run in testing/synctest
+// bubbles. Listeners and connections use net.Pipe. Established connections
+// can be made silent for good while new connections work.
 package pipe
 
 import (
@@ -19,20 +19,21 @@
 	firstPort   = 40000
 )
 
-// expiredDeadline is a deadline that is over on every clock, virtual ones too.
+// expiredDeadline has passed on every clock, including the virtual clock of a
+// testing/synctest bubble.
 var expiredDeadline = time.Unix(1, 0)
 
-// RefusedError says that nothing listens at an address.
+// RefusedError reports that nothing listens on an address.
 type RefusedError struct{ Address string }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("connection to %s refused", e.Address) }
+func (e *RefusedError) Error() string { return fmt.Sprintf("connection to %s refused: nothing listens", e.Address) }
 
-// InUseError says that something listens at an address already.
+// InUseError reports that another listener uses the address already.
 type InUseError struct{ Address string }
 
-func (e *InUseError) Error() string { return fmt.Sprintf("address %s in use", e.Address) }
+func (e *InUseError) Error() string { return fmt.Sprintf("address %s is already in use", e.Address) }
 
-// Address is a name in the network, by custom "host:port".
+// Address is the address of a listener, usually "host:port".
 type Address string
 
 // Network implements net.Addr.
@@ -40,7 +41,7 @@
 
 func (a Address) String() string { return string(a) }
 
-// Network is a set of listeners and the connections to them. It is safe for
+// Network is a set of listeners and of connections to them. It is safe for
 // concurrent use.
 type Network struct {
 	mu        sync.Mutex
@@ -62,10 +63,11 @@
 	closed  chan struct{}
 }
 
-// link relays one connection between its two ends.
+// link relays the bytes of one connection between the client's and the
+// server's net.Pipe.
 type link struct {
 	to     Address
-	client net.Conn // the relay's own ends
+	client net.Conn // the relay's end of each pipe
 	server net.Conn
 
 	mu     sync.Mutex
@@ -73,7 +75,7 @@
 }
 
 // Listen makes address reachable until the listener is closed. Port 0 is
-// replaced by one that was never used.
+// replaced by a port that was not used before in this network.
 func (n *Network) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -90,8 +92,8 @@
 	return l, nil
 }
 
-// Dial connects to a listener of the network. Its signature is that of
-// http.Transport's DialContext.
+// Dial connects to a listener of the network. It can be used as
+// http.Transport.DialContext.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	a := Address(address)
 	n.mu.Lock()
@@ -114,8 +116,9 @@
 	return client, nil
 }
 
-// Client returns an HTTP client that dials in the network. Its idle
-// connections have to be closed before a bubble ends.
+// Client returns an HTTP client that connects through the network. Its idle
+// connections must be closed before the testing/synctest bubble ends, because
+// a bubble waits for its goroutines.
 func (n *Network) Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: n.Dial}}
 }
@@ -135,8 +138,8 @@
 	}()
 }
 
-// copy passes bytes on until its source ends. On a silent link it swallows
-// them, and the other end does not hear of the source's end.
+// copy forwards bytes until src is closed. On a silent link it discards the
+// bytes, and does not close dst when src is closed.
 func (l *link) copy(dst, src net.Conn) {
 	buffer := make([]byte, bufferBytes)
 	for {
@@ -163,9 +166,9 @@
 	return l.silent
 }
 
-// silence lets blocked writes of the relay go, so that from then on both ends
-// can write and nothing arrives, as if something between had lost track of the
-// connection.
+// silence marks the link as silent and unblocks the writes of the relay. From
+// then on both ends can write but nothing arrives, as if a NAT gateway or
+// firewall had lost the state of the connection.
 func (l *link) silence() {
 	l.mu.Lock()
 	l.silent = true
@@ -174,9 +177,9 @@
 	l.server.SetWriteDeadline(expiredDeadline)
 }
 
-// Silence makes every established connection to address go silent for good:
-// both ends stay open and nothing arrives any more. New connections work. It
-// returns how many there were.
+// Silence makes every established connection to address silent for good: both
+// ends stay open and nothing arrives any more. New connections work. It
+// returns the number of connections.
 func (n *Network) Silence(address string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -190,8 +193,8 @@
 	return count
 }
 
-// Break closes every established connection to address at both ends, the
-// silent ones too, and returns how many there were.
+// Break closes both ends of every established connection to address,
+// including silent ones, and returns the number of connections.
 func (n *Network) Break(address string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/standin/pipe/pipe_test.go
+++ b/standin/pipe/pipe_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// A client's request gets no answer while a second client is served at once.
-// The first one's connection was established before something between lost
-// track of it; it stays open at both ends and nothing arrives any more.
+// The connection of one client becomes silent after it was established: it
+// stays open at both ends and nothing arrives any more. Its request must get
+// no response, while a second client is served over a new connection.
 func TestSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
