--- a/standin/jsonhttp/jsonhttp.go
+++ b/standin/jsonhttp/jsonhttp.go
@@ -1,4 +1,4 @@
-// Package jsonhttp holds the few HTTP helpers that the stand-ins share.
+// Package jsonhttp holds the HTTP helpers that the stand-ins share.
 package jsonhttp
 
 import (
@@ -11,20 +11,21 @@
 // Empty is the JSON body "{}".
 type Empty struct{}
 
-// ErrorBody is the JSON body of an admin path's refusal.
+// ErrorBody is the JSON body of an error response.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
 
-// Write answers with a status and v as JSON. A failed write shows on the
-// caller's side as a broken answer, so it is not reported here.
+// Write responds with a status and v as JSON. It ignores a failed write,
+// because the caller sees an incomplete response then.
 func Write(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Read decodes the body into v, strictly, and answers 400 if it can't.
+// Read decodes the request body into v and reports whether it succeeded. It
+// rejects unknown fields and bodies over limit bytes with status 400.
 func Read(w http.ResponseWriter, r *http.Request, limit int64, v any) bool {
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, limit))
 	dec.DisallowUnknownFields()
@@ -35,7 +36,8 @@
 	return true
 }
 
-// HandleFaults serves a set of fault switches: GET reads them, PUT replaces all.
+// HandleFaults serves the injected faults of a stand-in: GET reads them and
+// PUT replaces all of them.
 func HandleFaults[T any](mux *http.ServeMux, path string, get func() T, set func(T)) {
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
 		Write(w, http.StatusOK, get())
