--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -54,7 +54,7 @@
 	activity  *activity
 	cancel    context.CancelFunc
 	abandoned atomic.Bool
-	trial     trialSample
+	trial     trialAttribution
 }
 
 // run makes attempts until one succeeds, no further attempt is allowed or the caller
@@ -155,7 +155,7 @@
 	if late := choice.Estimate - s.maxFirstTokenWait(now); late > 0 && s.edge.settings.Policy.Uses(RefuseEarly) {
 		return nil, s.refuseTooLate(late, choice)
 	}
-	a := &attempt{s: s, choice: choice, sent: now, trial: s.sampleFor(choice.Runner)}
+	a := &attempt{s: s, choice: choice, sent: now, trial: s.trialAttributionOf(choice.Runner)}
 	a.ticket = s.pool.dispatch(now, choice, &s.routingRequest, s.exchange.Sent() == 0)
 	s.countTrialDispatch()
 	s.note("dispatched", decisions.F("runner", choice.Runner), decisions.F("estimate", choice.Estimate),
@@ -370,7 +370,7 @@
 	s.pool.observe(a.choice.Runner, health.Success)
 	s.edge.log.Time("answer_us", took)
 	s.pool.observeServiceTime(a.choice, took)
-	a.took(took, false)
+	a.recordLatency(took, false)
 	s.sendBuffered(buffered)
 	return nil
 }
@@ -406,7 +406,7 @@
 				s.reply.Abort()
 				return nil
 			}
-			a.took(time.Since(a.sent), false)
+			a.recordLatency(time.Since(a.sent), false)
 			s.note("answered", decisions.F("runner", a.choice.Runner), decisions.F("status", answer.Status))
 			s.reply.Finish()
 			return nil
--- a/daemon/edge/demand.go
+++ b/daemon/edge/demand.go
@@ -35,15 +35,15 @@
 	if t := p.edge.table.Load(); t != nil {
 		wait = cmp.Or(t.TightestTargetLatency(p.name), defaultAcceptableWait)
 	}
-	offered := p.edge.peerOfferedTokens(p.name)
+	peerOffered := p.edge.peerOfferedTokens(p.name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.edge.relayMode.Load() {
 		// A follower's primary already includes this daemon's part in its total.
-		p.countedOffered += p.offered - p.lastOffered
+		p.countedOfferedTokens += p.offeredTokens - p.sampledOfferedTokens
 	}
-	p.lastOffered = p.offered
-	w := fleet.Work{PromptTokens: p.countedOffered + offered, PrefillRate: p.prefillModel.Rate(), Wait: wait}
+	p.sampledOfferedTokens = p.offeredTokens
+	w := fleet.Work{PromptTokens: p.countedOfferedTokens + peerOffered, PrefillRate: p.prefillModel.Rate(), Wait: wait}
 	if p.service.Engine != nil {
 		w.Slots = p.service.Engine.Slots
 	}
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -61,7 +61,7 @@
 			TTL:      ttl,
 			Renew:    ttl / renewalsPerLease,
 			MaxOrder: callTimeout,
-			MaxPause: e.settings.Bounds.FreezeSlack,
+			MaxPause: e.settings.Bounds.MaxHolderPause,
 			Drift:    clockDrift,
 			Retry:    ttl / 10,
 			ReadKey:  ttl / 2,
@@ -117,12 +117,12 @@
 	}
 	now := e.deps.Steady()
 	e.mu.Lock()
-	sharesQuotas := e.sharesQuotas(now)
+	grantsQuota := e.grantsQuota(now)
 	rank, _ := placeAmong(e.settings.ID, e.relayPlan.OtherRelays)
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	return sharesQuotas && e.dir.dutyHolder == "" && e.dir.dutyFreeSince != 0 && now-e.dir.dutyFreeSince >= time.Duration(rank)*rankDelay
+	return grantsQuota && e.dir.dutyHolder == "" && e.dir.dutyFreeSince != 0 && now-e.dir.dutyFreeSince >= time.Duration(rank)*rankDelay
 }
 
 // performDuties does the work of the lease holder, with new state if the lease was acquired
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -74,9 +74,9 @@
 	// from them and says to which daemons this daemon sends; relayStanding tracks whether the
 	// other relays count this daemon as a relay; followers are the daemons that follow this
 	// one.
-	alive         []peers.Member
-	relayPlan     relays.Plan
-	relayStanding relays.Confirmation
+	alive             []peers.Member
+	relayPlan         relays.Plan
+	relayConfirmation relays.Confirmation
 	// relaysChanged says that this daemon follows new relays and has not sent them a message
 	// yet.
 	relaysChanged bool
@@ -86,8 +86,8 @@
 	fedRelays map[ident.Incarnation]uint64
 	// coverage records when each daemon's usage counts were last sent. requestedCounts are the
 	// daemons whose counts other relays have asked for.
-	coverage        accounting.Coverage
-	requestedCounts map[ident.Incarnation]ident.Incarnation
+	coverage               accounting.Coverage
+	requestedCountsByRelay map[ident.Incarnation]ident.Incarnation
 	// demotionRecipients are the relays that must be told that this daemon no longer is a
 	// relay, in demotionSendsLeft more messages.
 	demotionRecipients []peers.Member
@@ -95,9 +95,9 @@
 	// rosterRequesters are the addresses of daemons that have asked for the relays' addresses,
 	// or that wrongly consider themselves relays.
 	rosterRequesters map[ident.Incarnation]string
-	// rosterVersion is the version of the list of daemons that was last sent; it is sent in
+	// lastRosterHash is the version of the list of daemons that was last sent; it is sent in
 	// rosterSendsLeft more messages.
-	rosterVersion   uint64
+	lastRosterHash  uint64
 	rosterSendsLeft int
 	// configUnreadable says that the newest configuration could not be decoded.
 	configUnreadable bool
@@ -117,12 +117,12 @@
 	directMode, relayMode, allWatch atomic.Bool
 
 	trials trials
-	// reported holds the other daemons' load at the runners, and recommended the prompts that
+	// peerLoads holds the other daemons' load at the runners, and recommended the prompts that
 	// this daemon's followers send by its recommendation.
-	reported          peerLoadTable
+	peerLoads         peerLoadTable
 	placements        placements
 	grantRequests     pendingGrants
-	recommended       recommendations
+	recommendations   recommendations
 	resolvedAddresses udpAddresses
 	configCheck       configChecker
 	duties            duties
@@ -151,16 +151,16 @@
 			CallerAddress: settings.CallerAddress, PeerAddress: settings.PeerAddress, Phase: peers.Starting,
 			Started: time.Now().UnixMilli(),
 		}),
-		followers:        map[ident.Incarnation]follower{},
-		fedRelays:        map[ident.Incarnation]uint64{},
-		rosterRequesters: map[ident.Incarnation]string{},
-		requestedCounts:  map[ident.Incarnation]ident.Incarnation{},
-		stamps:           map[ident.Incarnation]freshness.Stamp{},
-		wallClock:        walltime.New(time.Now(), now),
+		followers:              map[ident.Incarnation]follower{},
+		fedRelays:              map[ident.Incarnation]uint64{},
+		rosterRequesters:       map[ident.Incarnation]string{},
+		requestedCountsByRelay: map[ident.Incarnation]ident.Incarnation{},
+		stamps:                 map[ident.Incarnation]freshness.Stamp{},
+		wallClock:              walltime.New(time.Now(), now),
 		usageLedger: accounting.NewLedger(self, accounting.Timing{
 			Length: settings.Bounds.UsageWindow, Due: settings.Bounds.UsageDue, Settle: accounting.SettleAfter,
 		}),
-		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FirstStart),
+		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FleetNeverServed),
 		// Each daemon begins at its own ID, so that all daemons together have sent the counts
 		// of all ended daemons within a few messages.
 		lastEndedSent: self,
@@ -168,12 +168,12 @@
 	}
 	e.dir.init()
 	e.trials.init()
-	e.reported.init()
+	e.peerLoads.init()
 	e.grantRequests.init()
 	e.duties.init(e)
 	// Until it hears from other daemons, a daemon plans as if it were alone.
 	e.relayPlan = relays.Elect(relays.View{Self: e.peers.Self(), DirectFleet: settings.Policy.DirectFleet()})
-	e.relayStanding.Start(now)
+	e.relayConfirmation.Start(now)
 	e.directMode.Store(e.relayPlan.Direct)
 	e.allWatch.Store(e.relayPlan.AllWatch)
 	e.relayMode.Store(e.relayPlan.Relay)
@@ -198,7 +198,7 @@
 // Run runs the daemon until the context ends. For a graceful shutdown, call Drain first.
 func (e *Edge) Run(ctx context.Context) error {
 	e.log.Note("start", decisions.F("daemon", e.settings.ID), decisions.F("incarnation", e.self),
-		decisions.F("failure_domain", e.settings.FailureDomain), decisions.F("first_start", e.settings.FirstStart), decisions.F("without", e.settings.Policy), decisions.F("direct_fleet", e.settings.Policy.DirectFleet()))
+		decisions.F("failure_domain", e.settings.FailureDomain), decisions.F("first_start", e.settings.FleetNeverServed), decisions.F("without", e.settings.Policy), decisions.F("direct_fleet", e.settings.Policy.DirectFleet()))
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return e.receiveDatagrams(ctx) })
 	group.Go(func() error { e.tickLoop(ctx); return nil })
--- a/daemon/edge/fleet.go
+++ b/daemon/edge/fleet.go
@@ -66,13 +66,13 @@
 	// and nextRetryAt the time of the next attempt to order some during that period.
 	scarceUntil time.Duration
 	nextRetryAt time.Duration
-	// retries counts these attempts.
-	retries int
+	// reclaimableRetries counts these attempts.
+	reclaimableRetries int
 	// firstRunnerAt is when the first runner was seen.
 	firstRunnerAt time.Duration
-	// awaitingTrial is the number of runners of a new software version whose trial has not been
+	// runnersOnTrial is the number of runners of a new software version whose trial has not been
 	// decided yet.
-	awaitingTrial int
+	runnersOnTrial int
 }
 
 func newFleetScaler(e *Edge, s *route.Service) *fleetScaler {
@@ -103,7 +103,7 @@
 	if f.firstRunnerAt == 0 && work.Runners > 0 {
 		f.firstRunnerAt = now
 	}
-	f.awaitingTrial = f.edge.awaitingDecision(pool)
+	f.runnersOnTrial = f.edge.countRunnersOnTrial(pool)
 	d, wanted := f.decide(now, demand)
 	if now-f.loggedAt >= demandLogInterval {
 		f.loggedAt = now
@@ -125,11 +125,11 @@
 	if !f.edge.workKnownFor(now, workSettlePeriod) {
 		d.Stops = nil
 	}
-	if f.awaitingTrial > 0 {
+	if f.runnersOnTrial > 0 {
 		// It isn't known yet which version's runners would be given back.
 		d.Stops = nil
 	}
-	if !demand.Settled && (!f.edge.settings.FirstStart || now < f.firstRunnerAt+registrationPeriod) {
+	if !demand.Settled && (!f.edge.settings.FleetNeverServed || now < f.firstRunnerAt+registrationPeriod) {
 		d.Stops = nil
 	}
 	return d, w
@@ -142,8 +142,8 @@
 // are ordered at the full price, and only what far exceeds the need is given back.
 func (f *fleetScaler) plan(now time.Duration, demand fleet.Estimate) (fleet.Decision, fleet.Target) {
 	// Runners whose trial hasn't been decided serve very few requests.
-	demand.Runners += f.awaitingTrial
-	demand.Comfortable += f.awaitingTrial
+	demand.Runners += f.runnersOnTrial
+	demand.Comfortable += f.runnersOnTrial
 	needed := fleet.Target{
 		Runners:      demand.Runners,
 		MinPerDomain: f.service.Scaling.Min,
@@ -184,8 +184,8 @@
 		return nil
 	}
 	slices.SortFunc(offers, func(a, b fleet.Offer) int { return cmp.Compare(a.FailureDomain, b.FailureDomain) })
-	pool := offers[f.retries%len(offers)].Pool
-	f.retries++
+	pool := offers[f.reclaimableRetries%len(offers)].Pool
+	f.reclaimableRetries++
 	part := (runners + len(offers) - 1) / len(offers)
 	return slices.Repeat([]fleet.Start{{Pool: pool}}, max(0, part-f.orders.Target(pool)))
 }
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -55,15 +55,15 @@
 func TestReclaimableRunnersAreAskedForAgainSoon(t *testing.T) {
 	withFleet(t, 1, scaledConfig(), func(w *testFleet) {
 		w.addFleet(3, false)
-		w.cloud.setDry(true)
+		w.cloud.setReclaimableUnavailable(true)
 		time.Sleep(20 * time.Second)
-		asked := w.cloud.refused()
-		w.True(asked >= 40) // two attempts a second
-		w.True(asked <= 120)
-		w.cloud.setDry(false)
+		refusals := w.cloud.refusedOrders()
+		w.True(refusals >= 40) // two attempts a second
+		w.True(refusals <= 120)
+		w.cloud.setReclaimableUnavailable(false)
 		time.Sleep(time.Second + 50*time.Millisecond) // the daemon's rounds fall on whole seconds
 		got := map[ident.FailureDomain]bool{}
-		for _, o := range w.cloud.ordered() {
+		for _, o := range w.cloud.receivedOrders() {
 			if o.Reclaimable && o.Runners > 0 {
 				got[o.FailureDomain] = true
 			}
@@ -81,8 +81,8 @@
 		withFleet(t, 1, c, func(w *testFleet) {
 			w.addFleet(3, false)
 			time.Sleep(5 * time.Second)
-			w.True(len(w.cloud.ordered()) > 0)
-			for _, o := range w.cloud.ordered() {
+			w.True(len(w.cloud.receivedOrders()) > 0)
+			for _, o := range w.cloud.receivedOrders() {
 				w.True(!o.Reclaimable && o.Runners < 3) // some runners are given back, none are added
 			}
 		})
@@ -100,7 +100,7 @@
 		w.servedBefore = true
 		w.restart(0)
 		time.Sleep(30 * time.Second)
-		for _, o := range w.cloud.ordered() {
+		for _, o := range w.cloud.receivedOrders() {
 			w.True(!o.Reclaimable || o.Runners >= 3)
 		}
 	})
@@ -114,7 +114,7 @@
 	withFleet(t, 1, scaledConfig(), func(w *testFleet) {
 		w.addOnDemandRunners("north", 5)
 		time.Sleep(1200 * time.Millisecond)
-		for _, o := range w.cloud.ordered() {
+		for _, o := range w.cloud.receivedOrders() {
 			w.True(o.Reclaimable) // no runner is given back yet
 		}
 		for _, domain := range domains[1:] {
@@ -174,7 +174,7 @@
 	for _, domain := range domains {
 		wanted[domain] = 5
 	}
-	for _, o := range c.ordered() {
+	for _, o := range c.receivedOrders() {
 		if !o.Reclaimable {
 			wanted[o.FailureDomain] = o.Runners
 		}
@@ -186,20 +186,20 @@
 	return sum
 }
 
-// setDry sets whether the cloud refuses orders of reclaimable runners.
-func (c *cloud) setDry(noReclaimable bool) {
+// setReclaimableUnavailable sets whether the cloud refuses orders of reclaimable runners.
+func (c *cloud) setReclaimableUnavailable(noReclaimable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.noReclaimable = noReclaimable
 }
 
-func (c *cloud) refused() int {
+func (c *cloud) refusedOrders() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.refusals
 }
 
-func (c *cloud) ordered() []edge.Order {
+func (c *cloud) receivedOrders() []edge.Order {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]edge.Order{}, c.orders...)
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -174,7 +174,7 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.sharesQuotas(now) {
+	if e.grantsQuota(now) {
 		own = e.takeFromLimiter(now, ws, cost)
 		if own.Taken || !own.Elsewhere {
 			return own, false, nil
@@ -212,11 +212,11 @@
 	return addresses[:min(maxAskedRelays, len(addresses))]
 }
 
-// sharesQuotas reports whether this daemon grants quota. It does if it is a relay and another
+// grantsQuota reports whether this daemon grants quota. It does if it is a relay and another
 // relay elects it, or if it hears no other relay for long enough to be the last one. In a
 // direct fleet every daemon does. The caller must hold e.mu.
-func (e *Edge) sharesQuotas(now time.Duration) bool {
-	return e.relayPlan.Relay && (e.relayPlan.Direct || e.relayStanding.MayShare(now, e.hearsRelay(now)))
+func (e *Edge) grantsQuota(now time.Duration) bool {
+	return e.relayPlan.Relay && (e.relayPlan.Direct || e.relayConfirmation.MayShare(now, e.hearsRelay(now)))
 }
 
 // abandonGrants stops waiting for relays' Grants and returns the quota of those that have
@@ -263,7 +263,7 @@
 	now := e.deps.Steady()
 	var g *peersv1.Grant
 	e.mu.Lock()
-	if e.sharesQuotas(now) && e.table.Load() != nil {
+	if e.grantsQuota(now) && e.table.Load() != nil {
 		g = e.takeFromLimiter(now, ident.Workspace(a.Workspace), a.Cost)
 	} else {
 		g = &peersv1.Grant{Unable: true, Ask: e.relaysToAsk()}
--- a/daemon/edge/harness_test.go
+++ b/daemon/edge/harness_test.go
@@ -128,11 +128,11 @@
 	}
 	d.Edge = edge.New(edge.Settings{
 		ID: ident.DaemonID(fmt.Sprintf("d%d", i+1)), FailureDomain: domain,
-		CallerAddress: fmt.Sprintf("10.0.0.%d:80", i+1), PeerAddress: address, Seeds: seeds, FirstStart: !w.servedBefore, Policy: policy,
+		CallerAddress: fmt.Sprintf("10.0.0.%d:80", i+1), PeerAddress: address, Seeds: seeds, FleetNeverServed: !w.servedBefore, Policy: policy,
 		Bounds: edge.Bounds{
 			Grace: 8 * time.Second, ConfigWithin: 2 * time.Second, DrainWithin: 3 * time.Second, RevokeWithin: 5 * time.Second, StrictRevocation: true,
 			RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 50, QuotaWindow: 8 * time.Second, QuotaTolerance: w.tolerance,
-			LeaseTTL: 3 * time.Second, FreezeSlack: 300 * time.Millisecond,
+			LeaseTTL: 3 * time.Second, MaxHolderPause: 300 * time.Millisecond,
 			UsageWindow: 5 * time.Second, UsageDue: 10 * time.Second,
 			Trials: canary.Bounds{Share: trialShare, Slack: trialSlack},
 		},
--- a/daemon/edge/hello.go
+++ b/daemon/edge/hello.go
@@ -68,7 +68,7 @@
 			})
 		}
 	}
-	for service, tokens := range w.offered {
+	for service, tokens := range w.offeredTokens {
 		h.Offered = append(h.Offered, &peersv1.Offered{Service: service, PromptTokens: tokens})
 	}
 	h.Placed = w.placed
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -23,9 +23,9 @@
 // brought to these daemons.
 type workSummary struct {
 	loads []routing.OwnLoad
-	// offered counts prompt tokens by service since the daemons started.
-	offered map[string]float64
-	placed  []*peersv1.Placed
+	// offeredTokens counts prompt tokens by service since the daemons started.
+	offeredTokens map[string]float64
+	placed        []*peersv1.Placed
 }
 
 // workSummaries holds the three summaries that messages can carry: this daemon's own work, the
@@ -41,16 +41,16 @@
 	mu sync.Mutex
 	// byDaemon holds the loads reported by followers and other relays; total is the load of all
 	// daemons as reported by the primary.
-	byDaemon map[ident.Incarnation]peerLoad
-	total    peerLoad
+	byDaemon     map[ident.Incarnation]peerLoad
+	primaryTotal peerLoad
 	// sent holds this daemon's own loads in its latest messages, by sequence number.
 	sent map[uint64][]routing.OwnLoad
-	// offered counts the prompt tokens that were brought to other daemons, by service.
-	offered map[string]*offeredTally
-	changed bool
-	// mostKnownSince is the time since when most relays have reported their work; zero if they
+	// offeredByService counts the prompt tokens that were brought to other daemons, by service.
+	offeredByService map[string]*offeredTally
+	changed          bool
+	// mostRelaysReportedSince is the time since when most relays have reported their work; zero if they
 	// haven't.
-	mostKnownSince time.Duration
+	mostRelaysReportedSince time.Duration
 }
 
 // peerLoad is the load that another daemon has reported.
@@ -60,9 +60,9 @@
 	// follower says that the load is reported by a follower, so that no other relay includes
 	// it.
 	follower bool
-	// includedSeq is the sequence number of this daemon's latest message that the primary's
+	// includedOwnSeq is the sequence number of this daemon's latest message that the primary's
 	// total includes.
-	includedSeq uint64
+	includedOwnSeq uint64
 }
 
 // offeredTally counts the work that was brought to one service at the followers and at all
@@ -72,12 +72,12 @@
 func (t *peerLoadTable) init() {
 	t.byDaemon = map[ident.Incarnation]peerLoad{}
 	t.sent = map[uint64][]routing.OwnLoad{}
-	t.offered = map[string]*offeredTally{}
+	t.offeredByService = map[string]*offeredTally{}
 }
 
-// totalOf returns the name under which the total reported by a daemon is counted, as distinct
+// primaryTotalID returns the name under which the total reported by a daemon is counted, as distinct
 // from that daemon's own work.
-func totalOf(id ident.Incarnation) ident.Incarnation { return id + "/all" }
+func primaryTotalID(id ident.Incarnation) ident.Incarnation { return id + "/all" }
 
 // receiveWork stores the work that a daemon reports. The pools get it with the next call of
 // applyPeerLoads: summing it up for each message would take a large fleet's daemon more time
@@ -93,28 +93,28 @@
 		})
 	}
 	now := e.deps.Steady()
-	e.reported.mu.Lock()
-	defer e.reported.mu.Unlock()
-	e.reported.changed = true
+	e.peerLoads.mu.Lock()
+	defer e.peerLoads.mu.Unlock()
+	e.peerLoads.changed = true
 	if from == sourceFollower {
-		e.recommended.reported(h.PeerAddress, now-minMessageAge)
+		e.recommendations.dropReported(h.PeerAddress, now-minMessageAge)
 	}
-	load := peerLoad{receivedAt: now, runnerLoads: loads, follower: from == sourceFollower, includedSeq: h.IncludedSeq}
+	load := peerLoad{receivedAt: now, runnerLoads: loads, follower: from == sourceFollower, includedOwnSeq: h.IncludedSeq}
 	for _, o := range h.Offered {
-		e.reported.receiveOffered(now, id, o, from, !e.directMode.Load())
+		e.peerLoads.receiveOffered(now, id, o, from, !e.directMode.Load())
 	}
 	if from == sourcePrimary {
-		e.reported.total = load
+		e.peerLoads.primaryTotal = load
 		return
 	}
-	e.reported.byDaemon[id] = load
+	e.peerLoads.byDaemon[id] = load
 }
 
 func (t *peerLoadTable) receiveOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from workSource, relayed bool) {
-	counts, ok := t.offered[o.Service]
+	counts, ok := t.offeredByService[o.Service]
 	if !ok {
 		counts = &offeredTally{}
-		t.offered[o.Service] = counts
+		t.offeredByService[o.Service] = counts
 	}
 	counts.followers.SetRelayed(relayed)
 	counts.all.SetRelayed(relayed)
@@ -125,7 +125,7 @@
 	case sourceRelay:
 		counts.all.Receive(now, id, o.PromptTokens)
 	case sourcePrimary:
-		counts.all.Receive(now, totalOf(id), o.PromptTokens)
+		counts.all.Receive(now, primaryTotalID(id), o.PromptTokens)
 	}
 }
 
@@ -144,16 +144,16 @@
 // applyPeerLoads passes the sums of the other daemons' loads to the pools.
 func (e *Edge) applyPeerLoads() {
 	now := e.deps.Steady()
-	e.reported.mu.Lock()
-	if e.reported.expire(now) || e.reported.changed {
-		e.reported.changed = false
+	e.peerLoads.mu.Lock()
+	if e.peerLoads.expire(now) || e.peerLoads.changed {
+		e.peerLoads.changed = false
 	} else {
-		e.reported.mu.Unlock()
+		e.peerLoads.mu.Unlock()
 		return
 	}
-	sums := e.reported.sumOthers(now)
-	e.reported.mu.Unlock()
-	sums.add(e.recommended.loads(now), 1)
+	sums := e.peerLoads.sumOthers(now)
+	e.peerLoads.mu.Unlock()
+	sums.add(e.recommendations.loads(now), 1)
 	e.poolsMu.RLock()
 	defer e.poolsMu.RUnlock()
 	for _, p := range e.pools {
@@ -164,9 +164,9 @@
 // peerOfferedTokens returns the number of prompt tokens that were brought to other daemons. If
 // the primary reports the total of all daemons, this daemon's own tokens are included.
 func (e *Edge) peerOfferedTokens(service string) float64 {
-	e.reported.mu.Lock()
-	defer e.reported.mu.Unlock()
-	if counts, ok := e.reported.offered[service]; ok {
+	e.peerLoads.mu.Lock()
+	defer e.peerLoads.mu.Unlock()
+	if counts, ok := e.peerLoads.offeredByService[service]; ok {
 		return counts.all.Total()
 	}
 	return 0
@@ -182,7 +182,7 @@
 		}
 		expired = true
 		delete(t.byDaemon, id)
-		for _, counts := range t.offered {
+		for _, counts := range t.offeredByService {
 			counts.followers.PeerEnded(id)
 			counts.all.PeerEnded(id)
 		}
@@ -192,37 +192,37 @@
 
 // workKnownFor reports whether the work of most of the fleet has been known for a given time.
 // Right after all daemons have started, each knows only the work of its own callers.
-func (e *Edge) workKnownFor(now, forSoLong time.Duration) bool {
+func (e *Edge) workKnownFor(now, minDuration time.Duration) bool {
 	if e.allWatch.Load() {
 		return true
 	}
-	e.reported.mu.Lock()
-	defer e.reported.mu.Unlock()
-	since := e.reported.mostKnownSince
-	return since != 0 && now-since >= forSoLong
+	e.peerLoads.mu.Lock()
+	defer e.peerLoads.mu.Unlock()
+	since := e.peerLoads.mostRelaysReportedSince
+	return since != 0 && now-since >= minDuration
 }
 
-// updateMostKnown updates mostKnownSince; others is the number of other relays.
-func (t *peerLoadTable) updateMostKnown(now time.Duration, others int) {
+// updateMostRelaysReported updates mostKnownSince; others is the number of other relays.
+func (t *peerLoadTable) updateMostRelaysReported(now time.Duration, otherRelays int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	reporting := 0
+	reportingRelays := 0
 	for _, d := range t.byDaemon {
 		if !d.follower {
-			reporting++
+			reportingRelays++
 		}
 	}
 	switch {
-	case 2*reporting < others:
-		t.mostKnownSince = 0
-	case t.mostKnownSince == 0:
-		t.mostKnownSince = max(1, now)
+	case 2*reportingRelays < otherRelays:
+		t.mostRelaysReportedSince = 0
+	case t.mostRelaysReportedSince == 0:
+		t.mostRelaysReportedSince = max(1, now)
 	}
 }
 
-type loadSums map[ident.RunnerID]routing.OwnLoad
+type loadByRunner map[ident.RunnerID]routing.OwnLoad
 
-func (s loadSums) add(loads []routing.OwnLoad, sign int) {
+func (s loadByRunner) add(loads []routing.OwnLoad, sign int) {
 	for _, w := range loads {
 		sum := s[w.Runner]
 		sum.Runner = w.Runner
@@ -233,7 +233,7 @@
 	}
 }
 
-func (s loadSums) list() []routing.OwnLoad {
+func (s loadByRunner) list() []routing.OwnLoad {
 	list := make([]routing.OwnLoad, 0, len(s))
 	for _, l := range s {
 		list = append(list, l)
@@ -243,11 +243,11 @@
 
 // sumOthers returns the load of all other daemons: the primary's total minus this daemon's own
 // part in it, or the sum of the followers' and other relays' loads.
-func (t *peerLoadTable) sumOthers(now time.Duration) loadSums {
-	sums := loadSums{}
-	if t.total.runnerLoads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
-		sums.add(t.total.runnerLoads, 1)
-		sums.add(t.sent[t.total.includedSeq], -1)
+func (t *peerLoadTable) sumOthers(now time.Duration) loadByRunner {
+	sums := loadByRunner{}
+	if t.primaryTotal.runnerLoads != nil && now-t.primaryTotal.receivedAt <= peers.RelayedAliveFor {
+		sums.add(t.primaryTotal.runnerLoads, 1)
+		sums.add(t.sent[t.primaryTotal.includedOwnSeq], -1)
 		return sums
 	}
 	for _, load := range t.byDaemon {
@@ -257,8 +257,8 @@
 }
 
 // followers returns the load of the followers.
-func (t *peerLoadTable) followers() loadSums {
-	sums := loadSums{}
+func (t *peerLoadTable) followers() loadByRunner {
+	sums := loadByRunner{}
 	for _, load := range t.byDaemon {
 		if load.follower {
 			sums.add(load.runnerLoads, 1)
@@ -269,31 +269,31 @@
 
 // summarizeWork collects the work for this daemon's messages.
 func (e *Edge) summarizeWork() workSummaries {
-	own := workSummary{offered: map[string]float64{}}
+	own := workSummary{offeredTokens: map[string]float64{}}
 	e.poolsMu.RLock()
 	for name, p := range e.pools {
 		own.loads = p.loads(own.loads)
-		own.offered[name] = p.ownOffered()
+		own.offeredTokens[name] = p.ownOfferedTokens()
 	}
 	e.poolsMu.RUnlock()
 	now := e.deps.Steady()
 	own.placed = e.placements.recent(now, e.placementSendTime(), originSelf)
 	n := workSummaries{own: own}
-	e.reported.mu.Lock()
-	defer e.reported.mu.Unlock()
-	ownAndFollowers, all := e.reported.followers(), e.reported.sumOthers(now)
-	recommended := e.recommended.loads(now)
-	for _, sums := range []loadSums{ownAndFollowers, all} {
+	e.peerLoads.mu.Lock()
+	defer e.peerLoads.mu.Unlock()
+	ownAndFollowers, all := e.peerLoads.followers(), e.peerLoads.sumOthers(now)
+	recommended := e.recommendations.loads(now)
+	for _, sums := range []loadByRunner{ownAndFollowers, all} {
 		sums.add(own.loads, 1)
 		sums.add(recommended, 1)
 	}
-	n.ownAndFollowers = workSummary{loads: ownAndFollowers.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originFollower)}
-	n.all = workSummary{loads: all.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originAny)}
-	for name, tokens := range own.offered {
-		n.ownAndFollowers.offered[name], n.all.offered[name] = tokens, tokens
-		if counts, ok := e.reported.offered[name]; ok {
-			n.ownAndFollowers.offered[name] += counts.followers.Total()
-			n.all.offered[name] += counts.all.Total()
+	n.ownAndFollowers = workSummary{loads: ownAndFollowers.list(), offeredTokens: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originFollower)}
+	n.all = workSummary{loads: all.list(), offeredTokens: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originAny)}
+	for name, tokens := range own.offeredTokens {
+		n.ownAndFollowers.offeredTokens[name], n.all.offeredTokens[name] = tokens, tokens
+		if counts, ok := e.peerLoads.offeredByService[name]; ok {
+			n.ownAndFollowers.offeredTokens[name] += counts.followers.Total()
+			n.all.offeredTokens[name] += counts.all.Total()
 		}
 	}
 	return n
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -166,5 +166,5 @@
 // recentlyRestarted reports whether this daemon has restarted so recently that it knows too
 // little about what the runners have cached.
 func (p *pool) recentlyRestarted() bool {
-	return p.edge.settings.Policy.Uses(TrustHomes) && !p.edge.settings.FirstStart && p.edge.deps.Steady()-p.edge.startedAt < cacheLearningPeriod
+	return p.edge.settings.Policy.Uses(TrustHomes) && !p.edge.settings.FleetNeverServed && p.edge.deps.Steady()-p.edge.startedAt < cacheLearningPeriod
 }
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -68,17 +68,17 @@
 	// at plain runners.
 	prefillModel *prefill.Model
 	serviceTime  *servicetime.Mean
-	// offered counts the prompt tokens that callers brought to this daemon and that were not
+	// offeredTokens counts the prompt tokens that callers brought to this daemon and that were not
 	// cached.
-	offered float64
-	daemons int
+	offeredTokens float64
+	budgetDaemons int
 	// demand estimates the number of runners needed from samples of work; work is the latest
 	// sample. countedOffered is the part of offered that no other daemon includes in its total,
 	// and lastOffered is the value of offered at the latest sample.
-	demand         *fleet.Demand
-	work           fleet.Work
-	countedOffered float64
-	lastOffered    float64
+	demand               *fleet.Demand
+	work                 fleet.Work
+	countedOfferedTokens float64
+	sampledOfferedTokens float64
 }
 
 func newPool(e *Edge, s route.Service) *pool {
@@ -94,7 +94,7 @@
 		activities:   map[ident.RunnerID]*activity{},
 		prefillModel: prefill.New(firstPrefillRate),
 		serviceTime:  servicetime.New(initialServiceTime),
-		demand:       fleet.NewDemand(demandConfig(e.settings.Policy), e.settings.FirstStart),
+		demand:       fleet.NewDemand(demandConfig(e.settings.Policy), e.settings.FleetNeverServed),
 	}
 }
 
@@ -144,17 +144,17 @@
 func (p *pool) setRetryShare(b Bounds, daemons int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if daemons == p.daemons {
+	if daemons == p.budgetDaemons {
 		return
 	}
 	p.table.SetSamples(samplesFor(daemons))
 	perFirst, perSecond, burst := retry.BudgetShare(b.RetryRatio, b.RetrySlack, retryBudgetShare, b.RetryWindow, daemons)
-	if p.daemons == 0 {
+	if p.budgetDaemons == 0 {
 		// A new pool starts with a full budget. With an empty one, the first failures after a
 		// start could not be retried at another runner.
 		p.retry = retry.New(retryConfig(perFirst, perSecond, burst))
 	}
-	p.daemons = daemons
+	p.budgetDaemons = daemons
 	p.retry.SetBudget(perFirst, perSecond, burst)
 }
 
@@ -233,17 +233,17 @@
 
 // pick chooses a runner: the recommended one if there is one and it still accepts new work.
 // first says that this is the request's first attempt.
-func (p *pool) pick(now time.Time, r *routing.Request, advised ident.RunnerID, first bool) (routing.Choice, error) {
+func (p *pool) pick(now time.Time, r *routing.Request, recommendedRunner ident.RunnerID, first bool) (routing.Choice, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.TrustHomes(p.recentlyRestarted())
-	c, ok := p.table.PickCandidate(advised, r)
+	c, ok := p.table.PickCandidate(recommendedRunner, r)
 	var err error
 	if !ok {
 		c, err = p.table.Pick(now, r)
 	}
 	if first && err == nil {
-		p.offered += float64(c.Uncached)
+		p.offeredTokens += float64(c.Uncached)
 	}
 	return c, err
 }
@@ -327,11 +327,11 @@
 	decide(p.retry)
 }
 
-// ownOffered returns the number of uncached prompt tokens that callers brought to this daemon.
-func (p *pool) ownOffered() float64 {
+// ownOfferedTokens returns the number of uncached prompt tokens that callers brought to this daemon.
+func (p *pool) ownOfferedTokens() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.offered
+	return p.offeredTokens
 }
 
 // loads appends this daemon's own load at the pool's runners to dst.
--- a/daemon/edge/recommendations.go
+++ b/daemon/edge/recommendations.go
@@ -15,37 +15,39 @@
 // relay knows its followers' choices immediately, since it makes them, and receives those of
 // the other relays several times a second.
 
-// maxCandidates is the number of runners that a relay chooses from.
-const maxCandidates = 4
+// maxCandidatesPerAsk is the number of runners that a relay chooses from.
+const maxCandidatesPerAsk = 4
 
-// recommended is a prompt that a follower sends to a runner by this relay's recommendation. It
+// recommendation is a prompt that a follower sends to a runner by this relay's recommendation. It
 // counts as load until the runner should have read it or the follower reports it.
-type recommended struct {
-	at, until     time.Duration
-	daemonAddress string
-	runner        ident.RunnerID
-	tokens        int
+type recommendation struct {
+	recommendedAt, expectedReadAt time.Duration
+	daemonAddress                 string
+	runner                        ident.RunnerID
+	tokens                        int
 }
 
 // recommendations holds the recent recommendations.
 type recommendations struct {
 	mu     sync.Mutex
-	recent []recommended
+	recent []recommendation
 }
 
-func (a *recommendations) add(prompt recommended) {
+func (a *recommendations) add(prompt recommendation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.recent = append(a.recent, prompt)
 }
 
-// reported drops the prompts of a daemon that the daemon has now reported itself: those
+// dropReported drops the prompts of a daemon that the daemon has now dropReported itself: those
 // recommended up to the time before.
-func (a *recommendations) reported(daemonAddress string, before time.Duration) {
-	a.retain(func(prompt recommended) bool { return prompt.daemonAddress != daemonAddress || prompt.at > before })
+func (a *recommendations) dropReported(daemonAddress string, before time.Duration) {
+	a.retain(func(prompt recommendation) bool {
+		return prompt.daemonAddress != daemonAddress || prompt.recommendedAt > before
+	})
 }
 
-func (a *recommendations) retain(retain func(recommended) bool) {
+func (a *recommendations) retain(retain func(recommendation) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	remaining := a.recent[:0]
@@ -59,7 +61,7 @@
 
 // loads returns the load by recommended prompts that the runners have not read yet.
 func (a *recommendations) loads(now time.Duration) []routing.OwnLoad {
-	a.retain(func(prompt recommended) bool { return prompt.until > now })
+	a.retain(func(prompt recommendation) bool { return prompt.expectedReadAt > now })
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var loads []routing.OwnLoad
@@ -69,14 +71,14 @@
 	return loads
 }
 
-// tokensAt returns the number of tokens that a runner has yet to read of the prompts
+// unreadTokensAt returns the number of tokens that a runner has yet to read of the prompts
 // recommended after a time.
-func (a *recommendations) tokensAt(runner ident.RunnerID, now, after time.Duration) int {
+func (a *recommendations) unreadTokensAt(runner ident.RunnerID, now, after time.Duration) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	tokens := 0
 	for _, prompt := range a.recent {
-		if prompt.runner == runner && prompt.at > after && prompt.until > now {
+		if prompt.runner == runner && prompt.recommendedAt > after && prompt.expectedReadAt > now {
 			tokens += prompt.tokens
 		}
 	}
@@ -93,7 +95,7 @@
 	best, soonest := -1, time.Duration(0)
 	for i, c := range a.Candidates {
 		runner := ident.RunnerID(c.Runner)
-		expectedWait, ok := p.expectedWait(runner, e.recommended.tokensAt(runner, now, p.peerLoadsTime()))
+		expectedWait, ok := p.expectedWait(runner, e.recommendations.unreadTokensAt(runner, now, p.peerLoadsTime()))
 		if first := expectedWait + time.Duration(c.AloneNs); ok && (best < 0 || first < soonest) {
 			best, soonest = i, first
 		}
@@ -102,7 +104,7 @@
 		return ""
 	}
 	c := a.Candidates[best]
-	e.recommended.add(recommended{at: now, until: now + soonest, daemonAddress: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
+	e.recommendations.add(recommendation{recommendedAt: now, expectedReadAt: now + soonest, daemonAddress: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
 	return c.Runner
 }
 
@@ -133,7 +135,7 @@
 func (p *pool) candidates(r *routing.Request) []*peersv1.Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best, err := p.table.Candidates(r, maxCandidates)
+	best, err := p.table.Candidates(r, maxCandidatesPerAsk)
 	if err != nil {
 		// Without a suitable runner the request is refused later, by chooseRunner.
 		return nil
--- a/daemon/edge/relay_election_test.go
+++ b/daemon/edge/relay_election_test.go
@@ -36,11 +36,11 @@
 func (w *testFleet) waitUntilRelay(i int) {
 	const within = 10 * time.Second
 	time.Sleep(3 * time.Second)
-	for range int(within / loadStep) {
+	for range int(within / loadInterval) {
 		if w.daemons[i].IsRelay() {
 			return
 		}
-		time.Sleep(loadStep)
+		time.Sleep(loadInterval)
 	}
 	w.Fail()
 }
@@ -67,9 +67,9 @@
 		l := newPromptLoad(w, cost, slices.Repeat([]float64{perSecond * overloadFactor}, workspaces))
 		l.run(window+2*time.Second, anyDaemon)
 		for ws := range workspaces {
-			most := l.maxTokensIn(ws, window)
-			t.Logf("most tokens in a window: %.0f, tolerated: %.0f", most, tolerated)
-			w.True(most <= tolerated)
+			maxServedTokens := l.maxTokensIn(ws, window)
+			t.Logf("most tokens in a window: %.0f, tolerated: %.0f", maxServedTokens, tolerated)
+			w.True(maxServedTokens <= tolerated)
 		}
 	})
 }
@@ -112,7 +112,7 @@
 			time.Sleep(settleTime)
 			for range 40 {
 				w.Equal(w.relayCount(), 2*largeDomains)
-				time.Sleep(loadStep)
+				time.Sleep(loadInterval)
 			}
 		})
 	}
@@ -140,9 +140,9 @@
 		time.Sleep(settleTime)
 		l := newPromptLoad(w, cost, []float64{perSecond * 6})
 		l.run(window+2*time.Second, anyDaemon)
-		most := l.maxTokensIn(0, window)
-		t.Logf("most tokens in a window: %.0f, tolerated: %.0f", most, tolerated)
-		w.True(most <= tolerated)
+		maxServedTokens := l.maxTokensIn(0, window)
+		t.Logf("most tokens in a window: %.0f, tolerated: %.0f", maxServedTokens, tolerated)
+		w.True(maxServedTokens <= tolerated)
 		for _, p := range pairs {
 			w.True(w.daemons[p[0]].Elects(w.daemons[p[1]].Edge))
 			w.True(w.daemons[p[1]].Elects(w.daemons[p[0]].Edge))
@@ -261,7 +261,7 @@
 			for _, d := range w.daemons {
 				w.True(!d.IsRelay() || d.AlivePeers() == daemons-1)
 			}
-			time.Sleep(loadStep)
+			time.Sleep(loadInterval)
 		}
 	})
 }
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -26,9 +26,9 @@
 	largeWorkspaces  = 40
 )
 
-// fleetRunner runs a test with n daemons in one kind of fleet: one of relays and followers, or
+// fleetSetup runs a test with n daemons in one kind of fleet: one of relays and followers, or
 // a direct one.
-type fleetRunner func(t *testing.T, n int, c route.Config, f func(w *testFleet))
+type fleetSetup func(t *testing.T, n int, c route.Config, f func(w *testFleet))
 
 // withRelayFleet runs a test with n daemons that have elected relays.
 func withRelayFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
@@ -44,9 +44,9 @@
 // withSettledFleet runs a test with n daemons spread over largeDomains failure domains, after
 // they have found each other. direct is the number of daemons up to which all send to each
 // other.
-func withSettledFleet(t *testing.T, n, direct int, c route.Config, f func(w *testFleet)) {
+func withSettledFleet(t *testing.T, n, directFleet int, c route.Config, f func(w *testFleet)) {
 	withFleet(t, 0, c, func(w *testFleet) {
-		w.directFleet = direct
+		w.directFleet = directFleet
 		w.spreadOverDomains()
 		w.tolerance = quota.Tolerance{Overage: 0.1, Slack: 190_000}
 		for range n {
@@ -189,7 +189,7 @@
 	servedTokens [][]float64
 }
 
-const loadStep = 100 * time.Millisecond
+const loadInterval = 100 * time.Millisecond
 
 func newPromptLoad(w *testFleet, cost int, perSecond []float64) *promptLoad {
 	n := len(perSecond)
@@ -203,12 +203,12 @@
 func (l *promptLoad) run(span time.Duration, serves func(i int) bool) {
 	var wg sync.WaitGroup
 	due := make([]float64, len(l.perSecond))
-	for step := range int(span / loadStep) {
+	for step := range int(span / loadInterval) {
 		for ws := range l.perSecond {
 			l.mu.Lock()
 			l.servedTokens[ws] = append(l.servedTokens[ws], 0)
 			l.mu.Unlock()
-			due[ws] += l.perSecond[ws] * loadStep.Seconds() / float64(l.cost)
+			due[ws] += l.perSecond[ws] * loadInterval.Seconds() / float64(l.cost)
 			for ; due[ws] >= 1; due[ws]-- {
 				at := (step*31 + ws*17 + int(due[ws])*7) % len(l.w.daemons)
 				for !serves(at) {
@@ -217,12 +217,12 @@
 				wg.Go(func() { l.ask(ws, l.w.daemons[at], len(l.servedTokens[ws])-1) })
 			}
 		}
-		time.Sleep(loadStep)
+		time.Sleep(loadInterval)
 	}
 	wg.Wait()
 }
 
-func (l *promptLoad) ask(ws int, d *daemon, slot int) {
+func (l *promptLoad) ask(ws int, d *daemon, interval int) {
 	a := &recordedReply{}
 	d.Serve(l.w.t.Context(), &edge.Request{
 		ID: fmt.Sprintf("p%d", lastRequestID.Add(1)), Host: host, Path: "/read/", Key: fmt.Sprintf("key-%d", ws), Received: time.Now(),
@@ -235,21 +235,21 @@
 		l.reasons[a.refusal.Reason]++
 		return
 	}
-	l.servedTokens[ws][slot] += float64(l.cost)
+	l.servedTokens[ws][interval] += float64(l.cost)
 }
 
 // maxTokensIn returns the most tokens served to a workspace in any period of the given length.
 func (l *promptLoad) maxTokensIn(ws int, span time.Duration) float64 {
-	most := 0.0
-	n := int(span / loadStep)
+	maxTokens := 0.0
+	n := int(span / loadInterval)
 	for i := range l.servedTokens[ws] {
 		sum := 0.0
 		for _, t := range l.servedTokens[ws][i:min(i+n, len(l.servedTokens[ws]))] {
 			sum += t
 		}
-		most = max(most, sum)
+		maxTokens = max(maxTokens, sum)
 	}
-	return most
+	return maxTokens
 }
 
 // totals returns the number of requests of all workspaces and how many of them were refused.
@@ -284,16 +284,16 @@
 // requests over many daemons.
 func TestPromptsWithinTheLimitOfALargeFleet(t *testing.T) {
 	const (
-		perSecond, cost = 300_000.0, 17_000
-		floods          = 3
-		tolerated       = (perSecond*8+perSecond)*1.1 + 190_000
+		perSecond, cost    = 300_000.0, 17_000
+		floodingWorkspaces = 3
+		tolerated          = (perSecond*8+perSecond)*1.1 + 190_000
 	)
 	withRelayFleet(t, largeFleet, promptWorkspaces(largeWorkspaces, perSecond, cost), func(w *testFleet) {
 		w.addRunners(40)
 		rates := make([]float64, largeWorkspaces)
 		for i := range rates {
 			rates[i] = perSecond * 0.67
-			if i < floods {
+			if i < floodingWorkspaces {
 				rates[i] = perSecond * 6
 			}
 		}
@@ -301,11 +301,11 @@
 		l.run(12*time.Second, anyDaemon)
 		asked, refused := 0, 0
 		for ws := range rates {
-			most := l.maxTokensIn(ws, 8*time.Second)
-			w.True(most <= tolerated)
-			if ws < floods {
-				t.Logf("flood: most tokens in a window: %.0f, tolerated: %.0f", most, tolerated)
-				w.True(most >= perSecond*8)
+			maxServedTokens := l.maxTokensIn(ws, 8*time.Second)
+			w.True(maxServedTokens <= tolerated)
+			if ws < floodingWorkspaces {
+				t.Logf("flood: most tokens in a window: %.0f, tolerated: %.0f", maxServedTokens, tolerated)
+				w.True(maxServedTokens >= perSecond*8)
 				continue
 			}
 			asked, refused = asked+l.asked[ws], refused+l.refused[ws]
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -67,8 +67,8 @@
 		e.removePeer(id, "silent")
 	}
 	e.electRelays(now)
-	e.reported.updateMostKnown(now, len(e.relayPlan.OtherRelays))
-	e.limiter.SetExpectedDaemons(now, e.quotaSharers(now))
+	e.peerLoads.updateMostRelaysReported(now, len(e.relayPlan.OtherRelays))
+	e.limiter.SetExpectedDaemons(now, e.countQuotaGranters(now))
 	e.limiter.SetIsolatedParts(e.isolatedQuotaParts(now))
 	e.limiter.Tick(now)
 	e.usageLedger.Tick(e.wallClock.At(now))
@@ -110,16 +110,16 @@
 // resetLimiter creates a new quota limiter when this daemon becomes a relay, since the state of
 // an earlier period as a relay is out of date.
 func (e *Edge) resetLimiter(now time.Duration) {
-	first := e.settings.FirstStart && now-e.startedAt < firstStartPeriod
-	e.relayStanding.Start(now)
+	first := e.settings.FleetNeverServed && now-e.startedAt < firstStartPeriod
+	e.relayConfirmation.Start(now)
 	e.limiter = quota.New(now, e.settings.Bounds.QuotaWindow, e.settings.Bounds.QuotaTolerance, first)
 	if t := e.table.Load(); t != nil {
 		e.limiter.SetLimits(now, limitsOf(t))
 	}
 }
 
-// quotaSharers returns the number of daemons that may grant quota, including this one.
-func (e *Edge) quotaSharers(now time.Duration) int {
+// countQuotaGranters returns the number of daemons that may grant quota, including this one.
+func (e *Edge) countQuotaGranters(now time.Duration) int {
 	if e.relayPlan.Direct {
 		return 1 + len(e.peers.Addresses())
 	}
@@ -177,7 +177,7 @@
 		e.rosterRequesters[id] = h.PeerAddress
 		return
 	}
-	if e.relayStanding.Receive(now, h.Elects) && !e.relayPlan.Direct {
+	if e.relayConfirmation.Receive(now, h.Elects) && !e.relayPlan.Direct {
 		e.log.Note("role_doubted", decisions.F("by", id), decisions.F("relays", 1+len(e.relayPlan.OtherRelays)),
 			decisions.F("knows", len(e.alive)), decisions.F("daemons", e.peers.FleetSize()))
 	}
@@ -191,7 +191,7 @@
 	delete(e.stamps, id)
 	delete(e.followers, id)
 	delete(e.fedRelays, id)
-	delete(e.requestedCounts, id)
+	delete(e.requestedCountsByRelay, id)
 	e.coverage.PeerEnded(e.deps.Steady(), id)
 	e.log.Note("daemon_gone", decisions.F("incarnation", id), decisions.F("reason", reason))
 }
@@ -225,8 +225,8 @@
 
 // rosterDue reports whether rosters are sent in a round. The caller must hold e.mu.
 func (e *Edge) rosterDue(round uint64) bool {
-	if v := rosterVersion(e.alive); v != e.rosterVersion {
-		e.rosterVersion, e.rosterSendsLeft = v, rosterRepeats
+	if v := hashRoster(e.alive); v != e.lastRosterHash {
+		e.lastRosterHash, e.rosterSendsLeft = v, rosterRepeats
 	}
 	if e.rosterSendsLeft > 0 {
 		e.rosterSendsLeft--
@@ -235,9 +235,9 @@
 	return round%rosterIntervalRounds < rosterBurstRounds
 }
 
-// rosterVersion returns a hash of the members' incarnations and phases, by which a changed
+// hashRoster returns a hash of the members' incarnations and phases, by which a changed
 // roster is detected.
-func rosterVersion(members []peers.Member) uint64 {
+func hashRoster(members []peers.Member) uint64 {
 	d := xxhash.New()
 	for _, m := range members {
 		// A hash accepts every write without an error.
--- a/daemon/edge/serial_failures_test.go
+++ b/daemon/edge/serial_failures_test.go
@@ -53,9 +53,9 @@
 }
 
 func (w *testFleet) checkFor(span time.Duration, check func(w *testFleet)) {
-	for range int(span / loadStep) {
+	for range int(span / loadInterval) {
 		check(w)
-		time.Sleep(loadStep)
+		time.Sleep(loadInterval)
 	}
 }
 
@@ -77,7 +77,7 @@
 	check := func(w *testFleet) {
 		for _, d := range w.daemons {
 			if !d.stopped() && d.HoldsDuties() && !d.IsRelay() {
-				held += loadStep
+				held += loadInterval
 			}
 		}
 	}
--- a/daemon/edge/stop_test.go
+++ b/daemon/edge/stop_test.go
@@ -51,7 +51,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		socket := &slowClosingSocket{ended: ctx}
 		start := time.Now()
-		e := edge.New(edge.Settings{ID: "d1", PeerAddress: "10.0.0.1:7600", FirstStart: true, Bounds: edge.Bounds{
+		e := edge.New(edge.Settings{ID: "d1", PeerAddress: "10.0.0.1:7600", FleetNeverServed: true, Bounds: edge.Bounds{
 			RevokeWithin: 5 * time.Second, QuotaWindow: 8 * time.Second, LeaseTTL: 3 * time.Second, UsageWindow: 5 * time.Second, UsageDue: 10 * time.Second,
 		}}, edge.Deps{
 			Store: &faultyStore{Store: kvserver.New()}, Codec: jsonCodec{}, Runners: newRunners(),
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -50,10 +50,10 @@
 	mu      sync.Mutex
 	gates   map[string]*canary.Gate
 	records map[string]storedRecord
-	// reportedAt is when the last reports were made. controllers are used by the duty holder
+	// lastReportedAt is when the last reports were made. controllers are used by the duty holder
 	// only.
-	reportedAt  time.Duration
-	controllers map[string]*trialController
+	lastReportedAt time.Duration
+	controllers    map[string]*trialController
 }
 
 // storedRecord is a trial's record with its revision in the key-value service.
@@ -296,8 +296,8 @@
 	return oldRunners, newRunners, oldInFlight
 }
 
-// awaitingDecision returns the number of a service's runners whose version is on trial.
-func (e *Edge) awaitingDecision(p *pool) int {
+// countRunnersOnTrial returns the number of a service's runners whose version is on trial.
+func (e *Edge) countRunnersOnTrial(p *pool) int {
 	g := e.trials.gate(p.name)
 	if g == nil {
 		return 0
@@ -326,10 +326,10 @@
 // reportTrials requests allowances from the duty holder and reports the requests and answers
 // counted so far.
 func (e *Edge) reportTrials(now time.Duration) {
-	if !e.trials.hasOrders.Load() || now-e.trials.reportedAt < trialReportInterval {
+	if !e.trials.hasOrders.Load() || now-e.trials.lastReportedAt < trialReportInterval {
 		return
 	}
-	e.trials.reportedAt = now
+	e.trials.lastReportedAt = now
 	fleet := e.fleetSize()
 	for _, g := range e.openGates(fleet) {
 		p := e.pool(g.Order().Service)
@@ -379,27 +379,27 @@
 	s.gate.Dispatched()
 }
 
-// trialSample says which version an attempt's answer counts for in the comparison of versions.
-type trialSample struct {
-	gate  *canary.Gate
-	isNew bool
+// trialAttribution says which version an attempt's answer counts for in the comparison of versions.
+type trialAttribution struct {
+	gate         *canary.Gate
+	isNewVersion bool
 }
 
-// sampleFor returns which version an attempt at a runner counts for; the zero value isn't
+// trialAttributionOf returns which version an attempt at a runner counts for; the zero value isn't
 // counted.
-func (s *requestHandler) sampleFor(id ident.RunnerID) trialSample {
+func (s *requestHandler) trialAttributionOf(id ident.RunnerID) trialAttribution {
 	g := s.edge.trials.gate(s.pool.name)
 	if g == nil {
-		return trialSample{}
+		return trialAttribution{}
 	}
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	return trialSample{g, s.pool.runners[id].Version == g.Order().Target}
+	return trialAttribution{g, s.pool.runners[id].Version == g.Order().Target}
 }
 
-// took counts the latency of a whole answer or, with pace, the time between a stream's events.
-func (a *attempt) took(d time.Duration, pace bool) {
-	a.recordSample(pace, func(c *canary.Counts) { c.CountAnswer(d) })
+// recordLatency counts the latency of a whole answer or, with pace, the time between a stream's events.
+func (a *attempt) recordLatency(d time.Duration, betweenEvents bool) {
+	a.recordSample(betweenEvents, func(c *canary.Counts) { c.CountAnswer(d) })
 }
 
 // recordStreamLatency counts the latencies of a whole stream. Prompts differ in length and in
@@ -410,22 +410,22 @@
 	if a.trial.gate == nil {
 		return
 	}
-	against := max(a.choice.Estimate, minEstimate)
-	a.took(time.Duration(float64(time.Second)*float64(a.firstEventAfter)/float64(against)), false)
+	expectedFirstEvent := max(a.choice.Estimate, minEstimate)
+	a.recordLatency(time.Duration(float64(time.Second)*float64(a.firstEventAfter)/float64(expectedFirstEvent)), false)
 	if n := a.s.events.Events(); n > 1 {
-		a.took((time.Since(a.sent)-a.firstEventAfter)/time.Duration(n-1), true)
+		a.recordLatency((time.Since(a.sent)-a.firstEventAfter)/time.Duration(n-1), true)
 	}
 }
 
 // recordFailure counts a failed answer.
 func (a *attempt) recordFailure() { a.recordSample(false, func(c *canary.Counts) { c.CountFailure() }) }
 
-func (a *attempt) recordSample(pace bool, count func(*canary.Counts)) {
+func (a *attempt) recordSample(betweenEvents bool, count func(*canary.Counts)) {
 	if a.trial.gate == nil {
 		return
 	}
 	t := &a.s.edge.trials
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	count(a.trial.gate.Tally().Of(canary.Series{Route: a.s.route.Name, Pace: pace}, a.trial.isNew))
+	count(a.trial.gate.Tally().Of(canary.Series{Route: a.s.route.Name, Pace: betweenEvents}, a.trial.isNewVersion))
 }
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -227,7 +227,7 @@
 }
 
 // withTrialIn is withTrial in a given kind of fleet.
-func withTrialIn(t *testing.T, run fleetRunner, daemons int, bad, faults func(tw *trialTest)) {
+func withTrialIn(t *testing.T, run fleetSetup, daemons int, bad, faults func(tw *trialTest)) {
 	run(t, daemons, config(1), func(w *testFleet) {
 		tw := newTrial(w)
 		if bad != nil {
--- a/daemon/edge/types.go
+++ b/daemon/edge/types.go
@@ -53,10 +53,10 @@
 	PeerAddress string
 	// Seeds are peer addresses of other daemons; they may be out of date.
 	Seeds []string
-	// FirstStart says that this fleet has never served before.
-	FirstStart bool
-	Bounds     Bounds
-	Policy     Policy
+	// FleetNeverServed says that this fleet has never served before.
+	FleetNeverServed bool
+	Bounds           Bounds
+	Policy           Policy
 }
 
 // Bounds are the operator's limits on the daemon's behavior.
@@ -83,8 +83,8 @@
 	QuotaTolerance quota.Tolerance
 	// LeaseTTL is the lifetime of the lease of the duties. FreezeSlack is how late the last
 	// order of a duty holder whose process was paused may arrive.
-	LeaseTTL    time.Duration
-	FreezeSlack time.Duration
+	LeaseTTL       time.Duration
+	MaxHolderPause time.Duration
 	// UsageWindow is the time span of a usage report. UsageDue is the time after its end at
 	// which the report is due.
 	UsageWindow time.Duration
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -77,7 +77,7 @@
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.relayPlan.Direct || e.sharesQuotas(now) && now-e.relayStanding.RelaySince() >= countsCompleteAfter
+	return e.relayPlan.Direct || e.grantsQuota(now) && now-e.relayConfirmation.RelaySince() >= countsCompleteAfter
 }
 
 // shouldDelayReport reports whether a window's report should wait. It waits until this daemon
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -90,7 +90,7 @@
 		e.addOwnCounts(now, c.hello)
 		return c
 	}
-	c.uncounted = e.uncounted(now, max(e.relayStanding.RelaySince(), now-requestCountsAfter))
+	c.uncounted = e.uncounted(now, max(e.relayConfirmation.RelaySince(), now-requestCountsAfter))
 	c.hello.Workspaces = convertNames[string](e.usageLedger.Workspaces())
 	c.hello.Ended = e.followerCounts(now)
 	return c
@@ -111,11 +111,11 @@
 // and because a new relay knows only what it was sent since its election. The caller must hold
 // e.mu.
 func (e *Edge) endedCountsFor(now time.Duration, to ident.Incarnation, fallback []*peersv1.Ended) []*peersv1.Ended {
-	id, asked := e.requestedCounts[to]
+	id, asked := e.requestedCountsByRelay[to]
 	if !asked {
 		return fallback
 	}
-	delete(e.requestedCounts, to)
+	delete(e.requestedCountsByRelay, to)
 	open := e.openWindowCounts(now, id)
 	if len(open) == 0 {
 		return fallback
@@ -219,7 +219,7 @@
 		}
 	}
 	if h.Lacks != "" {
-		e.requestedCounts[id] = ident.Incarnation(h.Lacks)
+		e.requestedCountsByRelay[id] = ident.Incarnation(h.Lacks)
 	}
 }
 
--- a/daemon/edge/usage_saved_test.go
+++ b/daemon/edge/usage_saved_test.go
@@ -130,7 +130,7 @@
 func (w *testFleet) waitForHolder(span time.Duration) int {
 	holder, since := -1, w.steady()
 	for holder < 0 || w.steady()-since < span {
-		time.Sleep(loadStep)
+		time.Sleep(loadInterval)
 		now := w.holderIndex()
 		if now != holder {
 			holder, since = now, w.steady()
