--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -370,7 +370,7 @@
 	s.pool.observe(a.choice.Runner, health.Success)
 	s.edge.log.Time("answer_us", took)
 	s.pool.observeServiceTime(a.choice, took)
-	a.recordLatency(took, false)
+	a.took(took, false)
 	s.sendBuffered(buffered)
 	return nil
 }
@@ -406,7 +406,7 @@
 				s.reply.Abort()
 				return nil
 			}
-			a.recordLatency(time.Since(a.sent), false)
+			a.took(time.Since(a.sent), false)
 			s.note("answered", decisions.F("runner", a.choice.Runner), decisions.F("status", answer.Status))
 			s.reply.Finish()
 			return nil
--- a/daemon/edge/demand.go
+++ b/daemon/edge/demand.go
@@ -35,7 +35,7 @@
 	if t := p.edge.table.Load(); t != nil {
 		wait = cmp.Or(t.TightestTargetLatency(p.name), defaultAcceptableWait)
 	}
-	peerOffered := p.edge.peerOfferedTokens(p.name)
+	offeredTokens := p.edge.peerOfferedTokens(p.name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.edge.relayMode.Load() {
@@ -43,7 +43,7 @@
 		p.countedOfferedTokens += p.offeredTokens - p.sampledOfferedTokens
 	}
 	p.sampledOfferedTokens = p.offeredTokens
-	w := fleet.Work{PromptTokens: p.countedOfferedTokens + peerOffered, PrefillRate: p.prefillModel.Rate(), Wait: wait}
+	w := fleet.Work{PromptTokens: p.countedOfferedTokens + offeredTokens, PrefillRate: p.prefillModel.Rate(), Wait: wait}
 	if p.service.Engine != nil {
 		w.Slots = p.service.Engine.Slots
 	}
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -95,9 +95,9 @@
 	// rosterRequesters are the addresses of daemons that have asked for the relays' addresses,
 	// or that wrongly consider themselves relays.
 	rosterRequesters map[ident.Incarnation]string
-	// lastRosterHash is the version of the list of daemons that was last sent; it is sent in
+	// rosterHash is the version of the list of daemons that was last sent; it is sent in
 	// rosterSendsLeft more messages.
-	lastRosterHash  uint64
+	rosterHash      uint64
 	rosterSendsLeft int
 	// configUnreadable says that the newest configuration could not be decoded.
 	configUnreadable bool
@@ -117,12 +117,12 @@
 	directMode, relayMode, allWatch atomic.Bool
 
 	trials trials
-	// peerLoads holds the other daemons' load at the runners, and recommended the prompts that
+	// reported holds the other daemons' load at the runners, and recommended the prompts that
 	// this daemon's followers send by its recommendation.
-	peerLoads         peerLoadTable
+	reported          peerLoadTable
 	placements        placements
 	grantRequests     pendingGrants
-	recommendations   recommendations
+	recommended       recommendations
 	resolvedAddresses udpAddresses
 	configCheck       configChecker
 	duties            duties
@@ -168,7 +168,7 @@
 	}
 	e.dir.init()
 	e.trials.init()
-	e.peerLoads.init()
+	e.reported.init()
 	e.grantRequests.init()
 	e.duties.init(e)
 	// Until it hears from other daemons, a daemon plans as if it were alone.
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -45,9 +45,9 @@
 	primaryTotal peerLoad
 	// sent holds this daemon's own loads in its latest messages, by sequence number.
 	sent map[uint64][]routing.OwnLoad
-	// offeredByService counts the prompt tokens that were brought to other daemons, by service.
-	offeredByService map[string]*offeredTally
-	changed          bool
+	// offeredTokens counts the prompt tokens that were brought to other daemons, by service.
+	offeredTokens map[string]*offeredTally
+	changed       bool
 	// mostRelaysReportedSince is the time since when most relays have reported their work; zero if they
 	// haven't.
 	mostRelaysReportedSince time.Duration
@@ -72,7 +72,7 @@
 func (t *peerLoadTable) init() {
 	t.byDaemon = map[ident.Incarnation]peerLoad{}
 	t.sent = map[uint64][]routing.OwnLoad{}
-	t.offeredByService = map[string]*offeredTally{}
+	t.offeredTokens = map[string]*offeredTally{}
 }
 
 // primaryTotalID returns the name under which the total reported by a daemon is counted, as distinct
@@ -93,28 +93,28 @@
 		})
 	}
 	now := e.deps.Steady()
-	e.peerLoads.mu.Lock()
-	defer e.peerLoads.mu.Unlock()
-	e.peerLoads.changed = true
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	e.reported.changed = true
 	if from == sourceFollower {
-		e.recommendations.dropReported(h.PeerAddress, now-minMessageAge)
+		e.recommended.reported(h.PeerAddress, now-minMessageAge)
 	}
 	load := peerLoad{receivedAt: now, runnerLoads: loads, follower: from == sourceFollower, includedOwnSeq: h.IncludedSeq}
 	for _, o := range h.Offered {
-		e.peerLoads.receiveOffered(now, id, o, from, !e.directMode.Load())
+		e.reported.receiveOffered(now, id, o, from, !e.directMode.Load())
 	}
 	if from == sourcePrimary {
-		e.peerLoads.primaryTotal = load
+		e.reported.primaryTotal = load
 		return
 	}
-	e.peerLoads.byDaemon[id] = load
+	e.reported.byDaemon[id] = load
 }
 
 func (t *peerLoadTable) receiveOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from workSource, relayed bool) {
-	counts, ok := t.offeredByService[o.Service]
+	counts, ok := t.offeredTokens[o.Service]
 	if !ok {
 		counts = &offeredTally{}
-		t.offeredByService[o.Service] = counts
+		t.offeredTokens[o.Service] = counts
 	}
 	counts.followers.SetRelayed(relayed)
 	counts.all.SetRelayed(relayed)
@@ -144,16 +144,16 @@
 // applyPeerLoads passes the sums of the other daemons' loads to the pools.
 func (e *Edge) applyPeerLoads() {
 	now := e.deps.Steady()
-	e.peerLoads.mu.Lock()
-	if e.peerLoads.expire(now) || e.peerLoads.changed {
-		e.peerLoads.changed = false
+	e.reported.mu.Lock()
+	if e.reported.expire(now) || e.reported.changed {
+		e.reported.changed = false
 	} else {
-		e.peerLoads.mu.Unlock()
+		e.reported.mu.Unlock()
 		return
 	}
-	sums := e.peerLoads.sumOthers(now)
-	e.peerLoads.mu.Unlock()
-	sums.add(e.recommendations.loads(now), 1)
+	sums := e.reported.sumOthers(now)
+	e.reported.mu.Unlock()
+	sums.add(e.recommended.loads(now), 1)
 	e.poolsMu.RLock()
 	defer e.poolsMu.RUnlock()
 	for _, p := range e.pools {
@@ -164,9 +164,9 @@
 // peerOfferedTokens returns the number of prompt tokens that were brought to other daemons. If
 // the primary reports the total of all daemons, this daemon's own tokens are included.
 func (e *Edge) peerOfferedTokens(service string) float64 {
-	e.peerLoads.mu.Lock()
-	defer e.peerLoads.mu.Unlock()
-	if counts, ok := e.peerLoads.offeredByService[service]; ok {
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	if counts, ok := e.reported.offeredTokens[service]; ok {
 		return counts.all.Total()
 	}
 	return 0
@@ -182,7 +182,7 @@
 		}
 		expired = true
 		delete(t.byDaemon, id)
-		for _, counts := range t.offeredByService {
+		for _, counts := range t.offeredTokens {
 			counts.followers.PeerEnded(id)
 			counts.all.PeerEnded(id)
 		}
@@ -196,9 +196,9 @@
 	if e.allWatch.Load() {
 		return true
 	}
-	e.peerLoads.mu.Lock()
-	defer e.peerLoads.mu.Unlock()
-	since := e.peerLoads.mostRelaysReportedSince
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	since := e.reported.mostRelaysReportedSince
 	return since != 0 && now-since >= minDuration
 }
 
@@ -279,10 +279,10 @@
 	now := e.deps.Steady()
 	own.placed = e.placements.recent(now, e.placementSendTime(), originSelf)
 	n := workSummaries{own: own}
-	e.peerLoads.mu.Lock()
-	defer e.peerLoads.mu.Unlock()
-	ownAndFollowers, all := e.peerLoads.followers(), e.peerLoads.sumOthers(now)
-	recommended := e.recommendations.loads(now)
+	e.reported.mu.Lock()
+	defer e.reported.mu.Unlock()
+	ownAndFollowers, all := e.reported.followers(), e.reported.sumOthers(now)
+	recommended := e.recommended.loads(now)
 	for _, sums := range []loadByRunner{ownAndFollowers, all} {
 		sums.add(own.loads, 1)
 		sums.add(recommended, 1)
@@ -291,7 +291,7 @@
 	n.all = workSummary{loads: all.list(), offeredTokens: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originAny)}
 	for name, tokens := range own.offeredTokens {
 		n.ownAndFollowers.offeredTokens[name], n.all.offeredTokens[name] = tokens, tokens
-		if counts, ok := e.peerLoads.offeredByService[name]; ok {
+		if counts, ok := e.reported.offeredTokens[name]; ok {
 			n.ownAndFollowers.offeredTokens[name] += counts.followers.Total()
 			n.all.offeredTokens[name] += counts.all.Total()
 		}
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -141,20 +141,20 @@
 }
 
 // setRetryShare sets this daemon's part of the shared retry budget.
-func (p *pool) setRetryShare(b Bounds, daemons int) {
+func (p *pool) setRetryShare(b Bounds, budgetDaemons int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if daemons == p.budgetDaemons {
+	if budgetDaemons == p.budgetDaemons {
 		return
 	}
-	p.table.SetSamples(samplesFor(daemons))
-	perFirst, perSecond, burst := retry.BudgetShare(b.RetryRatio, b.RetrySlack, retryBudgetShare, b.RetryWindow, daemons)
+	p.table.SetSamples(samplesFor(budgetDaemons))
+	perFirst, perSecond, burst := retry.BudgetShare(b.RetryRatio, b.RetrySlack, retryBudgetShare, b.RetryWindow, budgetDaemons)
 	if p.budgetDaemons == 0 {
 		// A new pool starts with a full budget. With an empty one, the first failures after a
 		// start could not be retried at another runner.
 		p.retry = retry.New(retryConfig(perFirst, perSecond, burst))
 	}
-	p.budgetDaemons = daemons
+	p.budgetDaemons = budgetDaemons
 	p.retry.SetBudget(perFirst, perSecond, burst)
 }
 
--- a/daemon/edge/recommendations.go
+++ b/daemon/edge/recommendations.go
@@ -18,9 +18,9 @@
 // maxCandidatesPerAsk is the number of runners that a relay chooses from.
 const maxCandidatesPerAsk = 4
 
-// recommendation is a prompt that a follower sends to a runner by this relay's recommendation. It
+// recommended is a prompt that a follower sends to a runner by this relay's recommended. It
 // counts as load until the runner should have read it or the follower reports it.
-type recommendation struct {
+type recommended struct {
 	recommendedAt, expectedReadAt time.Duration
 	daemonAddress                 string
 	runner                        ident.RunnerID
@@ -30,24 +30,24 @@
 // recommendations holds the recent recommendations.
 type recommendations struct {
 	mu     sync.Mutex
-	recent []recommendation
+	recent []recommended
 }
 
-func (a *recommendations) add(prompt recommendation) {
+func (a *recommendations) add(prompt recommended) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.recent = append(a.recent, prompt)
 }
 
-// dropReported drops the prompts of a daemon that the daemon has now dropReported itself: those
+// reported drops the prompts of a daemon that the daemon has now reported itself: those
 // recommended up to the time before.
-func (a *recommendations) dropReported(daemonAddress string, before time.Duration) {
-	a.retain(func(prompt recommendation) bool {
+func (a *recommendations) reported(daemonAddress string, before time.Duration) {
+	a.retain(func(prompt recommended) bool {
 		return prompt.daemonAddress != daemonAddress || prompt.recommendedAt > before
 	})
 }
 
-func (a *recommendations) retain(retain func(recommendation) bool) {
+func (a *recommendations) retain(retain func(recommended) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	remaining := a.recent[:0]
@@ -61,7 +61,7 @@
 
 // loads returns the load by recommended prompts that the runners have not read yet.
 func (a *recommendations) loads(now time.Duration) []routing.OwnLoad {
-	a.retain(func(prompt recommendation) bool { return prompt.expectedReadAt > now })
+	a.retain(func(prompt recommended) bool { return prompt.expectedReadAt > now })
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var loads []routing.OwnLoad
@@ -95,7 +95,7 @@
 	best, soonest := -1, time.Duration(0)
 	for i, c := range a.Candidates {
 		runner := ident.RunnerID(c.Runner)
-		expectedWait, ok := p.expectedWait(runner, e.recommendations.unreadTokensAt(runner, now, p.peerLoadsTime()))
+		expectedWait, ok := p.expectedWait(runner, e.recommended.unreadTokensAt(runner, now, p.peerLoadsTime()))
 		if first := expectedWait + time.Duration(c.AloneNs); ok && (best < 0 || first < soonest) {
 			best, soonest = i, first
 		}
@@ -104,7 +104,7 @@
 		return ""
 	}
 	c := a.Candidates[best]
-	e.recommendations.add(recommendation{recommendedAt: now, expectedReadAt: now + soonest, daemonAddress: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
+	e.recommended.add(recommended{recommendedAt: now, expectedReadAt: now + soonest, daemonAddress: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
 	return c.Runner
 }
 
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -44,9 +44,9 @@
 // withSettledFleet runs a test with n daemons spread over largeDomains failure domains, after
 // they have found each other. direct is the number of daemons up to which all send to each
 // other.
-func withSettledFleet(t *testing.T, n, directFleet int, c route.Config, f func(w *testFleet)) {
+func withSettledFleet(t *testing.T, n, maxDirectDaemons int, c route.Config, f func(w *testFleet)) {
 	withFleet(t, 0, c, func(w *testFleet) {
-		w.directFleet = directFleet
+		w.directFleet = maxDirectDaemons
 		w.spreadOverDomains()
 		w.tolerance = quota.Tolerance{Overage: 0.1, Slack: 190_000}
 		for range n {
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -67,7 +67,7 @@
 		e.removePeer(id, "silent")
 	}
 	e.electRelays(now)
-	e.peerLoads.updateMostRelaysReported(now, len(e.relayPlan.OtherRelays))
+	e.reported.updateMostRelaysReported(now, len(e.relayPlan.OtherRelays))
 	e.limiter.SetExpectedDaemons(now, e.countQuotaGranters(now))
 	e.limiter.SetIsolatedParts(e.isolatedQuotaParts(now))
 	e.limiter.Tick(now)
@@ -225,8 +225,8 @@
 
 // rosterDue reports whether rosters are sent in a round. The caller must hold e.mu.
 func (e *Edge) rosterDue(round uint64) bool {
-	if v := hashRoster(e.alive); v != e.lastRosterHash {
-		e.lastRosterHash, e.rosterSendsLeft = v, rosterRepeats
+	if v := rosterHash(e.alive); v != e.rosterHash {
+		e.rosterHash, e.rosterSendsLeft = v, rosterRepeats
 	}
 	if e.rosterSendsLeft > 0 {
 		e.rosterSendsLeft--
@@ -235,9 +235,9 @@
 	return round%rosterIntervalRounds < rosterBurstRounds
 }
 
-// hashRoster returns a hash of the members' incarnations and phases, by which a changed
+// rosterHash returns a hash of the members' incarnations and phases, by which a changed
 // roster is detected.
-func hashRoster(members []peers.Member) uint64 {
+func rosterHash(members []peers.Member) uint64 {
 	d := xxhash.New()
 	for _, m := range members {
 		// A hash accepts every write without an error.
--- a/daemon/edge/send.go
+++ b/daemon/edge/send.go
@@ -172,7 +172,7 @@
 	c.hello.Follows = true
 	addWork(c.hello, w.own)
 	e.addOwnCounts(now, c.hello)
-	e.peerLoads.rememberSent(c.hello.Seq, w.own.loads)
+	e.reported.rememberSent(c.hello.Seq, w.own.loads)
 	for i, r := range e.relayPlan.Followed {
 		if i > 0 && round%standbyRounds != 0 {
 			break
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -397,8 +397,8 @@
 	return trialAttribution{g, s.pool.runners[id].Version == g.Order().Target}
 }
 
-// recordLatency counts the latency of a whole answer or, with pace, the time between a stream's events.
-func (a *attempt) recordLatency(d time.Duration, betweenEvents bool) {
+// took counts the latency of a whole answer or, with pace, the time between a stream's events.
+func (a *attempt) took(d time.Duration, betweenEvents bool) {
 	a.recordSample(betweenEvents, func(c *canary.Counts) { c.CountAnswer(d) })
 }
 
@@ -411,9 +411,9 @@
 		return
 	}
 	expectedFirstEvent := max(a.choice.Estimate, minEstimate)
-	a.recordLatency(time.Duration(float64(time.Second)*float64(a.firstEventAfter)/float64(expectedFirstEvent)), false)
+	a.took(time.Duration(float64(time.Second)*float64(a.firstEventAfter)/float64(expectedFirstEvent)), false)
 	if n := a.s.events.Events(); n > 1 {
-		a.recordLatency((time.Since(a.sent)-a.firstEventAfter)/time.Duration(n-1), true)
+		a.took((time.Since(a.sent)-a.firstEventAfter)/time.Duration(n-1), true)
 	}
 }
 
