--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -27,9 +27,10 @@
 	// copyBufferBytes is the size of the buffer that streams are copied through; an event has a
 	// few hundred bytes.
 	copyBufferBytes = 8 << 10
-	// noRunnerRetryAfter is the retry time given to callers if no runner is available. A new
-	// runner takes a few seconds to start; one whose entry has expired registers again within
-	// two seconds.
+	// noRunnerRetryAfter is the retry time given to callers if no runner is available. A runner
+	// whose entry has expired registers again within two seconds, and a new one takes a few
+	// seconds to start. One second is shorter than both, so that callers are served soon after a
+	// runner appears.
 	noRunnerRetryAfter = time.Second
 )
 
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -71,9 +71,10 @@
 	limiter     *quota.Limiter
 	seq         uint64
 	// alive are the other daemons that are alive, as of the last check. relayPlan is derived
-	// from them and says to which daemons this daemon sends; relayStanding tracks whether the
-	// other relays count this daemon as a relay; followers are the daemons that follow this
-	// one.
+	// from them and says which daemons are relays and to which ones this daemon sends.
+	// relayConfirmation tracks whether the other relays elect this daemon, too: relayPlan may
+	// wrongly name it a relay while it knows only a part of the fleet. followers are the daemons
+	// that follow this one.
 	alive             []peers.Member
 	relayPlan         relays.Plan
 	relayConfirmation relays.Confirmation
@@ -81,22 +82,23 @@
 	// yet.
 	relaysChanged bool
 	followers     map[ident.Incarnation]follower
-	// fedRelays are the other relays for which this daemon watches the key-value service, with
-	// the store revision that each of them has reached.
+	// fedRelays are the other relays to which this daemon passes on the changes of the key-value
+	// service, with the revision up to which each of them has all changes.
 	fedRelays map[ident.Incarnation]uint64
-	// coverage records when each daemon's usage counts were last sent. requestedCounts are the
-	// daemons whose counts other relays have asked for.
+	// coverage records when each daemon's usage counts were last received. The keys of
+	// requestedCountsByRelay are relays that lack a daemon's usage counts and have asked this
+	// daemon for them; the value is the daemon whose counts are asked for.
 	coverage               accounting.Coverage
 	requestedCountsByRelay map[ident.Incarnation]ident.Incarnation
-	// demotionRecipients are the relays that must be told that this daemon no longer is a
-	// relay, in demotionSendsLeft more messages.
+	// demotionRecipients are the daemons that must be told that this daemon no longer is a relay,
+	// or that the fleet no longer is direct, in demotionSendsLeft more messages.
 	demotionRecipients []peers.Member
 	demotionSendsLeft  int
 	// rosterRequesters are the addresses of daemons that have asked for the relays' addresses,
 	// or that wrongly consider themselves relays.
 	rosterRequesters map[ident.Incarnation]string
-	// rosterHash is the version of the list of daemons that was last sent; it is sent in
-	// rosterSendsLeft more messages.
+	// rosterHash is a hash of the alive daemons and their phases at the latest change of these.
+	// After such a change, rosters (lists of daemons) are sent in rosterSendsLeft more rounds.
 	rosterHash      uint64
 	rosterSendsLeft int
 	// configUnreadable says that the newest configuration could not be decoded.
@@ -117,8 +119,9 @@
 	directMode, relayMode, allWatch atomic.Bool
 
 	trials trials
-	// reported holds the other daemons' load at the runners, and recommended the prompts that
-	// this daemon's followers send by its recommendation.
+	// reported holds the load at the runners that the other daemons have reported. recommended
+	// holds the prompts for which this relay has recommended a runner to a follower; each counts
+	// as load until the runner should have read it or the follower reports it.
 	reported          peerLoadTable
 	placements        placements
 	grantRequests     pendingGrants
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -58,8 +58,8 @@
 		w.cloud.setReclaimableUnavailable(true)
 		time.Sleep(20 * time.Second)
 		refusals := w.cloud.refusedOrders()
-		w.True(refusals >= 40) // two attempts a second
-		w.True(refusals <= 120)
+		w.True(refusals >= 40)  // at least two attempts a second for 20 seconds
+		w.True(refusals <= 120) // at most six attempts a second
 		w.cloud.setReclaimableUnavailable(false)
 		time.Sleep(time.Second + 50*time.Millisecond) // the daemon's rounds fall on whole seconds
 		got := map[ident.FailureDomain]bool{}
@@ -83,7 +83,9 @@
 			time.Sleep(5 * time.Second)
 			w.True(len(w.cloud.receivedOrders()) > 0)
 			for _, o := range w.cloud.receivedOrders() {
-				w.True(!o.Reclaimable && o.Runners < 3) // some runners are given back, none are added
+				// An order names the wanted total. Each failure domain has 3 runners, so a smaller
+				// number gives runners back and adds none.
+				w.True(!o.Reclaimable && o.Runners < 3)
 			}
 		})
 	}
--- a/daemon/edge/harness_test.go
+++ b/daemon/edge/harness_test.go
@@ -73,7 +73,7 @@
 }
 
 // withFleet runs a test with n daemons that have read a configuration. If n is greater than
-// relays.SmallFleet they elect relays; withDirectFleet starts a larger fleet in which every
+// relays.AllWatchFleet they elect relays; withDirectFleet starts a larger fleet in which every
 // daemon is a relay.
 func withFleet(t *testing.T, n int, c route.Config, f func(w *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -11,8 +11,8 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// rememberedMessages is how many of its own latest messages a daemon keeps the loads of. Its
-// primary's total may include any of these messages.
+// rememberedMessages is the number of its own latest messages whose loads a follower remembers.
+// The latest message that its primary relay's total includes may be any of these.
 const rememberedMessages = 16
 
 // minMessageAge is subtracted from the time at which a message is received, since the message
@@ -23,14 +23,15 @@
 // brought to these daemons.
 type workSummary struct {
 	loads []routing.OwnLoad
-	// offeredTokens counts prompt tokens by service since the daemons started.
+	// offeredTokens counts, by service, the uncached prompt tokens that callers brought to each
+	// of these daemons since that daemon started.
 	offeredTokens map[string]float64
 	placed        []*peersv1.Placed
 }
 
 // workSummaries holds the three summaries that messages can carry: this daemon's own work, the
 // work of this daemon and its followers, and the work of all daemons. roster says that the list
-// of daemons is due in this turn, too.
+// of daemons is to be sent in this round of gossipInterval, too.
 type workSummaries struct {
 	own, ownAndFollowers, all workSummary
 	roster                    bool
@@ -39,17 +40,18 @@
 // peerLoadTable holds the other daemons' load at the runners.
 type peerLoadTable struct {
 	mu sync.Mutex
-	// byDaemon holds the loads reported by followers and other relays; total is the load of all
-	// daemons as reported by the primary.
+	// byDaemon holds the loads reported by followers and other relays. primaryTotal is the load
+	// of all daemons, this one included, as reported by the primary relay.
 	byDaemon     map[ident.Incarnation]peerLoad
 	primaryTotal peerLoad
 	// sent holds this daemon's own loads in its latest messages, by sequence number.
 	sent map[uint64][]routing.OwnLoad
-	// offeredTokens counts the prompt tokens that were brought to other daemons, by service.
+	// offeredTokens counts the uncached prompt tokens that callers brought to other daemons, by
+	// service.
 	offeredTokens map[string]*offeredTally
 	changed       bool
-	// mostRelaysReportedSince is the time since when most relays have reported their work; zero if they
-	// haven't.
+	// mostRelaysReportedSince is the time since when at least half of the other relays have
+	// reported their work; zero if they haven't.
 	mostRelaysReportedSince time.Duration
 }
 
@@ -60,8 +62,9 @@
 	// follower says that the load is reported by a follower, so that no other relay includes
 	// it.
 	follower bool
-	// includedOwnSeq is the sequence number of this daemon's latest message that the primary's
-	// total includes.
+	// includedOwnSeq is set in the total reported by the primary relay. It is the sequence number
+	// of the latest of this daemon's messages whose loads are part of that total, so these loads
+	// are subtracted to get the load of the other daemons.
 	includedOwnSeq uint64
 }
 
@@ -161,8 +164,9 @@
 	}
 }
 
-// peerOfferedTokens returns the number of prompt tokens that were brought to other daemons. If
-// the primary reports the total of all daemons, this daemon's own tokens are included.
+// peerOfferedTokens returns the number of uncached prompt tokens of a service that callers brought
+// to other daemons. If the primary relay reports the total of all daemons, this daemon's own
+// tokens are included.
 func (e *Edge) peerOfferedTokens(service string) float64 {
 	e.reported.mu.Lock()
 	defer e.reported.mu.Unlock()
@@ -190,8 +194,9 @@
 	return expired
 }
 
-// workKnownFor reports whether the work of most of the fleet has been known for a given time.
-// Right after all daemons have started, each knows only the work of its own callers.
+// workKnownFor reports whether at least half of the other relays have reported their work for
+// minDuration or longer; it is always true in a fleet in which all daemons watch the key-value
+// service, since every daemon reports to every other one there. Right after all daemons have started, each knows only the work of its own callers.
 func (e *Edge) workKnownFor(now, minDuration time.Duration) bool {
 	if e.allWatch.Load() {
 		return true
@@ -202,7 +207,9 @@
 	return since != 0 && now-since >= minDuration
 }
 
-// updateMostRelaysReported updates mostKnownSince; others is the number of other relays.
+// updateMostRelaysReported sets mostRelaysReportedSince once at least half of the other relays
+// have reported their work, and resets it to zero when fewer have. otherRelays is the number of
+// the other relays that this daemon elects.
 func (t *peerLoadTable) updateMostRelaysReported(now time.Duration, otherRelays int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -164,7 +164,9 @@
 }
 
 // recentlyRestarted reports whether this daemon has restarted so recently that it knows too
-// little about what the runners have cached.
+// little about what the runners have cached. Prompts are then assumed to be cached at their
+// homes, the runners that a hash of their shared parts selects. It returns false if the policy
+// doesn't use TrustHomes, and if the fleet has never served, since nothing is cached then.
 func (p *pool) recentlyRestarted() bool {
 	return p.edge.settings.Policy.Uses(TrustHomes) && !p.edge.settings.FleetNeverServed && p.edge.deps.Steady()-p.edge.startedAt < cacheLearningPeriod
 }
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -68,13 +68,16 @@
 	// at plain runners.
 	prefillModel *prefill.Model
 	serviceTime  *servicetime.Mean
-	// offeredTokens counts the prompt tokens that callers brought to this daemon and that were not
-	// cached.
+	// offeredTokens counts the uncached prompt tokens that callers of this service brought to
+	// this daemon since it started.
 	offeredTokens float64
+	// budgetDaemons is the number of daemons among which the retry budget is divided.
 	budgetDaemons int
 	// demand estimates the number of runners needed from samples of work; work is the latest
-	// sample. countedOffered is the part of offered that no other daemon includes in its total,
-	// and lastOffered is the value of offered at the latest sample.
+	// sample. countedOfferedTokens is the part of offeredTokens that came while this daemon was
+	// a relay. The part that came while it was a follower is left out because it is included in
+	// the total that the primary relay sends, to which the sample adds countedOfferedTokens.
+	// sampledOfferedTokens is the value of offeredTokens at the latest sample.
 	demand               *fleet.Demand
 	work                 fleet.Work
 	countedOfferedTokens float64
@@ -140,7 +143,8 @@
 	p.service = s
 }
 
-// setRetryShare sets this daemon's part of the shared retry budget.
+// setRetryShare sets this daemon's part of the retry budget, which the given number of daemons
+// divide equally.
 func (p *pool) setRetryShare(b Bounds, budgetDaemons int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -231,8 +235,8 @@
 	return rep
 }
 
-// pick chooses a runner: the recommended one if there is one and it still accepts new work.
-// first says that this is the request's first attempt.
+// pick chooses a runner: the one that a relay has recommended if it still accepts new work,
+// otherwise the best one by this daemon's own routing table. first says that this is the request's first attempt.
 func (p *pool) pick(now time.Time, r *routing.Request, recommendedRunner ident.RunnerID, first bool) (routing.Choice, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -327,7 +331,8 @@
 	decide(p.retry)
 }
 
-// ownOfferedTokens returns the number of uncached prompt tokens that callers brought to this daemon.
+// ownOfferedTokens returns the number of uncached prompt tokens that callers of this service
+// brought to this daemon since it started.
 func (p *pool) ownOfferedTokens() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -148,8 +148,10 @@
 	}
 }
 
-// updateQuotaUses records what another relay took out of the quotas. A daemon that is no relay
-// takes nothing itself. The caller must hold e.mu.
+// updateQuotaUses records what the sender of a message took out of the quotas. Only relays take
+// from quotas. Therefore nothing is recorded if this daemon is a follower, and a sender that is a
+// follower, or that this daemon doesn't elect, is noted as taking nothing. The caller must hold
+// e.mu.
 func (e *Edge) updateQuotaUses(now time.Duration, id ident.Incarnation, h *peersv1.Hello) {
 	if !e.relayPlan.Relay {
 		return
@@ -171,7 +173,8 @@
 	}
 }
 
-// workSource says whose work at the runners a message covers.
+// workSource says whose work at the runners a message covers, and with it which counter of this
+// daemon the message updates.
 type workSource int
 
 const (
--- a/daemon/edge/recommendations.go
+++ b/daemon/edge/recommendations.go
@@ -10,16 +10,18 @@
 )
 
 // A follower learns of other daemons' load up to a second late. During that second several
-// followers may send prompts to a runner that looks idle to all of them. Therefore the relay that
-// grants a request's quota also chooses among the runners that the follower considers best. The
-// relay knows its followers' choices immediately, since it makes them, and receives those of
+// followers may send prompts to a runner that looks idle to all of them. Therefore a follower that
+// asks a relay for quota proposes the runners that it considers best, the candidates. The relay
+// that grants the quota chooses one of them, which it recommends to the follower. A relay knows
+// which runners its followers use immediately, since it chooses them, and receives the choices of
 // the other relays several times a second.
 
-// maxCandidatesPerAsk is the number of runners that a relay chooses from.
+// maxCandidatesPerAsk is the number of runners that a follower proposes in one request for quota.
 const maxCandidatesPerAsk = 4
 
-// recommended is a prompt that a follower sends to a runner by this relay's recommended. It
-// counts as load until the runner should have read it or the follower reports it.
+// recommended is a prompt for which this relay has recommended a runner to a follower. It counts
+// as load until the runner should have read it or the follower reports it. daemonAddress is the
+// peer address of the follower, tokens the number of uncached tokens of the prompt.
 type recommended struct {
 	recommendedAt, expectedReadAt time.Duration
 	daemonAddress                 string
@@ -27,7 +29,8 @@
 	tokens                        int
 }
 
-// recommendations holds the recent recommendations.
+// recommendations holds the prompts for which this relay has recommended a runner and that the
+// follower hasn't reported as its own load yet. A prompt is also dropped at its expectedReadAt.
 type recommendations struct {
 	mu     sync.Mutex
 	recent []recommended
@@ -39,8 +42,8 @@
 	a.recent = append(a.recent, prompt)
 }
 
-// reported drops the prompts of a daemon that the daemon has now reported itself: those
-// recommended up to the time before.
+// reported drops the prompts that are included in the load that a follower has now reported:
+// those for which this relay recommended a runner to it up to the time before.
 func (a *recommendations) reported(daemonAddress string, before time.Duration) {
 	a.retain(func(prompt recommended) bool {
 		return prompt.daemonAddress != daemonAddress || prompt.recommendedAt > before
@@ -85,8 +88,8 @@
 	return tokens
 }
 
-// recommendRunner returns the candidate with the earliest expected first token; empty if there
-// is none.
+// recommendRunner chooses the follower's candidate with the earliest expected first token, and
+// counts the prompt as load there. It returns an empty string if no candidate is usable.
 func (e *Edge) recommendRunner(now time.Duration, a *peersv1.Ask) string {
 	p := e.pool(a.Service)
 	if p == nil {
@@ -124,7 +127,8 @@
 }
 
 // candidates returns the service of the request, and the best runners for it. It implements
-// whereTo. The service is empty for runners without an engine, for which relays recommend none.
+// candidateLister. The service is empty for runners that are not model engines, since relays
+// recommend only model engines.
 func (s *requestHandler) candidates() (string, []*peersv1.Candidate) {
 	if s.pool == nil || !s.pool.hasEngine() {
 		return "", nil
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -26,8 +26,8 @@
 	largeWorkspaces  = 40
 )
 
-// fleetSetup runs a test with n daemons in one kind of fleet: one of relays and followers, or
-// a direct one.
+// fleetSetup starts a fleet of n daemons of one kind, either with relays and followers or direct,
+// and calls f with it.
 type fleetSetup func(t *testing.T, n int, c route.Config, f func(w *testFleet))
 
 // withRelayFleet runs a test with n daemons that have elected relays.
@@ -42,8 +42,8 @@
 }
 
 // withSettledFleet runs a test with n daemons spread over largeDomains failure domains, after
-// they have found each other. direct is the number of daemons up to which all send to each
-// other.
+// they have found each other. A fleet of at most maxDirectDaemons daemons is direct: each daemon
+// sends to every other one. A larger fleet elects relays.
 func withSettledFleet(t *testing.T, n, maxDirectDaemons int, c route.Config, f func(w *testFleet)) {
 	withFleet(t, 0, c, func(w *testFleet) {
 		w.directFleet = maxDirectDaemons
@@ -185,10 +185,12 @@
 	asked   []int
 	refused []int
 	reasons map[refusal.Reason]int
-	// servedTokens holds the tokens served to each workspace in each loadStep.
+	// servedTokens[ws][i] is the number of tokens served to workspace ws for requests that were
+	// sent in interval i of the load; each interval lasts loadInterval.
 	servedTokens [][]float64
 }
 
+// loadInterval is the time between two groups of requests of a simulated load.
 const loadInterval = 100 * time.Millisecond
 
 func newPromptLoad(w *testFleet, cost int, perSecond []float64) *promptLoad {
--- a/daemon/edge/request_test.go
+++ b/daemon/edge/request_test.go
@@ -202,7 +202,7 @@
 	})
 }
 
-// All daemons lose power while the service is down and start again before it is back. They must
+// The first daemon of a new fleet starts while the key-value service is unreachable. It must
 // refuse requests as not ready, and serve once the service is back.
 func TestColdStartWithoutService(t *testing.T) {
 	withFleet(t, 0, config(1), func(w *testFleet) {
--- a/daemon/edge/serial_failures_test.go
+++ b/daemon/edge/serial_failures_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// withSerialFailures runs a fleet of twelve daemons whose four relays are killed one after the
-// other while all daemons serve requests, once for each offset from the start of a usage
-// window. keepSecondHolder spares the daemon that takes over the duties: if several holders end
-// before one can report a window, the window is lost. check is called every loadStep, after at
-// the end with the number of requests served.
+// withSerialFailures runs a fleet of twelve daemons that all serve requests, and kills its four
+// relays one after the other. It does so offsets times; each time the kills begin 250 ms later
+// within a usage window. With keepSecondHolder, a daemon that has taken over the duties from the
+// first holder isn't killed: if several holders end before one can report a window, the window is
+// lost. The function check is called every loadInterval. The function after is called at the end
+// with the number of requests served.
 func withSerialFailures(t *testing.T, offsets int, keepSecondHolder bool, check func(w *testFleet), after func(w *testFleet, served int64)) {
 	const (
 		daemons, workspaces = 12, 2
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -379,14 +379,14 @@
 	s.gate.Dispatched()
 }
 
-// trialAttribution says which version an attempt's answer counts for in the comparison of versions.
+// trialAttribution says for which trial, and there for which of the two software versions, the
+// answer of an attempt is counted. The zero value stands for an attempt that isn't counted.
 type trialAttribution struct {
 	gate         *canary.Gate
 	isNewVersion bool
 }
 
-// trialAttributionOf returns which version an attempt at a runner counts for; the zero value isn't
-// counted.
+// trialAttributionOf returns for which trial and software version an attempt at a runner counts.
 func (s *requestHandler) trialAttributionOf(id ident.RunnerID) trialAttribution {
 	g := s.edge.trials.gate(s.pool.name)
 	if g == nil {
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -216,8 +216,9 @@
 	}
 }
 
-// withTrial plays the order of a version until its time is over. bad sets up a bad version; nil
-// stands for a good one. faults is called after the new runners have started.
+// withTrial simulates an operator's order to change a service's software version, with callers'
+// load, until the time limit of the order has passed. bad makes the new version a bad one; it is
+// nil for a good version. faults is called after the new version's runners have started.
 func withTrial(t *testing.T, daemons int, bad, faults func(tw *trialTest)) {
 	run := withFleet
 	if daemons > relays.AllWatchFleet {
--- a/daemon/edge/types.go
+++ b/daemon/edge/types.go
@@ -21,6 +21,24 @@
 // A request is handled by one daemon only. If that daemon dies, the caller must retry at
 // another one.
 //
+// Further terms of this package:
+//
+//   - Each daemon elects the relays of every failure domain from the daemons that it knows.
+//     "Elects" refers to this local result: daemons that know different parts of the fleet may
+//     elect different relays, and a daemon may consider itself a relay that no other one elects.
+//   - A share is the part of a workspace's quota that one relay may grant without asking others.
+//   - A recommended runner is the one that a relay names in its grant of quota to a follower.
+//     The follower sends it the request if the runner still accepts work.
+//   - A placement is the fact that the shared parts of a prompt were sent to a runner, which
+//     therefore has them cached. The home of a prompt is the runner that a hash of its shared
+//     parts selects; daemons that don't know placements yet expect the parts to be cached there.
+//   - An order to the cloud (type Order) states how many runners of one kind there should be in
+//     total. An operator's order (type canary.Order) moves a service to another software
+//     version, which is on trial until its success or failure is decided.
+//   - Offered tokens are the uncached prompt tokens of the requests that callers brought to a
+//     daemon. Work is these tokens together with the load of requests in progress at runners.
+//   - A round is a period of gossipInterval; messages are sent in every round or every few.
+//
 // The packages under protocol and coordination make the decisions; this package holds the
 // goroutines, locks and calls around them. The interfaces in this file are its dependencies.
 package edge
@@ -53,7 +71,8 @@
 	PeerAddress string
 	// Seeds are peer addresses of other daemons; they may be out of date.
 	Seeds []string
-	// FleetNeverServed says that this fleet has never served before.
+	// FleetNeverServed says that no daemon of this fleet has ever served a request, so that no
+	// quota has been used and no runner has any prompt cached.
 	FleetNeverServed bool
 	Bounds           Bounds
 	Policy           Policy
@@ -66,8 +85,8 @@
 	// ConfigWithin is the time within which a change of the operator's configuration must be in
 	// force.
 	ConfigWithin time.Duration
-	// DrainWithin is how long a runner may still be sent requests after it has announced that
-	// it is leaving.
+	// DrainWithin is how long daemons may still send requests to a runner after it has announced
+	// in the key-value service that it is leaving.
 	DrainWithin time.Duration
 	// RevokeWithin is how long a key may still work after its removal. With StrictRevocation
 	// this also binds a daemon that can't reach the key-value service.
@@ -81,8 +100,10 @@
 	// QuotaWindow is the time span over which the workspaces' quotas are enforced.
 	QuotaWindow    time.Duration
 	QuotaTolerance quota.Tolerance
-	// LeaseTTL is the lifetime of the lease of the duties. FreezeSlack is how late the last
-	// order of a duty holder whose process was paused may arrive.
+	// LeaseTTL is the lifetime of the lease whose holder performs the duties. MaxHolderPause is
+	// how long the holder's process may be paused between its decision on a call to the cloud
+	// and the start of that call. A new holder makes no call until such a call of its
+	// predecessor must have arrived.
 	LeaseTTL       time.Duration
 	MaxHolderPause time.Duration
 	// UsageWindow is the time span of a usage report. UsageDue is the time after its end at
@@ -238,7 +259,8 @@
 	Token uint64
 }
 
-// Order asks the cloud for a number of runners of one service, failure domain and class.
+// Order tells the cloud how many runners of one service, failure domain and class there should
+// be in total, so the cloud starts or stops runners.
 type Order struct {
 	Service       string
 	FailureDomain ident.FailureDomain
