--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -27,9 +27,10 @@
 	// copyBufferBytes is the size of the buffer that streams are copied through; an event has a
 	// few hundred bytes.
 	copyBufferBytes = 8 << 10
-	// noRunnerRetryAfter is the retry time given to callers if no runner is available. A new
-	// runner takes a few seconds to start; one whose entry has expired registers again within
-	// two seconds.
+	// noRunnerRetryAfter is the retry time given to callers if no runner is available. A runner
+	// whose entry has expired registers again within two seconds, and a new one takes a few
+	// seconds to start. One second is shorter than both, so that callers are served soon after a
+	// runner appears.
 	noRunnerRetryAfter = time.Second
 )
 
@@ -54,7 +55,7 @@
 	activity  *activity
 	cancel    context.CancelFunc
 	abandoned atomic.Bool
-	trial     trialSample
+	trial     trialAttribution
 }
 
 // run makes attempts until one succeeds, no further attempt is allowed or the caller
@@ -155,7 +156,7 @@
 	if late := choice.Estimate - s.maxFirstTokenWait(now); late > 0 && s.edge.settings.Policy.Uses(RefuseEarly) {
 		return nil, s.refuseTooLate(late, choice)
 	}
-	a := &attempt{s: s, choice: choice, sent: now, trial: s.sampleFor(choice.Runner)}
+	a := &attempt{s: s, choice: choice, sent: now, trial: s.trialAttributionOf(choice.Runner)}
 	a.ticket = s.pool.dispatch(now, choice, &s.routingRequest, s.exchange.Sent() == 0)
 	s.countTrialDispatch()
 	s.note("dispatched", decisions.F("runner", choice.Runner), decisions.F("estimate", choice.Estimate),
