--- a/coordination/accounting/coverage.go
+++ b/coordination/accounting/coverage.go
@@ -14,7 +14,8 @@
 // is ready to use and covers no daemon.
 type Coverage struct {
 	lastReceived map[ident.Incarnation]time.Duration
-	// ended is when daemons ended that have not been heard since.
+	// ended holds the time at which each daemon ended, as far as this daemon knows. A
+	// daemon is removed when it is heard again.
 	ended map[ident.Incarnation]time.Duration
 }
 
@@ -22,13 +23,15 @@
 // time for which any window waits for its report.
 const rememberEndedFor = time.Minute
 
-// Receive records that a daemon sent its counts itself, which shows that it has not ended.
+// Receive records that this daemon received the counts of another daemon from that daemon
+// itself, which shows that it has not ended.
 func (c *Coverage) Receive(now time.Duration, id ident.Incarnation) {
 	delete(c.ended, id)
 	c.ReceiveRelayed(now, id)
 }
 
-// ReceiveRelayed records that the relay that a daemon follows sent the daemon's counts.
+// ReceiveRelayed records that this daemon received the counts of another daemon from the
+// relay that the other daemon follows.
 func (c *Coverage) ReceiveRelayed(now time.Duration, id ident.Incarnation) {
 	if c.lastReceived == nil {
 		c.lastReceived = map[ident.Incarnation]time.Duration{}
@@ -51,8 +54,8 @@
 }
 
 // InTransit returns, sorted, the daemons that ended less than within ago and whose counts
-// have not been received since the time since. Counts of them that other daemons know may
-// still be on their way.
+// have not been received at or after the time since. Other daemons may know counts of them
+// that are still on their way to this daemon.
 func (c *Coverage) InTransit(now, within, since time.Duration) []ident.Incarnation {
 	var inTransit []ident.Incarnation
 	for id, at := range c.ended {
@@ -70,7 +73,7 @@
 }
 
 // Missing returns, sorted, those of the given daemons whose counts have not been received
-// since the time since, and those that have ended.
+// at or after the time since, and those that have ended.
 func (c *Coverage) Missing(daemons []ident.Incarnation, since time.Duration) []ident.Incarnation {
 	var missing []ident.Incarnation
 	for _, id := range daemons {
--- a/coordination/accounting/coverage_test.go
+++ b/coordination/accounting/coverage_test.go
@@ -37,9 +37,9 @@
 	is.Equal(c.InTransit(6*time.Second, within, 3*time.Second), []ident.Incarnation{"a"})
 	is.Equal(len(c.InTransit(7*time.Second, within, 3*time.Second)), 0)
 	c.ReceiveRelayed(6*time.Second, "b")
-	is.Equal(c.Missing([]ident.Incarnation{"b"}, 3*time.Second), []ident.Incarnation{"b"}) // its relay did not know yet that it had ended
+	is.Equal(c.Missing([]ident.Incarnation{"b"}, 3*time.Second), []ident.Incarnation{"b"}) // the relay of b did not know yet that b had ended
 	c.Receive(6*time.Second, "b")
-	is.Equal(len(c.Missing([]ident.Incarnation{"b"}, 3*time.Second)), 0) // it had only been silent
+	is.Equal(len(c.Missing([]ident.Incarnation{"b"}, 3*time.Second)), 0) // b had not ended, it had only been silent
 	c.PeerEnded(5*time.Minute, "c")
 	is.Equal(c.InTransit(5*time.Minute, time.Hour, 3*time.Second), []ident.Incarnation{"c"}) // the ends of a and b have been dropped
 }
--- a/coordination/feed/feed_test.go
+++ b/coordination/feed/feed_test.go
@@ -124,8 +124,9 @@
 	})
 }
 
-// Guards against all followers listing the service whenever their relay had to: a relay can
-// still compute the changes for a follower that is as far as the relay was before.
+// Guards against all followers listing the keys of the service whenever their relay had to
+// do so. For a follower that knows all changes through the relay's last revision before
+// the list, the relay can compute the changes.
 func TestListLeavesNoGapForOwnFollowers(t *testing.T) {
 	is := is.New(t)
 	l := feed.NewLog()
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -16,9 +16,10 @@
 	// fills up or more slots are taken.
 	MaxSlowdown float64
 	// RiseTime and FallTime are the time constants with which the mean follows rising and
-	// falling load. A burst must be answered before it is over. ComfortableFallTime
-	// replaces FallTime for runners that cost little: they are kept for the next wave of
-	// load, which may come sooner than new runners start.
+	// falling load. RiseTime is short, because the runners for a burst must be ordered
+	// before the burst is over. ComfortableFallTime replaces FallTime for runners that
+	// cost little: they are kept for the next wave of load, which may come sooner than new
+	// runners start.
 	RiseTime, FallTime, ComfortableFallTime time.Duration
 	// VarianceTime is the time constant of the variance.
 	VarianceTime time.Duration
@@ -130,8 +131,9 @@
 const minBlock = 390 * time.Millisecond
 
 // maxBlock is the longest time that is evaluated as one block. A daemon that was suspended
-// reads in one moment what the others sent over seconds, so the totals say nothing for as
-// long after a longer block.
+// reads in one moment what the others sent over seconds, so the totals are unusable for a
+// while. After a block longer than maxBlock, further blocks are ignored for the time
+// maxBlock.
 const maxBlock = 5 * minBlock
 
 // NewDemand returns a Demand without samples. neverServed states that the service has not
--- a/coordination/fleet/demand_test.go
+++ b/coordination/fleet/demand_test.go
@@ -84,16 +84,16 @@
 	l := newLoad(false)
 	l.work.SlotsPerRunner = 16
 	is.True(l.run(20*time.Second, 10_000, 160).Runners >= 10)
-	l.work.SlotsPerRunner = 6 // as in a plain service
+	l.work.SlotsPerRunner = 6 // together with a PrefillRate of zero: a service without prefill
 	l.work.PrefillRate = 0
 	is.True(l.run(20*time.Second, 0, 30).Runners >= 6)
 }
 
-// Four reclaims in thirteen seconds left eight runners for the work of six and a half.
-// Prompts were still read in time, but streams, which get their tokens between chunks of
-// prompts, ran at a tenth of their speed. Requests took ten seconds instead of two, 600
-// instead of 140 were in progress, and time budgets were exceeded. So even a large fleet,
-// whose load hardly varies, needs headroom for streams.
+// Four reclaims in thirteen seconds left eight runners for a load that kept six and a half
+// busy. Prompts were still read in time, but streams, which get their tokens between
+// chunks of prompts, ran at a tenth of their speed. Requests took ten seconds instead of
+// two, 600 instead of 140 were in progress, and time budgets were exceeded. So even a
+// large fleet, whose load hardly varies, needs headroom for streams.
 func TestStreamsAreNotStarvedByPrompts(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
@@ -134,9 +134,9 @@
 }
 
 // A daemon is cut off from its peers for ten seconds and goes on serving. When it is heard
-// again its counter has grown by ten seconds' work, which the daemon that orders runners
-// used to take for a burst. The same happened for a daemon that was heard for the first
-// time.
+// again, its counter has grown by the work of ten seconds. The daemon that orders runners
+// used to take this growth for a burst. The same happened with a daemon that was heard for
+// the first time.
 func TestTallyIgnoresGrowthDuringSilence(t *testing.T) {
 	is := is.New(t)
 	var tally fleet.Tally
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -8,6 +8,10 @@
 // planner tries every m. On-demand VMs count as lost with their failure domain, too, since
 // a failure takes all VMs in it, unless the target only has to survive reclaims.
 //
+// A reclaim is the cloud's taking back of a VM that it offers at a lower price on this
+// condition (a reclaimable VM); on-demand VMs are not reclaimed. A move replaces a running
+// VM by one of a cheaper pool. A surplus is VMs that are not needed to meet the target.
+//
 // A Planner does no I/O and reads no clock. It is not safe for concurrent use.
 package fleet
 
@@ -68,7 +72,8 @@
 	ReclaimCost float64
 	// HazardHalfLife is the half-life with which past reclaims of a pool lose weight.
 	HazardHalfLife time.Duration
-	// SurplusHold is how long a surplus must last before VMs are stopped.
+	// SurplusHold is how long a surplus must last before VMs are stopped, and how long a
+	// cheaper plan must save at least MinMoveSaving before VMs are moved to it.
 	SurplusHold time.Duration
 	// MinMoveSaving is the fraction of the cost that a cheaper plan must save before
 	// running VMs are moved to it.
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -249,9 +249,10 @@
 	}
 }
 
-// Reclaimable VMs run out in all failure domains and every start is refused, so the backoff
-// of every pool grows. Then one pool has VMs again. The planner must not wait for the end
-// of the other pools' backoff while on-demand VMs replace theirs.
+// Reclaimable VMs run out in all failure domains and every start is refused, so every pool
+// is in backoff. Then reclaimable VMs are available again. After ResetBackoff the planner
+// must use the reclaimable pools at once instead of starting on-demand VMs until the end
+// of each backoff.
 func TestResetBackoffAllowsAllPools(t *testing.T) {
 	is := is.New(t)
 	offers := []fleet.Offer{offer("a", "spot", 0.2, true), offer("b", "spot", 0.2, true), offer("a", "on-demand", 1, false)}
--- a/coordination/fleet/orders.go
+++ b/coordination/fleet/orders.go
@@ -8,9 +8,9 @@
 
 // Orders tracks the ordered number of VMs in each pool, for clouds that take a number per
 // pool instead of single starts and stops and choose themselves which VM to stop. VMs that
-// were ordered and are not present yet count as starting, and VMs that were given back and
-// are still present count as leaving. Both count only until a timeout, because an order may
-// be lost or silently refused.
+// were ordered but are not present yet count as starting. VMs that were given back but are
+// still present count as leaving. Each order counts only until its timeout, because an
+// order may be lost or silently refused.
 type Orders struct {
 	pools map[Pool]*poolOrders
 	// timeout is how long an order may take to take effect.
@@ -39,7 +39,8 @@
 	return p
 }
 
-// Sync sets how many VMs of each pool are present and not leaving.
+// Sync sets how many VMs of each pool are present and not leaving. For each VM more or
+// less than at the last call, the oldest pending start or stop is completed.
 func (o *Orders) Sync(now time.Duration, present map[Pool]int) {
 	for id := range present {
 		o.pool(id)
--- a/coordination/fleet/orders_test.go
+++ b/coordination/fleet/orders_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// Five VMs of a failure domain are starting when its reclaimable VMs get notice. They never
-// come, but until the orders timed out they counted as starting, and replacements were
-// ordered seven seconds too late.
+// Five VMs are starting in a failure domain when its reclaimable VMs get notice. The five
+// VMs never come. They used to count as starting until their orders timed out, and
+// replacements were ordered seven seconds too late.
 func TestReclaimDropsPendingStarts(t *testing.T) {
 	is := is.New(t)
 	spot := fleet.Pool{FailureDomain: "a", Class: "spot"}
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -20,7 +20,8 @@
 }
 
 // Compose returns the message for one peer, with the records that changed since the
-// position that the peer last acknowledged. A message to NoPeer carries no changes.
+// position in this daemon's log that the peer last acknowledged. A message to NoPeer
+// carries no changes.
 func (t *Table) Compose(to ident.Incarnation) Message {
 	m := Message{From: *t.self, Last: t.log.seq, Digest: t.log.digest, InForce: t.InForce()}
 	if to == NoPeer {
@@ -94,8 +95,9 @@
 	t.acknowledge(now, m)
 }
 
-// acknowledge updates the positions in both logs. Positions are assigned, not raised: if
-// messages cross, a position may fall, which only causes changes to be sent again.
+// acknowledge updates the positions up to which each side has the changes of the other.
+// The new positions are taken over even if they are lower: if messages cross, a position
+// may fall, which only causes changes to be sent again.
 func (t *Table) acknowledge(now time.Time, m Message) {
 	p := t.peer(m.From.Incarnation)
 	p.ackedByPeer = m.Ack
@@ -109,9 +111,9 @@
 	t.resync(now, p)
 }
 
-// resync restarts the peer's log from the beginning if the tables still differ for
-// resyncAfter although every change was acknowledged. Otherwise records that one side
-// dropped or never logged would keep the tables different forever.
+// resync starts to send all records to the peer again if the tables still differ for
+// resyncAfter although the peer has acknowledged every change. Otherwise records that one
+// side dropped or never logged would keep the tables different forever.
 func (t *Table) resync(now time.Time, p *peerState) {
 	if p.ackedByPeer < t.log.seq {
 		p.differSince = time.Time{}
--- a/coordination/membership/log.go
+++ b/coordination/membership/log.go
@@ -23,7 +23,7 @@
 	// missedLists counts consecutive VM lists without the VM. It is -1 until the VM has been in
 	// a list that this daemon read.
 	missedLists int
-	// learnedAt is when this daemon first learned of the VM.
+	// learnedAt is when this daemon first learned of the VM from any source.
 	learnedAt time.Time
 }
 
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -31,7 +31,10 @@
 	InForce uint64
 }
 
-// peerState is the progress of the log exchange with one peer.
+// peerState is the progress of the log exchange with one peer: the position in this
+// daemon's log that the peer has acknowledged, the position in the peer's log up to which
+// this daemon has the changes, and the time since when the two tables have differed
+// although the peer has acknowledged everything.
 type peerState struct {
 	ackedByPeer      uint64
 	receivedFromPeer uint64
--- a/coordination/membership/types.go
+++ b/coordination/membership/types.go
@@ -17,6 +17,10 @@
 //   - A VM is gone if it is missing from two consecutive lists, provided that it was on a
 //     list that this daemon read or has been known for longer than lists lag.
 //
+// A generation is the number of an accepted configuration; it is in force at a daemon once
+// the daemon applies that configuration. The table also keeps the highest generation in
+// force in each failure domain.
+//
 // The states leaving and gone are final for an incarnation; between live and suspect the
 // version decides. So merging reports gives the same result in any order and by any path.
 package membership
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -32,22 +32,25 @@
 	// RelayedAliveFor replaces AliveFor in a large fleet, where messages are less frequent.
 	RelayedAliveFor = 1600 * time.Millisecond
 	// IntroductionTTL is how long a daemon counts as alive that is known only from an
-	// introduction or a registration: the time of two messages there and back. It is short
-	// because after a restart of the whole fleet all registered daemons have ended.
+	// introduction or a registration. In this time two messages can be sent there and
+	// answered. It is short because after a restart of the whole fleet all registered
+	// daemons have ended.
 	IntroductionTTL = time.Second
-	// ReintroduceAfter is how long after an introduction the next one counts.
+	// ReintroduceAfter is the shortest time between two introductions of a daemon that
+	// both count.
 	ReintroduceAfter = 3 * time.Second
-	// ForgetAfter is how long a silent daemon counts as possibly running.
+	// ForgetAfter is how long a daemon counts as possibly running after any source last
+	// mentioned it.
 	ForgetAfter = 30 * time.Second
-	// AddressTTL is how long messages are sent to an address from which none is received.
-	// Parts of a fleet that are cut off from each other have no other way to find each
-	// other again, and such cuts last for minutes.
+	// AddressTTL is how long messages are sent to an address after it was last learned,
+	// e.g. from a message. Parts of a fleet that are cut off from each other have no other
+	// way to find each other again, and such cuts last for minutes.
 	AddressTTL = 10 * time.Minute
 	// RosterTTL is how long a relay's roster is valid. It allows for one lost and one late
 	// roster.
 	RosterTTL = 2500 * time.Millisecond
-	// MaxAddresses is the maximum number of addresses to which messages are sent without
-	// having received one.
+	// MaxAddresses is the maximum number of addresses that a Table keeps; further ones are
+	// ignored.
 	MaxAddresses = 4096
 )
 
@@ -235,8 +238,9 @@
 
 // hasEnded reports whether a daemon that others mention has ended: another incarnation is
 // heard at its address, or is known to have started there later. This check is needed
-// because a roster may be older than what this daemon knows. A daemon that followed an
-// ended one would get answers from its successor, which is no relay.
+// because a roster may be older than what this daemon knows. If this daemon followed an
+// ended relay, it would get answers from the new incarnation at that address, which is not
+// a relay.
 func (t *Table) hasEnded(now time.Duration, m Member) bool {
 	if m.PeerAddress == t.self.PeerAddress {
 		return true
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -151,13 +151,14 @@
 // peerState is what this daemon knows of another daemon.
 type peerState struct {
 	lastHeard time.Duration
-	taken     map[ident.Workspace]float64
+	// taken is Use.Taken of each workspace in the peer's last message.
+	taken map[ident.Workspace]float64
 	// recentUsage is the recent use by the peer's requests.
 	recentUsage map[ident.Workspace]*decayingSum
 	// ownTakenWhenHeard is what bucket.taken was when the peer was last heard.
 	ownTakenWhenHeard map[ident.Workspace]float64
 	// silent is set when the peer has been unheard for SilentAfter. reserved is what has
-	// been set aside for it since then.
+	// been taken out of each of this daemon's buckets for the peer since then.
 	silent   bool
 	reserved map[ident.Workspace]float64
 }
@@ -300,7 +301,8 @@
 // equals the fraction of the workspace's recent use that came to this daemon, so that
 // callers who use only a few daemons get what they need, and is at least an equal share.
 // The fractions of the use add up to one for any number of daemons. A daemon that has just
-// started gets an equal share, because it knows too little of the use at the others.
+// started gets an equal share, because it knows too little of the use at the other
+// daemons.
 func (l *Limiter) budgetShare(now time.Duration, ws ident.Workspace, b *bucket) float64 {
 	equalShare := 1 / float64(l.daemonCount())
 	ownUsage := b.recentUsage.value(now)
--- a/coordination/relays/confirmation.go
+++ b/coordination/relays/confirmation.go
@@ -9,11 +9,12 @@
 
 const (
 	// ConfirmedFor is how long another relay's confirmation that this daemon is a relay is
-	// valid: several messages.
+	// valid: the time in which a relay sends several messages.
 	ConfirmedFor = peers.RelayedAliveFor
 	// aloneAfter is how long a daemon that becomes a relay waits for another relay's
-	// confirmation before it assumes that it is the only one. Until then its state of the
-	// quotas is out of date, and it may not be a relay in the view of the others.
+	// confirmation before it assumes that it is the only relay. Until then it may not know
+	// what the other daemons took from the quotas, and the others may not consider it a
+	// relay.
 	aloneAfter = 1500 * time.Millisecond
 )
 
@@ -26,8 +27,8 @@
 // too.
 type Confirmation struct {
 	// relaySince is when this daemon started to consider itself a relay, confirmedAt when
-	// another relay last confirmed it. doubted is set if a relay has contradicted it and
-	// none has confirmed it since.
+	// another relay last confirmed this. doubted is set if another relay has contradicted
+	// it since the last confirmation.
 	relaySince, confirmedAt time.Duration
 	doubted                 bool
 }
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// AllWatchFleet is the largest fleet in which every daemon watches the key-value
-	// service itself. DirectFleet is the default for the largest fleet in which every
-	// daemon sends to every other.
+	// AllWatchFleet is the largest number of daemons with which every daemon watches the
+	// key-value service itself. DirectFleet is the default for the largest number of
+	// daemons with which every daemon sends to every other.
 	AllWatchFleet = 10
 	DirectFleet   = 36
 	// RelaysPerFollower is how many relays a daemon follows. If one ends, the other already
--- a/coordination/relays/relays_test.go
+++ b/coordination/relays/relays_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Guards against a change of relays whenever a daemon joins.
+// Guards against relays that change whenever a daemon joins.
 func TestNewDaemonReplacesNoRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(60, 6)
--- a/coordination/spread/tree.go
+++ b/coordination/spread/tree.go
@@ -31,8 +31,9 @@
 	sentTo map[int]bool
 }
 
-// pendingAck is an acknowledgement that a child owes. Once all children for a parent have
-// acknowledged, this member acknowledges to that parent.
+// pendingAck is an acknowledgement that this member waits for from a child. Once all
+// children to which a message from a parent was forwarded have acknowledged it, this
+// member sends an acknowledgement to that parent.
 type pendingAck struct{ parent int }
 
 // noParent is the parent of a broadcast that this member started.
@@ -68,14 +69,16 @@
 	return into
 }
 
-// clusterOf returns the s for which c(i,s) contains j.
+// clusterOf returns the size index s for which the cluster c(i,s) of member i contains
+// member j.
 func clusterOf(i, j int) int { return bits.Len(uint(i ^ j)) }
 
 func (t *HierarchicalTree) dimensions() int { return bits.Len(uint(len(t.members) - 1)) }
 
-// SetMembers updates the suspicions. What a newly suspected member had to forward is sent
-// to the next member of its cluster. If the source of the current broadcast is newly
-// suspected, this member starts the broadcast again.
+// SetMembers updates the suspicions. If a newly suspected member has not acknowledged the
+// current version, the version is sent to the next member of its cluster instead. If the
+// source of the current broadcast is newly suspected, this member starts the broadcast
+// again.
 func (t *HierarchicalTree) SetMembers(_ time.Time, peers []Peer) []Send {
 	previous := t.suspect
 	t.suspect = map[int]bool{}
--- a/coordination/walltime/walltime.go
+++ b/coordination/walltime/walltime.go
@@ -17,8 +17,9 @@
 
 // Estimate holds the estimate of one daemon. It is not safe for concurrent use.
 type Estimate struct {
-	// localBase is the time of day at offset zero of the monotonic clock, according to this
-	// VM's clock. peerBases are the same for the peers' estimates.
+	// localBase is the time of day at offset zero of the monotonic clock, computed from
+	// this VM's clock at the start. peerBases holds the same time computed from each
+	// peer's last message.
 	localBase time.Time
 	peerBases map[ident.Incarnation]time.Time
 }
@@ -37,9 +38,9 @@
 // PeerEnded removes the estimate of a peer.
 func (e *Estimate) PeerEnded(id ident.Incarnation) { delete(e.peerBases, id) }
 
-// LocalTime returns this VM's own estimate without the peers, which is what a daemon sends
-// to its peers. If daemons sent the median instead, a wrong clock would feed back into
-// everybody's estimate.
+// LocalTime returns the estimate from this VM's own clock without the peers, which a
+// daemon sends to its peers. If daemons sent the median instead, a wrong clock at one of
+// them would influence the estimates that come back to it.
 func (e *Estimate) LocalTime(now time.Duration) time.Time { return e.localBase.Add(now) }
 
 // At returns the estimated time of day at now.
