--- a/coordination/accounting/accounting.go
+++ b/coordination/accounting/accounting.go
@@ -35,11 +35,11 @@
 	// ReportWithin is the time after the end of a window within which the window must be
 	// reported.
 	ReportWithin time.Duration
-	// SettleAfter is how long after the end of a window the holder of the reporting duty
+	// SettleTime is how long after the end of a window the holder of the reporting duty
 	// waits for counts that daemons send to it directly. It says nothing of counts that
 	// reach the holder through a relay or another third daemon; Coverage tells whether
 	// those have arrived.
-	SettleAfter time.Duration
+	SettleTime time.Duration
 }
 
 // SettleAfter covers the time that counts take to reach the holder of the reporting duty: a
@@ -237,7 +237,7 @@
 // request is reported as well.
 func (l *Ledger) WindowsDue(now time.Time) []Window {
 	var due []Window
-	for w := l.WindowAt(now) - keptWindows; !l.end(w).Add(l.timing.SettleAfter).After(now); w++ {
+	for w := l.WindowAt(now) - keptWindows; !l.end(w).Add(l.timing.SettleTime).After(now); w++ {
 		if l.reported[w] || l.PastDue(now, w) {
 			continue
 		}
--- a/coordination/accounting/accounting_test.go
+++ b/coordination/accounting/accounting_test.go
@@ -10,7 +10,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-var timing = accounting.Timing{Length: 5 * time.Second, ReportWithin: 10 * time.Second, SettleAfter: time.Second}
+var timing = accounting.Timing{Length: 5 * time.Second, ReportWithin: 10 * time.Second, SettleTime: time.Second}
 
 func at(seconds float64) time.Time { return time.UnixMilli(int64(seconds * 1000)) }
 
@@ -31,7 +31,7 @@
 func TestWindowIsDueOnceSettled(t *testing.T) {
 	is := is.New(t)
 	b := accounting.NewLedger("holder", timing)
-	has := func(now float64, w accounting.Window) bool {
+	isDue := func(now float64, w accounting.Window) bool {
 		for _, d := range b.WindowsDue(at(now)) {
 			if d == w {
 				return true
@@ -39,12 +39,12 @@
 		}
 		return false
 	}
-	is.True(!has(1005.5, 200)) // counts are still arriving
-	is.True(has(1006, 200))
-	is.True(has(1014.9, 200))
-	is.True(!has(1015, 200)) // past due
+	is.True(!isDue(1005.5, 200)) // counts are still arriving
+	is.True(isDue(1006, 200))
+	is.True(isDue(1014.9, 200))
+	is.True(!isDue(1015, 200)) // past due
 	b.MarkReported(200)
-	is.True(!has(1007, 200))
+	is.True(!isDue(1007, 200))
 }
 
 func TestTickDropsOldWindows(t *testing.T) {
--- a/coordination/accounting/snapshot_test.go
+++ b/coordination/accounting/snapshot_test.go
@@ -26,14 +26,14 @@
 			ledgers[i] = accounting.NewLedger(ident.Incarnation(fmt.Sprintf("d%d", i)), timing)
 		}
 		reader := accounting.NewLedger("reader", timing)
-		want := accounting.Counts{}
+		started := accounting.Counts{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				ws := ident.Workspace(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "workspace"))
 				ledgers[i].RecordStart(at, ws)
-				want[ws]++
+				started[ws]++
 			case 2:
 				other := rapid.IntRange(0, daemons-1).Draw(t, "other")
 				ledgers[other].Load(encodeAndDecode(t, ledgers[i].TakeSnapshot(at)))
@@ -44,10 +44,10 @@
 		for _, b := range ledgers {
 			reader.Load(encodeAndDecode(t, b.TakeSnapshot(at)))
 		}
-		is.Equal(reader.Sum(window), want)
+		is.Equal(reader.Sum(window), started)
 		again := accounting.NewLedger("again", timing)
 		again.Load(encodeAndDecode(t, reader.TakeSnapshot(at)))
-		is.Equal(again.Sum(window), want)
+		is.Equal(again.Sum(window), started)
 	})
 }
 
--- a/coordination/feed/feed.go
+++ b/coordination/feed/feed.go
@@ -133,12 +133,12 @@
 	if l.deletions <= maxDeletions {
 		return
 	}
-	drop := l.deletions - maxDeletions/2
+	toDrop := l.deletions - maxDeletions/2
 	l.changes = slices.DeleteFunc(l.changes, func(c Change) bool {
-		if !c.Deleted || drop == 0 {
+		if !c.Deleted || toDrop == 0 {
 			return false
 		}
-		drop--
+		toDrop--
 		l.deletions--
 		l.forgottenThrough = c.Revision
 		delete(l.latest, c.Key)
@@ -154,9 +154,9 @@
 		return Batch{}, false
 	}
 	batch := Batch{After: after, Through: l.revision}
-	from, _ := slices.BinarySearchFunc(l.changes, after+1, func(c Change, r uint64) int { return cmp.Compare(c.Revision, r) })
+	firstIndex, _ := slices.BinarySearchFunc(l.changes, after+1, func(c Change, r uint64) int { return cmp.Compare(c.Revision, r) })
 	size := 0
-	for _, c := range l.changes[from:] {
+	for _, c := range l.changes[firstIndex:] {
 		if l.latest[c.Key] != c.Revision {
 			continue
 		}
--- a/coordination/feed/feed_test.go
+++ b/coordination/feed/feed_test.go
@@ -42,13 +42,13 @@
 
 // follower applies batches as a daemon does.
 type follower struct {
-	revision  uint64
-	revisions map[string]uint64
-	keys      map[string]uint64
+	completeThrough uint64
+	revisions       map[string]uint64
+	keys            map[string]uint64
 }
 
 func (f *follower) apply(p feed.Batch) {
-	if p.After > f.revision {
+	if p.After > f.completeThrough {
 		return
 	}
 	for _, c := range p.Changes {
@@ -61,7 +61,7 @@
 			delete(f.keys, c.Key)
 		}
 	}
-	f.revision = max(f.revision, p.Through)
+	f.completeThrough = max(f.completeThrough, p.Through)
 }
 
 // Guards against a follower that misses a change: batches are lost, delayed and duplicated,
@@ -94,7 +94,7 @@
 				l.Reset(s.list(), at)
 				watchedThrough[i] = from
 			case 4:
-				if p, ok := l.Since(f.revision, rapid.IntRange(1, 200).Draw(t, "bytes")); ok {
+				if p, ok := l.Since(f.completeThrough, rapid.IntRange(1, 200).Draw(t, "bytes")); ok {
 					f.apply(p)
 					delayed = append(delayed, p)
 				}
@@ -105,16 +105,16 @@
 			}
 		}
 		logs[0].Apply(s.changes[watchedThrough[0]:], s.revision)
-		for f.revision < s.revision {
-			before := f.revision
-			p, ok := logs[0].Since(f.revision, 100)
+		for f.completeThrough < s.revision {
+			before := f.completeThrough
+			p, ok := logs[0].Since(f.completeThrough, 100)
 			if !ok {
 				// The follower lists the service itself.
-				f.revision, f.keys = s.revision, maps.Clone(s.keys)
+				f.completeThrough, f.keys = s.revision, maps.Clone(s.keys)
 				break
 			}
 			f.apply(p)
-			if f.revision == before && len(p.Changes) == 0 {
+			if f.completeThrough == before && len(p.Changes) == 0 {
 				t.Fatal("no progress")
 			}
 		}
--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -167,14 +167,14 @@
 // loss of a failure domain. It gives up the spare VMs for such a loss before runners that
 // must serve now.
 func (f *allocation) degradedPlan(w Target) (map[Pool]int, int) {
-	evenShare := (w.Runners + f.domainCount - 1) / max(f.domainCount, 1)
+	vmsPerDomain := (w.Runners + f.domainCount - 1) / max(f.domainCount, 1)
 	bestMaxAtRisk, bestAllocated, bestCost := 0, -1, 0.0
-	for maxAtRisk := max(evenShare, 1); maxAtRisk <= w.Runners+evenShare; maxAtRisk++ {
-		f.allocate(w.Runners+evenShare, maxAtRisk)
+	for maxAtRisk := max(vmsPerDomain, 1); maxAtRisk <= w.Runners+vmsPerDomain; maxAtRisk++ {
+		f.allocate(w.Runners+vmsPerDomain, maxAtRisk)
 		if f.allocated > bestAllocated || f.allocated == bestAllocated && f.expectedPrice < bestCost {
 			bestMaxAtRisk, bestAllocated, bestCost = maxAtRisk, f.allocated, f.expectedPrice
 		}
 	}
-	f.allocate(w.Runners+evenShare, bestMaxAtRisk)
+	f.allocate(w.Runners+vmsPerDomain, bestMaxAtRisk)
 	return f.plan(), max(w.Runners-bestAllocated, 0)
 }
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -109,8 +109,8 @@
 	}
 	t.p.skipMoveHold = false
 	// VMs that are still starting belong to moves of earlier rounds.
-	room := max(t.p.limits.MaxMoves-countStarting(t.vms), 0)
-	return starts[:min(len(starts), room)]
+	movesLeft := max(t.p.limits.MaxMoves-countStarting(t.vms), 0)
+	return starts[:min(len(starts), movesLeft)]
 }
 
 func countStarting(vms []VM) int {
@@ -149,7 +149,7 @@
 // and must not replace one that is stopped. A fleet that costs more than MaxCostPerHour
 // shrinks to the plan even if the target is then missed.
 func (t *planningRound) removableVMIDs() []string {
-	excess := t.excess()
+	excess := t.excessByPool()
 	if len(excess) == 0 {
 		return nil
 	}
@@ -174,15 +174,15 @@
 	return vmIDs
 }
 
-// excess returns by how many VMs each pool exceeds the plan, without pools that don't.
-func (t *planningRound) excess() map[Pool]int {
-	out := map[Pool]int{}
+// excessByPool returns by how many VMs each pool exceeds the plan, without pools that don't.
+func (t *planningRound) excessByPool() map[Pool]int {
+	surplus := map[Pool]int{}
 	for id, n := range t.current {
 		if n > t.plan[id] {
-			out[id] = n - t.plan[id]
+			surplus[id] = n - t.plan[id]
 		}
 	}
-	return out
+	return surplus
 }
 
 func compareVMs(a, b *VM) int {
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -82,11 +82,11 @@
 	comfortable    struct{ prefill, batch loadStats }
 	maxPromptWait  time.Duration
 	slotsPerRunner int
-	// blockEnd and promptTokens are the time and the value of Work.PromptTokens at the end
+	// lastBlockEnd and promptTokens are the time and the value of Work.PromptTokens at the end
 	// of the last block.
-	blockEnd     time.Duration
+	lastBlockEnd time.Duration
 	promptTokens float64
-	sampled      bool
+	hasSample    bool
 	// firstSampleAt is the time of the first sample, firstWorkAt that of the first sample
 	// with requests in progress, lastSampleAt that of the last sample.
 	firstSampleAt time.Duration
@@ -115,14 +115,14 @@
 	if diff < 0 {
 		timeConstant = fall
 	}
-	l.mean += diff * max(equalWeight, weight(span, timeConstant))
+	l.mean += diff * max(equalWeight, smoothingWeight(span, timeConstant))
 	if l.blockCount > 1 {
-		l.variance += (diff*diff*span.Seconds() - l.variance) * max(equalWeight, weight(span, cfg.VarianceTime))
+		l.variance += (diff*diff*span.Seconds() - l.variance) * max(equalWeight, smoothingWeight(span, cfg.VarianceTime))
 	}
 }
 
-func weight(span, constant time.Duration) float64 {
-	return 1 - math.Exp(-span.Seconds()/constant.Seconds())
+func smoothingWeight(span, timeConstant time.Duration) float64 {
+	return 1 - math.Exp(-span.Seconds()/timeConstant.Seconds())
 }
 
 // minBlock is the shortest time that is evaluated as one block. In shorter blocks the
@@ -145,7 +145,7 @@
 // Sample records the work at the time now.
 func (d *Demand) Sample(now time.Duration, w Work) {
 	d.lastSampleAt, d.maxPromptWait, d.slotsPerRunner = now, w.MaxPromptWait, w.SlotsPerRunner
-	if !d.sampled {
+	if !d.hasSample {
 		d.firstSampleAt = now
 	}
 	if now-d.firstSampleAt < d.cfg.MinWorkTime {
@@ -156,12 +156,12 @@
 	if d.firstWorkAt == 0 && w.Requests > 0 {
 		d.firstWorkAt = now
 	}
-	span, promptTokens := now-d.blockEnd, w.PromptTokens-d.promptTokens
-	if d.sampled && span < minBlock {
+	span, promptTokens := now-d.lastBlockEnd, w.PromptTokens-d.promptTokens
+	if d.hasSample && span < minBlock {
 		return
 	}
-	isFirstSample := !d.sampled
-	d.blockEnd, d.promptTokens, d.sampled = now, w.PromptTokens, true
+	isFirstSample := !d.hasSample
+	d.lastBlockEnd, d.promptTokens, d.hasSample = now, w.PromptTokens, true
 	if span > maxBlock {
 		d.resumesAt = now + maxBlock
 	}
@@ -169,9 +169,9 @@
 		return
 	}
 	if w.PrefillRate > 0 {
-		busy := promptTokens / w.PrefillRate / span.Seconds()
-		d.prefill.add(&d.cfg, d.cfg.FallTime, busy, span)
-		d.comfortable.prefill.add(&d.cfg, d.cfg.ComfortableFallTime, busy, span)
+		busyRunners := promptTokens / w.PrefillRate / span.Seconds()
+		d.prefill.add(&d.cfg, d.cfg.FallTime, busyRunners, span)
+		d.comfortable.prefill.add(&d.cfg, d.cfg.ComfortableFallTime, busyRunners, span)
 	}
 	d.batch.add(&d.cfg, d.cfg.FallTime, float64(w.Requests), span)
 	d.comfortable.batch.add(&d.cfg, d.cfg.ComfortableFallTime, float64(w.Requests), span)
@@ -186,12 +186,12 @@
 // requiredRunners returns how many runners can handle the load with headroom for the given
 // number of standard deviations.
 func (d *Demand) requiredRunners(prefill, batch *loadStats, deviations, initialShare float64) int {
-	needed := d.withHeadroom(prefill.mean, deviations*d.deviation(prefill))
+	neededRunners := d.withHeadroom(prefill.mean, deviations*d.deviation(prefill))
 	if d.slotsPerRunner > 0 {
-		requests := d.withHeadroom(batch.mean, deviations*math.Sqrt(batch.mean))
-		needed = max(needed, requests/float64(d.slotsPerRunner))
+		neededSlots := d.withHeadroom(batch.mean, deviations*math.Sqrt(batch.mean))
+		neededRunners = max(neededRunners, neededSlots/float64(d.slotsPerRunner))
 	}
-	n := int(math.Ceil(needed))
+	n := int(math.Ceil(neededRunners))
 	if d.neverServed && !d.settled() {
 		n = max(n, int(math.Ceil(initialShare*float64(d.initialRunners))))
 	}
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -111,13 +111,13 @@
 
 // poolState holds the refusals and reclaims recorded for a pool.
 type poolState struct {
-	refusals     int
-	backoffUntil time.Duration
+	consecutiveRefusals int
+	backoffUntil        time.Duration
 	// reclaims is the decayed number of reclaims seen, exposure the decayed VM hours in
 	// which they occurred.
-	reclaims  float64
-	exposure  float64
-	decayedAt time.Duration
+	reclaims      float64
+	exposureHours float64
+	decayedAt     time.Duration
 }
 
 // Planner plans the VMs of one service.
@@ -155,20 +155,20 @@
 	if now < s.backoffUntil {
 		return
 	}
-	wait := min(p.limits.FirstBackoff<<min(s.refusals, 16), p.limits.MaxBackoff)
-	s.refusals++
-	s.backoffUntil = now + wait
+	backoff := min(p.limits.FirstBackoff<<min(s.consecutiveRefusals, 16), p.limits.MaxBackoff)
+	s.consecutiveRefusals++
+	s.backoffUntil = now + backoff
 }
 
 // RecordStart records that the cloud started a VM in the pool.
-func (p *Planner) RecordStart(id Pool) { p.pool(id).refusals = 0 }
+func (p *Planner) RecordStart(id Pool) { p.pool(id).consecutiveRefusals = 0 }
 
 // ResetBackoff records that scarce VMs are available again in all pools. Earlier refusals
 // are dropped, and moves to these pools need not wait.
 func (p *Planner) ResetBackoff() {
 	p.skipMoveHold = true
 	for _, s := range p.pools {
-		s.refusals, s.backoffUntil = 0, 0
+		s.consecutiveRefusals, s.backoffUntil = 0, 0
 	}
 }
 
@@ -183,7 +183,7 @@
 func (p *Planner) RecordExposure(now time.Duration, id Pool, n int, d time.Duration) {
 	s := p.pool(id)
 	p.decay(now, s)
-	s.exposure += float64(n) * d.Hours()
+	s.exposureHours += float64(n) * d.Hours()
 }
 
 func (p *Planner) decay(now time.Duration, s *poolState) {
@@ -193,13 +193,13 @@
 	}
 	factor := decayFactor(float64(elapsed) / float64(p.limits.HazardHalfLife))
 	s.reclaims *= factor
-	s.exposure *= factor
+	s.exposureHours *= factor
 	s.decayedAt = now
 }
 
-// priorExposure, in VM hours, keeps a single reclaim in a new pool from ruling the pool
+// priorExposureHours, in VM hours, keeps a single reclaim in a new pool from ruling the pool
 // out.
-const priorExposure = 20
+const priorExposureHours = 20
 
 // Hazard returns the expected number of reclaims per VM of the pool and hour.
 func (p *Planner) Hazard(id Pool) float64 {
@@ -207,7 +207,7 @@
 	if !ok {
 		return 0
 	}
-	return s.reclaims / (s.exposure + priorExposure)
+	return s.reclaims / (s.exposureHours + priorExposureHours)
 }
 
 // expectedPrice returns the hourly price of a VM of the offer, including the expected cost
--- a/coordination/fleet/orders.go
+++ b/coordination/fleet/orders.go
@@ -69,8 +69,8 @@
 func (o *Orders) VMs() []VM {
 	var vms []VM
 	for id, p := range o.pools {
-		serving := max(0, p.present-len(p.stopExpiries))
-		for i := range serving {
+		notStopping := max(0, p.present-len(p.stopExpiries))
+		for i := range notStopping {
 			vms = append(vms, VM{ID: fmt.Sprintf("%s/%s/%d", id.FailureDomain, id.Class, i), Pool: id})
 		}
 		for range p.startExpiries {
--- a/coordination/fleet/tally.go
+++ b/coordination/fleet/tally.go
@@ -21,13 +21,13 @@
 // The same applies to a daemon that is heard for the first time, and to all daemons after
 // this daemon was suspended. The total never falls. A Tally is not safe for concurrent use.
 type Tally struct {
-	total       float64
-	lastReading map[ident.Incarnation]reading
-	viaRelays   bool
+	total        float64
+	lastReadings map[ident.Incarnation]counterReading
+	viaRelays    bool
 }
 
-// reading is a daemon's counter at the time at.
-type reading struct {
+// counterReading is a daemon's counter at the time at.
+type counterReading struct {
 	at    time.Duration
 	count float64
 }
@@ -37,21 +37,21 @@
 
 // Receive adds the growth of a daemon's counter since its last message.
 func (t *Tally) Receive(now time.Duration, id ident.Incarnation, count float64) {
-	if t.lastReading == nil {
-		t.lastReading = map[ident.Incarnation]reading{}
+	if t.lastReadings == nil {
+		t.lastReadings = map[ident.Incarnation]counterReading{}
 	}
-	silence := maxSilence
+	maxGap := maxSilence
 	if t.viaRelays {
-		silence = maxRelayedSilence
+		maxGap = maxRelayedSilence
 	}
-	if previous, ok := t.lastReading[id]; ok && now-previous.at <= silence {
+	if previous, ok := t.lastReadings[id]; ok && now-previous.at <= maxGap {
 		t.total += max(0, count-previous.count)
 	}
-	t.lastReading[id] = reading{now, count}
+	t.lastReadings[id] = counterReading{now, count}
 }
 
 // PeerEnded removes a daemon's counter. The total stays.
-func (t *Tally) PeerEnded(id ident.Incarnation) { delete(t.lastReading, id) }
+func (t *Tally) PeerEnded(id ident.Incarnation) { delete(t.lastReadings, id) }
 
 // Total returns the sum over all daemons of what they counted without a silence.
 func (t *Tally) Total() float64 { return t.total }
--- a/coordination/freshness/freshness_test.go
+++ b/coordination/freshness/freshness_test.go
@@ -58,16 +58,16 @@
 			due       time.Duration
 		}
 		var (
-			trackers [n]*freshness.Tracker
-			offsets  [n]time.Duration
-			stamps   [n][n]*freshness.Stamp
-			pending  []message
+			trackers     [n]*freshness.Tracker
+			clockOffsets [n]time.Duration
+			stamps       [n][n]*freshness.Stamp
+			pending      []message
 			// changedAt is when each revision was created.
 			changedAt = []time.Duration{0, 0}
 		)
 		for i := range n {
 			trackers[i] = freshness.New()
-			offsets[i] = time.Duration(rapid.IntRange(0, 100_000).Draw(t, "offset")) * time.Millisecond
+			clockOffsets[i] = time.Duration(rapid.IntRange(0, 100_000).Draw(t, "offset")) * time.Millisecond
 		}
 		for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
 			if rapid.IntRange(0, 19).Draw(t, "change") == 0 {
@@ -77,10 +77,10 @@
 			j := rapid.IntRange(0, n-1).Draw(t, "peer")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				trackers[i].RecordRead(uint64(len(changedAt)-1), now+offsets[i])
+				trackers[i].RecordRead(uint64(len(changedAt)-1), now+clockOffsets[i])
 			case 1, 2:
 				delay := time.Duration(rapid.IntRange(0, 6000).Draw(t, "delay")) * time.Millisecond
-				pending = append(pending, message{to: j, from: i, statement: trackers[i].StatementFor(stamps[i][j]), sent: now + offsets[i], due: now + delay})
+				pending = append(pending, message{to: j, from: i, statement: trackers[i].StatementFor(stamps[i][j]), sent: now + clockOffsets[i], due: now + delay})
 			}
 			undelivered := pending[:0]
 			for _, m := range pending {
@@ -88,12 +88,12 @@
 					undelivered = append(undelivered, m)
 					continue
 				}
-				stamps[m.to][m.from] = &freshness.Stamp{Sent: m.sent, Received: now + offsets[m.to]}
+				stamps[m.to][m.from] = &freshness.Stamp{Sent: m.sent, Received: now + clockOffsets[m.to]}
 				trackers[m.to].Receive(m.statement)
 			}
 			pending = undelivered
 			for i := range n {
-				age := trackers[i].Age(now + offsets[i])
+				age := trackers[i].Age(now + clockOffsets[i])
 				if age > time.Hour {
 					continue
 				}
--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -48,14 +48,14 @@
 }
 
 func (t *Table) addMember(now time.Time, m Member, from ident.Incarnation) {
-	old := now.Sub(m.Since) > ForgetAfter
-	if old && (m.State == view.Suspect || m.State == view.Gone) {
+	tooOld := now.Sub(m.Since) > ForgetAfter
+	if tooOld && (m.State == view.Suspect || m.State == view.Gone) {
 		return
 	}
 	key := memberKey(m.Incarnation)
 	t.log.records[key] = &record{member: &m}
 	t.sortedKeys = nil
-	t.firstSeen[m.Incarnation] = now
+	t.firstLearnedAt[m.Incarnation] = now
 	t.markChanged(key, from)
 }
 
@@ -157,7 +157,7 @@
 		if m == nil || m == t.self || m.Incarnation == by.Incarnation || m.State == view.Gone {
 			continue
 		}
-		if m.PeerAddress == by.PeerAddress && t.firstSeen[m.Incarnation].Before(askedAt) {
+		if m.PeerAddress == by.PeerAddress && t.firstLearnedAt[m.Incarnation].Before(askedAt) {
 			t.setState(now, key, view.Gone)
 		}
 	}
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -28,9 +28,9 @@
 		return m
 	}
 	p := t.peer(to)
-	records, reached := t.log.changedAfter(p.ackedByPeer, to, MaxChanges)
+	records, completeThrough := t.log.changedAfter(p.ackedByPeer, to, MaxChanges)
 	m.Ack = p.receivedFromPeer
-	m.Seq = reached
+	m.Seq = completeThrough
 	for _, r := range records {
 		m.Changes = append(m.Changes, r.toChange())
 	}
--- a/coordination/membership/log.go
+++ b/coordination/membership/log.go
@@ -66,13 +66,13 @@
 }
 
 func (l *changeLog) compact() {
-	kept := l.entries[:0]
+	current := l.entries[:0]
 	for _, e := range l.entries {
 		if r, ok := l.records[e.key]; ok && r.seq == e.seq {
-			kept = append(kept, e)
+			current = append(current, e)
 		}
 	}
-	l.entries = kept
+	l.entries = current
 }
 
 // changedAfter returns at most limit records that changed after seq, except those whose
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -237,13 +237,13 @@
 	now := time.Unix(100000, 0)
 	table := membership.New(now, member(0, 1))
 	former := membership.New(now, member(1, 1))
-	next := membership.New(now, member(1, 2))
+	replacement := membership.New(now, member(1, 2))
 	askedAt := now.Add(time.Second)
 	answer := former.Compose(table.Self().Incarnation)
-	table.Receive(now.Add(1100*time.Millisecond), next.Compose(table.Self().Incarnation))
+	table.Receive(now.Add(1100*time.Millisecond), replacement.Compose(table.Self().Incarnation))
 	table.ReceiveAnswer(now.Add(1200*time.Millisecond), askedAt, answer)
 	is.Equal(len(table.Members()), 3)
-	table.ReceiveAnswer(now.Add(3*time.Second), now.Add(2*time.Second), next.Compose(table.Self().Incarnation))
+	table.ReceiveAnswer(now.Add(3*time.Second), now.Add(2*time.Second), replacement.Compose(table.Self().Incarnation))
 	is.Equal(len(table.Members()), 2)
 }
 
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -15,10 +15,10 @@
 	log     *changeLog
 	peers   map[ident.Incarnation]*peerState
 	inForce map[ident.FailureDomain]ident.Generation
-	// firstSeen is when this daemon first learned of an incarnation.
-	firstSeen map[ident.Incarnation]time.Time
-	revision  Revision
-	refuted   uint64
+	// firstLearnedAt is when this daemon first learned of an incarnation.
+	firstLearnedAt map[ident.Incarnation]time.Time
+	revision       Revision
+	refuted        uint64
 	// sortedKeys caches the keys of the daemons' records sorted by ID. It is nil if it must
 	// be rebuilt.
 	sortedKeys []string
@@ -52,10 +52,10 @@
 // New returns a table that contains only this daemon.
 func New(now time.Time, self Member) *Table {
 	t := &Table{
-		log:       newChangeLog(),
-		peers:     map[ident.Incarnation]*peerState{},
-		inForce:   map[ident.FailureDomain]ident.Generation{},
-		firstSeen: map[ident.Incarnation]time.Time{},
+		log:            newChangeLog(),
+		peers:          map[ident.Incarnation]*peerState{},
+		inForce:        map[ident.FailureDomain]ident.Generation{},
+		firstLearnedAt: map[ident.Incarnation]time.Time{},
 	}
 	self.State = view.Live
 	self.Version = 1
@@ -285,7 +285,7 @@
 			t.log.remove(key)
 			t.sortedKeys = nil
 			delete(t.peers, m.Incarnation)
-			delete(t.firstSeen, m.Incarnation)
+			delete(t.firstLearnedAt, m.Incarnation)
 			t.revision.Members++
 		}
 	}
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -117,16 +117,16 @@
 	rosters map[ident.Incarnation]roster
 	// aliveFor is how long a daemon counts as alive after its last message.
 	aliveFor time.Duration
-	// addresses holds the addresses to send messages to, with the time when each was last
-	// learned. It includes addresses from which no message was received.
-	addresses map[string]time.Duration
+	// addressLearnedAt holds the addresses to send messages to, with the time when each
+	// was last learned. It includes addresses from which no message was received.
+	addressLearnedAt map[string]time.Duration
 }
 
 // New returns a table that contains only this daemon.
 func New(self Member) *Table {
 	return &Table{
 		self: self, entries: map[ident.Incarnation]*entry{}, rosters: map[ident.Incarnation]roster{},
-		addresses: map[string]time.Duration{}, aliveFor: AliveFor,
+		addressLearnedAt: map[string]time.Duration{}, aliveFor: AliveFor,
 	}
 }
 
@@ -148,11 +148,11 @@
 
 // LearnAddress records an address at which a daemon may be listening.
 func (t *Table) LearnAddress(now time.Duration, address string) {
-	_, known := t.addresses[address]
-	if address == "" || address == t.self.PeerAddress || !known && len(t.addresses) >= MaxAddresses {
+	_, known := t.addressLearnedAt[address]
+	if address == "" || address == t.self.PeerAddress || !known && len(t.addressLearnedAt) >= MaxAddresses {
 		return
 	}
-	t.addresses[address] = now
+	t.addressLearnedAt[address] = now
 }
 
 // Receive applies a message of a daemon; seq orders the messages of one incarnation. It
@@ -280,9 +280,9 @@
 			delete(t.rosters, by)
 		}
 	}
-	for address, at := range t.addresses {
+	for address, at := range t.addressLearnedAt {
 		if now-at > AddressTTL {
-			delete(t.addresses, address)
+			delete(t.addressLearnedAt, address)
 		}
 	}
 	return ended
@@ -290,8 +290,8 @@
 
 // Addresses returns the addresses to send messages to, sorted.
 func (t *Table) Addresses() []string {
-	list := make([]string, 0, len(t.addresses))
-	for a := range t.addresses {
+	list := make([]string, 0, len(t.addressLearnedAt))
+	for a := range t.addressLearnedAt {
 		list = append(list, a)
 	}
 	slices.Sort(list)
@@ -399,7 +399,7 @@
 		known[m.PeerAddress] = true
 	}
 	var list []string
-	for a := range t.addresses {
+	for a := range t.addressLearnedAt {
 		if !known[a] {
 			list = append(list, a)
 		}
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -252,9 +252,9 @@
 	}
 	l.refill(now, ws, b)
 	// A request that costs more than the capacity needs a full bucket.
-	need := min(cost, l.capacity(b.limit))
-	if b.level < need {
-		return max(minRetryWait, secondsToDuration((need-b.level)/l.rate(b.limit))), false
+	neededLevel := min(cost, l.capacity(b.limit))
+	if b.level < neededLevel {
+		return max(minRetryWait, secondsToDuration((neededLevel-b.level)/l.rate(b.limit))), false
 	}
 	switch allPeersRecent := l.allPeersRecent(now); {
 	case now < b.budgetEnds:
@@ -266,8 +266,8 @@
 	case !allPeersRecent && !b.uninformedBudgetUsed && l.daemonCount() > 1:
 		b.uninformedBudgetUsed = true
 		uninformedBudget := uninformedShare * b.level / float64(l.daemonCount())
-		if need <= uninformedMaxShares*uninformedBudget {
-			uninformedBudget = max(uninformedBudget, need)
+		if neededLevel <= uninformedMaxShares*uninformedBudget {
+			uninformedBudget = max(uninformedBudget, neededLevel)
 		}
 		b.budget = max(b.budget, uninformedBudget)
 	case allPeersRecent:
@@ -276,10 +276,10 @@
 		b.budget = b.level
 		if n := l.daemonCount(); n > 1 {
 			minShare := minRateShare * min(1, fullMinShareDaemons/float64(n))
-			b.budget = max(need, b.level*l.budgetShare(now, ws, b), minShare*BudgetInterval.Seconds()*l.rate(b.limit))
+			b.budget = max(neededLevel, b.level*l.budgetShare(now, ws, b), minShare*BudgetInterval.Seconds()*l.rate(b.limit))
 		}
 	}
-	if b.budget < need {
+	if b.budget < neededLevel {
 		return max(b.budgetEnds-now, BudgetInterval), false
 	}
 	b.budget -= cost
@@ -349,16 +349,16 @@
 		return
 	}
 	b.refilledAt = now
-	gained := l.rate(b.limit) * elapsed
-	refillShare := gained / float64(l.daemonCount())
-	gained -= refillShare * float64(max(0, l.isolationShares-1-len(l.peers)))
+	refill := l.rate(b.limit) * elapsed
+	refillShare := refill / float64(l.daemonCount())
+	refill -= refillShare * float64(max(0, l.isolationShares-1-len(l.peers)))
 	for _, p := range l.peers {
 		if p.silent {
 			p.reserved[ws] += refillShare
-			gained -= refillShare
+			refill -= refillShare
 		}
 	}
-	b.level = min(l.capacity(b.limit), b.level+gained)
+	b.level = min(l.capacity(b.limit), b.level+refill)
 }
 
 // reserveForSilentPeers finds the peers that have just become silent and takes a reserve
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -263,10 +263,10 @@
 		disconnectedAfterStart = 500 * time.Millisecond
 	)
 	for _, n := range []int{2, 5, 12, 33} {
-		for _, times := range []float64{1.2, 3, 6, 12} {
+		for _, rateMultiple := range []float64{1.2, 3, 6, 12} {
 			f := newFleet(n, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
 			var slots []float64
-			worst := 0.0
+			worstWindow := 0.0
 			for f.now = 0; f.now < 24*time.Second; f.now += step {
 				taken := 0.0
 				if f.now == killed+down {
@@ -276,7 +276,7 @@
 					f.exchangeStates()
 				}
 				const cost = 5000
-				requests := times * perSecond * step.Seconds() / cost
+				requests := rateMultiple * perSecond * step.Seconds() / cost
 				for i := range int(requests) {
 					if f.now >= killed && f.now < killed+down {
 						continue
@@ -290,10 +290,10 @@
 				for _, s := range slots[max(0, len(slots)-int(window/step)):] {
 					sum += s
 				}
-				worst = max(worst, sum)
+				worstWindow = max(worstWindow, sum)
 			}
-			t.Logf("%d daemons, %.1f times the rate: %.0f of %.0f tolerated in a window", n, times, worst, toleratedPerWindow)
-			is.True(worst <= toleratedPerWindow)
+			t.Logf("%d daemons, %.1f times the rate: %.0f of %.0f tolerated in a window", n, rateMultiple, worstWindow, toleratedPerWindow)
+			is.True(worstWindow <= toleratedPerWindow)
 		}
 	}
 }
@@ -396,12 +396,12 @@
 	_, ok := old.Take(0, ws, 50)
 	is.True(ok)
 	for _, first := range []bool{true, false} {
-		fresh := quota.New(0, window, quota.Tolerance{}, first)
-		fresh.SetLimits(0, limits(100, 200))
-		fresh.ApplyPeerState(0, "old", time.Minute, old.Uses(0))
-		_, ok = fresh.Take(0, ws, 51)
+		started := quota.New(0, window, quota.Tolerance{}, first)
+		started.SetLimits(0, limits(100, 200))
+		started.ApplyPeerState(0, "old", time.Minute, old.Uses(0))
+		_, ok = started.Take(0, ws, 51)
 		is.True(!ok)
-		_, ok = fresh.Take(0, ws, 40)
+		_, ok = started.Take(0, ws, 40)
 		is.True(ok)
 	}
 }
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -88,7 +88,7 @@
 		RelaysPerDomain: relaysPerDomain(fleet, max(v.DomainCount, len(domains)), direct), DomainCount: len(domains),
 		Direct: fleet <= direct, AllWatch: fleet <= AllWatchFleet,
 	}
-	var candidates []peers.Member
+	var relaysInOwnDomain []peers.Member
 	for domain, inDomain := range domains {
 		oldest := longestRunning(slices.Clone(inDomain), 1)
 		if !p.Direct {
@@ -104,17 +104,17 @@
 			}
 			p.OtherRelays = append(p.OtherRelays, r)
 			if domain == v.Self.FailureDomain {
-				candidates = append(candidates, r)
+				relaysInOwnDomain = append(relaysInOwnDomain, r)
 			}
 		}
 	}
 	slices.SortFunc(p.OtherRelays, func(a, b peers.Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
 	switch {
-	case len(candidates) == 0:
+	case len(relaysInOwnDomain) == 0:
 		// There is no relay to follow.
 		p.Relay, p.WatchesStore = true, true
 	case !p.Relay:
-		p.Followed = chooseRelays(v.Self.ID, candidates)
+		p.Followed = chooseRelays(v.Self.ID, relaysInOwnDomain)
 	}
 	return p
 }
@@ -134,8 +134,8 @@
 // relaysPerDomain returns the number of relays in each failure domain. The total is about
 // the square root of the number of daemons, so that a relay hears about as many followers
 // as other relays.
-func relaysPerDomain(daemons, domains, direct int) int {
-	if daemons <= direct {
+func relaysPerDomain(daemons, domains, directFleet int) int {
+	if daemons <= directFleet {
 		return daemons
 	}
 	return max(RelaysPerFollower, int(math.Ceil(math.Sqrt(float64(daemons))/float64(max(1, domains)))))
--- a/coordination/relays/relays_test.go
+++ b/coordination/relays/relays_test.go
@@ -48,23 +48,23 @@
 	is := is.New(t)
 	for n, maxLinks := range map[int]int{30: 40, 119: 50, 300: 60, 1828: 160} {
 		members := fleet(n, 6)
-		followers := map[ident.Incarnation]int{}
-		count := 0
+		linksByRelay := map[ident.Incarnation]int{}
+		relayCount := 0
 		for i := range members {
 			p := planFor(members, i)
 			if p.Relay {
-				count++
-				followers[members[i].Incarnation] += len(p.OtherRelays)
+				relayCount++
+				linksByRelay[members[i].Incarnation] += len(p.OtherRelays)
 				continue
 			}
 			is.Equal(len(p.Followed), relays.RelaysPerFollower)
 			for _, r := range p.Followed {
 				is.Equal(r.FailureDomain, members[i].FailureDomain)
-				followers[r.Incarnation]++
+				linksByRelay[r.Incarnation]++
 			}
 		}
-		is.Equal(len(followers), count)
-		for _, links := range followers {
+		is.Equal(len(linksByRelay), relayCount)
+		for _, links := range linksByRelay {
 			is.True(links <= maxLinks)
 		}
 	}
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -25,7 +25,7 @@
 	spread.Send
 }
 
-var zero time.Time
+var anyTime time.Time
 
 func newNetwork(n int, newStrategy func(self string, all []string) spread.Strategy) *network {
 	w := &network{strategies: map[string]spread.Strategy{}, sentByKind: map[spread.Kind]int{}}
@@ -48,7 +48,7 @@
 			peers = append(peers, spread.Peer{ID: id, Suspect: suspects[id]})
 		}
 	}
-	w.enqueue(at, w.strategies[at].SetMembers(zero, peers))
+	w.enqueue(at, w.strategies[at].SetMembers(anyTime, peers))
 }
 
 func (w *network) enqueue(from string, sends []spread.Send) {
@@ -66,7 +66,7 @@
 		s := w.inFlight[i]
 		w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 		if !crashed[s.To] {
-			w.enqueue(s.To, w.strategies[s.To].Receive(zero, s.from, s.Message))
+			w.enqueue(s.To, w.strategies[s.To].Receive(anyTime, s.from, s.Message))
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	is := is.New(t)
 	for _, n := range []int{2, 8, 13, 64} {
 		w := newNetwork(n, newTree)
-		w.enqueue("m00", w.strategies["m00"].Publish(zero, 1))
+		w.enqueue("m00", w.strategies["m00"].Publish(anyTime, 1))
 		w.deliverAll(nil, firstIndex)
 		is.Equal(len(w.missing(nil)), 0)
 		is.Equal(w.sentByKind[spread.Tree], n-1)
@@ -117,7 +117,7 @@
 		for _, id := range w.ids {
 			w.setMembers(id, falselySuspected)
 		}
-		w.enqueue("m00", w.strategies["m00"].Publish(zero, 1))
+		w.enqueue("m00", w.strategies["m00"].Publish(anyTime, 1))
 		w.deliverAll(crashed, draw)
 		suspected := map[string]bool{}
 		for id := range crashed {
@@ -145,14 +145,14 @@
 		w := newNetwork(rapid.IntRange(2, 30).Draw(t, "members"), func(self string, _ []string) spread.Strategy {
 			return spread.NewNeighbours(self)
 		})
-		w.enqueue("m00", w.strategies["m00"].Publish(zero, 1))
+		w.enqueue("m00", w.strategies["m00"].Publish(anyTime, 1))
 		for len(w.inFlight) > 0 && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 			w.inFlight = w.inFlight[1:]
 		}
 		for range 12 {
 			w.deliverAll(nil, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "message") })
 			for _, id := range w.ids {
-				w.enqueue(id, w.strategies[id].Tick(zero))
+				w.enqueue(id, w.strategies[id].Tick(anyTime))
 			}
 		}
 		w.deliverAll(nil, firstIndex)
@@ -167,11 +167,11 @@
 func TestSuspectsAreProbed(t *testing.T) {
 	is := is.New(t)
 	n := spread.NewNeighbours("a")
-	n.SetMembers(zero, []spread.Peer{{ID: "b", Suspect: true}, {ID: "c", Suspect: true}})
+	n.SetMembers(anyTime, []spread.Peer{{ID: "b", Suspect: true}, {ID: "c", Suspect: true}})
 	is.Equal(len(n.Links()), 0)
 	probed := map[string]bool{}
 	for range 2 {
-		for _, s := range n.Tick(zero) {
+		for _, s := range n.Tick(anyTime) {
 			probed[s.To] = true
 		}
 	}
@@ -185,9 +185,9 @@
 		peers = append(peers, spread.Peer{ID: fmt.Sprint(i)})
 	}
 	n := spread.NewNeighbours("self")
-	n.SetMembers(zero, peers)
+	n.SetMembers(anyTime, peers)
 	is.Equal(len(n.Links()), spread.OutDegree)
 	is.Equal(n.Interval(), spread.HeartbeatInterval)
-	n.SetMembers(zero, peers[:4])
+	n.SetMembers(anyTime, peers[:4])
 	is.Equal(n.Interval(), spread.SmallFleetInterval)
 }
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -158,7 +158,7 @@
 		stamps:           map[ident.Incarnation]freshness.Stamp{},
 		wallClock:        walltime.New(time.Now(), now),
 		usageLedger: accounting.NewLedger(self, accounting.Timing{
-			Length: settings.Bounds.UsageWindow, ReportWithin: settings.Bounds.UsageDue, SettleAfter: accounting.SettleAfter,
+			Length: settings.Bounds.UsageWindow, ReportWithin: settings.Bounds.UsageDue, SettleTime: accounting.SettleAfter,
 		}),
 		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FirstStart),
 		// Each daemon begins at its own ID, so that all daemons together have sent the counts
