--- a/standin/kvserver/limits.go
+++ b/standin/kvserver/limits.go
@@ -9,31 +9,31 @@
 	"geraniumstack.org/geraniumstack/transport/kv"
 )
 
-// Limits are the rates that the service takes, in calls a second; zero is no
-// bound. Calls above them wait for their turn.
+// Limits are the rate limits of the service in calls per second; zero means
+// no limit. Calls above the limit wait.
 type Limits struct {
 	WritesPerSecond float64 `json:"writes_per_second,omitempty"`
 	ReadsPerSecond  float64 `json:"reads_per_second,omitempty"`
 }
 
-// Peak is the most calls that came in one second.
+// Peak is the highest number of calls within one second.
 type Peak struct {
 	Writes int `json:"writes"`
 	Reads  int `json:"reads"`
 }
 
-// meter counts the calls of the present second.
-type meter struct {
+// callMeter counts the calls of the current second.
+type callMeter struct {
 	second int64
 	now    Peak
 	peak   Peak
 }
 
-func (m *meter) count(kind CallKind, now time.Time) {
+func (m *callMeter) count(kind CallKind, now time.Time) {
 	if second := now.Unix(); second != m.second {
 		m.second, m.now = second, Peak{}
 	}
-	if kind.write() {
+	if kind.isWrite() {
 		m.now.Writes++
 	} else {
 		m.now.Reads++
@@ -42,8 +42,8 @@
 	m.peak.Reads = max(m.peak.Reads, m.now.Reads)
 }
 
-// write tells the calls that change the store from the others.
-func (k CallKind) write() bool {
+// isWrite reports whether the call changes the store.
+func (k CallKind) isWrite() bool {
 	switch k {
 	case CallGet, CallList, CallWatch:
 		return false
@@ -52,11 +52,12 @@
 	}
 }
 
-// SetLimits replaces the limits; a burst of a tenth of a second is free.
+// SetLimits replaces the limits. The calls of a tenth of a second can be made
+// at once as a burst.
 func (s *Store) SetLimits(l Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.writes, s.reads = limiter(l.WritesPerSecond), limiter(l.ReadsPerSecond)
+	s.writeLimiter, s.readLimiter = limiter(l.WritesPerSecond), limiter(l.ReadsPerSecond)
 }
 
 func limiter(perSecond float64) *rate.Limiter {
@@ -66,20 +67,20 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/10)))
 }
 
-// Peak returns the most calls that came in one second of the clock.
+// Peak returns the highest number of calls within one second of the clock.
 func (s *Store) Peak() Peak {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.meter.peak
+	return s.callMeter.peak
 }
 
-// turn waits until the limit lets a call in.
-func (s *Store) turn(ctx context.Context, l *rate.Limiter) error {
+// waitForLimit blocks until the limiter admits the call.
+func (s *Store) waitForLimit(ctx context.Context, l *rate.Limiter) error {
 	if l == nil {
 		return nil
 	}
 	if err := l.Wait(ctx); err != nil {
 		return &kv.UnavailableError{Err: err}
 	}
-	return s.outage()
+	return s.checkOutage()
 }
