--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -349,16 +349,16 @@
 		return
 	}
 	b.refilledAt = now
-	refill := l.rate(b.limit) * elapsed
-	refillShare := refill / float64(l.daemonCount())
-	refill -= refillShare * float64(max(0, l.isolationShares-1-len(l.peers)))
+	addedTokens := l.rate(b.limit) * elapsed
+	refillShare := addedTokens / float64(l.daemonCount())
+	addedTokens -= refillShare * float64(max(0, l.isolationShares-1-len(l.peers)))
 	for _, p := range l.peers {
 		if p.silent {
 			p.reserved[ws] += refillShare
-			refill -= refillShare
+			addedTokens -= refillShare
 		}
 	}
-	b.level = min(l.capacity(b.limit), b.level+refill)
+	b.level = min(l.capacity(b.limit), b.level+addedTokens)
 }
 
 // reserveForSilentPeers finds the peers that have just become silent and takes a reserve
