--- a/coordination/feed/feed.go
+++ b/coordination/feed/feed.go
@@ -71,7 +71,8 @@
 // empty.
 func (l *Log) LastRevision() uint64 { return l.revision }
 
-// Reset applies a complete list of the keys as of the given revision or later.
+// Reset applies a complete list of the service's keys that was read at the given revision
+// or later. Keys that the log holds and the list lacks are recorded as deleted.
 func (l *Log) Reset(list []Change, revision uint64) {
 	listed := make(map[string]bool, len(list))
 	for _, c := range list {
@@ -148,7 +149,7 @@
 
 // Since returns the changes after a revision that fit into maxBytes, but at least one if
 // there is any. It returns false if the log can't tell which keys were deleted since that
-// revision.
+// revision; the follower must then list the keys itself.
 func (l *Log) Since(after uint64, maxBytes int) (Batch, bool) {
 	if after < l.forgottenThrough || l.revision == 0 || slices.ContainsFunc(l.gaps, func(g gap) bool { return g.from < after && after < g.to }) {
 		return Batch{}, false
--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -46,8 +46,8 @@
 	return candidates{sortedOffers: list, domainCount: len(index)}
 }
 
-// allocation is a tentative plan. It is reused for every attempt, because planning a large
-// service takes thousands of attempts.
+// allocation is a tentative number of VMs for each offer. One allocation is reused for all
+// attempts, because planning a large service takes thousands of them.
 type allocation struct {
 	candidates
 	counts      []int
@@ -123,8 +123,8 @@
 	return plan
 }
 
-// cheapestPlan returns the plan of least expected cost and the number of runners that it
-// lacks.
+// cheapestPlan returns the plan of least expected cost, and the number of runners of the
+// target that the pools and the cost limit don't allow.
 func cheapestPlan(w Target, c candidates) (map[Pool]int, int) {
 	f := newAllocation(c, w)
 	if !w.SurviveLoss {
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -108,7 +108,8 @@
 		return nil
 	}
 	t.p.skipMoveHold = false
-	// VMs that are still starting belong to moves of earlier rounds.
+	// VMs that are still starting were ordered as moves in earlier rounds and count
+	// towards MaxMoves.
 	movesLeft := max(t.p.limits.MaxMoves-countStarting(t.vms), 0)
 	return starts[:min(len(starts), movesLeft)]
 }
@@ -236,8 +237,8 @@
 	return s
 }
 
-// meets reports whether the VMs meet the target. If the target must survive a loss, the
-// failure domain with the most VMs at risk is assumed to be lost.
+// meets reports whether the VMs meet the target w. If the target must survive the loss of
+// a failure domain, the domain with the most VMs at risk is assumed to be lost.
 func (s *domainTotals) meets(w Target) bool {
 	for _, n := range s.domains {
 		if n < w.MinPerDomain {
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -21,7 +21,8 @@
 	// cost little: they are kept for the next wave of load, which may come sooner than new
 	// runners start.
 	RiseTime, FallTime, ComfortableFallTime time.Duration
-	// VarianceTime is the time constant of the variance.
+	// VarianceTime is the time constant with which the variance follows changes of the
+	// load.
 	VarianceTime time.Duration
 	// MinWorkTime is how long after the first sample with requests in progress the
 	// measurements must continue before the estimate relies on them alone. Until then, the
@@ -99,7 +100,7 @@
 	initialRunners int
 }
 
-// loadStats holds the mean of a load and its variance over one second.
+// loadStats holds the mean of a load and its variance, converted to blocks of one second.
 type loadStats struct {
 	mean, variance float64
 	blockCount     int
@@ -184,7 +185,8 @@
 }
 
 // requiredRunners returns how many runners can handle the load with headroom for the given
-// number of standard deviations.
+// number of standard deviations, and at least the initial minimum of a service that has
+// never served (see DemandConfig.MinWorkTime).
 func (d *Demand) requiredRunners(prefill, batch *loadStats, deviations, initialShare float64) int {
 	neededRunners := d.withHeadroom(prefill.mean, deviations*d.deviation(prefill))
 	if d.slotsPerRunner > 0 {
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -113,8 +113,8 @@
 type poolState struct {
 	consecutiveRefusals int
 	backoffUntil        time.Duration
-	// reclaims is the decayed number of reclaims seen, exposure the decayed VM hours in
-	// which they occurred.
+	// reclaims is the number of reclaims recorded for the pool, exposureHours the number
+	// of VM hours in which they occurred. Older ones count less, with HazardHalfLife.
 	reclaims      float64
 	exposureHours float64
 	decayedAt     time.Duration
@@ -160,7 +160,8 @@
 	s.backoffUntil = now + backoff
 }
 
-// RecordStart records that the cloud started a VM in the pool.
+// RecordStart records that the cloud started a VM in the pool, which ends the count of
+// consecutive refusals.
 func (p *Planner) RecordStart(id Pool) { p.pool(id).consecutiveRefusals = 0 }
 
 // ResetBackoff records that scarce VMs are available again in all pools. Earlier refusals
@@ -179,7 +180,7 @@
 	s.reclaims += float64(n)
 }
 
-// RecordExposure records that n VMs of the pool ran for d without a notice.
+// RecordExposure records that n VMs of the pool ran for d without a notice of a reclaim.
 func (p *Planner) RecordExposure(now time.Duration, id Pool, n int, d time.Duration) {
 	s := p.pool(id)
 	p.decay(now, s)
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -75,8 +75,9 @@
 	is.Equal(d.CostPerHour, 18.0)
 }
 
-// Reclaims take a failure domain's VMs and the cloud refuses reclaimable starts at the same
-// time. The planner must use the next class at once and return to the refused pool later.
+// The cloud refuses a start in the cheapest pool, e.g. because it reclaims the VMs there.
+// The planner must use the next pool at once and return to the refused pool after its
+// backoff.
 func TestRefusedStartMovesToNextPool(t *testing.T) {
 	is := is.New(t)
 	spot, onDemand := offer("a", "spot", 1, true), offer("a", "on-demand", 3, false)
--- a/coordination/fleet/tally.go
+++ b/coordination/fleet/tally.go
@@ -6,10 +6,10 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// maxSilence is the longest time between two messages of a daemon, as received here, for
-// its counter to continue. Five messages of a small fleet are then missing. In a large
-// fleet, where messages are relayed and less frequent, maxRelayedSilence is used; three
-// messages are then missing.
+// maxSilence is the longest time between two messages of a daemon, by this daemon's clock,
+// over which the daemon's counter is assumed to have grown continuously. In a small fleet,
+// five messages are missing by then. In a large fleet, where messages are relayed and less
+// frequent, maxRelayedSilence is used; three messages are missing by then.
 const (
 	maxSilence        = 600 * time.Millisecond
 	maxRelayedSilence = 1600 * time.Millisecond
@@ -26,7 +26,8 @@
 	viaRelays    bool
 }
 
-// counterReading is a daemon's counter at the time at.
+// counterReading is the value of a daemon's counter and the time at which this daemon
+// received it.
 type counterReading struct {
 	at    time.Duration
 	count float64
--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -20,8 +20,8 @@
 	return 0
 }
 
-// mergeMember merges a report about a daemon. The report comes from the peer from; from is
-// empty for a registration in the key-value service.
+// mergeMember merges a report about a daemon into the table. The report was sent by the
+// peer from; it is read from a registration in the key-value service if from is empty.
 func (t *Table) mergeMember(now time.Time, m Member, from ident.Incarnation) {
 	if m.Incarnation == t.self.Incarnation {
 		t.mergeSelfReport(now, m)
@@ -174,8 +174,8 @@
 }
 
 // ApplyVMList merges a complete VM list that this daemon has read. It returns true if a VM
-// is missing from a list for the first time, in which case the list should be read again
-// soon to decide whether the VM is gone.
+// is missing from this list but another list is needed to decide whether the VM is gone.
+// The list should then be read again soon.
 func (t *Table) ApplyVMList(now time.Time, vms []VM) bool {
 	present := make(map[string]bool, len(vms))
 	for _, vm := range vms {
@@ -195,10 +195,10 @@
 	return needsRecheck
 }
 
-// recordMissing counts a list that lacks a known VM, marks the VM as gone after
-// maxMissedLists such lists, and returns true if another list is needed to decide. A VM
-// that is known only from a peer is not counted within listLag, because lists lag by
-// different times and this daemon's list may not contain the VM yet.
+// recordMissing counts a VM list that lacks a known VM, marks the VM as gone after
+// maxMissedLists such lists in a row, and returns true if another list is needed to
+// decide. A list doesn't count if this daemon knows the VM only from a peer, and for less
+// than listLag: the list may simply not show the VM yet.
 func (t *Table) recordMissing(now time.Time, key string, r *record) bool {
 	if r.missedLists < 0 && now.Sub(r.learnedAt) < listLag {
 		return false
@@ -268,9 +268,9 @@
 	return t.self.State != view.Live && n.matches(*t.self)
 }
 
-// matchingVMIDs returns the IDs of the VMs that a notice applies to. A notice that has only
-// an address applies to the VMs known at that address now, never to a VM that takes over
-// the address later.
+// matchingVMIDs returns the IDs of the VMs that a notice applies to. A notice that has
+// only an address applies to the VMs that the table lists at that address now, never to a
+// VM that takes over the address later.
 func (t *Table) matchingVMIDs(n Notice) []string {
 	if n.VM != "" {
 		return []string{n.VM}
--- a/coordination/membership/log.go
+++ b/coordination/membership/log.go
@@ -42,7 +42,8 @@
 
 func newChangeLog() *changeLog { return &changeLog{records: map[string]*record{}} }
 
-// touch moves the record to the end of the log and updates the digest.
+// touch moves the record to the end of the log, as changed by a message of the peer from
+// or, if from is empty, by this daemon, and updates the digest.
 func (l *changeLog) touch(key string, from ident.Incarnation) {
 	r := l.records[key]
 	l.digest ^= r.hash
@@ -57,7 +58,8 @@
 	}
 }
 
-// remove drops a record. Removals are not sent: peers drop their own copies by age.
+// remove drops a record. Removals are not sent: each peer drops its own copy after
+// ForgetAfter.
 func (l *changeLog) remove(key string) {
 	if r, ok := l.records[key]; ok {
 		l.digest ^= r.hash
--- a/coordination/membership/types.go
+++ b/coordination/membership/types.go
@@ -100,7 +100,8 @@
 	Ack uint64
 	// Digest is the sender's table digest. Equal tables have equal digests.
 	Digest uint64
-	// InForce holds the highest generation in force in each failure domain.
+	// InForce holds the highest generation in force in each failure domain that the sender
+	// knows of.
 	InForce map[ident.FailureDomain]ident.Generation
 }
 
@@ -108,21 +109,22 @@
 	// ProbeFailures is the number of consecutive failed calls after which a daemon may
 	// become suspect.
 	ProbeFailures = 3
-	// ForgetAfter is the age at which the record of a suspect daemon, or of a gone daemon or
-	// VM, is dropped, and at which a leaving VM is marked as gone. It is longer than the
-	// lease of any registration.
+	// ForgetAfter is the time in its state after which the record of a suspect daemon, or
+	// of a gone daemon or VM, is dropped, and after which a leaving VM is marked as gone.
+	// It is longer than the lease of any registration, so that a daemon is not added again
+	// from a registration that is left over.
 	ForgetAfter = 10 * time.Minute
 	// goneAfterLeaving is when a leaving daemon becomes gone: this long after its announced
 	// end, or after this long without contact if its end is not known.
 	goneAfterLeaving = 30 * time.Second
-	// listLag is the longest time by which the VM lists of two daemons may differ in
-	// showing a VM.
+	// listLag is the longest time by which a VM may appear later in one daemon's VM list
+	// than in another's.
 	listLag = 2 * time.Minute
 	// maxMissedLists is the number of consecutive lists without a VM after which it is
 	// gone.
 	maxMissedLists = 2
-	// resyncAfter is how long two tables may differ without pending changes before all
-	// records are sent again.
+	// resyncAfter is how long two tables may differ although all changes are acknowledged,
+	// before all records are sent again.
 	resyncAfter = 30 * time.Second
 	// MaxChanges is the maximum number of records in one message.
 	MaxChanges = 512
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -203,8 +203,8 @@
 }
 
 // Reintroduce records another daemon's introduction of a daemon that this daemon may be
-// unable to reach. It counts for IntroductionTTL, and again if it is repeated after
-// ReintroduceAfter.
+// unable to reach. The introduced daemon counts as alive for IntroductionTTL. An
+// introduction within ReintroduceAfter of the last accepted one is ignored.
 func (t *Table) Reintroduce(now time.Duration, r Row) {
 	e, known := t.entries[r.Incarnation]
 	if known && now-e.lastIntroduced < ReintroduceAfter || t.shouldIgnore(now, r) {
@@ -345,8 +345,8 @@
 	return inRosters
 }
 
-// HeardRecently reports whether a message of a daemon was received directly within
-// AliveFor.
+// HeardRecently reports whether a message of a daemon was received directly within the
+// time that Table.AliveFor returns.
 func (t *Table) HeardRecently(now time.Duration, id ident.Incarnation) bool {
 	e, known := t.entries[id]
 	return known && now-e.lastHeard <= t.aliveFor
@@ -375,8 +375,9 @@
 	return domainCount
 }
 
-// KnownCount returns the number of daemons that this one knows, including itself: those
-// that are heard or listed, and those that are silent but not yet forgotten.
+// KnownCount returns the number of daemons that this one knows, including itself. It
+// counts daemons that are heard or listed in a roster as well as silent ones that are not
+// forgotten yet.
 func (t *Table) KnownCount() int { return 1 + len(t.entries) }
 
 // FleetSize returns the number of daemons that may be running, including this one: the
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -127,8 +127,8 @@
 	// budget is what may still be taken in the interval that ends at budgetEnds.
 	budget     float64
 	budgetEnds time.Duration
-	// uninformedBudgetUsed is set once uninformedShare was added to the budget, until all
-	// peers that are not silent have been heard again.
+	// uninformedBudgetUsed is set when the budget was raised by uninformedShare, and reset
+	// once all peers that are not silent have been heard again.
 	uninformedBudgetUsed bool
 	// recentUsage is the recent use by this daemon's own requests.
 	recentUsage decayingSum
@@ -178,7 +178,8 @@
 	// while this daemon is isolated, i.e. hears no other daemon although it knows of some.
 	// Zero means that this daemon is not isolated.
 	isolationShares int
-	// synced is set once the bucket levels of an older daemon were taken over.
+	// synced is set once this daemon has heard a daemon whose Age was at least syncPeriod
+	// and whose bucket levels it could therefore take over.
 	synced bool
 }
 
@@ -341,7 +342,9 @@
 	}
 }
 
-// refill adds the refill since refilledAt, less the shares reserved for silent daemons.
+// refill adds the tokens that a bucket gained since refilledAt, without the shares of
+// silent daemons, which are reserved, and without the shares of daemons that are not heard
+// while this daemon is isolated.
 func (l *Limiter) refill(now time.Duration, ws ident.Workspace, b *bucket) {
 	l.reserveForSilentPeers(now)
 	elapsed := (now - b.refilledAt).Seconds()
@@ -388,9 +391,9 @@
 	return max(1+len(l.peers), l.expectedDaemons, l.isolationShares)
 }
 
-// Age is for how long this daemon has known the levels of the buckets, as reported to the
-// other daemons. A daemon that took over the levels of an older one reports at least
-// syncPeriod, because it knows as much as the older one.
+// Age returns for how long this daemon has known the levels of the buckets, which it
+// reports to the other daemons. A daemon that took over the levels of an older daemon
+// returns at least syncPeriod, because it knows as much as that daemon.
 func (l *Limiter) Age(now time.Duration) time.Duration {
 	if l.synced {
 		return max(syncPeriod, now-l.startedAt)
@@ -423,8 +426,9 @@
 	}
 }
 
-// ApplyPeerState applies the bucket states that another daemon sent, which has been running
-// for age. Messages of one daemon must be applied in the order in which it made them.
+// ApplyPeerState applies the bucket states in a message of another daemon, whose Age was
+// age when it sent them. Messages of one daemon must be applied in the order in which they
+// were sent.
 func (l *Limiter) ApplyPeerState(now time.Duration, id ident.Incarnation, age time.Duration, states map[ident.Workspace]Use) {
 	p, known := l.peers[id]
 	if !known {
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -21,7 +21,8 @@
 const window = 8 * time.Second
 
 // With a rate of 100/s and a burst of 200, a window of 8 s may hold 1,000: half of the
-// burst at once and a refill of 112.5/s.
+// burst at once, and a refill of 112.5/s, i.e. the rate and the other half of the burst
+// spread over the window.
 func TestSingleDaemonBucket(t *testing.T) {
 	is := is.New(t)
 	l := quota.New(0, window, quota.Tolerance{}, true)
--- a/coordination/relays/confirmation.go
+++ b/coordination/relays/confirmation.go
@@ -57,9 +57,9 @@
 // Confirmed reports whether another relay has recently confirmed this daemon as a relay.
 func (s *Confirmation) Confirmed(now time.Duration) bool { return now-s.confirmedAt <= ConfirmedFor }
 
-// MayShare reports whether this daemon may use a share of what the relays divide among
-// themselves. hearsRelay states that it hears another relay; a daemon that hears none may
-// be the last relay.
+// MayShare reports whether this daemon may use one of the shares into which the relays
+// divide the quotas. hearsRelay states that it hears another relay; a daemon that hears
+// none may be the last relay.
 func (s *Confirmation) MayShare(now time.Duration, hearsRelay bool) bool {
 	return s.Confirmed(now) || !hearsRelay && now-s.relaySince >= aloneAfter
 }
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -149,8 +149,9 @@
 	return domains
 }
 
-// longestRunning returns the n daemons that have been running for longest, so that a daemon
-// that joins replaces no relay. Daemons that are shutting down are left out.
+// longestRunning returns the n daemons of a failure domain that have been running for
+// longest, so that a daemon that joins replaces no relay. Daemons that are shutting down
+// are left out.
 func longestRunning(domain []peers.Member, n int) []peers.Member {
 	domain = slices.DeleteFunc(domain, func(m peers.Member) bool { return m.Phase == peers.Draining })
 	slices.SortFunc(domain, func(a, b peers.Member) int {
@@ -159,9 +160,9 @@
 	return domain[:min(n, len(domain))]
 }
 
-// chooseRelays distributes the followers over the relays by rendezvous hashing: each
-// follower takes the relays with the highest hash of both IDs, so that the end of a relay
-// moves only its own followers.
+// chooseRelays returns the relays that the daemon self follows. It distributes the
+// followers by rendezvous hashing: each follower takes the relays with the highest hash of
+// both IDs, so that the end of a relay moves only its own followers.
 func chooseRelays(self ident.DaemonID, relays []peers.Member) []peers.Member {
 	slices.SortFunc(relays, func(a, b peers.Member) int {
 		return cmp.Or(cmp.Compare(rendezvousHash(self, b), rendezvousHash(self, a)), cmp.Compare(a.Incarnation, b.Incarnation))
--- a/coordination/spread/antientropy.go
+++ b/coordination/spread/antientropy.go
@@ -53,7 +53,8 @@
 	return sends
 }
 
-// Interval returns SmallFleetInterval.
+// Interval returns the time between ticks, the same as that of Neighbours in a small
+// fleet.
 func (a *AntiEntropy) Interval() time.Duration { return SmallFleetInterval }
 
 // Version returns the highest known version.
--- a/coordination/spread/flat.go
+++ b/coordination/spread/flat.go
@@ -49,7 +49,8 @@
 	return sends
 }
 
-// Interval returns SmallFleetInterval.
+// Interval returns the time between ticks, the same as that of Neighbours in a small
+// fleet.
 func (f *Flat) Interval() time.Duration { return SmallFleetInterval }
 
 // Version returns the highest known version.
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -21,7 +21,8 @@
 	Ack     Kind = "ack"
 )
 
-// Message is a message between two members.
+// Message is what one member sends another to spread the version or to check that it is
+// running.
 type Message struct {
 	Kind Kind
 	// Version is the highest version that the sender knows.
--- a/coordination/spread/tree.go
+++ b/coordination/spread/tree.go
@@ -58,8 +58,9 @@
 	t.sentTo = map[int]bool{}
 }
 
-// cluster appends c(i,s) of the paper to into: first the member i with bit s-1 inverted,
-// then that member's own clusters smaller than s.
+// cluster appends to into the members of c(i,s), the cluster of member i with size index s
+// in the paper named at HierarchicalTree: first the member whose index is i with bit s-1
+// inverted, then that member's own clusters with a smaller size index.
 func cluster(i, s int, into []int) []int {
 	first := i ^ (1 << (s - 1))
 	into = append(into, first)
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -69,7 +69,7 @@
 	Daemons() []Daemon
 	// Runners returns a service's runners that are not gone, sorted by ID.
 	Runners(service string) []Runner
-	// Changed returns a channel that is closed at the next change of any of these.
+	// Changed returns a channel that is closed at the next change of any daemon or runner.
 	Changed() <-chan struct{}
 	// NoteLeaving records that the runner at an address is leaving, as learned from the
 	// runner itself or from its refusal of a request. timeLeft is the time until the
--- a/coordination/walltime/walltime.go
+++ b/coordination/walltime/walltime.go
@@ -15,7 +15,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Estimate holds the estimate of one daemon. It is not safe for concurrent use.
+// Estimate is one daemon's estimate of the time of day. It is not safe for concurrent use.
 type Estimate struct {
 	// localBase is the time of day at offset zero of the monotonic clock, computed from
 	// this VM's clock at the start. peerBases holds the same time computed from each
