--- a/coordination/accounting/accounting_test.go
+++ b/coordination/accounting/accounting_test.go
@@ -21,18 +21,18 @@
 	dead := accounting.NewLedger("dead", timing)
 	dead.RecordStart(at(1001), "shelter")
 	dead.RecordStart(at(1002), "shelter")
-	b := accounting.NewLedger("holder", timing)
-	b.Receive("dead", dead.OpenWindows(at(1003), "dead"))
-	b.RecordStart(at(1003), "shelter")
-	b.RecordStart(at(1003), "wardens")
-	is.Equal(b.Sum(200), accounting.Counts{"shelter": 3, "wardens": 1})
+	ledger := accounting.NewLedger("holder", timing)
+	ledger.Receive("dead", dead.OpenWindows(at(1003), "dead"))
+	ledger.RecordStart(at(1003), "shelter")
+	ledger.RecordStart(at(1003), "wardens")
+	is.Equal(ledger.Sum(200), accounting.Counts{"shelter": 3, "wardens": 1})
 }
 
 func TestWindowIsDueOnceSettled(t *testing.T) {
 	is := is.New(t)
-	b := accounting.NewLedger("holder", timing)
+	ledger := accounting.NewLedger("holder", timing)
 	isDue := func(now float64, w accounting.Window) bool {
-		for _, d := range b.WindowsDue(at(now)) {
+		for _, d := range ledger.WindowsDue(at(now)) {
 			if d == w {
 				return true
 			}
@@ -43,51 +43,51 @@
 	is.True(isDue(1006, 200))
 	is.True(isDue(1014.9, 200))
 	is.True(!isDue(1015, 200)) // past due
-	b.MarkReported(200)
+	ledger.MarkReported(200)
 	is.True(!isDue(1007, 200))
 }
 
 func TestTickDropsOldWindows(t *testing.T) {
 	is := is.New(t)
-	b := accounting.NewLedger("holder", timing)
-	b.RecordStart(at(1001), "shelter")
-	b.Receive("other", map[accounting.Window]accounting.Counts{200: {"shelter": 5}})
-	b.Tick(at(1020))
-	is.Equal(b.Sum(200)["shelter"], int64(6))
-	b.Tick(at(1040))
-	is.Equal(len(b.Sum(200)), 0)
+	ledger := accounting.NewLedger("holder", timing)
+	ledger.RecordStart(at(1001), "shelter")
+	ledger.Receive("other", map[accounting.Window]accounting.Counts{200: {"shelter": 5}})
+	ledger.Tick(at(1020))
+	is.Equal(ledger.Sum(200)["shelter"], int64(6))
+	ledger.Tick(at(1040))
+	is.Equal(len(ledger.Sum(200)), 0)
 }
 
 // Windows that can't be reported in time any more are not open.
 func TestOpenWindowsExcludePastDue(t *testing.T) {
 	is := is.New(t)
-	b := accounting.NewLedger("own", timing)
-	b.RecordStart(at(1001), "shelter")
-	b.RecordStart(at(1006), "shelter")
-	is.Equal(len(b.OpenWindows(at(1014.9), "own")), 2)
-	is.Equal(len(b.OpenWindows(at(1015), "own")), 1) // window 200 is due ten seconds after its end
-	is.Equal(len(b.OpenWindows(at(1015), "other")), 0)
+	ledger := accounting.NewLedger("own", timing)
+	ledger.RecordStart(at(1001), "shelter")
+	ledger.RecordStart(at(1006), "shelter")
+	is.Equal(len(ledger.OpenWindows(at(1014.9), "own")), 2)
+	is.Equal(len(ledger.OpenWindows(at(1015), "own")), 1) // window 200 is due ten seconds after its end
+	is.Equal(len(ledger.OpenWindows(at(1015), "other")), 0)
 }
 
 // The counts of ended daemons are sent one daemon at a time, in turn. Live daemons, which
 // send their own counts, and daemons without open windows are skipped.
 func TestEndedDaemonsAreSentInTurn(t *testing.T) {
 	is := is.New(t)
-	b := accounting.NewLedger("m", timing)
+	ledger := accounting.NewLedger("m", timing)
 	for _, id := range []ident.Incarnation{"a", "b", "x", "z"} {
-		b.Receive(id, map[accounting.Window]accounting.Counts{200: {"shelter": 1}})
+		ledger.Receive(id, map[accounting.Window]accounting.Counts{200: {"shelter": 1}})
 	}
-	b.Receive("old", map[accounting.Window]accounting.Counts{190: {"shelter": 1}})
+	ledger.Receive("old", map[accounting.Window]accounting.Counts{190: {"shelter": 1}})
 	alive := map[ident.Incarnation]bool{"b": true}
 	var order []ident.Incarnation
 	last := ident.Incarnation("m")
 	for range 4 {
-		next, ok := b.NextEndedDaemon(at(1003), last, alive)
+		next, ok := ledger.NextEndedDaemon(at(1003), last, alive)
 		is.True(ok)
 		order = append(order, next)
 		last = next
 	}
 	is.Equal(order, []ident.Incarnation{"x", "z", "a", "x"})
-	_, ok := b.NextEndedDaemon(at(1020), last, alive)
+	_, ok := ledger.NextEndedDaemon(at(1020), last, alive)
 	is.True(!ok)
 }
--- a/coordination/accounting/coverage_test.go
+++ b/coordination/accounting/coverage_test.go
@@ -15,13 +15,13 @@
 func TestCoverageLacksWhoWasNotToldOfSince(t *testing.T) {
 	is := is.New(t)
 	var c accounting.Coverage
-	all := []ident.Incarnation{"b", "a", "c"}
-	is.Equal(c.Missing(all, 0), []ident.Incarnation{"a", "b", "c"})
+	daemons := []ident.Incarnation{"b", "a", "c"}
+	is.Equal(c.Missing(daemons, 0), []ident.Incarnation{"a", "b", "c"})
 	c.Receive(time.Second, "a")
 	c.Receive(2*time.Second, "b")
-	is.Equal(c.Missing(all, 2*time.Second), []ident.Incarnation{"a", "c"})
+	is.Equal(c.Missing(daemons, 2*time.Second), []ident.Incarnation{"a", "c"})
 	c.PeerEnded(3*time.Second, "b")
-	is.Equal(c.Missing(all, 2*time.Second), []ident.Incarnation{"a", "b", "c"})
+	is.Equal(c.Missing(daemons, 2*time.Second), []ident.Incarnation{"a", "b", "c"})
 }
 
 // Guards against a report that is made before the counts that other daemons know of a
--- a/coordination/accounting/snapshot_test.go
+++ b/coordination/accounting/snapshot_test.go
@@ -41,13 +41,13 @@
 				reader.Load(encodeAndDecode(t, ledgers[i].TakeSnapshot(at)))
 			}
 		}
-		for _, b := range ledgers {
-			reader.Load(encodeAndDecode(t, b.TakeSnapshot(at)))
+		for _, ledger := range ledgers {
+			reader.Load(encodeAndDecode(t, ledger.TakeSnapshot(at)))
 		}
 		is.Equal(reader.Sum(window), started)
-		again := accounting.NewLedger("again", timing)
-		again.Load(encodeAndDecode(t, reader.TakeSnapshot(at)))
-		is.Equal(again.Sum(window), started)
+		reloaded := accounting.NewLedger("again", timing)
+		reloaded.Load(encodeAndDecode(t, reader.TakeSnapshot(at)))
+		is.Equal(reloaded.Sum(window), started)
 	})
 }
 
@@ -68,12 +68,12 @@
 func TestOnlyOpenWindowsAreSaved(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1_000_000, 0)
-	b := accounting.NewLedger("a", timing)
+	ledger := accounting.NewLedger("a", timing)
 	for _, ago := range []time.Duration{25 * time.Second, 10 * time.Second, 5 * time.Second, 0} {
-		b.RecordStart(at.Add(-ago), "x")
+		ledger.RecordStart(at.Add(-ago), "x")
 	}
-	b.MarkReported(b.WindowAt(at.Add(-10 * time.Second)))
-	s := b.TakeSnapshot(at)
+	ledger.MarkReported(ledger.WindowAt(at.Add(-10 * time.Second)))
+	s := ledger.TakeSnapshot(at)
 	is.Equal(len(s.Daemons), 1)
 	is.Equal(len(s.Daemons[0].Windows), 2)
 }
--- a/coordination/feed/feed_test.go
+++ b/coordination/feed/feed_test.go
@@ -89,10 +89,10 @@
 				watchedThrough[i] = len(s.changes)
 			case 3:
 				// The list is read after the revision from which the watch continues.
-				at, from := s.revision, len(s.changes)
+				listRevision, changesBeforeList := s.revision, len(s.changes)
 				s.write(fmt.Sprint("k", rapid.IntRange(0, 8).Draw(t, "between")), rapid.Bool().Draw(t, "ends"))
-				l.Reset(s.list(), at)
-				watchedThrough[i] = from
+				l.Reset(s.list(), listRevision)
+				watchedThrough[i] = changesBeforeList
 			case 4:
 				if p, ok := l.Since(f.completeThrough, rapid.IntRange(1, 200).Draw(t, "bytes")); ok {
 					f.apply(p)
--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -28,22 +28,22 @@
 // listCandidates returns the offers as candidates. A pool in backoff can hold at most its
 // current VMs.
 func (p *Planner) listCandidates(now time.Duration, offers []Offer, have map[Pool]int) candidates {
-	index := map[ident.FailureDomain]int{}
-	list := make([]candidate, 0, len(offers))
+	domainIndexes := map[ident.FailureDomain]int{}
+	sorted := make([]candidate, 0, len(offers))
 	for _, o := range offers {
-		if _, ok := index[o.FailureDomain]; !ok {
-			index[o.FailureDomain] = len(index)
+		if _, ok := domainIndexes[o.FailureDomain]; !ok {
+			domainIndexes[o.FailureDomain] = len(domainIndexes)
 		}
-		c := candidate{Offer: o, expectedPrice: p.expectedPrice(o), maxVMs: unlimited, domainIndex: index[o.FailureDomain]}
+		c := candidate{Offer: o, expectedPrice: p.expectedPrice(o), maxVMs: unlimited, domainIndex: domainIndexes[o.FailureDomain]}
 		if s, ok := p.pools[o.Pool]; ok && now < s.backoffUntil {
 			c.maxVMs = have[o.Pool]
 		}
-		list = append(list, c)
+		sorted = append(sorted, c)
 	}
-	slices.SortStableFunc(list, func(a, b candidate) int {
+	slices.SortStableFunc(sorted, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.expectedPrice, b.expectedPrice), cmp.Compare(a.FailureDomain, b.FailureDomain), cmp.Compare(a.Class, b.Class))
 	})
-	return candidates{sortedOffers: list, domainCount: len(index)}
+	return candidates{sortedOffers: sorted, domainCount: len(domainIndexes)}
 }
 
 // allocation is a tentative number of VMs for each offer. One allocation is reused for all
@@ -60,8 +60,8 @@
 	maxCost       float64
 }
 
-func newAllocation(c candidates, w Target) *allocation {
-	return &allocation{candidates: c, counts: make([]int, len(c.sortedOffers)), vmsByDomain: make([]int, c.domainCount), atRisk: make([]int, c.domainCount), target: w, maxCost: w.MaxCostPerHour}
+func newAllocation(c candidates, target Target) *allocation {
+	return &allocation{candidates: c, counts: make([]int, len(c.sortedOffers)), vmsByDomain: make([]int, c.domainCount), atRisk: make([]int, c.domainCount), target: target, maxCost: target.MaxCostPerHour}
 }
 
 // allocate places total VMs in the cheapest candidates, after giving each failure domain
@@ -125,21 +125,21 @@
 
 // cheapestPlan returns the plan of least expected cost, and the number of runners of the
 // target that the pools and the cost limit don't allow.
-func cheapestPlan(w Target, c candidates) (map[Pool]int, int) {
-	f := newAllocation(c, w)
-	if !w.SurviveLoss {
-		f.allocate(w.Runners, w.Runners)
-		return f.plan(), w.Runners - f.allocated
+func cheapestPlan(target Target, c candidates) (map[Pool]int, int) {
+	f := newAllocation(c, target)
+	if !target.SurviveLoss {
+		f.allocate(target.Runners, target.Runners)
+		return f.plan(), target.Runners - f.allocated
 	}
 	bestMaxAtRisk, bestCost := 0, 0.0
-	minAtRisk := minInFullestDomain(w.Runners, c.domainCount)
-	if w.ReclaimsOnly {
+	minAtRisk := minInFullestDomain(target.Runners, c.domainCount)
+	if target.ReclaimsOnly {
 		minAtRisk = 0
 	}
 	found := false
-	for maxAtRisk := minAtRisk; maxAtRisk <= w.Runners; maxAtRisk++ {
-		f.allocate(w.Runners+maxAtRisk, maxAtRisk)
-		if f.allocated-slices.Max(f.atRisk) < w.Runners {
+	for maxAtRisk := minAtRisk; maxAtRisk <= target.Runners; maxAtRisk++ {
+		f.allocate(target.Runners+maxAtRisk, maxAtRisk)
+		if f.allocated-slices.Max(f.atRisk) < target.Runners {
 			continue
 		}
 		if !found || f.expectedPrice < bestCost {
@@ -147,9 +147,9 @@
 		}
 	}
 	if !found {
-		return f.degradedPlan(w)
+		return f.degradedPlan(target)
 	}
-	f.allocate(w.Runners+bestMaxAtRisk, bestMaxAtRisk)
+	f.allocate(target.Runners+bestMaxAtRisk, bestMaxAtRisk)
 	return f.plan(), 0
 }
 
@@ -166,15 +166,15 @@
 // degradedPlan is used if the pools or the cost limit don't allow enough VMs to survive the
 // loss of a failure domain. It gives up the spare VMs for such a loss before runners that
 // must serve now.
-func (f *allocation) degradedPlan(w Target) (map[Pool]int, int) {
-	vmsPerDomain := (w.Runners + f.domainCount - 1) / max(f.domainCount, 1)
+func (f *allocation) degradedPlan(target Target) (map[Pool]int, int) {
+	evenVMsPerDomain := (target.Runners + f.domainCount - 1) / max(f.domainCount, 1)
 	bestMaxAtRisk, bestAllocated, bestCost := 0, -1, 0.0
-	for maxAtRisk := max(vmsPerDomain, 1); maxAtRisk <= w.Runners+vmsPerDomain; maxAtRisk++ {
-		f.allocate(w.Runners+vmsPerDomain, maxAtRisk)
+	for maxAtRisk := max(evenVMsPerDomain, 1); maxAtRisk <= target.Runners+evenVMsPerDomain; maxAtRisk++ {
+		f.allocate(target.Runners+evenVMsPerDomain, maxAtRisk)
 		if f.allocated > bestAllocated || f.allocated == bestAllocated && f.expectedPrice < bestCost {
 			bestMaxAtRisk, bestAllocated, bestCost = maxAtRisk, f.allocated, f.expectedPrice
 		}
 	}
-	f.allocate(w.Runners+vmsPerDomain, bestMaxAtRisk)
-	return f.plan(), max(w.Runners-bestAllocated, 0)
+	f.allocate(target.Runners+evenVMsPerDomain, bestMaxAtRisk)
+	return f.plan(), max(target.Runners-bestAllocated, 0)
 }
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -61,12 +61,12 @@
 // requiredStarts returns the first starts that are enough to meet the target together with
 // all current VMs, including those in pools that the plan would not choose.
 func (t *planningRound) requiredStarts(starts []Start) []Start {
-	counts := t.domainTotals(t.current)
+	totals := t.domainTotals(t.current)
 	for i, s := range starts {
-		if counts.meets(t.target) {
+		if totals.meets(t.target) {
 			return starts[:i]
 		}
-		counts.add(s.Pool, 1)
+		totals.add(s.Pool, 1)
 	}
 	return starts
 }
@@ -239,18 +239,18 @@
 
 // meets reports whether the VMs meet the target w. If the target must survive the loss of
 // a failure domain, the domain with the most VMs at risk is assumed to be lost.
-func (s *domainTotals) meets(w Target) bool {
+func (s *domainTotals) meets(target Target) bool {
 	for _, n := range s.domains {
-		if n < w.MinPerDomain {
+		if n < target.MinPerDomain {
 			return false
 		}
 	}
-	if !w.SurviveLoss {
-		return s.total >= w.Runners
+	if !target.SurviveLoss {
+		return s.total >= target.Runners
 	}
 	maxLoss := 0
 	for _, n := range s.atRisk {
 		maxLoss = max(maxLoss, n)
 	}
-	return s.total-maxLoss >= w.Runners
+	return s.total-maxLoss >= target.Runners
 }
--- a/coordination/fleet/demand_test.go
+++ b/coordination/fleet/demand_test.go
@@ -32,8 +32,8 @@
 func (l *load) run(span time.Duration, tokensPerSecond float64, requests int) fleet.Estimate {
 	l.work.Requests = requests
 	for end := l.now + span; l.now < end; l.now += sampleEvery {
-		for left := tokensPerSecond * sampleEvery.Seconds() / l.meanPrompt; left > 0; left-- {
-			if l.rng.Float64() < left {
+		for expectedPrompts := tokensPerSecond * sampleEvery.Seconds() / l.meanPrompt; expectedPrompts > 0; expectedPrompts-- {
+			if l.rng.Float64() < expectedPrompts {
 				l.work.PromptTokens += 2 * l.meanPrompt * l.rng.Float64()
 			}
 		}
@@ -48,9 +48,9 @@
 	is := is.New(t)
 	l := newLoad(true)
 	is.Equal(l.run(5*time.Second, 0, 0).Runners, 6) // no load has been measured yet
-	calm := l.run(30*time.Second, 70_000, 20)
-	is.True(calm.Runners >= 2 && calm.Runners <= 3) // 1.4 runners are kept busy
-	is.True(calm.Comfortable >= calm.Runners)
+	steady := l.run(30*time.Second, 70_000, 20)
+	is.True(steady.Runners >= 2 && steady.Runners <= 3) // 1.4 runners are kept busy
+	is.True(steady.Comfortable >= steady.Runners)
 	is.True(l.run(4*time.Second, 250_000, 60).Runners >= 5)
 	is.True(l.run(2*time.Second, 70_000, 20).Runners >= 5)
 	is.True(l.run(40*time.Second, 70_000, 20).Runners <= 3)
@@ -61,12 +61,12 @@
 // prompts, and longer prompts make the work more uneven.
 func TestHeadroomFollowsVarianceNotSize(t *testing.T) {
 	is := is.New(t)
-	headroom := func(perSecond, meanPrompt float64, wait time.Duration) float64 {
+	headroom := func(tokensPerSecond, meanPrompt float64, wait time.Duration) float64 {
 		l := newLoad(false)
 		l.meanPrompt, l.work.MaxPromptWait = meanPrompt, wait
 		sum := 0.0
 		for range 40 {
-			e := l.run(2*time.Second, perSecond, 20)
+			e := l.run(2*time.Second, tokensPerSecond, 20)
 			sum += e.Deviation / e.Busy
 		}
 		return sum / 40
@@ -98,8 +98,8 @@
 	is := is.New(t)
 	l := newLoad(false)
 	l.meanPrompt = 100
-	for _, perSecond := range []float64{325_000, 3_250_000} {
-		e := l.run(30*time.Second, perSecond, 100)
+	for _, tokensPerSecond := range []float64{325_000, 3_250_000} {
+		e := l.run(30*time.Second, tokensPerSecond, 100)
 		is.True(e.Deviation < 0.1*e.Busy)
 		is.True(float64(e.Runners) >= 1.4*e.Busy)
 	}
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -221,11 +221,11 @@
 }
 
 // Decide compares the VMs with the cheapest plan and returns the changes to make now.
-func (p *Planner) Decide(now time.Duration, w Target, offers []Offer, vms []VM) Decision {
+func (p *Planner) Decide(now time.Duration, target Target, offers []Offer, vms []VM) Decision {
 	current := countByPool(vms)
-	plan, shortfall := cheapestPlan(w, p.listCandidates(now, offers, current))
+	plan, shortfall := cheapestPlan(target, p.listCandidates(now, offers, current))
 	d := Decision{Shortfall: shortfall, CostPerHour: cost(plan, offers)}
-	r := planningRound{p: p, now: now, target: w, offers: offers, vms: vms, current: current, plan: plan}
+	r := planningRound{p: p, now: now, target: target, offers: offers, vms: vms, current: current, plan: plan}
 	r.planChanges(&d)
 	return d
 }
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -52,12 +52,12 @@
 				p.RecordRefusal(0, o.Pool)
 			}
 		}
-		w := fleet.Target{Runners: rapid.IntRange(1, 20).Draw(rt, "runners"), SurviveLoss: true}
-		d := p.Decide(time.Second, w, offers, nil)
+		target := fleet.Target{Runners: rapid.IntRange(1, 20).Draw(rt, "runners"), SurviveLoss: true}
+		d := p.Decide(time.Second, target, offers, nil)
 		vms := applyStarts(d, nil)
 		for _, lost := range domains {
-			if remaining(vms, lost) < w.Runners {
-				rt.Fatalf("%d runners remain of %d after the loss of %s", remaining(vms, lost), w.Runners, lost)
+			if remaining(vms, lost) < target.Runners {
+				rt.Fatalf("%d runners remain of %d after the loss of %s", remaining(vms, lost), target.Runners, lost)
 			}
 		}
 	})
@@ -83,11 +83,11 @@
 	spot, onDemand := offer("a", "spot", 1, true), offer("a", "on-demand", 3, false)
 	offers := []fleet.Offer{spot, onDemand}
 	p := fleet.New(fleet.DefaultLimits())
-	w := fleet.Target{Runners: 1}
-	is.Equal(p.Decide(0, w, offers, nil).Starts[0].Pool, spot.Pool)
+	target := fleet.Target{Runners: 1}
+	is.Equal(p.Decide(0, target, offers, nil).Starts[0].Pool, spot.Pool)
 	p.RecordRefusal(0, spot.Pool)
-	is.Equal(p.Decide(time.Second, w, offers, nil).Starts[0].Pool, onDemand.Pool)
-	is.Equal(p.Decide(time.Minute, w, offers, nil).Starts[0].Pool, spot.Pool)
+	is.Equal(p.Decide(time.Second, target, offers, nil).Starts[0].Pool, onDemand.Pool)
+	is.Equal(p.Decide(time.Minute, target, offers, nil).Starts[0].Pool, spot.Pool)
 }
 
 // Prices change every minute. Without SurplusHold the fleet would be rebuilt each time, and
@@ -95,7 +95,7 @@
 func TestSwingingPricesDoNotMoveTheFleet(t *testing.T) {
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
-	w := fleet.Target{Runners: 4}
+	target := fleet.Target{Runners: 4}
 	var vms []fleet.VM
 	starts, stops := 0, 0
 	for minute := range 120 {
@@ -103,7 +103,7 @@
 		if minute%2 == 1 {
 			a, b = b, a
 		}
-		d := p.Decide(time.Duration(minute)*time.Minute, w, []fleet.Offer{offer("a", "spot", a, true), offer("b", "spot", b, true)}, vms)
+		d := p.Decide(time.Duration(minute)*time.Minute, target, []fleet.Offer{offer("a", "spot", a, true), offer("b", "spot", b, true)}, vms)
 		vms = applyStarts(d, vms)
 		starts += len(d.Starts)
 		stops += len(d.Stops)
@@ -122,14 +122,14 @@
 		{ID: "old", Pool: offers[1].Pool},
 		{ID: "new", Pool: offers[0].Pool, Starting: true},
 	}
-	w := fleet.Target{Runners: 1}
+	target := fleet.Target{Runners: 1}
 	for minute := range 20 {
-		is.Equal(len(p.Decide(time.Duration(minute)*time.Minute, w, offers, vms).Stops), 0)
+		is.Equal(len(p.Decide(time.Duration(minute)*time.Minute, target, offers, vms).Stops), 0)
 	}
 	vms[1].Starting = false
 	var stops []string
 	for minute := range 10 {
-		stops = append(stops, p.Decide(time.Duration(20+minute)*time.Minute, w, offers, vms).Stops...)
+		stops = append(stops, p.Decide(time.Duration(20+minute)*time.Minute, target, offers, vms).Stops...)
 	}
 	is.Equal(stops[0], "old")
 }
@@ -138,10 +138,10 @@
 	is := is.New(t)
 	p := fleet.New(fleet.DefaultLimits())
 	risky, stable := offer("a", "spot", 1, true), offer("b", "spot", 1.05, true)
-	w := fleet.Target{Runners: 1}
-	is.Equal(p.Decide(0, w, []fleet.Offer{risky, stable}, nil).Starts[0].Pool, risky.Pool)
+	target := fleet.Target{Runners: 1}
+	is.Equal(p.Decide(0, target, []fleet.Offer{risky, stable}, nil).Starts[0].Pool, risky.Pool)
 	p.RecordReclaims(0, risky.Pool, 10)
-	is.Equal(p.Decide(0, w, []fleet.Offer{risky, stable}, nil).Starts[0].Pool, stable.Pool)
+	is.Equal(p.Decide(0, target, []fleet.Offer{risky, stable}, nil).Starts[0].Pool, stable.Pool)
 }
 
 func TestCostLimitCutsSpareVMsBeforeRunners(t *testing.T) {
@@ -170,10 +170,10 @@
 		}
 	}
 	p := fleet.New(fleet.DefaultLimits())
-	w := fleet.Target{Runners: 12, SurviveLoss: true}
+	target := fleet.Target{Runners: 12, SurviveLoss: true}
 	stopped := map[string]bool{}
 	for minute := range 30 {
-		d := p.Decide(time.Duration(minute)*time.Minute, w, offers, vms)
+		d := p.Decide(time.Duration(minute)*time.Minute, target, offers, vms)
 		is.Equal(len(d.Starts), 0)
 		for _, id := range d.Stops {
 			stopped[id] = true
@@ -193,9 +193,9 @@
 	p := fleet.New(fleet.DefaultLimits())
 	offers := []fleet.Offer{offer("a", "spot", 1, true), offer("b", "spot", 1, true)}
 	vms := applyStarts(p.Decide(0, fleet.Target{Runners: 8}, offers, nil), nil)
-	w := fleet.Target{Runners: 8, MaxCostPerHour: 5}
-	p.Decide(time.Minute, w, offers, vms)
-	is.Equal(len(p.Decide(10*time.Minute, w, offers, vms).Stops), 3)
+	target := fleet.Target{Runners: 8, MaxCostPerHour: 5}
+	p.Decide(time.Minute, target, offers, vms)
+	is.Equal(len(p.Decide(10*time.Minute, target, offers, vms).Stops), 3)
 }
 
 // Four starts refused in one round have one cause. If they counted as four refusals, the
@@ -218,11 +218,11 @@
 		d := ident.FailureDomain(fmt.Sprintf("fd%d", i))
 		offers = append(offers, offer(d, "spot", 1+float64(i)/100, true), offer(d, "on-demand", 3, false))
 	}
-	w := fleet.Target{Runners: runners, SurviveLoss: true}
-	vms := applyStarts(fleet.New(fleet.DefaultLimits()).Decide(0, w, offers, nil), nil)
+	target := fleet.Target{Runners: runners, SurviveLoss: true}
+	vms := applyStarts(fleet.New(fleet.DefaultLimits()).Decide(0, target, offers, nil), nil)
 	p := fleet.New(fleet.DefaultLimits())
 	for b.Loop() {
-		p.Decide(time.Second, w, offers, vms)
+		p.Decide(time.Second, target, offers, vms)
 	}
 }
 
@@ -242,9 +242,9 @@
 	limits := fleet.DefaultLimits()
 	limits.SurplusHold = 0
 	p := fleet.New(limits)
-	w := fleet.Target{Runners: 10, MaxPerDomain: 10}
+	target := fleet.Target{Runners: 10, MaxPerDomain: 10}
 	for range 2 {
-		d := p.Decide(time.Second, w, offers, vms)
+		d := p.Decide(time.Second, target, offers, vms)
 		is.Equal(len(d.Starts), 0)
 		is.Equal(len(d.Stops), 10)
 	}
@@ -261,12 +261,12 @@
 	for _, domain := range []ident.FailureDomain{"a", "b"} {
 		p.RecordRefusal(0, fleet.Pool{FailureDomain: domain, Class: "spot"})
 	}
-	w := fleet.Target{Runners: 2}
-	for _, s := range p.Decide(time.Second, w, offers, nil).Starts {
+	target := fleet.Target{Runners: 2}
+	for _, s := range p.Decide(time.Second, target, offers, nil).Starts {
 		is.Equal(s.Pool.Class, "on-demand")
 	}
 	p.ResetBackoff()
-	for _, s := range p.Decide(time.Second, w, offers, nil).Starts {
+	for _, s := range p.Decide(time.Second, target, offers, nil).Starts {
 		is.Equal(s.Pool.Class, "spot")
 	}
 }
--- a/coordination/fleet/orders_test.go
+++ b/coordination/fleet/orders_test.go
@@ -58,8 +58,8 @@
 		offers = append(offers, offer(d, "spot", 0.2, true), offer(d, "on-demand", 1, false))
 	}
 	for runners := 1; runners < 20; runners++ {
-		w := fleet.Target{Runners: runners, SurviveLoss: true, MinPerDomain: 1, MaxPerDomain: 4}
-		d := fleet.New(fleet.DefaultLimits()).Decide(0, w, offers, nil)
+		target := fleet.Target{Runners: runners, SurviveLoss: true, MinPerDomain: 1, MaxPerDomain: 4}
+		d := fleet.New(fleet.DefaultLimits()).Decide(0, target, offers, nil)
 		inDomain := map[ident.FailureDomain]int{}
 		for _, s := range d.Starts {
 			inDomain[s.Pool.FailureDomain]++
@@ -112,8 +112,8 @@
 				p.RecordRefusal(0, fleet.Pool{FailureDomain: d, Class: "spot"})
 			}
 		}
-		w := fleet.Target{Runners: rapid.IntRange(1, 16).Draw(t, "runners"), SurviveLoss: true, ReclaimsOnly: true}
-		d := p.Decide(time.Second, w, offers, vms)
+		target := fleet.Target{Runners: rapid.IntRange(1, 16).Draw(t, "runners"), SurviveLoss: true, ReclaimsOnly: true}
+		d := p.Decide(time.Second, target, offers, vms)
 		vms = applyStarts(d, vms)
 		for _, lost := range domains {
 			remaining, onDemand := 0, 0
@@ -125,11 +125,11 @@
 					remaining++
 				}
 			}
-			if remaining < w.Runners {
-				t.Fatalf("%d runners remain of %d after a reclaim in %s", remaining, w.Runners, lost)
+			if remaining < target.Runners {
+				t.Fatalf("%d runners remain of %d after a reclaim in %s", remaining, target.Runners, lost)
 			}
-			if onDemand > w.Runners {
-				t.Fatalf("%d on-demand VMs for %d runners", onDemand, w.Runners)
+			if onDemand > target.Runners {
+				t.Fatalf("%d on-demand VMs for %d runners", onDemand, target.Runners)
 			}
 		}
 	})
--- a/coordination/freshness/freshness.go
+++ b/coordination/freshness/freshness.go
@@ -61,13 +61,13 @@
 
 // Receive applies a peer's statement. It reports whether the peer has a newer configuration
 // than this daemon.
-func (t *Tracker) Receive(w Statement) bool {
-	if w.Revision > t.revision {
+func (t *Tracker) Receive(statement Statement) bool {
+	if statement.Revision > t.revision {
 		return true
 	}
 	// A peer with an older configuration proves nothing about this daemon's.
-	if w.Proved && w.Revision == t.revision {
-		t.provedAt = max(t.provedAt, w.Echo-w.Lag)
+	if statement.Proved && statement.Revision == t.revision {
+		t.provedAt = max(t.provedAt, statement.Echo-statement.Lag)
 	}
 	return false
 }
@@ -83,14 +83,14 @@
 // StatementFor returns the statement for the peer whose last stamp is s; s is nil if none
 // was received.
 func (t *Tracker) StatementFor(s *Stamp) Statement {
-	w := Statement{Revision: t.revision}
+	statement := Statement{Revision: t.revision}
 	if s == nil || t.provedAt == Never {
-		return w
+		return statement
 	}
-	w.Proved = true
-	w.Echo = s.Sent
-	w.Lag = max(0, s.Received-t.provedAt)
-	return w
+	statement.Proved = true
+	statement.Echo = s.Sent
+	statement.Lag = max(0, s.Received-t.provedAt)
+	return statement
 }
 
 // Age returns how long ago the configuration was last proved to be the newest one. Without
--- a/coordination/freshness/freshness_test.go
+++ b/coordination/freshness/freshness_test.go
@@ -97,9 +97,9 @@
 				if age > time.Hour {
 					continue
 				}
-				next := int(trackers[i].Revision()) + 1
-				if next < len(changedAt) && changedAt[next] < now-age {
-					t.Fatalf("daemon %d at %v considers revision %d proved %v ago, but revision %d was created at %v", i, now, next-1, age, next, changedAt[next])
+				nextRevision := int(trackers[i].Revision()) + 1
+				if nextRevision < len(changedAt) && changedAt[nextRevision] < now-age {
+					t.Fatalf("daemon %d at %v considers revision %d proved %v ago, but revision %d was created at %v", i, now, nextRevision-1, age, nextRevision, changedAt[nextRevision])
 				}
 			}
 		}
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -190,14 +190,14 @@
 
 // Members returns all daemons that are not gone, including this one, sorted by ID.
 func (t *Table) Members() []Member {
-	all := make([]Member, 0, len(t.sortedKeys))
+	members := make([]Member, 0, len(t.sortedKeys))
 	for _, key := range t.sortedMemberKeys() {
 		m := t.log.records[key].member
 		if m.State != view.Gone {
-			all = append(all, *m)
+			members = append(members, *m)
 		}
 	}
-	return all
+	return members
 }
 
 // sortedMemberKeys returns the keys of the daemons' records sorted by ID. The result is
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -275,9 +275,9 @@
 			ended = append(ended, id)
 		}
 	}
-	for by, r := range t.rosters {
+	for relay, r := range t.rosters {
 		if now-r.receivedAt > RosterTTL {
-			delete(t.rosters, by)
+			delete(t.rosters, relay)
 		}
 	}
 	for address, at := range t.addressLearnedAt {
@@ -334,8 +334,8 @@
 // inRosters returns the daemons in valid rosters of relays that are heard.
 func (t *Table) inRosters(now time.Duration) map[ident.Incarnation]bool {
 	inRosters := map[ident.Incarnation]bool{}
-	for by, r := range t.rosters {
-		if !t.HeardRecently(now, by) || now-r.receivedAt > RosterTTL {
+	for relay, r := range t.rosters {
+		if !t.HeardRecently(now, relay) || now-r.receivedAt > RosterTTL {
 			continue
 		}
 		for id := range r.rows {
--- a/coordination/peers/peers_test.go
+++ b/coordination/peers/peers_test.go
@@ -53,8 +53,8 @@
 	leaving := member("b", "1")
 	leaving.Phase = peers.Draining
 	table.Receive(0, leaving, 7)
-	fresh, _ := table.Receive(0, member("b", "1"), 6)
-	is.True(!fresh)
+	isNew, _ := table.Receive(0, member("b", "1"), 6)
+	is.True(!isNew)
 	is.Equal(liveIDs(table, 0), []string{"a"})
 	table.SetPhase(peers.Draining)
 	table.SetPhase(peers.Ready)
@@ -127,8 +127,8 @@
 	table := peers.New(member("a", "1"))
 	table.Receive(0, member("r", "1"), 1)
 	table.ReceiveRoster(0, "r~1", rows("b"), 3, 2)
-	fresh, _ := table.Receive(0, member("b", "1"), 5)
-	is.True(fresh)
+	isNew, _ := table.Receive(0, member("b", "1"), 5)
+	is.True(isNew)
 }
 
 // Guards against a daemon that keeps following a daemon that has ended, because an old
@@ -141,9 +141,9 @@
 	table.Receive(0, member("b", "2"), 1)
 	table.ReceiveRoster(0, "r~1", rows("b"), 3, 2)
 	is.Equal(len(table.Alive(0)), 2) // r and the second incarnation of b
-	later := member("b", "3")
-	later.Started = 5
-	table.ReceiveRoster(peers.AliveFor+1, "r~1", []peers.Row{{Member: later, Seq: 1}}, 3, 2)
+	newest := member("b", "3")
+	newest.Started = 5
+	table.ReceiveRoster(peers.AliveFor+1, "r~1", []peers.Row{{Member: newest, Seq: 1}}, 3, 2)
 	table.Receive(peers.AliveFor+1, member("r", "1"), 2)
 	table.ReceiveRoster(peers.AliveFor+1, "r~1", rows("b"), 3, 2)
 	for _, m := range table.Alive(peers.AliveFor + 1) {
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -82,7 +82,7 @@
 	for _, cost := range []float64{2000, 10_000, 20_000} {
 		l := quota.New(0, window, tolerance, true)
 		l.SetLimits(0, limits(perSecond, burst))
-		var slots []float64
+		var takenPerStep []float64
 		for now := time.Duration(0); now < 24*time.Second; now += step {
 			if now == killed {
 				l = quota.New(now, window, tolerance, false)
@@ -94,9 +94,9 @@
 					taken += cost
 				}
 			}
-			slots = append(slots, taken)
+			takenPerStep = append(takenPerStep, taken)
 			sum := 0.0
-			for _, s := range slots[max(0, len(slots)-int(window/step)):] {
+			for _, s := range takenPerStep[max(0, len(takenPerStep)-int(window/step)):] {
 				sum += s
 			}
 			is.True(sum <= toleratedPerWindow)
@@ -181,14 +181,14 @@
 		cost float64
 	}
 	var grants []taken
-	perDaemon := 1 + int(f.rateMultiple*perSecond*step.Seconds()/f.cost/float64(f.daemons))
+	requestsPerDaemon := 1 + int(f.rateMultiple*perSecond*step.Seconds()/f.cost/float64(f.daemons))
 	for simulation.now = 0; simulation.now < 20*time.Second; simulation.now += step {
 		for i := range f.disconnected {
 			simulation.disconnected[i] = simulation.now >= f.disconnectFrom && simulation.now < f.disconnectFrom+f.disconnectFor
 		}
 		simulation.exchangeStates()
 		for _, m := range simulation.members {
-			for range perDaemon {
+			for range requestsPerDaemon {
 				if _, ok := m.Take(simulation.now, ws, f.cost); ok {
 					grants = append(grants, taken{simulation.now, f.cost})
 				}
@@ -266,7 +266,7 @@
 	for _, n := range []int{2, 5, 12, 33} {
 		for _, rateMultiple := range []float64{1.2, 3, 6, 12} {
 			f := newFleet(n, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
-			var slots []float64
+			var takenPerStep []float64
 			worstWindow := 0.0
 			for f.now = 0; f.now < 24*time.Second; f.now += step {
 				taken := 0.0
@@ -286,9 +286,9 @@
 						taken += cost
 					}
 				}
-				slots = append(slots, taken)
+				takenPerStep = append(takenPerStep, taken)
 				sum := 0.0
-				for _, s := range slots[max(0, len(slots)-int(window/step)):] {
+				for _, s := range takenPerStep[max(0, len(takenPerStep)-int(window/step)):] {
 					sum += s
 				}
 				worstWindow = max(worstWindow, sum)
@@ -305,11 +305,11 @@
 		const step = 100 * time.Millisecond
 		n := rapid.IntRange(1, 6).Draw(t, "daemons")
 		f := newFleet(n, 1000, 1000, quota.Tolerance{})
-		use := rapid.Float64Range(0.1, 0.55).Draw(t, "use")
+		useFraction := rapid.Float64Range(0.1, 0.55).Draw(t, "use")
 		for f.now = time.Second; f.now < 20*time.Second; f.now += step {
 			f.exchangeStates()
 			m := f.members[rapid.IntRange(0, n-1).Draw(t, "daemon")]
-			if wait, ok := m.Take(f.now, ws, 1000*use*step.Seconds()); !ok {
+			if wait, ok := m.Take(f.now, ws, 1000*useFraction*step.Seconds()); !ok {
 				t.Fatalf("request refused at %v, retry after %v", f.now, wait)
 			}
 		}
@@ -332,10 +332,10 @@
 		cost             = 6000
 	)
 	f := newFleet(daemons, perSecond, burst, quota.Tolerance{Overage: overage, Slack: slack})
-	var slots []float64
+	var takenPerStep []float64
 	usageOver := func(span time.Duration) float64 {
 		sum := 0.0
-		for _, s := range slots[max(0, len(slots)-int(span/step)):] {
+		for _, s := range takenPerStep[max(0, len(takenPerStep)-int(span/step)):] {
 			sum += s
 		}
 		return sum
@@ -351,7 +351,7 @@
 				taken += cost
 			}
 		}
-		slots = append(slots, taken)
+		takenPerStep = append(takenPerStep, taken)
 		worstWindow = max(worstWindow, usageOver(window))
 		if f.now > 4*time.Second {
 			worstSecond = max(worstSecond, usageOver(time.Second))
@@ -368,9 +368,9 @@
 func TestConcentratedUseInALargeFleetIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	const step = 100 * time.Millisecond
-	for _, use := range []float64{0.2, 0.5, 0.9} {
+	for _, useFraction := range []float64{0.2, 0.5, 0.9} {
 		f := newFleet(33, 1000, 1000, quota.Tolerance{})
-		refused, asked := 0, 0
+		refused, requested := 0, 0
 		for f.now = step; f.now < 20*time.Second; f.now += step {
 			if f.now%(2*step) == 0 {
 				f.exchangeStates()
@@ -378,13 +378,13 @@
 			if f.now < 5*time.Second {
 				continue
 			}
-			asked++
-			if _, ok := f.members[7].Take(f.now, ws, 1000*use*step.Seconds()); !ok {
+			requested++
+			if _, ok := f.members[7].Take(f.now, ws, 1000*useFraction*step.Seconds()); !ok {
 				refused++
 			}
 		}
-		t.Logf("%.1f times the rate: %d of %d requests refused", use, refused, asked)
-		is.True(refused <= asked/50)
+		t.Logf("%.1f times the rate: %d of %d requests refused", useFraction, refused, requested)
+		is.True(refused <= requested/50)
 	}
 }
 
@@ -392,17 +392,17 @@
 // their level instead of starting with a full or an empty bucket.
 func TestNewDaemonSyncsLevel(t *testing.T) {
 	is := is.New(t)
-	old := quota.New(0, window, quota.Tolerance{}, true)
-	old.SetLimits(0, limits(100, 200))
-	_, ok := old.Take(0, ws, 50)
+	olderDaemon := quota.New(0, window, quota.Tolerance{}, true)
+	olderDaemon.SetLimits(0, limits(100, 200))
+	_, ok := olderDaemon.Take(0, ws, 50)
 	is.True(ok)
-	for _, first := range []bool{true, false} {
-		started := quota.New(0, window, quota.Tolerance{}, first)
-		started.SetLimits(0, limits(100, 200))
-		started.ApplyPeerState(0, "old", time.Minute, old.Uses(0))
-		_, ok = started.Take(0, ws, 51)
+	for _, firstStart := range []bool{true, false} {
+		newDaemon := quota.New(0, window, quota.Tolerance{}, firstStart)
+		newDaemon.SetLimits(0, limits(100, 200))
+		newDaemon.ApplyPeerState(0, "old", time.Minute, olderDaemon.Uses(0))
+		_, ok = newDaemon.Take(0, ws, 51)
 		is.True(!ok)
-		_, ok = started.Take(0, ws, 40)
+		_, ok = newDaemon.Take(0, ws, 40)
 		is.True(ok)
 	}
 }
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -82,19 +82,19 @@
 func Elect(v View) Plan {
 	members := append(slices.Clone(v.Alive), v.Self)
 	domains := groupByDomain(members)
-	fleet := max(v.FleetSize, len(members))
+	fleetSize := max(v.FleetSize, len(members))
 	direct := cmp.Or(v.DirectFleet, DirectFleet)
 	p := Plan{
-		RelaysPerDomain: relaysPerDomain(fleet, max(v.DomainCount, len(domains)), direct), DomainCount: len(domains),
-		Direct: fleet <= direct, AllWatch: fleet <= AllWatchFleet,
+		RelaysPerDomain: relaysPerDomain(fleetSize, max(v.DomainCount, len(domains)), direct), DomainCount: len(domains),
+		Direct: fleetSize <= direct, AllWatch: fleetSize <= AllWatchFleet,
 	}
 	var relaysInOwnDomain []peers.Member
-	for domain, inDomain := range domains {
-		oldest := longestRunning(slices.Clone(inDomain), 1)
+	for domain, membersInDomain := range domains {
+		oldest := longestRunning(slices.Clone(membersInDomain), 1)
 		if !p.Direct {
-			inDomain = longestRunning(inDomain, p.RelaysPerDomain)
+			membersInDomain = longestRunning(membersInDomain, p.RelaysPerDomain)
 		}
-		for _, r := range inDomain {
+		for _, r := range membersInDomain {
 			if p.AllWatch || len(oldest) > 0 && r.Incarnation == oldest[0].Incarnation {
 				p.addWatcher(v.Self, r)
 			}
@@ -163,13 +163,13 @@
 // chooseRelays returns the relays that the daemon self follows. It distributes the
 // followers by rendezvous hashing: each follower takes the relays with the highest hash of
 // both IDs, so that the end of a relay moves only its own followers.
-func chooseRelays(self ident.DaemonID, relays []peers.Member) []peers.Member {
+func chooseRelays(follower ident.DaemonID, relays []peers.Member) []peers.Member {
 	slices.SortFunc(relays, func(a, b peers.Member) int {
-		return cmp.Or(cmp.Compare(rendezvousHash(self, b), rendezvousHash(self, a)), cmp.Compare(a.Incarnation, b.Incarnation))
+		return cmp.Or(cmp.Compare(rendezvousHash(follower, b), rendezvousHash(follower, a)), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	return relays[:min(RelaysPerFollower, len(relays))]
 }
 
-func rendezvousHash(self ident.DaemonID, relay peers.Member) uint64 {
-	return xxhash.Sum64String(string(self) + "\x00" + string(relay.Incarnation))
+func rendezvousHash(follower ident.DaemonID, relay peers.Member) uint64 {
+	return xxhash.Sum64String(string(follower) + "\x00" + string(relay.Incarnation))
 }
--- a/coordination/relays/relays_test.go
+++ b/coordination/relays/relays_test.go
@@ -85,11 +85,11 @@
 func TestDrainingDaemonIsNoRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(60, 6)
-	first := planFor(members, 59).Followed[0]
-	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Incarnation == first.Incarnation })
+	firstRelay := planFor(members, 59).Followed[0]
+	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Incarnation == firstRelay.Incarnation })
 	members[i].Phase = peers.Draining
 	for _, r := range planFor(members, 59).Followed {
-		is.True(r.Incarnation != first.Incarnation)
+		is.True(r.Incarnation != firstRelay.Incarnation)
 	}
 	is.True(!planFor(members, i).Relay)
 }
