--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -61,12 +61,12 @@
 // requiredStarts returns the first starts that are enough to meet the target together with
 // all current VMs, including those in pools that the plan would not choose.
 func (t *planningRound) requiredStarts(starts []Start) []Start {
-	counts := t.domainTotals(t.current)
+	totals := t.domainTotals(t.current)
 	for i, s := range starts {
-		if counts.meets(t.target) {
+		if totals.meets(t.target) {
 			return starts[:i]
 		}
-		counts.add(s.Pool, 1)
+		totals.add(s.Pool, 1)
 	}
 	return starts
 }
@@ -108,9 +108,10 @@
 		return nil
 	}
 	t.p.skipMoveHold = false
-	// VMs that are still starting belong to moves of earlier rounds.
-	room := max(t.p.limits.MaxMoves-countStarting(t.vms), 0)
-	return starts[:min(len(starts), room)]
+	// VMs that are still starting were ordered as moves in earlier rounds and count
+	// towards MaxMoves.
+	movesLeft := max(t.p.limits.MaxMoves-countStarting(t.vms), 0)
+	return starts[:min(len(starts), movesLeft)]
 }
 
 func countStarting(vms []VM) int {
@@ -149,7 +150,7 @@
 // and must not replace one that is stopped. A fleet that costs more than MaxCostPerHour
 // shrinks to the plan even if the target is then missed.
 func (t *planningRound) removableVMIDs() []string {
-	excess := t.excess()
+	excess := t.excessByPool()
 	if len(excess) == 0 {
 		return nil
 	}
@@ -174,15 +175,15 @@
 	return vmIDs
 }
 
-// excess returns by how many VMs each pool exceeds the plan, without pools that don't.
-func (t *planningRound) excess() map[Pool]int {
-	out := map[Pool]int{}
+// excessByPool returns by how many VMs each pool exceeds the plan, without pools that don't.
+func (t *planningRound) excessByPool() map[Pool]int {
+	surplus := map[Pool]int{}
 	for id, n := range t.current {
 		if n > t.plan[id] {
-			out[id] = n - t.plan[id]
+			surplus[id] = n - t.plan[id]
 		}
 	}
-	return out
+	return surplus
 }
 
 func compareVMs(a, b *VM) int {
@@ -236,20 +237,20 @@
 	return s
 }
 
-// meets reports whether the VMs meet the target. If the target must survive a loss, the
-// failure domain with the most VMs at risk is assumed to be lost.
-func (s *domainTotals) meets(w Target) bool {
+// meets reports whether the VMs meet the target w. If the target must survive the loss of
+// a failure domain, the domain with the most VMs at risk is assumed to be lost.
+func (s *domainTotals) meets(target Target) bool {
 	for _, n := range s.domains {
-		if n < w.MinPerDomain {
+		if n < target.MinPerDomain {
 			return false
 		}
 	}
-	if !w.SurviveLoss {
-		return s.total >= w.Runners
+	if !target.SurviveLoss {
+		return s.total >= target.Runners
 	}
 	maxLoss := 0
 	for _, n := range s.atRisk {
 		maxLoss = max(maxLoss, n)
 	}
-	return s.total-maxLoss >= w.Runners
+	return s.total-maxLoss >= target.Runners
 }
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -8,6 +8,10 @@
 // planner tries every m. On-demand VMs count as lost with their failure domain, too, since
 // a failure takes all VMs in it, unless the target only has to survive reclaims.
 //
+// A reclaim is the cloud's taking back of a VM that it offers at a lower price on this
+// condition (a reclaimable VM); on-demand VMs are not reclaimed. A move replaces a running
+// VM by one of a cheaper pool. A surplus is VMs that are not needed to meet the target.
+//
 // A Planner does no I/O and reads no clock. It is not safe for concurrent use.
 package fleet
 
@@ -68,7 +72,8 @@
 	ReclaimCost float64
 	// HazardHalfLife is the half-life with which past reclaims of a pool lose weight.
 	HazardHalfLife time.Duration
-	// SurplusHold is how long a surplus must last before VMs are stopped.
+	// SurplusHold is how long a surplus must last before VMs are stopped, and how long a
+	// cheaper plan must save at least MinMoveSaving before VMs are moved to it.
 	SurplusHold time.Duration
 	// MinMoveSaving is the fraction of the cost that a cheaper plan must save before
 	// running VMs are moved to it.
@@ -106,13 +111,13 @@
 
 // poolState holds the refusals and reclaims recorded for a pool.
 type poolState struct {
-	refusals     int
-	backoffUntil time.Duration
-	// reclaims is the decayed number of reclaims seen, exposure the decayed VM hours in
-	// which they occurred.
-	reclaims  float64
-	exposure  float64
-	decayedAt time.Duration
+	consecutiveRefusals int
+	backoffUntil        time.Duration
+	// reclaims is the number of reclaims recorded for the pool, exposureHours the number
+	// of VM hours in which they occurred. Older ones count less, with HazardHalfLife.
+	reclaims      float64
+	exposureHours float64
+	decayedAt     time.Duration
 }
 
 // Planner plans the VMs of one service.
@@ -150,20 +155,21 @@
 	if now < s.backoffUntil {
 		return
 	}
-	wait := min(p.limits.FirstBackoff<<min(s.refusals, 16), p.limits.MaxBackoff)
-	s.refusals++
-	s.backoffUntil = now + wait
+	backoff := min(p.limits.FirstBackoff<<min(s.consecutiveRefusals, 16), p.limits.MaxBackoff)
+	s.consecutiveRefusals++
+	s.backoffUntil = now + backoff
 }
 
-// RecordStart records that the cloud started a VM in the pool.
-func (p *Planner) RecordStart(id Pool) { p.pool(id).refusals = 0 }
+// RecordStart records that the cloud started a VM in the pool, which ends the count of
+// consecutive refusals.
+func (p *Planner) RecordStart(id Pool) { p.pool(id).consecutiveRefusals = 0 }
 
 // ResetBackoff records that scarce VMs are available again in all pools. Earlier refusals
 // are dropped, and moves to these pools need not wait.
 func (p *Planner) ResetBackoff() {
 	p.skipMoveHold = true
 	for _, s := range p.pools {
-		s.refusals, s.backoffUntil = 0, 0
+		s.consecutiveRefusals, s.backoffUntil = 0, 0
 	}
 }
 
@@ -174,11 +180,11 @@
 	s.reclaims += float64(n)
 }
 
-// RecordExposure records that n VMs of the pool ran for d without a notice.
+// RecordExposure records that n VMs of the pool ran for d without a notice of a reclaim.
 func (p *Planner) RecordExposure(now time.Duration, id Pool, n int, d time.Duration) {
 	s := p.pool(id)
 	p.decay(now, s)
-	s.exposure += float64(n) * d.Hours()
+	s.exposureHours += float64(n) * d.Hours()
 }
 
 func (p *Planner) decay(now time.Duration, s *poolState) {
@@ -188,13 +194,13 @@
 	}
 	factor := decayFactor(float64(elapsed) / float64(p.limits.HazardHalfLife))
 	s.reclaims *= factor
-	s.exposure *= factor
+	s.exposureHours *= factor
 	s.decayedAt = now
 }
 
-// priorExposure, in VM hours, keeps a single reclaim in a new pool from ruling the pool
+// priorExposureHours, in VM hours, keeps a single reclaim in a new pool from ruling the pool
 // out.
-const priorExposure = 20
+const priorExposureHours = 20
 
 // Hazard returns the expected number of reclaims per VM of the pool and hour.
 func (p *Planner) Hazard(id Pool) float64 {
@@ -202,7 +208,7 @@
 	if !ok {
 		return 0
 	}
-	return s.reclaims / (s.exposure + priorExposure)
+	return s.reclaims / (s.exposureHours + priorExposureHours)
 }
 
 // expectedPrice returns the hourly price of a VM of the offer, including the expected cost
@@ -215,11 +221,11 @@
 }
 
 // Decide compares the VMs with the cheapest plan and returns the changes to make now.
-func (p *Planner) Decide(now time.Duration, w Target, offers []Offer, vms []VM) Decision {
+func (p *Planner) Decide(now time.Duration, target Target, offers []Offer, vms []VM) Decision {
 	current := countByPool(vms)
-	plan, shortfall := cheapestPlan(w, p.listCandidates(now, offers, current))
+	plan, shortfall := cheapestPlan(target, p.listCandidates(now, offers, current))
 	d := Decision{Shortfall: shortfall, CostPerHour: cost(plan, offers)}
-	r := planningRound{p: p, now: now, target: w, offers: offers, vms: vms, current: current, plan: plan}
+	r := planningRound{p: p, now: now, target: target, offers: offers, vms: vms, current: current, plan: plan}
 	r.planChanges(&d)
 	return d
 }
--- a/coordination/membership/log.go
+++ b/coordination/membership/log.go
@@ -23,7 +23,7 @@
 	// missedLists counts consecutive VM lists without the VM. It is -1 until the VM has been in
 	// a list that this daemon read.
 	missedLists int
-	// learnedAt is when this daemon first learned of the VM.
+	// learnedAt is when this daemon first learned of the VM from any source.
 	learnedAt time.Time
 }
 
@@ -42,7 +42,8 @@
 
 func newChangeLog() *changeLog { return &changeLog{records: map[string]*record{}} }
 
-// touch moves the record to the end of the log and updates the digest.
+// touch moves the record to the end of the log, as changed by a message of the peer from
+// or, if from is empty, by this daemon, and updates the digest.
 func (l *changeLog) touch(key string, from ident.Incarnation) {
 	r := l.records[key]
 	l.digest ^= r.hash
@@ -57,7 +58,8 @@
 	}
 }
 
-// remove drops a record. Removals are not sent: peers drop their own copies by age.
+// remove drops a record. Removals are not sent: each peer drops its own copy after
+// ForgetAfter.
 func (l *changeLog) remove(key string) {
 	if r, ok := l.records[key]; ok {
 		l.digest ^= r.hash
@@ -66,13 +68,13 @@
 }
 
 func (l *changeLog) compact() {
-	kept := l.entries[:0]
+	current := l.entries[:0]
 	for _, e := range l.entries {
 		if r, ok := l.records[e.key]; ok && r.seq == e.seq {
-			kept = append(kept, e)
+			current = append(current, e)
 		}
 	}
-	l.entries = kept
+	l.entries = current
 }
 
 // changedAfter returns at most limit records that changed after seq, except those whose
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -32,22 +32,25 @@
 	// RelayedAliveFor replaces AliveFor in a large fleet, where messages are less frequent.
 	RelayedAliveFor = 1600 * time.Millisecond
 	// IntroductionTTL is how long a daemon counts as alive that is known only from an
-	// introduction or a registration: the time of two messages there and back. It is short
-	// because after a restart of the whole fleet all registered daemons have ended.
+	// introduction or a registration. In this time two messages can be sent there and
+	// answered. It is short because after a restart of the whole fleet all registered
+	// daemons have ended.
 	IntroductionTTL = time.Second
-	// ReintroduceAfter is how long after an introduction the next one counts.
+	// ReintroduceAfter is the shortest time between two introductions of a daemon that
+	// both count.
 	ReintroduceAfter = 3 * time.Second
-	// ForgetAfter is how long a silent daemon counts as possibly running.
+	// ForgetAfter is how long a daemon counts as possibly running after any source last
+	// mentioned it.
 	ForgetAfter = 30 * time.Second
-	// AddressTTL is how long messages are sent to an address from which none is received.
-	// Parts of a fleet that are cut off from each other have no other way to find each
-	// other again, and such cuts last for minutes.
+	// AddressTTL is how long messages are sent to an address after it was last learned,
+	// e.g. from a message. Parts of a fleet that are cut off from each other have no other
+	// way to find each other again, and such cuts last for minutes.
 	AddressTTL = 10 * time.Minute
 	// RosterTTL is how long a relay's roster is valid. It allows for one lost and one late
 	// roster.
 	RosterTTL = 2500 * time.Millisecond
-	// MaxAddresses is the maximum number of addresses to which messages are sent without
-	// having received one.
+	// MaxAddresses is the maximum number of addresses that a Table keeps; further ones are
+	// ignored.
 	MaxAddresses = 4096
 )
 
@@ -114,16 +117,16 @@
 	rosters map[ident.Incarnation]roster
 	// aliveFor is how long a daemon counts as alive after its last message.
 	aliveFor time.Duration
-	// addresses holds the addresses to send messages to, with the time when each was last
-	// learned. It includes addresses from which no message was received.
-	addresses map[string]time.Duration
+	// addressLearnedAt holds the addresses to send messages to, with the time when each
+	// was last learned. It includes addresses from which no message was received.
+	addressLearnedAt map[string]time.Duration
 }
 
 // New returns a table that contains only this daemon.
 func New(self Member) *Table {
 	return &Table{
 		self: self, entries: map[ident.Incarnation]*entry{}, rosters: map[ident.Incarnation]roster{},
-		addresses: map[string]time.Duration{}, aliveFor: AliveFor,
+		addressLearnedAt: map[string]time.Duration{}, aliveFor: AliveFor,
 	}
 }
 
@@ -145,11 +148,11 @@
 
 // LearnAddress records an address at which a daemon may be listening.
 func (t *Table) LearnAddress(now time.Duration, address string) {
-	_, known := t.addresses[address]
-	if address == "" || address == t.self.PeerAddress || !known && len(t.addresses) >= MaxAddresses {
+	_, known := t.addressLearnedAt[address]
+	if address == "" || address == t.self.PeerAddress || !known && len(t.addressLearnedAt) >= MaxAddresses {
 		return
 	}
-	t.addresses[address] = now
+	t.addressLearnedAt[address] = now
 }
 
 // Receive applies a message of a daemon; seq orders the messages of one incarnation. It
@@ -200,8 +203,8 @@
 }
 
 // Reintroduce records another daemon's introduction of a daemon that this daemon may be
-// unable to reach. It counts for IntroductionTTL, and again if it is repeated after
-// ReintroduceAfter.
+// unable to reach. The introduced daemon counts as alive for IntroductionTTL. An
+// introduction within ReintroduceAfter of the last accepted one is ignored.
 func (t *Table) Reintroduce(now time.Duration, r Row) {
 	e, known := t.entries[r.Incarnation]
 	if known && now-e.lastIntroduced < ReintroduceAfter || t.shouldIgnore(now, r) {
@@ -235,8 +238,9 @@
 
 // hasEnded reports whether a daemon that others mention has ended: another incarnation is
 // heard at its address, or is known to have started there later. This check is needed
-// because a roster may be older than what this daemon knows. A daemon that followed an
-// ended one would get answers from its successor, which is no relay.
+// because a roster may be older than what this daemon knows. If this daemon followed an
+// ended relay, it would get answers from the new incarnation at that address, which is not
+// a relay.
 func (t *Table) hasEnded(now time.Duration, m Member) bool {
 	if m.PeerAddress == t.self.PeerAddress {
 		return true
@@ -271,14 +275,14 @@
 			ended = append(ended, id)
 		}
 	}
-	for by, r := range t.rosters {
+	for relay, r := range t.rosters {
 		if now-r.receivedAt > RosterTTL {
-			delete(t.rosters, by)
+			delete(t.rosters, relay)
 		}
 	}
-	for address, at := range t.addresses {
+	for address, at := range t.addressLearnedAt {
 		if now-at > AddressTTL {
-			delete(t.addresses, address)
+			delete(t.addressLearnedAt, address)
 		}
 	}
 	return ended
@@ -286,8 +290,8 @@
 
 // Addresses returns the addresses to send messages to, sorted.
 func (t *Table) Addresses() []string {
-	list := make([]string, 0, len(t.addresses))
-	for a := range t.addresses {
+	list := make([]string, 0, len(t.addressLearnedAt))
+	for a := range t.addressLearnedAt {
 		list = append(list, a)
 	}
 	slices.Sort(list)
@@ -330,8 +334,8 @@
 // inRosters returns the daemons in valid rosters of relays that are heard.
 func (t *Table) inRosters(now time.Duration) map[ident.Incarnation]bool {
 	inRosters := map[ident.Incarnation]bool{}
-	for by, r := range t.rosters {
-		if !t.HeardRecently(now, by) || now-r.receivedAt > RosterTTL {
+	for relay, r := range t.rosters {
+		if !t.HeardRecently(now, relay) || now-r.receivedAt > RosterTTL {
 			continue
 		}
 		for id := range r.rows {
@@ -341,8 +345,8 @@
 	return inRosters
 }
 
-// HeardRecently reports whether a message of a daemon was received directly within
-// AliveFor.
+// HeardRecently reports whether a message of a daemon was received directly within the
+// time that Table.AliveFor returns.
 func (t *Table) HeardRecently(now time.Duration, id ident.Incarnation) bool {
 	e, known := t.entries[id]
 	return known && now-e.lastHeard <= t.aliveFor
@@ -371,8 +375,9 @@
 	return domainCount
 }
 
-// KnownCount returns the number of daemons that this one knows, including itself: those
-// that are heard or listed, and those that are silent but not yet forgotten.
+// KnownCount returns the number of daemons that this one knows, including itself. It
+// counts daemons that are heard or listed in a roster as well as silent ones that are not
+// forgotten yet.
 func (t *Table) KnownCount() int { return 1 + len(t.entries) }
 
 // FleetSize returns the number of daemons that may be running, including this one: the
@@ -395,7 +400,7 @@
 		known[m.PeerAddress] = true
 	}
 	var list []string
-	for a := range t.addresses {
+	for a := range t.addressLearnedAt {
 		if !known[a] {
 			list = append(list, a)
 		}
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -127,8 +127,8 @@
 	// budget is what may still be taken in the interval that ends at budgetEnds.
 	budget     float64
 	budgetEnds time.Duration
-	// uninformedBudgetUsed is set once uninformedShare was added to the budget, until all
-	// peers that are not silent have been heard again.
+	// uninformedBudgetUsed is set when the budget was raised by uninformedShare, and reset
+	// once all peers that are not silent have been heard again.
 	uninformedBudgetUsed bool
 	// recentUsage is the recent use by this daemon's own requests.
 	recentUsage decayingSum
@@ -151,13 +151,14 @@
 // peerState is what this daemon knows of another daemon.
 type peerState struct {
 	lastHeard time.Duration
-	taken     map[ident.Workspace]float64
+	// taken is Use.Taken of each workspace in the peer's last message.
+	taken map[ident.Workspace]float64
 	// recentUsage is the recent use by the peer's requests.
 	recentUsage map[ident.Workspace]*decayingSum
 	// ownTakenWhenHeard is what bucket.taken was when the peer was last heard.
 	ownTakenWhenHeard map[ident.Workspace]float64
 	// silent is set when the peer has been unheard for SilentAfter. reserved is what has
-	// been set aside for it since then.
+	// been taken out of each of this daemon's buckets for the peer since then.
 	silent   bool
 	reserved map[ident.Workspace]float64
 }
@@ -177,7 +178,8 @@
 	// while this daemon is isolated, i.e. hears no other daemon although it knows of some.
 	// Zero means that this daemon is not isolated.
 	isolationShares int
-	// synced is set once the bucket levels of an older daemon were taken over.
+	// synced is set once this daemon has heard a daemon whose Age was at least syncPeriod
+	// and whose bucket levels it could therefore take over.
 	synced bool
 }
 
@@ -251,9 +253,9 @@
 	}
 	l.refill(now, ws, b)
 	// A request that costs more than the capacity needs a full bucket.
-	need := min(cost, l.capacity(b.limit))
-	if b.level < need {
-		return max(minRetryWait, secondsToDuration((need-b.level)/l.rate(b.limit))), false
+	neededLevel := min(cost, l.capacity(b.limit))
+	if b.level < neededLevel {
+		return max(minRetryWait, secondsToDuration((neededLevel-b.level)/l.rate(b.limit))), false
 	}
 	switch allPeersRecent := l.allPeersRecent(now); {
 	case now < b.budgetEnds:
@@ -265,8 +267,8 @@
 	case !allPeersRecent && !b.uninformedBudgetUsed && l.daemonCount() > 1:
 		b.uninformedBudgetUsed = true
 		uninformedBudget := uninformedShare * b.level / float64(l.daemonCount())
-		if need <= uninformedMaxShares*uninformedBudget {
-			uninformedBudget = max(uninformedBudget, need)
+		if neededLevel <= uninformedMaxShares*uninformedBudget {
+			uninformedBudget = max(uninformedBudget, neededLevel)
 		}
 		b.budget = max(b.budget, uninformedBudget)
 	case allPeersRecent:
@@ -275,10 +277,10 @@
 		b.budget = b.level
 		if n := l.daemonCount(); n > 1 {
 			minShare := minRateShare * min(1, fullMinShareDaemons/float64(n))
-			b.budget = max(need, b.level*l.budgetShare(now, ws, b), minShare*BudgetInterval.Seconds()*l.rate(b.limit))
+			b.budget = max(neededLevel, b.level*l.budgetShare(now, ws, b), minShare*BudgetInterval.Seconds()*l.rate(b.limit))
 		}
 	}
-	if b.budget < need {
+	if b.budget < neededLevel {
 		return max(b.budgetEnds-now, BudgetInterval), false
 	}
 	b.budget -= cost
@@ -300,7 +302,8 @@
 // equals the fraction of the workspace's recent use that came to this daemon, so that
 // callers who use only a few daemons get what they need, and is at least an equal share.
 // The fractions of the use add up to one for any number of daemons. A daemon that has just
-// started gets an equal share, because it knows too little of the use at the others.
+// started gets an equal share, because it knows too little of the use at the other
+// daemons.
 func (l *Limiter) budgetShare(now time.Duration, ws ident.Workspace, b *bucket) float64 {
 	equalShare := 1 / float64(l.daemonCount())
 	ownUsage := b.recentUsage.value(now)
@@ -339,7 +342,9 @@
 	}
 }
 
-// refill adds the refill since refilledAt, less the shares reserved for silent daemons.
+// refill adds the tokens that a bucket gained since refilledAt, without the shares of
+// silent daemons, which are reserved, and without the shares of daemons that are not heard
+// while this daemon is isolated.
 func (l *Limiter) refill(now time.Duration, ws ident.Workspace, b *bucket) {
 	l.reserveForSilentPeers(now)
 	elapsed := (now - b.refilledAt).Seconds()
@@ -347,16 +352,16 @@
 		return
 	}
 	b.refilledAt = now
-	gained := l.rate(b.limit) * elapsed
-	refillShare := gained / float64(l.daemonCount())
-	gained -= refillShare * float64(max(0, l.isolationShares-1-len(l.peers)))
+	addedTokens := l.rate(b.limit) * elapsed
+	refillShare := addedTokens / float64(l.daemonCount())
+	addedTokens -= refillShare * float64(max(0, l.isolationShares-1-len(l.peers)))
 	for _, p := range l.peers {
 		if p.silent {
 			p.reserved[ws] += refillShare
-			gained -= refillShare
+			addedTokens -= refillShare
 		}
 	}
-	b.level = min(l.capacity(b.limit), b.level+gained)
+	b.level = min(l.capacity(b.limit), b.level+addedTokens)
 }
 
 // reserveForSilentPeers finds the peers that have just become silent and takes a reserve
@@ -386,9 +391,9 @@
 	return max(1+len(l.peers), l.expectedDaemons, l.isolationShares)
 }
 
-// Age is for how long this daemon has known the levels of the buckets, as reported to the
-// other daemons. A daemon that took over the levels of an older one reports at least
-// syncPeriod, because it knows as much as the older one.
+// Age returns for how long this daemon has known the levels of the buckets, which it
+// reports to the other daemons. A daemon that took over the levels of an older daemon
+// returns at least syncPeriod, because it knows as much as that daemon.
 func (l *Limiter) Age(now time.Duration) time.Duration {
 	if l.synced {
 		return max(syncPeriod, now-l.startedAt)
@@ -421,8 +426,9 @@
 	}
 }
 
-// ApplyPeerState applies the bucket states that another daemon sent, which has been running
-// for age. Messages of one daemon must be applied in the order in which it made them.
+// ApplyPeerState applies the bucket states in a message of another daemon, whose Age was
+// age when it sent them. Messages of one daemon must be applied in the order in which they
+// were sent.
 func (l *Limiter) ApplyPeerState(now time.Duration, id ident.Incarnation, age time.Duration, states map[ident.Workspace]Use) {
 	p, known := l.peers[id]
 	if !known {
--- a/coordination/relays/relays_test.go
+++ b/coordination/relays/relays_test.go
@@ -48,29 +48,29 @@
 	is := is.New(t)
 	for n, maxLinks := range map[int]int{30: 40, 119: 50, 300: 60, 1828: 160} {
 		members := fleet(n, 6)
-		followers := map[ident.Incarnation]int{}
-		count := 0
+		linksByRelay := map[ident.Incarnation]int{}
+		relayCount := 0
 		for i := range members {
 			p := planFor(members, i)
 			if p.Relay {
-				count++
-				followers[members[i].Incarnation] += len(p.OtherRelays)
+				relayCount++
+				linksByRelay[members[i].Incarnation] += len(p.OtherRelays)
 				continue
 			}
 			is.Equal(len(p.Followed), relays.RelaysPerFollower)
 			for _, r := range p.Followed {
 				is.Equal(r.FailureDomain, members[i].FailureDomain)
-				followers[r.Incarnation]++
+				linksByRelay[r.Incarnation]++
 			}
 		}
-		is.Equal(len(followers), count)
-		for _, links := range followers {
+		is.Equal(len(linksByRelay), relayCount)
+		for _, links := range linksByRelay {
 			is.True(links <= maxLinks)
 		}
 	}
 }
 
-// Guards against a change of relays whenever a daemon joins.
+// Guards against relays that change whenever a daemon joins.
 func TestNewDaemonReplacesNoRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(60, 6)
@@ -85,11 +85,11 @@
 func TestDrainingDaemonIsNoRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(60, 6)
-	first := planFor(members, 59).Followed[0]
-	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Incarnation == first.Incarnation })
+	firstRelay := planFor(members, 59).Followed[0]
+	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Incarnation == firstRelay.Incarnation })
 	members[i].Phase = peers.Draining
 	for _, r := range planFor(members, 59).Followed {
-		is.True(r.Incarnation != first.Incarnation)
+		is.True(r.Incarnation != firstRelay.Incarnation)
 	}
 	is.True(!planFor(members, i).Relay)
 }
