--- a/coordination/feed/feed_test.go
+++ b/coordination/feed/feed_test.go
@@ -42,13 +42,13 @@
 
 // follower applies batches as a daemon does.
 type follower struct {
-	at        uint64
-	revisions map[string]uint64
-	keys      map[string]uint64
+	completeThrough uint64
+	revisions       map[string]uint64
+	keys            map[string]uint64
 }
 
 func (f *follower) apply(p feed.Batch) {
-	if p.After > f.at {
+	if p.After > f.completeThrough {
 		return
 	}
 	for _, c := range p.Changes {
@@ -61,7 +61,7 @@
 			delete(f.keys, c.Key)
 		}
 	}
-	f.at = max(f.at, p.Through)
+	f.completeThrough = max(f.completeThrough, p.Through)
 }
 
 // Guards against a follower that misses a change: batches are lost, delayed and duplicated,
@@ -89,12 +89,12 @@
 				watchedThrough[i] = len(s.changes)
 			case 3:
 				// The list is read after the revision from which the watch continues.
-				at, from := s.revision, len(s.changes)
+				listRevision, changesBeforeList := s.revision, len(s.changes)
 				s.write(fmt.Sprint("k", rapid.IntRange(0, 8).Draw(t, "between")), rapid.Bool().Draw(t, "ends"))
-				l.Reset(s.list(), at)
-				watchedThrough[i] = from
+				l.Reset(s.list(), listRevision)
+				watchedThrough[i] = changesBeforeList
 			case 4:
-				if p, ok := l.Since(f.at, rapid.IntRange(1, 200).Draw(t, "bytes")); ok {
+				if p, ok := l.Since(f.completeThrough, rapid.IntRange(1, 200).Draw(t, "bytes")); ok {
 					f.apply(p)
 					delayed = append(delayed, p)
 				}
@@ -105,16 +105,16 @@
 			}
 		}
 		logs[0].Apply(s.changes[watchedThrough[0]:], s.revision)
-		for f.at < s.revision {
-			before := f.at
-			p, ok := logs[0].Since(f.at, 100)
+		for f.completeThrough < s.revision {
+			before := f.completeThrough
+			p, ok := logs[0].Since(f.completeThrough, 100)
 			if !ok {
 				// The follower lists the service itself.
-				f.at, f.keys = s.revision, maps.Clone(s.keys)
+				f.completeThrough, f.keys = s.revision, maps.Clone(s.keys)
 				break
 			}
 			f.apply(p)
-			if f.at == before && len(p.Changes) == 0 {
+			if f.completeThrough == before && len(p.Changes) == 0 {
 				t.Fatal("no progress")
 			}
 		}
@@ -124,8 +124,9 @@
 	})
 }
 
-// Guards against all followers listing the service whenever their relay had to: a relay can
-// still compute the changes for a follower that is as far as the relay was before.
+// Guards against all followers listing the keys of the service whenever their relay had to
+// do so. For a follower that knows all changes through the relay's last revision before
+// the list, the relay can compute the changes.
 func TestListLeavesNoGapForOwnFollowers(t *testing.T) {
 	is := is.New(t)
 	l := feed.NewLog()
--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -21,33 +21,33 @@
 // candidates are the offers sorted by expected price, and the number of failure domains
 // that they cover.
 type candidates struct {
-	list    []candidate
-	domains int
+	sortedOffers []candidate
+	domainCount  int
 }
 
 // listCandidates returns the offers as candidates. A pool in backoff can hold at most its
 // current VMs.
 func (p *Planner) listCandidates(now time.Duration, offers []Offer, have map[Pool]int) candidates {
-	index := map[ident.FailureDomain]int{}
-	list := make([]candidate, 0, len(offers))
+	domainIndexes := map[ident.FailureDomain]int{}
+	sorted := make([]candidate, 0, len(offers))
 	for _, o := range offers {
-		if _, ok := index[o.FailureDomain]; !ok {
-			index[o.FailureDomain] = len(index)
+		if _, ok := domainIndexes[o.FailureDomain]; !ok {
+			domainIndexes[o.FailureDomain] = len(domainIndexes)
 		}
-		c := candidate{Offer: o, expectedPrice: p.expectedPrice(o), maxVMs: unlimited, domainIndex: index[o.FailureDomain]}
+		c := candidate{Offer: o, expectedPrice: p.expectedPrice(o), maxVMs: unlimited, domainIndex: domainIndexes[o.FailureDomain]}
 		if s, ok := p.pools[o.Pool]; ok && now < s.backoffUntil {
 			c.maxVMs = have[o.Pool]
 		}
-		list = append(list, c)
+		sorted = append(sorted, c)
 	}
-	slices.SortStableFunc(list, func(a, b candidate) int {
+	slices.SortStableFunc(sorted, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.expectedPrice, b.expectedPrice), cmp.Compare(a.FailureDomain, b.FailureDomain), cmp.Compare(a.Class, b.Class))
 	})
-	return candidates{list: list, domains: len(index)}
+	return candidates{sortedOffers: sorted, domainCount: len(domainIndexes)}
 }
 
-// allocation is a tentative plan. It is reused for every attempt, because planning a large
-// service takes thousands of attempts.
+// allocation is a tentative number of VMs for each offer. One allocation is reused for all
+// attempts, because planning a large service takes thousands of them.
 type allocation struct {
 	candidates
 	counts      []int
@@ -60,13 +60,13 @@
 	maxCost       float64
 }
 
-func newAllocation(c candidates, w Target) *allocation {
-	return &allocation{candidates: c, counts: make([]int, len(c.list)), vmsByDomain: make([]int, c.domains), atRisk: make([]int, c.domains), target: w, maxCost: w.MaxCostPerHour}
+func newAllocation(c candidates, target Target) *allocation {
+	return &allocation{candidates: c, counts: make([]int, len(c.sortedOffers)), vmsByDomain: make([]int, c.domainCount), atRisk: make([]int, c.domainCount), target: target, maxCost: target.MaxCostPerHour}
 }
 
 // allocate places total VMs in the cheapest candidates, after giving each failure domain
 // its minimum. In any failure domain at most perDomain VMs may be lost with it.
-func (f *allocation) allocate(total, perDomain int) {
+func (f *allocation) allocate(total, maxAtRisk int) {
 	clear(f.counts)
 	clear(f.vmsByDomain)
 	clear(f.atRisk)
@@ -75,8 +75,8 @@
 	if f.target.MaxPerDomain > 0 {
 		maxPerDomain = f.target.MaxPerDomain
 	}
-	f.addCheapest(unlimited, f.target.MinPerDomain, perDomain)
-	f.addCheapest(total, maxPerDomain, perDomain)
+	f.addCheapest(unlimited, f.target.MinPerDomain, maxAtRisk)
+	f.addCheapest(total, maxPerDomain, maxAtRisk)
 }
 
 // lostWithDomain reports whether a candidate's VMs are lost if their failure domain is
@@ -85,14 +85,17 @@
 	return c.Reclaimable || !f.target.ReclaimsOnly
 }
 
-// addCheapest adds VMs from the cheapest candidates until the allocation holds total VMs,
-// perDomain VMs in a failure domain, or atRisk VMs that are lost with their domain.
-func (f *allocation) addCheapest(total, perDomain, atRisk int) {
-	for i := range f.list {
-		c := &f.list[i]
-		n := min(total-f.allocated, perDomain-f.vmsByDomain[c.domainIndex], c.maxVMs-f.counts[i])
+// addCheapest goes through the offers from the cheapest to the most expensive one and adds
+// as many VMs of each as the limits allow: total VMs in the allocation, maxPerDomain VMs
+// in a failure domain, maxAtRisk VMs that are lost with their failure domain, the maxVMs
+// of the offer, and the cost limit. An offer without room is skipped, and the following
+// ones are still tried.
+func (f *allocation) addCheapest(total, maxPerDomain, maxAtRisk int) {
+	for i := range f.sortedOffers {
+		c := &f.sortedOffers[i]
+		n := min(total-f.allocated, maxPerDomain-f.vmsByDomain[c.domainIndex], c.maxVMs-f.counts[i])
 		if f.lostWithDomain(c) {
-			n = min(n, atRisk-f.atRisk[c.domainIndex])
+			n = min(n, maxAtRisk-f.atRisk[c.domainIndex])
 		}
 		if f.maxCost > 0 {
 			n = min(n, int((f.maxCost-f.expectedPrice)/c.PricePerHour))
@@ -114,39 +117,39 @@
 	plan := map[Pool]int{}
 	for i, n := range f.counts {
 		if n > 0 {
-			plan[f.list[i].Pool] += n
+			plan[f.sortedOffers[i].Pool] += n
 		}
 	}
 	return plan
 }
 
-// cheapestPlan returns the plan of least expected cost and the number of runners that it
-// lacks.
-func cheapestPlan(w Target, c candidates) (map[Pool]int, int) {
-	f := newAllocation(c, w)
-	if !w.SurviveLoss {
-		f.allocate(w.Runners, w.Runners)
-		return f.plan(), w.Runners - f.allocated
+// cheapestPlan returns the plan of least expected cost, and the number of runners of the
+// target that the pools and the cost limit don't allow.
+func cheapestPlan(target Target, c candidates) (map[Pool]int, int) {
+	f := newAllocation(c, target)
+	if !target.SurviveLoss {
+		f.allocate(target.Runners, target.Runners)
+		return f.plan(), target.Runners - f.allocated
 	}
-	best, bestCost := 0, 0.0
-	minAtRisk := minInFullestDomain(w.Runners, c.domains)
-	if w.ReclaimsOnly {
+	bestMaxAtRisk, bestCost := 0, 0.0
+	minAtRisk := minInFullestDomain(target.Runners, c.domainCount)
+	if target.ReclaimsOnly {
 		minAtRisk = 0
 	}
 	found := false
-	for m := minAtRisk; m <= w.Runners; m++ {
-		f.allocate(w.Runners+m, m)
-		if f.allocated-slices.Max(f.atRisk) < w.Runners {
+	for maxAtRisk := minAtRisk; maxAtRisk <= target.Runners; maxAtRisk++ {
+		f.allocate(target.Runners+maxAtRisk, maxAtRisk)
+		if f.allocated-slices.Max(f.atRisk) < target.Runners {
 			continue
 		}
 		if !found || f.expectedPrice < bestCost {
-			found, best, bestCost = true, m, f.expectedPrice
+			found, bestMaxAtRisk, bestCost = true, maxAtRisk, f.expectedPrice
 		}
 	}
 	if !found {
-		return f.degradedPlan(w)
+		return f.degradedPlan(target)
 	}
-	f.allocate(w.Runners+best, best)
+	f.allocate(target.Runners+bestMaxAtRisk, bestMaxAtRisk)
 	return f.plan(), 0
 }
 
@@ -163,15 +166,15 @@
 // degradedPlan is used if the pools or the cost limit don't allow enough VMs to survive the
 // loss of a failure domain. It gives up the spare VMs for such a loss before runners that
 // must serve now.
-func (f *allocation) degradedPlan(w Target) (map[Pool]int, int) {
-	evenShare := (w.Runners + f.domains - 1) / max(f.domains, 1)
-	best, bestGot, bestCost := 0, -1, 0.0
-	for m := max(evenShare, 1); m <= w.Runners+evenShare; m++ {
-		f.allocate(w.Runners+evenShare, m)
-		if f.allocated > bestGot || f.allocated == bestGot && f.expectedPrice < bestCost {
-			best, bestGot, bestCost = m, f.allocated, f.expectedPrice
+func (f *allocation) degradedPlan(target Target) (map[Pool]int, int) {
+	evenVMsPerDomain := (target.Runners + f.domainCount - 1) / max(f.domainCount, 1)
+	bestMaxAtRisk, bestAllocated, bestCost := 0, -1, 0.0
+	for maxAtRisk := max(evenVMsPerDomain, 1); maxAtRisk <= target.Runners+evenVMsPerDomain; maxAtRisk++ {
+		f.allocate(target.Runners+evenVMsPerDomain, maxAtRisk)
+		if f.allocated > bestAllocated || f.allocated == bestAllocated && f.expectedPrice < bestCost {
+			bestMaxAtRisk, bestAllocated, bestCost = maxAtRisk, f.allocated, f.expectedPrice
 		}
 	}
-	f.allocate(w.Runners+evenShare, best)
-	return f.plan(), max(w.Runners-bestGot, 0)
+	f.allocate(target.Runners+evenVMsPerDomain, bestMaxAtRisk)
+	return f.plan(), max(target.Runners-bestAllocated, 0)
 }
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -61,12 +61,12 @@
 // requiredStarts returns the first starts that are enough to meet the target together with
 // all current VMs, including those in pools that the plan would not choose.
 func (t *planningRound) requiredStarts(starts []Start) []Start {
-	counts := t.domainTotals(t.current)
+	totals := t.domainTotals(t.current)
 	for i, s := range starts {
-		if counts.meets(t.target) {
+		if totals.meets(t.target) {
 			return starts[:i]
 		}
-		counts.add(s.Pool, 1)
+		totals.add(s.Pool, 1)
 	}
 	return starts
 }
@@ -108,9 +108,10 @@
 		return nil
 	}
 	t.p.skipMoveHold = false
-	// VMs that are still starting belong to moves of earlier rounds.
-	room := max(t.p.limits.MaxMoves-countStarting(t.vms), 0)
-	return starts[:min(len(starts), room)]
+	// VMs that are still starting were ordered as moves in earlier rounds and count
+	// towards MaxMoves.
+	movesLeft := max(t.p.limits.MaxMoves-countStarting(t.vms), 0)
+	return starts[:min(len(starts), movesLeft)]
 }
 
 func countStarting(vms []VM) int {
@@ -125,8 +126,8 @@
 
 // surplusStops returns the VMs to stop once the surplus has lasted for SurplusHold.
 func (t *planningRound) surplusStops() []string {
-	ids := t.removableVMs()
-	if len(ids) == 0 {
+	vmIDs := t.removableVMIDs()
+	if len(vmIDs) == 0 {
 		t.p.hasSurplus = false
 		return nil
 	}
@@ -137,19 +138,19 @@
 	if t.now < t.p.surplusSince+t.p.limits.SurplusHold {
 		return nil
 	}
-	return ids
+	return vmIDs
 }
 
-// removableVMs returns VMs of pools that hold more VMs than the plan, in order of falling
-// price, as long as the target is met without them. If VMs of other pools were stopped, the
-// planner would start them again: they would be surplus in one round and worth moving to in
-// the next.
+// removableVMIDs returns the IDs of VMs that can be stopped without missing the target, in
+// order of falling price. It takes them only from pools that hold more VMs than the plan.
+// If a VM of any other pool were stopped, the pool would have fewer VMs than planned, and
+// the planner would start a VM there again in a later round.
 //
-// Only serving VMs count, because a VM that is still starting may fail and must not replace
-// one that is stopped. A fleet that costs more than MaxCostPerHour shrinks to the plan even
-// if the target is then missed.
-func (t *planningRound) removableVMs() []string {
-	excess := t.excess()
+// Only serving VMs count towards the target, because a VM that is still starting may fail
+// and must not replace one that is stopped. A fleet that costs more than MaxCostPerHour
+// shrinks to the plan even if the target is then missed.
+func (t *planningRound) removableVMIDs() []string {
+	excess := t.excessByPool()
 	if len(excess) == 0 {
 		return nil
 	}
@@ -158,7 +159,7 @@
 	serving = slices.DeleteFunc(serving, func(v VM) bool { return v.ID == "" || excess[v.Pool] == 0 })
 	t.sortByPriceDescending(serving)
 	overBudget := t.target.MaxCostPerHour > 0 && cost(t.current, t.offers) > t.target.MaxCostPerHour
-	var ids []string
+	var vmIDs []string
 	for _, v := range serving {
 		if excess[v.Pool] == 0 {
 			continue
@@ -169,20 +170,20 @@
 			continue
 		}
 		excess[v.Pool]--
-		ids = append(ids, v.ID)
+		vmIDs = append(vmIDs, v.ID)
 	}
-	return ids
+	return vmIDs
 }
 
-// excess returns by how many VMs each pool exceeds the plan, without pools that don't.
-func (t *planningRound) excess() map[Pool]int {
-	out := map[Pool]int{}
+// excessByPool returns by how many VMs each pool exceeds the plan, without pools that don't.
+func (t *planningRound) excessByPool() map[Pool]int {
+	surplus := map[Pool]int{}
 	for id, n := range t.current {
 		if n > t.plan[id] {
-			out[id] = n - t.plan[id]
+			surplus[id] = n - t.plan[id]
 		}
 	}
-	return out
+	return surplus
 }
 
 func compareVMs(a, b *VM) int {
@@ -208,14 +209,14 @@
 	domains map[ident.FailureDomain]int
 	// atRisk counts the VMs that are lost if their failure domain is lost.
 	atRisk map[ident.FailureDomain]int
-	// safe holds the pools that lose no VMs with their failure domain.
-	safe map[Pool]bool
+	// notAtRisk holds the pools that lose no VMs with their failure domain.
+	notAtRisk map[Pool]bool
 }
 
 func (s *domainTotals) add(id Pool, n int) {
 	s.total += n
 	s.domains[id.FailureDomain] += n
-	if !s.safe[id] {
+	if !s.notAtRisk[id] {
 		s.atRisk[id.FailureDomain] += n
 	}
 }
@@ -223,9 +224,9 @@
 // domainTotals counts the VMs of the pools in all failure domains of the plan, including
 // those without VMs.
 func (t *planningRound) domainTotals(pools map[Pool]int) *domainTotals {
-	s := &domainTotals{domains: map[ident.FailureDomain]int{}, atRisk: map[ident.FailureDomain]int{}, safe: map[Pool]bool{}}
+	s := &domainTotals{domains: map[ident.FailureDomain]int{}, atRisk: map[ident.FailureDomain]int{}, notAtRisk: map[Pool]bool{}}
 	for _, o := range t.offers {
-		s.safe[o.Pool] = t.target.ReclaimsOnly && !o.Reclaimable
+		s.notAtRisk[o.Pool] = t.target.ReclaimsOnly && !o.Reclaimable
 	}
 	for id, n := range pools {
 		s.add(id, n)
@@ -236,20 +237,20 @@
 	return s
 }
 
-// meets reports whether the VMs meet the target. If the target must survive a loss, the
-// failure domain with the most VMs at risk is assumed to be lost.
-func (s *domainTotals) meets(w Target) bool {
+// meets reports whether the VMs meet the target w. If the target must survive the loss of
+// a failure domain, the domain with the most VMs at risk is assumed to be lost.
+func (s *domainTotals) meets(target Target) bool {
 	for _, n := range s.domains {
-		if n < w.MinPerDomain {
+		if n < target.MinPerDomain {
 			return false
 		}
 	}
-	if !w.SurviveLoss {
-		return s.total >= w.Runners
+	if !target.SurviveLoss {
+		return s.total >= target.Runners
 	}
 	maxLoss := 0
 	for _, n := range s.atRisk {
 		maxLoss = max(maxLoss, n)
 	}
-	return s.total-maxLoss >= w.Runners
+	return s.total-maxLoss >= target.Runners
 }
--- a/coordination/fleet/demand_test.go
+++ b/coordination/fleet/demand_test.go
@@ -24,16 +24,16 @@
 func newLoad(neverServed bool) *load {
 	return &load{
 		Demand: fleet.NewDemand(fleet.DefaultDemand(), neverServed), rng: rand.New(rand.NewPCG(7, 1)), meanPrompt: 2000,
-		work: fleet.Work{Runners: 12, PrefillRate: 50_000, Slots: 64, Wait: 500 * time.Millisecond},
+		work: fleet.Work{Runners: 12, PrefillRate: 50_000, SlotsPerRunner: 64, MaxPromptWait: 500 * time.Millisecond},
 	}
 }
 
 // run adds perSecond prompt tokens per second, in prompts that arrive independently.
-func (l *load) run(span time.Duration, perSecond float64, requests int) fleet.Estimate {
+func (l *load) run(span time.Duration, tokensPerSecond float64, requests int) fleet.Estimate {
 	l.work.Requests = requests
 	for end := l.now + span; l.now < end; l.now += sampleEvery {
-		for left := perSecond * sampleEvery.Seconds() / l.meanPrompt; left > 0; left-- {
-			if l.rng.Float64() < left {
+		for expectedPrompts := tokensPerSecond * sampleEvery.Seconds() / l.meanPrompt; expectedPrompts > 0; expectedPrompts-- {
+			if l.rng.Float64() < expectedPrompts {
 				l.work.PromptTokens += 2 * l.meanPrompt * l.rng.Float64()
 			}
 		}
@@ -48,9 +48,9 @@
 	is := is.New(t)
 	l := newLoad(true)
 	is.Equal(l.run(5*time.Second, 0, 0).Runners, 6) // no load has been measured yet
-	calm := l.run(30*time.Second, 70_000, 20)
-	is.True(calm.Runners >= 2 && calm.Runners <= 3) // 1.4 runners are kept busy
-	is.True(calm.Comfortable >= calm.Runners)
+	steady := l.run(30*time.Second, 70_000, 20)
+	is.True(steady.Runners >= 2 && steady.Runners <= 3) // 1.4 runners are kept busy
+	is.True(steady.Comfortable >= steady.Runners)
 	is.True(l.run(4*time.Second, 250_000, 60).Runners >= 5)
 	is.True(l.run(2*time.Second, 70_000, 20).Runners >= 5)
 	is.True(l.run(40*time.Second, 70_000, 20).Runners <= 3)
@@ -61,12 +61,12 @@
 // prompts, and longer prompts make the work more uneven.
 func TestHeadroomFollowsVarianceNotSize(t *testing.T) {
 	is := is.New(t)
-	headroom := func(perSecond, meanPrompt float64, wait time.Duration) float64 {
+	headroom := func(tokensPerSecond, meanPrompt float64, wait time.Duration) float64 {
 		l := newLoad(false)
-		l.meanPrompt, l.work.Wait = meanPrompt, wait
+		l.meanPrompt, l.work.MaxPromptWait = meanPrompt, wait
 		sum := 0.0
 		for range 40 {
-			e := l.run(2*time.Second, perSecond, 20)
+			e := l.run(2*time.Second, tokensPerSecond, 20)
 			sum += e.Deviation / e.Busy
 		}
 		return sum / 40
@@ -82,24 +82,24 @@
 func TestDemandCountsBatchSlots(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
-	l.work.Slots = 16
+	l.work.SlotsPerRunner = 16
 	is.True(l.run(20*time.Second, 10_000, 160).Runners >= 10)
-	l.work.Slots = 6 // as in a plain service
+	l.work.SlotsPerRunner = 6 // together with a PrefillRate of zero: a service without prefill
 	l.work.PrefillRate = 0
 	is.True(l.run(20*time.Second, 0, 30).Runners >= 6)
 }
 
-// Four reclaims in thirteen seconds left eight runners for the work of six and a half.
-// Prompts were still read in time, but streams, which get their tokens between chunks of
-// prompts, ran at a tenth of their speed. Requests took ten seconds instead of two, 600
-// instead of 140 were in progress, and time budgets were exceeded. So even a large fleet,
-// whose load hardly varies, needs headroom for streams.
+// Four reclaims in thirteen seconds left eight runners for a load that kept six and a half
+// busy. Prompts were still read in time, but streams, which get their tokens between
+// chunks of prompts, ran at a tenth of their speed. Requests took ten seconds instead of
+// two, 600 instead of 140 were in progress, and time budgets were exceeded. So even a
+// large fleet, whose load hardly varies, needs headroom for streams.
 func TestStreamsAreNotStarvedByPrompts(t *testing.T) {
 	is := is.New(t)
 	l := newLoad(false)
 	l.meanPrompt = 100
-	for _, perSecond := range []float64{325_000, 3_250_000} {
-		e := l.run(30*time.Second, perSecond, 100)
+	for _, tokensPerSecond := range []float64{325_000, 3_250_000} {
+		e := l.run(30*time.Second, tokensPerSecond, 100)
 		is.True(e.Deviation < 0.1*e.Busy)
 		is.True(float64(e.Runners) >= 1.4*e.Busy)
 	}
@@ -134,9 +134,9 @@
 }
 
 // A daemon is cut off from its peers for ten seconds and goes on serving. When it is heard
-// again its counter has grown by ten seconds' work, which the daemon that orders runners
-// used to take for a burst. The same happened for a daemon that was heard for the first
-// time.
+// again, its counter has grown by the work of ten seconds. The daemon that orders runners
+// used to take this growth for a burst. The same happened with a daemon that was heard for
+// the first time.
 func TestTallyIgnoresGrowthDuringSilence(t *testing.T) {
 	is := is.New(t)
 	var tally fleet.Tally
@@ -163,7 +163,7 @@
 func TestRelayedCountsTolerateLostMessages(t *testing.T) {
 	is := is.New(t)
 	var tally fleet.Tally
-	tally.SetRelayed(true)
+	tally.SetViaRelays(true)
 	const every = 400 * time.Millisecond
 	count := 0.0
 	for i := range 100 {
--- a/coordination/fleet/orders.go
+++ b/coordination/fleet/orders.go
@@ -8,19 +8,21 @@
 
 // Orders tracks the ordered number of VMs in each pool, for clouds that take a number per
 // pool instead of single starts and stops and choose themselves which VM to stop. VMs that
-// were ordered and are not present yet count as starting, and VMs that were given back and
-// are still present count as leaving. Both count only until a timeout, because an order may
-// be lost or silently refused.
+// were ordered but are not present yet count as starting. VMs that were given back but are
+// still present count as leaving. Each order counts only until its timeout, because an
+// order may be lost or silently refused.
 type Orders struct {
 	pools map[Pool]*poolOrders
 	// timeout is how long an order may take to take effect.
 	timeout time.Duration
 }
 
+// poolOrders holds the pending orders of one pool, oldest first. The elements of
+// startExpiries and stopExpiries are the times at which the orders of one VM expire.
 type poolOrders struct {
-	present  int
-	starting []time.Duration
-	stopping []time.Duration
+	present       int
+	startExpiries []time.Duration
+	stopExpiries  []time.Duration
 }
 
 // NewOrders returns Orders that drop an order if it has no effect within timeout.
@@ -37,40 +39,41 @@
 	return p
 }
 
-// Sync sets how many VMs of each pool are present and not leaving.
+// Sync sets how many VMs of each pool are present and not leaving. For each VM more or
+// less than at the last call, the oldest pending start or stop is completed.
 func (o *Orders) Sync(now time.Duration, present map[Pool]int) {
 	for id := range present {
 		o.pool(id)
 	}
 	for id, p := range o.pools {
-		n := present[id]
-		p.starting = dropCompleted(p.starting, n-p.present, now)
-		p.stopping = dropCompleted(p.stopping, p.present-n, now)
-		p.present = n
+		presentNow := present[id]
+		p.startExpiries = dropCompleted(p.startExpiries, presentNow-p.present, now)
+		p.stopExpiries = dropCompleted(p.stopExpiries, p.present-presentNow, now)
+		p.present = presentNow
 	}
 }
 
-// dropCompleted removes the n oldest orders, which have taken effect, and those that have
-// expired.
-func dropCompleted(orders []time.Duration, n int, now time.Duration) []time.Duration {
-	orders = orders[min(max(n, 0), len(orders)):]
-	return slices.DeleteFunc(orders, func(until time.Duration) bool { return now >= until })
+// dropCompleted removes the oldest completed orders, which have taken effect, and the
+// orders whose expiry time has passed.
+func dropCompleted(expiries []time.Duration, completed int, now time.Duration) []time.Duration {
+	expiries = expiries[min(max(completed, 0), len(expiries)):]
+	return slices.DeleteFunc(expiries, func(until time.Duration) bool { return now >= until })
 }
 
 // RecordReclaims records that VMs of the pool got notice of a reclaim. Pending starts in
 // the pool are dropped: those VMs won't come and would prevent orders in other pools.
-func (o *Orders) RecordReclaims(id Pool) { o.pool(id).starting = nil }
+func (o *Orders) RecordReclaims(id Pool) { o.pool(id).startExpiries = nil }
 
 // VMs returns the present and the starting VMs for Planner.Decide. The IDs are made up and
 // don't identify actual VMs.
 func (o *Orders) VMs() []VM {
 	var vms []VM
 	for id, p := range o.pools {
-		serving := max(0, p.present-len(p.stopping))
-		for i := range serving {
+		notStopping := max(0, p.present-len(p.stopExpiries))
+		for i := range notStopping {
 			vms = append(vms, VM{ID: fmt.Sprintf("%s/%s/%d", id.FailureDomain, id.Class, i), Pool: id})
 		}
-		for range p.starting {
+		for range p.startExpiries {
 			vms = append(vms, VM{Pool: id, Starting: true})
 		}
 	}
@@ -81,23 +84,25 @@
 // Target returns the number of VMs to order from the cloud in a pool.
 func (o *Orders) Target(id Pool) int {
 	p := o.pool(id)
-	return max(0, p.present-len(p.stopping)) + len(p.starting)
+	return max(0, p.present-len(p.stopExpiries)) + len(p.startExpiries)
 }
 
-// Change orders n more VMs of a pool, or -n fewer if n is negative.
-func (o *Orders) Change(now time.Duration, id Pool, n int) {
+// Change orders more VMs of a pool if change is positive, or gives back -change VMs if
+// change is negative.
+func (o *Orders) Change(now time.Duration, id Pool, change int) {
 	p := o.pool(id)
-	for range max(n, 0) {
-		p.starting = append(p.starting, now+o.timeout)
+	for range max(change, 0) {
+		p.startExpiries = append(p.startExpiries, now+o.timeout)
 	}
-	for range max(-n, 0) {
-		p.stopping = append(p.stopping, now+o.timeout)
+	for range max(-change, 0) {
+		p.stopExpiries = append(p.stopExpiries, now+o.timeout)
 	}
 }
 
-// Undo reverts the last Change of the pool, e.g. after a refusal.
-func (o *Orders) Undo(id Pool, n int) {
+// Undo reverts the newest orders of a pool, e.g. after a refusal. It drops the newest
+// change starts if change is positive, and the newest -change stops if change is negative.
+func (o *Orders) Undo(id Pool, change int) {
 	p := o.pool(id)
-	p.starting = p.starting[:max(0, len(p.starting)-max(n, 0))]
-	p.stopping = p.stopping[:max(0, len(p.stopping)-max(-n, 0))]
+	p.startExpiries = p.startExpiries[:max(0, len(p.startExpiries)-max(change, 0))]
+	p.stopExpiries = p.stopExpiries[:max(0, len(p.stopExpiries)-max(-change, 0))]
 }
--- a/coordination/fleet/orders_test.go
+++ b/coordination/fleet/orders_test.go
@@ -29,7 +29,7 @@
 
 // The cloud reclaims all VMs of a pool. Orders in that pool must not count as starting, or
 // nothing would be ordered elsewhere until the orders expire.
-func TestReclaimedAreNotStarting(t *testing.T) {
+func TestReclaimedVMsDoNotCountAsStarting(t *testing.T) {
 	is := is.New(t)
 	o := fleet.NewOrders(6 * time.Second)
 	o.Sync(0, map[fleet.Pool]int{northSpot: 4})
@@ -51,15 +51,15 @@
 }
 
 // The plan respects the limits of each failure domain for any number of runners.
-func TestPlanKeepsBoundsOfDomains(t *testing.T) {
+func TestPlanRespectsVMLimitsPerDomain(t *testing.T) {
 	is := is.New(t)
 	var offers []fleet.Offer
 	for _, d := range []ident.FailureDomain{"a", "b", "c"} {
 		offers = append(offers, offer(d, "spot", 0.2, true), offer(d, "on-demand", 1, false))
 	}
 	for runners := 1; runners < 20; runners++ {
-		w := fleet.Target{Runners: runners, SurviveLoss: true, MinPerDomain: 1, MaxPerDomain: 4}
-		d := fleet.New(fleet.DefaultLimits()).Decide(0, w, offers, nil)
+		target := fleet.Target{Runners: runners, SurviveLoss: true, MinPerDomain: 1, MaxPerDomain: 4}
+		d := fleet.New(fleet.DefaultLimits()).Decide(0, target, offers, nil)
 		inDomain := map[ident.FailureDomain]int{}
 		for _, s := range d.Starts {
 			inDomain[s.Pool.FailureDomain]++
@@ -72,9 +72,9 @@
 	}
 }
 
-// Five VMs of a failure domain are starting when its reclaimable VMs get notice. They never
-// come, but until the orders timed out they counted as starting, and replacements were
-// ordered seven seconds too late.
+// Five VMs are starting in a failure domain when its reclaimable VMs get notice. The five
+// VMs never come. They used to count as starting until their orders timed out, and
+// replacements were ordered seven seconds too late.
 func TestReclaimDropsPendingStarts(t *testing.T) {
 	is := is.New(t)
 	spot := fleet.Pool{FailureDomain: "a", Class: "spot"}
@@ -112,8 +112,8 @@
 				p.RecordRefusal(0, fleet.Pool{FailureDomain: d, Class: "spot"})
 			}
 		}
-		w := fleet.Target{Runners: rapid.IntRange(1, 16).Draw(t, "runners"), SurviveLoss: true, ReclaimsOnly: true}
-		d := p.Decide(time.Second, w, offers, vms)
+		target := fleet.Target{Runners: rapid.IntRange(1, 16).Draw(t, "runners"), SurviveLoss: true, ReclaimsOnly: true}
+		d := p.Decide(time.Second, target, offers, vms)
 		vms = applyStarts(d, vms)
 		for _, lost := range domains {
 			remaining, onDemand := 0, 0
@@ -125,11 +125,11 @@
 					remaining++
 				}
 			}
-			if remaining < w.Runners {
-				t.Fatalf("%d runners remain of %d after a reclaim in %s", remaining, w.Runners, lost)
+			if remaining < target.Runners {
+				t.Fatalf("%d runners remain of %d after a reclaim in %s", remaining, target.Runners, lost)
 			}
-			if onDemand > w.Runners {
-				t.Fatalf("%d on-demand VMs for %d runners", onDemand, w.Runners)
+			if onDemand > target.Runners {
+				t.Fatalf("%d on-demand VMs for %d runners", onDemand, target.Runners)
 			}
 		}
 	})
--- a/coordination/fleet/tally.go
+++ b/coordination/fleet/tally.go
@@ -6,10 +6,10 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// maxSilence is the longest time between two messages of a daemon, as received here, for
-// its counter to continue. Five messages of a small fleet are then missing. In a large
-// fleet, where messages are relayed and less frequent, maxRelayedSilence is used; three
-// messages are then missing.
+// maxSilence is the longest time between two messages of a daemon, by this daemon's clock,
+// over which the daemon's counter is assumed to have grown continuously. In a small fleet,
+// five messages are missing by then. In a large fleet, where messages are relayed and less
+// frequent, maxRelayedSilence is used; three messages are missing by then.
 const (
 	maxSilence        = 600 * time.Millisecond
 	maxRelayedSilence = 1600 * time.Millisecond
@@ -21,37 +21,38 @@
 // The same applies to a daemon that is heard for the first time, and to all daemons after
 // this daemon was suspended. The total never falls. A Tally is not safe for concurrent use.
 type Tally struct {
-	total       float64
-	lastReading map[ident.Incarnation]reading
-	relayed     bool
+	total        float64
+	lastReadings map[ident.Incarnation]counterReading
+	viaRelays    bool
 }
 
-// reading is a daemon's counter at the time at.
-type reading struct {
+// counterReading is the value of a daemon's counter and the time at which this daemon
+// received it.
+type counterReading struct {
 	at    time.Duration
 	count float64
 }
 
-// SetRelayed sets whether the counters arrive through relays, as in a large fleet.
-func (t *Tally) SetRelayed(relayed bool) { t.relayed = relayed }
+// SetViaRelays sets whether the counters arrive through relays, as in a large fleet.
+func (t *Tally) SetViaRelays(viaRelays bool) { t.viaRelays = viaRelays }
 
 // Receive adds the growth of a daemon's counter since its last message.
 func (t *Tally) Receive(now time.Duration, id ident.Incarnation, count float64) {
-	if t.lastReading == nil {
-		t.lastReading = map[ident.Incarnation]reading{}
+	if t.lastReadings == nil {
+		t.lastReadings = map[ident.Incarnation]counterReading{}
 	}
-	silence := maxSilence
-	if t.relayed {
-		silence = maxRelayedSilence
+	maxGap := maxSilence
+	if t.viaRelays {
+		maxGap = maxRelayedSilence
 	}
-	if previous, ok := t.lastReading[id]; ok && now-previous.at <= silence {
+	if previous, ok := t.lastReadings[id]; ok && now-previous.at <= maxGap {
 		t.total += max(0, count-previous.count)
 	}
-	t.lastReading[id] = reading{now, count}
+	t.lastReadings[id] = counterReading{now, count}
 }
 
 // PeerEnded removes a daemon's counter. The total stays.
-func (t *Tally) PeerEnded(id ident.Incarnation) { delete(t.lastReading, id) }
+func (t *Tally) PeerEnded(id ident.Incarnation) { delete(t.lastReadings, id) }
 
 // Total returns the sum over all daemons of what they counted without a silence.
 func (t *Tally) Total() float64 { return t.total }
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -15,10 +15,10 @@
 	log     *changeLog
 	peers   map[ident.Incarnation]*peerState
 	inForce map[ident.FailureDomain]ident.Generation
-	// firstSeen is when this daemon first learned of an incarnation.
-	firstSeen map[ident.Incarnation]time.Time
-	revision  Revision
-	refuted   uint64
+	// firstLearnedAt is when this daemon first learned of an incarnation.
+	firstLearnedAt map[ident.Incarnation]time.Time
+	revision       Revision
+	refuted        uint64
 	// sortedKeys caches the keys of the daemons' records sorted by ID. It is nil if it must
 	// be rebuilt.
 	sortedKeys []string
@@ -31,11 +31,14 @@
 	InForce uint64
 }
 
-// peerState is the progress of the log exchange with one peer.
+// peerState is the progress of the log exchange with one peer: the position in this
+// daemon's log that the peer has acknowledged, the position in the peer's log up to which
+// this daemon has the changes, and the time since when the two tables have differed
+// although the peer has acknowledged everything.
 type peerState struct {
-	acked       uint64
-	received    uint64
-	differSince time.Time
+	ackedByPeer      uint64
+	receivedFromPeer uint64
+	differSince      time.Time
 }
 
 const (
@@ -49,10 +52,10 @@
 // New returns a table that contains only this daemon.
 func New(now time.Time, self Member) *Table {
 	t := &Table{
-		log:       newChangeLog(),
-		peers:     map[ident.Incarnation]*peerState{},
-		inForce:   map[ident.FailureDomain]ident.Generation{},
-		firstSeen: map[ident.Incarnation]time.Time{},
+		log:            newChangeLog(),
+		peers:          map[ident.Incarnation]*peerState{},
+		inForce:        map[ident.FailureDomain]ident.Generation{},
+		firstLearnedAt: map[ident.Incarnation]time.Time{},
 	}
 	self.State = view.Live
 	self.Version = 1
@@ -187,14 +190,14 @@
 
 // Members returns all daemons that are not gone, including this one, sorted by ID.
 func (t *Table) Members() []Member {
-	all := make([]Member, 0, len(t.sortedKeys))
+	members := make([]Member, 0, len(t.sortedKeys))
 	for _, key := range t.sortedMemberKeys() {
 		m := t.log.records[key].member
 		if m.State != view.Gone {
-			all = append(all, *m)
+			members = append(members, *m)
 		}
 	}
-	return all
+	return members
 }
 
 // sortedMemberKeys returns the keys of the daemons' records sorted by ID. The result is
@@ -256,8 +259,10 @@
 	return runners
 }
 
-// Tick removes expired records and marks leaving daemons and VMs as gone once their time is
-// over.
+// Tick marks a leaving daemon as gone once goneAfterLeaving has passed since its LeavesAt,
+// if that is known, and a VM as gone once it has been leaving for ForgetAfter, whatever
+// its LeavesAt. It removes suspect and gone daemons and gone VMs whose state is older than
+// ForgetAfter.
 func (t *Table) Tick(now time.Time) {
 	for key, r := range t.log.records {
 		switch {
@@ -280,7 +285,7 @@
 			t.log.remove(key)
 			t.sortedKeys = nil
 			delete(t.peers, m.Incarnation)
-			delete(t.firstSeen, m.Incarnation)
+			delete(t.firstLearnedAt, m.Incarnation)
 			t.revision.Members++
 		}
 	}
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// AllWatchFleet is the largest fleet in which every daemon watches the key-value
-	// service itself. DirectFleet is the default for the largest fleet in which every
-	// daemon sends to every other.
+	// AllWatchFleet is the largest number of daemons with which every daemon watches the
+	// key-value service itself. DirectFleet is the default for the largest number of
+	// daemons with which every daemon sends to every other.
 	AllWatchFleet = 10
 	DirectFleet   = 36
 	// RelaysPerFollower is how many relays a daemon follows. If one ends, the other already
@@ -42,10 +42,10 @@
 	// Alive holds the other daemons that are considered alive. It must include all daemons
 	// in this daemon's own failure domain and, on a relay, those of all domains.
 	Alive []peers.Member
-	// Fleet is the number of daemons and Domains the number of failure domains known to
-	// relays. They may exceed what this daemon knows; zero means unknown.
-	Fleet   int
-	Domains int
+	// FleetSize is the number of daemons and DomainCount the number of failure domains
+	// known to relays. They may exceed what this daemon knows itself; zero means unknown.
+	FleetSize   int
+	DomainCount int
 	// DirectFleet is the largest fleet in which every daemon sends to every other; zero
 	// selects the constant DirectFleet.
 	DirectFleet int
@@ -67,12 +67,12 @@
 	WatchesStore  bool
 	OtherWatchers []peers.Member
 	WatchSource   peers.Member
-	// RelaysPerDomain is the number of relays that each failure domain should have. Domains
-	// is the number of failure domains that this daemon knows itself. Only Domains is sent
-	// to others: if RelaysPerDomain were, daemons with a wrong value would confirm each
-	// other.
+	// RelaysPerDomain is the number of relays that each failure domain should have.
+	// DomainCount is the number of failure domains that this daemon knows itself. Only
+	// DomainCount is sent to other daemons: if RelaysPerDomain were sent and used, daemons
+	// with a wrong value would confirm each other's value.
 	RelaysPerDomain int
-	Domains         int
+	DomainCount     int
 	// Direct is set if the fleet is small enough for all daemons to be relays, AllWatch if
 	// it is small enough for all to watch the key-value service.
 	Direct, AllWatch bool
@@ -82,20 +82,20 @@
 func Elect(v View) Plan {
 	members := append(slices.Clone(v.Alive), v.Self)
 	domains := groupByDomain(members)
-	fleet := max(v.Fleet, len(members))
+	fleetSize := max(v.FleetSize, len(members))
 	direct := cmp.Or(v.DirectFleet, DirectFleet)
 	p := Plan{
-		RelaysPerDomain: relaysPerDomain(fleet, max(v.Domains, len(domains)), direct), Domains: len(domains),
-		Direct: fleet <= direct, AllWatch: fleet <= AllWatchFleet,
+		RelaysPerDomain: relaysPerDomain(fleetSize, max(v.DomainCount, len(domains)), direct), DomainCount: len(domains),
+		Direct: fleetSize <= direct, AllWatch: fleetSize <= AllWatchFleet,
 	}
-	var candidates []peers.Member
-	for domain, inDomain := range domains {
-		first := longestRunning(slices.Clone(inDomain), 1)
+	var relaysInOwnDomain []peers.Member
+	for domain, membersInDomain := range domains {
+		oldest := longestRunning(slices.Clone(membersInDomain), 1)
 		if !p.Direct {
-			inDomain = longestRunning(inDomain, p.RelaysPerDomain)
+			membersInDomain = longestRunning(membersInDomain, p.RelaysPerDomain)
 		}
-		for _, r := range inDomain {
-			if p.AllWatch || len(first) > 0 && r.Incarnation == first[0].Incarnation {
+		for _, r := range membersInDomain {
+			if p.AllWatch || len(oldest) > 0 && r.Incarnation == oldest[0].Incarnation {
 				p.addWatcher(v.Self, r)
 			}
 			if r.Incarnation == v.Self.Incarnation {
@@ -104,17 +104,17 @@
 			}
 			p.OtherRelays = append(p.OtherRelays, r)
 			if domain == v.Self.FailureDomain {
-				candidates = append(candidates, r)
+				relaysInOwnDomain = append(relaysInOwnDomain, r)
 			}
 		}
 	}
 	slices.SortFunc(p.OtherRelays, func(a, b peers.Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
 	switch {
-	case len(candidates) == 0:
+	case len(relaysInOwnDomain) == 0:
 		// There is no relay to follow.
 		p.Relay, p.WatchesStore = true, true
 	case !p.Relay:
-		p.Followed = chooseRelays(v.Self.ID, candidates)
+		p.Followed = chooseRelays(v.Self.ID, relaysInOwnDomain)
 	}
 	return p
 }
@@ -134,8 +134,8 @@
 // relaysPerDomain returns the number of relays in each failure domain. The total is about
 // the square root of the number of daemons, so that a relay hears about as many followers
 // as other relays.
-func relaysPerDomain(daemons, domains, direct int) int {
-	if daemons <= direct {
+func relaysPerDomain(daemons, domains, directFleet int) int {
+	if daemons <= directFleet {
 		return daemons
 	}
 	return max(RelaysPerFollower, int(math.Ceil(math.Sqrt(float64(daemons))/float64(max(1, domains)))))
@@ -149,8 +149,9 @@
 	return domains
 }
 
-// longestRunning returns the n daemons that have been running for longest, so that a daemon
-// that joins replaces no relay. Daemons that are shutting down are left out.
+// longestRunning returns the n daemons of a failure domain that have been running for
+// longest, so that a daemon that joins replaces no relay. Daemons that are shutting down
+// are left out.
 func longestRunning(domain []peers.Member, n int) []peers.Member {
 	domain = slices.DeleteFunc(domain, func(m peers.Member) bool { return m.Phase == peers.Draining })
 	slices.SortFunc(domain, func(a, b peers.Member) int {
@@ -159,16 +160,16 @@
 	return domain[:min(n, len(domain))]
 }
 
-// chooseRelays distributes the followers over the relays by rendezvous hashing: each
-// follower takes the relays with the highest hash of both IDs, so that the end of a relay
-// moves only its own followers.
-func chooseRelays(self ident.DaemonID, relays []peers.Member) []peers.Member {
+// chooseRelays returns the relays that the daemon self follows. It distributes the
+// followers by rendezvous hashing: each follower takes the relays with the highest hash of
+// both IDs, so that the end of a relay moves only its own followers.
+func chooseRelays(follower ident.DaemonID, relays []peers.Member) []peers.Member {
 	slices.SortFunc(relays, func(a, b peers.Member) int {
-		return cmp.Or(cmp.Compare(rank(self, b), rank(self, a)), cmp.Compare(a.Incarnation, b.Incarnation))
+		return cmp.Or(cmp.Compare(rendezvousHash(follower, b), rendezvousHash(follower, a)), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	return relays[:min(RelaysPerFollower, len(relays))]
 }
 
-func rank(self ident.DaemonID, relay peers.Member) uint64 {
-	return xxhash.Sum64String(string(self) + "\x00" + string(relay.Incarnation))
+func rendezvousHash(follower ident.DaemonID, relay peers.Member) uint64 {
+	return xxhash.Sum64String(string(follower) + "\x00" + string(relay.Incarnation))
 }
--- a/coordination/relays/relays_test.go
+++ b/coordination/relays/relays_test.go
@@ -28,7 +28,7 @@
 
 func planFor(members []peers.Member, i int) relays.Plan {
 	others := slices.Delete(slices.Clone(members), i, i+1)
-	return relays.Elect(relays.View{Self: members[i], Alive: others, Fleet: len(members)})
+	return relays.Elect(relays.View{Self: members[i], Alive: others, FleetSize: len(members)})
 }
 
 func TestAllDaemonsOfSmallFleetAreRelays(t *testing.T) {
@@ -48,30 +48,30 @@
 	is := is.New(t)
 	for n, maxLinks := range map[int]int{30: 40, 119: 50, 300: 60, 1828: 160} {
 		members := fleet(n, 6)
-		followers := map[ident.Incarnation]int{}
-		count := 0
+		linksByRelay := map[ident.Incarnation]int{}
+		relayCount := 0
 		for i := range members {
 			p := planFor(members, i)
 			if p.Relay {
-				count++
-				followers[members[i].Incarnation] += len(p.OtherRelays)
+				relayCount++
+				linksByRelay[members[i].Incarnation] += len(p.OtherRelays)
 				continue
 			}
 			is.Equal(len(p.Followed), relays.RelaysPerFollower)
 			for _, r := range p.Followed {
 				is.Equal(r.FailureDomain, members[i].FailureDomain)
-				followers[r.Incarnation]++
+				linksByRelay[r.Incarnation]++
 			}
 		}
-		is.Equal(len(followers), count)
-		for _, links := range followers {
+		is.Equal(len(linksByRelay), relayCount)
+		for _, links := range linksByRelay {
 			is.True(links <= maxLinks)
 		}
 	}
 }
 
-// Guards against a change of relays whenever a daemon joins.
-func TestNewcomerDisplacesNoRelay(t *testing.T) {
+// Guards against relays that change whenever a daemon joins.
+func TestNewDaemonReplacesNoRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(60, 6)
 	before := planFor(members, 59)
@@ -85,11 +85,11 @@
 func TestDrainingDaemonIsNoRelay(t *testing.T) {
 	is := is.New(t)
 	members := fleet(60, 6)
-	first := planFor(members, 59).Followed[0]
-	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Incarnation == first.Incarnation })
+	firstRelay := planFor(members, 59).Followed[0]
+	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Incarnation == firstRelay.Incarnation })
 	members[i].Phase = peers.Draining
 	for _, r := range planFor(members, 59).Followed {
-		is.True(r.Incarnation != first.Incarnation)
+		is.True(r.Incarnation != firstRelay.Incarnation)
 	}
 	is.True(!planFor(members, i).Relay)
 }
@@ -104,15 +104,17 @@
 	is.Equal(len(p.Followed), 0)
 }
 
-// Guards against a daemon that stays an additional relay in its failure domain because it
-// knows few failure domains and concludes that each of them needs more relays.
+// Guards against a daemon that stays an additional relay in its failure domain. The total
+// number of relays is divided by the number of failure domains, so a daemon that used only
+// the few domains that it knows itself would compute too many relays for each of them. The
+// number of domains known to the relays must count.
 func TestKnowingFewDomainsElectsNoExtraRelays(t *testing.T) {
 	is := is.New(t)
 	members := fleet(119, 6)
 	known := slices.DeleteFunc(slices.Clone(members[:118]), func(m peers.Member) bool {
 		return m.FailureDomain != members[118].FailureDomain && m.FailureDomain != members[0].FailureDomain
 	})
-	p := relays.Elect(relays.View{Self: members[118], Alive: known[:6], Fleet: len(members), Domains: 6})
+	p := relays.Elect(relays.View{Self: members[118], Alive: known[:6], FleetSize: len(members), DomainCount: 6})
 	is.Equal(p.RelaysPerDomain, relays.RelaysPerDomain(119, 6))
 	is.True(!p.Relay)
 }
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -29,8 +29,8 @@
 
 // Config holds the dependencies and settings of a Control.
 type Config struct {
-	// Self describes this daemon. New overwrites State and Generation;
-	// LastHeard is not used.
+	// Self describes this daemon. Its State, LastHeard and Generation are
+	// ignored.
 	Self view.Daemon
 	// VM is the platform's ID of the VM this daemon runs on. It is empty if the
 	// daemon does not know it.
@@ -63,9 +63,9 @@
 	table    *membership.Table
 	strategy *spread.Neighbours
 	links    map[ident.Incarnation]*link
-	// newest is the newest head read from the key-value service, with its
+	// newestHead is the newestHead head read from the key-value service, with its
 	// history. It is zero if the configuration came only from peers.
-	newest config.Head
+	newestHead config.Head
 	// activated is when this daemon activated the configuration now in force.
 	activated time.Time
 	// lastStoreResponse is when the key-value service last responded.
@@ -83,7 +83,7 @@
 	directoryChanged chan struct{}
 	members          cached[[]membership.Member]
 	daemons          cached[[]view.Daemon]
-	vms              cached[map[string][]view.Runner]
+	runnersByService cached[map[string][]view.Runner]
 
 	// runCtx is the context of Run. Work that handlers start ends with it.
 	runCtx context.Context
@@ -283,20 +283,20 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	revision := c.table.Revision().VMs
-	if c.vms.revision != revision || c.vms.value == nil {
-		c.vms = cached[map[string][]view.Runner]{revision, map[string][]view.Runner{}}
+	if c.runnersByService.revision != revision || c.runnersByService.value == nil {
+		c.runnersByService = cached[map[string][]view.Runner]{revision, map[string][]view.Runner{}}
 	}
-	runners, ok := c.vms.value[service]
+	runners, ok := c.runnersByService.value[service]
 	if !ok {
 		runners = c.table.Runners(service)
-		c.vms.value[service] = runners
+		c.runnersByService.value[service] = runners
 	}
 	return runners
 }
 
 // NoteLeaving implements view.Directory.
 func (c *Control) NoteLeaving(address string, left time.Duration) {
-	c.applyNotices([]membership.Notice{{Address: address, Left: left}})
+	c.applyNotices([]membership.Notice{{Address: address, TimeLeft: left}})
 }
 
 // Drain permanently marks this daemon as leaving and tells its peers at once.
@@ -371,6 +371,7 @@
 	}
 }
 
+// applyNotices applies termination notices to the membership table.
 func (c *Control) applyNotices(notices []membership.Notice) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -393,6 +394,7 @@
 	}
 }
 
+// tick advances the membership table and the follower to the current time.
 func (c *Control) tick() {
 	now := time.Now()
 	c.mu.Lock()
--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -71,33 +71,35 @@
 	limiter     *quota.Limiter
 	seq         uint64
 	// alive are the other daemons that are alive, as of the last check. relayPlan is derived
-	// from them and says to which daemons this daemon sends; relayStanding tracks whether the
-	// other relays count this daemon as a relay; followers are the daemons that follow this
-	// one.
-	alive         []peers.Member
-	relayPlan     relays.Plan
-	relayStanding relays.Confirmation
+	// from them and says which daemons are relays and to which ones this daemon sends.
+	// relayConfirmation tracks whether the other relays elect this daemon, too: relayPlan may
+	// wrongly name it a relay while it knows only a part of the fleet. followers are the daemons
+	// that follow this one.
+	alive             []peers.Member
+	relayPlan         relays.Plan
+	relayConfirmation relays.Confirmation
 	// relaysChanged says that this daemon follows new relays and has not sent them a message
 	// yet.
 	relaysChanged bool
 	followers     map[ident.Incarnation]follower
-	// fedRelays are the other relays for which this daemon watches the key-value service, with
-	// the store revision that each of them has reached.
+	// fedRelays are the other relays to which this daemon passes on the changes of the key-value
+	// service, with the revision up to which each of them has all changes.
 	fedRelays map[ident.Incarnation]uint64
-	// coverage records when each daemon's usage counts were last sent. requestedCounts are the
-	// daemons whose counts other relays have asked for.
-	coverage        accounting.Coverage
-	requestedCounts map[ident.Incarnation]ident.Incarnation
-	// demotionRecipients are the relays that must be told that this daemon no longer is a
-	// relay, in demotionSendsLeft more messages.
+	// coverage records when each daemon's usage counts were last received. The keys of
+	// requestedCountsByRelay are relays that lack a daemon's usage counts and have asked this
+	// daemon for them; the value is the daemon whose counts are asked for.
+	coverage               accounting.Coverage
+	requestedCountsByRelay map[ident.Incarnation]ident.Incarnation
+	// demotionRecipients are the daemons that must be told that this daemon no longer is a relay,
+	// or that the fleet no longer is direct, in demotionSendsLeft more messages.
 	demotionRecipients []peers.Member
 	demotionSendsLeft  int
 	// rosterRequesters are the addresses of daemons that have asked for the relays' addresses,
 	// or that wrongly consider themselves relays.
 	rosterRequesters map[ident.Incarnation]string
-	// rosterVersion is the version of the list of daemons that was last sent; it is sent in
-	// rosterSendsLeft more messages.
-	rosterVersion   uint64
+	// rosterHash is a hash of the alive daemons and their phases at the latest change of these.
+	// After such a change, rosters (lists of daemons) are sent in rosterSendsLeft more rounds.
+	rosterHash      uint64
 	rosterSendsLeft int
 	// configUnreadable says that the newest configuration could not be decoded.
 	configUnreadable bool
@@ -117,8 +119,9 @@
 	directMode, relayMode, allWatch atomic.Bool
 
 	trials trials
-	// reported holds the other daemons' load at the runners, and recommended the prompts that
-	// this daemon's followers send by its recommendation.
+	// reported holds the load at the runners that the other daemons have reported. recommended
+	// holds the prompts for which this relay has recommended a runner to a follower; each counts
+	// as load until the runner should have read it or the follower reports it.
 	reported          peerLoadTable
 	placements        placements
 	grantRequests     pendingGrants
@@ -151,16 +154,16 @@
 			CallerAddress: settings.CallerAddress, PeerAddress: settings.PeerAddress, Phase: peers.Starting,
 			Started: time.Now().UnixMilli(),
 		}),
-		followers:        map[ident.Incarnation]follower{},
-		fedRelays:        map[ident.Incarnation]uint64{},
-		rosterRequesters: map[ident.Incarnation]string{},
-		requestedCounts:  map[ident.Incarnation]ident.Incarnation{},
-		stamps:           map[ident.Incarnation]freshness.Stamp{},
-		wallClock:        walltime.New(time.Now(), now),
+		followers:              map[ident.Incarnation]follower{},
+		fedRelays:              map[ident.Incarnation]uint64{},
+		rosterRequesters:       map[ident.Incarnation]string{},
+		requestedCountsByRelay: map[ident.Incarnation]ident.Incarnation{},
+		stamps:                 map[ident.Incarnation]freshness.Stamp{},
+		wallClock:              walltime.New(time.Now(), now),
 		usageLedger: accounting.NewLedger(self, accounting.Timing{
-			Length: settings.Bounds.UsageWindow, Due: settings.Bounds.UsageDue, Settle: accounting.SettleAfter,
+			Length: settings.Bounds.UsageWindow, ReportWithin: settings.Bounds.UsageDue, SettleTime: accounting.SettleAfter,
 		}),
-		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FirstStart),
+		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FleetNeverServed),
 		// Each daemon begins at its own ID, so that all daemons together have sent the counts
 		// of all ended daemons within a few messages.
 		lastEndedSent: self,
@@ -173,12 +176,12 @@
 	e.duties.init(e)
 	// Until it hears from other daemons, a daemon plans as if it were alone.
 	e.relayPlan = relays.Elect(relays.View{Self: e.peers.Self(), DirectFleet: settings.Policy.DirectFleet()})
-	e.relayStanding.Start(now)
+	e.relayConfirmation.Start(now)
 	e.directMode.Store(e.relayPlan.Direct)
 	e.allWatch.Store(e.relayPlan.AllWatch)
 	e.relayMode.Store(e.relayPlan.Relay)
 	for _, seed := range settings.Seeds {
-		e.peers.Learn(now, seed)
+		e.peers.LearnAddress(now, seed)
 	}
 	return e
 }
@@ -188,7 +191,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, a := range addresses {
-		e.peers.Learn(e.deps.Steady(), a)
+		e.peers.LearnAddress(e.deps.Steady(), a)
 	}
 }
 
@@ -198,7 +201,7 @@
 // Run runs the daemon until the context ends. For a graceful shutdown, call Drain first.
 func (e *Edge) Run(ctx context.Context) error {
 	e.log.Note("start", decisions.F("daemon", e.settings.ID), decisions.F("incarnation", e.self),
-		decisions.F("failure_domain", e.settings.FailureDomain), decisions.F("first_start", e.settings.FirstStart), decisions.F("without", e.settings.Policy), decisions.F("direct_fleet", e.settings.Policy.DirectFleet()))
+		decisions.F("failure_domain", e.settings.FailureDomain), decisions.F("first_start", e.settings.FleetNeverServed), decisions.F("without", e.settings.Policy), decisions.F("direct_fleet", e.settings.Policy.DirectFleet()))
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return e.receiveDatagrams(ctx) })
 	group.Go(func() error { e.tickLoop(ctx); return nil })
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -11,8 +11,8 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// rememberedMessages is how many of its own latest messages a daemon keeps the loads of. Its
-// primary's total may include any of these messages.
+// rememberedMessages is the number of its own latest messages whose loads a follower remembers.
+// The latest message that its primary relay's total includes may be any of these.
 const rememberedMessages = 16
 
 // minMessageAge is subtracted from the time at which a message is received, since the message
@@ -23,14 +23,15 @@
 // brought to these daemons.
 type workSummary struct {
 	loads []routing.OwnLoad
-	// offered counts prompt tokens by service since the daemons started.
-	offered map[string]float64
-	placed  []*peersv1.Placed
+	// offeredTokens counts, by service, the uncached prompt tokens that callers brought to each
+	// of these daemons since that daemon started.
+	offeredTokens map[string]float64
+	placed        []*peersv1.Placed
 }
 
 // workSummaries holds the three summaries that messages can carry: this daemon's own work, the
 // work of this daemon and its followers, and the work of all daemons. roster says that the list
-// of daemons is due in this turn, too.
+// of daemons is to be sent in this round of gossipInterval, too.
 type workSummaries struct {
 	own, ownAndFollowers, all workSummary
 	roster                    bool
@@ -39,18 +40,19 @@
 // peerLoadTable holds the other daemons' load at the runners.
 type peerLoadTable struct {
 	mu sync.Mutex
-	// byDaemon holds the loads reported by followers and other relays; total is the load of all
-	// daemons as reported by the primary.
-	byDaemon map[ident.Incarnation]peerLoad
-	total    peerLoad
+	// byDaemon holds the loads reported by followers and other relays. primaryTotal is the load
+	// of all daemons, this one included, as reported by the primary relay.
+	byDaemon     map[ident.Incarnation]peerLoad
+	primaryTotal peerLoad
 	// sent holds this daemon's own loads in its latest messages, by sequence number.
 	sent map[uint64][]routing.OwnLoad
-	// offered counts the prompt tokens that were brought to other daemons, by service.
-	offered map[string]*offeredTally
-	changed bool
-	// mostKnownSince is the time since when most relays have reported their work; zero if they
-	// haven't.
-	mostKnownSince time.Duration
+	// offeredTokens counts the uncached prompt tokens that callers brought to other daemons, by
+	// service.
+	offeredTokens map[string]*offeredTally
+	changed       bool
+	// mostRelaysReportedSince is the time since when at least half of the other relays have
+	// reported their work; zero if they haven't.
+	mostRelaysReportedSince time.Duration
 }
 
 // peerLoad is the load that another daemon has reported.
@@ -60,9 +62,10 @@
 	// follower says that the load is reported by a follower, so that no other relay includes
 	// it.
 	follower bool
-	// includedSeq is the sequence number of this daemon's latest message that the primary's
-	// total includes.
-	includedSeq uint64
+	// includedOwnSeq is set in the total reported by the primary relay. It is the sequence number
+	// of the latest of this daemon's messages whose loads are part of that total, so these loads
+	// are subtracted to get the load of the other daemons.
+	includedOwnSeq uint64
 }
 
 // offeredTally counts the work that was brought to one service at the followers and at all
@@ -72,12 +75,12 @@
 func (t *peerLoadTable) init() {
 	t.byDaemon = map[ident.Incarnation]peerLoad{}
 	t.sent = map[uint64][]routing.OwnLoad{}
-	t.offered = map[string]*offeredTally{}
+	t.offeredTokens = map[string]*offeredTally{}
 }
 
-// totalOf returns the name under which the total reported by a daemon is counted, as distinct
+// primaryTotalID returns the name under which the total reported by a daemon is counted, as distinct
 // from that daemon's own work.
-func totalOf(id ident.Incarnation) ident.Incarnation { return id + "/all" }
+func primaryTotalID(id ident.Incarnation) ident.Incarnation { return id + "/all" }
 
 // receiveWork stores the work that a daemon reports. The pools get it with the next call of
 // applyPeerLoads: summing it up for each message would take a large fleet's daemon more time
@@ -99,25 +102,25 @@
 	if from == sourceFollower {
 		e.recommended.reported(h.PeerAddress, now-minMessageAge)
 	}
-	load := peerLoad{receivedAt: now, runnerLoads: loads, follower: from == sourceFollower, includedSeq: h.IncludedSeq}
+	load := peerLoad{receivedAt: now, runnerLoads: loads, follower: from == sourceFollower, includedOwnSeq: h.IncludedSeq}
 	for _, o := range h.Offered {
 		e.reported.receiveOffered(now, id, o, from, !e.directMode.Load())
 	}
 	if from == sourcePrimary {
-		e.reported.total = load
+		e.reported.primaryTotal = load
 		return
 	}
 	e.reported.byDaemon[id] = load
 }
 
 func (t *peerLoadTable) receiveOffered(now time.Duration, id ident.Incarnation, o *peersv1.Offered, from workSource, relayed bool) {
-	counts, ok := t.offered[o.Service]
+	counts, ok := t.offeredTokens[o.Service]
 	if !ok {
 		counts = &offeredTally{}
-		t.offered[o.Service] = counts
+		t.offeredTokens[o.Service] = counts
 	}
-	counts.followers.SetRelayed(relayed)
-	counts.all.SetRelayed(relayed)
+	counts.followers.SetViaRelays(relayed)
+	counts.all.SetViaRelays(relayed)
 	switch from {
 	case sourceFollower:
 		counts.followers.Receive(now, id, o.PromptTokens)
@@ -125,7 +128,7 @@
 	case sourceRelay:
 		counts.all.Receive(now, id, o.PromptTokens)
 	case sourcePrimary:
-		counts.all.Receive(now, totalOf(id), o.PromptTokens)
+		counts.all.Receive(now, primaryTotalID(id), o.PromptTokens)
 	}
 }
 
@@ -161,12 +164,13 @@
 	}
 }
 
-// peerOfferedTokens returns the number of prompt tokens that were brought to other daemons. If
-// the primary reports the total of all daemons, this daemon's own tokens are included.
+// peerOfferedTokens returns the number of uncached prompt tokens of a service that callers brought
+// to other daemons. If the primary relay reports the total of all daemons, this daemon's own
+// tokens are included.
 func (e *Edge) peerOfferedTokens(service string) float64 {
 	e.reported.mu.Lock()
 	defer e.reported.mu.Unlock()
-	if counts, ok := e.reported.offered[service]; ok {
+	if counts, ok := e.reported.offeredTokens[service]; ok {
 		return counts.all.Total()
 	}
 	return 0
@@ -182,7 +186,7 @@
 		}
 		expired = true
 		delete(t.byDaemon, id)
-		for _, counts := range t.offered {
+		for _, counts := range t.offeredTokens {
 			counts.followers.PeerEnded(id)
 			counts.all.PeerEnded(id)
 		}
@@ -190,39 +194,42 @@
 	return expired
 }
 
-// workKnownFor reports whether the work of most of the fleet has been known for a given time.
-// Right after all daemons have started, each knows only the work of its own callers.
-func (e *Edge) workKnownFor(now, forSoLong time.Duration) bool {
+// workKnownFor reports whether at least half of the other relays have reported their work for
+// minDuration or longer; it is always true in a fleet in which all daemons watch the key-value
+// service, since every daemon reports to every other one there. Right after all daemons have started, each knows only the work of its own callers.
+func (e *Edge) workKnownFor(now, minDuration time.Duration) bool {
 	if e.allWatch.Load() {
 		return true
 	}
 	e.reported.mu.Lock()
 	defer e.reported.mu.Unlock()
-	since := e.reported.mostKnownSince
-	return since != 0 && now-since >= forSoLong
+	since := e.reported.mostRelaysReportedSince
+	return since != 0 && now-since >= minDuration
 }
 
-// updateMostKnown updates mostKnownSince; others is the number of other relays.
-func (t *peerLoadTable) updateMostKnown(now time.Duration, others int) {
+// updateMostRelaysReported sets mostRelaysReportedSince once at least half of the other relays
+// have reported their work, and resets it to zero when fewer have. otherRelays is the number of
+// the other relays that this daemon elects.
+func (t *peerLoadTable) updateMostRelaysReported(now time.Duration, otherRelays int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	reporting := 0
+	reportingRelays := 0
 	for _, d := range t.byDaemon {
 		if !d.follower {
-			reporting++
+			reportingRelays++
 		}
 	}
 	switch {
-	case 2*reporting < others:
-		t.mostKnownSince = 0
-	case t.mostKnownSince == 0:
-		t.mostKnownSince = max(1, now)
+	case 2*reportingRelays < otherRelays:
+		t.mostRelaysReportedSince = 0
+	case t.mostRelaysReportedSince == 0:
+		t.mostRelaysReportedSince = max(1, now)
 	}
 }
 
-type loadSums map[ident.RunnerID]routing.OwnLoad
+type loadByRunner map[ident.RunnerID]routing.OwnLoad
 
-func (s loadSums) add(loads []routing.OwnLoad, sign int) {
+func (s loadByRunner) add(loads []routing.OwnLoad, sign int) {
 	for _, w := range loads {
 		sum := s[w.Runner]
 		sum.Runner = w.Runner
@@ -233,7 +240,7 @@
 	}
 }
 
-func (s loadSums) list() []routing.OwnLoad {
+func (s loadByRunner) list() []routing.OwnLoad {
 	list := make([]routing.OwnLoad, 0, len(s))
 	for _, l := range s {
 		list = append(list, l)
@@ -243,11 +250,11 @@
 
 // sumOthers returns the load of all other daemons: the primary's total minus this daemon's own
 // part in it, or the sum of the followers' and other relays' loads.
-func (t *peerLoadTable) sumOthers(now time.Duration) loadSums {
-	sums := loadSums{}
-	if t.total.runnerLoads != nil && now-t.total.receivedAt <= peers.RelayedAliveFor {
-		sums.add(t.total.runnerLoads, 1)
-		sums.add(t.sent[t.total.includedSeq], -1)
+func (t *peerLoadTable) sumOthers(now time.Duration) loadByRunner {
+	sums := loadByRunner{}
+	if t.primaryTotal.runnerLoads != nil && now-t.primaryTotal.receivedAt <= peers.RelayedAliveFor {
+		sums.add(t.primaryTotal.runnerLoads, 1)
+		sums.add(t.sent[t.primaryTotal.includedOwnSeq], -1)
 		return sums
 	}
 	for _, load := range t.byDaemon {
@@ -257,8 +264,8 @@
 }
 
 // followers returns the load of the followers.
-func (t *peerLoadTable) followers() loadSums {
-	sums := loadSums{}
+func (t *peerLoadTable) followers() loadByRunner {
+	sums := loadByRunner{}
 	for _, load := range t.byDaemon {
 		if load.follower {
 			sums.add(load.runnerLoads, 1)
@@ -269,11 +276,11 @@
 
 // summarizeWork collects the work for this daemon's messages.
 func (e *Edge) summarizeWork() workSummaries {
-	own := workSummary{offered: map[string]float64{}}
+	own := workSummary{offeredTokens: map[string]float64{}}
 	e.poolsMu.RLock()
 	for name, p := range e.pools {
 		own.loads = p.loads(own.loads)
-		own.offered[name] = p.ownOffered()
+		own.offeredTokens[name] = p.ownOfferedTokens()
 	}
 	e.poolsMu.RUnlock()
 	now := e.deps.Steady()
@@ -283,17 +290,17 @@
 	defer e.reported.mu.Unlock()
 	ownAndFollowers, all := e.reported.followers(), e.reported.sumOthers(now)
 	recommended := e.recommended.loads(now)
-	for _, sums := range []loadSums{ownAndFollowers, all} {
+	for _, sums := range []loadByRunner{ownAndFollowers, all} {
 		sums.add(own.loads, 1)
 		sums.add(recommended, 1)
 	}
-	n.ownAndFollowers = workSummary{loads: ownAndFollowers.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originFollower)}
-	n.all = workSummary{loads: all.list(), offered: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originAny)}
-	for name, tokens := range own.offered {
-		n.ownAndFollowers.offered[name], n.all.offered[name] = tokens, tokens
-		if counts, ok := e.reported.offered[name]; ok {
-			n.ownAndFollowers.offered[name] += counts.followers.Total()
-			n.all.offered[name] += counts.all.Total()
+	n.ownAndFollowers = workSummary{loads: ownAndFollowers.list(), offeredTokens: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originFollower)}
+	n.all = workSummary{loads: all.list(), offeredTokens: map[string]float64{}, placed: e.placements.recent(now, e.placementSendTime(), originAny)}
+	for name, tokens := range own.offeredTokens {
+		n.ownAndFollowers.offeredTokens[name], n.all.offeredTokens[name] = tokens, tokens
+		if counts, ok := e.reported.offeredTokens[name]; ok {
+			n.ownAndFollowers.offeredTokens[name] += counts.followers.Total()
+			n.all.offeredTokens[name] += counts.all.Total()
 		}
 	}
 	return n
--- a/daemon/edge/recommendations.go
+++ b/daemon/edge/recommendations.go
@@ -10,24 +10,27 @@
 )
 
 // A follower learns of other daemons' load up to a second late. During that second several
-// followers may send prompts to a runner that looks idle to all of them. Therefore the relay that
-// grants a request's quota also chooses among the runners that the follower considers best. The
-// relay knows its followers' choices immediately, since it makes them, and receives those of
+// followers may send prompts to a runner that looks idle to all of them. Therefore a follower that
+// asks a relay for quota proposes the runners that it considers best, the candidates. The relay
+// that grants the quota chooses one of them, which it recommends to the follower. A relay knows
+// which runners its followers use immediately, since it chooses them, and receives the choices of
 // the other relays several times a second.
 
-// maxCandidates is the number of runners that a relay chooses from.
-const maxCandidates = 4
+// maxCandidatesPerAsk is the number of runners that a follower proposes in one request for quota.
+const maxCandidatesPerAsk = 4
 
-// recommended is a prompt that a follower sends to a runner by this relay's recommendation. It
-// counts as load until the runner should have read it or the follower reports it.
+// recommended is a prompt for which this relay has recommended a runner to a follower. It counts
+// as load until the runner should have read it or the follower reports it. daemonAddress is the
+// peer address of the follower, tokens the number of uncached tokens of the prompt.
 type recommended struct {
-	at, until     time.Duration
-	daemonAddress string
-	runner        ident.RunnerID
-	tokens        int
+	recommendedAt, expectedReadAt time.Duration
+	daemonAddress                 string
+	runner                        ident.RunnerID
+	tokens                        int
 }
 
-// recommendations holds the recent recommendations.
+// recommendations holds the prompts for which this relay has recommended a runner and that the
+// follower hasn't reported as its own load yet. A prompt is also dropped at its expectedReadAt.
 type recommendations struct {
 	mu     sync.Mutex
 	recent []recommended
@@ -39,10 +42,12 @@
 	a.recent = append(a.recent, prompt)
 }
 
-// reported drops the prompts of a daemon that the daemon has now reported itself: those
-// recommended up to the time before.
+// reported drops the prompts that are included in the load that a follower has now reported:
+// those for which this relay recommended a runner to it up to the time before.
 func (a *recommendations) reported(daemonAddress string, before time.Duration) {
-	a.retain(func(prompt recommended) bool { return prompt.daemonAddress != daemonAddress || prompt.at > before })
+	a.retain(func(prompt recommended) bool {
+		return prompt.daemonAddress != daemonAddress || prompt.recommendedAt > before
+	})
 }
 
 func (a *recommendations) retain(retain func(recommended) bool) {
@@ -59,7 +64,7 @@
 
 // loads returns the load by recommended prompts that the runners have not read yet.
 func (a *recommendations) loads(now time.Duration) []routing.OwnLoad {
-	a.retain(func(prompt recommended) bool { return prompt.until > now })
+	a.retain(func(prompt recommended) bool { return prompt.expectedReadAt > now })
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var loads []routing.OwnLoad
@@ -69,22 +74,22 @@
 	return loads
 }
 
-// tokensAt returns the number of tokens that a runner has yet to read of the prompts
+// unreadTokensAt returns the number of tokens that a runner has yet to read of the prompts
 // recommended after a time.
-func (a *recommendations) tokensAt(runner ident.RunnerID, now, after time.Duration) int {
+func (a *recommendations) unreadTokensAt(runner ident.RunnerID, now, after time.Duration) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	tokens := 0
 	for _, prompt := range a.recent {
-		if prompt.runner == runner && prompt.at > after && prompt.until > now {
+		if prompt.runner == runner && prompt.recommendedAt > after && prompt.expectedReadAt > now {
 			tokens += prompt.tokens
 		}
 	}
 	return tokens
 }
 
-// recommendRunner returns the candidate with the earliest expected first token; empty if there
-// is none.
+// recommendRunner chooses the follower's candidate with the earliest expected first token, and
+// counts the prompt as load there. It returns an empty string if no candidate is usable.
 func (e *Edge) recommendRunner(now time.Duration, a *peersv1.Ask) string {
 	p := e.pool(a.Service)
 	if p == nil {
@@ -93,7 +98,7 @@
 	best, soonest := -1, time.Duration(0)
 	for i, c := range a.Candidates {
 		runner := ident.RunnerID(c.Runner)
-		expectedWait, ok := p.expectedWait(runner, e.recommended.tokensAt(runner, now, p.peerLoadsTime()))
+		expectedWait, ok := p.expectedWait(runner, e.recommended.unreadTokensAt(runner, now, p.peerLoadsTime()))
 		if first := expectedWait + time.Duration(c.AloneNs); ok && (best < 0 || first < soonest) {
 			best, soonest = i, first
 		}
@@ -102,7 +107,7 @@
 		return ""
 	}
 	c := a.Candidates[best]
-	e.recommended.add(recommended{at: now, until: now + soonest, daemonAddress: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
+	e.recommended.add(recommended{recommendedAt: now, expectedReadAt: now + soonest, daemonAddress: a.PeerAddress, runner: ident.RunnerID(c.Runner), tokens: int(c.UncachedTokens)})
 	return c.Runner
 }
 
@@ -122,7 +127,8 @@
 }
 
 // candidates returns the service of the request, and the best runners for it. It implements
-// whereTo. The service is empty for runners without an engine, for which relays recommend none.
+// candidateLister. The service is empty for runners that are not model engines, since relays
+// recommend only model engines.
 func (s *requestHandler) candidates() (string, []*peersv1.Candidate) {
 	if s.pool == nil || !s.pool.hasEngine() {
 		return "", nil
@@ -133,7 +139,7 @@
 func (p *pool) candidates(r *routing.Request) []*peersv1.Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best, err := p.table.Candidates(r, maxCandidates)
+	best, err := p.table.Candidates(r, maxCandidatesPerAsk)
 	if err != nil {
 		// Without a suitable runner the request is refused later, by chooseRunner.
 		return nil
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -90,7 +90,7 @@
 		e.addOwnCounts(now, c.hello)
 		return c
 	}
-	c.uncounted = e.uncounted(now, max(e.relayStanding.RelaySince(), now-requestCountsAfter))
+	c.uncounted = e.uncounted(now, max(e.relayConfirmation.RelaySince(), now-requestCountsAfter))
 	c.hello.Workspaces = convertNames[string](e.usageLedger.Workspaces())
 	c.hello.Ended = e.followerCounts(now)
 	return c
@@ -111,11 +111,11 @@
 // and because a new relay knows only what it was sent since its election. The caller must hold
 // e.mu.
 func (e *Edge) endedCountsFor(now time.Duration, to ident.Incarnation, fallback []*peersv1.Ended) []*peersv1.Ended {
-	id, asked := e.requestedCounts[to]
+	id, asked := e.requestedCountsByRelay[to]
 	if !asked {
 		return fallback
 	}
-	delete(e.requestedCounts, to)
+	delete(e.requestedCountsByRelay, to)
 	open := e.openWindowCounts(now, id)
 	if len(open) == 0 {
 		return fallback
@@ -127,7 +127,7 @@
 // daemons that may have lost both their relays and are therefore not heard. The caller must
 // hold e.mu.
 func (e *Edge) uncounted(now, since time.Duration) []ident.Incarnation {
-	return e.coverage.Missing(e.peers.SeenSince(now-refollowWithin), since)
+	return e.coverage.Missing(e.peers.MentionedSince(now-refollowWithin), since)
 }
 
 // followerCounts returns the counts of some of the followers whose primary this relay is, in
@@ -189,7 +189,7 @@
 func encodeWindows(workspaces []ident.Workspace, counts map[accounting.Window]accounting.Counts) []*peersv1.Window {
 	windows := make([]*peersv1.Window, 0, len(counts))
 	for w, c := range counts {
-		windows = append(windows, &peersv1.Window{Number: int64(w), ByPlace: accounting.ByPlace(workspaces, c)})
+		windows = append(windows, &peersv1.Window{Number: int64(w), ByPlace: accounting.IndexedCounts(workspaces, c)})
 	}
 	return windows
 }
@@ -219,14 +219,14 @@
 		}
 	}
 	if h.Lacks != "" {
-		e.requestedCounts[id] = ident.Incarnation(h.Lacks)
+		e.requestedCountsByRelay[id] = ident.Incarnation(h.Lacks)
 	}
 }
 
 func decodeWindows(workspaces []ident.Workspace, encoded []*peersv1.Window) map[accounting.Window]accounting.Counts {
 	windows := make(map[accounting.Window]accounting.Counts, len(encoded))
 	for _, w := range encoded {
-		windows[accounting.Window(w.Number)] = accounting.FromPlaces(workspaces, w.ByPlace)
+		windows[accounting.Window(w.Number)] = accounting.CountsFromIndexed(workspaces, w.ByPlace)
 	}
 	return windows
 }
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -20,8 +20,9 @@
 	client "geraniumstack.org/geraniumstack/transport/engine"
 )
 
-// The built-in sets run what the example manifests ask for.
-func TestBuiltInSetsAgreeWithExamples(t *testing.T) {
+// The built-in settings must contain the failure domains, VM classes and
+// services of the example manifests.
+func TestBuiltInSettingsAgreeWithExamples(t *testing.T) {
 	is := is.New(t)
 	for path, set := range map[string]func() (Settings, error){
 		"../../examples/huaman.json":       Huaman,
@@ -40,7 +41,7 @@
 	}
 }
 
-func TestSettingsFaultsAreToldAtOnce(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte(`{
 		"listen": {"key_value": "x", "cloud": "x", "weights": "x", "runner_host": "x"},
@@ -54,9 +55,9 @@
 	is.Equal(len(invalid.Problems), 3)
 }
 
-// A whole set runs in a bubble: a failure domain is reclaimed, its runners are
-// gone when the notice is over, and a replacement started through the cloud API
-// serves a model once it is ordered to load it.
+// A whole failure domain is reclaimed. Its runners must be gone when the
+// notice period is over, and a replacement started through the cloud API must
+// serve a model after an order to load it.
 func TestReclaimAndReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -91,7 +92,7 @@
 		})
 		is.NoErr(err)
 		is.Equal(tokens, 3)
-		is.Equal(f.Ledger.Totals().Recomputed, 0)
+		is.Equal(f.TokenCounter.TokenTotals().Recomputed, 0)
 		connections.CloseIdleConnections()
 		f.Close()
 	})
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,7 @@
-// Package service is a stand-in for a plain service whose calls may not all be
-// repeated: bounty pledges, case closures and slot bookings. It counts how
-// often each action was executed. docs/protocols/service.md describes it.
+// Package service is a stand-in for a plain service some of whose calls must
+// not be repeated: bounty pledges, case closures and slot bookings. It counts
+// the executions of every action. docs/protocols/service.md describes the
+// protocol.
 package service
 
 import (
@@ -16,10 +17,11 @@
 )
 
 const (
-	// ActionHeader names the action that a call carries out.
+	// ActionHeader is the header with the ID of the action that a call
+	// executes.
 	ActionHeader = "X-Geranium-Action"
-	// NotExecutedHeader with value NotExecuted marks a refusal before any of
-	// the call was run.
+	// NotExecutedHeader with the value NotExecuted marks the refusal of a
+	// call of which nothing was executed.
 	NotExecutedHeader = "X-Not-Executed"
 	// NotExecuted is the value of NotExecutedHeader.
 	NotExecuted = "1"
@@ -27,72 +29,76 @@
 
 // Admin paths of the stand-in.
 const (
-	// PathFaults takes GET for the switches and PUT to replace them.
+	// PathFaults takes GET to read the injected faults and PUT to replace
+	// them.
 	PathFaults = "/faults"
-	// PathExecutions takes GET for the counts by action.
+	// PathExecutions takes GET for the number of executions of each action.
 	PathExecutions = "/executions"
-	// PathNotice takes POST and makes the service refuse all that is new.
+	// PathNotice takes POST. After it, the service refuses all new calls.
 	PathNotice = "/faults/notice"
-	// PathDie takes POST and breaks all connections.
+	// PathDie takes POST and aborts all connections.
 	PathDie = "/faults/die"
 )
 
 const maxBodyBytes = 16 << 20
 
-// Faults are the switches of a service; the zero value is a healthy one. The
-// counted ones befall the next calls that are not of an admin path.
+// Faults are the injected faults of a service; the zero value injects none. A
+// count applies to the next calls, not including calls of the admin paths.
 type Faults struct {
-	// CloseAfterRead reads the next calls whole, does not execute them and
-	// closes the connection without an answer.
+	// CloseAfterRead reads the next calls completely and closes the
+	// connection without executing the call or responding.
 	CloseAfterRead int `json:"close_after_read,omitempty"`
 	// CloseAfterExecute executes the next calls and closes the connection
-	// without an answer.
+	// without a response.
 	CloseAfterExecute int `json:"close_after_execute,omitempty"`
-	// RefuseBefore refuses the next calls with 503 and NotExecutedHeader.
+	// RefuseBefore refuses the next calls with status 503 and
+	// NotExecutedHeader.
 	RefuseBefore int `json:"refuse_before,omitempty"`
-	// FailAfter executes the next calls and answers 500 all the same.
+	// FailAfter executes the next calls but responds with status 500.
 	FailAfter int `json:"fail_after,omitempty"`
-	// HangSilently executes the next calls and never answers; the connection
+	// HangSilently executes the next calls and never responds; the connection
 	// stays open.
 	HangSilently int `json:"hang_silently,omitempty"`
-	// DelayMillis is waited between executing and answering each call.
+	// DelayMillis is the delay between the execution of a call and its
+	// response.
 	DelayMillis int64 `json:"delay_ms,omitempty"`
-	// ExecuteDelayMillis is waited before executing each call, which is done
-	// although the caller has gone meanwhile.
+	// ExecuteDelayMillis is the delay before the execution of a call. The
+	// call is executed even if the caller disconnects during the delay.
 	ExecuteDelayMillis int64 `json:"execute_delay_ms,omitempty"`
 }
 
-// Execution is one run of a call.
+// Execution is one execution of a call.
 type Execution struct {
 	Action string `json:"action"`
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   []byte `json:"body,omitempty"`
-	// Number counts the service's executions from 1.
+	// Number counts the executions of all runners of the service, starting at
+	// 1.
 	Number int `json:"number"`
 }
 
-// Answer is the JSON body of an executed call.
-type Answer struct {
+// CallResponse is the JSON body of the response to an executed call.
+type CallResponse struct {
 	Runner string `json:"runner"`
 	Action string `json:"action,omitempty"`
 	Number int    `json:"number"`
-	// Echo is the call's body.
+	// Echo is the request body of the call.
 	Echo string `json:"echo,omitempty"`
 }
 
-// Log records the executions of all runners of a service. It is safe for
-// concurrent use.
-type Log struct {
+// ExecutionLog records the executions of all runners of a service. It is safe
+// for concurrent use.
+type ExecutionLog struct {
 	mu         sync.Mutex
 	executions []Execution
 	counts     map[string]int
 }
 
-// NewLog returns an empty log.
-func NewLog() *Log { return &Log{counts: map[string]int{}} }
+// NewExecutionLog returns an empty log.
+func NewExecutionLog() *ExecutionLog { return &ExecutionLog{counts: map[string]int{}} }
 
-func (l *Log) add(e Execution) Execution {
+func (l *ExecutionLog) add(e Execution) Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e.Number = len(l.executions) + 1
@@ -103,15 +109,15 @@
 	return e
 }
 
-// Count is how often an action was executed.
-func (l *Log) Count(action string) int {
+// Count returns the number of executions of an action.
+func (l *ExecutionLog) Count(action string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts[action]
 }
 
-// Counts is how often each action was executed.
-func (l *Log) Counts() map[string]int {
+// Counts returns the number of executions of each action.
+func (l *ExecutionLog) Counts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	counts := make(map[string]int, len(l.counts))
@@ -121,20 +127,21 @@
 	return counts
 }
 
-// RunTwice lists the actions that were executed more than once, sorted.
-func (l *Log) RunTwice() []string {
-	var twice []string
+// ExecutedRepeatedly returns the sorted IDs of the actions that were executed
+// more than once.
+func (l *ExecutionLog) ExecutedRepeatedly() []string {
+	var repeated []string
 	for action, n := range l.Counts() {
 		if n > 1 {
-			twice = append(twice, action)
+			repeated = append(repeated, action)
 		}
 	}
-	sort.Strings(twice)
-	return twice
+	sort.Strings(repeated)
+	return repeated
 }
 
-// Executions lists all runs in order.
-func (l *Log) Executions() []Execution {
+// Executions returns all executions in order.
+func (l *ExecutionLog) Executions() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Execution(nil), l.executions...)
@@ -143,7 +150,7 @@
 // Service is one runner of a plain service. It is safe for concurrent use.
 type Service struct {
 	runner string
-	log    *Log
+	log    *ExecutionLog
 	died   chan struct{}
 
 	mu      sync.Mutex
@@ -153,32 +160,34 @@
 }
 
 // New returns a runner that records its executions in log.
-func New(runner string, log *Log) *Service {
+func New(runner string, log *ExecutionLog) *Service {
 	return &Service{runner: runner, log: log, died: make(chan struct{})}
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all injected faults.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Faults returns the switches as they stand.
+// Faults returns the injected faults. Each count decreases as its fault
+// occurs.
 func (s *Service) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Notice makes the service refuse new calls, truthfully, from now on.
+// Notice makes the service refuse all new calls. The refusals are marked with
+// NotExecutedHeader.
 func (s *Service) Notice() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// Die breaks all connections, now and later.
+// Die aborts all open connections and every later one.
 func (s *Service) Die() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,11 +197,11 @@
 	}
 }
 
-// Handler serves every path as a call of the service, but for the admin paths.
+// Handler serves the admin paths. Every other path is a call of the service.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
-	jsonhttp.Switches(mux, PathFaults, s.Faults, s.SetFaults)
+	jsonhttp.HandleFaults(mux, PathFaults, s.Faults, s.SetFaults)
 	mux.HandleFunc("GET "+PathExecutions, func(w http.ResponseWriter, _ *http.Request) {
 		jsonhttp.Write(w, http.StatusOK, s.log.Counts())
 	})
@@ -207,19 +216,19 @@
 	return mux
 }
 
-// outcome is what befalls one call.
+// outcome is the result of one call, which the injected faults determine.
 type outcome int
 
 const (
-	answered outcome = iota
-	closedUnexecuted
-	closedExecuted
-	refusedBefore
-	failedAfter
+	responded outcome = iota
+	closedBeforeExecution
+	closedAfterExecution
+	refusedBeforeExecution
+	failedAfterExecution
 	hung
 )
 
-func take(n *int) bool {
+func decrement(n *int) bool {
 	if *n <= 0 {
 		return false
 	}
@@ -227,25 +236,25 @@
 	return true
 }
 
-func (s *Service) claim() outcome {
+func (s *Service) nextOutcome() outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := &s.faults
 	switch {
 	case s.dead:
-		return closedUnexecuted
-	case s.leaving || take(&f.RefuseBefore):
-		return refusedBefore
-	case take(&f.CloseAfterRead):
-		return closedUnexecuted
-	case take(&f.CloseAfterExecute):
-		return closedExecuted
-	case take(&f.FailAfter):
-		return failedAfter
-	case take(&f.HangSilently):
+		return closedBeforeExecution
+	case s.leaving || decrement(&f.RefuseBefore):
+		return refusedBeforeExecution
+	case decrement(&f.CloseAfterRead):
+		return closedBeforeExecution
+	case decrement(&f.CloseAfterExecute):
+		return closedAfterExecution
+	case decrement(&f.FailAfter):
+		return failedAfterExecution
+	case decrement(&f.HangSilently):
 		return hung
 	default:
-		return answered
+		return responded
 	}
 }
 
@@ -253,43 +262,43 @@
 	var body bytes.Buffer
 	if _, err := io.Copy(&body, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 		w.Header().Set(NotExecutedHeader, NotExecuted)
-		jsonhttp.Write(w, http.StatusBadRequest, jsonhttp.Failure{Error: err.Error()})
+		jsonhttp.Write(w, http.StatusBadRequest, jsonhttp.ErrorBody{Error: err.Error()})
 		return
 	}
-	what := s.claim()
-	switch what {
-	case closedUnexecuted:
+	callOutcome := s.nextOutcome()
+	switch callOutcome {
+	case closedBeforeExecution:
 		panic(http.ErrAbortHandler)
-	case refusedBefore:
+	case refusedBeforeExecution:
 		w.Header().Set(NotExecutedHeader, NotExecuted)
-		jsonhttp.Write(w, http.StatusServiceUnavailable, jsonhttp.Failure{Error: "refused before running"})
+		jsonhttp.Write(w, http.StatusServiceUnavailable, jsonhttp.ErrorBody{Error: "refused before running"})
 		return
 	}
 	f := s.Faults()
 	s.wait(context.WithoutCancel(r.Context()), f.ExecuteDelayMillis)
 	e := s.log.add(Execution{Action: r.Header.Get(ActionHeader), Method: r.Method, Path: r.URL.Path, Body: body.Bytes()})
 	s.wait(r.Context(), f.DelayMillis)
-	s.answer(w, r, what, e)
+	s.respond(w, r, callOutcome, e)
 }
 
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, what outcome, e Execution) {
-	switch what {
-	case closedExecuted:
+func (s *Service) respond(w http.ResponseWriter, r *http.Request, callOutcome outcome, e Execution) {
+	switch callOutcome {
+	case closedAfterExecution:
 		panic(http.ErrAbortHandler)
-	case failedAfter:
-		jsonhttp.Write(w, http.StatusInternalServerError, jsonhttp.Failure{Error: "failed after running"})
+	case failedAfterExecution:
+		jsonhttp.Write(w, http.StatusInternalServerError, jsonhttp.ErrorBody{Error: "failed after running"})
 	case hung:
-		s.wait(r.Context(), forever)
+		s.wait(r.Context(), foreverMillis)
 		panic(http.ErrAbortHandler)
 	default:
-		jsonhttp.Write(w, http.StatusOK, Answer{Runner: s.runner, Action: e.Action, Number: e.Number, Echo: string(e.Body)})
+		jsonhttp.Write(w, http.StatusOK, CallResponse{Runner: s.runner, Action: e.Action, Number: e.Number, Echo: string(e.Body)})
 	}
 }
 
-const forever = int64(365*24*time.Hour) / int64(time.Millisecond)
+const foreverMillis = int64(365*24*time.Hour) / int64(time.Millisecond)
 
-// wait ends early when the caller has gone; a service that has died meanwhile
-// does nothing more.
+// wait returns early if the caller disconnects. If the service dies during
+// the wait, it aborts the call.
 func (s *Service) wait(ctx context.Context, millis int64) {
 	timer := time.NewTimer(time.Duration(millis) * time.Millisecond)
 	defer timer.Stop()
