--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -48,12 +48,12 @@
 	seq  int
 }
 
-func (r *attemptLog) add(seed int64, k requestKind, key, daemon string) *attempt {
+func (r *attemptLog) add(seed int64, k requestKind, key, daemonAddress string) *attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seq++
 	id := fmt.Sprintf("s%d-%d", seed, r.seq)
-	c := &attempt{requestKind: k, id: id, key: key, daemonAddress: daemon, sent: time.Now()}
+	c := &attempt{requestKind: k, id: id, key: key, daemonAddress: daemonAddress, sent: time.Now()}
 	if k.method == http.MethodPost {
 		c.body = "body of " + id
 	}
@@ -90,7 +90,7 @@
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		address := c.pickAddress(ctx)
+		address := c.address(ctx)
 		if address != "" {
 			k := requestKinds[c.rng.IntN(len(requestKinds))]
 			c.send(ctx, c.attempts.add(c.seed, k, c.fleet.pickKey(c.rng.IntN(8)), address))
@@ -99,9 +99,9 @@
 	}
 }
 
-// pickAddress returns one of the addresses from the directory, and resolves them anew
+// address returns one of the addresses from the directory, and resolves them anew
 // when they have expired. It returns "" if there are none.
-func (c *caller) pickAddress(ctx context.Context) string {
+func (c *caller) address(ctx context.Context) string {
 	if time.Now().After(c.addressesExpire) {
 		d := c.fleet.daemons[c.rng.IntN(len(c.fleet.daemons))]
 		if found := c.resolve(ctx, d); len(found) > 0 {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -28,7 +28,7 @@
 	kinds := []func(*rand.Rand, int) fault{
 		killOne, killOne, pauseOne, pauseOverRevocation, stopOne, stopOne, killAll, rollingRestart, reloadSettings,
 		storeFault, storeFault, storeLink, storeLink, cloudLink, runnerLink, runnerLink,
-		runnerFault, runnerFault, runnerFault, drainRunner, drainRunner, startRunner, rotateKey, rotateKey, newConfigVersion,
+		runnerFault, runnerFault, runnerFault, drainAndRemove, drainAndRemove, startRunner, rotateKey, rotateKey, newConfigVersion,
 	}
 	var faults []fault
 	at := 300 * time.Millisecond
@@ -122,12 +122,12 @@
 	return fault{description: fmt.Sprintf("pause %d while a key is taken away", i), apply: func(f *fleet) {
 		d := f.daemons[i]
 		d.signal(syscall.SIGSTOP)
-		old := f.rotate()
+		old := f.rotateKey()
 		time.Sleep(revokeWithin + 100*time.Millisecond)
 		address := d.CallerAddress()
 		for n := range 8 {
-			c := newCaller(f, f.attempts, f.seed, 1000+n)
-			go c.send(context.Background(), f.attempts.add(f.seed, requestKinds[n%2], old, address))
+			c := newCaller(f, f.attemptLog, f.seed, 1000+n)
+			go c.send(context.Background(), f.attemptLog.add(f.seed, requestKinds[n%2], old, address))
 		}
 		time.Sleep(300 * time.Millisecond)
 		d.resume()
@@ -161,9 +161,9 @@
 
 var links = []link{delayed, resetting, dropToServer, dropFromServer, blackhole}
 
-func linkFault(rng *rand.Rand, what string, pick func(f *fleet) *proxy) fault {
+func linkFault(rng *rand.Rand, description string, pick func(f *fleet) *proxy) fault {
 	l, span := links[rng.IntN(len(links))], durationBetween(rng, 300*time.Millisecond, 6*time.Second)
-	return fault{description: fmt.Sprintf("%s %v for %v", what, l, span), apply: func(f *fleet) {
+	return fault{description: fmt.Sprintf("%s %v for %v", description, l, span), apply: func(f *fleet) {
 		p := pick(f)
 		p.set(l)
 		time.Sleep(span)
@@ -201,7 +201,7 @@
 	return fault{description: fmt.Sprintf("runner %d: %d faults", i, n), apply: func(f *fleet) { f.runner(i).SetNextFaults(next...) }}
 }
 
-func drainRunner(rng *rand.Rand, _ int) fault {
+func drainAndRemove(rng *rand.Rand, _ int) fault {
 	i := rng.IntN(1000)
 	return fault{description: fmt.Sprintf("runner %d leaves", i), apply: func(f *fleet) {
 		if b := f.removeRunner(i); b != nil {
@@ -219,7 +219,7 @@
 }
 
 func rotateKey(*rand.Rand, int) fault {
-	return fault{description: "a key is taken away", apply: func(f *fleet) { f.rotate() }}
+	return fault{description: "a key is taken away", apply: func(f *fleet) { f.rotateKey() }}
 }
 
 func newConfigVersion(*rand.Rand, int) fault {
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -26,14 +26,14 @@
 // fleet runs daemons as separate processes, against stand-ins for the store, the cloud
 // and the runners in the test process.
 type fleet struct {
-	t        *testing.T
-	dir      string
-	binary   string
-	store    *site.Store
-	cloud    *site.Cloud
-	daemons  []*daemon
-	seed     int64
-	attempts *attemptLog
+	t          *testing.T
+	dir        string
+	binary     string
+	store      *site.Store
+	cloud      *site.Cloud
+	daemons    []*daemon
+	seed       int64
+	attemptLog *attemptLog
 
 	// configureMu serializes the operator's writes, so that versions grow in the order
 	// in which the store accepts them.
@@ -112,7 +112,7 @@
 
 func newFleet(t *testing.T, binary string, seed int64, daemons, runners int) (*fleet, error) {
 	f := &fleet{
-		t: t, seed: seed, attempts: &attemptLog{byID: map[string]*attempt{}},
+		t: t, seed: seed, attemptLog: &attemptLog{byID: map[string]*attempt{}},
 		dir: t.TempDir(), binary: binary, store: site.NewStore(), cloud: site.NewCloud(),
 		revokedAt: map[string]time.Time{}, resumedAt: map[string]time.Time{}, keys: []string{"k0"},
 	}
@@ -185,18 +185,18 @@
 
 // wait waits for the process and fails the test if it exited although no signal asked
 // for it, or if it failed after SIGTERM.
-func (d *daemon) wait(cmd *exec.Cmd, ended chan struct{}) {
+func (d *daemon) wait(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	d.mu.Lock()
-	told, killed, logged := d.sentTerm, d.sentKill, d.outputStart
+	sentTerm, sentKill, outputStart := d.sentTerm, d.sentKill, d.outputStart
 	d.mu.Unlock()
 	// SIGTERM also ends a process that has not installed its signal handler yet. That
 	// is no failure: such a process has accepted no requests.
-	told = told && (err == nil || !d.output.containsFrom(logged, `"start" daemon=`))
-	if !killed && !told {
+	sentTerm = sentTerm && (err == nil || !d.output.containsFrom(outputStart, `"start" daemon=`))
+	if !sentKill && !sentTerm {
 		d.fleet.t.Errorf("%s exited without being asked to, or failed during shutdown: %v", d.Name(), err)
 	}
-	close(ended)
+	close(exited)
 }
 
 // signal sends a signal to the current process by its process ID.
@@ -222,10 +222,10 @@
 func (d *daemon) stop() {
 	d.signal(syscall.SIGTERM)
 	d.mu.Lock()
-	ended := d.exited
+	exited := d.exited
 	d.mu.Unlock()
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(grace):
 		d.kill()
 	}
@@ -234,9 +234,9 @@
 func (d *daemon) kill() {
 	d.signal(syscall.SIGKILL)
 	d.mu.Lock()
-	ended := d.exited
+	exited := d.exited
 	d.mu.Unlock()
-	<-ended
+	<-exited
 }
 
 // close kills the process, prevents further restarts and closes the proxies.
@@ -292,9 +292,9 @@
 	{Name: "match", Kind: site.Stream, TimeoutMillis: 4000, TargetMillis: 200, Attempts: 2},
 }
 
-// rotate replaces the oldest key by a new one and returns the old key once the store
+// rotateKey replaces the oldest key by a new one and returns the old key once the store
 // has accepted the change.
-func (f *fleet) rotate() string {
+func (f *fleet) rotateKey() string {
 	f.mu.Lock()
 	old := f.keys[0]
 	f.keysIssued++
--- a/soak/operator_test.go
+++ b/soak/operator_test.go
@@ -38,7 +38,7 @@
 	f := &fleet{t: t, store: s, keys: []string{"k0"}, revokedAt: map[string]time.Time{}}
 	var rotating sync.WaitGroup
 	for range 16 {
-		rotating.Go(func() { f.rotate() })
+		rotating.Go(func() { f.rotateKey() })
 	}
 	rotating.Wait()
 	for _, key := range f.keys {
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -129,9 +129,9 @@
 	last := uint64(0)
 	for _, c := range f.cloud.Calls("/usage") {
 		f.mu.Lock()
-		thawed := f.resumedAt[c.Holder]
+		resumedAt := f.resumedAt[c.Holder]
 		f.mu.Unlock()
-		if !c.At.Before(thawed) && c.At.Sub(thawed) <= resumeSlack {
+		if !c.At.Before(resumedAt) && c.At.Sub(resumedAt) <= resumeSlack {
 			continue
 		}
 		token, err := strconv.ParseUint(c.Fence, 10, 64)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -87,7 +87,7 @@
 	}
 	defer f.close()
 	f.waitReady(10 * time.Second)
-	r := f.attempts
+	r := f.attemptLog
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var asking sync.WaitGroup
@@ -104,8 +104,8 @@
 	asking.Wait()
 	// Requests that are still running end within the callers' timeout.
 	time.Sleep(callerTimeout)
-	broken := f.violations(r)
-	for _, b := range broken {
+	violations := f.violations(r)
+	for _, b := range violations {
 		t.Error(b)
 	}
 	t.Logf("%d attempts, %d faults", len(r.byID), len(faults))
