--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -66,7 +66,7 @@
 // until they break, and sometimes abandons a request.
 type caller struct {
 	fleet           *fleet
-	attempts        *attemptLog
+	attemptLog      *attemptLog
 	seed            int64
 	rng             *rand.Rand
 	client          *http.Client
@@ -82,7 +82,7 @@
 
 func newCaller(f *fleet, r *attemptLog, seed int64, n int) *caller {
 	return &caller{
-		fleet: f, attempts: r, seed: seed, rng: rand.New(rand.NewPCG(uint64(seed), uint64(100+n))),
+		fleet: f, attemptLog: r, seed: seed, rng: rand.New(rand.NewPCG(uint64(seed), uint64(100+n))),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}},
 	}
 }
@@ -93,7 +93,7 @@
 		address := c.address(ctx)
 		if address != "" {
 			k := requestKinds[c.rng.IntN(len(requestKinds))]
-			c.send(ctx, c.attempts.add(c.seed, k, c.fleet.pickKey(c.rng.IntN(8)), address))
+			c.send(ctx, c.attemptLog.add(c.seed, k, c.fleet.pickKey(c.rng.IntN(8)), address))
 		}
 		time.Sleep(time.Duration(c.rng.IntN(30)) * time.Millisecond)
 	}
@@ -135,8 +135,8 @@
 		ID: a.id, Method: a.method, Host: site.Host, Path: a.path, Body: a.body, APIKey: a.key,
 		Timeout: callerTimeout, SpoofedWorkspace: "forged",
 	})
-	c.attempts.mu.Lock()
-	defer c.attempts.mu.Unlock()
+	c.attemptLog.mu.Lock()
+	defer c.attemptLog.mu.Unlock()
 	if err != nil {
 		a.truncated = true
 		return
--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -53,12 +53,12 @@
 	runs := map[string]int{}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, backend := range append(append([]*proxiedRunner{}, f.runners...), f.removedRunners...) {
-		for _, run := range backend.Executions() {
+	for _, proxiedRunner := range append(append([]*proxiedRunner{}, f.runners...), f.removedRunners...) {
+		for _, run := range proxiedRunner.Executions() {
 			runs[run.ID]++
 			c, known := r.byID[run.ID]
 			if !known {
-				b.add("run that nobody asked for", "%q at %s", run.ID, backend.ID)
+				b.add("run that nobody asked for", "%q at %s", run.ID, proxiedRunner.ID)
 				continue
 			}
 			if run.Method != c.method || run.Target != c.path || run.Body != "" && run.Body != c.body {
