--- a/bench/reclaim/baseline.go
+++ b/bench/reclaim/baseline.go
@@ -18,7 +18,7 @@
 
 // baseline does without a plan: streams run on their leaving runner to its end.
 type baseline struct {
-	w *world
+	w *simulation
 	// resume goes on after the emitted tokens, shortly before the runner's
 	// end; without it the request begins anew when its runner is gone.
 	resume bool
@@ -61,15 +61,15 @@
 func (b *baseline) token(*job, enginemodel.Event) {}
 func (b *baseline) finished(j *job)               { b.w.finish(j, false) }
 func (b *baseline) lost(j *job)                   { b.start(j) }
-func (b *baseline) reported()                     {}
-func (b *baseline) listed()                       {}
+func (b *baseline) loadsReported()                {}
+func (b *baseline) runnersChanged()               {}
 
-func (b *baseline) noticed(gone []*runner) {
+func (b *baseline) noticeGiven(leaving []*runner) {
 	if !b.resume {
 		return
 	}
 	b.w.after(notice-baselineMargin, func() {
-		for _, r := range gone {
+		for _, r := range leaving {
 			for _, j := range sorted(r.jobs) {
 				b.w.cancel(j)
 				b.start(j)
--- a/bench/reclaim/machine.go
+++ b/bench/reclaim/daemon_policy.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	margin        = 2 * time.Second
+	safetyMargin  = 2 * time.Second
 	bytesPerToken = 128 << 10
 	// linkRate is what a wave's transfers get in all.
 	linkRate  = 2.5e9
 	linkSetup = 20 * time.Millisecond
-	// sureRate is the tokens a second that a stream gets for sure.
-	sureRate = 20
+	// guaranteedRate is the tokens a second that a stream gets for sure.
+	guaranteedRate = 20
 	// slackShare is the part of its target that long work may lose at the first
 	// token for a safer runner, as in the daemon.
-	slackShare = 4
-	modelName  = "m"
-	noRunner   = time.Second
-	deadline   = time.Hour
+	slackShare         = 4
+	modelName          = "m"
+	noRunnerRetryAfter = time.Second
+	deadline           = time.Hour
 	// silence is off: engines in virtual time don't lose connections.
 	silence = 24 * time.Hour
 )
 
-// machines is this project's policy: the routing table, the request machine
+// daemonPolicy is this project's policy: the routing table, the request machine
 // and the reclaim's plan as the daemon runs them.
-type machines struct {
-	w        *world
+type daemonPolicy struct {
+	w        *simulation
 	table    *routing.Table
 	choices  map[ident.RunnerID]*runner
 	tickets  map[int]*ticket
@@ -51,29 +51,29 @@
 	first bool
 }
 
-func newMachines(w *world, ignorePrefix, ignoreRisk bool) *machines {
+func newDaemonPolicy(w *simulation, ignorePrefix, ignoreRisk bool) *daemonPolicy {
 	cfg := routing.Default("gw", failureDomain(0))
 	cfg.IgnorePrefix = ignorePrefix
 	cfg.IgnoreRisk = ignoreRisk
 	cfg.Seed = w.wave.seed
 	cfg.PrefillRate = engineConfig().PrefillRate()
-	cfg.DecodeRate = sureRate
-	m := &machines{
+	cfg.DecodeRate = guaranteedRate
+	m := &daemonPolicy{
 		w: w, table: routing.New(cfg),
 		choices: map[ident.RunnerID]*runner{},
 		tickets: map[int]*ticket{},
 		chains:  map[enginemodel.Key][]prefix.Hash{},
 	}
 	m.table.SetModels([]manifest.Model{{Name: modelName, Version: "1", Service: service}})
-	m.history()
-	m.listed()
+	m.replayReclaimHistory()
+	m.runnersChanged()
 	return m
 }
 
-// history shows the estimate of risk a day of reclaims at the domains' hazards,
+// replayReclaimHistory shows the estimate of risk a day of reclaims at the domains' hazards,
 // spread evenly. Each reclaimed VM is replaced under another name, and the
-// last ones of the history are those that the run begins with.
-func (m *machines) history() {
+// last ones of the replayReclaimHistory are those that the run begins with.
+func (m *daemonPolicy) replayReclaimHistory() {
 	const step = 10 * time.Minute
 	due := make([]float64, domains)
 	for t := -24 * time.Hour; t < 0; t += step {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (m *machines) listed() {
+func (m *daemonPolicy) runnersChanged() {
 	var list []view.Runner
 	for _, r := range m.w.runners {
 		m.choices[r.ID] = r
@@ -101,10 +101,10 @@
 		}
 	}
 	m.table.SetRunners(at(m.w.now), list)
-	m.reported()
+	m.loadsReported()
 }
 
-func (m *machines) reported() {
+func (m *daemonPolicy) loadsReported() {
 	for _, r := range m.w.runners {
 		if r.dead {
 			continue
@@ -121,7 +121,7 @@
 	}
 }
 
-func (m *machines) arrived(j *job) {
+func (m *daemonPolicy) arrived(j *job) {
 	limits := request.DefaultLimits()
 	limits.SilenceTimeout = silence
 	j.machine = request.New(request.Spec{
@@ -131,13 +131,13 @@
 	m.step(j, request.Start{})
 }
 
-func (m *machines) step(j *job, in request.Input) {
+func (m *daemonPolicy) step(j *job, in request.Input) {
 	for _, e := range j.machine.Step(at(m.w.now), in) {
-		m.carryOut(j, e)
+		m.applyEffect(j, e)
 	}
 }
 
-func (m *machines) carryOut(j *job, e request.Effect) {
+func (m *daemonPolicy) applyEffect(j *job, e request.Effect) {
 	switch e := e.(type) {
 	case request.Pick:
 		m.w.after(0, func() { m.pick(j, e) })
@@ -158,7 +158,7 @@
 }
 
 // wakeAt keeps one timer a job; an earlier wish than the pending one is rare.
-func (m *machines) wakeAt(j *job, when time.Duration) {
+func (m *daemonPolicy) wakeAt(j *job, when time.Duration) {
 	if j.machine.Runner() != "" || (j.wake > m.w.now && j.wake <= when) {
 		return
 	}
@@ -170,7 +170,7 @@
 	})
 }
 
-func (m *machines) chain(a arrival) []prefix.Hash {
+func (m *daemonPolicy) chain(a arrival) []prefix.Hash {
 	c, ok := m.chains[a.shared]
 	if !ok {
 		for i := range a.class.shared / prefix.BlockTokens {
@@ -181,7 +181,7 @@
 	return c
 }
 
-func (m *machines) routed(j *job) *routing.Request {
+func (m *daemonPolicy) routingRequest(j *job) *routing.Request {
 	return &routing.Request{
 		Model: modelName, Prefix: m.chain(j.arrival),
 		PromptTokens: j.prompt() + j.emitted, OutputTokens: j.class.output,
@@ -189,19 +189,19 @@
 	}
 }
 
-func (m *machines) pick(j *job, p request.Pick) {
-	r := m.routed(j)
+func (m *daemonPolicy) pick(j *job, p request.Pick) {
+	r := m.routingRequest(j)
 	r.Exclude = m.table.Exclude(p.Exclude...)
 	c, err := m.table.Pick(at(m.w.now), r)
 	if err != nil {
-		m.step(j, request.PickRefused{Refusal: refusal.New(refusal.NoRunner, "%v", err).After(noRunner)})
+		m.step(j, request.PickRefused{Refusal: refusal.New(refusal.NoRunner, "%v", err).After(noRunnerRetryAfter)})
 		return
 	}
 	m.tickets[j.id] = &ticket{Ticket: m.table.Dispatch(at(m.w.now), c, r)}
 	m.step(j, request.Picked{Runner: c.Runner})
 }
 
-func (m *machines) generate(j *job, g request.Generate) {
+func (m *daemonPolicy) generate(j *job, g request.Generate) {
 	if g.Attempt != j.machine.Attempt() {
 		return
 	}
@@ -214,7 +214,7 @@
 	}
 }
 
-func (m *machines) abandon(j *job) {
+func (m *daemonPolicy) abandon(j *job) {
 	m.w.cancel(j)
 	if t := m.tickets[j.id]; t != nil {
 		m.table.Finished(at(m.w.now), &t.Ticket)
@@ -222,7 +222,7 @@
 	}
 }
 
-func (m *machines) token(j *job, ev enginemodel.Event) {
+func (m *daemonPolicy) token(j *job, ev enginemodel.Event) {
 	if t := m.tickets[j.id]; t != nil && !t.first {
 		t.first = true
 		m.table.FirstToken(at(m.w.now), &t.Ticket)
@@ -230,7 +230,7 @@
 	m.step(j, request.EventArrived{Event: stream.Event{Request: j.request, Attempt: j.attempt, Offset: ev.Emitted - 1, Token: "w"}})
 }
 
-func (m *machines) finished(j *job) {
+func (m *daemonPolicy) finished(j *job) {
 	if t := m.tickets[j.id]; t != nil {
 		m.table.Finished(at(m.w.now), &t.Ticket)
 		delete(m.tickets, j.id)
@@ -238,18 +238,18 @@
 	m.step(j, request.EventArrived{Event: stream.Event{Request: j.request, Attempt: j.attempt, Offset: j.output, Done: true}})
 }
 
-func (m *machines) lost(j *job) {
+func (m *daemonPolicy) lost(j *job) {
 	m.step(j, request.StreamClosed{Attempt: j.machine.Attempt(), Cause: request.Truncated})
 }
 
 // export carries a transfer out on the link that all of the wave share. It
 // fails with its target or source, or half way.
-func (m *machines) export(j *job, e request.ExportCache) {
+func (m *daemonPolicy) export(j *job, e request.ExportCache) {
 	from, to := m.choices[e.From], m.choices[e.To]
 	j.exported = from.engine.Context(j.sequence)
 	takes := linkSetup + time.Duration(float64(j.exported*bytesPerToken)/linkRate*float64(time.Second))
 	m.linkFree = max(m.linkFree, m.w.now) + takes
-	failed := m.w.rng.Float64() < m.w.wave.fault.exports
+	failed := m.w.rng.Float64() < m.w.wave.fault.exportFailure
 	m.w.after(m.linkFree-m.w.now, func() {
 		in := request.CacheExported{Attempt: e.Attempt, Target: e.To, Handle: "h"}
 		if failed || from.dead || to.dead || to.State != view.Live {
@@ -259,14 +259,14 @@
 	})
 }
 
-func (m *machines) noticed(gone []*runner) {
+func (m *daemonPolicy) noticeGiven(leaving []*runner) {
 	m.replan()
 }
 
 // replan plans for all streams at leaving runners whose plan is not carried
 // out yet: a further notice may have hit their targets.
-func (m *machines) replan() {
-	b := planner.Batch{SafetyMargin: margin, Link: planner.Link{
+func (m *daemonPolicy) replan() {
+	b := planner.Batch{SafetyMargin: safetyMargin, Link: planner.Link{
 		BytesPerSecond: linkRate, Setup: linkSetup, BusyFor: max(m.linkFree-m.w.now, 0),
 	}}
 	b.Targets = m.table.Targets()
@@ -274,10 +274,10 @@
 	for _, r := range m.w.runners {
 		switch r.State {
 		case view.Leaving:
-			b.Sources = append(b.Sources, planner.Source{Runner: r.ID, TimeLeft: r.endsAt - m.w.now, DecodeRate: sureRate})
+			b.Sources = append(b.Sources, planner.Source{Runner: r.ID, TimeLeft: r.endsAt - m.w.now, DecodeRate: guaranteedRate})
 			for _, j := range sorted(r.jobs) {
 				byID[j.request] = j
-				b.Streams = append(b.Streams, described(j, r))
+				b.Streams = append(b.Streams, plannerStream(j, r))
 				for _, g := range m.w.runners {
 					if g.State == view.Leaving {
 						m.step(j, request.RunnerLeaving{Runner: g.ID})
@@ -288,11 +288,11 @@
 	}
 	for _, d := range planner.Plan(b) {
 		m.w.stats.planned(d.Kind)
-		m.follow(byID[d.Request], d)
+		m.applyDecision(byID[d.Request], d)
 	}
 }
 
-func described(j *job, r *runner) planner.Stream {
+func plannerStream(j *job, r *runner) planner.Stream {
 	context := j.prompt() + j.emitted
 	return planner.Stream{
 		Request: j.request, Runner: r.ID, Urgent: j.class.urgent,
@@ -302,11 +302,11 @@
 	}
 }
 
-func (m *machines) follow(j *job, d planner.Decision) {
+func (m *daemonPolicy) applyDecision(j *job, d planner.Decision) {
 	when := d.Start
 	in := request.Input(request.Relocate{Attempt: j.attempt, Target: d.Target, Export: d.Kind == planner.Move})
 	if d.Target == "" {
-		when = j.runner.endsAt - margin - m.w.now
+		when = j.runner.endsAt - safetyMargin - m.w.now
 		in = request.Evict{Attempt: j.attempt}
 	}
 	m.w.after(when, func() {
--- a/bench/reclaim/experiment.go
+++ b/bench/reclaim/experiment.go
@@ -35,15 +35,15 @@
 
 type arm struct {
 	name   string
-	policy func(*world) policy
+	policy func(*simulation) policy
 }
 
 var arms = []arm{
-	{"policy", func(w *world) policy { return newMachines(w, false, false) }},
-	{"restart", func(w *world) policy { return &baseline{w: w} }},
-	{"resume", func(w *world) policy { return &baseline{w: w, resume: true, leastLoaded: true} }},
-	{"no_prefix", func(w *world) policy { return newMachines(w, true, false) }},
-	{"no_risk", func(w *world) policy { return newMachines(w, false, true) }},
+	{"policy", func(w *simulation) policy { return newDaemonPolicy(w, false, false) }},
+	{"restart", func(w *simulation) policy { return &baseline{w: w} }},
+	{"resume", func(w *simulation) policy { return &baseline{w: w, resume: true, leastLoaded: true} }},
+	{"no_prefix", func(w *simulation) policy { return newDaemonPolicy(w, true, false) }},
+	{"no_risk", func(w *simulation) policy { return newDaemonPolicy(w, false, true) }},
 }
 
 // Run implements bench.Experiment. Each seed is one wave a round; figures are
@@ -96,7 +96,7 @@
 					return fmt.Errorf("reclaim: %w", err)
 				}
 				st := newStats()
-				newWorld(newWave(seed+uint64(round)<<32, perSecond), s, a, st).runAll()
+				newSimulation(newWave(seed+uint64(round)<<32, perSecond), s, a, st).runAll()
 				mu.Lock()
 				total.merge(st)
 				mu.Unlock()
@@ -136,12 +136,12 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, runsUntil.Microseconds(), 3)
+	return hdrhistogram.New(1, runLimit.Microseconds(), 3)
 }
 
 // record leaves out what lies past the end of a run.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(min(d, runsUntil).Microseconds(), 1))
+	_ = h.RecordValue(max(min(d, runLimit).Microseconds(), 1))
 }
 
 func (s *stats) planned(k planner.Kind) { s.decisions[k]++ }
@@ -152,12 +152,12 @@
 	}
 }
 
-func (s *stats) collect(w *world) {
+func (s *stats) collect(w *simulation) {
 	s.waves++
 	for _, j := range w.jobs {
 		s.recomputed += float64(j.recomputed)
 		if !j.done {
-			s.lose(j)
+			s.countLost(j)
 			continue
 		}
 		record(s.first[j.class.urgent], j.first)
@@ -169,11 +169,11 @@
 		}
 	}
 	for _, r := range w.runners {
-		s.cost += w.rent(r)
+		s.cost += w.vmCost(r)
 	}
 }
 
-func (s *stats) lose(j *job) {
+func (s *stats) countLost(j *job) {
 	if j.class.urgent {
 		s.refused++
 		return
@@ -188,8 +188,8 @@
 	return (j.end - j.at - j.first) / time.Duration(j.output-1)
 }
 
-// rent is a VM's price for the time that it is there, until arrivals end.
-func (w *world) rent(r *runner) float64 {
+// vmCost is a VM's price for the time that it is there, until arrivals end.
+func (w *simulation) vmCost(r *runner) float64 {
 	from, to := time.Duration(0), arrivalsEnd
 	if r.endsAt > 0 {
 		to = min(r.endsAt, arrivalsEnd)
--- a/bench/reclaim/reclaim_test.go
+++ b/bench/reclaim/reclaim_test.go
@@ -31,7 +31,7 @@
 	return figures
 }
 
-func TestRunsRepeat(t *testing.T) {
+func TestRunsAreDeterministic(t *testing.T) {
 	is := is.New(t)
 	is.Equal(run(t, seeds(1), arms[0], scenarios[0]), run(t, seeds(1), arms[0], scenarios[0]))
 }
--- a/bench/reclaim/world.go
+++ b/bench/reclaim/simulation.go
@@ -18,8 +18,8 @@
 	service          = "asistente"
 	vmClass          = "gpu-reclaimable"
 	reportEvery      = 500 * time.Millisecond
-	// runsUntil ends a run; what has not its answer by then is lost.
-	runsUntil   = 10 * time.Minute
+	// runLimit ends a run; what has not its answer by then is lost.
+	runLimit    = 10 * time.Minute
 	ownKeyBase  = 1 << 20
 	historyBase = 48 * time.Hour
 )
@@ -95,8 +95,8 @@
 	return last
 }
 
-// world is one run of one arm through one wave.
-type world struct {
+// simulation is one run of one arm through one wave.
+type simulation struct {
 	wave     wave
 	scenario scenario
 	arm      arm
@@ -119,13 +119,13 @@
 	finished(j *job)
 	// lost tells that a job's runner went away under it.
 	lost(j *job)
-	noticed(gone []*runner)
-	reported()
-	listed()
+	noticeGiven(leaving []*runner)
+	loadsReported()
+	runnersChanged()
 }
 
-func newWorld(w wave, s scenario, a arm, st *stats) *world {
-	x := &world{wave: w, scenario: s, arm: a, stats: st}
+func newSimulation(w wave, s scenario, a arm, st *stats) *simulation {
+	x := &simulation{wave: w, scenario: s, arm: a, stats: st}
 	x.rng = rand.New(rand.NewPCG(w.seed, 7))
 	for i := range domains * runnersPerDomain {
 		x.add(i/runnersPerDomain, i)
@@ -134,7 +134,7 @@
 	return x
 }
 
-func (w *world) add(domain, index int) {
+func (w *simulation) add(domain, index int) {
 	id := ident.RunnerID(fmt.Sprintf("runner-%02d", index))
 	w.runners = append(w.runners, &runner{
 		Runner: view.Runner{
@@ -156,23 +156,23 @@
 	return ident.FailureDomain(fmt.Sprintf("domain-%d", i))
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *simulation) after(d time.Duration, run func()) {
 	w.seq++
 	heap.Push(&w.queue, event{at: w.now + max(d, 0), seq: w.seq, run: run})
 }
 
-func (w *world) runAll() {
+func (w *simulation) runAll() {
 	for i := range w.wave.arrivals {
 		w.after(w.wave.arrivals[i].at, func() { w.arrive(w.wave.arrivals[i]) })
 	}
-	w.after(noticeAt, func() { w.notice(w.takenFirst()) })
+	w.after(noticeAt, func() { w.notice(w.firstReclaimed()) })
 	if w.scenario.second > 0 {
 		w.after(noticeAt+w.scenario.second, func() { w.notice(w.domainRunners(w.wave.order[1])) })
 	}
 	w.after(replacedAt, w.replace)
 	w.after(0, w.reports)
 	w.open = len(w.wave.arrivals)
-	for w.open > 0 && len(w.queue) > 0 && w.now < runsUntil {
+	for w.open > 0 && len(w.queue) > 0 && w.now < runLimit {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.run()
@@ -180,38 +180,38 @@
 	w.stats.collect(w)
 }
 
-func (w *world) arrive(a arrival) {
+func (w *simulation) arrive(a arrival) {
 	w.nextID++
 	j := &job{arrival: a, id: w.nextID, request: ident.RequestID(fmt.Sprintf("r%d", w.nextID)), last: w.now}
 	w.jobs = append(w.jobs, j)
 	w.policy.arrived(j)
 }
 
-func (w *world) reports() {
+func (w *simulation) reports() {
 	for _, r := range w.runners {
 		if !r.dead {
 			r.report = r.engine.Load()
 		}
 	}
-	w.policy.reported()
+	w.policy.loadsReported()
 	w.after(reportEvery, w.reports)
 }
 
-func (w *world) takenFirst() []*runner {
+func (w *simulation) firstReclaimed() []*runner {
 	rank := make([]int, domains)
 	for i, d := range w.wave.order {
 		rank[d] = i
 	}
 	var taken []*runner
 	for i, r := range w.runners {
-		if w.scenario.takes(rank[r.domain], i) {
+		if w.scenario.reclaims(rank[r.domain], i) {
 			taken = append(taken, r)
 		}
 	}
 	return taken
 }
 
-func (w *world) domainRunners(domain int) []*runner {
+func (w *simulation) domainRunners(domain int) []*runner {
 	var list []*runner
 	for _, r := range w.runners {
 		if r.domain == domain && !r.dead && r.State == view.Live {
@@ -222,8 +222,8 @@
 }
 
 // notice gives runners their notice; each goes at its end, one perhaps before.
-func (w *world) notice(gone []*runner) {
-	for i, r := range gone {
+func (w *simulation) notice(leaving []*runner) {
+	for i, r := range leaving {
 		r.State = view.Leaving
 		r.endsAt = w.now + notice
 		r.LeavesAt = at(r.endsAt)
@@ -232,22 +232,22 @@
 			j.longest = 0
 		}
 		left := notice
-		if i == w.wave.fault.early {
+		if i == w.wave.fault.earlyDeath {
 			left = notice / 2
 		}
-		w.after(left, func() { w.die(r) })
+		w.after(left, func() { w.terminate(r) })
 	}
-	w.policy.listed()
-	w.policy.noticed(gone)
+	w.policy.runnersChanged()
+	w.policy.noticeGiven(leaving)
 }
 
-func (w *world) die(r *runner) {
+func (w *simulation) terminate(r *runner) {
 	r.dead = true
 	r.State = view.Gone
 	r.engine = enginemodel.New(engineConfig())
 	lost := r.jobs
 	r.jobs = map[int]*job{}
-	w.policy.listed()
+	w.policy.runnersChanged()
 	for _, j := range sorted(lost) {
 		j.runner = nil
 		w.policy.lost(j)
@@ -255,7 +255,7 @@
 }
 
 // replace starts as many cold VMs as have gone, in the domains that stayed.
-func (w *world) replace() {
+func (w *simulation) replace() {
 	gone := 0
 	for _, r := range w.runners {
 		if r.State != view.Live {
@@ -266,11 +266,11 @@
 		w.add(w.wave.order[2+i%2], len(w.runners))
 		w.runners[len(w.runners)-1].cold = true
 	}
-	w.policy.listed()
+	w.policy.runnersChanged()
 }
 
 // dispatch starts a job's next attempt; false if the runner is dead.
-func (w *world) dispatch(j *job, r *runner, emitted, imported int) bool {
+func (w *simulation) dispatch(j *job, r *runner, emitted, imported int) bool {
 	if r.dead {
 		return false
 	}
@@ -290,7 +290,7 @@
 }
 
 // cancel ends the current attempt.
-func (w *world) cancel(j *job) {
+func (w *simulation) cancel(j *job) {
 	r := j.runner
 	if r == nil {
 		return
@@ -302,7 +302,7 @@
 	w.schedule(r)
 }
 
-func (w *world) schedule(r *runner) {
+func (w *simulation) schedule(r *runner) {
 	next, busy := r.engine.Next()
 	if !busy || r.wake == next {
 		return
@@ -316,7 +316,7 @@
 	})
 }
 
-func (w *world) step(r *runner) {
+func (w *simulation) step(r *runner) {
 	for _, ev := range r.engine.Step(w.now) {
 		j, ok := r.jobs[ev.ID]
 		if !ok {
@@ -335,7 +335,7 @@
 }
 
 // token counts what was computed again and when the caller got something new.
-func (w *world) token(j *job, ev enginemodel.Event) {
+func (w *simulation) token(j *job, ev enginemodel.Event) {
 	if ev.First && j.attempts > 1 {
 		j.recomputed += min(ev.Computed, j.reached)
 	}
@@ -354,7 +354,7 @@
 	j.last = w.now
 }
 
-func (w *world) finish(j *job, refused bool) {
+func (w *simulation) finish(j *job, refused bool) {
 	if j.done || j.refused {
 		return
 	}
--- a/bench/reclaim/workload.go
+++ b/bench/reclaim/workload.go
@@ -55,11 +55,11 @@
 
 // fault is what else goes wrong in a wave.
 type fault struct {
-	// early is the runner of the wave that dies half way through its notice;
+	// earlyDeath is the runner of the wave that dies half way through its notice;
 	// negative is none.
-	early int
-	// exports is the probability that a transfer fails half way.
-	exports float64
+	earlyDeath int
+	// exportFailure is the probability that a transfer fails half way.
+	exportFailure float64
 }
 
 // scenario is what a wave takes.
@@ -67,15 +67,15 @@
 	name string
 	// runners tells whether a runner gets notice; the domains are in the order
 	// in which the wave draws them.
-	takes func(domain, index int) bool
+	reclaims func(domain, index int) bool
 	// second domain gets its notice this long after the first; zero is never.
 	second time.Duration
 }
 
 var scenarios = []scenario{
-	{name: "domain", takes: func(domain, _ int) bool { return domain == 0 }},
-	{name: "half", takes: func(_, index int) bool { return index%2 == 0 }},
-	{name: "second", takes: func(domain, _ int) bool { return domain == 0 }, second: 8 * time.Second},
+	{name: "domain", reclaims: func(domain, _ int) bool { return domain == 0 }},
+	{name: "half", reclaims: func(_, index int) bool { return index%2 == 0 }},
+	{name: "second", reclaims: func(domain, _ int) bool { return domain == 0 }, second: 8 * time.Second},
 }
 
 // wave is one run's input, the same for every arm.
@@ -110,9 +110,9 @@
 func newWave(seed uint64, perSecond float64) wave {
 	rng := rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15))
 	w := wave{seed: seed, order: drawOrder(rng)}
-	w.fault = fault{early: -1, exports: exportFailures}
+	w.fault = fault{earlyDeath: -1, exportFailure: exportFailures}
 	if rng.Float64() < earlyDeathShare {
-		w.fault.early = rng.IntN(runnersPerDomain)
+		w.fault.earlyDeath = rng.IntN(runnersPerDomain)
 	}
 	at := time.Duration(0)
 	for {
