--- a/bench/reclaim/baseline.go
+++ b/bench/reclaim/baseline.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	// baselineMargin is how long before the end of its runner a baseline
-	// takes a stream off it.
+	// baselineMargin is how long before the end of a runner the baseline "resume"
+	// moves its streams to another runner.
 	baselineMargin = 2 * time.Second
 	baselineRetry  = time.Second
 )
 
-// baseline does without a plan: streams run on their leaving runner to its end.
+// baseline is a policy without a reclaim plan: streams keep running on a leaving
+// runner until shortly before its end, or until its end.
 type baseline struct {
 	w *simulation
-	// resume goes on after the emitted tokens, shortly before the runner's
-	// end; without it the request begins anew when its runner is gone.
+	// resume moves a stream shortly before its runner's end and continues after the
+	// tokens emitted so far. Without it, the request restarts from the first token
+	// once its runner is gone.
 	resume bool
-	// leastLoaded sees the runners' load without a lag; without it they get
-	// their turn.
+	// leastLoaded picks the runner with the fewest jobs, without any reporting delay.
+	// Without it, runners are picked in turn.
 	leastLoaded bool
 	next        int
 }
@@ -78,7 +80,7 @@
 	})
 }
 
-// sorted lists jobs in the order of their arrival, so that runs repeat.
+// sorted returns jobs in the order of their arrival, so that runs are deterministic.
 func sorted(jobs map[int]*job) []*job {
 	list := make([]*job, 0, len(jobs))
 	for _, j := range jobs {
--- a/bench/reclaim/cost.go
+++ b/bench/reclaim/cost.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// costSeeds bounds the waves that each rate is tried on.
+	// costSeeds limits the number of seeds for each request rate.
 	costSeeds = 8
-	// Rates of requests that are tried, in requests a second.
+	// Request rates to search, in requests per second.
 	lowestRate, highestRate, rateStep = 4, 60, 2
 )
 
-// costAtTarget finds the highest rate of requests at which the arm still meets
-// the targets in waves that take one failure domain, by bisection, and what a
-// million tokens cost there. Without a rate that meets them there is no figure.
+// costAtTarget finds, by bisection, the highest request rate at which an arm still
+// meets the latency targets while one failure domain is reclaimed, and the cost of a
+// million tokens at that rate. If no rate meets the targets, it adds no figures.
 func costAtTarget(ctx context.Context, o bench.Options, a arm, into map[string]float64) error {
 	o.Seeds = o.Seeds[:min(costSeeds, len(o.Seeds))]
 	o.Rounds = 1
--- a/bench/reclaim/daemon_policy.go
+++ b/bench/reclaim/daemon_policy.go
@@ -20,23 +20,26 @@
 const (
 	safetyMargin  = 2 * time.Second
 	bytesPerToken = 128 << 10
-	// linkRate is what a wave's transfers get in all.
+	// linkRate is the bandwidth that all transfers share, in bytes per second.
 	linkRate  = 2.5e9
 	linkSetup = 20 * time.Millisecond
-	// guaranteedRate is the tokens a second that a stream gets for sure.
+	// guaranteedRate is the decode rate in tokens per second that a stream gets at
+	// least.
 	guaranteedRate = 20
-	// slackShare is the part of its target that long work may lose at the first
-	// token for a safer runner, as in the daemon.
+	// slackShare divides the first-token target of long requests: they may wait up to
+	// a quarter of the target longer for a runner with less reclaim risk. The daemon
+	// uses the same share.
 	slackShare         = 4
 	modelName          = "m"
 	noRunnerRetryAfter = time.Second
 	deadline           = time.Hour
-	// silence is off: engines in virtual time don't lose connections.
+	// silence is long enough to disable the timeout for silent streams: engines in
+	// virtual time don't lose connections.
 	silence = 24 * time.Hour
 )
 
-// daemonPolicy is this project's policy: the routing table, the request machine
-// and the reclaim's plan as the daemon runs them.
+// daemonPolicy is the project's own policy. It uses the routing table, the request
+// state machine and the reclaim planner of the daemon.
 type daemonPolicy struct {
 	w        *simulation
 	table    *routing.Table
@@ -70,9 +73,9 @@
 	return m
 }
 
-// replayReclaimHistory shows the estimate of risk a day of reclaims at the domains' hazards,
-// spread evenly. Each reclaimed VM is replaced under another name, and the
-// last ones of the replayReclaimHistory are those that the run begins with.
+// replayReclaimHistory feeds the risk estimate a day of reclaims at the hazards of the
+// failure domains, evenly spaced. Each reclaimed VM is replaced by one with a new
+// name; the run starts with the last ones.
 func (m *daemonPolicy) replayReclaimHistory() {
 	const step = 10 * time.Minute
 	due := make([]float64, domains)
@@ -157,7 +160,7 @@
 	}
 }
 
-// wakeAt keeps one timer a job; an earlier wish than the pending one is rare.
+// wakeAt keeps one timer per job and sets it anew for an earlier time.
 func (m *daemonPolicy) wakeAt(j *job, when time.Duration) {
 	if j.machine.Runner() != "" || (j.wake > m.w.now && j.wake <= when) {
 		return
@@ -242,8 +245,9 @@
 	m.step(j, request.StreamClosed{Attempt: j.machine.Attempt(), Cause: request.Truncated})
 }
 
-// export carries a transfer out on the link that all of the wave share. It
-// fails with its target or source, or half way.
+// export simulates a KV cache transfer on the link that all transfers share. The
+// transfer fails if its source or target is gone at its end, if the target is leaving,
+// or at random.
 func (m *daemonPolicy) export(j *job, e request.ExportCache) {
 	from, to := m.choices[e.From], m.choices[e.To]
 	j.exported = from.engine.Context(j.sequence)
@@ -263,8 +267,8 @@
 	m.replan()
 }
 
-// replan plans for all streams at leaving runners whose plan is not carried
-// out yet: a further notice may have hit their targets.
+// replan plans for all streams on leaving runners. It also covers streams that already
+// have a plan, because a later notice may affect the target of their move.
 func (m *daemonPolicy) replan() {
 	b := planner.Batch{SafetyMargin: safetyMargin, Link: planner.Link{
 		BytesPerSecond: linkRate, Setup: linkSetup, BusyFor: max(m.linkFree-m.w.now, 0),
@@ -311,7 +315,7 @@
 	}
 	m.w.after(when, func() {
 		if r := m.choices[d.Target]; r != nil && r.State != view.Live {
-			return // a further notice has made another plan
+			return // a later notice has replaced this plan
 		}
 		m.step(j, in)
 	})
--- a/bench/reclaim/experiment.go
+++ b/bench/reclaim/experiment.go
@@ -1,6 +1,6 @@
-// Package reclaim measures what a wave of reclaims costs under this project's
-// policy and under simpler ones, in virtual time: the same requests, engines,
-// notices and faults for every arm.
+// Package reclaim measures the cost of waves of reclaims under the project's policy
+// and under simpler ones, in virtual time. Every arm gets the same requests, engines,
+// notices and faults.
 package reclaim
 
 import (
@@ -30,7 +30,7 @@
 	return "waves of reclaims with 30 s of notice: recomputed tokens, cost, latency and losses"
 }
 
-// workers bounds the runs at once; others may use the machine.
+// workers limits concurrent runs, because other processes may use the machine.
 const workers = 3
 
 type arm struct {
@@ -46,9 +46,10 @@
 	{"no_risk", func(w *simulation) policy { return newDaemonPolicy(w, false, true) }},
 }
 
-// Run implements bench.Experiment. Each seed is one wave a round; figures are
-// over all of them. Figures of the scenarios half (every second runner goes)
-// and second (another domain 8 s later) carry the scenario's name.
+// Run implements bench.Experiment. Each seed gives one wave per round, and figures
+// aggregate all waves. Names of figures of the scenarios "half" (every second runner
+// is reclaimed) and "second" (a second domain follows 8 s later) end in the scenario's
+// name.
 func (Experiment) Run(ctx context.Context, o bench.Options) (bench.Report, error) {
 	report := bench.Report{Experiment: "reclaim", Seeds: o.Seeds, Notes: notes()}
 	for _, a := range arms {
@@ -107,7 +108,7 @@
 	return total, g.Wait()
 }
 
-// stats adds up the figures of waves.
+// stats aggregates the results of waves.
 type stats struct {
 	waves       int
 	recomputed  float64
@@ -139,7 +140,7 @@
 	return hdrhistogram.New(1, runLimit.Microseconds(), 3)
 }
 
-// record leaves out what lies past the end of a run.
+// record adds a duration, limited to the length of a run.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(max(min(d, runLimit).Microseconds(), 1))
 }
@@ -188,7 +189,7 @@
 	return (j.end - j.at - j.first) / time.Duration(j.output-1)
 }
 
-// vmCost is a VM's price for the time that it is there, until arrivals end.
+// vmCost is the price of a VM for the time that it runs, up to the end of arrivals.
 func (w *simulation) vmCost(r *runner) float64 {
 	from, to := time.Duration(0), arrivalsEnd
 	if r.endsAt > 0 {
--- a/bench/reclaim/reclaim_test.go
+++ b/bench/reclaim/reclaim_test.go
@@ -36,9 +36,9 @@
 	is.Equal(run(t, seeds(1), arms[0], scenarios[0]), run(t, seeds(1), arms[0], scenarios[0]))
 }
 
-// Accepted reviews and bulletins would be lost to a wave that takes a failure
-// domain, half the runners, or a second domain while the first one's streams
-// are under way. Run with -waves 1000 it takes about half an hour.
+// Accepted reviews and bulletins must survive a wave that takes a failure domain, half
+// the runners, or a second domain while streams of the first one are still moving.
+// With -waves 1000 the test takes about half an hour.
 func TestNoLongRequestIsLost(t *testing.T) {
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/bench/reclaim/simulation.go
+++ b/bench/reclaim/simulation.go
@@ -18,14 +18,14 @@
 	service          = "asistente"
 	vmClass          = "gpu-reclaimable"
 	reportEvery      = 500 * time.Millisecond
-	// runLimit ends a run; what has not its answer by then is lost.
+	// runLimit ends a run; requests without a complete answer by then are lost.
 	runLimit    = 10 * time.Minute
 	ownKeyBase  = 1 << 20
 	historyBase = 48 * time.Hour
 )
 
-// epoch is the time at which runs begin; the hours before it are history that
-// the estimate of risk has seen.
+// epoch is the time at which runs begin. It leaves room for the earlier history that
+// the risk estimate is fed.
 var epoch = time.Unix(0, 0).Add(historyBase)
 
 func at(d time.Duration) time.Time { return epoch.Add(d) }
@@ -36,7 +36,7 @@
 	domain int
 	engine *enginemodel.Engine
 	dead   bool
-	// cold ones were started as replacements.
+	// cold marks a VM that was started as a replacement.
 	cold   bool
 	endsAt time.Duration
 	wake   time.Duration
@@ -44,27 +44,28 @@
 	jobs   map[int]*job
 }
 
-// job is one request on its way.
+// job is a request and its progress.
 type job struct {
 	arrival
 	id      int
 	request ident.RequestID
 	runner  *runner
-	// sequence is the current attempt at the engine.
+	// sequence is the engine's sequence ID for the current attempt.
 	sequence int
 	attempts int
-	// emitted is what the caller has, reached the furthest context computed.
+	// emitted counts the tokens that the caller has received. reached is the longest
+	// context computed so far, in tokens.
 	emitted, reached int
 	recomputed       int
 	first, last, end time.Duration
 	done             bool
 	refused          bool
-	// moved jobs were at a runner when it got its notice.
+	// moved marks jobs that were on a runner when it got its notice.
 	moved   bool
 	longest time.Duration
 	machine *request.Machine
 	attempt ident.AttemptID
-	// exported is the context that is under way to another runner.
+	// exported is the context size of the current transfer, in tokens.
 	exported int
 	wake     time.Duration
 }
@@ -95,7 +96,7 @@
 	return last
 }
 
-// simulation is one run of one arm through one wave.
+// simulation runs one arm through one wave.
 type simulation struct {
 	wave     wave
 	scenario scenario
@@ -112,12 +113,12 @@
 	stats    *stats
 }
 
-// policy is what differs between the arms.
+// policy decides where jobs run; each arm has its own.
 type policy interface {
 	arrived(j *job)
 	token(j *job, ev enginemodel.Event)
 	finished(j *job)
-	// lost tells that a job's runner went away under it.
+	// lost is called for a job whose runner is gone before the job finished.
 	lost(j *job)
 	noticeGiven(leaving []*runner)
 	loadsReported()
@@ -221,7 +222,8 @@
 	return list
 }
 
-// notice gives runners their notice; each goes at its end, one perhaps before.
+// notice gives runners their notice. Each terminates at the end of the notice; at most
+// one per call terminates half way through it.
 func (w *simulation) notice(leaving []*runner) {
 	for i, r := range leaving {
 		r.State = view.Leaving
@@ -254,7 +256,8 @@
 	}
 }
 
-// replace starts as many cold VMs as have gone, in the domains that stayed.
+// replace starts as many cold VMs as were reclaimed, in the two failure domains that
+// the wave takes last.
 func (w *simulation) replace() {
 	gone := 0
 	for _, r := range w.runners {
@@ -269,7 +272,7 @@
 	w.policy.runnersChanged()
 }
 
-// dispatch starts a job's next attempt; false if the runner is dead.
+// dispatch starts a job's next attempt. It returns false if the runner is dead.
 func (w *simulation) dispatch(j *job, r *runner, emitted, imported int) bool {
 	if r.dead {
 		return false
@@ -289,7 +292,7 @@
 	return true
 }
 
-// cancel ends the current attempt.
+// cancel cancels the job's current attempt, if it has one.
 func (w *simulation) cancel(j *job) {
 	r := j.runner
 	if r == nil {
@@ -334,7 +337,7 @@
 	w.schedule(r)
 }
 
-// token counts what was computed again and when the caller got something new.
+// token counts recomputed tokens and records the times of new ones.
 func (w *simulation) token(j *job, ev enginemodel.Event) {
 	if ev.First && j.attempts > 1 {
 		j.recomputed += min(ev.Computed, j.reached)
--- a/bench/reclaim/workload.go
+++ b/bench/reclaim/workload.go
@@ -7,19 +7,21 @@
 	"geraniumstack.org/geraniumstack/bench/enginemodel"
 )
 
-// class is a kind of request, after the users' own: chat and sightings are
-// read by a waiting caller, bulletins and reviews may wait.
+// class is a kind of request, modeled on those of the example fleets. A caller waits
+// for the answers of the classes chat and sighting, while bulletins and reviews are
+// not urgent.
 type class struct {
 	name   string
 	urgent bool
-	// share of all requests.
+	// share is the fraction of all requests.
 	share float64
-	// shared is the prefix that requests of one group begin with, groups how
-	// many there are; own is the prompt after it.
+	// groups is the number of groups whose requests share a prefix, shared the length
+	// of that prefix, and own the mean length of the rest of the prompt, in tokens.
 	groups, shared, own int
-	// output is the mean length of an answer.
+	// output is the mean length of an answer, in tokens.
 	output int
-	// first and between are the latency targets.
+	// first is the target for the time to the first token, between for the time
+	// between tokens.
 	first, between time.Duration
 }
 
@@ -42,33 +44,34 @@
 	{name: "review", share: 0.05, groups: 60, shared: 6000, own: 1500, output: 2500, first: time.Minute, between: 200 * time.Millisecond},
 }
 
-// arrival is one request of a workload.
+// arrival is a request and its arrival time.
 type arrival struct {
 	at     time.Duration
 	class  *class
 	shared enginemodel.Key
 	own    int
 	output int
-	// limit is the most tokens that the request allows; the answer is shorter.
+	// limit is the maximum number of tokens that the request asks for; the answer is
+	// shorter.
 	limit int
 }
 
-// fault is what else goes wrong in a wave.
+// fault describes the additional faults of a wave.
 type fault struct {
-	// earlyDeath is the runner of the wave that dies half way through its notice;
-	// negative is none.
+	// earlyDeath is the index, among the runners of a notice, of the one that
+	// terminates half way through the notice; -1 for none.
 	earlyDeath int
-	// exportFailure is the probability that a transfer fails half way.
+	// exportFailure is the probability that a transfer fails.
 	exportFailure float64
 }
 
-// scenario is what a wave takes.
+// scenario determines the runners that a wave reclaims.
 type scenario struct {
 	name string
-	// runners tells whether a runner gets notice; the domains are in the order
+	// reclaims reports whether a runner gets notice. Domains are numbered in the order
 	// in which the wave draws them.
 	reclaims func(domain, index int) bool
-	// second domain gets its notice this long after the first; zero is never.
+	// second is the delay after which a second domain gets its notice; zero for never.
 	second time.Duration
 }
 
@@ -78,17 +81,17 @@
 	{name: "second", reclaims: func(domain, _ int) bool { return domain == 0 }, second: 8 * time.Second},
 }
 
-// wave is one run's input, the same for every arm.
+// wave is the input of a run, the same for every arm.
 type wave struct {
 	arrivals []arrival
-	// order is the failure domains in the order in which waves take them.
+	// order lists the failure domains in the order in which the wave takes them.
 	order []int
 	fault fault
 	seed  uint64
 }
 
-// hazards are the reclaims of a VM per hour by failure domain; prices are lower
-// where they are higher.
+// hazards are the reclaims per VM and hour in each failure domain. Prices are lower
+// where hazards are higher.
 var (
 	hazards = []float64{0.6, 0.2, 0.1, 0.1}
 	prices  = []float64{1.8, 2.0, 2.1, 2.1}
@@ -103,7 +106,7 @@
 	earlyDeathShare   = 0.2
 	exportFailures    = 0.05
 	limitFactor       = 1.5
-	// longSkew makes some groups of the long classes more popular.
+	// longSkew makes some prefix groups of the long classes more popular than others.
 	longSkew = 2.0
 )
 
@@ -124,7 +127,7 @@
 	}
 }
 
-// drawOrder draws the domains one after the other, each by its hazard.
+// drawOrder draws the domains without replacement, weighted by hazard.
 func drawOrder(rng *rand.Rand) []int {
 	left := []int{0, 1, 2, 3}
 	var order []int
