--- a/bench/overload/gateway.go
+++ b/bench/overload/gateway.go
@@ -20,8 +20,8 @@
 // arm is one way to deal with the load.
 type arm struct {
 	name string
-	// admits says whether there is any admission control.
-	admits bool
+	// controlsAdmission says whether there is any admission control.
+	controlsAdmission bool
 	// roundRobin takes the engines in turn instead of by a routing table.
 	roundRobin bool
 	// priorities passes the classes' priorities on to the engines.
@@ -35,14 +35,14 @@
 func arms() []arm {
 	leastLoaded := func(c *routing.Config) { c.IgnorePrefix, c.IgnoreRisk, c.Samples, c.LoadBound = true, true, 0, 0 }
 	return []arm{
-		{name: "policy", admits: true, priorities: true},
+		{name: "policy", controlsAdmission: true, priorities: true},
 		{name: "fifo", roundRobin: true},
 		{name: "least_loaded", priorities: true, routing: leastLoaded},
-		{name: "policy_no_prefix", admits: true, priorities: true, routing: func(c *routing.Config) { c.IgnorePrefix = true }},
-		{name: "policy_best_of_all", admits: true, priorities: true, routing: func(c *routing.Config) { c.Samples = 0 }},
-		{name: "policy_3_kb", admits: true, priorities: true, budget: 3000},
-		{name: "policy_32_kb", admits: true, priorities: true, budget: 32_000},
-		{name: "policy_best_of_4", admits: true, priorities: true, routing: func(c *routing.Config) { c.Samples = 4 }},
+		{name: "policy_no_prefix", controlsAdmission: true, priorities: true, routing: func(c *routing.Config) { c.IgnorePrefix = true }},
+		{name: "policy_best_of_all", controlsAdmission: true, priorities: true, routing: func(c *routing.Config) { c.Samples = 0 }},
+		{name: "policy_3_kb", controlsAdmission: true, priorities: true, budget: 3000},
+		{name: "policy_32_kb", controlsAdmission: true, priorities: true, budget: 32_000},
+		{name: "policy_best_of_4", controlsAdmission: true, priorities: true, routing: func(c *routing.Config) { c.Samples = 4 }},
 	}
 }
 
@@ -72,12 +72,12 @@
 	g.admission = newAdmission(a)
 	g.planner = polling.New(polling.Default())
 	g.planner.SetTargets(service, runnerIDs())
-	g.planner.SetBudget(epoch, cmp.Or(a.budget, budgetToday))
+	g.planner.SetBudget(epoch, cmp.Or(a.budget, defaultReadBudget))
 	return g
 }
 
 func newAdmission(a arm) *admission.Controller {
-	if !a.admits {
+	if !a.controlsAdmission {
 		return nil
 	}
 	cfg := admission.Default()
@@ -125,8 +125,8 @@
 
 func engineOf(id ident.RunnerID) int { return slices.Index(runnerIDs(), id) }
 
-// used tells the planner of an attempt that begins or ends.
-func (g *gateway) used(engine int) {
+// recordUse tells the planner of an attempt that begins or ends.
+func (g *gateway) recordUse(engine int) {
 	g.planner.RecordUse(polling.Target{Service: service, Runner: runnerID(engine)})
 }
 
@@ -213,7 +213,7 @@
 	ticket := g.table.Dispatch(now, choice, &rr)
 	g.tickets[r.id] = &ticket
 	chosen := engineOf(choice.Runner)
-	g.used(chosen)
+	g.recordUse(chosen)
 	return chosen
 }
 
@@ -232,7 +232,7 @@
 		g.table.Finished(now, t)
 		g.table.RecordOutputLength(r.output)
 		delete(g.tickets, r.id)
-		g.used(r.engine)
+		g.recordUse(r.engine)
 	}
 	if g.admission == nil {
 		return nil
--- a/bench/overload/overload.go
+++ b/bench/overload/overload.go
@@ -43,7 +43,7 @@
 			}
 			fmt.Fprintf(o.Progress, "overload: %s, seed %d\n", a.name, seed)
 			for i, multiple := range multiples {
-				add(sums, measure(a, seed, multiple, wholeSpan), suffix(i))
+				add(sums, runArm(a, seed, multiple, wholeSpan), suffix(i))
 			}
 		}
 		figures := map[string]float64{}
@@ -88,11 +88,11 @@
 	}
 }
 
-// measure plays one arm under one load.
-func measure(a arm, seed uint64, multiple float64, s span) map[string]float64 {
+// runArm plays one arm under one load.
+func runArm(a arm, seed uint64, multiple float64, s span) map[string]float64 {
 	all := arrivals(seed, multiple, s.load)
 	r := newRun(a, seed, all)
-	r.play(s.end())
+	r.runUntil(s.end())
 	measured := slices.DeleteFunc(all, func(q *request) bool { return q.at.Before(s.from()) })
 	figures := map[string]float64{
 		"read_bytes_per_second":    r.readBytes() / (s.load + s.drain).Seconds(),
@@ -134,7 +134,7 @@
 	return small
 }
 
-func of(all []*request, class string) []*request {
+func ofClass(all []*request, class string) []*request {
 	var some []*request
 	for _, q := range all {
 		if q.kind.class == class {
@@ -155,11 +155,11 @@
 }
 
 func goodput(all []*request, class string) float64 {
-	return ratio(of(all, class), (*request).good)
+	return ratio(ofClass(all, class), (*request).metTargets)
 }
 
-// good tells whether the answer was of use to its caller.
-func (q *request) good() bool {
+// metTargets tells whether the answer was of use to its caller.
+func (q *request) metTargets() bool {
 	if q.done.IsZero() {
 		return false
 	}
@@ -190,7 +190,7 @@
 // refused; one that never had its first token counts as the whole run.
 func putQuantile(figures map[string]float64, name string, all []*request, s span, value func(*request) time.Duration) {
 	var values []float64
-	for _, q := range of(all, urgent) {
+	for _, q := range ofClass(all, urgent) {
 		switch {
 		case !q.refused.IsZero():
 		case q.done.IsZero():
@@ -236,7 +236,7 @@
 func usefulWork(all []*request, end time.Time) float64 {
 	sum := 0.0
 	for _, q := range all {
-		if q.good() {
+		if q.metTargets() {
 			sum += q.workUntil(end)
 		}
 	}
--- a/bench/overload/overload_test.go
+++ b/bench/overload/overload_test.go
@@ -12,8 +12,8 @@
 
 func TestEqualSeedsGiveEqualFigures(t *testing.T) {
 	is := is.New(t)
-	first := measure(arms()[0], 1, 1, shortSpan)
-	is.True(maps.Equal(first, measure(arms()[0], 1, 1, shortSpan)))
+	first := runArm(arms()[0], 1, 1, shortSpan)
+	is.True(maps.Equal(first, runArm(arms()[0], 1, 1, shortSpan)))
 }
 
 // Operators asking for their satellite get no answer for as long as a large
@@ -22,8 +22,8 @@
 func TestUrgentWorkStaysUnderOverload(t *testing.T) {
 	is := is.New(t)
 	// Shares are kept over tens of seconds: answers in progress aren't cut.
-	policy := measure(arms()[0], 1, 5, span{load: 45 * time.Second, warmUp: 15 * time.Second, drain: 5 * time.Second})
-	fifo := measure(arms()[1], 1, 5, shortSpan)
+	policy := runArm(arms()[0], 1, 5, span{load: 45 * time.Second, warmUp: 15 * time.Second, drain: 5 * time.Second})
+	fifo := runArm(arms()[1], 1, 5, shortSpan)
 	is.True(policy["urgent_goodput_ratio"] > 0.9)
 	is.True(policy["fairness_index"] > 0.9)
 	is.True(fifo["urgent_goodput_ratio"] < 0.1)
--- a/bench/overload/run.go
+++ b/bench/overload/run.go
@@ -26,8 +26,8 @@
 	loadBytes      = 650
 	eventPageBytes = 400
 	eventBytes     = 55
-	// budgetToday is the bytes a second of one of five daemons for reads.
-	budgetToday = 256_000
+	// defaultReadBudget is the bytes a second of one of five daemons for reads.
+	defaultReadBudget = 256_000
 	// eventLimit is the cache events that one poll reads.
 	eventLimit = 512
 	// oneWay is the time between a gateway and an engine.
@@ -72,8 +72,8 @@
 	return r
 }
 
-// play runs until all is done or the drain time is over.
-func (r *run) play(end time.Time) {
+// runUntil runs until all is done or the drain time is over.
+func (r *run) runUntil(end time.Time) {
 	for {
 		r.now = r.nextEvent()
 		if r.now.After(end) {
@@ -102,12 +102,12 @@
 func (r *run) stepEngines() {
 	for _, c := range r.cores {
 		for _, line := range c.Step(r.now).Lines {
-			r.take(line)
+			r.handleLine(line)
 		}
 	}
 }
 
-func (r *run) take(line engine.Line) {
+func (r *run) handleLine(line engine.Line) {
 	id, err := strconv.Atoi(line.Event.AttemptID)
 	if err != nil {
 		panic(fmt.Errorf("attempt of this run: %w", err)) // all IDs are made in submit
@@ -116,7 +116,7 @@
 	g := r.gateways[q.gateway]
 	if line.Event.Done {
 		q.done = line.At
-		r.follow(q.gateway, g.finished(r.now, q))
+		r.applyEffects(q.gateway, g.finished(r.now, q))
 		return
 	}
 	q.tokens++
@@ -157,7 +157,7 @@
 	r.nextTick = r.nextTick.Add(tick)
 	for i, g := range r.gateways {
 		if g.admission != nil {
-			r.follow(i, g.admission.Tick(r.now, g.effects[:0]))
+			r.applyEffects(i, g.admission.Tick(r.now, g.effects[:0]))
 		}
 	}
 }
@@ -171,11 +171,11 @@
 			r.submit(q)
 			continue
 		}
-		r.follow(q.gateway, g.offer(r.now, q))
+		r.applyEffects(q.gateway, g.offer(r.now, q))
 	}
 }
 
-func (r *run) follow(_ int, effects []admission.Effect) {
+func (r *run) applyEffects(_ int, effects []admission.Effect) {
 	for _, e := range effects {
 		q := r.requests[int(e.ID)]
 		if e.Kind == admission.Refuse {
