--- a/bench/overload/fairness.go
+++ b/bench/overload/fairness.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// fairness is Jain's index of what each workspace got over its fair share:
-// 1 where all got the same part of it, 1/n where one got all. It is not
-// measured where nothing was served.
+// fairness is Jain's index of the engine time that each workspace got, divided by its
+// fair share. It is 1 if all workspaces got the same fraction of their share, and 1/n
+// if one of n got everything. It is undefined if no request was served.
 func fairness(all []*request, end time.Time) (float64, bool) {
 	list := tenants()
 	got := make([]float64, len(list))
@@ -29,7 +29,7 @@
 	return sum * sum / (float64(len(got)) * squares), true
 }
 
-// workUntil is the engine time that a request took before the end.
+// workUntil is the engine time that a request took before end.
 func (q *request) workUntil(end time.Time) float64 {
 	w := q.work()
 	if q.first.IsZero() || q.first.After(end) {
@@ -44,8 +44,8 @@
 	return w
 }
 
-// maxMin shares what was served by weight; who asks for less than that gets
-// what it asks for, and the rest is shared again.
+// maxMin divides total by weight (max-min fairness). A workspace that demands less
+// than its share gets its demand, and the remainder is divided among the others.
 func maxMin(list []tenant, demand []float64, total float64) []float64 {
 	fair := make([]float64, len(list))
 	settled := make([]bool, len(list))
--- a/bench/overload/gateway.go
+++ b/bench/overload/gateway.go
@@ -17,18 +17,19 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// arm is one way to deal with the load.
+// arm is a combination of admission control, routing and engine priorities.
 type arm struct {
 	name string
-	// controlsAdmission says whether there is any admission control.
+	// controlsAdmission enables admission control.
 	controlsAdmission bool
-	// roundRobin takes the engines in turn instead of by a routing table.
+	// roundRobin picks the engines in turn instead of through the routing table.
 	roundRobin bool
 	// priorities passes the classes' priorities on to the engines.
 	priorities bool
 	routing    func(*routing.Config)
 	admission  func(*admission.Config)
-	// budget is the bytes a second for reads; zero is budgetToday.
+	// budget limits reads from engines, in bytes per second; zero means
+	// defaultReadBudget.
 	budget float64
 }
 
@@ -46,7 +47,7 @@
 	}
 }
 
-// gateway is one entry VM's decisions.
+// gateway holds the admission, routing and polling state of one gateway.
 type gateway struct {
 	arm       arm
 	table     *routing.Table
@@ -55,7 +56,7 @@
 	turn      int
 	effects   []admission.Effect
 	planner   *polling.Planner
-	// bytes is what reads took.
+	// bytes counts the bytes of all reads.
 	bytes int
 }
 
@@ -125,12 +126,13 @@
 
 func engineOf(id ident.RunnerID) int { return slices.Index(runnerIDs(), id) }
 
-// recordUse tells the planner of an attempt that begins or ends.
+// recordUse tells the polling planner that an attempt at an engine began or ended.
 func (g *gateway) recordUse(engine int) {
 	g.planner.RecordUse(polling.Target{Service: service, Runner: runnerID(engine)})
 }
 
-// report takes in what an engine published.
+// report passes an engine's load report to the routing table and updates the capacity
+// for admission.
 func (g *gateway) report(now time.Time, i int, l engineapi.Load) {
 	r := load.Report{
 		AsOf:          now.Add(-time.Duration(l.AgeMillis) * time.Millisecond),
@@ -162,7 +164,9 @@
 	return nil
 }
 
-// slackShare is as in package dispatch.
+// slackShare divides the first-token target of non-urgent requests: they may wait up
+// to a quarter of the target longer for a safer runner. The daemon uses the same
+// share.
 const slackShare = 4
 
 func (g *gateway) request(r *request) routing.Request {
@@ -177,12 +181,12 @@
 	}
 }
 
-// offer asks for admission.
+// offer asks admission control to admit a request.
 func (g *gateway) offer(now time.Time, r *request) []admission.Effect {
 	rr := g.request(r)
 	choice, err := g.table.Pick(now, &rr)
 	if err != nil {
-		panic(fmt.Errorf("pick for an estimate: %w", err)) // all runners live for ever
+		panic(fmt.Errorf("pick for an estimate: %w", err)) // cannot fail: no runner leaves in this experiment
 	}
 	it := admission.Item{
 		ID:         admission.ID(r.id),
@@ -208,7 +212,7 @@
 	rr := g.request(r)
 	choice, err := g.table.Pick(now, &rr)
 	if err != nil {
-		panic(fmt.Errorf("pick: %w", err)) // all runners live for ever
+		panic(fmt.Errorf("pick: %w", err)) // cannot fail: no runner leaves in this experiment
 	}
 	ticket := g.table.Dispatch(now, choice, &rr)
 	g.tickets[r.id] = &ticket
@@ -226,7 +230,8 @@
 	}
 }
 
-// finished returns what may go now.
+// finished records the end of a request and returns the admission decisions that it
+// allows.
 func (g *gateway) finished(now time.Time, r *request) []admission.Effect {
 	if t, ok := g.tickets[r.id]; ok {
 		g.table.Finished(now, t)
--- a/bench/overload/overload.go
+++ b/bench/overload/overload.go
@@ -1,7 +1,7 @@
-// Package overload measures what callers get when more work comes than the
-// runners can carry: urgent goodput, fairness between workspaces, refusals.
-// Gateways make their real decisions against the stand-in engine's core in
-// virtual time, so equal seeds give equal figures.
+// Package overload measures what callers get when the load exceeds the capacity of the
+// runners: goodput of urgent requests, fairness between workspaces, and refusals.
+// Gateways use the real admission, routing and polling code against the core of the
+// stand-in engine in virtual time, so equal seeds give equal figures.
 package overload
 
 import (
@@ -25,8 +25,8 @@
 	return "urgent goodput, fairness and refusals at 1x, 2x and 5x of the capacity"
 }
 
-// multiples of the capacity that are offered; figures of the last one carry no
-// suffix.
+// multiples lists the offered loads as multiples of the capacity. Names of figures of
+// the last one have no suffix.
 var multiples = []float64{1, 2, 5}
 
 // Run implements bench.Experiment.
@@ -88,7 +88,7 @@
 	}
 }
 
-// runArm plays one arm under one load.
+// runArm runs one arm under one load and returns its figures.
 func runArm(a arm, seed uint64, multiple float64, s span) map[string]float64 {
 	all := arrivals(seed, multiple, s.load)
 	r := newRun(a, seed, all)
@@ -115,7 +115,7 @@
 	return figures
 }
 
-// readBytes is the mean over the gateways.
+// readBytes is the mean number of bytes read per gateway.
 func (r *run) readBytes() float64 {
 	sum := 0
 	for _, g := range r.gateways {
@@ -158,7 +158,8 @@
 	return ratio(ofClass(all, class), (*request).metTargets)
 }
 
-// metTargets tells whether the answer was of use to its caller.
+// metTargets reports whether the request was answered within the latency targets of
+// its class. Deferrable requests only need an answer.
 func (q *request) metTargets() bool {
 	if q.done.IsZero() {
 		return false
@@ -186,8 +187,8 @@
 	return q.done.Sub(q.first) / time.Duration(q.output-1)
 }
 
-// putQuantile adds the 95th percentile over urgent requests that were not
-// refused; one that never had its first token counts as the whole run.
+// putQuantile adds the 95th percentile over urgent requests that were not refused. A
+// request without a complete answer counts as the length of the whole run.
 func putQuantile(figures map[string]float64, name string, all []*request, s span, value func(*request) time.Duration) {
 	var values []float64
 	for _, q := range ofClass(all, urgent) {
@@ -228,7 +229,7 @@
 	return float64(cached) / float64(max(1, prompt))
 }
 
-// work is the engine time that a request took.
+// work is the engine time that a request took, in seconds.
 func (q *request) work() float64 {
 	return float64(q.tokens)/batch*step.Seconds() + float64(q.promptTokens()-q.cached)/prefillRate
 }
--- a/bench/overload/overload_test.go
+++ b/bench/overload/overload_test.go
@@ -16,12 +16,13 @@
 	is.True(maps.Equal(first, runArm(arms()[0], 1, 1, shortSpan)))
 }
 
-// Operators asking for their satellite get no answer for as long as a large
-// team floods the fleet with reviews. All requests went to the engines as they
-// came, and everything waited behind everything.
+// Urgent requests must be answered while one large workspace floods the fleet with
+// reviews. When all requests go to the engines in the order of their arrival, urgent
+// ones wait behind the reviews.
 func TestUrgentWorkStaysUnderOverload(t *testing.T) {
 	is := is.New(t)
-	// Shares are kept over tens of seconds: answers in progress aren't cut.
+	// Fair shares hold only over tens of seconds, because answers in progress are not
+	// interrupted.
 	policy := runArm(arms()[0], 1, 5, span{load: 45 * time.Second, warmUp: 15 * time.Second, drain: 5 * time.Second})
 	fifo := runArm(arms()[1], 1, 5, shortSpan)
 	is.True(policy["urgent_goodput_ratio"] > 0.9)
--- a/bench/overload/run.go
+++ b/bench/overload/run.go
@@ -11,7 +11,7 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// Sizes of the run.
+// Sizes of the simulated fleet.
 const (
 	engines     = 12
 	gateways    = 5
@@ -21,21 +21,22 @@
 	model       = "m"
 	version     = "1"
 	tick        = 20 * time.Millisecond
-	// Sizes of reads on the network, headers included: measured means of the
-	// stand-in engine's answers.
+	// Sizes of reads on the network, headers included: measured means of the stand-in
+	// engine's responses.
 	loadBytes      = 650
 	eventPageBytes = 400
 	eventBytes     = 55
-	// defaultReadBudget is the bytes a second of one of five daemons for reads.
+	// defaultReadBudget is the read budget of each of five daemons, in bytes per
+	// second.
 	defaultReadBudget = 256_000
-	// eventLimit is the cache events that one poll reads.
+	// eventLimit is the maximum number of cache events in one read.
 	eventLimit = 512
-	// oneWay is the time between a gateway and an engine.
+	// oneWay is the network latency between a gateway and an engine in one direction.
 	oneWay = time.Millisecond
 )
 
-// span is how long requests come, which part of it is not measured, and how
-// long there is to finish after it.
+// span holds how long requests arrive, the part at the start that is not measured, and
+// the time left to finish after the last arrival.
 type span struct{ load, warmUp, drain time.Duration }
 
 func (s span) from() time.Time { return epoch.Add(s.warmUp) }
@@ -46,7 +47,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// run is one arm under one load.
+// run is the simulation of one arm under one load.
 type run struct {
 	arm      arm
 	now      time.Time
@@ -72,7 +73,7 @@
 	return r
 }
 
-// runUntil runs until all is done or the drain time is over.
+// runUntil runs the simulation until end, the end of the drain time.
 func (r *run) runUntil(end time.Time) {
 	for {
 		r.now = r.nextEvent()
@@ -110,7 +111,7 @@
 func (r *run) handleLine(line engine.Line) {
 	id, err := strconv.Atoi(line.Event.AttemptID)
 	if err != nil {
-		panic(fmt.Errorf("attempt of this run: %w", err)) // all IDs are made in submit
+		panic(fmt.Errorf("attempt of this run: %w", err)) // submit creates all attempt IDs
 	}
 	q := r.requests[id]
 	g := r.gateways[q.gateway]
@@ -127,8 +128,8 @@
 	}
 }
 
-// poll makes each gateway's reads; they are looked for at every event, and
-// ticks are often enough.
+// poll performs the reads that are due at each gateway. It runs at every event, and
+// ticks are frequent enough that reads are hardly late.
 func (r *run) poll() {
 	for _, g := range r.gateways {
 		for read, _, ok := g.planner.Next(r.now); ok; read, _, ok = g.planner.Next(r.now) {
@@ -204,7 +205,7 @@
 		Priority:     priority,
 	}
 	if err := r.cores[q.engine].Submit(r.now, attempt); err != nil {
-		panic(fmt.Errorf("submit: %w", err)) // the queue has no bound
+		panic(fmt.Errorf("submit: %w", err)) // cannot fail: the queue is unlimited
 	}
 }
 
--- a/bench/overload/workload.go
+++ b/bench/overload/workload.go
@@ -23,13 +23,14 @@
 	{Name: bulletin, Priority: 10, TTFTMillis: 60000, TBTMillis: 320, Deferrable: true},
 }
 
-// kind is how a class's requests look.
+// kind describes the requests of a class.
 type kind struct {
 	class string
-	// share of the requests.
+	// share is the fraction of all requests.
 	share float64
-	// shared blocks of the prompt are the same for a workspace, file blocks for
-	// one of its case files, own blocks for no other request.
+	// Prompt lengths in blocks: shared is common to all requests of a workspace and
+	// class, file is common to the requests for one case file, and own is unique to
+	// the request.
 	shared, file, own int
 	output            int
 }
@@ -40,12 +41,12 @@
 	{class: bulletin, share: 0.2, shared: 8, file: 130, own: 48, output: 800},
 }
 
-// caseFiles is the number of case files of each workspace.
+// caseFiles is the number of case files per workspace.
 const caseFiles = 40
 
 func (k *kind) promptTokens() int { return (k.shared + k.file + k.own) * prefixhash.BlockTokens }
 
-// tenant is a workspace with its share of the load.
+// tenant is a workspace and its fraction of the load.
 type tenant struct {
 	manifest.Workspace
 	load float64
@@ -53,8 +54,8 @@
 
 const largeShare = 0.88
 
-// tenants are one large workspace, that pays for half of the capacity and
-// brings most of the load, and four small ones.
+// tenants returns one large workspace, which has half of the total weight and sends
+// most of the load, and four small ones.
 func tenants() []tenant {
 	list := []tenant{{manifest.Workspace{Name: "large", Weight: 4}, largeShare}}
 	for i := range 4 {
@@ -64,7 +65,7 @@
 	return list
 }
 
-// request is one arrival and what became of it.
+// request is one arrival and its outcome.
 type request struct {
 	id      int
 	at      time.Time
@@ -85,13 +86,13 @@
 
 func (r *request) promptTokens() int { return len(r.blocks) * prefixhash.BlockTokens }
 
-// cost is what the request takes of an engine, in seconds of it, with nothing
-// cached and a full batch.
+// cost is the engine time that a request takes, in seconds, if none of its prompt is
+// cached and the batch is full.
 func (k *kind) cost() float64 {
 	return float64(k.output)/batch*step.Seconds() + float64(k.promptTokens())/prefillRate
 }
 
-// capacity is the requests per second that the engines can carry.
+// capacity is the number of requests per second that the engines can serve.
 func capacity() float64 {
 	mean := 0.0
 	for i := range kinds {
@@ -100,7 +101,7 @@
 	return engines / mean
 }
 
-// arrivals draws a Poisson stream at the given multiple of the capacity.
+// arrivals draws Poisson arrivals at a multiple of the capacity.
 func arrivals(seed uint64, multiple float64, load time.Duration) []*request {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	list := tenants()
@@ -145,7 +146,7 @@
 	return &kinds[len(kinds)-1]
 }
 
-// blocks makes the prompt's block hashes without any text.
+// blocks returns hashes of the prompt's blocks without creating any text.
 func blocks(r *request, file int) []uint64 {
 	k := r.kind
 	hash := prefixhash.Root(model, fmt.Sprint(r.tenant, k.class))
