--- a/.ci/layers/main.go
+++ b/.ci/layers/main.go
@@ -13,22 +13,22 @@
 
 const module = "geraniumstack.org/geraniumstack/"
 
-// order lists the layers from the lowest up; a package may import its own
+// layers lists the layers from the lowest up; a package may import its own
 // layer and lower ones. Packages outside these (daemon, bench, cmd) may import
 // all.
-var order = []string{"state", "coordination", "protocol", "transport"}
+var layers = []string{"state", "coordination", "protocol", "transport"}
 
 func rank(path string) int {
 	top, _, _ := strings.Cut(strings.TrimPrefix(path, module), "/")
-	for i, layer := range order {
+	for i, layer := range layers {
 		if top == layer {
 			return i
 		}
 	}
-	return len(order)
+	return len(layers)
 }
 
-type listed struct {
+type listedPackage struct {
 	ImportPath string
 	Imports    []string
 }
@@ -42,27 +42,27 @@
 	bad := 0
 	dec := json.NewDecoder(strings.NewReader(string(out)))
 	for {
-		var p listed
+		var p listedPackage
 		if err := dec.Decode(&p); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			fmt.Fprintln(os.Stderr, "decode:", err)
 			os.Exit(1)
 		}
-		bad += report(p)
+		bad += reportViolations(p)
 	}
 	if bad > 0 {
 		os.Exit(1)
 	}
 }
 
-// impure are packages that a layer of decisions must not import: it does no I/O.
-var impure = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "syscall": true}
+// ioPackages are packages that a layer of decisions must not import: it does no I/O.
+var ioPackages = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "syscall": true}
 
-func report(p listed) int {
+func reportViolations(p listedPackage) int {
 	bad := 0
 	for _, imp := range p.Imports {
-		if rank(p.ImportPath) < rank(module+"transport") && impure[imp] {
+		if rank(p.ImportPath) < rank(module+"transport") && ioPackages[imp] {
 			fmt.Printf("%s imports %s though its layer does no I/O\n", p.ImportPath, imp)
 			bad++
 		}
