--- a/.ci/layers/main.go
+++ b/.ci/layers/main.go
@@ -1,4 +1,5 @@
-// Command layers fails when a package imports one of a higher layer.
+// Command layers fails if a package imports a package of a higher layer, or if
+// a package below the transport layer imports a package that does I/O.
 package main
 
 import (
@@ -13,9 +14,9 @@
 
 const module = "geraniumstack.org/geraniumstack/"
 
-// layers lists the layers from the lowest up; a package may import its own
-// layer and lower ones. Packages outside these (daemon, bench, cmd) may import
-// all.
+// layers lists the layers from the lowest to the highest. A package may import
+// packages of its own layer and of lower ones. Packages outside the layers
+// (daemon, bench, cmd) may import any package.
 var layers = []string{"state", "coordination", "protocol", "transport"}
 
 func rank(path string) int {
