--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,4 +1,4 @@
-// Package examples holds a manifest for each of the two users' fleets.
+// Package examples embeds the manifests of the two example fleets.
 package examples
 
 import _ "embed"
