--- a/.ci/layers/main.go
+++ b/.ci/layers/main.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// ioPackages are packages that a layer of decisions must not import: it does no I/O.
+// ioPackages are packages that the layers below transport must not import,
+// because those layers only make decisions and do no I/O.
 var ioPackages = map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "syscall": true}
 
 func reportViolations(p listedPackage) int {
