--- a/bench/actions/actions.go
+++ b/bench/actions/actions.go
@@ -141,12 +141,12 @@
 // come.
 func steady(a arm, seed uint64, rate float64, suffix string, sums map[string]*mean) {
 	r := newRun(a, seed)
-	length := r.collectAfter() + steadyWarmUp
+	length := r.retention() + steadyWarmUp
 	sample := max(measuredSample, time.Duration(float64(minSample)/rate*float64(time.Second)))
 	r.offer(rate, 0, length+sample)
-	r.playUntil(length)
+	r.runUntil(length)
 	r.startSample()
-	r.playUntil(length + sample)
+	r.runUntil(length + sample)
 	calls := r.service.calls
 	r.finish()
 	put(sums, "kv_calls_per_action"+suffix, float64(calls)/float64(r.offered), false)
@@ -154,7 +154,7 @@
 	put(sums, "added_latency_p50_seconds"+suffix, p50, false)
 	put(sums, "added_latency_p99_seconds"+suffix, p99, false)
 	put(sums, "served_ratio"+suffix, r.servedRatio(), false)
-	r.putBroken(sums)
+	r.putViolations(sums)
 }
 
 // minSample is the least number of actions a figure rests on.
@@ -165,15 +165,15 @@
 	r := newRun(a, seed)
 	r.service.down = [2]time.Duration{outageWarmUp, outageWarmUp + outageTime}
 	r.offer(outageRate, 0, outageWarmUp+outageTime)
-	r.playUntil(outageWarmUp)
+	r.runUntil(outageWarmUp)
 	r.startSample()
-	r.playUntil(outageWarmUp + outageTime)
+	r.runUntil(outageWarmUp + outageTime)
 	r.finish()
 	put(sums, "served_in_outage_ratio", r.servedRatio(), false)
 	put(sums, "served_in_outage_first_try_ratio", float64(r.servedFirst)/float64(r.offered), false)
 	_, p99 := r.latency()
 	put(sums, "added_latency_p99_seconds_outage", p99, false)
-	r.putBroken(sums)
+	r.putViolations(sums)
 }
 
 // crash measures what an owner's crash leaves unknown, by the sealed logs.
@@ -184,9 +184,9 @@
 		// Writes keep a beat; the crash must not fall on the same one each time.
 		at := crashWarmUp + time.Duration(r.rng.Int64N(int64(time.Second)))
 		r.offer(rate, 0, at)
-		r.playUntil(at)
+		r.runUntil(at)
 		total.add(r.crashOwner(0, crashLookBack))
-		r.putBroken(sums)
+		r.putViolations(sums)
 	}
 	if total.open > 0 {
 		put(sums, "unknown_after_crash_ratio"+suffix, float64(total.openUnknown)/float64(total.open), false)
--- a/bench/actions/actions_test.go
+++ b/bench/actions/actions_test.go
@@ -9,7 +9,7 @@
 
 // The aims of issue 5 hold in the measurement itself. Tokens live for seconds
 // only, so that the collection of entries is in full swing soon.
-func TestAims(t *testing.T) {
+func TestPolicyMeetsTargets(t *testing.T) {
 	is := is.New(t)
 	sums := map[string]*mean{}
 	policy := arm{name: "policy", lifetime: 20 * time.Second}
--- a/bench/actions/peraction.go
+++ b/bench/actions/peraction.go
@@ -54,7 +54,7 @@
 		p.settle(rec, action.Result{Refusal: refused})
 		return
 	}
-	p.r.dispatched(id, func(res action.Result) {
+	p.r.dispatchToRunner(id, func(res action.Result) {
 		p.put(id, recordOutcome, func(bool) {})
 		p.settle(rec, res)
 	})
--- a/bench/actions/run.go
+++ b/bench/actions/run.go
@@ -21,8 +21,8 @@
 // epoch is virtual time zero.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// keeper is one gateway's way to keep its actions at most once.
-type keeper interface {
+// actionStore is one gateway's way to keep its actions at most once.
+type actionStore interface {
 	// token returns the text to which callers add a suffix.
 	token() string
 	submit(id actionkey.ID, done func(action.Result))
@@ -32,11 +32,11 @@
 
 // try is one key that a caller used.
 type try struct {
-	received time.Duration
-	gateway  int
-	runs     int
-	answered bool
-	toldNo   bool
+	received            time.Duration
+	gateway             int
+	runs                int
+	answered            bool
+	reportedNotExecuted bool
 }
 
 // run is one play of an arm.
@@ -44,7 +44,7 @@
 	clock
 	rng     *rand.Rand
 	service *service
-	keepers []keeper
+	stores  []actionStore
 	tokens  []heldToken
 	tries   map[actionkey.ID]*try
 	number  int
@@ -64,8 +64,8 @@
 	at   time.Duration
 }
 
-// answerAfter is what a late answer may take at the end of a run.
-const answerAfter = 30 * time.Second
+// drainTime is what a late answer may take at the end of a run.
+const drainTime = 30 * time.Second
 
 func newRun(a arm, seed uint64) *run {
 	r := &run{
@@ -77,12 +77,12 @@
 	}
 	r.service = &service{clock: &r.clock, rng: r.rng, entries: map[string][]byte{}}
 	for i := range gateways {
-		r.keepers = append(r.keepers, r.newKeeper(a, i))
+		r.stores = append(r.stores, r.newActionStore(a, i))
 	}
 	return r
 }
 
-func (r *run) newKeeper(a arm, gateway int) keeper {
+func (r *run) newActionStore(a arm, gateway int) actionStore {
 	name := ident.NewIncarnation(ident.DaemonID("entry-"+strconv.Itoa(gateway)), []byte{byte(gateway)})
 	cfg := action.DefaultConfig(name)
 	if a.writesPerSecond > 0 {
@@ -96,14 +96,14 @@
 	if a.perAction {
 		return &perAction{r: r, gateway: gateway, name: name, done: map[actionkey.ID]*record{}}
 	}
-	return &journaled{
+	return &journalStore{
 		r: r, gateway: gateway, owner: action.NewOwner(epoch, cfg),
 		waiting: map[action.Waiter]func(action.Result){},
 	}
 }
 
-// collectAfter is how long after it was written an entry can be collected.
-func (r *run) collectAfter() time.Duration { return r.grace }
+// retention is how long after it was written an entry can be collected.
+func (r *run) retention() time.Duration { return r.grace }
 
 func (r *run) wall() time.Time { return epoch.Add(r.now) }
 
@@ -146,25 +146,25 @@
 	done := func(res action.Result) {
 		t.answered = true
 		if res.Executed() == refusal.ExecutedNo {
-			t.toldNo = true
+			t.reportedNotExecuted = true
 		}
 		if !first {
 			return
 		}
 		first = false
-		r.ended(res, gateway, number, counted)
+		r.handleResult(res, gateway, number, counted)
 	}
-	r.keepers[gateway].submit(id, done)
+	r.stores[gateway].submit(id, done)
 	if r.rng.Float64() < duplicateShare {
 		r.after(time.Duration(r.rng.Int64N(int64(100*time.Millisecond))), func() {
 			if r.crashed != gateway {
-				r.keepers[gateway].submit(id, done)
+				r.stores[gateway].submit(id, done)
 			}
 		})
 	}
 }
 
-func (r *run) ended(res action.Result, gateway, number int, counted bool) {
+func (r *run) handleResult(res action.Result, gateway, number int, counted bool) {
 	if res.Executed() == refusal.ExecutedYes {
 		if counted {
 			r.served++
@@ -185,13 +185,13 @@
 func (r *run) heldToken(gateway, number int) string {
 	t := &r.tokens[gateway]
 	if t.text == "" || number > 1 || r.now-t.at > tokenAge {
-		*t = heldToken{text: r.keepers[gateway].token(), at: r.now}
+		*t = heldToken{text: r.stores[gateway].token(), at: r.now}
 	}
 	return t.text
 }
 
-// dispatched sends an action to a runner, which always answers.
-func (r *run) dispatched(id actionkey.ID, finished func(action.Result)) {
+// dispatchToRunner sends an action to a runner, which always answers.
+func (r *run) dispatchToRunner(id actionkey.ID, finished func(action.Result)) {
 	t := r.tries[id]
 	if t.runs == 0 && r.sampling {
 		// Bounds of the histogram can't be exceeded within a run.
@@ -208,7 +208,7 @@
 // finish waits for the answers that are still due.
 func (r *run) finish() {
 	r.sampling = false
-	r.playUntil(r.now + answerAfter)
+	r.runUntil(r.now + drainTime)
 }
 
 func (r *run) latency() (p50, p99 float64) {
@@ -218,14 +218,14 @@
 
 func (r *run) servedRatio() float64 { return float64(r.served) / float64(r.offered) }
 
-// putBroken counts the promises that were broken.
-func (r *run) putBroken(sums map[string]*mean) {
+// putViolations counts the promises that were broken.
+func (r *run) putViolations(sums map[string]*mean) {
 	twice, falseNo := 0, 0
 	for _, t := range r.tries {
 		if t.runs > 1 {
 			twice++
 		}
-		if t.runs > 0 && t.toldNo {
+		if t.runs > 0 && t.reportedNotExecuted {
 			falseNo++
 		}
 	}
@@ -247,15 +247,15 @@
 func (r *run) crashOwner(gateway int, lookBack time.Duration) verdicts {
 	r.crashed = gateway
 	from := r.now - lookBack
-	r.playUntil(r.now + answerAfter) // what was sent to runners runs
+	r.runUntil(r.now + drainTime) // what was sent to runners runs
 	var v verdicts
 	for id, t := range r.tries {
 		if t.gateway != gateway || t.received < from {
 			continue
 		}
-		said := r.keepers[gateway].verdict(id)
+		said := r.stores[gateway].verdict(id)
 		if said == refusal.ExecutedNo {
-			t.toldNo = true
+			t.reportedNotExecuted = true
 		}
 		unknown := 0
 		if said == refusal.ExecutedUnknown {
@@ -271,8 +271,8 @@
 	return v
 }
 
-// journaled is the policy: the real owner and its journal.
-type journaled struct {
+// journalStore is the policy: the real owner and its journal.
+type journalStore struct {
 	r       *run
 	gateway int
 	owner   *action.Owner
@@ -282,9 +282,9 @@
 	log     *journal.Log
 }
 
-func (j *journaled) token() string { return j.owner.Token(j.r.wall()).String() }
+func (j *journalStore) token() string { return j.owner.Token(j.r.wall()).String() }
 
-func (j *journaled) submit(id actionkey.ID, done func(action.Result)) {
+func (j *journalStore) submit(id actionkey.ID, done func(action.Result)) {
 	j.waiters++
 	j.waiting[j.waiters] = done
 	j.apply(j.owner.Submit(j.r.wall(), action.Request{
@@ -292,7 +292,7 @@
 	}))
 }
 
-func (j *journaled) apply(effects []action.Effect) {
+func (j *journalStore) apply(effects []action.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case *action.Reply:
@@ -300,7 +300,7 @@
 			delete(j.waiting, e.Waiter)
 			done(e.Result)
 		case *action.Dispatch:
-			j.r.dispatched(e.ID, func(res action.Result) { j.apply(j.owner.Finished(j.r.wall(), e.ID, res)) })
+			j.r.dispatchToRunner(e.ID, func(res action.Result) { j.apply(j.owner.Finished(j.r.wall(), e.ID, res)) })
 		case *action.Write:
 			j.write(e)
 		case *action.Collect:
@@ -311,7 +311,7 @@
 	j.wake()
 }
 
-func (j *journaled) write(w *action.Write) {
+func (j *journalStore) write(w *action.Write) {
 	key := journal.EntryKey(j.owner.Incarnation(), w.Index)
 	j.r.service.call(func() { j.r.service.entries[key] = w.Value }, func(ok bool) {
 		if j.r.crashed == j.gateway {
@@ -326,7 +326,7 @@
 }
 
 // wake ticks the owner when it is due.
-func (j *journaled) wake() {
+func (j *journalStore) wake() {
 	due := j.owner.NextDue(j.r.wall())
 	if due.IsZero() {
 		return
@@ -343,14 +343,14 @@
 	})
 }
 
-func (j *journaled) verdict(id actionkey.ID) refusal.Executed {
+func (j *journalStore) verdict(id actionkey.ID) refusal.Executed {
 	if j.log == nil {
 		j.log = j.seal()
 	}
 	return j.log.Verdict(j.r.wall(), id, "h").Executed
 }
 
-func (j *journaled) seal() *journal.Log {
+func (j *journalStore) seal() *journal.Log {
 	owner := j.owner.Incarnation()
 	log := journal.NewLog(owner)
 	count := 0
--- a/bench/actions/service.go
+++ b/bench/actions/service.go
@@ -47,8 +47,8 @@
 	heap.Push(&c.queue, event{at: c.now + d, seq: c.seq, do: do})
 }
 
-// playUntil plays what happens up to a time.
-func (c *clock) playUntil(end time.Duration) {
+// runUntil plays what happens up to a time.
+func (c *clock) runUntil(end time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
