--- a/demo/demo.go
+++ b/demo/demo.go
@@ -31,8 +31,8 @@
 // Bounds of a run.
 const (
 	defaultSendFor = 20 * time.Second
-	finishFor      = 25 * time.Second
-	applyWait      = 10 * time.Second
+	drainTimeout   = 25 * time.Second
+	applyTimeout   = 10 * time.Second
 )
 
 // Options of a run.
@@ -55,7 +55,7 @@
 
 const idlePerHost = 64
 
-func operator() settings.Credential {
+func operatorCredential() settings.Credential {
 	sum := sha256.Sum256([]byte(operatorKey))
 	return settings.Credential{Name: "demo", Role: "operator", KeyHash: hex.EncodeToString(sum[:])}
 }
@@ -84,11 +84,11 @@
 	if err := e.startGateways(ctx); err != nil {
 		return Summary{}, err
 	}
-	d := &show{env: e, fleet: f, options: o, began: began, tally: newTally()}
+	d := &scenarioRun{env: e, fleet: f, options: o, startedAt: began, tally: newTally()}
 	if err := d.apply(ctx); err != nil {
 		return Summary{}, err
 	}
-	d.play(ctx)
+	d.runLoad(ctx)
 	d.check()
 	s := d.tally.summary()
 	s.Fleet = f.Name
@@ -96,48 +96,48 @@
 	return s, nil
 }
 
-type show struct {
-	env     *env
-	fleet   *Fleet
-	options Options
-	began   time.Time
-	tally   *tally
+type scenarioRun struct {
+	env       *env
+	fleet     *Fleet
+	options   Options
+	startedAt time.Time
+	tally     *tally
 }
 
-func (d *show) say(format string, args ...any) {
-	fmt.Fprintf(d.options.Progress, "%5.1fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, args...))
+func (d *scenarioRun) progress(format string, args ...any) {
+	fmt.Fprintf(d.options.Progress, "%5.1fs  %s\n", time.Since(d.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (d *show) apply(ctx context.Context) error {
-	d.say("%d gateways, %d runners; applying the manifest of %s", gateways, len(d.env.standins.Runners()), d.fleet.Name)
+func (d *scenarioRun) apply(ctx context.Context) error {
+	d.progress("%d gateways, %d runners; applying the manifest of %s", gateways, len(d.env.standins.Runners()), d.fleet.Name)
 	client := adminv1connect.NewAdminServiceClient(newHTTPClient(d.options.Network), "http://"+d.env.daemons[0].AdminAddress())
 	request := connect.NewRequest(&adminv1.ApplyRequest{
 		Manifest: d.fleet.Data, ExpectedGeneration: config.AnyGeneration,
-		SubmissionId: fmt.Sprintf("demo-%d", d.options.Seed), WaitMs: applyWait.Milliseconds(),
+		SubmissionId: fmt.Sprintf("demo-%d", d.options.Seed), WaitMs: applyTimeout.Milliseconds(),
 	})
 	request.Header().Set("Authorization", "Bearer "+operatorKey)
 	resp, err := client.Apply(ctx, request)
 	if err != nil {
 		return fmt.Errorf("apply: %w", err)
 	}
-	d.say("generation %d accepted; in force everywhere: %v", resp.Msg.Generation, resp.Msg.InForceEverywhere)
+	d.progress("generation %d accepted; in force everywhere: %v", resp.Msg.Generation, resp.Msg.InForceEverywhere)
 	return nil
 }
 
-func (d *show) play(ctx context.Context) {
+func (d *scenarioRun) runLoad(ctx context.Context) {
 	sending, stopSending := context.WithTimeout(ctx, d.options.SendFor)
 	defer stopSending()
-	working, stopWorking := context.WithTimeout(ctx, d.options.SendFor+finishFor)
+	working, stopWorking := context.WithTimeout(ctx, d.options.SendFor+drainTimeout)
 	defer stopWorking()
 	l := newLoad(d.fleet, d.tally, caller.Config{
-		Gateways: d.bases(), HTTP: newHTTPClient(d.options.Network), RetryTimeout: patience,
+		Gateways: d.gatewayURLs(), HTTP: newHTTPClient(d.options.Network), RetryTimeout: requestTimeout,
 	}, d.options.Seed)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.run(sending, working)
+		l.generate(sending, working)
 	}()
-	go d.events(sending)
+	go d.injectFaults(sending)
 	progress := time.NewTicker(2 * time.Second)
 	defer progress.Stop()
 	for {
@@ -146,7 +146,7 @@
 			return
 		case <-progress.C:
 			s := d.tally.summary()
-			d.say("accepted %d, answered whole %d, refused %s, recomputed %d tokens",
+			d.progress("accepted %d, answered whole %d, refused %s, recomputed %d tokens",
 				s.Accepted, s.AnsweredWhole, refusedText(s), d.env.standins.TokenCounter.TokenTotals().Recomputed)
 		}
 	}
@@ -163,7 +163,7 @@
 	return strings.Join(parts, " ")
 }
 
-func (d *show) bases() []string {
+func (d *scenarioRun) gatewayURLs() []string {
 	var out []string
 	for _, r := range d.env.daemons {
 		out = append(out, "http://"+r.Self().CallerAddress)
@@ -171,14 +171,14 @@
 	return out
 }
 
-// events brings the faults about.
-func (d *show) events(ctx context.Context) {
+// injectFaults brings the faults about.
+func (d *scenarioRun) injectFaults(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, ev := range d.options.Events {
 		wg.Go(func() {
 			if sleep(ctx, ev.At) {
-				d.say("%s", faults[ev.Fault].says)
-				faults[ev.Fault].bring(d, ctx)
+				d.progress("%s", faults[ev.Fault].message)
+				faults[ev.Fault].inject(d, ctx)
 			}
 		})
 	}
@@ -198,15 +198,15 @@
 }
 
 // check compares what callers were told with what the runners did.
-func (d *show) check() {
+func (d *scenarioRun) check() {
 	totals := d.env.standins.TokenCounter.TokenTotals()
 	counts := d.env.standins.Executions.Counts()
 	d.tally.update(func(s *Summary) {
 		s.Computed = totals.Computed
 		s.Recomputed = totals.Recomputed
-		s.ActionsRunTwice = runTwice(counts)
+		s.ActionsRunTwice = countRunTwice(counts)
 		s.Generations = d.generations()
-		for key := range d.tally.toldNotRun {
+		for key := range d.tally.reportedNotExecuted {
 			for action, n := range counts {
 				if n > 0 && strings.HasSuffix(action, "/"+key) {
 					s.FalseNotRun++
@@ -216,10 +216,10 @@
 	})
 }
 
-func (d *show) generations() map[ident.FailureDomain]ident.Generation {
+func (d *scenarioRun) generations() map[ident.FailureDomain]ident.Generation {
 	out := map[ident.FailureDomain]ident.Generation{}
 	for _, r := range d.env.daemons {
-		if r.gone.Load() {
+		if r.reclaimed.Load() {
 			continue
 		}
 		_, g := r.Control().Current()
@@ -231,13 +231,13 @@
 	return out
 }
 
-// runTwice leaves out calls that are no actions and may be repeated.
-func runTwice(counts map[string]int) int {
-	twice := 0
+// countRunTwice leaves out calls that are no actions and may be repeated.
+func countRunTwice(counts map[string]int) int {
+	repeated := 0
 	for action, n := range counts {
 		if n > 1 && action != "" {
-			twice++
+			repeated++
 		}
 	}
-	return twice
+	return repeated
 }
--- a/demo/env.go
+++ b/demo/env.go
@@ -44,22 +44,22 @@
 	standins *fleet.Fleet
 
 	mu      sync.Mutex
-	daemons []*running
+	daemons []*gatewayProcess
 }
 
-// running is one gateway's daemon.
-type running struct {
+// gatewayProcess is one gateway's daemon.
+type gatewayProcess struct {
 	*daemon.Daemon
 	vm   string
 	stop context.CancelFunc
 	done chan error
-	// gone is set when its VM has been told to go.
-	gone atomic.Bool
+	// reclaimed is set when its VM has been told to go.
+	reclaimed atomic.Bool
 }
 
 func newEnv(f *Fleet, n daemon.Network, seed uint64) (*env, error) {
 	e := &env{fleet: f, network: n}
-	standins, err := fleet.Start(standinSettings(f, seed), fleet.Options{Network: n, EntryRemoved: e.entryRemoved})
+	standins, err := fleet.Start(standinSettings(f, seed), fleet.Options{Network: n, EntryRemoved: e.stopRemovedGateway})
 	if err != nil {
 		return nil, fmt.Errorf("start stand-ins: %w", err)
 	}
@@ -108,8 +108,8 @@
 	return out
 }
 
-// weights puts what the manifest names into the weight store.
-func (e *env) weights() {
+// storeWeights puts what the manifest names into the weight store.
+func (e *env) storeWeights() {
 	for _, m := range e.fleet.Manifest.Models {
 		e.standins.Weights.Add(cloudapi.Weight{Name: m.Name, Version: m.Version, Bytes: weightBytes})
 		if m.Canary != nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// entryRemoved ends the daemon of a VM whose notice is over.
-func (e *env) entryRemoved(vm cloudapi.VM) {
+// stopRemovedGateway ends the daemon of a VM whose notice is over.
+func (e *env) stopRemovedGateway(vm cloudapi.VM) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, d := range e.daemons {
@@ -133,7 +133,7 @@
 }
 
 func (e *env) startGateways(ctx context.Context) error {
-	e.weights()
+	e.storeWeights()
 	for i := range gateways {
 		if err := e.startGateway(ctx, e.settings(i)); err != nil {
 			return err
@@ -150,7 +150,7 @@
 		Listen:        settings.Listen{Callers: anyPort, Peers: anyPort, Admin: anyPort},
 		Platform:      settings.Platform{KeyValue: a.KeyValue, VMList: a.VMList, Cloud: a.Cloud, Weights: a.Weights},
 		Shutdown:      settings.Shutdown{GraceMillis: shutdownMillis},
-		Admin:         settings.Admin{Credentials: []settings.Credential{operator()}},
+		Admin:         settings.Admin{Credentials: []settings.Credential{operatorCredential()}},
 	}
 	for _, d := range e.daemons {
 		s.Seeds = append(s.Seeds, d.Self().PeerAddress)
@@ -165,7 +165,7 @@
 		return fmt.Errorf("gateway %s: %w", s.ID, err)
 	}
 	ctx, stop := context.WithCancel(ctx)
-	r := &running{Daemon: d, vm: string(s.ID), stop: stop, done: make(chan error, 1)}
+	r := &gatewayProcess{Daemon: d, vm: string(s.ID), stop: stop, done: make(chan error, 1)}
 	go func() { r.done <- d.Run(ctx) }()
 	e.standins.Cloud.Register(cloudapi.VM{
 		ID: r.vm, Address: d.Self().CallerAddress, FailureDomain: s.FailureDomain,
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -34,29 +34,29 @@
 
 // Lengths of the faults.
 const (
-	runnerNotice  = 6 * time.Second
-	gatewayNotice = 8 * time.Second
-	outageFor     = 8 * time.Second
-	slowAnswer    = 400 * time.Millisecond
-	lostAnswers   = 12
-	faultyStreams = 6
-	faultyCalls   = 3
+	runnerNotice    = 6 * time.Second
+	gatewayNotice   = 8 * time.Second
+	outageDuration  = 8 * time.Second
+	slowAnswerDelay = 400 * time.Millisecond
+	lostAnswers     = 12
+	faultyStreams   = 6
+	faultyCalls     = 3
 )
 
 // fault is one way in which the world fails.
 type fault struct {
-	says  string
-	bring func(*show, context.Context)
+	message string
+	inject  func(*scenarioRun, context.Context)
 }
 
 var faults = map[string]fault{
-	"runners-reclaim":  {"the model runners of a failure domain get notice", (*show).reclaimRunners},
-	"runners-kill":     {"the model runners of a failure domain die", (*show).killRunners},
-	"gateway-reclaim":  {"a gateway gets notice", (*show).reclaimGateway},
-	"gateway-kill":     {"a gateway dies", (*show).killGateway},
-	"gateway-silent":   {"a gateway's open connections go silent for good", (*show).silenceGateway},
+	"runners-reclaim":  {"the model runners of a failure domain get notice", (*scenarioRun).reclaimRunners},
+	"runners-kill":     {"the model runners of a failure domain die", (*scenarioRun).killRunners},
+	"gateway-reclaim":  {"a gateway gets notice", (*scenarioRun).reclaimGateway},
+	"gateway-kill":     {"a gateway dies", (*scenarioRun).killGateway},
+	"gateway-silent":   {"a gateway's open connections go silent for good", (*scenarioRun).silenceGateway},
 	"kv-outage":        {"the key-value service goes down for a while", kvFault(kvserver.Faults{Outage: true})},
-	"kv-slow":          {"the key-value service gets slow for a while", kvFault(kvserver.Faults{DelayMillis: slowAnswer.Milliseconds()})},
+	"kv-slow":          {"the key-value service gets slow for a while", kvFault(kvserver.Faults{DelayMillis: slowAnswerDelay.Milliseconds()})},
 	"kv-lost-answers":  {"the key-value service loses answers", kvFault(kvserver.Faults{LoseAnswers: lostAnswers})},
 	"kv-silent":        {"watches of the key-value service go silent", kvFault(kvserver.Faults{SilentWatches: true})},
 	"engines-stall":    {"streams of model engines stall", engineFault(engine.StreamStall)},
@@ -67,7 +67,7 @@
 	"services-close":   {"plain services run calls and close without an answer", serviceFault(service.Faults{CloseAfterExecute: faultyCalls})},
 	"services-hang":    {"plain services run calls and never answer", serviceFault(service.Faults{HangSilently: 1})},
 	"services-refuse":  {"plain services refuse calls before they run", serviceFault(service.Faults{RefuseBefore: faultyCalls})},
-	"operators-race":   {"two operators submit manifests at once", (*show).race},
+	"operators-race":   {"two operators submit manifests at once", (*scenarioRun).submitConcurrently},
 }
 
 // FaultNames lists the faults that an Event can name.
@@ -91,7 +91,7 @@
 	}
 }
 
-func (d *show) domainRunners(domain ident.FailureDomain) []string {
+func (d *scenarioRun) domainRunners(domain ident.FailureDomain) []string {
 	var out []string
 	for _, vm := range d.env.standins.Cloud.VMs() {
 		if vm.FailureDomain == domain && vm.Service == d.fleet.modelService() {
@@ -101,27 +101,27 @@
 	return out
 }
 
-func (d *show) reclaimRunners(context.Context) {
+func (d *scenarioRun) reclaimRunners(context.Context) {
 	for _, id := range d.domainRunners(d.fleet.Manifest.Fleet.FailureDomains[1]) {
 		d.env.standins.Cloud.Reclaim(id, runnerNotice)
 	}
 }
 
-func (d *show) killRunners(context.Context) {
+func (d *scenarioRun) killRunners(context.Context) {
 	for _, id := range d.domainRunners(d.fleet.Manifest.Fleet.FailureDomains[2]) {
 		d.env.standins.Cloud.Kill(id)
 	}
 }
 
-func (d *show) reclaimGateway(context.Context) {
+func (d *scenarioRun) reclaimGateway(context.Context) {
 	last := d.env.daemons[gateways-1]
-	last.gone.Store(true)
+	last.reclaimed.Store(true)
 	d.env.standins.Cloud.Reclaim(last.vm, gatewayNotice)
 }
 
-func (d *show) killGateway(context.Context) {
+func (d *scenarioRun) killGateway(context.Context) {
 	r := d.env.daemons[gateways-2]
-	r.gone.Store(true)
+	r.reclaimed.Store(true)
 	r.Abort()
 	d.env.standins.Cloud.Kill(r.vm)
 }
@@ -129,10 +129,10 @@
 // silencer is a network in which open connections can lose their way.
 type silencer interface{ Silence(address string) int }
 
-func (d *show) silenceGateway(context.Context) {
+func (d *scenarioRun) silenceGateway(context.Context) {
 	n, ok := d.options.Network.(silencer)
 	if !ok {
-		d.say("this network can't do that")
+		d.progress("this network can't do that")
 		return
 	}
 	self := d.env.daemons[1].Self()
@@ -140,17 +140,17 @@
 	n.Silence(self.PeerAddress)
 }
 
-func kvFault(f kvserver.Faults) func(*show, context.Context) {
-	return func(d *show, ctx context.Context) {
+func kvFault(f kvserver.Faults) func(*scenarioRun, context.Context) {
+	return func(d *scenarioRun, ctx context.Context) {
 		d.env.standins.KV.SetFaults(f)
-		sleep(ctx, outageFor)
-		d.say("the key-value service is well again")
+		sleep(ctx, outageDuration)
+		d.progress("the key-value service is well again")
 		d.env.standins.KV.SetFaults(kvserver.Faults{})
 	}
 }
 
-func engineFault(kind engine.StreamFault) func(*show, context.Context) {
-	return func(d *show, _ context.Context) {
+func engineFault(kind engine.StreamFault) func(*scenarioRun, context.Context) {
+	return func(d *scenarioRun, _ context.Context) {
 		for _, r := range d.env.standins.Runners() {
 			if r.Engine != nil {
 				r.Engine.SetFaults(engine.Faults{Stream: kind, Streams: faultyStreams, AfterTokens: 5, LateLines: 2})
@@ -159,8 +159,8 @@
 	}
 }
 
-func serviceFault(f service.Faults) func(*show, context.Context) {
-	return func(d *show, _ context.Context) {
+func serviceFault(f service.Faults) func(*scenarioRun, context.Context) {
+	return func(d *scenarioRun, _ context.Context) {
 		for _, r := range d.env.standins.Runners() {
 			if r.Service != nil {
 				r.Service.SetFaults(f)
@@ -169,8 +169,8 @@
 	}
 }
 
-// race submits two manifests that both expect to replace the first one.
-func (d *show) race(ctx context.Context) {
+// submitConcurrently submits two manifests that both expect to replace the first one.
+func (d *scenarioRun) submitConcurrently(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i := range 2 {
 		wg.Go(func() {
@@ -185,16 +185,16 @@
 	wg.Wait()
 }
 
-func (d *show) submit(ctx context.Context, i int, m *manifest.Manifest) bool {
+func (d *scenarioRun) submit(ctx context.Context, i int, m *manifest.Manifest) bool {
 	data, err := json.Marshal(m)
 	if err != nil {
-		d.say("marshal manifest: %v", err)
+		d.progress("marshal manifest: %v", err)
 		return false
 	}
 	client := adminv1connect.NewAdminServiceClient(newHTTPClient(d.options.Network), "http://"+d.env.daemons[i].AdminAddress())
 	request := connect.NewRequest(&adminv1.ApplyRequest{
 		Manifest: data, ExpectedGeneration: 1,
-		SubmissionId: fmt.Sprintf("race-%d", i), WaitMs: applyWait.Milliseconds(),
+		SubmissionId: fmt.Sprintf("race-%d", i), WaitMs: applyTimeout.Milliseconds(),
 	})
 	request.Header().Set("Authorization", "Bearer "+operatorKey)
 	_, err = client.Apply(ctx, request)
--- a/demo/faults_test.go
+++ b/demo/faults_test.go
@@ -59,14 +59,14 @@
 					t.Fatal(err)
 				}
 				if !s.PromisesKept {
-					t.Error(broken(s))
+					t.Error(summaryText(s))
 				}
 			})
 		})
 	}
 }
 
-func broken(s demo.Summary) string {
+func summaryText(s demo.Summary) string {
 	var b strings.Builder
 	fmt.Fprintln(&b)
 	if err := s.Write(&b); err != nil {
--- a/demo/load.go
+++ b/demo/load.go
@@ -18,30 +18,30 @@
 
 // The mix that callers send.
 const (
-	chatEvery    = 60 * time.Millisecond
-	longEvery    = 300 * time.Millisecond
-	actionEvery  = 50 * time.Millisecond
-	readEvery    = 100 * time.Millisecond
-	chatTokens   = 40
-	longTokens   = 500
-	caseWords    = 600
-	cases        = 12
-	duplicateOne = 3 // one action in so many is sent twice at once
-	patience     = 40 * time.Second
+	chatEvery      = 60 * time.Millisecond
+	longEvery      = 300 * time.Millisecond
+	actionEvery    = 50 * time.Millisecond
+	readEvery      = 100 * time.Millisecond
+	chatTokens     = 40
+	longTokens     = 500
+	caseWords      = 600
+	cases          = 12
+	duplicateOneIn = 3 // one action in so many is sent twice at once
+	requestTimeout = 40 * time.Second
 )
 
-// load sends the mix until ctx ends and then waits for what is in progress.
-type load struct {
+// loadGenerator sends the mix until ctx ends and then waits for what is in progress.
+type loadGenerator struct {
 	fleet   *Fleet
 	tally   *tally
 	clients []*caller.Client
 	rng     *rand.Rand
 	wg      sync.WaitGroup
-	n       int
+	count   int
 }
 
-func newLoad(f *Fleet, t *tally, c caller.Config, seed uint64) *load {
-	l := &load{fleet: f, tally: t, rng: rand.New(rand.NewPCG(seed, 7))}
+func newLoad(f *Fleet, t *tally, c caller.Config, seed uint64) *loadGenerator {
+	l := &loadGenerator{fleet: f, tally: t, rng: rand.New(rand.NewPCG(seed, 7))}
 	for i, ws := range f.Manifest.Workspaces {
 		c.Key = f.key(ws.Name)
 		c.FailureDomain = f.gatewayDomain(i)
@@ -50,7 +50,7 @@
 	return l
 }
 
-func (l *load) run(sending, working context.Context) {
+func (l *loadGenerator) generate(sending, working context.Context) {
 	chat := time.NewTicker(chatEvery)
 	long := time.NewTicker(longEvery)
 	action := time.NewTicker(actionEvery)
@@ -60,21 +60,23 @@
 	}
 	for {
 		c := l.clients[l.rng.IntN(len(l.clients))]
-		l.n++
-		n := l.n
+		l.count++
+		n := l.count
 		select {
 		case <-sending.Done():
 			l.wg.Wait()
 			return
 		case <-chat.C:
-			l.wg.Go(func() { l.model(working, c, l.fleet.interactive, fmt.Sprintf("where is my case %d", n), chatTokens) })
+			l.wg.Go(func() {
+				l.sendCompletion(working, c, l.fleet.interactive, fmt.Sprintf("where is my case %d", n), chatTokens)
+			})
 		case <-long.C:
 			prompt := casePrompt(l.rng.IntN(cases)) + fmt.Sprintf(" draft %d", n)
-			l.wg.Go(func() { l.model(working, c, l.fleet.long, prompt, longTokens) })
+			l.wg.Go(func() { l.sendCompletion(working, c, l.fleet.long, prompt, longTokens) })
 		case <-action.C:
-			l.action(working, c, n)
+			l.sendAction(working, c, n)
 		case <-read.C:
-			l.wg.Go(func() { l.read(working, c) })
+			l.wg.Go(func() { l.sendRead(working, c) })
 		}
 	}
 }
@@ -88,7 +90,7 @@
 	return text
 }
 
-func (l *load) model(ctx context.Context, c *caller.Client, class, prompt string, tokens int) {
+func (l *loadGenerator) sendCompletion(ctx context.Context, c *caller.Client, class, prompt string, tokens int) {
 	l.tally.update(func(s *Summary) { s.Sent++ })
 	result, err := c.Stream(ctx, gateway.CompletionRequest{
 		Model: l.fleet.model, Messages: []gateway.Message{{Role: "user", Content: prompt}},
@@ -102,7 +104,7 @@
 		}
 	})
 	if err != nil {
-		l.failed(accepted, &unfinishedError{tokens: len(result.Tokens), of: tokens, resumed: result.Resumed, err: err})
+		l.countFailure(accepted, &unfinishedError{tokens: len(result.Tokens), of: tokens, resumed: result.Resumed, err: err})
 		return
 	}
 	if !slices.Equal(result.Tokens, engine.Tokens(l.fleet.model, "user: "+prompt, tokens)) {
@@ -110,7 +112,7 @@
 		return
 	}
 	l.tally.update(func(s *Summary) { s.AnsweredWhole++ })
-	l.tally.latency(result.FirstToken, result.LongestGap)
+	l.tally.recordLatency(result.FirstToken, result.LongestGap)
 }
 
 // unfinishedError says how far a model request had come when it failed.
@@ -126,9 +128,9 @@
 // Unwrap returns the cause.
 func (e *unfinishedError) Unwrap() error { return e.err }
 
-// failed sorts an error: a typed refusal is an answer, anything else after
+// countFailure sorts an error: a typed refusal is an answer, anything else after
 // acceptance is a request lost.
-func (l *load) failed(accepted bool, err error) {
+func (l *loadGenerator) countFailure(accepted bool, err error) {
 	var refused *caller.RefusedError
 	l.tally.update(func(s *Summary) {
 		switch {
@@ -143,14 +145,14 @@
 	})
 }
 
-func (l *load) action(ctx context.Context, c *caller.Client, n int) {
+func (l *loadGenerator) sendAction(ctx context.Context, c *caller.Client, n int) {
 	copies := 1
-	if l.rng.IntN(duplicateOne) == 0 {
+	if l.rng.IntN(duplicateOneIn) == 0 {
 		copies = 2
 	}
 	l.wg.Go(func() {
 		l.tally.update(func(s *Summary) { s.Sent++; s.Actions++; s.Accepted++ })
-		until := time.Now().Add(patience)
+		until := time.Now().Add(requestTimeout)
 		for l.tryAction(ctx, c, n, copies) && time.Now().Before(until) {
 			l.tally.update(func(s *Summary) { s.Retaken++ })
 		}
@@ -159,10 +161,10 @@
 
 // tryAction sends one key, perhaps twice at once, and tells whether the action
 // is to be asked for again under a new one.
-func (l *load) tryAction(ctx context.Context, c *caller.Client, n, copies int) bool {
+func (l *loadGenerator) tryAction(ctx context.Context, c *caller.Client, n, copies int) bool {
 	key, err := c.NewKey(ctx)
 	if err != nil {
-		l.failed(true, err)
+		l.countFailure(true, err)
 		return false
 	}
 	var wg sync.WaitGroup
@@ -177,10 +179,10 @@
 		})
 	}
 	wg.Wait()
-	return l.judge(key, answers, errs)
+	return l.recordAction(key, answers, errs)
 }
 
-func (l *load) judge(key string, answers []caller.Answer, errs []error) (again bool) {
+func (l *loadGenerator) recordAction(key string, answers []caller.Answer, errs []error) (retry bool) {
 	if len(answers) == 2 && errs[0] == nil && errs[1] == nil && string(answers[0].Body) != string(answers[1].Body) {
 		l.tally.update(func(s *Summary) { s.AnswersMixed++ })
 	}
@@ -190,26 +192,26 @@
 	}
 	var refused *caller.RefusedError
 	if errors.As(errs[0], &refused) && refused.Executed == refusal.ExecutedNo {
-		l.tally.noteNotRun(key)
+		l.tally.addNotExecuted(key)
 	}
 	if caller.MayRetryWithNewKey(errs[0]) {
-		pauseFor(refused.RetryAfterMillis)
+		sleepMillis(refused.RetryAfterMillis)
 		return true
 	}
-	l.failed(true, errs[0])
+	l.countFailure(true, errs[0])
 	if refused != nil && refused.Executed != refusal.ExecutedNo {
 		l.tally.update(func(s *Summary) { s.UnknownOutcomes++ })
 	}
 	return false
 }
 
-func pauseFor(millis int64) { time.Sleep(time.Duration(millis) * time.Millisecond) }
+func sleepMillis(millis int64) { time.Sleep(time.Duration(millis) * time.Millisecond) }
 
-func (l *load) read(ctx context.Context, c *caller.Client) {
+func (l *loadGenerator) sendRead(ctx context.Context, c *caller.Client) {
 	l.tally.update(func(s *Summary) { s.Sent++; s.Accepted++ })
 	_, err := c.Do(ctx, caller.Call{Service: l.fleet.plainService, Method: http.MethodGet, Path: l.fleet.readPath})
 	if err != nil {
-		l.failed(true, err)
+		l.countFailure(true, err)
 		return
 	}
 	l.tally.update(func(s *Summary) { s.AnsweredWhole++ })
--- a/demo/remote.go
+++ b/demo/remote.go
@@ -29,12 +29,12 @@
 	}
 	t := newTally()
 	began := time.Now()
-	l := newLoad(f, t, caller.Config{Gateways: o.Gateways, HTTP: o.HTTP, RetryTimeout: patience}, o.Seed)
+	l := newLoad(f, t, caller.Config{Gateways: o.Gateways, HTTP: o.HTTP, RetryTimeout: requestTimeout}, o.Seed)
 	sending, stop := context.WithTimeout(ctx, o.For)
 	defer stop()
-	working, stopWorking := context.WithTimeout(ctx, o.For+finishFor)
+	working, stopWorking := context.WithTimeout(ctx, o.For+drainTimeout)
 	defer stopWorking()
-	l.run(sending, working)
+	l.generate(sending, working)
 	s := t.summary()
 	s.Fleet = f.Name
 	s.Seconds = time.Since(began).Seconds()
--- a/demo/tally.go
+++ b/demo/tally.go
@@ -52,16 +52,16 @@
 	s    Summary
 	ttft *hdrhistogram.Histogram
 	gap  *hdrhistogram.Histogram
-	// toldNotRun has the actions whose caller was told that nothing ran.
-	toldNotRun map[string]bool
+	// reportedNotExecuted has the actions whose caller was told that nothing ran.
+	reportedNotExecuted map[string]bool
 }
 
 func newTally() *tally {
 	return &tally{
-		s:          Summary{Refused: map[refusal.Reason]int{}, Errors: map[string]int{}},
-		ttft:       hdrhistogram.New(1, histogramMax, histogramDigits),
-		gap:        hdrhistogram.New(1, histogramMax, histogramDigits),
-		toldNotRun: map[string]bool{},
+		s:                   Summary{Refused: map[refusal.Reason]int{}, Errors: map[string]int{}},
+		ttft:                hdrhistogram.New(1, histogramMax, histogramDigits),
+		gap:                 hdrhistogram.New(1, histogramMax, histogramDigits),
+		reportedNotExecuted: map[string]bool{},
 	}
 }
 
@@ -71,7 +71,7 @@
 	f(&t.s)
 }
 
-func (t *tally) latency(first, gap time.Duration) {
+func (t *tally) recordLatency(first, gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	// A value over the histogram's bound counts as the bound.
@@ -79,10 +79,10 @@
 	_ = t.gap.RecordValue(min(gap.Microseconds(), histogramMax))
 }
 
-func (t *tally) noteNotRun(key string) {
+func (t *tally) addNotExecuted(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.toldNotRun[key] = true
+	t.reportedNotExecuted[key] = true
 }
 
 func seconds(h *hdrhistogram.Histogram, q float64) float64 {
