--- a/bench/actions/actions.go
+++ b/bench/actions/actions.go
@@ -1,7 +1,7 @@
-// Package actions measures what at-most-once actions cost: calls of the
-// key-value service, added latency, service during an outage, and what a crash
-// leaves unknown. The real owners run in virtual time against a model of the
-// key-value service, so equal seeds give equal figures.
+// Package actions measures the cost of at-most-once actions: calls of the key-value
+// service, added latency, service during an outage, and the share of actions with an
+// unknown outcome after a crash. The real action owners run in virtual time against a
+// model of the key-value service, so equal seeds give equal figures.
 package actions
 
 import (
@@ -25,19 +25,21 @@
 
 const (
 	gateways = 5
-	// writeLatencyMin and Max bound a call of the service without load.
+	// writeLatencyMin and writeLatencyMax bound the latency of a write to the unloaded
+	// key-value service.
 	writeLatencyMin = 2 * time.Millisecond
 	writeLatencyMax = 6 * time.Millisecond
-	// serviceRate is how many writes a second the service takes.
+	// serviceRate is the number of writes per second that the service can handle.
 	serviceRate = 400
-	// storeTimeout is when a caller of the service gives up.
+	// storeTimeout is the timeout of a call to the service.
 	storeTimeout = time.Second
 	runnerTime   = 5 * time.Millisecond
-	// duplicateShare of the actions are sent twice.
+	// duplicateShare is the fraction of actions that are sent twice.
 	duplicateShare = 0.1
-	// tokenAge is how long a caller keeps a token before it takes a fresh one.
+	// tokenAge is how long callers use a token before they get a new one.
 	tokenAge = 5 * time.Second
-	// callerTries is how often a caller follows the advice of a refusal.
+	// callerTries is how often a caller tries an action, following the advice of
+	// refusals.
 	callerTries = 4
 
 	steadyWarmUp   = 10 * time.Second
@@ -50,19 +52,19 @@
 	measuredSample = 30 * time.Second
 )
 
-// rates are actions a second over all gateways; figures at the last one carry
-// no suffix.
+// rates lists the actions per second over all gateways. Names of figures at the last
+// rate have no suffix.
 var rates = []float64{1, 100, 2000}
 
-// arm is one way to keep actions at most once.
+// arm is one configuration that runs actions at most once.
 type arm struct {
 	name string
-	// perAction keeps a record per action in place of the journal.
+	// perAction writes a record per action instead of a journal.
 	perAction bool
-	// writesPerSecond is an owner's budget; zero is the default. Arms with a
-	// budget of their own are measured at the last rate only.
+	// writesPerSecond is an owner's write budget; zero means the default. Arms that
+	// set it are measured at the last rate only.
 	writesPerSecond float64
-	// lifetime of tokens; zero is the default.
+	// lifetime is the lifetime of tokens; zero means the default.
 	lifetime time.Duration
 }
 
@@ -95,7 +97,7 @@
 	return report, nil
 }
 
-// mean averages a figure over the seeds; broken promises are summed.
+// mean averages a figure over the seeds. Counts of violations are summed instead.
 type mean struct {
 	sum, n float64
 	total  bool
@@ -137,8 +139,8 @@
 	outage(a, seed, sums)
 }
 
-// steady measures cost and latency once entries are collected as fast as they
-// come.
+// steady measures cost and latency in the steady state, when entries are collected as
+// fast as they are written.
 func steady(a arm, seed uint64, rate float64, suffix string, sums map[string]*mean) {
 	r := newRun(a, seed)
 	length := r.retention() + steadyWarmUp
@@ -157,10 +159,11 @@
 	r.putViolations(sums)
 }
 
-// minSample is the least number of actions a figure rests on.
+// minSample is the minimum number of actions that a figure is based on.
 const minSample = 200
 
-// outage measures whether actions go on while the service is away.
+// outage measures the share of actions that are served while the key-value service is
+// down.
 func outage(a arm, seed uint64, sums map[string]*mean) {
 	r := newRun(a, seed)
 	r.service.down = [2]time.Duration{outageWarmUp, outageWarmUp + outageTime}
@@ -176,12 +179,14 @@
 	r.putViolations(sums)
 }
 
-// crash measures what an owner's crash leaves unknown, by the sealed logs.
+// crash measures the outcomes that are unknown from the sealed logs after an owner's
+// crash.
 func crash(a arm, seed uint64, rate float64, suffix string, sums map[string]*mean) {
 	var total verdicts
 	for n := range uint64(crashes) {
 		r := newRun(a, seed*crashes+n)
-		// Writes keep a beat; the crash must not fall on the same one each time.
+		// Writes are periodic. A random time avoids a crash at the same phase in each
+		// run.
 		at := crashWarmUp + time.Duration(r.rng.Int64N(int64(time.Second)))
 		r.offer(rate, 0, at)
 		r.runUntil(at)
--- a/bench/actions/actions_test.go
+++ b/bench/actions/actions_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// The aims of issue 5 hold in the measurement itself. Tokens live for seconds
-// only, so that the collection of entries is in full swing soon.
+// The measured policy must meet the targets for at-most-once actions (issue 5). A
+// short token lifetime makes the collection of entries reach its steady state early.
 func TestPolicyMeetsTargets(t *testing.T) {
 	is := is.New(t)
 	sums := map[string]*mean{}
--- a/bench/actions/peraction.go
+++ b/bench/actions/peraction.go
@@ -7,8 +7,8 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// perAction is the plain way: a record per action in the key-value service,
-// created before the dispatch, and replaced by the outcome after it.
+// perAction is the baseline: it creates a record per action in the key-value service
+// before the dispatch and replaces the record by the outcome afterwards.
 type perAction struct {
 	r       *run
 	gateway int
@@ -72,8 +72,8 @@
 	p.r.service.call(func() { p.r.service.entries[id.Key] = []byte(value) }, done)
 }
 
-// verdict takes an absent record over, by creating it: the crashed gateway, if
-// only paused, then loses its own creation.
+// verdict treats an absent record as not executed. A real gateway would create the
+// record itself, so that a gateway that was only paused fails to create it later.
 func (p *perAction) verdict(id actionkey.ID) refusal.Executed {
 	switch string(p.r.service.entries[id.Key]) {
 	case recordOutcome:
--- a/bench/actions/run.go
+++ b/bench/actions/run.go
@@ -18,19 +18,19 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// epoch is virtual time zero.
+// epoch is the wall-clock time at which virtual time starts.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// actionStore is one gateway's way to keep its actions at most once.
+// actionStore runs the actions of one gateway at most once.
 type actionStore interface {
-	// token returns the text to which callers add a suffix.
+	// token returns the start of action keys, to which callers append a suffix.
 	token() string
 	submit(id actionkey.ID, done func(action.Result))
-	// verdict tells what another gateway can say after a crash.
+	// verdict returns what another gateway can tell about an action after a crash.
 	verdict(id actionkey.ID) refusal.Executed
 }
 
-// try is one key that a caller used.
+// try is the use of one key by a caller.
 type try struct {
 	received            time.Duration
 	gateway             int
@@ -39,7 +39,7 @@
 	reportedNotExecuted bool
 }
 
-// run is one play of an arm.
+// run is one simulation of an arm.
 type run struct {
 	clock
 	rng     *rand.Rand
@@ -48,7 +48,7 @@
 	tokens  []heldToken
 	tries   map[actionkey.ID]*try
 	number  int
-	// crashed is the gateway that plays no more, or -1.
+	// crashed is the index of the crashed gateway, or -1.
 	crashed int
 
 	sampling    bool
@@ -64,7 +64,7 @@
 	at   time.Duration
 }
 
-// drainTime is what a late answer may take at the end of a run.
+// drainTime is the time for outstanding answers at the end of a run.
 const drainTime = 30 * time.Second
 
 func newRun(a arm, seed uint64) *run {
@@ -102,12 +102,12 @@
 	}
 }
 
-// retention is how long after it was written an entry can be collected.
+// retention is the age at which an entry can be collected.
 func (r *run) retention() time.Duration { return r.grace }
 
 func (r *run) wall() time.Time { return epoch.Add(r.now) }
 
-// offer lets actions arrive at random, at a mean rate.
+// offer schedules Poisson arrivals of actions at a mean rate.
 func (r *run) offer(rate float64, from, to time.Duration) {
 	gap := time.Duration(-math.Log(1-r.rng.Float64()) / rate * float64(time.Second))
 	at := from + gap
@@ -125,7 +125,7 @@
 	r.service.calls = 0
 }
 
-// arrive is one action of a caller.
+// arrive starts one action of a caller.
 func (r *run) arrive() {
 	gateway := r.rng.IntN(gateways)
 	counted := r.sampling
@@ -135,8 +135,8 @@
 	r.attempt(gateway, 1, counted)
 }
 
-// attempt uses a fresh key. A caller that is told "not executed" follows the
-// refusal's advice with another.
+// attempt sends an action under a new key. If it is refused as not executed, the
+// caller retries with another key after the delay that the refusal advises.
 func (r *run) attempt(gateway, number int, counted bool) {
 	r.number++
 	id := actionkey.ID{Workspace: "huaman", Key: r.heldToken(gateway, number) + "k" + strconv.Itoa(r.number)}
@@ -180,8 +180,8 @@
 	}
 }
 
-// heldToken is the one that callers of a gateway keep for a while; a caller
-// that was refused takes a fresh one.
+// heldToken returns the token that callers of a gateway share for tokenAge. A retry
+// after a refusal gets a new token.
 func (r *run) heldToken(gateway, number int) string {
 	t := &r.tokens[gateway]
 	if t.text == "" || number > 1 || r.now-t.at > tokenAge {
@@ -194,7 +194,7 @@
 func (r *run) dispatchToRunner(id actionkey.ID, finished func(action.Result)) {
 	t := r.tries[id]
 	if t.runs == 0 && r.sampling {
-		// Bounds of the histogram can't be exceeded within a run.
+		// No latency within a run exceeds the limit of the histogram.
 		_ = r.samples.RecordValue(max(1, int64((r.now-t.received)/time.Microsecond)))
 	}
 	r.after(runnerTime, func() {
@@ -205,7 +205,7 @@
 	})
 }
 
-// finish waits for the answers that are still due.
+// finish runs the simulation until outstanding answers have arrived.
 func (r *run) finish() {
 	r.sampling = false
 	r.runUntil(r.now + drainTime)
@@ -218,7 +218,7 @@
 
 func (r *run) servedRatio() float64 { return float64(r.served) / float64(r.offered) }
 
-// putViolations counts the promises that were broken.
+// putViolations adds the counts of violated guarantees.
 func (r *run) putViolations(sums map[string]*mean) {
 	twice, falseNo := 0, 0
 	for _, t := range r.tries {
@@ -233,7 +233,7 @@
 	put(sums, "false_not_executed", float64(falseNo), true)
 }
 
-// verdicts count what is known after a crash.
+// verdicts counts actions and unknown outcomes after a crash.
 type verdicts struct{ open, openUnknown, recent, recentUnknown int }
 
 func (v *verdicts) add(o verdicts) {
@@ -243,11 +243,12 @@
 	v.recentUnknown += o.recentUnknown
 }
 
-// crashOwner ends a gateway and lets another answer for its actions.
+// crashOwner crashes a gateway and counts what another gateway can tell about its
+// actions.
 func (r *run) crashOwner(gateway int, lookBack time.Duration) verdicts {
 	r.crashed = gateway
 	from := r.now - lookBack
-	r.runUntil(r.now + drainTime) // what was sent to runners runs
+	r.runUntil(r.now + drainTime) // dispatched actions still run
 	var v verdicts
 	for id, t := range r.tries {
 		if t.gateway != gateway || t.received < from {
@@ -271,7 +272,7 @@
 	return v
 }
 
-// journalStore is the policy: the real owner and its journal.
+// journalStore is the project's policy: the real owner with its journal.
 type journalStore struct {
 	r       *run
 	gateway int
@@ -325,7 +326,7 @@
 	})
 }
 
-// wake ticks the owner when it is due.
+// wake schedules the owner's next tick.
 func (j *journalStore) wake() {
 	due := j.owner.NextDue(j.r.wall())
 	if due.IsZero() {
--- a/bench/actions/service.go
+++ b/bench/actions/service.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a virtual time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -24,10 +24,10 @@
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
@@ -35,7 +35,7 @@
 	return e
 }
 
-// clock plays events in the order of their times.
+// clock runs events in the order of their times.
 type clock struct {
 	now   time.Duration
 	queue eventQueue
@@ -47,7 +47,7 @@
 	heap.Push(&c.queue, event{at: c.now + d, seq: c.seq, do: do})
 }
 
-// runUntil plays what happens up to a time.
+// runUntil runs all events up to a time.
 func (c *clock) runUntil(end time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		e := heap.Pop(&c.queue).(event)
@@ -57,22 +57,22 @@
 	c.now = end
 }
 
-// service models the key-value service: calls are served one after the other
-// at its rate, then take their latency.
+// service models the key-value service: it handles calls one after the other at its
+// rate, and each call then takes its latency.
 type service struct {
 	clock *clock
 	rng   *rand.Rand
-	// freeAt is when the queue of calls will have been served.
+	// freeAt is the time at which the queue of calls will be empty.
 	freeAt time.Duration
-	// down is when the service is away.
+	// down is the start and end of the outage.
 	down  [2]time.Duration
 	calls int
-	// entries holds what has been written, by key.
+	// entries holds the written values by key.
 	entries map[string][]byte
 }
 
-// call makes a write. done is told whether it took effect, or false after the
-// timeout.
+// call performs a write. It calls done with true when the write has taken effect, or
+// with false after the timeout.
 func (s *service) call(effect func(), done func(ok bool)) {
 	s.calls++
 	now := s.clock.now
@@ -83,7 +83,7 @@
 	start := max(now, s.freeAt)
 	latency := writeLatencyMin + time.Duration(s.rng.Int64N(int64(writeLatencyMax-writeLatencyMin)))
 	if start+latency-now > storeTimeout {
-		// Its caller has gone before it is served: shed.
+		// The call would be served after its timeout, so it is dropped.
 		s.clock.after(storeTimeout, func() { done(false) })
 		return
 	}
