--- a/soak/promises_test.go
+++ b/soak/promises_test.go
@@ -53,12 +53,12 @@
 	runs := map[string]int{}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, backend := range append(append([]*proxiedRunner{}, f.runners...), f.removedRunners...) {
-		for _, run := range backend.Executions() {
+	for _, proxiedRunner := range append(append([]*proxiedRunner{}, f.runners...), f.removedRunners...) {
+		for _, run := range proxiedRunner.Executions() {
 			runs[run.ID]++
 			c, known := r.byID[run.ID]
 			if !known {
-				b.add("run that nobody asked for", "%q at %s", run.ID, backend.ID)
+				b.add("run that nobody asked for", "%q at %s", run.ID, proxiedRunner.ID)
 				continue
 			}
 			if run.Method != c.method || run.Target != c.path || run.Body != "" && run.Body != c.body {
@@ -129,9 +129,9 @@
 	last := uint64(0)
 	for _, c := range f.cloud.Calls("/usage") {
 		f.mu.Lock()
-		thawed := f.resumedAt[c.Holder]
+		resumedAt := f.resumedAt[c.Holder]
 		f.mu.Unlock()
-		if !c.At.Before(thawed) && c.At.Sub(thawed) <= resumeSlack {
+		if !c.At.Before(resumedAt) && c.At.Sub(resumedAt) <= resumeSlack {
 			continue
 		}
 		token, err := strconv.ParseUint(c.Fence, 10, 64)
