--- a/daemon/control/mesh.go
+++ b/daemon/control/mesh.go
@@ -51,7 +51,7 @@
 // MissingSenderError reports that an exchange does not identify its sender.
 type MissingSenderError struct{}
 
-func (*MissingSenderError) Error() string { return "exchange does not name its sender" }
+func (*MissingSenderError) Error() string { return "exchange without a sender" }
 
 // Heartbeat merges a peer's exchange and replies with this daemon's changes.
 func (s *meshService) Heartbeat(_ context.Context, r *connect.Request[meshv1.HeartbeatRequest]) (*connect.Response[meshv1.HeartbeatResponse], error) {
--- a/daemon/models/reader.go
+++ b/daemon/models/reader.go
@@ -31,7 +31,7 @@
 type RequestNotFoundError struct{ ID ident.RequestID }
 
 func (e *RequestNotFoundError) Error() string {
-	return "this daemon does not know request " + string(e.ID)
+	return "request is not here: " + string(e.ID)
 }
 
 // StreamBrokenError is returned when the stream from a peer ended before the
--- a/daemon/models/rpc_handler.go
+++ b/daemon/models/rpc_handler.go
@@ -165,7 +165,7 @@
 // of records of other daemons' requests.
 type RecordsFullError struct{ Limit int }
 
-func (e *RecordsFullError) Error() string { return "this daemon cannot store more request records" }
+func (e *RecordsFullError) Error() string { return "keeper of records is full" }
 
 func refusalResponse(r *refusal.Refusal) *requestv1.ReadResponse {
 	return &requestv1.ReadResponse{
--- a/standin/engine/errors.go
+++ b/standin/engine/errors.go
@@ -5,13 +5,13 @@
 // DeadError reports that the engine's VM has terminated.
 type DeadError struct{}
 
-func (*DeadError) Error() string { return "engine has terminated" }
+func (*DeadError) Error() string { return "engine is gone" }
 
 // LeavingError reports that the engine refuses new attempts because its VM
 // will be reclaimed.
 type LeavingError struct{}
 
-func (*LeavingError) Error() string { return "engine refuses new attempts after a reclaim notice" }
+func (*LeavingError) Error() string { return "engine is leaving" }
 
 // NotLoadedError reports that the model or adapter is not loaded.
 type NotLoadedError struct{ Model, Adapter string }
@@ -24,14 +24,14 @@
 type DuplicateAttemptError struct{ AttemptID string }
 
 func (e *DuplicateAttemptError) Error() string {
-	return fmt.Sprintf("attempt %q is already active", e.AttemptID)
+	return fmt.Sprintf("attempt %q runs already", e.AttemptID)
 }
 
 // QueueFullError reports that the queue has reached Config.MaxQueue.
 type QueueFullError struct{ Waiting int }
 
 func (e *QueueFullError) Error() string {
-	return fmt.Sprintf("queue is full: %d attempts are waiting", e.Waiting)
+	return fmt.Sprintf("%d attempts wait already", e.Waiting)
 }
 
 // TooLongError reports that a prompt and its output do not fit into the
@@ -39,21 +39,21 @@
 type TooLongError struct{ Tokens, Limit int }
 
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("prompt and output of %d tokens exceed the limit of %d", e.Tokens, e.Limit)
+	return fmt.Sprintf("%d tokens are over the limit of %d", e.Tokens, e.Limit)
 }
 
 // UnknownAttemptError reports that no active attempt has this ID.
 type UnknownAttemptError struct{ AttemptID string }
 
 func (e *UnknownAttemptError) Error() string {
-	return fmt.Sprintf("attempt %q is not active", e.AttemptID)
+	return fmt.Sprintf("no attempt %q", e.AttemptID)
 }
 
 // UnknownHandleError reports that no exported cache has this handle.
 type UnknownHandleError struct{ Handle string }
 
 func (e *UnknownHandleError) Error() string {
-	return fmt.Sprintf("exported cache %q does not exist", e.Handle)
+	return fmt.Sprintf("no exported cache %q", e.Handle)
 }
 
 // StaleFencingError reports that an order's fencing number is lower than
@@ -61,14 +61,14 @@
 type StaleFencingError struct{ Seen uint64 }
 
 func (e *StaleFencingError) Error() string {
-	return fmt.Sprintf("fencing number of the order is lower than %d", e.Seen)
+	return fmt.Sprintf("fencing number is older than %d", e.Seen)
 }
 
 // UnknownOrderError reports that package engineapi does not define the
 // order's kind.
 type UnknownOrderError struct{ Kind string }
 
-func (e *UnknownOrderError) Error() string { return fmt.Sprintf("unknown kind of order %q", e.Kind) }
+func (e *UnknownOrderError) Error() string { return fmt.Sprintf("unknown order %q", e.Kind) }
 
 // InjectedError reports a failure that was injected through Faults.
 type InjectedError struct{ Fault string }
@@ -83,7 +83,7 @@
 }
 
 func (e *TransferError) Error() string {
-	return fmt.Sprintf("transfer of exported cache from %s: %v", e.Source, e.Err)
+	return fmt.Sprintf("transfer from %s: %v", e.Source, e.Err)
 }
 
 // Unwrap returns the cause.
