--- a/daemon/actions/drain.go
+++ b/daemon/actions/drain.go
@@ -295,7 +295,7 @@
 }
 
 func decodePart(m *actionv1.HandOffRequest) action.TablePart {
-	part := action.TablePart{Number: m.GetPart(), Last: m.GetLast(), Complete: time.UnixMilli(m.GetCompleteUnixMs())}
+	part := action.TablePart{Number: m.GetPart(), Last: m.GetLast(), ExportedAt: time.UnixMilli(m.GetCompleteUnixMs())}
 	for _, r := range m.GetRecords() {
 		result := decodeResult(r.GetOutcome())
 		if r.GetOutcome() == nil {
--- a/daemon/dispatch/picker.go
+++ b/daemon/dispatch/picker.go
@@ -70,7 +70,7 @@
 		if decision.Verdict != retry.Again && decision.Verdict != retry.Postpone {
 			return retryRefusal(j, decision)
 		}
-		if !pause.For(ctx, decision.Wait) {
+		if !pause.For(ctx, decision.Delay) {
 			return refusal.New(refusal.Cancelled, "given up").Unknown()
 		}
 		if decision.Verdict == retry.Again {
--- a/daemon/dispatch/poll.go
+++ b/daemon/dispatch/poll.go
@@ -133,7 +133,7 @@
 		PrefillRate:   l.PrefillRate,
 		DecodeRate:    l.DecodeRate,
 		Leaving:       l.Leaving,
-		TimeLeft:      time.Duration(l.DeadlineMillis) * time.Millisecond,
+		TimeUntilStop: time.Duration(l.DeadlineMillis) * time.Millisecond,
 	}
 	for _, m := range l.Models {
 		r.Models = append(r.Models, load.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters, Loading: m.Loading})
--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -54,7 +54,7 @@
 	// keeper stores the records of other daemons' requests.
 	keeper *handoff.Keeper
 	// outbox tracks where the records of this daemon's requests are stored.
-	outbox *handoff.Outbox
+	outbox *handoff.RecordTracker
 	// drain is nil until Drain is called.
 	drain *handoff.Drain
 	// renewing holds the keepers to which a renewal of records is in progress.
@@ -82,7 +82,7 @@
 		cancel:       cancel,
 		requestState: map[ident.RequestID]*requestState{},
 		keeper:       handoff.NewKeeper(recordLimit),
-		outbox:       handoff.NewOutbox(),
+		outbox:       handoff.NewRecordTracker(),
 
 		renewing: map[ident.Incarnation]bool{},
 	}
--- a/daemon/services/services.go
+++ b/daemon/services/services.go
@@ -419,7 +419,7 @@
 	})
 	switch d.Verdict {
 	case retry.Again:
-		return d.Wait, nil
+		return d.Delay, nil
 	case retry.StopBudget:
 		return 0, refusal.New(refusal.RetryBudgetExhausted, "%s", f.detail()).After(retryAfter)
 	case retry.StopDeadline:
--- a/protocol/action/adopted.go
+++ b/protocol/action/adopted.go
@@ -21,7 +21,7 @@
 // export by the owner's clock. The table holds every key that the owner accepted
 // and that had not expired by that time. Before the owner has ended, Export
 // returns false: absence from a table that can still grow proves nothing.
-func (o *Owner) Export(now time.Time) (records []Record, complete time.Time, ok bool) {
+func (o *Owner) Export(now time.Time) (records []Record, exportedAt time.Time, ok bool) {
 	if !o.ended {
 		return nil, time.Time{}, false
 	}
@@ -46,12 +46,12 @@
 // AdoptedTable is the copy of an ended owner's table at the successor of that
 // owner. It answers questions about the actions; it never dispatches them.
 type AdoptedTable struct {
-	owner    ident.Incarnation
-	records  map[actionkey.ID]Record
-	parts    map[uint32]bool
-	total    uint32
-	complete time.Time
-	bytes    int
+	owner      ident.Incarnation
+	records    map[actionkey.ID]Record
+	parts      map[uint32]bool
+	total      uint32
+	exportedAt time.Time
+	bytes      int
 }
 
 // NewAdoptedTable returns a table that has received no parts yet.
@@ -65,10 +65,10 @@
 	Number uint32
 	// Last marks the part with the highest number.
 	Last bool
-	// Complete is the time of the export by the clock of the exporting owner. It
+	// ExportedAt is the time of the export by the clock of the exporting owner. It
 	// is set only in the last part.
-	Complete time.Time
-	Records  []Record
+	ExportedAt time.Time
+	Records    []Record
 }
 
 // AddPart adds the records of a part unless the table already holds that part.
@@ -79,7 +79,7 @@
 	a.parts[p.Number] = true
 	if p.Last {
 		a.total = p.Number + 1
-		a.complete = p.Complete
+		a.exportedAt = p.ExportedAt
 	}
 	for _, r := range p.Records {
 		a.records[r.ID] = r
@@ -95,8 +95,8 @@
 
 // AllKeysExpired reports whether all keys of the ended owner have expired at
 // wall-clock time now, given the lifetime of its tokens.
-func (a *AdoptedTable) AllKeysExpired(now time.Time, lifetime time.Duration) bool {
-	return a.Complete() && now.After(a.complete.Add(lifetime))
+func (a *AdoptedTable) AllKeysExpired(now time.Time, tokenLifetime time.Duration) bool {
+	return a.Complete() && now.After(a.exportedAt.Add(tokenLifetime))
 }
 
 // ResultFor returns what is known about an action. An empty bodyHash looks the
@@ -120,7 +120,7 @@
 	if err != nil || key.Owner != a.owner {
 		return Result{}, false
 	}
-	if !a.complete.Before(key.Expires()) {
+	if !a.exportedAt.Before(key.Expires()) {
 		return Result{Refusal: refusal.New(refusal.KeyExpired, "key is over").Unknown()}, true
 	}
 	return Result{Refusal: refusal.New(refusal.OwnerGone, "owner has ended; take a new token").After(newKeyRetryAfter)}, true
--- a/protocol/action/gateway_test.go
+++ b/protocol/action/gateway_test.go
@@ -250,7 +250,7 @@
 			part.Records = records[i : i+1]
 		} else {
 			part.Last = true
-			part.Complete = complete
+			part.ExportedAt = complete
 		}
 		n.sim.after(n.sim.randomDuration(second), n, func() { n.sendPart(o.Incarnation(), successor, part, attempts) })
 	}
--- a/protocol/action/history_test.go
+++ b/protocol/action/history_test.go
@@ -152,7 +152,7 @@
 // partitions, mistaken failure detection and drains occur at random times, also
 // at once and repeatedly.
 func TestHistories(t *testing.T) {
-	var yes, no, unknown, runs atomic.Int64
+	var executedCount, notExecutedCount, unknownCount, runCount atomic.Int64
 	var mu sync.Mutex
 	var total eventCounts
 	var wg sync.WaitGroup
@@ -169,10 +169,10 @@
 				if !sim.history.IsValid() {
 					t.Errorf("seed %d: history is not legal", seed)
 				}
-				yes.Add(int64(sim.history.Yes))
-				no.Add(int64(sim.history.No))
-				unknown.Add(int64(sim.history.Unknown))
-				runs.Add(int64(sim.history.Runs))
+				executedCount.Add(int64(sim.history.Yes))
+				notExecutedCount.Add(int64(sim.history.No))
+				unknownCount.Add(int64(sim.history.Unknown))
+				runCount.Add(int64(sim.history.Runs))
 				mu.Lock()
 				total.add(sim.eventCounts)
 				mu.Unlock()
@@ -181,9 +181,9 @@
 	}
 	wg.Wait()
 	t.Logf("%d histories: %d executions; callers were told executed %d, not executed %d, unknown %d times",
-		*histories, runs.Load(), yes.Load(), no.Load(), unknown.Load())
+		*histories, runCount.Load(), executedCount.Load(), notExecutedCount.Load(), unknownCount.Load())
 	t.Logf("event counts: %+v", total)
-	if yes.Load() == 0 || no.Load() == 0 || unknown.Load() == 0 || !total.all() {
+	if executedCount.Load() == 0 || notExecutedCount.Load() == 0 || unknownCount.Load() == 0 || !total.all() {
 		t.Error("some kind of answer or event occurred in no history")
 	}
 }
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -39,14 +39,14 @@
 	writer  *journal.Writer
 	records map[actionkey.ID]*record
 	expiry  expiryQueue
-	// received lists the actions that wait for the journal, oldest first.
-	received   []*record
-	dispatched int
-	bytes      int
-	tombstones tombstones
-	draining   bool
-	ended      bool
-	effects    []Effect
+	// awaitingJournal lists the actions that wait for the journal, oldest first.
+	awaitingJournal []*record
+	dispatched      int
+	bytes           int
+	tombstones      tombstones
+	draining        bool
+	ended           bool
+	effects         []Effect
 }
 
 // NewOwner returns an owner with an empty table.
@@ -214,7 +214,7 @@
 		o.settle(rec, NotExecuted, Result{Refusal: refused})
 		return
 	}
-	o.received = append(o.received, rec)
+	o.awaitingJournal = append(o.awaitingJournal, rec)
 	o.writer.AddIntent(journal.Intent{ID: rec.id, BodyHash: rec.bodyHash})
 	if o.cfg.Fault == FaultDispatchBeforeJournal {
 		o.dispatch(rec)
@@ -328,7 +328,7 @@
 // NextDue returns when Tick must be called next. The zero time means never.
 func (o *Owner) NextDue(now time.Time) time.Time {
 	due := o.writer.NextDue(now)
-	if len(o.received) > 0 && !o.writer.Unavailable(now) {
+	if len(o.awaitingJournal) > 0 && !o.writer.Unavailable(now) {
 		due = earliest(due, o.writer.UnavailableAt())
 	}
 	if len(o.expiry) > 0 {
@@ -385,7 +385,7 @@
 // all, its keys become intents without an outcome, and such a gateway answers
 // "unknown".
 func (o *Owner) applyOutagePolicies(now time.Time) {
-	for _, rec := range o.received {
+	for _, rec := range o.awaitingJournal {
 		if rec.state != Received {
 			continue
 		}
@@ -397,8 +397,8 @@
 		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.JournalUnavailable,
 			"journal is unavailable; take a new token").After(newKeyRetryAfter)})
 	}
-	clear(o.received)
-	o.received = o.received[:0]
+	clear(o.awaitingJournal)
+	o.awaitingJournal = o.awaitingJournal[:0]
 	o.writer.DropIntents()
 }
 
@@ -444,13 +444,13 @@
 		return
 	}
 	o.ended = true
-	for _, rec := range o.received {
+	for _, rec := range o.awaitingJournal {
 		if rec.state == Received {
 			o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.OwnerGone,
 				"owner was sealed; take a new token").After(newKeyRetryAfter)})
 		}
 	}
-	o.received = nil
+	o.awaitingJournal = nil
 	o.effects = append(o.effects, &Ended{Owner: o.cfg.Owner})
 }
 
@@ -485,14 +485,14 @@
 // pruneReceived removes the actions that no longer wait for the journal from the
 // received list.
 func (o *Owner) pruneReceived() {
-	waiting := o.received[:0]
-	for _, rec := range o.received {
+	waiting := o.awaitingJournal[:0]
+	for _, rec := range o.awaitingJournal {
 		if rec.state == Received {
 			waiting = append(waiting, rec)
 		}
 	}
-	clear(o.received[len(waiting):])
-	o.received = waiting
+	clear(o.awaitingJournal[len(waiting):])
+	o.awaitingJournal = waiting
 }
 
 // expire drops the records whose retention has ended. The record of an action
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -148,15 +148,15 @@
 	active      []*flow
 	virtualTime float64
 	queuedCost  float64
-	// credit is the cost that this class may have admitted ahead of higher
+	// costCredit is the cost that this class may have admitted ahead of higher
 	// classes.
-	credit   float64
-	admitted decayingRate
-	refused  decayingRate
-	offered  decayingRate
-	// served is the admitted cost, averaged over a longer time than admitted.
-	served  decayingRate
-	running int
+	costCredit float64
+	admitted   decayingRate
+	refused    decayingRate
+	offered    decayingRate
+	// longTermAdmitted is the admitted cost, averaged over a longer time than admitted.
+	longTermAdmitted decayingRate
+	running          int
 	// residence is the mean time in seconds from admission to the end of a
 	// request.
 	residence float64
@@ -202,12 +202,12 @@
 
 func newClass(k manifest.Class) *class {
 	return &class{
-		Class:    k,
-		flows:    map[ident.Workspace]*flow{},
-		admitted: decayingRate{halfLife: rateHalfLife},
-		refused:  decayingRate{halfLife: rateHalfLife},
-		offered:  decayingRate{halfLife: rateHalfLife},
-		served:   decayingRate{halfLife: useHalfLife},
+		Class:            k,
+		flows:            map[ident.Workspace]*flow{},
+		admitted:         decayingRate{halfLife: rateHalfLife},
+		refused:          decayingRate{halfLife: rateHalfLife},
+		offered:          decayingRate{halfLife: rateHalfLife},
+		longTermAdmitted: decayingRate{halfLife: useHalfLife},
 	}
 }
 
@@ -257,7 +257,7 @@
 // they report it: the number of concurrent requests and the cost per second.
 func (c *Controller) SetCapacity(requests, costPerSecond float64) {
 	c.limiter.SetHint(requests)
-	c.throughput.setHint(costPerSecond)
+	c.throughput.setReportedRate(costPerSecond)
 }
 
 // Limit returns the number of requests that may be in progress at once.
@@ -409,7 +409,7 @@
 	if k != c.byPriority[0] && len(k.active) > 0 {
 		// The recent rate of the class also reflects the turns that it yields to
 		// lower classes.
-		left = min(left, maxServedGrowth*k.served.perSecond(now))
+		left = min(left, maxServedGrowth*k.longTermAdmitted.perSecond(now))
 	}
 	perSecond = max(left, c.cfg.MinClassShare*perSecond)
 	seconds := (higher + k.costAhead(e.flow) + c.meanCost()) / perSecond
--- a/protocol/admission/limiter.go
+++ b/protocol/admission/limiter.go
@@ -56,16 +56,16 @@
 // SetHint sets the number of concurrent requests that the known runners report
 // they can carry. A changed hint scales the limit in proportion, so that the
 // loss of a failure domain lowers the limit before latencies rise.
-func (l *Limiter) SetHint(requests float64) {
+func (l *Limiter) SetHint(reportedConcurrency float64) {
 	switch {
-	case requests <= 0:
+	case reportedConcurrency <= 0:
 		return
 	case l.hint == 0:
-		l.limit = requests * l.cfg.MaxHintRatio
+		l.limit = reportedConcurrency * l.cfg.MaxHintRatio
 	default:
-		l.limit *= requests / l.hint
+		l.limit *= reportedConcurrency / l.hint
 	}
-	l.hint = requests
+	l.hint = reportedConcurrency
 	l.clamp()
 }
 
--- a/protocol/admission/meter.go
+++ b/protocol/admission/meter.go
@@ -15,27 +15,27 @@
 
 // decayingRate measures a rate as an exponentially decaying sum.
 type decayingRate struct {
-	halfLife time.Duration
-	sum      float64
-	at       time.Time
+	halfLife   time.Duration
+	decayedSum float64
+	at         time.Time
 }
 
 // decay reduces the sum by the time that has passed since the last update.
 func (m *decayingRate) decay(now time.Time) {
 	if now.After(m.at) {
-		m.sum *= math.Exp2(-now.Sub(m.at).Seconds() / m.halfLife.Seconds())
+		m.decayedSum *= math.Exp2(-now.Sub(m.at).Seconds() / m.halfLife.Seconds())
 		m.at = now
 	}
 }
 
 func (m *decayingRate) add(now time.Time, cost float64) {
 	m.decay(now)
-	m.sum += cost
+	m.decayedSum += cost
 }
 
 func (m *decayingRate) perSecond(now time.Time) float64 {
 	m.decay(now)
-	return m.sum * math.Ln2 / m.halfLife.Seconds()
+	return m.decayedSum * math.Ln2 / m.halfLife.Seconds()
 }
 
 // bucket is a token bucket. The last spender may overdraw it.
@@ -77,27 +77,27 @@
 // load. A window counts only if work is queued when it ends; a window in which
 // the queue becomes empty is discarded.
 type throughput struct {
-	perSecond     float64
-	hintPerSecond float64
-	finishedCount int
-	finishedCost  float64
-	windowCost    float64
-	windowStart   time.Time
-	saturated     bool
+	perSecond         float64
+	reportedPerSecond float64
+	finishedCount     int
+	finishedCost      float64
+	windowCost        float64
+	windowStart       time.Time
+	saturated         bool
 }
 
-// setHint sets the throughput that the runners report. The first hint becomes
+// setReportedRate sets the throughput that the runners report. The first hint becomes
 // the estimate; later hints scale the measured estimate in proportion.
-func (r *throughput) setHint(perSecond float64) {
+func (r *throughput) setReportedRate(perSecond float64) {
 	switch {
 	case perSecond <= 0:
 		return
-	case r.hintPerSecond == 0:
+	case r.reportedPerSecond == 0:
 		r.perSecond = perSecond
 	default:
-		r.perSecond *= perSecond / r.hintPerSecond
+		r.perSecond *= perSecond / r.reportedPerSecond
 	}
-	r.hintPerSecond = perSecond
+	r.reportedPerSecond = perSecond
 }
 
 // finish records the cost of a finished request. workWaits tells whether
--- a/protocol/admission/queue.go
+++ b/protocol/admission/queue.go
@@ -43,7 +43,7 @@
 		f.class.active = slices.DeleteFunc(f.class.active, func(o *flow) bool { return o == f })
 	}
 	if len(f.class.active) == 0 {
-		f.class.queuedCost, f.class.credit = 0, 0
+		f.class.queuedCost, f.class.costCredit = 0, 0
 	}
 	return e
 }
@@ -82,8 +82,8 @@
 			first = f
 			continue
 		}
-		if k.credit >= f.items[0].Cost {
-			k.credit -= f.items[0].Cost
+		if k.costCredit >= f.items[0].Cost {
+			k.costCredit -= f.items[0].Cost
 			return f
 		}
 	}
@@ -132,9 +132,9 @@
 		switch {
 		case k == served.class || len(k.active) == 0:
 		case k.Priority < served.class.Priority:
-			k.credit += c.cfg.MinClassShare * served.items[0].Cost
+			k.costCredit += c.cfg.MinClassShare * served.items[0].Cost
 		case k.Priority == served.class.Priority:
-			k.credit += served.items[0].Cost
+			k.costCredit += served.items[0].Cost
 		}
 	}
 }
@@ -161,7 +161,7 @@
 	f.class.virtualTime = max(f.class.virtualTime, f.start)
 	f.start += e.Cost / f.workspace.Weight
 	f.class.admitted.add(now, e.Cost)
-	f.class.served.add(now, e.Cost)
+	f.class.longTermAdmitted.add(now, e.Cost)
 	f.workspace.running++
 	f.workspace.tokens.spend(e.Cost)
 	f.workspace.recentUse.add(now, e.Cost)
--- a/protocol/forward/exchange.go
+++ b/protocol/forward/exchange.go
@@ -85,7 +85,7 @@
 	})
 	switch decision.Verdict {
 	case retry.Again:
-		return decision.Wait, nil
+		return decision.Delay, nil
 	case retry.StopDeadline:
 		return 0, x.finalRefusal(refusal.DeadlineExceeded, "no time left after %s", a.Reason)
 	case retry.StopBudget:
--- a/protocol/forward/forward_test.go
+++ b/protocol/forward/forward_test.go
@@ -164,15 +164,15 @@
 func TestEventsAreWholeForAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 10).Draw(t, "events")
-		var all strings.Builder
+		var input strings.Builder
 		for i := range n {
 			if rapid.Bool().Draw(t, "crlf") {
-				all.WriteString(strings.ReplaceAll(eventText(i), "\n", "\r\n"))
+				input.WriteString(strings.ReplaceAll(eventText(i), "\n", "\r\n"))
 			} else {
-				all.WriteString(eventText(i))
+				input.WriteString(eventText(i))
 			}
 		}
-		left := []byte(all.String())
+		left := []byte(input.String())
 		s := forward.NewEventStream("")
 		var out []byte
 		for len(left) > 0 {
@@ -183,8 +183,8 @@
 			}
 			left = left[cut:]
 		}
-		if string(out) != all.String() || s.HasPartialEvent() || s.Events() != n {
-			t.Fatalf("passed on %q, want %q", out, all.String())
+		if string(out) != input.String() || s.HasPartialEvent() || s.Events() != n {
+			t.Fatalf("passed on %q, want %q", out, input.String())
 		}
 	})
 }
--- a/protocol/handoff/drain.go
+++ b/protocol/handoff/drain.go
@@ -19,10 +19,10 @@
 
 // pendingTransfer is the state of a request that has not been passed on yet.
 type pendingTransfer struct {
-	epoch    uint64
-	peer     ident.Incarnation
-	inFlight bool
-	attempts int
+	peerEpoch    uint64
+	assignedPeer ident.Incarnation
+	inFlight     bool
+	attempts     int
 }
 
 // Drain decides in which order and to which peers a leaving daemon passes its
@@ -45,7 +45,7 @@
 // Add adds a request that this daemon runs with the given epoch.
 func (d *Drain) Add(id ident.RequestID, epoch uint64) {
 	if _, ok := d.pending[id]; !ok {
-		d.pending[id] = &pendingTransfer{epoch: epoch}
+		d.pending[id] = &pendingTransfer{peerEpoch: epoch}
 	}
 }
 
@@ -71,17 +71,17 @@
 			continue
 		}
 		peer := ranked[0]
-		i := slices.IndexFunc(ranked, func(c view.Daemon) bool { return c.Incarnation == p.peer })
+		i := slices.IndexFunc(ranked, func(c view.Daemon) bool { return c.Incarnation == p.assignedPeer })
 		if i >= 0 {
 			peer = ranked[i]
 		}
-		if peer.Incarnation != p.peer {
-			p.epoch++
-			p.peer = peer.Incarnation
+		if peer.Incarnation != p.assignedPeer {
+			p.peerEpoch++
+			p.assignedPeer = peer.Incarnation
 		}
 		p.inFlight = true
 		p.attempts++
-		next = append(next, Transfer{ID: id, Peer: peer, Epoch: p.epoch})
+		next = append(next, Transfer{ID: id, Peer: peer, Epoch: p.peerEpoch})
 	}
 	slices.SortFunc(next, func(a, b Transfer) int { return cmp.Compare(a.ID, b.ID) })
 	return next
@@ -106,6 +106,6 @@
 	if len(ranked) == 0 {
 		return
 	}
-	p.peer = ranked[p.attempts%len(ranked)].Incarnation
-	p.epoch++
+	p.assignedPeer = ranked[p.attempts%len(ranked)].Incarnation
+	p.peerEpoch++
 }
--- a/protocol/handoff/handoff_test.go
+++ b/protocol/handoff/handoff_test.go
@@ -149,7 +149,7 @@
 	keepers map[ident.Incarnation]*handoff.Keeper
 	// owned is the record of the request at each daemon that runs it.
 	owned   map[ident.Incarnation]handoff.Record
-	outbox  map[ident.Incarnation]*handoff.Outbox
+	outbox  map[ident.Incarnation]*handoff.RecordTracker
 	now     time.Time
 	started int
 }
@@ -159,12 +159,12 @@
 	g.started++
 	g.daemons = append(g.daemons, d)
 	g.keepers[d.Incarnation] = handoff.NewKeeper(8)
-	g.outbox[d.Incarnation] = handoff.NewOutbox()
+	g.outbox[d.Incarnation] = handoff.NewRecordTracker()
 }
 
 func (g *cluster) setOwner(d view.Daemon, r handoff.Record) {
 	g.owned[d.Incarnation] = r
-	g.outbox[d.Incarnation] = handoff.NewOutbox()
+	g.outbox[d.Incarnation] = handoff.NewRecordTracker()
 	g.outbox[d.Incarnation].Track(r.ID)
 }
 
@@ -223,7 +223,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := &cluster{
 			keepers: map[ident.Incarnation]*handoff.Keeper{}, owned: map[ident.Incarnation]handoff.Record{},
-			outbox: map[ident.Incarnation]*handoff.Outbox{}, now: startTime(),
+			outbox: map[ident.Incarnation]*handoff.RecordTracker{}, now: startTime(),
 		}
 		for range rapid.IntRange(2, 6).Draw(t, "daemons") {
 			g.addDaemon()
--- a/protocol/handoff/outbox.go
+++ b/protocol/handoff/outbox.go
@@ -33,31 +33,33 @@
 	complete bool
 }
 
-// Outbox tracks which keeper holds the record of each of this daemon's
+// RecordTracker tracks which keeper holds the record of each of this daemon's
 // requests and how much of it. It is not safe for concurrent use.
-type Outbox struct {
+type RecordTracker struct {
 	entries map[ident.RequestID]*recordState
 }
 
-// NewOutbox returns an empty outbox.
-func NewOutbox() *Outbox { return &Outbox{entries: map[ident.RequestID]*recordState{}} }
+// NewRecordTracker returns an empty outbox.
+func NewRecordTracker() *RecordTracker {
+	return &RecordTracker{entries: map[ident.RequestID]*recordState{}}
+}
 
 // Track adds a request that needs a record.
-func (o *Outbox) Track(id ident.RequestID) {
+func (o *RecordTracker) Track(id ident.RequestID) {
 	if _, ok := o.entries[id]; !ok {
 		o.entries[id] = &recordState{}
 	}
 }
 
 // Tracked reports whether a request needs a record.
-func (o *Outbox) Tracked(id ident.RequestID) bool {
+func (o *RecordTracker) Tracked(id ident.RequestID) bool {
 	_, ok := o.entries[id]
 	return ok
 }
 
 // Untrack removes a request. It returns the keeper of its record, or an empty
 // value if there is none.
-func (o *Outbox) Untrack(id ident.RequestID) ident.Incarnation {
+func (o *RecordTracker) Untrack(id ident.RequestID) ident.Incarnation {
 	e, ok := o.entries[id]
 	if !ok {
 		return ""
@@ -67,7 +69,7 @@
 }
 
 // Stored records what a keeper has acknowledged.
-func (o *Outbox) Stored(id ident.RequestID, keeper ident.Incarnation, p Progress) {
+func (o *RecordTracker) Stored(id ident.RequestID, keeper ident.Incarnation, p Progress) {
 	e, ok := o.entries[id]
 	if !ok {
 		return
@@ -77,7 +79,7 @@
 
 // Lost records that the keeper lacks the record or a part of it, so that the
 // whole record must be sent again.
-func (o *Outbox) Lost(id ident.RequestID) {
+func (o *RecordTracker) Lost(id ident.RequestID) {
 	if e, ok := o.entries[id]; ok {
 		*e = recordState{}
 	}
@@ -86,7 +88,7 @@
 // DueRenewals returns the renewals that keepers lack, ordered by request ID. A
 // keeper that is no longer live is replaced, since its copy of the record
 // disappears with it.
-func (o *Outbox) DueRenewals(self view.Daemon, daemons []view.Daemon, progress func(ident.RequestID) Progress) []Renewal {
+func (o *RecordTracker) DueRenewals(self view.Daemon, daemons []view.Daemon, progress func(ident.RequestID) Progress) []Renewal {
 	live := map[ident.Incarnation]view.Daemon{}
 	for _, d := range daemons {
 		if d.State == view.Live {
--- a/protocol/request/request.go
+++ b/protocol/request/request.go
@@ -85,18 +85,18 @@
 	answer *stream.SplicedAnswer
 	phase  phase
 
-	attempts     int
-	attempt      ident.AttemptID
-	runner       ident.RunnerID
-	lastActivity time.Time
+	attemptNumber int
+	attempt       ident.AttemptID
+	runner        ident.RunnerID
+	lastActivity  time.Time
 	// attemptStarted is the start time of the current attempt.
 	attemptStarted time.Time
-	// startedAttempts counts the attempts that may have run.
-	startedAttempts int
-	reopens         int
-	failures        int
-	excluded        []ident.RunnerID
-	leaving         map[ident.RunnerID]bool
+	// possiblyRunAttempts counts the attempts that may have run.
+	possiblyRunAttempts int
+	reopens             int
+	failures            int
+	excluded            []ident.RunnerID
+	leaving             map[ident.RunnerID]bool
 	// moveTarget is the runner to which the KV cache of the current attempt is
 	// being moved.
 	moveTarget ident.RunnerID
@@ -116,7 +116,7 @@
 		leaving: map[ident.RunnerID]bool{},
 	}
 	if spec.MayHaveRun {
-		m.startedAttempts = 1
+		m.possiblyRunAttempts = 1
 	}
 	return m
 }
@@ -167,7 +167,7 @@
 }
 
 // MayHaveRun reports whether any attempt may have reached a runner.
-func (m *Machine) MayHaveRun() bool { return m.startedAttempts > 0 }
+func (m *Machine) MayHaveRun() bool { return m.possiblyRunAttempts > 0 }
 
 // MoveTarget returns the runner to which the KV cache is being moved, or an
 // empty ID if no move is in progress.
@@ -294,13 +294,13 @@
 // generate starts a new attempt at a runner. handle identifies a KV cache that
 // was exported there, if any.
 func (m *Machine) generate(now time.Time, runner ident.RunnerID, handle string) {
-	m.attempts++
-	m.attempt = ident.AttemptID(fmt.Sprintf("%s.%d.%d", m.spec.ID, m.spec.Epoch, m.attempts))
+	m.attemptNumber++
+	m.attempt = ident.AttemptID(fmt.Sprintf("%s.%d.%d", m.spec.ID, m.spec.Epoch, m.attemptNumber))
 	m.runner = runner
 	m.moveTarget = ""
 	m.lastActivity, m.attemptStarted = now, now
 	m.phase = running
-	m.startedAttempts++
+	m.possiblyRunAttempts++
 	m.answer.BeginAttempt(m.attempt)
 	m.emit(Generate{Attempt: m.attempt, Runner: runner, Handle: handle})
 }
@@ -381,7 +381,7 @@
 		m.handleAttemptFailure(now, in.Cause)
 		return
 	}
-	m.startedAttempts--
+	m.possiblyRunAttempts--
 	m.answer.EndAttempt()
 	m.handleRunnerFailure(now, in.Cause)
 }
@@ -491,7 +491,7 @@
 // executed" only if no attempt can have reached a runner.
 func (m *Machine) fail(r *refusal.Refusal) {
 	failure := *r
-	if m.startedAttempts > 0 {
+	if m.possiblyRunAttempts > 0 {
 		failure.Executed = refusal.ExecutedUnknown
 	}
 	if failure.RetryAfter == 0 && !permanentRefusal(failure.Reason) {
--- a/protocol/retry/retry.go
+++ b/protocol/retry/retry.go
@@ -83,8 +83,8 @@
 // Decision is the response to a failure.
 type Decision struct {
 	Verdict Verdict
-	// Wait is the delay before the next attempt or the next decision.
-	Wait time.Duration
+	// Delay is the delay before the next attempt or the next decision.
+	Delay time.Duration
 }
 
 // Backoff holds the parameters of the exponential backoff for a reason.
@@ -200,14 +200,14 @@
 		return Decision{Verdict: StopDeadline}
 	}
 	if f.Accepted && f.Reason == Reclaimed || f.NeverArrived {
-		return Decision{Verdict: Again, Wait: delay}
+		return Decision{Verdict: Again, Delay: delay}
 	}
 	if p.balance >= 1 {
 		p.balance--
-		return Decision{Verdict: Again, Wait: delay}
+		return Decision{Verdict: Again, Delay: delay}
 	}
 	if f.Accepted {
-		return Decision{Verdict: Postpone, Wait: delay}
+		return Decision{Verdict: Postpone, Delay: delay}
 	}
 	return Decision{Verdict: StopBudget}
 }
--- a/protocol/retry/retry_test.go
+++ b/protocol/retry/retry_test.go
@@ -22,7 +22,7 @@
 	d := p.Decide(start, Failure{Reason: Busy, Attempts: 1, RetryAfter: 3 * time.Second, Deadline: start.Add(time.Second)})
 	is.Equal(d.Verdict, StopDeadline)
 	d = p.Decide(start, Failure{Reason: Busy, Attempts: 1, RetryAfter: 3 * time.Second})
-	is.True(d.Wait >= 3*time.Second)
+	is.True(d.Delay >= 3*time.Second)
 }
 
 // TestBudgetIsNeverExceeded makes a random sequence of first attempts and
--- a/state/load/load.go
+++ b/state/load/load.go
@@ -42,7 +42,7 @@
 	Models     []Model
 	// Leaving is set once the cloud has announced that the VM will be stopped.
 	Leaving bool
-	// TimeLeft is the time until the VM is stopped. It is valid only if Leaving
+	// TimeUntilStop is the time until the VM is stopped. It is valid only if Leaving
 	// is set.
-	TimeLeft time.Duration
+	TimeUntilStop time.Duration
 }
--- a/state/prefix/index.go
+++ b/state/prefix/index.go
@@ -139,10 +139,10 @@
 
 // resetSlot clears the slot and sets its cursor after a gap in the sequence
 // numbers.
-func (x *Index) resetSlot(slot int, cursor, lost uint64) error {
+func (x *Index) resetSlot(slot int, cursor, lostEvents uint64) error {
 	x.Clear(slot)
 	x.cursor[slot] = cursor
-	return &GapError{Lost: lost}
+	return &GapError{Lost: lostEvents}
 }
 
 // Assume adds the prefixes of a request that is about to be computed at
