--- a/daemon/models/reader.go
+++ b/daemon/models/reader.go
@@ -45,7 +45,7 @@
 // SinkError wraps an error that the reader's sink returned.
 type SinkError struct{ Err error }
 
-func (e *SinkError) Error() string { return "pass event to the reader: " + e.Err.Error() }
+func (e *SinkError) Error() string { return "reader: " + e.Err.Error() }
 
 // Unwrap returns the error of the sink.
 func (e *SinkError) Unwrap() error { return e.Err }
