--- a/bench/overload/gateway.go
+++ b/bench/overload/gateway.go
@@ -189,12 +189,12 @@
 		panic(fmt.Errorf("pick for an estimate: %w", err)) // cannot fail: no runner leaves in this experiment
 	}
 	it := admission.Item{
-		ID:         admission.ID(r.id),
-		Workspace:  tenants()[r.tenant].Name,
-		Class:      r.kind.class,
-		Cost:       g.cost(choice.Uncached, r.output),
-		FirstToken: choice.Estimate,
-		Service:    choice.Estimate + time.Duration(r.output)*2*step,
+		ID:               admission.ID(r.id),
+		Workspace:        tenants()[r.tenant].Name,
+		Class:            r.kind.class,
+		Cost:             g.cost(choice.Uncached, r.output),
+		TimeToFirstToken: choice.Estimate,
+		ServiceTime:      choice.Estimate + time.Duration(r.output)*2*step,
 	}
 	return g.admission.Offer(now, it, g.effects[:0])
 }
--- a/daemon/dispatch/grant.go
+++ b/daemon/dispatch/grant.go
@@ -130,14 +130,14 @@
 	g.id = s.lastID
 	s.waiting[g.id] = g
 	s.deliverOutcomes(s.admission.Offer(now, admission.Item{
-		ID:         g.id,
-		Workspace:  r.Workspace,
-		Class:      r.Class,
-		Cost:       s.tokenCost(choice.Uncached, g.request.OutputTokens),
-		Bytes:      len(r.Prompt),
-		FirstToken: choice.Estimate,
-		Service:    choice.Estimate + service,
-		Deadline:   r.Deadline,
+		ID:               g.id,
+		Workspace:        r.Workspace,
+		Class:            r.Class,
+		Cost:             s.tokenCost(choice.Uncached, g.request.OutputTokens),
+		Bytes:            len(r.Prompt),
+		TimeToFirstToken: choice.Estimate,
+		ServiceTime:      choice.Estimate + service,
+		Deadline:         r.Deadline,
 	}, s.effects[:0]))
 	return nil
 }
--- a/protocol/action/history_test.go
+++ b/protocol/action/history_test.go
@@ -194,9 +194,9 @@
 	const tries = 3000
 	broken := []options{
 		{fault: action.FaultDispatchBeforeJournal},
-		{fault: action.FaultExpiredNotExecuted},
-		{fault: action.FaultNoTombstones},
-		{fault: action.FaultUnjournaledPromise},
+		{fault: action.FaultExpiredIsNotExecuted},
+		{fault: action.FaultForgetRefused},
+		{fault: action.FaultRunPromisedUnjournaled},
 		{brokenGuard: guardSealBeforeAnswer},
 		{brokenGuard: guardNoTransportRetry},
 		{brokenGuard: guardCompleteTable},
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -162,7 +162,7 @@
 // key may have been dropped after its action ran.
 func (o *Owner) expiredRefusal() *refusal.Refusal {
 	expired := refusal.New(refusal.KeyExpired, "key is over; nothing is known of it")
-	if o.cfg.Fault == FaultExpiredNotExecuted {
+	if o.cfg.Fault == FaultExpiredIsNotExecuted {
 		return expired
 	}
 	return expired.Unknown()
@@ -183,7 +183,7 @@
 // "not executed" only if a tombstone keeps the key from being accepted later.
 func (o *Owner) tableFullRefusal(id actionkey.ID, key actionkey.Key) *refusal.Refusal {
 	refused := refusal.New(refusal.ActionTableFull, "too many actions").After(newKeyRetryAfter)
-	if o.cfg.Fault == FaultNoTombstones || o.tombstones.add(id, key.Expires()) {
+	if o.cfg.Fault == FaultForgetRefused || o.tombstones.add(id, key.Expires()) {
 		return refused
 	}
 	return refused.Unknown()
@@ -211,7 +211,7 @@
 	o.records[r.ID] = rec
 	heap.Push(&o.expiry, expiryEntry{rec: rec, at: rec.expires.Add(o.cfg.KeyRetention).UnixMilli()})
 	if refused := o.admissionRefusal(r); refused != nil {
-		o.settle(rec, NotExecuted, Result{Refusal: refused})
+		o.finalize(rec, NotExecuted, Result{Refusal: refused})
 		return
 	}
 	o.awaitingJournal = append(o.awaitingJournal, rec)
@@ -242,7 +242,7 @@
 		return nil
 	}
 	o.dispatched--
-	o.settle(rec, stateForResult(r), r)
+	o.finalize(rec, stateForResult(r), r)
 	o.writer.AddOutcome(now, journalOutcome(rec))
 	o.retainAnswer(rec)
 	return o.flush(now)
@@ -263,7 +263,7 @@
 		return o.flush(now)
 	}
 	rec.waiters = append(rec.waiters, w)
-	o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.DeadlineExceeded,
+	o.finalize(rec, NotExecuted, Result{Refusal: refusal.New(refusal.DeadlineExceeded,
 		"not dispatched in time")})
 	return o.flush(now)
 }
@@ -303,7 +303,7 @@
 	if progress.Sealed {
 		o.markEnded()
 	}
-	o.pruneReceived()
+	o.pruneAwaitingJournal()
 	return o.flush(now)
 }
 
@@ -389,12 +389,12 @@
 		if rec.state != Received {
 			continue
 		}
-		promised := rec.journalPromised && o.cfg.Fault != FaultUnjournaledPromise
+		promised := rec.journalPromised && o.cfg.Fault != FaultRunPromisedUnjournaled
 		if rec.policy == manifest.OutageRun && !promised {
 			o.dispatch(rec)
 			continue
 		}
-		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.JournalUnavailable,
+		o.finalize(rec, NotExecuted, Result{Refusal: refusal.New(refusal.JournalUnavailable,
 			"journal is unavailable; take a new token").After(newKeyRetryAfter)})
 	}
 	clear(o.awaitingJournal)
@@ -408,7 +408,7 @@
 // owner's journal write fail.
 func (o *Owner) dispatchUnlessExpired(now time.Time, rec *record) {
 	if rec.state == Received && !now.Before(rec.expires) {
-		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.KeyExpired, "key was over before its dispatch")})
+		o.finalize(rec, NotExecuted, Result{Refusal: refusal.New(refusal.KeyExpired, "key was over before its dispatch")})
 		return
 	}
 	o.dispatch(rec)
@@ -446,7 +446,7 @@
 	o.ended = true
 	for _, rec := range o.awaitingJournal {
 		if rec.state == Received {
-			o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.OwnerGone,
+			o.finalize(rec, NotExecuted, Result{Refusal: refusal.New(refusal.OwnerGone,
 				"owner was sealed; take a new token").After(newKeyRetryAfter)})
 		}
 	}
@@ -454,8 +454,8 @@
 	o.effects = append(o.effects, &Ended{Owner: o.cfg.Owner})
 }
 
-// settle gives the action its final state and replies to all waiters.
-func (o *Owner) settle(rec *record, s State, r Result) {
+// finalize gives the action its final state and replies to all waiters.
+func (o *Owner) finalize(rec *record, s State, r Result) {
 	rec.state = s
 	rec.result = r
 	for _, w := range rec.waiters {
@@ -482,9 +482,9 @@
 	o.effects = append(o.effects, &Reply{Waiter: w, Result: r})
 }
 
-// pruneReceived removes the actions that no longer wait for the journal from the
+// pruneAwaitingJournal removes the actions that no longer wait for the journal from the
 // received list.
-func (o *Owner) pruneReceived() {
+func (o *Owner) pruneAwaitingJournal() {
 	waiting := o.awaitingJournal[:0]
 	for _, rec := range o.awaitingJournal {
 		if rec.state == Received {
--- a/protocol/action/types.go
+++ b/protocol/action/types.go
@@ -133,15 +133,15 @@
 const (
 	// FaultDispatchBeforeJournal dispatches before the intent is journaled.
 	FaultDispatchBeforeJournal Fault = "dispatch_before_journal"
-	// FaultExpiredNotExecuted answers "not executed" for an expired key, whose
+	// FaultExpiredIsNotExecuted answers "not executed" for an expired key, whose
 	// action may have run.
-	FaultExpiredNotExecuted Fault = "expired_is_no"
-	// FaultUnjournaledPromise dispatches without a journal entry an action whose
+	FaultExpiredIsNotExecuted Fault = "expired_is_no"
+	// FaultRunPromisedUnjournaled dispatches without a journal entry an action whose
 	// token promises that it is journaled first.
-	FaultUnjournaledPromise Fault = "run_promised_unjournaled"
-	// FaultNoTombstones does not remember keys refused because the table was
+	FaultRunPromisedUnjournaled Fault = "run_promised_unjournaled"
+	// FaultForgetRefused does not remember keys refused because the table was
 	// full.
-	FaultNoTombstones Fault = "forget_refused"
+	FaultForgetRefused Fault = "forget_refused"
 )
 
 // DefaultConfig is sized for an entry VM that serves 400 actions per second of
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -34,10 +34,10 @@
 	Cost float64
 	// Bytes is the memory that the item occupies while it is queued.
 	Bytes int
-	// FirstToken is the expected time from admission to the first token.
-	FirstToken time.Duration
-	// Service is the expected time from admission to the last token.
-	Service time.Duration
+	// TimeToFirstToken is the expected time from admission to the first token.
+	TimeToFirstToken time.Duration
+	// ServiceTime is the expected time from admission to the last token.
+	ServiceTime time.Duration
 	// Deadline is the time after which the answer is useless to the caller. The
 	// zero time means that there is none.
 	Deadline time.Time
@@ -125,9 +125,9 @@
 	flow    *flow
 	offered time.Time
 	started time.Time
-	// expires is the time after which it is too late to admit the item. The
+	// admitBy is the time after which it is too late to admit the item. The
 	// zero time means never.
-	expires  time.Time
+	admitBy  time.Time
 	admitted bool
 }
 
@@ -256,7 +256,7 @@
 // SetCapacity sets the capacity of this gateway's share of the runners, as
 // they report it: the number of concurrent requests and the cost per second.
 func (c *Controller) SetCapacity(requests, costPerSecond float64) {
-	c.limiter.SetHint(requests)
+	c.limiter.SetReportedConcurrency(requests)
 	c.throughput.setReportedRate(costPerSecond)
 }
 
@@ -279,7 +279,7 @@
 	if !ok || !known {
 		return c.refuse(dst, it, 0, refusal.New(refusal.BadRequest, "unknown class %q or workspace", it.Class))
 	}
-	e := &entry{Item: it, flow: c.flowOf(k, w), offered: now, expires: admissionDeadline(now, k, it)}
+	e := &entry{Item: it, flow: c.flowOf(k, w), offered: now, admitBy: admissionDeadline(now, k, it)}
 	k.recordOffer(now, it)
 	if r := c.offerRefusal(now, e); r != nil {
 		k.refused.add(now, it.Cost)
@@ -304,7 +304,7 @@
 // provides the initial estimate of the residence time.
 func (k *class) recordOffer(now time.Time, it Item) {
 	if k.residence == 0 {
-		k.residence = it.Service.Seconds()
+		k.residence = it.ServiceTime.Seconds()
 	}
 	k.offered.add(now, 1)
 }
@@ -315,12 +315,12 @@
 func admissionDeadline(now time.Time, k *class, it Item) time.Time {
 	var at time.Time
 	if !k.Deferrable {
-		at = now.Add(max(k.target()/minWaitDivisor, k.target()-it.FirstToken))
+		at = now.Add(max(k.target()/minWaitDivisor, k.target()-it.TimeToFirstToken))
 	}
 	if it.Deadline.IsZero() {
 		return at
 	}
-	if last := it.Deadline.Add(-it.Service); at.IsZero() || last.Before(at) {
+	if last := it.Deadline.Add(-it.ServiceTime); at.IsZero() || last.Before(at) {
 		return last
 	}
 	return at
@@ -351,11 +351,11 @@
 	}
 	expectedWait := c.expectedWait(now, e)
 	at := now.Add(expectedWait)
-	if !e.Deadline.IsZero() && at.Add(e.Service).After(e.Deadline) {
-		return refusal.New(refusal.DeadlineUnreachable, "the answer would take %s", (expectedWait + e.Service).Round(time.Millisecond)).After(c.retryAfter(now, k, expectedWait))
+	if !e.Deadline.IsZero() && at.Add(e.ServiceTime).After(e.Deadline) {
+		return refusal.New(refusal.DeadlineUnreachable, "the answer would take %s", (expectedWait + e.ServiceTime).Round(time.Millisecond)).After(c.retryAfter(now, k, expectedWait))
 	}
-	if !e.expires.IsZero() && expectedWait > time.Duration(maxWaitFraction*float64(e.expires.Sub(now))) {
-		return refusal.New(refusal.Overloaded, "the first token would take %s", (expectedWait + e.FirstToken).Round(time.Millisecond)).After(c.retryAfter(now, k, at.Sub(e.expires)))
+	if !e.admitBy.IsZero() && expectedWait > time.Duration(maxWaitFraction*float64(e.admitBy.Sub(now))) {
+		return refusal.New(refusal.Overloaded, "the first token would take %s", (expectedWait + e.TimeToFirstToken).Round(time.Millisecond)).After(c.retryAfter(now, k, at.Sub(e.admitBy)))
 	}
 	return nil
 }
--- a/protocol/admission/admission_test.go
+++ b/protocol/admission/admission_test.go
@@ -32,7 +32,7 @@
 }
 
 func newItem(id ID, ws ident.Workspace, class string) Item {
-	return Item{ID: id, Workspace: ws, Class: class, Cost: 100, FirstToken: 100 * time.Millisecond, Service: time.Second}
+	return Item{ID: id, Workspace: ws, Class: class, Cost: 100, TimeToFirstToken: 100 * time.Millisecond, ServiceTime: time.Second}
 }
 
 // Guards against urgent requests that wait for seconds because long deferrable
@@ -261,7 +261,7 @@
 func TestLimiterFollowsCapacity(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter(DefaultLimiter())
-	l.SetHint(100)
+	l.SetReportedConcurrency(100)
 	now := start
 	step := func(ratio float64) {
 		now = now.Add(time.Second)
@@ -276,7 +276,7 @@
 	}
 	is.True(l.Limit() < 50)
 	before := l.Limit()
-	l.SetHint(50) // half of the runners are lost
+	l.SetReportedConcurrency(50) // half of the runners are lost
 	is.True(l.Limit() <= before/2+1)
 }
 
--- a/protocol/admission/limiter.go
+++ b/protocol/admission/limiter.go
@@ -6,9 +6,9 @@
 type LimiterConfig struct {
 	// Min is the lowest limit.
 	Min float64
-	// MaxHintRatio is the highest limit as a multiple of the concurrency that
+	// MaxReportedRatio is the highest limit as a multiple of the concurrency that
 	// the runners report they can carry.
-	MaxHintRatio float64
+	MaxReportedRatio float64
 	// Window is how long latencies are collected before the limit changes.
 	Window time.Duration
 	// CongestionThreshold is the fraction of a window's latencies that may
@@ -26,7 +26,7 @@
 func DefaultLimiter() LimiterConfig {
 	return LimiterConfig{
 		Min:                 1,
-		MaxHintRatio:        1,
+		MaxReportedRatio:    1,
 		Window:              500 * time.Millisecond,
 		CongestionThreshold: 0.05,
 		Decrease:            0.9,
@@ -38,13 +38,13 @@
 // runners. It increases the limit while the limit is reached and latencies
 // meet their targets, and decreases the limit by a factor when they don't.
 type Limiter struct {
-	cfg        LimiterConfig
-	limit      float64
-	hint       float64
-	samples    int
-	overTarget int
-	reached    bool
-	windowEnd  time.Time
+	cfg                 LimiterConfig
+	limit               float64
+	reportedConcurrency float64
+	samples             int
+	overTarget          int
+	reached             bool
+	windowEnd           time.Time
 }
 
 // NewLimiter returns a limiter whose limit is the minimum.
@@ -53,19 +53,19 @@
 // Limit returns the number of requests that may be in progress at once.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// SetHint sets the number of concurrent requests that the known runners report
+// SetReportedConcurrency sets the number of concurrent requests that the known runners report
 // they can carry. A changed hint scales the limit in proportion, so that the
 // loss of a failure domain lowers the limit before latencies rise.
-func (l *Limiter) SetHint(reportedConcurrency float64) {
+func (l *Limiter) SetReportedConcurrency(reportedConcurrency float64) {
 	switch {
 	case reportedConcurrency <= 0:
 		return
-	case l.hint == 0:
-		l.limit = reportedConcurrency * l.cfg.MaxHintRatio
+	case l.reportedConcurrency == 0:
+		l.limit = reportedConcurrency * l.cfg.MaxReportedRatio
 	default:
-		l.limit *= reportedConcurrency / l.hint
+		l.limit *= reportedConcurrency / l.reportedConcurrency
 	}
-	l.hint = reportedConcurrency
+	l.reportedConcurrency = reportedConcurrency
 	l.clamp()
 }
 
@@ -101,4 +101,6 @@
 	l.windowEnd = now.Add(l.cfg.Window)
 }
 
-func (l *Limiter) clamp() { l.limit = max(min(l.limit, l.hint*l.cfg.MaxHintRatio), l.cfg.Min) }
+func (l *Limiter) clamp() {
+	l.limit = max(min(l.limit, l.reportedConcurrency*l.cfg.MaxReportedRatio), l.cfg.Min)
+}
--- a/protocol/admission/queue.go
+++ b/protocol/admission/queue.go
@@ -256,7 +256,7 @@
 func (c *Controller) refuseExpired(now time.Time, f *flow, dst []Effect) []Effect {
 	for i := 0; i < len(f.items); {
 		e := f.items[i]
-		if e.expires.IsZero() || now.Before(e.expires) {
+		if e.admitBy.IsZero() || now.Before(e.admitBy) {
 			i++
 			continue
 		}
@@ -271,7 +271,7 @@
 func (c *Controller) expiredRefusal(now time.Time, e *entry) *refusal.Refusal {
 	k := e.flow.class
 	reason := refusal.Overloaded
-	if !e.Deadline.IsZero() && now.Add(e.Service).After(e.Deadline) {
+	if !e.Deadline.IsZero() && now.Add(e.ServiceTime).After(e.Deadline) {
 		reason = refusal.DeadlineUnreachable
 	}
 	return refusal.New(reason, "waited %s in vain", now.Sub(e.offered).Round(time.Millisecond)).After(c.retryAfter(now, k, 0))
--- a/protocol/handoff/handoff_test.go
+++ b/protocol/handoff/handoff_test.go
@@ -148,10 +148,10 @@
 	daemons []view.Daemon
 	keepers map[ident.Incarnation]*handoff.Keeper
 	// owned is the record of the request at each daemon that runs it.
-	owned   map[ident.Incarnation]handoff.Record
-	outbox  map[ident.Incarnation]*handoff.RecordTracker
-	now     time.Time
-	started int
+	owned    map[ident.Incarnation]handoff.Record
+	trackers map[ident.Incarnation]*handoff.RecordTracker
+	now      time.Time
+	started  int
 }
 
 func (g *cluster) addDaemon() {
@@ -159,13 +159,13 @@
 	g.started++
 	g.daemons = append(g.daemons, d)
 	g.keepers[d.Incarnation] = handoff.NewKeeper(8)
-	g.outbox[d.Incarnation] = handoff.NewRecordTracker()
+	g.trackers[d.Incarnation] = handoff.NewRecordTracker()
 }
 
 func (g *cluster) setOwner(d view.Daemon, r handoff.Record) {
 	g.owned[d.Incarnation] = r
-	g.outbox[d.Incarnation] = handoff.NewRecordTracker()
-	g.outbox[d.Incarnation].Track(r.ID)
+	g.trackers[d.Incarnation] = handoff.NewRecordTracker()
+	g.trackers[d.Incarnation].Track(r.ID)
 }
 
 func (g *cluster) isListed(i ident.Incarnation) bool {
@@ -185,7 +185,7 @@
 		if !ok {
 			continue
 		}
-		due := g.outbox[d.Incarnation].DueRenewals(d, g.daemons, func(ident.RequestID) handoff.Progress {
+		due := g.trackers[d.Incarnation].DueRenewals(d, g.daemons, func(ident.RequestID) handoff.Progress {
 			return handoff.Progress{Offset: len(r.Emitted)}
 		})
 		for _, x := range due {
@@ -194,11 +194,11 @@
 			sent.Emitted = r.Emitted[x.From:]
 			switch outcome, _ := g.keepers[x.Keeper.Incarnation].Put(g.now, sent); outcome {
 			case handoff.Stored:
-				g.outbox[d.Incarnation].Stored(id, x.Keeper.Incarnation, handoff.Progress{Offset: len(r.Emitted)})
+				g.trackers[d.Incarnation].Stored(id, x.Keeper.Incarnation, handoff.Progress{Offset: len(r.Emitted)})
 			case handoff.Superseded:
 				delete(g.owned, d.Incarnation)
 			case handoff.Incomplete:
-				g.outbox[d.Incarnation].Lost(id)
+				g.trackers[d.Incarnation].Lost(id)
 			}
 		}
 	}
@@ -223,7 +223,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := &cluster{
 			keepers: map[ident.Incarnation]*handoff.Keeper{}, owned: map[ident.Incarnation]handoff.Record{},
-			outbox: map[ident.Incarnation]*handoff.RecordTracker{}, now: startTime(),
+			trackers: map[ident.Incarnation]*handoff.RecordTracker{}, now: startTime(),
 		}
 		for range rapid.IntRange(2, 6).Draw(t, "daemons") {
 			g.addDaemon()
--- a/protocol/handoff/record_tracker.go
+++ b/protocol/handoff/record_tracker.go
@@ -27,10 +27,10 @@
 
 // recordState is what the keeper of a request's record has acknowledged.
 type recordState struct {
-	keeper   ident.Incarnation
-	acked    int
-	done     bool
-	complete bool
+	keeper      ident.Incarnation
+	ackedOffset int
+	ackedDone   bool
+	stored      bool
 }
 
 // RecordTracker tracks which keeper holds the record of each of this daemon's
@@ -74,7 +74,7 @@
 	if !ok {
 		return
 	}
-	*e = recordState{keeper: keeper, acked: p.Offset, done: p.Done, complete: true}
+	*e = recordState{keeper: keeper, ackedOffset: p.Offset, ackedDone: p.Done, stored: true}
 }
 
 // Lost records that the keeper lacks the record or a part of it, so that the
@@ -98,7 +98,7 @@
 	var due []Renewal
 	for id, e := range o.entries {
 		keeper, ok := live[e.keeper]
-		if !ok || !e.complete {
+		if !ok || !e.stored {
 			ranked := RankKeepers(id, self, daemons)
 			if len(ranked) == 0 {
 				continue
@@ -107,8 +107,8 @@
 			continue
 		}
 		p := progress(id)
-		if p.Offset > e.acked || p.Done != e.done {
-			due = append(due, Renewal{ID: id, Keeper: keeper, From: e.acked})
+		if p.Offset > e.ackedOffset || p.Done != e.ackedDone {
+			due = append(due, Renewal{ID: id, Keeper: keeper, From: e.ackedOffset})
 		}
 	}
 	slices.SortFunc(due, func(a, b Renewal) int { return cmp.Compare(a.ID, b.ID) })
--- a/state/prefix/index.go
+++ b/state/prefix/index.go
@@ -58,13 +58,13 @@
 // decisions will produce are added in advance. It is not safe for concurrent
 // use.
 type Index struct {
-	byHash     map[Hash]int32
-	entries    []entry
-	newest     int32
-	oldest     int32
-	freeList   int32
-	cursor     [Slots]uint64
-	lostEvents [Slots]uint64
+	byHash       map[Hash]int32
+	entries      []entry
+	newest       int32
+	oldest       int32
+	freeList     int32
+	nextSequence [Slots]uint64
+	lostEvents   [Slots]uint64
 }
 
 // NewIndex returns an empty index of at most capacity prefixes.
@@ -92,7 +92,7 @@
 
 // Cursor returns the sequence number at which the next read of the slot's
 // events must start.
-func (x *Index) Cursor(slot int) uint64 { return x.cursor[slot] }
+func (x *Index) Cursor(slot int) uint64 { return x.nextSequence[slot] }
 
 // ApplyPage applies a page of the slot's events and ignores events that were
 // applied before. If too many events were lost, or if the runner's sequence
@@ -102,17 +102,17 @@
 // them, while lost additions only cost a cache hit.
 func (x *Index) ApplyPage(slot int, p Page) error {
 	var gap error
-	if p.Next < x.cursor[slot] {
-		gap = x.resetSlot(slot, p.First, x.cursor[slot]-p.Next)
+	if p.Next < x.nextSequence[slot] {
+		gap = x.resetSlot(slot, p.First, x.nextSequence[slot]-p.Next)
 	}
 	for _, e := range p.Events {
-		if e.Sequence < x.cursor[slot] {
+		if e.Sequence < x.nextSequence[slot] {
 			continue
 		}
 		if lost := x.advanceCursor(slot, e.Sequence); lost > maxLostEvents {
 			gap = x.resetSlot(slot, e.Sequence, lost)
 		}
-		x.cursor[slot] = e.Sequence + 1
+		x.nextSequence[slot] = e.Sequence + 1
 		if e.Stored {
 			x.store(slot, e.Block)
 		} else {
@@ -129,8 +129,8 @@
 // and returns the number of events lost since the slot was last cleared. The
 // first read of a slot counts no events as lost.
 func (x *Index) advanceCursor(slot int, to uint64) uint64 {
-	from := x.cursor[slot]
-	x.cursor[slot] = max(from, to)
+	from := x.nextSequence[slot]
+	x.nextSequence[slot] = max(from, to)
 	if from > 0 && to > from {
 		x.lostEvents[slot] += to - from
 	}
@@ -141,7 +141,7 @@
 // numbers.
 func (x *Index) resetSlot(slot int, cursor, lostEvents uint64) error {
 	x.Clear(slot)
-	x.cursor[slot] = cursor
+	x.nextSequence[slot] = cursor
 	return &GapError{Lost: lostEvents}
 }
 
@@ -172,7 +172,7 @@
 		x.removeSlot(i, slot)
 		i = next
 	}
-	x.cursor[slot], x.lostEvents[slot] = 0, 0
+	x.nextSequence[slot], x.lostEvents[slot] = 0, 0
 }
 
 func (x *Index) store(slot int, h Hash) {
