--- a/protocol/action/adopted.go
+++ b/protocol/action/adopted.go
@@ -94,7 +94,9 @@
 func (a *AdoptedTable) SizeBytes() int { return a.bytes }
 
 // AllKeysExpired reports whether all keys of the ended owner have expired at
-// wall-clock time now, given the lifetime of its tokens.
+// the time now of this daemon's clock, given the lifetime of the owner's tokens.
+// It compares now to the time of the export by the owner's clock, so that the
+// result is off by the difference between the two clocks.
 func (a *AdoptedTable) AllKeysExpired(now time.Time, tokenLifetime time.Duration) bool {
 	return a.Complete() && now.After(a.exportedAt.Add(tokenLifetime))
 }
--- a/protocol/action/history_test.go
+++ b/protocol/action/history_test.go
@@ -167,7 +167,7 @@
 				seed := *firstSeed + uint64(i)
 				sim := runHistory(options{seed: seed})
 				if !sim.history.IsValid() {
-					t.Errorf("seed %d: history is not legal", seed)
+					t.Errorf("seed %d: history violates the guarantees", seed)
 				}
 				executedCount.Add(int64(sim.history.Yes))
 				notExecutedCount.Add(int64(sim.history.No))
@@ -189,7 +189,7 @@
 }
 
 // Checks the history checker: with each safety check disabled in turn, some
-// history must be reported as illegal.
+// history must be reported as invalid.
 func TestCheckerSeesEachBrokenGuard(t *testing.T) {
 	const tries = 3000
 	broken := []options{
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -24,7 +24,8 @@
 	// durable is set once the journal holds the intent.
 	durable bool
 	policy  manifest.OutagePolicy
-	// call is set to nil once the action has been dispatched or settled.
+	// call is set to nil once the action has been dispatched or has its final
+	// state.
 	call          *call.ServiceCall
 	result        Result
 	answerDropped bool
@@ -190,7 +191,7 @@
 }
 
 // accept adds the action to the table and starts its journal entry. An action
-// that must not run is settled at once as not executed.
+// that must not run becomes NotExecuted at once.
 func (o *Owner) accept(r Request) {
 	key, err := actionkey.Parse(r.ID.Key)
 	if err != nil {
@@ -249,8 +250,7 @@
 }
 
 // AbandonWait ends the wait of a caller whose deadline has passed. An action
-// that has not been dispatched and has no other waiter is settled as not
-// executed.
+// that has not been dispatched and has no other waiter becomes NotExecuted.
 func (o *Owner) AbandonWait(now time.Time, id actionkey.ID, w Waiter) []Effect {
 	rec, ok := o.records[id]
 	if !ok || rec.state.final() {
@@ -414,8 +414,8 @@
 	o.dispatch(rec)
 }
 
-// dispatch hands the action over to a runner, unless it was dispatched or
-// settled before or the owner has ended.
+// dispatch hands the action over to a runner, unless the action has left the
+// state Received or the owner has ended.
 func (o *Owner) dispatch(rec *record) {
 	if rec.state != Received || o.ended {
 		return
@@ -437,8 +437,8 @@
 	rec.call = nil
 }
 
-// markEnded stops the owner and settles every action that has not been
-// dispatched as not executed, since no other daemon can dispatch it.
+// markEnded stops the owner and makes every action that has not been dispatched
+// NotExecuted, since no other daemon can dispatch it.
 func (o *Owner) markEnded() {
 	if o.ended {
 		return
--- a/protocol/action/types.go
+++ b/protocol/action/types.go
@@ -2,6 +2,12 @@
 // at most once. An Owner is a deterministic state machine that performs no I/O
 // and reads no clock: each method takes an input, with the current time where
 // it matters, and returns the effects that the caller must carry out.
+//
+// The owner of an action is the daemon incarnation named by the action's key. It
+// writes the intent to run an action to its journal before it dispatches the
+// action. To seal the journal of an owner is to add a last entry that makes
+// all later writes of the owner fail. A tombstone is a remembered key that was
+// refused because the table was full.
 package action
 
 import (
@@ -126,7 +132,8 @@
 	Fault Fault
 }
 
-// Fault names a safety check to disable in a test.
+// Fault names a safety check to disable in a test. The values name the
+// behavior without the check; tests use them as the names of subtests.
 type Fault string
 
 // Faults that tests inject.
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -125,8 +125,8 @@
 	flow    *flow
 	offered time.Time
 	started time.Time
-	// admitBy is the time after which it is too late to admit the item. The
-	// zero time means never.
+	// admitBy is the latest time at which admission still lets the item meet its
+	// target and its deadline. The zero time means that there is none.
 	admitBy  time.Time
 	admitted bool
 }
@@ -148,13 +148,15 @@
 	active      []*flow
 	virtualTime float64
 	queuedCost  float64
-	// costCredit is the cost that this class may have admitted ahead of higher
-	// classes.
+	// costCredit is the cost in output tokens that this class may have admitted
+	// ahead of other classes of the same or a higher priority. It accrues while
+	// those classes are served.
 	costCredit float64
 	admitted   decayingRate
 	refused    decayingRate
 	offered    decayingRate
-	// longTermAdmitted is the admitted cost, averaged over a longer time than admitted.
+	// longTermAdmitted is the rate of admitted cost like admitted, but with the
+	// half-life useHalfLife instead of rateHalfLife.
 	longTermAdmitted decayingRate
 	running          int
 	// residence is the mean time in seconds from admission to the end of a
--- a/protocol/admission/admission_test.go
+++ b/protocol/admission/admission_test.go
@@ -102,7 +102,7 @@
 	late.Deadline = start.Add(time.Second)
 	effects = c.Offer(start, late, nil)
 	is.Equal(effects[0].Refusal.Reason, refusal.DeadlineUnreachable)
-	// Queued items are refused when they expire.
+	// Queued items are refused as overloaded once it is too late to admit them.
 	effects = c.Tick(start.Add(time.Second), nil)
 	is.Equal(len(effects), 4)
 	is.Equal(counted[refusal.Overloaded], 5)
--- a/protocol/admission/limiter.go
+++ b/protocol/admission/limiter.go
@@ -54,7 +54,7 @@
 func (l *Limiter) Limit() int { return int(l.limit) }
 
 // SetReportedConcurrency sets the number of concurrent requests that the known runners report
-// they can carry. A changed hint scales the limit in proportion, so that the
+// they can carry. A changed number scales the limit in proportion, so that the
 // loss of a failure domain lowers the limit before latencies rise.
 func (l *Limiter) SetReportedConcurrency(reportedConcurrency float64) {
 	switch {
--- a/protocol/admission/meter.go
+++ b/protocol/admission/meter.go
@@ -13,7 +13,8 @@
 	useHalfLife  = 10 * time.Second
 )
 
-// decayingRate measures a rate as an exponentially decaying sum.
+// decayingRate measures a rate as an exponentially decaying sum. at is the time
+// of the last update.
 type decayingRate struct {
 	halfLife   time.Duration
 	decayedSum float64
@@ -86,8 +87,10 @@
 	saturated         bool
 }
 
-// setReportedRate sets the throughput that the runners report. The first hint becomes
-// the estimate; later hints scale the measured estimate in proportion.
+// setReportedRate sets the throughput that the runners report, as cost per
+// second. The first report becomes the estimate. Later reports scale the
+// measured estimate in proportion, so that the estimate follows a change in the
+// number of runners at once.
 func (r *throughput) setReportedRate(perSecond float64) {
 	switch {
 	case perSecond <= 0:
--- a/protocol/forward/exchange.go
+++ b/protocol/forward/exchange.go
@@ -39,7 +39,7 @@
 	// MayHaveRun is true unless nothing was sent or the runner reported that it
 	// did not run the request.
 	MayHaveRun bool
-	// Sent is false if nothing reached any runner.
+	// Sent is false if nothing of this attempt reached a runner.
 	Sent bool
 	// RetryAfter is the delay that the runner asked for.
 	RetryAfter time.Duration
@@ -62,9 +62,9 @@
 func (x *Exchange) Sent() int { return x.sent }
 
 // HandleFailure processes a failed attempt. It returns the delay before the
-// next attempt, or the final refusal. A retry is charged to the policy's
-// budget unless nothing reached a runner, since the next attempt is then the
-// first one.
+// next attempt, or the final refusal. The next attempt is charged to the
+// policy's budget unless nothing of the failed attempt reached a runner: the
+// failed attempt then put no load on a runner.
 func (x *Exchange) HandleFailure(now time.Time, policy *retry.Policy, a FailedAttempt) (time.Duration, *refusal.Refusal) {
 	x.mayHaveRun = x.mayHaveRun || a.MayHaveRun
 	if a.Sent {
--- a/protocol/handoff/drain.go
+++ b/protocol/handoff/drain.go
@@ -18,6 +18,7 @@
 }
 
 // pendingTransfer is the state of a request that has not been passed on yet.
+// peerEpoch is the epoch with which assignedPeer would run the request.
 type pendingTransfer struct {
 	peerEpoch    uint64
 	assignedPeer ident.Incarnation
--- a/protocol/handoff/record.go
+++ b/protocol/handoff/record.go
@@ -1,8 +1,12 @@
 // Package handoff preserves accepted requests when their daemon stops or
-// fails. Keeper holds copies of the records of other daemons' requests. Outbox
-// tracks which of a daemon's own records must be sent to keepers. Drain
-// decides in which order a leaving daemon passes its requests on. The package
-// performs no I/O and reads no clock.
+// fails. Keeper holds copies of the records of other daemons' requests.
+// RecordTracker tracks which records of a daemon's own requests must be sent to
+// keepers. Drain decides in which order a leaving daemon passes its requests
+// on. The package performs no I/O and reads no clock.
+//
+// The owner of a request is the daemon that runs it. The epoch of a request
+// increases with each change of its owner. A keeper is a daemon that holds a
+// copy of the record of another daemon's request.
 package handoff
 
 import (
--- a/protocol/handoff/record_tracker.go
+++ b/protocol/handoff/record_tracker.go
@@ -26,6 +26,7 @@
 }
 
 // recordState is what the keeper of a request's record has acknowledged.
+// stored is false if the whole record must be sent.
 type recordState struct {
 	keeper      ident.Incarnation
 	ackedOffset int
@@ -34,12 +35,12 @@
 }
 
 // RecordTracker tracks which keeper holds the record of each of this daemon's
-// requests and how much of it. It is not safe for concurrent use.
+// requests and how many of the emitted tokens the keeper has acknowledged. It is not safe for concurrent use.
 type RecordTracker struct {
 	entries map[ident.RequestID]*recordState
 }
 
-// NewRecordTracker returns an empty outbox.
+// NewRecordTracker returns a tracker of no requests.
 func NewRecordTracker() *RecordTracker {
 	return &RecordTracker{entries: map[ident.RequestID]*recordState{}}
 }
--- a/protocol/request/messages.go
+++ b/protocol/request/messages.go
@@ -115,7 +115,8 @@
 	// ExportFailed means that the attempt was moved without its KV cache
 	// because the export of the cache failed.
 	ExportFailed Cause = "export_failed"
-	// NoCapacity means that no runner was available.
+	// NoCapacity is the cause with which a runner is requested again after a
+	// wait, because no runner was available before the wait.
 	NoCapacity Cause = "no_capacity"
 )
 
--- a/protocol/request/request.go
+++ b/protocol/request/request.go
@@ -29,7 +29,8 @@
 	MaxFailures int
 	// BackoffMin and BackoffMax limit the wait for capacity.
 	BackoffMin, BackoffMax time.Duration
-	// RetryAfter is the retry delay that callers of failed requests are given.
+	// RetryAfter is the retry delay that callers of failed requests are given
+	// if the refusal has no delay of its own and a later attempt could succeed.
 	RetryAfter time.Duration
 }
 
@@ -85,13 +86,16 @@
 	answer *stream.SplicedAnswer
 	phase  phase
 
+	// attemptNumber is the number of attempts started by this machine. It is
+	// part of the ID of each attempt.
 	attemptNumber int
 	attempt       ident.AttemptID
 	runner        ident.RunnerID
 	lastActivity  time.Time
 	// attemptStarted is the start time of the current attempt.
 	attemptStarted time.Time
-	// possiblyRunAttempts counts the attempts that may have run.
+	// possiblyRunAttempts counts the attempts of this machine that may have
+	// reached a runner, plus one if an earlier owner may have started one.
 	possiblyRunAttempts int
 	reopens             int
 	failures            int
--- a/protocol/retry/retry.go
+++ b/protocol/retry/retry.go
@@ -69,9 +69,9 @@
 	Attempts int
 	// MaxAttempts overrides the MaxAttempts of the policy unless it is zero.
 	MaxAttempts int
-	// NeverArrived means that nothing reached any runner. The next attempt is
-	// then the first one that puts load on a runner, so that it is not charged
-	// to the budget.
+	// NeverArrived means that nothing of the failed attempt reached a runner.
+	// The attempt then put no load on a runner, so that the attempt in its
+	// place is not charged to the budget and not limited by MaxAttempts.
 	NeverArrived bool
 	// RetryAfter is the delay that the runner asked for, or zero.
 	RetryAfter time.Duration
@@ -83,7 +83,8 @@
 // Decision is the response to a failure.
 type Decision struct {
 	Verdict Verdict
-	// Delay is the delay before the next attempt or the next decision.
+	// Delay is the time to wait before the next attempt (Again) or before the
+	// next call of Decide (Postpone). It is zero for all other verdicts.
 	Delay time.Duration
 }
 
--- a/state/load/load.go
+++ b/state/load/load.go
@@ -34,10 +34,11 @@
 	// in the KV cache.
 	KVBlocksTotal int
 	KVBlocksFree  int
-	// PrefillRate is the number of prompt tokens processed per second. Zero
-	// means unknown.
+	// PrefillRate is the number of prompt tokens per second that the runner
+	// processes over all its requests. Zero means unknown.
 	PrefillRate float64
-	// DecodeRate is the number of output tokens per second of one request.
+	// DecodeRate is the number of output tokens that the runner generates per
+	// second for each request in the batch.
 	DecodeRate float64
 	Models     []Model
 	// Leaving is set once the cloud has announced that the VM will be stopped.
--- a/state/manifest/manifest.go
+++ b/state/manifest/manifest.go
@@ -27,8 +27,8 @@
 	// Service is the name of the model service whose runners serve the model.
 	Service  string    `json:"service" jsonschema:"minLength=1"`
 	Adapters []Adapter `json:"adapters,omitempty"`
-	// Priority orders the models if not all can be loaded. Higher values come
-	// first.
+	// Priority orders the models if not all can be loaded. Models with higher
+	// values are loaded first.
 	Priority int     `json:"priority,omitempty"`
 	Canary   *Canary `json:"canary,omitempty"`
 }
@@ -112,8 +112,9 @@
 // Class is a class of work with its latency targets.
 type Class struct {
 	Name string `json:"name" jsonschema:"minLength=1"`
-	// Priority orders the classes, at the gateways and at the engines. Higher
-	// values come first.
+	// Priority orders the classes, at the gateways and at the engines. The
+	// class with the highest value is the most urgent. The priority of a
+	// route.Route has the opposite order.
 	Priority int `json:"priority"`
 	// TTFTMillis is the target for the time to the first token at the 95th
 	// percentile.
--- a/state/prefix/index.go
+++ b/state/prefix/index.go
@@ -1,7 +1,9 @@
 // Package prefix maintains an approximate index of the prompt prefixes that
 // the runners hold in their KV caches. A prefix is identified by the hash of
 // its last block, which package prefixhash computes over the whole prefix.
-// Each runner occupies a numbered slot of the index.
+// Each runner occupies a numbered slot of the index. A block is a run of
+// BlockTokens tokens, and a chain is the list of the hashes of a prompt's
+// blocks in order.
 package prefix
 
 import (
@@ -38,7 +40,8 @@
 
 func (e *GapError) Error() string { return fmt.Sprintf("%d cache events lost", e.Lost) }
 
-// maxLostEvents is the number of events of a slot that may be lost before the
+// maxLostEvents is the number of events of a slot that may be lost since the
+// slot was last cleared before the
 // slot is cleared. Only few lost events are evictions that matter, while
 // clearing the slot costs many cache hits.
 const maxLostEvents = 64
@@ -156,8 +159,8 @@
 }
 
 // WithdrawAssumed removes the prefixes that Assume added for a request that
-// did not start at the slot. It keeps the first blocks of the chain, as many
-// as started says.
+// did not start at the slot. It keeps the first blocks of the chain, whose
+// number is started.
 func (x *Index) WithdrawAssumed(slot int, chain []Hash, started int) {
 	for _, h := range chain[min(started, len(chain)):] {
 		x.evict(slot, h)
--- a/state/prefix/match.go
+++ b/state/prefix/match.go
@@ -17,8 +17,12 @@
 // Match finds how many blocks of the chain each slot holds. Since each hash
 // covers the whole prefix before it, a slot that holds a block normally holds
 // all earlier ones, and a binary search finds the last one. If a runner has
-// evicted a block but not a later one, the result is too high until the next
-// event of that runner.
+// evicted a block but still holds a later one, the result for that runner is
+// too high until the runner evicts the later block or stores the missing block
+// again, and the index has applied that event.
+//
+// Only the maxMatchDepths greatest depths are distinguished. Slots that hold
+// fewer blocks than these depths are reported as holding none.
 func (x *Index) Match(chain []Hash, d *MatchResult) {
 	d.Held, d.Deepest = Set{}, Set{}
 	limit := min(len(chain), int(^uint16(0)))
--- a/state/prefix/set.go
+++ b/state/prefix/set.go
@@ -8,9 +8,10 @@
 const (
 	// Slots is the maximum number of runners that one index can distinguish. A
 	// daemon handles only a part of the runners of a larger service, and
-	// prefixes cached at other runners are computed again. With 64 slots this
-	// began at 65 runners, and daemons in front of 90 runners computed 37
-	// million tokens of shared prefixes again per minute.
+	// prefixes cached at runners without a slot are computed again. With 64
+	// slots, runners were without a slot from the 65th runner of a service on,
+	// and daemons in front of 90 runners computed 37 million tokens of shared
+	// prefixes again per minute.
 	Slots = 256
 	// wordBits is the number of slots in one word of a Set.
 	wordBits = 64
--- a/state/prefixhash/prefixhash.go
+++ b/state/prefixhash/prefixhash.go
@@ -42,7 +42,8 @@
 	return d.Sum64()
 }
 
-// Blocks returns the hash of every complete block of words.
+// Blocks returns the hash of every complete block of BlockTokens words. Each
+// hash covers root and all words up to the end of its block.
 func Blocks(root uint64, words []string) []uint64 {
 	blocks := make([]uint64, 0, len(words)/BlockTokens)
 	for len(words) >= BlockTokens {
@@ -53,8 +54,9 @@
 	return blocks
 }
 
-// Prompt returns the hash of every complete block of a prompt, and the
-// length of the prompt in tokens.
+// Prompt splits a prompt into words at white space and counts each word as one
+// token. It returns the hash of every complete block of BlockTokens words, and
+// the number of words in the prompt.
 func Prompt(model, adapter, prompt string) (blocks []uint64, tokens int) {
 	var d xxhash.Digest
 	hash := Root(model, adapter)
--- a/state/refusal/refusal.go
+++ b/state/refusal/refusal.go
@@ -31,14 +31,16 @@
 
 // Reasons for refusing requests of any kind.
 const (
-	BadRequest           Reason = "bad_request"
-	BodyTooLarge         Reason = "body_too_large"
-	UnsupportedMethod    Reason = "unsupported_method"
-	UnknownModel         Reason = "unknown_model"
-	UnknownService       Reason = "unknown_service"
-	UnknownRoute         Reason = "unknown_route"
-	UnknownRequest       Reason = "unknown_request"
-	Unauthenticated      Reason = "unauthenticated"
+	BadRequest        Reason = "bad_request"
+	BodyTooLarge      Reason = "body_too_large"
+	UnsupportedMethod Reason = "unsupported_method"
+	UnknownModel      Reason = "unknown_model"
+	UnknownService    Reason = "unknown_service"
+	UnknownRoute      Reason = "unknown_route"
+	UnknownRequest    Reason = "unknown_request"
+	Unauthenticated   Reason = "unauthenticated"
+	// NotReady means that the daemon has no configuration yet, or that no other
+	// daemon can be reached to keep a copy of the request's record.
 	NotReady             Reason = "not_ready"
 	Draining             Reason = "draining"
 	Overloaded           Reason = "overloaded"
--- a/state/route/route.go
+++ b/state/route/route.go
@@ -52,7 +52,8 @@
 	// MaxAttempts is the maximum number of runners to which one request is
 	// sent.
 	MaxAttempts int
-	// Priority ranks requests. Zero is the most urgent.
+	// Priority ranks requests. Zero is the most urgent, and higher values are
+	// less urgent. The priority of a manifest.Class has the opposite order.
 	Priority int
 	// Public routes require no key.
 	Public bool
@@ -98,20 +99,21 @@
 	// of the price in Prices. Zero means that reclaimable runners are not
 	// available.
 	ReclaimablePriceRatio float64
-	// Prices holds the price per runner and unit of time in each failure
-	// domain.
+	// Prices holds the price of one runner per hour in each failure domain.
+	// Runners can be ordered only in the failure domains that are its keys.
 	Prices map[ident.FailureDomain]float64
 }
 
 // Quota limits the usage of a workspace over all daemons together.
 type Quota struct {
-	// PerSecond and Burst are in tokens if InTokens is set, and in requests
+	// PerSecond is the sustained rate and Burst the largest amount that may be
+	// used at once. Both count tokens if InTokens is set, and requests
 	// otherwise. A PerSecond of zero means no limit.
 	PerSecond float64
 	Burst     float64
 	InTokens  bool
 	// PlainTokens is the number of tokens charged for a request without a
-	// prompt.
+	// prompt if InTokens is set.
 	PlainTokens float64
 }
 
@@ -119,7 +121,8 @@
 type Workspace struct {
 	Name ident.Workspace
 	Keys []string
-	// Priority overrides the priority of the route if HasPriority is set.
+	// Priority overrides the priority of the route if HasPriority is set. Zero
+	// is the most urgent.
 	Priority    int
 	HasPriority bool
 	Quota       Quota
@@ -138,8 +141,8 @@
 
 // Config is one version of the whole configuration.
 type Config struct {
-	// Version is incremented with each change and tells which of two
-	// configurations is newer.
+	// Version is the generation of the configuration. It increases with each
+	// change, so that the higher of two versions is the newer one.
 	Version    ident.Generation
 	Routes     []Route
 	Services   []Service
