--- a/protocol/action/gateway_test.go
+++ b/protocol/action/gateway_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	attempts       = 3
-	attemptTimeout = 1500 * time.Millisecond
-	sealAttempts   = 4
+	maxForwardAttempts = 3
+	attemptTimeout     = 1500 * time.Millisecond
+	sealAttempts       = 4
 )
 
 var unreachableRefusal = refusal.New(refusal.OwnerUnreachable, "no answer").Unknown()
@@ -44,7 +44,7 @@
 	if n.answerLocally(gc, gc.finish) {
 		return
 	}
-	n.forward(gc, attempts)
+	n.forward(gc, maxForwardAttempts)
 }
 
 // answerLocally answers the call if this incarnation owns it or has adopted the
@@ -185,7 +185,7 @@
 
 func (n *node) readLog(owner ident.Incarnation, done func(*journal.Log, bool)) {
 	sim := n.sim
-	if sim.storeDown() || n.cutOff.contains(sim.now) || sim.chance(sim.doubtfulProbability) {
+	if sim.storeDown() || n.cutOff.contains(sim.now) || sim.chance(sim.unknownOutcomeProbability) {
 		sim.after(storeTimeout, n, func() { done(nil, false) })
 		return
 	}
@@ -242,7 +242,7 @@
 // handOff sends the table to the successor with one record per part, and repeats
 // each part until it is acknowledged or the attempts are used up.
 func (n *node) handOff(o *action.Owner, successor *node) {
-	records, complete, _ := o.Export(n.clock())
+	records, exportedAt, _ := o.Export(n.clock())
 	sort.Slice(records, func(i, j int) bool { return records[i].ID.Key < records[j].ID.Key })
 	for i := range len(records) + 1 {
 		part := action.TablePart{Number: uint32(i)}
@@ -250,9 +250,9 @@
 			part.Records = records[i : i+1]
 		} else {
 			part.Last = true
-			part.ExportedAt = complete
+			part.ExportedAt = exportedAt
 		}
-		n.sim.after(n.sim.randomDuration(second), n, func() { n.sendPart(o.Incarnation(), successor, part, attempts) })
+		n.sim.after(n.sim.randomDuration(second), n, func() { n.sendPart(o.Incarnation(), successor, part, maxForwardAttempts) })
 	}
 }
 
--- a/protocol/action/history_test.go
+++ b/protocol/action/history_test.go
@@ -44,7 +44,7 @@
 		sim.lossProbability = 0.2 * sim.rng.Float64()
 	}
 	if sim.chance(0.4) {
-		sim.doubtfulProbability = 0.4 * sim.rng.Float64()
+		sim.unknownOutcomeProbability = 0.4 * sim.rng.Float64()
 	}
 	if sim.chance(0.4) {
 		from := sim.now.Add(at())
@@ -118,7 +118,7 @@
 	for range copies {
 		delay := sim.randomDuration(3 * second)
 		if sim.chance(0.2) {
-			delay = sim.randomDuration(lifetime + 4*second)
+			delay = sim.randomDuration(tokenLifetime + 4*second)
 		}
 		body := name
 		if sim.chance(0.05) {
--- a/protocol/action/simulation_test.go
+++ b/protocol/action/simulation_test.go
@@ -34,7 +34,7 @@
 
 const (
 	second        = time.Second
-	lifetime      = 8 * second
+	tokenLifetime = 8 * second
 	historyLength = 40 * second
 	storeTimeout  = second
 )
@@ -76,21 +76,21 @@
 // order of all events.
 type simulation struct {
 	options
-	rng                 *rand.Rand
-	now                 time.Time
-	queue               eventQueue
-	seq                 int
-	currentNodes        []*node // the current incarnation of each daemon, by index
-	nodes               map[ident.Incarnation]*node
-	entries             map[string][]byte
-	entryOrder          []string // keys of the journal entries in the order of their creation
-	outages             []interval
-	partitions          map[[2]int]interval
-	history             actionhistory.History
-	eventCounts         eventCounts
-	lossProbability     float64
-	doubtfulProbability float64
-	smallTables         bool
+	rng                       *rand.Rand
+	now                       time.Time
+	queue                     eventQueue
+	seq                       int
+	currentNodes              []*node // the current incarnation of each daemon, by index
+	nodes                     map[ident.Incarnation]*node
+	entries                   map[string][]byte
+	entryOrder                []string // keys of the journal entries in the order of their creation
+	outages                   []interval
+	partitions                map[[2]int]interval
+	history                   actionhistory.History
+	eventCounts               eventCounts
+	lossProbability           float64
+	unknownOutcomeProbability float64
+	smallTables               bool
 }
 
 // eventCounts counts the rare events of a history, to show that the injected
@@ -188,7 +188,7 @@
 	}
 	n.openedOwners++
 	cfg := action.DefaultConfig(name)
-	cfg.TokenLifetime = lifetime
+	cfg.TokenLifetime = tokenLifetime
 	cfg.KeyRetention = second
 	cfg.Journal.KeyRetention = second
 	cfg.Fault = n.sim.fault
@@ -332,7 +332,7 @@
 		doubtful()
 		return
 	}
-	if sim.storeDown() || sim.chance(sim.doubtfulProbability) {
+	if sim.storeDown() || sim.chance(sim.unknownOutcomeProbability) {
 		doubtful()
 		if sim.chance(0.5) {
 			sim.after(sim.randomDuration(3*second), nil, func() { sim.applyCreate(key, value) })
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -122,9 +122,9 @@
 // entry is an item that is queued or admitted.
 type entry struct {
 	Item
-	flow    *flow
-	offered time.Time
-	started time.Time
+	flow       *flow
+	offeredAt  time.Time
+	admittedAt time.Time
 	// admitBy is the latest time at which admission still lets the item meet its
 	// target and its deadline. The zero time means that there is none.
 	admitBy  time.Time
@@ -159,9 +159,9 @@
 	// half-life useHalfLife instead of rateHalfLife.
 	longTermAdmitted decayingRate
 	running          int
-	// residence is the mean time in seconds from admission to the end of a
+	// meanResidence is the mean time in seconds from admission to the end of a
 	// request.
-	residence float64
+	meanResidence float64
 }
 
 // workspace is the state of one workspace over all classes.
@@ -169,7 +169,7 @@
 	manifest.Workspace
 	running   int
 	queued    int
-	tokens    bucket
+	tokens    tokenBucket
 	recentUse decayingRate
 }
 
@@ -185,7 +185,7 @@
 	entries     map[ID]*entry
 	running     int
 	queued      int
-	bytes       int
+	queuedBytes int
 	throughput  throughput
 	recentUse   decayingRate
 }
@@ -281,7 +281,7 @@
 	if !ok || !known {
 		return c.refuse(dst, it, 0, refusal.New(refusal.BadRequest, "unknown class %q or workspace", it.Class))
 	}
-	e := &entry{Item: it, flow: c.flowOf(k, w), offered: now, admitBy: admissionDeadline(now, k, it)}
+	e := &entry{Item: it, flow: c.flowOf(k, w), offeredAt: now, admitBy: admissionDeadline(now, k, it)}
 	k.recordOffer(now, it)
 	if r := c.offerRefusal(now, e); r != nil {
 		k.refused.add(now, it.Cost)
@@ -305,8 +305,8 @@
 // recordOffer updates the arrival rate of the class. The first item also
 // provides the initial estimate of the residence time.
 func (k *class) recordOffer(now time.Time, it Item) {
-	if k.residence == 0 {
-		k.residence = it.ServiceTime.Seconds()
+	if k.meanResidence == 0 {
+		k.meanResidence = it.ServiceTime.Seconds()
 	}
 	k.offered.add(now, 1)
 }
@@ -348,7 +348,7 @@
 			return r
 		}
 	}
-	if c.queued >= c.queueLimit(w) || c.bytes+e.Bytes > c.cfg.MaxQueuedBytes {
+	if c.queued >= c.queueLimit(w) || c.queuedBytes+e.Bytes > c.cfg.MaxQueuedBytes {
 		return refusal.New(refusal.Overloaded, "too much work waits").After(c.retryAfter(now, k, 0))
 	}
 	expectedWait := c.expectedWait(now, e)
@@ -378,11 +378,11 @@
 // overload.
 func (c *Controller) retryAfter(now time.Time, k *class, excess time.Duration) time.Duration {
 	admitted, refused := k.admitted.perSecond(now), k.refused.perSecond(now)
-	times := 1.0
+	targetMultiple := 1.0
 	if refused > 0 {
-		times += min(10, refused/max(admitted, 1))
+		targetMultiple += min(10, refused/max(admitted, 1))
 	}
-	after := excess + time.Duration(times*float64(k.target()))
+	after := excess + time.Duration(targetMultiple*float64(k.target()))
 	return min(max(after, 100*time.Millisecond), c.cfg.MaxRetryAfter)
 }
 
@@ -400,21 +400,21 @@
 	if perSecond <= 0 {
 		return 0
 	}
-	higher, taken := 0.0, 0.0
+	queuedAbove, admittedAbove := 0.0, 0.0
 	for _, o := range c.byPriority {
 		if o.Priority > k.Priority {
-			higher += o.queuedCost
-			taken += o.admitted.perSecond(now)
+			queuedAbove += o.queuedCost
+			admittedAbove += o.admitted.perSecond(now)
 		}
 	}
-	left := perSecond - taken
+	remainingRate := perSecond - admittedAbove
 	if k != c.byPriority[0] && len(k.active) > 0 {
 		// The recent rate of the class also reflects the turns that it yields to
 		// lower classes.
-		left = min(left, maxServedGrowth*k.longTermAdmitted.perSecond(now))
+		remainingRate = min(remainingRate, maxServedGrowth*k.longTermAdmitted.perSecond(now))
 	}
-	perSecond = max(left, c.cfg.MinClassShare*perSecond)
-	seconds := (higher + k.costAhead(e.flow) + c.meanCost()) / perSecond
+	perSecond = max(remainingRate, c.cfg.MinClassShare*perSecond)
+	seconds := (queuedAbove + k.costAhead(e.flow) + c.meanCost()) / perSecond
 	expectedWait := time.Duration(min(seconds, time.Hour.Seconds()) * float64(time.Second))
 	if len(e.flow.items) == 0 {
 		return expectedWait
@@ -422,7 +422,7 @@
 	// At a steady rate, a new item waits as long as the item at the head of the
 	// queue has waited. This accounts for effects that the rates above don't
 	// capture.
-	return max(expectedWait, now.Sub(e.flow.items[0].offered))
+	return max(expectedWait, now.Sub(e.flow.items[0].offeredAt))
 }
 
 // meanCost returns the mean cost of the finished requests. Divided by the
@@ -489,7 +489,7 @@
 // occupies if everything offered is admitted: the mean plus headroom standard
 // deviations of a Poisson distribution.
 func (k *class) expectedSlots(now time.Time, headroom float64) float64 {
-	mean := k.offered.perSecond(now) * k.residence
+	mean := k.offered.perSecond(now) * k.meanResidence
 	return mean + headroom*math.Sqrt(mean)
 }
 
--- a/protocol/admission/limiter.go
+++ b/protocol/admission/limiter.go
@@ -56,16 +56,16 @@
 // SetReportedConcurrency sets the number of concurrent requests that the known runners report
 // they can carry. A changed number scales the limit in proportion, so that the
 // loss of a failure domain lowers the limit before latencies rise.
-func (l *Limiter) SetReportedConcurrency(reportedConcurrency float64) {
+func (l *Limiter) SetReportedConcurrency(reported float64) {
 	switch {
-	case reportedConcurrency <= 0:
+	case reported <= 0:
 		return
 	case l.reportedConcurrency == 0:
-		l.limit = reportedConcurrency * l.cfg.MaxReportedRatio
+		l.limit = reported * l.cfg.MaxReportedRatio
 	default:
-		l.limit *= reportedConcurrency / l.reportedConcurrency
+		l.limit *= reported / l.reportedConcurrency
 	}
-	l.reportedConcurrency = reportedConcurrency
+	l.reportedConcurrency = reported
 	l.clamp()
 }
 
--- a/protocol/admission/meter.go
+++ b/protocol/admission/meter.go
@@ -39,26 +39,26 @@
 	return m.decayedSum * math.Ln2 / m.halfLife.Seconds()
 }
 
-// bucket is a token bucket. The last spender may overdraw it.
-type bucket struct {
+// tokenBucket is a token tokenBucket. The last spender may overdraw it.
+type tokenBucket struct {
 	tokens float64
 	at     time.Time
 }
 
-func (b *bucket) spend(cost float64) { b.tokens -= cost }
+func (b *tokenBucket) spend(cost float64) { b.tokens -= cost }
 
 // timeUntilTokens refills the bucket and returns how long it takes until the
 // bucket has tokens, or zero if it has some now.
-func (b *bucket) timeUntilTokens(now time.Time, perSecond float64, burst time.Duration) time.Duration {
+func (b *tokenBucket) timeUntilTokens(now time.Time, perSecond float64, burst time.Duration) time.Duration {
 	if perSecond <= 0 {
 		b.tokens, b.at = 0, now
 		return 0
 	}
-	most := perSecond * burst.Seconds()
+	capacity := perSecond * burst.Seconds()
 	if b.at.IsZero() {
-		b.tokens = most
+		b.tokens = capacity
 	} else if now.After(b.at) {
-		b.tokens = min(most, b.tokens+perSecond*now.Sub(b.at).Seconds())
+		b.tokens = min(capacity, b.tokens+perSecond*now.Sub(b.at).Seconds())
 	}
 	b.at = now
 	if b.tokens > 0 {
@@ -105,23 +105,23 @@
 
 // finish records the cost of a finished request. workWaits tells whether
 // requests are queued.
-func (r *throughput) finish(now time.Time, cost float64, workWaits bool) {
+func (r *throughput) finish(now time.Time, cost float64, workQueued bool) {
 	r.finishedCount++
 	r.finishedCost += cost
-	if r.windowStart.IsZero() || !workWaits && r.saturated {
-		r.startWindow(now, workWaits)
+	if r.windowStart.IsZero() || !workQueued && r.saturated {
+		r.startWindow(now, workQueued)
 		return
 	}
-	r.saturated = workWaits
+	r.saturated = workQueued
 	r.windowCost += cost
 	passed := now.Sub(r.windowStart)
 	if passed < throughputWindow {
 		return
 	}
-	if measured := r.windowCost / passed.Seconds(); workWaits {
+	if measured := r.windowCost / passed.Seconds(); workQueued {
 		r.perSecond += throughputGain * (measured - r.perSecond)
 	}
-	r.startWindow(now, workWaits)
+	r.startWindow(now, workQueued)
 }
 
 func (r *throughput) startWindow(now time.Time, saturated bool) {
--- a/protocol/admission/queue.go
+++ b/protocol/admission/queue.go
@@ -26,7 +26,7 @@
 	f.workspace.queued++
 	c.entries[e.ID] = e
 	c.queued++
-	c.bytes += e.Bytes
+	c.queuedBytes += e.Bytes
 }
 
 // dequeue removes the entry at the index from the queue of its flow.
@@ -37,7 +37,7 @@
 	f.class.queuedCost -= e.Cost
 	f.workspace.queued--
 	c.queued--
-	c.bytes -= e.Bytes
+	c.queuedBytes -= e.Bytes
 	if len(f.items) == 0 {
 		f.queuedCost = 0
 		f.class.active = slices.DeleteFunc(f.class.active, func(o *flow) bool { return o == f })
@@ -117,11 +117,11 @@
 // usedShareRatio returns the workspace's recent use divided by its weighted
 // share of the recent use of all workspaces.
 func (c *Controller) usedShareRatio(now time.Time, w *workspace) float64 {
-	all := c.recentUse.perSecond(now)
-	if all == 0 {
+	totalUse := c.recentUse.perSecond(now)
+	if totalUse == 0 {
 		return 0
 	}
-	return w.recentUse.perSecond(now) / all * c.totalWeight / w.Weight
+	return w.recentUse.perSecond(now) / totalUse * c.totalWeight / w.Weight
 }
 
 // creditOtherClasses credits the other classes that have work waiting: a class
@@ -168,10 +168,10 @@
 	c.recentUse.add(now, e.Cost)
 	c.delayLowerFlows(f, e.Cost)
 	e.admitted = true
-	e.started = now
+	e.admittedAt = now
 	f.class.running++
 	c.running++
-	return Effect{Kind: Admit, ID: e.ID, Waited: now.Sub(e.offered)}
+	return Effect{Kind: Admit, ID: e.ID, Waited: now.Sub(e.offeredAt)}
 }
 
 // delayLowerFlows advances the virtual start times of the workspace's flows in
@@ -186,8 +186,8 @@
 			continue
 		}
 		o := c.flowOf(k, w)
-		most := k.virtualTime + c.cfg.MaxVirtualLead.Seconds()*c.throughput.perSecond/w.Weight
-		o.start = max(o.start, min(o.start+cost/w.Weight, most))
+		maxStart := k.virtualTime + c.cfg.MaxVirtualLead.Seconds()*c.throughput.perSecond/w.Weight
+		o.start = max(o.start, min(o.start+cost/w.Weight, maxStart))
 	}
 }
 
@@ -220,7 +220,7 @@
 	w.running--
 	c.running--
 	e.flow.class.running--
-	e.flow.class.residence += residenceWeight * (now.Sub(e.started).Seconds() - e.flow.class.residence)
+	e.flow.class.meanResidence += residenceWeight * (now.Sub(e.admittedAt).Seconds() - e.flow.class.meanResidence)
 	w.tokens.spend(cost - e.Cost)
 	e.flow.start += (cost - e.Cost) / w.Weight
 	c.throughput.finish(now, cost, c.queued > 0)
@@ -263,7 +263,7 @@
 		c.dequeue(f, i)
 		delete(c.entries, e.ID)
 		f.class.refused.add(now, e.Cost)
-		dst = c.refuse(dst, e.Item, now.Sub(e.offered), c.expiredRefusal(now, e))
+		dst = c.refuse(dst, e.Item, now.Sub(e.offeredAt), c.expiredRefusal(now, e))
 	}
 	return dst
 }
@@ -274,7 +274,7 @@
 	if !e.Deadline.IsZero() && now.Add(e.ServiceTime).After(e.Deadline) {
 		reason = refusal.DeadlineUnreachable
 	}
-	return refusal.New(reason, "waited %s in vain", now.Sub(e.offered).Round(time.Millisecond)).After(c.retryAfter(now, k, 0))
+	return refusal.New(reason, "waited %s in vain", now.Sub(e.offeredAt).Round(time.Millisecond)).After(c.retryAfter(now, k, 0))
 }
 
 // limitRefusal returns a refusal if the workspace has reached one of its own
--- a/protocol/forward/forward_test.go
+++ b/protocol/forward/forward_test.go
@@ -102,13 +102,13 @@
 // their retries together must stay within the shared budget.
 func TestShareHoldsBudgetWithoutTalking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const ratio, slack, keep = 0.2, 52, 0.9
+		const ratio, slack, usedFraction = 0.2, 52, 0.9
 		window := 10 * time.Second
 		n := rapid.IntRange(1, 8).Draw(t, "daemons")
 		var policies []*retry.Policy
 		for range n {
 			cfg := retry.Default()
-			cfg.Ratio, cfg.PerSecond, cfg.Burst = retry.BudgetShare(ratio, slack, keep, window, n)
+			cfg.Ratio, cfg.PerSecond, cfg.Burst = retry.BudgetShare(ratio, slack, usedFraction, window, n)
 			policies = append(policies, retry.New(cfg))
 		}
 		firsts := rapid.IntRange(0, 5).Draw(t, "first attempts a tick")
--- a/protocol/handoff/drain.go
+++ b/protocol/handoff/drain.go
@@ -20,10 +20,10 @@
 // pendingTransfer is the state of a request that has not been passed on yet.
 // peerEpoch is the epoch with which assignedPeer would run the request.
 type pendingTransfer struct {
-	peerEpoch    uint64
-	assignedPeer ident.Incarnation
-	inFlight     bool
-	attempts     int
+	lastEpoch  uint64
+	targetPeer ident.Incarnation
+	inFlight   bool
+	attempts   int
 }
 
 // Drain decides in which order and to which peers a leaving daemon passes its
@@ -44,9 +44,9 @@
 func (d *Drain) Accepting(now time.Time) bool { return now.Before(d.acceptUntil) }
 
 // Add adds a request that this daemon runs with the given epoch.
-func (d *Drain) Add(id ident.RequestID, epoch uint64) {
+func (d *Drain) Add(id ident.RequestID, lastEpoch uint64) {
 	if _, ok := d.pending[id]; !ok {
-		d.pending[id] = &pendingTransfer{peerEpoch: epoch}
+		d.pending[id] = &pendingTransfer{lastEpoch: lastEpoch}
 	}
 }
 
@@ -71,18 +71,18 @@
 		if len(ranked) == 0 {
 			continue
 		}
-		peer := ranked[0]
-		i := slices.IndexFunc(ranked, func(c view.Daemon) bool { return c.Incarnation == p.assignedPeer })
+		targetPeer := ranked[0]
+		i := slices.IndexFunc(ranked, func(c view.Daemon) bool { return c.Incarnation == p.targetPeer })
 		if i >= 0 {
-			peer = ranked[i]
+			targetPeer = ranked[i]
 		}
-		if peer.Incarnation != p.assignedPeer {
-			p.peerEpoch++
-			p.assignedPeer = peer.Incarnation
+		if targetPeer.Incarnation != p.targetPeer {
+			p.lastEpoch++
+			p.targetPeer = targetPeer.Incarnation
 		}
 		p.inFlight = true
 		p.attempts++
-		next = append(next, Transfer{ID: id, Peer: peer, Epoch: p.peerEpoch})
+		next = append(next, Transfer{ID: id, Peer: targetPeer, Epoch: p.lastEpoch})
 	}
 	slices.SortFunc(next, func(a, b Transfer) int { return cmp.Compare(a.ID, b.ID) })
 	return next
@@ -107,6 +107,6 @@
 	if len(ranked) == 0 {
 		return
 	}
-	p.assignedPeer = ranked[p.attempts%len(ranked)].Incarnation
-	p.peerEpoch++
+	p.targetPeer = ranked[p.attempts%len(ranked)].Incarnation
+	p.lastEpoch++
 }
--- a/protocol/handoff/handoff_test.go
+++ b/protocol/handoff/handoff_test.go
@@ -52,7 +52,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		k := handoff.NewKeeper(4)
 		k.Put(startTime(), handoff.Record{ID: id, Owner: "a", Epoch: 1, Prompt: "p"})
-		best := 0
+		storedTokens := 0
 		for range rapid.IntRange(0, 20).Draw(t, "renewals") {
 			from := rapid.IntRange(1, 12).Draw(t, "from")
 			to := rapid.IntRange(from, 12).Draw(t, "to")
@@ -61,15 +61,15 @@
 				r.Emitted = append(r.Emitted, fmt.Sprint(i))
 			}
 			outcome, _ := k.Put(startTime(), r)
-			if (outcome == handoff.Incomplete) != (from > best) {
-				t.Fatalf("a renewal from offset %d of a record with %d tokens: outcome %v", from, best, outcome)
+			if (outcome == handoff.Incomplete) != (from > storedTokens) {
+				t.Fatalf("a renewal from offset %d of a record with %d tokens: outcome %v", from, storedTokens, outcome)
 			}
 			if outcome == handoff.Stored {
-				best = max(best, to)
+				storedTokens = max(storedTokens, to)
 			}
 			got, _ := k.Get(id)
-			if len(got.Emitted) != best || got.Prompt != "p" {
-				t.Fatalf("the record holds %d tokens, want %d, or its prompt changed", len(got.Emitted), best)
+			if len(got.Emitted) != storedTokens || got.Prompt != "p" {
+				t.Fatalf("the record holds %d tokens, want %d, or its prompt changed", len(got.Emitted), storedTokens)
 			}
 			for i, token := range got.Emitted {
 				if token != fmt.Sprint(i) {
@@ -188,13 +188,13 @@
 		due := g.trackers[d.Incarnation].DueRenewals(d, g.daemons, func(ident.RequestID) handoff.Progress {
 			return handoff.Progress{Offset: len(r.Emitted)}
 		})
-		for _, x := range due {
+		for _, renewal := range due {
 			sent := r
-			sent.EmittedFrom = x.From
-			sent.Emitted = r.Emitted[x.From:]
-			switch outcome, _ := g.keepers[x.Keeper.Incarnation].Put(g.now, sent); outcome {
+			sent.EmittedFrom = renewal.From
+			sent.Emitted = r.Emitted[renewal.From:]
+			switch outcome, _ := g.keepers[renewal.Keeper.Incarnation].Put(g.now, sent); outcome {
 			case handoff.Stored:
-				g.trackers[d.Incarnation].Stored(id, x.Keeper.Incarnation, handoff.Progress{Offset: len(r.Emitted)})
+				g.trackers[d.Incarnation].Stored(id, renewal.Keeper.Incarnation, handoff.Progress{Offset: len(r.Emitted)})
 			case handoff.Superseded:
 				delete(g.owned, d.Incarnation)
 			case handoff.Incomplete:
--- a/protocol/retry/retry_test.go
+++ b/protocol/retry/retry_test.go
@@ -33,12 +33,12 @@
 		cfg.Ratio = rapid.Float64Range(0, 1).Draw(t, "ratio")
 		cfg.Burst = float64(rapid.IntRange(0, 20).Draw(t, "burst"))
 		p := New(cfg)
-		first, again, now := 0, 0, start
+		firstAttempts, retries, now := 0, 0, start
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
 				p.FirstAttempt(now)
-				first++
+				firstAttempts++
 				continue
 			}
 			f := Failure{
@@ -48,11 +48,11 @@
 				Attempts:   rapid.IntRange(1, 6).Draw(t, "attempts"),
 			}
 			if p.Decide(now, f).Verdict == Again {
-				again++
+				retries++
 			}
-			paid := cfg.Ratio*float64(first) + cfg.PerSecond*now.Sub(start).Seconds()
-			if float64(again) > cfg.Burst+paid+1e-6 {
-				t.Fatalf("%d retries after %d first attempts exceed the budget", again, first)
+			paid := cfg.Ratio*float64(firstAttempts) + cfg.PerSecond*now.Sub(start).Seconds()
+			if float64(retries) > cfg.Burst+paid+1e-6 {
+				t.Fatalf("%d retries after %d first attempts exceed the budget", retries, firstAttempts)
 			}
 		}
 	})
--- a/state/manifest/check.go
+++ b/state/manifest/check.go
@@ -105,7 +105,7 @@
 			c.addProblem(path+"/routes", "a model service has no routes")
 		}
 		if service.Kind == KindPlain {
-			c.checkRoutes(path+"/routes", service.Routes)
+			c.routes(path+"/routes", service.Routes)
 			c.rejectRole(path, service)
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-func (c *checker) checkRoutes(list string, routes []Route) {
+func (c *checker) routes(list string, routes []Route) {
 	c.requireUnique(list, "path", collectNames(routes, func(r Route) string { return r.Method + " " + r.Path }))
 	for i, r := range routes {
 		path := elementPath(list, i)
--- a/state/prefix/index.go
+++ b/state/prefix/index.go
@@ -142,9 +142,9 @@
 
 // resetSlot clears the slot and sets its cursor after a gap in the sequence
 // numbers.
-func (x *Index) resetSlot(slot int, cursor, lostEvents uint64) error {
+func (x *Index) resetSlot(slot int, nextSequence, lostEvents uint64) error {
 	x.Clear(slot)
-	x.nextSequence[slot] = cursor
+	x.nextSequence[slot] = nextSequence
 	return &GapError{Lost: lostEvents}
 }
 
