--- a/protocol/action/history_test.go
+++ b/protocol/action/history_test.go
@@ -24,7 +24,8 @@
 	workers   = flag.Int("workers", min(3, runtime.NumCPU()), "how many histories run at once")
 )
 
-// runHistory simulates one history: callers send duplicate requests through
+// runHistory simulates one history, which is the sequence of all executions and
+// all results that callers received. Callers send duplicate requests through
 // several gateways while a random mix of faults is active.
 func runHistory(o options) *simulation {
 	sim := newSimulation(o)
--- a/protocol/action/simulation_test.go
+++ b/protocol/action/simulation_test.go
@@ -14,8 +14,9 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// brokenGuard names a safety rule of the gateways that a history violates on
-// purpose. The empty value violates none.
+// brokenGuard names a safety rule of the gateways that is disabled in a history,
+// to check that the history checker detects the violation. The empty value
+// disables none.
 type brokenGuard string
 
 const (
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -7,6 +7,12 @@
 // request that can't meet its target is refused at once. The package performs
 // no I/O and reads no clock: the time is passed to each call, and the
 // resulting effects are returned.
+//
+// The cost of a request is given in output tokens. Virtual time is the measure
+// by which fair queuing orders the flows of a class: the virtual start time of
+// a flow advances by the cost of each admitted item divided by the weight of
+// the workspace. A higher class has a higher Priority. The target of a class is
+// its target for the time to the first token.
 package admission
 
 import (
@@ -52,7 +58,7 @@
 	Refuse Kind = "refuse"
 )
 
-// Effect is the decision on an item that was offered.
+// Effect is the decision on an item that was passed to Offer.
 type Effect struct {
 	Kind Kind
 	ID   ID
@@ -84,15 +90,18 @@
 	HeadroomDeviations float64
 	// OverShareRatio and UnderShareRatio are multiples of a workspace's share
 	// of what was recently admitted. In all classes but the highest, a
-	// workspace above OverShareRatio yields its turn to work of a lower class
-	// of a workspace below UnderShareRatio.
+	// workspace whose use is above OverShareRatio yields its turn to a
+	// workspace that has queued work in a lower class and whose use is below
+	// UnderShareRatio.
 	OverShareRatio  float64
 	UnderShareRatio float64
 	// MaxVirtualLead limits how far the use in higher classes can delay a
-	// workspace in a lower class. It is given as time at the full throughput.
+	// workspace in a lower class. It is the time in which the runners complete
+	// that amount of work at full load.
 	MaxVirtualLead time.Duration
-	// RateBurst is how long a workspace may run ahead of its tokens-per-second
-	// limit.
+	// RateBurst is the burst that a workspace may use beyond its limit of
+	// tokens per second, given as the time in which the limit yields as many
+	// tokens.
 	RateBurst time.Duration
 	// MaxRetryAfter is the longest retry delay that a refusal asks for.
 	MaxRetryAfter time.Duration
@@ -137,7 +146,7 @@
 	class      *class
 	items      []*entry
 	queuedCost float64
-	// start is the virtual time at which the next item starts.
+	// start is the virtual start time of the next item.
 	start float64
 }
 
@@ -159,8 +168,8 @@
 	// half-life useHalfLife instead of rateHalfLife.
 	longTermAdmitted decayingRate
 	running          int
-	// meanResidence is the mean time in seconds from admission to the end of a
-	// request.
+	// meanResidence is the moving average of the time in seconds from the
+	// admission to the end of a request.
 	meanResidence float64
 }
 
@@ -386,8 +395,8 @@
 	return min(max(after, 100*time.Millisecond), c.cfg.MaxRetryAfter)
 }
 
-// maxServedGrowth is the factor over its recent rate of admission at which a
-// class is expected to be served at most.
+// maxServedGrowth limits the rate at which a class is expected to be admitted,
+// as a multiple of its rate over the last seconds (longTermAdmitted).
 const maxServedGrowth = 1.25
 
 // expectedWait estimates the time until the item is admitted.
--- a/protocol/admission/queue.go
+++ b/protocol/admission/queue.go
@@ -65,7 +65,7 @@
 }
 
 // nextFlow returns the flow to serve next, or nil if none is eligible. A lower
-// class whose credit covers its next item goes first; otherwise the highest
+// class whose costCredit covers its next item goes first; otherwise the highest
 // class with an eligible flow is served, unless yieldIfOverShare passes its
 // turn on.
 func (c *Controller) nextFlow(now time.Time) *flow {
--- a/protocol/call/call.go
+++ b/protocol/call/call.go
@@ -67,7 +67,7 @@
 	Path    string
 	Headers []Header
 	Body    []byte
-	// Deadline is when the caller stops waiting; zero is never.
+	// Deadline is when the caller stops waiting. The zero time means never.
 	Deadline time.Time
 }
 
--- a/protocol/handoff/drain.go
+++ b/protocol/handoff/drain.go
@@ -13,12 +13,13 @@
 type Transfer struct {
 	ID   ident.RequestID
 	Peer view.Daemon
-	// Epoch is the epoch with which the peer runs the request.
+	// Epoch is the epoch with which the peer must run the request.
 	Epoch uint64
 }
 
 // pendingTransfer is the state of a request that has not been passed on yet.
-// peerEpoch is the epoch with which assignedPeer would run the request.
+// lastEpoch is the highest epoch used for the request so far, and targetPeer is
+// the peer that runs the request with this epoch if a transfer succeeds.
 type pendingTransfer struct {
 	lastEpoch  uint64
 	targetPeer ident.Incarnation
@@ -58,8 +59,8 @@
 
 // NextTransfers returns the transfers to start now, ordered by request ID. If
 // the acknowledgement of a transfer was lost, the transfer is repeated to the
-// same peer with the same epoch, since a second peer would run the request
-// beside the first. The request goes to another peer, with a higher epoch that
+// same peer with the same epoch. A second peer would run the request at the
+// same time as the first. The request goes to another peer, with a higher epoch that
 // supersedes the first peer's, only if the first peer is no longer live.
 func (d *Drain) NextTransfers(daemons []view.Daemon) []Transfer {
 	var next []Transfer
@@ -96,7 +97,7 @@
 }
 
 // TransferRefused records that the peer refused a request. The request has not
-// run there, so it may go to another peer.
+// run at that peer, so it may go to another one.
 func (d *Drain) TransferRefused(id ident.RequestID, daemons []view.Daemon) {
 	p, ok := d.pending[id]
 	if !ok {
--- a/protocol/handoff/handoff_test.go
+++ b/protocol/handoff/handoff_test.go
@@ -142,8 +142,8 @@
 	is.True(third[0].Epoch > second[0].Epoch)
 }
 
-// cluster simulates a few daemons with their keepers, of which one at a time
-// may fail.
+// cluster simulates a few daemons, each with a keeper. One daemon at a time may
+// fail.
 type cluster struct {
 	daemons []view.Daemon
 	keepers map[ident.Incarnation]*handoff.Keeper
--- a/protocol/handoff/keeper.go
+++ b/protocol/handoff/keeper.go
@@ -16,7 +16,8 @@
 	// Stored means that the keeper holds the record, which now survives the
 	// loss of its owner.
 	Stored PutOutcome = iota
-	// Superseded means that another daemon owns the request now.
+	// Superseded means that another daemon owns the request now, with a claim
+	// that takes precedence.
 	Superseded
 	// Incomplete means that the keeper lacks an earlier part of the record, so
 	// that the sender must send the whole record.
@@ -142,8 +143,8 @@
 
 // Adopt removes the records whose owner is gone and returns them, ordered by
 // request ID, with this daemon as the owner and with the next epoch. An owner
-// counts as gone only if isPresent returns false for it and it has sent no
-// record for the given time of silence: an owner that still sends records is
+// counts as gone only if isPresent returns false for it and if it has sent no
+// record to this keeper for at least the duration silence: an owner that still sends records is
 // alive even if it is missing from the list of daemons.
 func (k *Keeper) Adopt(now time.Time, self ident.Incarnation, silence time.Duration, isPresent func(ident.Incarnation) bool) []Record {
 	var adopted []Record
--- a/protocol/handoff/record_tracker.go
+++ b/protocol/handoff/record_tracker.go
@@ -18,8 +18,8 @@
 	From int
 }
 
-// Progress is the current token offset of a request and whether it is
-// complete.
+// Progress is the number of tokens that a request has emitted and whether its
+// answer is complete.
 type Progress struct {
 	Offset int
 	Done   bool
@@ -78,8 +78,8 @@
 	*e = recordState{keeper: keeper, ackedOffset: p.Offset, ackedDone: p.Done, stored: true}
 }
 
-// Lost records that the keeper lacks the record or a part of it, so that the
-// whole record must be sent again.
+// Lost records that the keeper of a request's record lacks the record or a part
+// of it, so that the whole record must be sent again.
 func (o *RecordTracker) Lost(id ident.RequestID) {
 	if e, ok := o.entries[id]; ok {
 		*e = recordState{}
--- a/protocol/request/request.go
+++ b/protocol/request/request.go
@@ -24,10 +24,12 @@
 	// before another runner is used. The count starts anew once a connection
 	// has delivered tokens for as long as SilenceTimeout.
 	MaxReopens int
-	// MaxFailures is how many runner failures without progress end a request.
-	// Deferrable requests wait and try again instead.
+	// MaxFailures is the number of failures that ends a request: failed runners
+	// and refused requests for a runner, counted since the last emitted token. A
+	// deferrable request waits and tries again instead.
 	MaxFailures int
-	// BackoffMin and BackoffMax limit the wait for capacity.
+	// BackoffMin and BackoffMax limit the wait between two requests for a
+	// runner while no runner is available.
 	BackoffMin, BackoffMax time.Duration
 	// RetryAfter is the retry delay that callers of failed requests are given
 	// if the refusal has no delay of its own and a later attempt could succeed.
--- a/protocol/retry/retry.go
+++ b/protocol/retry/retry.go
@@ -62,10 +62,11 @@
 	MayHaveRun bool
 	// Repeatable work may run twice without harm.
 	Repeatable bool
-	// Accepted work was promised an answer. It waits for the retry budget
-	// instead of being ended.
+	// Accepted is set if the caller was promised an answer. Accepted work waits
+	// for the retry budget instead of being ended.
 	Accepted bool
-	// Attempts is the number of attempts made, including the failed one.
+	// Attempts is the number of attempts of this call so far, including the
+	// failed one.
 	Attempts int
 	// MaxAttempts overrides the MaxAttempts of the policy unless it is zero.
 	MaxAttempts int
--- a/protocol/stream/stream.go
+++ b/protocol/stream/stream.go
@@ -91,7 +91,7 @@
 }
 
 // Restore returns an answer that already contains the tokens emitted by an
-// earlier owner.
+// earlier owner, which is the daemon that ran the request before.
 func Restore(request ident.RequestID, limit int, tokens []string) *SplicedAnswer {
 	s := New(request, limit)
 	s.tokens = slices.Clone(tokens)
--- a/state/load/load.go
+++ b/state/load/load.go
@@ -35,7 +35,9 @@
 	KVBlocksTotal int
 	KVBlocksFree  int
 	// PrefillRate is the number of prompt tokens per second that the runner
-	// processes over all its requests. Zero means unknown.
+	// processes over all its requests, as reported by the runner or estimated by
+	// the daemon. For a plain service, the daemon estimates it from the service
+	// time of the requests. Zero means unknown.
 	PrefillRate float64
 	// DecodeRate is the number of output tokens that the runner generates per
 	// second for each request in the batch.
--- a/state/usage/usage.go
+++ b/state/usage/usage.go
@@ -10,7 +10,8 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Counts holds the usage of one workspace.
+// Counts holds the usage of one workspace since the start of the daemon.
+// Accepted, Answered and Refused count requests.
 type Counts struct {
 	Accepted        int64
 	Answered        int64
