--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -18,8 +18,8 @@
 	bodyHash string
 	state    State
 	expires  time.Time
-	// journalPromised is set if the token promises that the action is journaled
-	// before it is dispatched.
+	// journalPromised is set if the token of the key promises that the action is
+	// journaled before it is dispatched.
 	journalPromised bool
 	// durable is set once the journal holds the intent.
 	durable bool
@@ -75,7 +75,7 @@
 	}
 }
 
-// Ended reports whether the owner has stopped dispatching for good.
+// Ended reports whether the owner has stopped dispatching permanently.
 func (o *Owner) Ended() bool { return o.ended }
 
 // DispatchedCount returns the number of dispatched actions whose result is not
@@ -314,7 +314,7 @@
 }
 
 // StopAccepting makes the owner refuse new actions. The caller should call End
-// once DispatchedCount is zero or little time is left.
+// once DispatchedCount is zero or the daemon must stop soon.
 func (o *Owner) StopAccepting() { o.draining = true }
 
 // End starts to seal the journal with the name of the successor that will
@@ -344,8 +344,9 @@
 	return a
 }
 
-// EndUnsealed stops the owner for good without a seal in the journal, for use
-// when the key-value service is down or no time is left.
+// EndUnsealed stops the owner permanently without a seal in the journal, for use
+// when the key-value service is down or the daemon must stop before a seal can
+// be written.
 func (o *Owner) EndUnsealed(now time.Time) []Effect {
 	o.markEnded()
 	return o.flush(now)
--- a/protocol/action/owner_test.go
+++ b/protocol/action/owner_test.go
@@ -164,9 +164,9 @@
 	is.Equal(drv.executedOf(again), refusal.ExecutedYes)
 }
 
-// In any order of calls an owner dispatches each key at most once, keeps to
-// MaxRecords, and after a tick is never due at once, which would make its driver
-// spin.
+// In any order of calls, an owner dispatches each key at most once and keeps to
+// MaxRecords. NextDue must not return the current time directly after a Tick,
+// since its caller would then call Tick in an endless loop.
 func TestOwnerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drv := newOwnerDriver(func(c *action.Config) { c.MaxRecords, c.TokenLifetime = 4, 5*time.Second })
--- a/protocol/action/types.go
+++ b/protocol/action/types.go
@@ -96,7 +96,7 @@
 // Collect deletes a journal entry that is no longer needed.
 type Collect struct{ journal.Collect }
 
-// Ended reports that the owner has stopped for good and dispatches nothing any
+// Ended reports that the owner has stopped permanently and dispatches nothing any
 // more. Its journal is sealed, except after EndUnsealed.
 type Ended struct{ Owner ident.Incarnation }
 
--- a/protocol/admission/meter.go
+++ b/protocol/admission/meter.go
@@ -39,7 +39,8 @@
 	return m.decayedSum * math.Ln2 / m.halfLife.Seconds()
 }
 
-// tokenBucket is a token tokenBucket. The last spender may overdraw it.
+// tokenBucket limits a rate of tokens. Its balance may become negative, since an
+// item is admitted as soon as the balance is positive.
 type tokenBucket struct {
 	tokens float64
 	at     time.Time
@@ -47,8 +48,9 @@
 
 func (b *tokenBucket) spend(cost float64) { b.tokens -= cost }
 
-// timeUntilTokens refills the bucket and returns how long it takes until the
-// bucket has tokens, or zero if it has some now.
+// timeUntilTokens adds the tokens earned since the last call, up to perSecond
+// times burst. It returns how long it takes until the bucket has one token, or
+// zero if its balance is positive now.
 func (b *tokenBucket) timeUntilTokens(now time.Time, perSecond float64, burst time.Duration) time.Duration {
 	if perSecond <= 0 {
 		b.tokens, b.at = 0, now
--- a/protocol/call/call.go
+++ b/protocol/call/call.go
@@ -43,8 +43,8 @@
 // Models serves model requests.
 type Models interface {
 	// Submit accepts or refuses the request. An accepted request is answered in
-	// full or refused with the true state of its execution, even if its caller
-	// disconnects and returns at another gateway.
+	// full, or refused with a statement whether it was executed, even if its
+	// caller disconnects and reads the output at another gateway.
 	Submit(ctx context.Context, r ModelRequest) error
 	// Read passes the output from an offset on to sink until the output is
 	// complete, sink returns an error, or the request is refused. Any gateway
--- a/protocol/forward/events.go
+++ b/protocol/forward/events.go
@@ -20,8 +20,8 @@
 
 // EventStream splits a runner's event stream into complete events and drops
 // those that the caller has already received. A runner may stop in the middle
-// of an event. Only complete events are passed on to the caller, since
-// otherwise no further event could follow.
+// of an event. Only complete events are passed on to the caller: after a part of
+// an event, the events of another runner could not follow.
 //
 // After a resume, the events of the next runner pass through the same
 // EventStream, so that an event sent by both runners reaches the caller once.
@@ -49,7 +49,7 @@
 // LastID returns the ID of the last complete event.
 func (s *EventStream) LastID() string { return s.lastID }
 
-// Events returns the number of complete events passed on.
+// Events returns the number of complete events that Push has returned.
 func (s *EventStream) Events() int { return s.eventCount }
 
 // DropPartialEvent discards the incomplete event that the previous runner
--- a/protocol/request/messages.go
+++ b/protocol/request/messages.go
@@ -33,7 +33,8 @@
 	Cause Cause
 }
 
-// Relocate moves the request to the runner that the plan for a reclaim chose.
+// Relocate moves the request to another runner because the VM of its runner will
+// be reclaimed. The plan for the reclaim chose the target.
 type Relocate struct {
 	// Attempt is the attempt that the plan was made for. The machine ignores
 	// the input if a later attempt is current.
@@ -170,8 +171,8 @@
 // Failed ends the request with a refusal.
 type Failed struct{ Refusal *refusal.Refusal }
 
-// Yielded ends the request at this daemon without an answer because another
-// daemon runs it.
+// Yielded ends the request at this daemon without an answer, because another
+// daemon runs the request with a higher epoch.
 type Yielded struct{}
 
 // WakeAt asks for a Tick at the given time. Each WakeAt replaces the previous
--- a/protocol/retry/retry.go
+++ b/protocol/retry/retry.go
@@ -134,8 +134,9 @@
 	}
 }
 
-// Policy decides on the retries of one service. It is not safe for concurrent
-// use.
+// Policy decides on the retries of one service. Its budget is a number of
+// retries that grows with first attempts and with time and shrinks by one with
+// each retry. It is not safe for concurrent use.
 type Policy struct {
 	cfg         Config
 	rng         *rand.Rand
--- a/state/prefix/index_test.go
+++ b/state/prefix/index_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against requests that are sent to a runner that evicted their prefix
-// long ago, and wait for a prefill that another runner would have avoided.
+// long ago, and wait for a prefill that would not be needed at another runner.
 // This happens if the reader of cache events falls behind and the event log of
 // the runner wraps around before an eviction is read. The sequence numbers
 // then have a gap.
