--- a/daemon/actions/claim.go
+++ b/daemon/actions/claim.go
@@ -131,11 +131,11 @@
 	select {
 	case r := <-granted:
 		if r.Err != nil {
-			return 0, fmt.Errorf("grant lease for claims and seals: %w", r.Err)
+			return 0, fmt.Errorf("grant lease of a day: %w", r.Err)
 		}
 		return r.Val.(kv.LeaseID), nil
 	case <-ctx.Done():
-		return 0, fmt.Errorf("wait for lease for claims and seals: %w", ctx.Err())
+		return 0, fmt.Errorf("grant lease of a day: %w", ctx.Err())
 	}
 }
 
--- a/daemon/actions/seal.go
+++ b/daemon/actions/seal.go
@@ -96,13 +96,13 @@
 type SealContendedError struct{ Attempts int }
 
 func (e *SealContendedError) Error() string {
-	return fmt.Sprintf("log still changing after %d attempts to seal it", e.Attempts)
+	return fmt.Sprintf("lost %d entries in a row", e.Attempts)
 }
 
 // SealRateError means that the rate limit for sealing logs was exceeded.
 type SealRateError struct{}
 
-func (e *SealRateError) Error() string { return "rate limit for sealing logs exceeded" }
+func (e *SealRateError) Error() string { return "too many ended owners at once" }
 
 // readSealedLog returns the log of an ended owner. It seals the log if that has
 // not happened yet.
--- a/daemon/models/reader.go
+++ b/daemon/models/reader.go
@@ -39,7 +39,7 @@
 type StreamBrokenError struct{ Cause string }
 
 func (e *StreamBrokenError) Error() string {
-	return "stream from peer ended before the answer was complete: " + e.Cause
+	return "peer's stream broke: " + e.Cause
 }
 
 // SinkError wraps an error that the reader's sink returned.
@@ -222,7 +222,7 @@
 		}
 	}
 	if stream.Err() == nil {
-		return &StreamBrokenError{Cause: "the stream ended without a final message"}
+		return &StreamBrokenError{Cause: "ended early"}
 	}
 	return peerError(r.id, stream.Err())
 }
@@ -256,7 +256,7 @@
 	case m.Heartbeat:
 		return false, r.send(call.Event{Offset: r.offset, Heartbeat: true})
 	case m.Done && int(m.Offset) > r.offset, !m.Done && int(m.Offset) > r.offset:
-		return false, &StreamBrokenError{Cause: "offsets are missing"}
+		return false, &StreamBrokenError{Cause: "gap"}
 	case m.Done:
 		return true, r.send(call.Event{Offset: int(m.Offset), Done: true, FinishReason: m.FinishReason})
 	case int(m.Offset) < r.offset:
@@ -335,7 +335,7 @@
 		case <-ctx.Done():
 			return refusal.New(refusal.Cancelled, "reader went away").Unknown()
 		case <-r.m.ctx.Done():
-			return &StreamBrokenError{Cause: "this daemon is shutting down"}
+			return &StreamBrokenError{Cause: "daemon ends"}
 		case <-s.changed:
 		case <-heartbeat.C:
 			if err := r.send(call.Event{Offset: r.offset, Heartbeat: true}); err != nil {
