--- a/standin/pipe/pipe.go
+++ b/standin/pipe/pipe.go
@@ -26,7 +26,9 @@
 // RefusedError reports that nothing listens on an address.
 type RefusedError struct{ Address string }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("connection to %s refused: nothing listens", e.Address) }
+func (e *RefusedError) Error() string {
+	return fmt.Sprintf("connection to %s refused: nothing listens", e.Address)
+}
 
 // InUseError reports that another listener uses the address already.
 type InUseError struct{ Address string }
