--- a/standin/cloudapi/http.go
+++ b/standin/cloudapi/http.go
@@ -147,7 +147,7 @@
 	jsonhttp.Write(w, http.StatusBadRequest, cloudapi.ErrorBody{Code: cloudapi.CodeMalformed, Message: err.Error()})
 }
 
-// writeResult responds with the result or error of a call. For a lost answer
+// writeResult responds with the result or error of a call. For a lost response
 // it aborts the connection instead.
 func writeResult(w http.ResponseWriter, response any, err error) {
 	if err == nil {
--- a/standin/kvserver/http.go
+++ b/standin/kvserver/http.go
@@ -108,7 +108,7 @@
 	})
 }
 
-// writeError responds with the code of a typed error. For a lost answer it
+// writeError responds with the code of a typed error. For a lost response it
 // aborts the connection instead.
 func writeError(w http.ResponseWriter, err error) {
 	if lost := (*LostAnswerError)(nil); errors.As(err, &lost) {
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -233,7 +233,7 @@
 }
 
 // writeFailure responds with status 503 if err is set, and reports whether it is. For a
-// lost answer it aborts the connection instead.
+// lost response it aborts the connection instead.
 func writeFailure(w http.ResponseWriter, err error) bool {
 	var lost *kvserver.LostAnswerError
 	switch {
