--- a/demo/demo.go
+++ b/demo/demo.go
@@ -75,7 +75,7 @@
 	if err := checkEvents(o.Events); err != nil {
 		return Summary{}, err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	e, err := newEnv(f, o.Network, o.Seed)
 	if err != nil {
 		return Summary{}, err
@@ -84,7 +84,7 @@
 	if err := e.startGateways(ctx); err != nil {
 		return Summary{}, err
 	}
-	d := &scenarioRun{env: e, fleet: f, options: o, startedAt: began, tally: newTally()}
+	d := &scenarioRun{env: e, fleet: f, options: o, startedAt: startedAt, tally: newTally()}
 	if err := d.apply(ctx); err != nil {
 		return Summary{}, err
 	}
@@ -92,7 +92,7 @@
 	d.check()
 	s := d.tally.summary()
 	s.Fleet = f.Name
-	s.Seconds = time.Since(began).Seconds()
+	s.Seconds = time.Since(startedAt).Seconds()
 	return s, nil
 }
 
@@ -104,12 +104,12 @@
 	tally     *tally
 }
 
-func (d *scenarioRun) progress(format string, args ...any) {
+func (d *scenarioRun) reportProgress(format string, args ...any) {
 	fmt.Fprintf(d.options.Progress, "%5.1fs  %s\n", time.Since(d.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
 func (d *scenarioRun) apply(ctx context.Context) error {
-	d.progress("%d gateways, %d runners; applying the manifest of %s", gateways, len(d.env.standins.Runners()), d.fleet.Name)
+	d.reportProgress("%d gateways, %d runners; applying the manifest of %s", gateways, len(d.env.standins.Runners()), d.fleet.Name)
 	client := adminv1connect.NewAdminServiceClient(newHTTPClient(d.options.Network), "http://"+d.env.daemons[0].AdminAddress())
 	request := connect.NewRequest(&adminv1.ApplyRequest{
 		Manifest: d.fleet.Data, ExpectedGeneration: config.AnyGeneration,
@@ -120,7 +120,7 @@
 	if err != nil {
 		return fmt.Errorf("apply: %w", err)
 	}
-	d.progress("generation %d accepted; in force everywhere: %v", resp.Msg.Generation, resp.Msg.InForceEverywhere)
+	d.reportProgress("generation %d accepted; in force everywhere: %v", resp.Msg.Generation, resp.Msg.InForceEverywhere)
 	return nil
 }
 
@@ -146,7 +146,7 @@
 			return
 		case <-progress.C:
 			s := d.tally.summary()
-			d.progress("accepted %d, answered whole %d, refused %s, recomputed %d tokens",
+			d.reportProgress("accepted %d, answered whole %d, refused %s, recomputed %d tokens",
 				s.Accepted, s.AnsweredWhole, refusedText(s), d.env.standins.TokenCounter.TokenTotals().Recomputed)
 		}
 	}
@@ -177,7 +177,7 @@
 	for _, ev := range d.options.Events {
 		wg.Go(func() {
 			if sleep(ctx, ev.At) {
-				d.progress("%s", faults[ev.Fault].message)
+				d.reportProgress("%s", faults[ev.Fault].message)
 				faults[ev.Fault].inject(d, ctx)
 			}
 		})
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -132,7 +132,7 @@
 func (d *scenarioRun) silenceGateway(context.Context) {
 	n, ok := d.options.Network.(silencer)
 	if !ok {
-		d.progress("this network can't do that")
+		d.reportProgress("this network can't do that")
 		return
 	}
 	self := d.env.daemons[1].Self()
@@ -144,7 +144,7 @@
 	return func(d *scenarioRun, ctx context.Context) {
 		d.env.standins.KV.SetFaults(f)
 		sleep(ctx, outageDuration)
-		d.progress("the key-value service is well again")
+		d.reportProgress("the key-value service is well again")
 		d.env.standins.KV.SetFaults(kvserver.Faults{})
 	}
 }
@@ -188,7 +188,7 @@
 func (d *scenarioRun) submit(ctx context.Context, i int, m *manifest.Manifest) bool {
 	data, err := json.Marshal(m)
 	if err != nil {
-		d.progress("marshal manifest: %v", err)
+		d.reportProgress("marshal manifest: %v", err)
 		return false
 	}
 	client := adminv1connect.NewAdminServiceClient(newHTTPClient(d.options.Network), "http://"+d.env.daemons[i].AdminAddress())
--- a/demo/load.go
+++ b/demo/load.go
@@ -61,20 +61,20 @@
 	for {
 		c := l.clients[l.rng.IntN(len(l.clients))]
 		l.count++
-		n := l.count
+		count := l.count
 		select {
 		case <-sending.Done():
 			l.wg.Wait()
 			return
 		case <-chat.C:
 			l.wg.Go(func() {
-				l.sendCompletion(working, c, l.fleet.interactive, fmt.Sprintf("where is my case %d", n), chatTokens)
+				l.model(working, c, l.fleet.interactive, fmt.Sprintf("where is my case %d", count), chatTokens)
 			})
 		case <-long.C:
-			prompt := casePrompt(l.rng.IntN(cases)) + fmt.Sprintf(" draft %d", n)
-			l.wg.Go(func() { l.sendCompletion(working, c, l.fleet.long, prompt, longTokens) })
+			prompt := casePrompt(l.rng.IntN(cases)) + fmt.Sprintf(" draft %d", count)
+			l.wg.Go(func() { l.model(working, c, l.fleet.long, prompt, longTokens) })
 		case <-action.C:
-			l.sendAction(working, c, n)
+			l.sendAction(working, c, count)
 		case <-read.C:
 			l.wg.Go(func() { l.sendRead(working, c) })
 		}
@@ -90,7 +90,7 @@
 	return text
 }
 
-func (l *loadGenerator) sendCompletion(ctx context.Context, c *caller.Client, class, prompt string, tokens int) {
+func (l *loadGenerator) model(ctx context.Context, c *caller.Client, class, prompt string, tokens int) {
 	l.tally.update(func(s *Summary) { s.Sent++ })
 	result, err := c.Stream(ctx, gateway.CompletionRequest{
 		Model: l.fleet.model, Messages: []gateway.Message{{Role: "user", Content: prompt}},
