--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs the whole system in one process on loopback: small
-// stand-ins for the platform and the runners, five gateways, a mix of callers'
-// work, a reclaim of one failure domain's runners, a reclaim of one gateway and
-// an outage of the key-value service. It checks what callers saw.
+// Package demo runs the whole system in one process: stand-ins for the platform and
+// the runners, five gateways and a load of mixed requests. By default it reclaims the
+// model runners of one failure domain and one gateway, and takes the key-value service
+// down for a while. It checks what callers observed against what the runners executed.
 package demo
 
 import (
@@ -28,24 +28,24 @@
 
 const operatorKey = "demo-operator"
 
-// Bounds of a run.
+// Time limits of a run.
 const (
 	defaultSendFor = 20 * time.Second
 	drainTimeout   = 25 * time.Second
 	applyTimeout   = 10 * time.Second
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Fleet string
 	Seed  uint64
-	// Progress gets a line for each event; never nil.
+	// Progress receives a line for each event; it must not be nil.
 	Progress io.Writer
-	// Network is TCP on loopback, or one in memory.
+	// Network is TCP on loopback or an in-memory network.
 	Network daemon.Network
-	// Events are the faults to bring about; nil is DefaultEvents.
+	// Events are the faults to inject; nil means DefaultEvents.
 	Events []Event
-	// SendFor is how long callers send new work; zero is 20 seconds.
+	// SendFor is how long callers send new requests; zero means 20 seconds.
 	SendFor time.Duration
 }
 
@@ -60,7 +60,7 @@
 	return settings.Credential{Name: "demo", Role: "operator", KeyHash: hex.EncodeToString(sum[:])}
 }
 
-// Run plays the scenario and returns what it found.
+// Run runs the scenario and returns a summary of the results.
 func Run(ctx context.Context, o Options) (Summary, error) {
 	f, err := FleetNamed(o.Fleet)
 	if err != nil {
@@ -171,7 +171,8 @@
 	return out
 }
 
-// injectFaults brings the faults about.
+// injectFaults injects the faults at their times and returns when all of them are
+// over.
 func (d *scenarioRun) injectFaults(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, ev := range d.options.Events {
@@ -185,7 +186,7 @@
 	wg.Wait()
 }
 
-// sleep tells whether ctx lasted.
+// sleep waits for d and reports whether ctx was still active at its end.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -197,7 +198,7 @@
 	}
 }
 
-// check compares what callers were told with what the runners did.
+// check compares the answers that callers got with what the runners executed.
 func (d *scenarioRun) check() {
 	totals := d.env.standins.TokenCounter.TokenTotals()
 	counts := d.env.standins.Executions.Counts()
@@ -231,7 +232,8 @@
 	return out
 }
 
-// countRunTwice leaves out calls that are no actions and may be repeated.
+// countRunTwice counts the actions that ran more than once. Calls that are not actions
+// are counted under "" and may be repeated.
 func countRunTwice(counts map[string]int) int {
 	repeated := 0
 	for action, n := range counts {
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -11,10 +11,10 @@
 	"geraniumstack.org/geraniumstack/standin/pipe"
 )
 
-// Callers of both users send their mix while a failure domain's model runners
-// and a gateway are reclaimed and the key-value service is out. Every accepted
-// request must be answered whole or truthfully refused, and no action may run
-// twice.
+// Callers of both example fleets send their load while the model runners of one
+// failure domain and one gateway are reclaimed and the key-value service is down.
+// Every accepted request must get its whole answer or a truthful refusal, and no
+// action may run twice.
 func TestPromisesHoldThroughReclaimsAndOutage(t *testing.T) {
 	for _, fleet := range demo.Fleets {
 		t.Run(fleet, func(t *testing.T) {
--- a/demo/env.go
+++ b/demo/env.go
@@ -16,7 +16,7 @@
 	"geraniumstack.org/geraniumstack/transport/cloudapi"
 )
 
-// Sizes and speeds of the stand-ins.
+// Sizes and speeds of the stand-ins, and addresses to listen on.
 const (
 	gateways       = 5
 	startMillis    = 2000
@@ -37,7 +37,7 @@
 	entryClass     = "entry"
 )
 
-// env is the whole system: stand-ins and gateways.
+// env holds the stand-ins and the gateways of a run.
 type env struct {
 	fleet    *Fleet
 	network  daemon.Network
@@ -47,13 +47,13 @@
 	daemons []*gatewayProcess
 }
 
-// gatewayProcess is one gateway's daemon.
+// gatewayProcess is the daemon of one gateway, which runs in this process.
 type gatewayProcess struct {
 	*daemon.Daemon
 	vm   string
 	stop context.CancelFunc
 	done chan error
-	// reclaimed is set when its VM has been told to go.
+	// reclaimed is set when the gateway's VM has got its notice or has been killed.
 	reclaimed atomic.Bool
 }
 
@@ -67,7 +67,7 @@
 	return e, nil
 }
 
-// standinSettings describes the stand-ins that a fleet's manifest needs.
+// standinSettings derives the settings of the stand-ins from a fleet's manifest.
 func standinSettings(f *Fleet, seed uint64) fleet.Settings {
 	m := f.Manifest
 	s := fleet.Settings{
@@ -108,7 +108,7 @@
 	return out
 }
 
-// storeWeights puts what the manifest names into the weight store.
+// storeWeights adds the models and adapters of the manifest to the weight store.
 func (e *env) storeWeights() {
 	for _, m := range e.fleet.Manifest.Models {
 		e.standins.Weights.Add(cloudapi.Weight{Name: m.Name, Version: m.Version, Bytes: weightBytes})
@@ -121,7 +121,7 @@
 	}
 }
 
-// stopRemovedGateway ends the daemon of a VM whose notice is over.
+// stopRemovedGateway stops the daemon of a VM that the platform has removed.
 func (e *env) stopRemovedGateway(vm cloudapi.VM) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -179,7 +179,7 @@
 
 const stopTimeout = 2 * shutdownMillis * time.Millisecond
 
-// stop ends everything, the gateways by a graceful shutdown first.
+// stop shuts the gateways down gracefully and then closes the stand-ins.
 func (e *env) stop() {
 	for _, d := range e.daemons {
 		d.stop()
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -19,20 +19,21 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// Event is a fault at a time counted from the first request.
+// Event is a fault and the time at which it is injected, counted from the first
+// request.
 type Event struct {
 	At    time.Duration
 	Fault string
 }
 
-// UnknownFaultError says that there is no fault of that name.
+// UnknownFaultError reports a fault name that does not exist.
 type UnknownFaultError struct{ Name string }
 
 func (e *UnknownFaultError) Error() string {
 	return fmt.Sprintf("no fault %q; there are %v", e.Name, FaultNames())
 }
 
-// Lengths of the faults.
+// Durations and sizes of the faults.
 const (
 	runnerNotice    = 6 * time.Second
 	gatewayNotice   = 8 * time.Second
@@ -43,7 +44,8 @@
 	faultyCalls     = 3
 )
 
-// fault is one way in which the world fails.
+// fault is a kind of fault: the progress message for it and the function that injects
+// it.
 type fault struct {
 	message string
 	inject  func(*scenarioRun, context.Context)
@@ -70,7 +72,7 @@
 	"operators-race":   {"two operators submit manifests at once", (*scenarioRun).submitConcurrently},
 }
 
-// FaultNames lists the faults that an Event can name.
+// FaultNames lists the fault names that an Event accepts.
 func FaultNames() []string { return sortedKeys(faults) }
 
 func checkEvents(events []Event) error {
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// DefaultEvents is the demo's scenario.
+// DefaultEvents returns the demo's standard scenario.
 func DefaultEvents() []Event {
 	return []Event{
 		{4 * time.Second, "runners-reclaim"},
@@ -126,7 +128,8 @@
 	d.env.standins.Cloud.Kill(r.vm)
 }
 
-// silencer is a network in which open connections can lose their way.
+// silencer is a network that can stop delivering data on the open connections of an
+// address without closing them.
 type silencer interface{ Silence(address string) int }
 
 func (d *scenarioRun) silenceGateway(context.Context) {
@@ -169,7 +172,8 @@
 	}
 }
 
-// submitConcurrently submits two manifests that both expect to replace the first one.
+// submitConcurrently submits two manifests at once that both expect to replace
+// generation 1, so at most one of them may be accepted.
 func (d *scenarioRun) submitConcurrently(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i := range 2 {
--- a/demo/faults_test.go
+++ b/demo/faults_test.go
@@ -14,7 +14,7 @@
 
 const faultsSendFor = 12 * time.Second
 
-// pairs are faults that meet: the second comes while the first lasts.
+// pairs lists faults that overlap: the second is injected while the first is active.
 var pairs = [][2]string{
 	{"kv-outage", "gateway-kill"},
 	{"kv-outage", "runners-kill"},
@@ -41,11 +41,11 @@
 	return out
 }
 
-// Callers send their mix while one thing fails, or two that meet. What they
-// were promised must hold for each: an accepted request is answered whole or
-// refused with a reason, nobody gets part of another's answer, no action runs
-// twice, nobody is told "not run" of what ran, at most one of two operators
-// wins, and what was accepted is in force everywhere.
+// Callers send their load during one fault, or during two that overlap. For each case,
+// an accepted request must get its whole answer or a refusal with a reason, no answer
+// may contain parts of another, no action may run twice, no caller may be told "not
+// run" about an action that ran, at most one of two concurrent manifests may be
+// accepted, and an accepted manifest must be in force in all failure domains.
 func TestPromisesHoldUnderEachFaultAndPair(t *testing.T) {
 	for name, events := range scenarios() {
 		t.Run(name, func(t *testing.T) {
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -10,14 +10,15 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// Fleet is one of the users' fleets as the demo runs it.
+// Fleet is one of the example fleets, with the requests that the demo sends to it.
 type Fleet struct {
 	Name     string
 	Data     []byte
 	Manifest *manifest.Manifest
-	// keyPrefix begins the example bearer keys; the workspace follows.
+	// keyPrefix is the start of the example bearer keys; the workspace name follows
+	// it.
 	keyPrefix string
-	// Model and the classes of the work that the demo sends.
+	// The model, service tiers, service and paths that the demo's requests use.
 	model        string
 	interactive  string
 	long         string
@@ -26,17 +27,17 @@
 	readPath     string
 }
 
-// UnknownFleetError says that there is no example of that name.
+// UnknownFleetError reports a fleet name that has no example manifest.
 type UnknownFleetError struct{ Name string }
 
 func (e *UnknownFleetError) Error() string {
 	return fmt.Sprintf("no fleet %q: huaman or aspen-coulee", e.Name)
 }
 
-// Fleets are the names that FleetNamed knows.
+// Fleets lists the names that FleetNamed accepts.
 var Fleets = []string{"huaman", "aspen-coulee"}
 
-// FleetNamed reads one of the example manifests.
+// FleetNamed loads the example manifest of a fleet.
 func FleetNamed(name string) (*Fleet, error) {
 	var f *Fleet
 	switch name {
@@ -65,16 +66,17 @@
 
 func (f *Fleet) key(ws ident.Workspace) string { return f.keyPrefix + string(ws) }
 
-// modelService is the service that serves the demo's model.
+// modelService returns the service that serves the demo's model.
 func (f *Fleet) modelService() string { return f.Manifest.ModelNamed(f.model).Service }
 
-// gatewayDomain spreads five gateways over the fleet's failure domains.
+// gatewayDomain assigns gateways to the fleet's failure domains in turn.
 func (f *Fleet) gatewayDomain(i int) ident.FailureDomain {
 	domains := f.Manifest.Fleet.FailureDomains
 	return domains[i%len(domains)]
 }
 
-// className picks the VM class of a service by whether it can be reclaimed.
+// className returns a VM class of a service, reclaimable or not as asked. Without such
+// a class it returns the manifest's first class.
 func (f *Fleet) className(service string, reclaimable bool) string {
 	for _, c := range f.Manifest.Fleet.VMClasses {
 		if c.Reclaimable == reclaimable && strings.Contains(strings.Join(c.Services, ","), service) {
--- a/demo/load.go
+++ b/demo/load.go
@@ -16,7 +16,7 @@
 	"geraniumstack.org/geraniumstack/transport/gateway"
 )
 
-// The mix that callers send.
+// The load that callers send.
 const (
 	chatEvery      = 60 * time.Millisecond
 	longEvery      = 300 * time.Millisecond
@@ -26,11 +26,12 @@
 	longTokens     = 500
 	caseWords      = 600
 	cases          = 12
-	duplicateOneIn = 3 // one action in so many is sent twice at once
+	duplicateOneIn = 3 // one in this many actions is sent twice at once
 	requestTimeout = 40 * time.Second
 )
 
-// loadGenerator sends the mix until ctx ends and then waits for what is in progress.
+// loadGenerator sends requests until sending ends and then waits for those in
+// progress.
 type loadGenerator struct {
 	fleet   *Fleet
 	tally   *tally
@@ -81,7 +82,7 @@
 	}
 }
 
-// casePrompt is a long file that several drafts share as their prefix.
+// casePrompt returns a long prompt that several requests share as their prefix.
 func casePrompt(n int) string {
 	text := fmt.Sprintf("case file %d:", n)
 	for i := range caseWords {
@@ -115,7 +116,7 @@
 	l.tally.recordLatency(result.FirstToken, result.LongestGap)
 }
 
-// unfinishedError says how far a model request had come when it failed.
+// unfinishedError reports how many tokens a completion had received when it failed.
 type unfinishedError struct {
 	tokens, of, resumed int
 	err                 error
@@ -125,11 +126,11 @@
 	return fmt.Sprintf("after %d of %d tokens over %d connections: %v", e.tokens, e.of, 1+e.resumed, e.err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that ended the request.
 func (e *unfinishedError) Unwrap() error { return e.err }
 
-// countFailure sorts an error: a typed refusal is an answer, anything else after
-// acceptance is a request lost.
+// countFailure counts a typed refusal by its code, and any other error as an error. An
+// error other than a refusal after acceptance also counts as a lost request.
 func (l *loadGenerator) countFailure(accepted bool, err error) {
 	var refused *caller.RefusedError
 	l.tally.update(func(s *Summary) {
@@ -159,8 +160,8 @@
 	})
 }
 
-// tryAction sends one key, perhaps twice at once, and tells whether the action
-// is to be asked for again under a new one.
+// tryAction sends one action, with the same key in every copy, and reports whether the
+// action should be retried under a new key.
 func (l *loadGenerator) tryAction(ctx context.Context, c *caller.Client, n, copies int) bool {
 	key, err := c.NewKey(ctx)
 	if err != nil {
--- a/demo/remote.go
+++ b/demo/remote.go
@@ -9,7 +9,7 @@
 	"geraniumstack.org/geraniumstack/caller"
 )
 
-// LoadOptions describe a load on gateways that run elsewhere.
+// LoadOptions configure a load on gateways that already run in other processes.
 type LoadOptions struct {
 	Fleet    string
 	Gateways []string
@@ -19,9 +19,10 @@
 	Progress io.Writer
 }
 
-// Load sends a fleet's mix to running gateways and tells what callers saw. It
-// expects stand-in engines, whose answers it knows. What the runners did is out
-// of its sight, so runs of one action are not counted.
+// Load sends a fleet's load to running gateways and summarizes what callers observed.
+// It expects stand-in engines, because it compares their answers with the tokens that
+// they generate. It cannot see what runners executed, so it doesn't count actions that
+// ran twice.
 func Load(ctx context.Context, o LoadOptions) (Summary, error) {
 	f, err := FleetNamed(o.Fleet)
 	if err != nil {
--- a/demo/tally.go
+++ b/demo/tally.go
@@ -14,7 +14,7 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// Summary is what the demo found.
+// Summary holds the counts and latencies of a run.
 type Summary struct {
 	Fleet           string                                   `json:"fleet"`
 	Seconds         float64                                  `json:"seconds"`
@@ -46,13 +46,14 @@
 	histogramDigits = 3
 )
 
-// tally adds up what callers saw. It is safe for concurrent use.
+// tally aggregates what callers observed. It is safe for concurrent use.
 type tally struct {
 	mu   sync.Mutex
 	s    Summary
 	ttft *hdrhistogram.Histogram
 	gap  *hdrhistogram.Histogram
-	// reportedNotExecuted has the actions whose caller was told that nothing ran.
+	// reportedNotExecuted holds the keys of actions whose caller was told that nothing
+	// ran.
 	reportedNotExecuted map[string]bool
 }
 
@@ -74,7 +75,7 @@
 func (t *tally) recordLatency(first, gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// A value over the histogram's bound counts as the bound.
+	// Values above the histogram's limit are recorded as the limit.
 	_ = t.ttft.RecordValue(min(first.Microseconds(), histogramMax))
 	_ = t.gap.RecordValue(min(gap.Microseconds(), histogramMax))
 }
@@ -114,7 +115,7 @@
 	return true
 }
 
-// Write prints the summary for a person.
+// Write prints the summary as a table.
 func (s Summary) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	row := func(name string, v any) { fmt.Fprintf(t, "%s\t%v\n", name, v) }
