--- a/demo/load.go
+++ b/demo/load.go
@@ -16,7 +16,7 @@
 	"geraniumstack.org/geraniumstack/transport/gateway"
 )
 
-// The mix that callers send.
+// The load that callers send.
 const (
 	chatEvery      = 60 * time.Millisecond
 	longEvery      = 300 * time.Millisecond
@@ -26,11 +26,12 @@
 	longTokens     = 500
 	caseWords      = 600
 	cases          = 12
-	duplicateOneIn = 3 // one action in so many is sent twice at once
+	duplicateOneIn = 3 // one in this many actions is sent twice at once
 	requestTimeout = 40 * time.Second
 )
 
-// loadGenerator sends the mix until ctx ends and then waits for what is in progress.
+// loadGenerator sends requests until sending ends and then waits for those in
+// progress.
 type loadGenerator struct {
 	fleet   *Fleet
 	tally   *tally
@@ -61,27 +62,27 @@
 	for {
 		c := l.clients[l.rng.IntN(len(l.clients))]
 		l.count++
-		n := l.count
+		count := l.count
 		select {
 		case <-sending.Done():
 			l.wg.Wait()
 			return
 		case <-chat.C:
 			l.wg.Go(func() {
-				l.sendCompletion(working, c, l.fleet.interactive, fmt.Sprintf("where is my case %d", n), chatTokens)
+				l.model(working, c, l.fleet.interactive, fmt.Sprintf("where is my case %d", count), chatTokens)
 			})
 		case <-long.C:
-			prompt := casePrompt(l.rng.IntN(cases)) + fmt.Sprintf(" draft %d", n)
-			l.wg.Go(func() { l.sendCompletion(working, c, l.fleet.long, prompt, longTokens) })
+			prompt := casePrompt(l.rng.IntN(cases)) + fmt.Sprintf(" draft %d", count)
+			l.wg.Go(func() { l.model(working, c, l.fleet.long, prompt, longTokens) })
 		case <-action.C:
-			l.sendAction(working, c, n)
+			l.sendAction(working, c, count)
 		case <-read.C:
 			l.wg.Go(func() { l.sendRead(working, c) })
 		}
 	}
 }
 
-// casePrompt is a long file that several drafts share as their prefix.
+// casePrompt returns a long prompt that several requests share as their prefix.
 func casePrompt(n int) string {
 	text := fmt.Sprintf("case file %d:", n)
 	for i := range caseWords {
@@ -90,7 +91,7 @@
 	return text
 }
 
-func (l *loadGenerator) sendCompletion(ctx context.Context, c *caller.Client, class, prompt string, tokens int) {
+func (l *loadGenerator) model(ctx context.Context, c *caller.Client, class, prompt string, tokens int) {
 	l.tally.update(func(s *Summary) { s.Sent++ })
 	result, err := c.Stream(ctx, gateway.CompletionRequest{
 		Model: l.fleet.model, Messages: []gateway.Message{{Role: "user", Content: prompt}},
@@ -115,7 +116,7 @@
 	l.tally.recordLatency(result.FirstToken, result.LongestGap)
 }
 
-// unfinishedError says how far a model request had come when it failed.
+// unfinishedError reports how many tokens a completion had received when it failed.
 type unfinishedError struct {
 	tokens, of, resumed int
 	err                 error
@@ -125,11 +126,11 @@
 	return fmt.Sprintf("after %d of %d tokens over %d connections: %v", e.tokens, e.of, 1+e.resumed, e.err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that ended the request.
 func (e *unfinishedError) Unwrap() error { return e.err }
 
-// countFailure sorts an error: a typed refusal is an answer, anything else after
-// acceptance is a request lost.
+// countFailure counts a typed refusal by its code, and any other error as an error. An
+// error other than a refusal after acceptance also counts as a lost request.
 func (l *loadGenerator) countFailure(accepted bool, err error) {
 	var refused *caller.RefusedError
 	l.tally.update(func(s *Summary) {
@@ -159,8 +160,8 @@
 	})
 }
 
-// tryAction sends one key, perhaps twice at once, and tells whether the action
-// is to be asked for again under a new one.
+// tryAction sends one action, with the same key in every copy, and reports whether the
+// action should be retried under a new key.
 func (l *loadGenerator) tryAction(ctx context.Context, c *caller.Client, n, copies int) bool {
 	key, err := c.NewKey(ctx)
 	if err != nil {
