--- a/coordination/accounting/accounting.go
+++ b/coordination/accounting/accounting.go
@@ -28,7 +28,7 @@
 // Counts holds the number of requests that started in one window, by workspace.
 type Counts map[ident.Workspace]int64
 
-// Timing holds the length of windows and the limits for reporting them.
+// Timing holds the length of a window and the times after its end at which it is reported.
 type Timing struct {
 	// Length is the length of a window.
 	Length time.Duration
@@ -63,7 +63,7 @@
 	workspaces []ident.Workspace
 }
 
-// NewLedger returns an empty ledger of the daemon self.
+// NewLedger returns a ledger without counts for the daemon self.
 func NewLedger(self ident.Incarnation, timing Timing) *Ledger {
 	return &Ledger{
 		timing:   timing,
--- a/coordination/feed/feed_test.go
+++ b/coordination/feed/feed_test.go
@@ -40,7 +40,8 @@
 	return list
 }
 
-// follower applies batches as a daemon does.
+// follower applies batches as a daemon that doesn't watch the service does: it skips a
+// batch that starts after the revision through which it knows everything.
 type follower struct {
 	completeThrough uint64
 	revisions       map[string]uint64
@@ -109,7 +110,8 @@
 			before := f.completeThrough
 			p, ok := logs[0].Since(f.completeThrough, 100)
 			if !ok {
-				// The follower lists the service itself.
+				// The log can't tell which keys were deleted, so the follower lists the
+				// service itself.
 				f.completeThrough, f.keys = s.revision, maps.Clone(s.keys)
 				break
 			}
--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -52,7 +52,8 @@
 	candidates
 	counts      []int
 	vmsByDomain []int
-	// atRisk is the number of VMs in each failure domain that are lost with it.
+	// atRisk is, for each failure domain, the number of VMs that are lost if the domain is
+	// lost.
 	atRisk        []int
 	allocated     int
 	expectedPrice float64
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -44,7 +44,7 @@
 	d.Starts = t.allowedMoves(starts)
 }
 
-// missingStarts returns the VMs of the plan that the fleet lacks.
+// missingStarts returns one start for each VM by which a pool has fewer VMs than the plan.
 func (t *planningRound) missingStarts() []Start {
 	var starts []Start
 	for id, n := range t.plan {
@@ -58,8 +58,9 @@
 	return starts
 }
 
-// requiredStarts returns the first starts that are enough to meet the target together with
-// all current VMs, including those in pools that the plan would not choose.
+// requiredStarts returns as many of the given starts, from the first on, as are needed to
+// meet the target together with all current VMs, including those in pools that the plan
+// would not choose.
 func (t *planningRound) requiredStarts(starts []Start) []Start {
 	totals := t.domainTotals(t.current)
 	for i, s := range starts {
@@ -175,7 +176,7 @@
 	return vmIDs
 }
 
-// excessByPool returns by how many VMs each pool exceeds the plan, without pools that don't.
+// excessByPool returns, for each pool that holds more VMs than the plan, by how many.
 func (t *planningRound) excessByPool() map[Pool]int {
 	surplus := map[Pool]int{}
 	for id, n := range t.current {
@@ -203,7 +204,7 @@
 	})
 }
 
-// domainTotals counts VMs by failure domain.
+// domainTotals counts the VMs of a fleet in total and by failure domain.
 type domainTotals struct {
 	total   int
 	domains map[ident.FailureDomain]int
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -209,7 +209,7 @@
 	// standard deviation of the prefill work arriving while a prompt may wait, in the same
 	// unit.
 	Busy, Deviation float64
-	// Settled is set if there has been work for at least DemandConfig.Settle.
+	// Settled is set if there has been work for at least DemandConfig.MinWorkTime.
 	Settled bool
 }
 
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -62,7 +62,7 @@
 	MinPerDomain, MaxPerDomain int
 }
 
-// Limits holds the planner's parameters.
+// Limits holds the planner's waiting times, costs and thresholds.
 type Limits struct {
 	// FirstBackoff is how long a pool is not used after a refused start. It doubles with
 	// each further refusal up to MaxBackoff.
@@ -98,7 +98,7 @@
 // Start is an order of one VM in a pool.
 type Start struct{ Pool Pool }
 
-// Decision holds the changes to make now.
+// Decision holds the VMs to start and to stop now.
 type Decision struct {
 	Starts []Start
 	// Stops are the IDs of the VMs to remove, by graceful shutdown of their runners.
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -35,8 +35,8 @@
 	return n
 }
 
-// A whole failure domain is lost. Whatever the prices and refusals were when the fleet was
-// planned, the remaining runners must meet the target.
+// For any prices and refusals at the time of planning, the runners that remain after the
+// loss of any one failure domain must meet the target.
 func TestPlanSurvivesLossOfAnyFailureDomain(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		domains := []ident.FailureDomain{"a", "b", "c", "d"}[:rapid.IntRange(2, 4).Draw(rt, "domains")]
--- a/coordination/fleet/orders.go
+++ b/coordination/fleet/orders.go
@@ -25,7 +25,8 @@
 	stopExpiries  []time.Duration
 }
 
-// NewOrders returns Orders that drop an order if it has no effect within timeout.
+// NewOrders returns Orders without pools. An order that has no effect within timeout is
+// dropped.
 func NewOrders(timeout time.Duration) *Orders {
 	return &Orders{pools: map[Pool]*poolOrders{}, timeout: timeout}
 }
@@ -81,7 +82,8 @@
 	return vms
 }
 
-// Target returns the number of VMs to order from the cloud in a pool.
+// Target returns the number of VMs of a pool that the cloud should run: those that are
+// present and not given back, and those that are starting.
 func (o *Orders) Target(id Pool) int {
 	p := o.pool(id)
 	return max(0, p.present-len(p.stopExpiries)) + len(p.startExpiries)
--- a/coordination/fleet/tally.go
+++ b/coordination/fleet/tally.go
@@ -15,11 +15,12 @@
 	maxRelayedSilence = 1600 * time.Millisecond
 )
 
-// Tally adds up the counters of daemons, each of which counts from its own start. After a
-// silence the first message only sets the value from which a counter continues. Otherwise
-// all that a daemon counted during the silence would seem to have happened in one moment.
-// The same applies to a daemon that is heard for the first time, and to all daemons after
-// this daemon was suspended. The total never falls. A Tally is not safe for concurrent use.
+// Tally adds up the counters of other daemons, each of which counts from its own start. If
+// a daemon has not been heard for longer than maxSilence, its next message only sets the
+// value from which its counter continues. Otherwise all that the daemon counted in the
+// meantime would seem to have happened in one moment. The same applies to a daemon that is
+// heard for the first time, and to all daemons after this daemon was suspended. The total
+// never falls. A Tally is not safe for concurrent use.
 type Tally struct {
 	total        float64
 	lastReadings map[ident.Incarnation]counterReading
@@ -54,5 +55,6 @@
 // PeerEnded removes a daemon's counter. The total stays.
 func (t *Tally) PeerEnded(id ident.Incarnation) { delete(t.lastReadings, id) }
 
-// Total returns the sum over all daemons of what they counted without a silence.
+// Total returns the sum of the growth of all counters, without their growth during a
+// silence.
 func (t *Tally) Total() float64 { return t.total }
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -75,7 +75,8 @@
 	return t.revision != before
 }
 
-// apply merges all that a message contains.
+// apply merges the sender's own record, the changes, the generations in force and the
+// positions of a message.
 func (t *Table) apply(now time.Time, m Message) {
 	if m.From.Incarnation == t.self.Incarnation {
 		return
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -179,8 +179,8 @@
 	return true
 }
 
-// MarkGone marks this daemon as gone. Its record is then sent a last time before the
-// process ends.
+// MarkGone marks this daemon as gone. The caller then sends this record a last time before
+// the process ends.
 func (t *Table) MarkGone(now time.Time) {
 	t.self.State = view.Gone
 	t.self.Since = now
@@ -303,7 +303,8 @@
 	t.markChanged(key, "")
 }
 
-// setState sets the state of another daemon based on what this daemon observed.
+// setState sets the state of another daemon from an observation of this daemon, not from a
+// report of a peer.
 func (t *Table) setState(now time.Time, key string, state view.State) {
 	m := t.log.records[key].member
 	m.State = state
--- a/coordination/membership/types.go
+++ b/coordination/membership/types.go
@@ -71,7 +71,7 @@
 	Since    time.Time
 }
 
-// Notice announces that a VM is leaving.
+// Notice announces that a VM is leaving, e.g. because the cloud reclaims it.
 type Notice struct {
 	// VM is the VM's ID. It may be empty if only the address is known.
 	VM      string
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -104,8 +104,8 @@
 type roster struct {
 	receivedAt time.Duration
 	rows       map[ident.Incarnation]bool
-	// fleetSize is the number of daemons that the relay knows, domainCount that of failure
-	// domains.
+	// fleetSize is the number of daemons and domainCount the number of failure domains
+	// that the relay knows.
 	fleetSize, domainCount int
 }
 
@@ -265,8 +265,8 @@
 	return ended
 }
 
-// Tick removes expired entries, rosters and addresses, and returns the incarnations of the
-// removed daemons.
+// Tick removes daemons after ForgetAfter, rosters after RosterTTL and addresses after
+// AddressTTL, and returns the incarnations of the removed daemons.
 func (t *Table) Tick(now time.Duration) []ident.Incarnation {
 	var ended []ident.Incarnation
 	for id, e := range t.entries {
--- a/coordination/peers/peers_test.go
+++ b/coordination/peers/peers_test.go
@@ -107,7 +107,8 @@
 	is.Equal(liveIDs(table, 0), []string{"a", "r"})
 }
 
-// Guards against a registration that outlives its daemon and makes it look alive again.
+// Guards against a registration in the key-value service that is still there after its
+// daemon has ended, and makes the daemon look alive again.
 func TestIntroductionExpires(t *testing.T) {
 	is := is.New(t)
 	table := peers.New(member("a", "1"))
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -37,7 +37,8 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Limit is the quota of one workspace. A zero PerSecond means that there is no limit.
+// Limit is the quota of one workspace: PerSecond is the rate and Burst the burst, in
+// tokens. A PerSecond of zero means that there is no limit.
 type Limit struct {
 	PerSecond float64
 	Burst     float64
@@ -46,7 +47,8 @@
 // Tolerance is the amount by which the use in a window may exceed the quota. It exists
 // because daemons learn of each other's use with a delay.
 type Tolerance struct {
-	// Overage is a fraction of the quota; Slack is an absolute amount on top of it.
+	// Overage is the fraction of the quota by which it may be exceeded; Slack is an
+	// absolute number of tokens in addition.
 	Overage float64
 	Slack   float64
 }
@@ -70,7 +72,8 @@
 	// other daemons reserve its share. Messages are sent every 100 ms, so by then five are
 	// missing.
 	SilentAfter = 600 * time.Millisecond
-	// ForgetAfter is how long the share of an unheard daemon stays reserved.
+	// ForgetAfter is how long after its last message the share of a silent daemon stays
+	// reserved.
 	ForgetAfter = 10 * time.Second
 	// minRateShare is the fraction of one interval's refill that each daemon may take in
 	// any case. Without it a workspace below its quota whose callers all use one daemon
@@ -202,8 +205,8 @@
 // capacity is the maximum level of a bucket.
 func (l *Limiter) capacity(limit Limit) float64 { return (1 - steadyFraction) * l.windowBurst(limit) }
 
-// rate is the refill of a bucket per second. A full bucket and the refill of one window add
-// up to what a window may hold.
+// rate is the number of tokens per second by which a bucket is refilled. A full bucket and
+// the refill of one window add up to what a window may hold.
 func (l *Limiter) rate(limit Limit) float64 {
 	if limit.PerSecond <= 0 {
 		return 0
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -132,7 +132,8 @@
 	return f
 }
 
-// restart replaces all daemons by new ones that have not heard of each other.
+// restart replaces all daemons by new ones that have not heard of each other, but know how
+// many daemons there may be.
 func (f *fleet) restart() {
 	for i := range f.members {
 		f.ids[i] += "+"
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -51,7 +51,8 @@
 	DirectFleet int
 }
 
-// Plan says to whom a daemon sends messages, and who watches the key-value service.
+// Plan says to whom a daemon sends messages, and which daemons watch the key-value
+// service.
 type Plan struct {
 	// Relay is set if this daemon is a relay itself.
 	Relay bool
--- a/coordination/spread/tree.go
+++ b/coordination/spread/tree.go
@@ -27,7 +27,7 @@
 	source  string
 	// pending holds the children that have not acknowledged the current version.
 	pending map[int]pendingAck
-	// sentTo holds the members to which the current version was sentTo.
+	// sentTo holds the members to which this member has sent the current version.
 	sentTo map[int]bool
 }
 
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -28,7 +28,8 @@
 	// Leaving processes accept no new work. The state is final for the incarnation, except
 	// that it may become Gone.
 	Leaving State = "leaving"
-	// Suspect processes have been silent. They are used last and may become live again.
+	// Suspect processes have not answered for a while. They are used only after the live
+	// ones, and may become live again.
 	Suspect State = "suspect"
 	// Gone processes have ended. The state is final for the incarnation.
 	Gone State = "gone"
