--- a/coordination/accounting/accounting.go
+++ b/coordination/accounting/accounting.go
@@ -47,8 +47,8 @@
 // time of day.
 const SettleAfter = 700 * time.Millisecond
 
-// keptWindows is how many windows before the current one are kept. A report of an older
-// window would be too late to be accepted.
+// keptWindows is how many windows before the current one are kept. Older windows are past
+// due, so a report of them would not be accepted.
 const keptWindows = 6
 
 // Ledger holds the counts of all daemons as far as this daemon knows them.
--- a/coordination/accounting/coverage.go
+++ b/coordination/accounting/coverage.go
@@ -19,8 +19,8 @@
 	ended map[ident.Incarnation]time.Duration
 }
 
-// rememberEndedFor is how long the end of a daemon is remembered. It is longer than the
-// time for which any window waits for its report.
+// rememberEndedFor is how long after the end of a daemon the end is remembered. It is
+// longer than the time between the end of a window and its report.
 const rememberEndedFor = time.Minute
 
 // Receive records that this daemon received the counts of another daemon from that daemon
--- a/coordination/fleet/cheapest.go
+++ b/coordination/fleet/cheapest.go
@@ -25,8 +25,8 @@
 	domainCount  int
 }
 
-// listCandidates returns the offers as candidates. A pool in backoff can hold at most its
-// current VMs.
+// listCandidates returns the offers as candidates, sorted by expected price. A pool in
+// backoff can hold at most its current VMs.
 func (p *Planner) listCandidates(now time.Duration, offers []Offer, have map[Pool]int) candidates {
 	domainIndexes := map[ident.FailureDomain]int{}
 	sorted := make([]candidate, 0, len(offers))
@@ -66,7 +66,8 @@
 }
 
 // allocate places total VMs in the cheapest candidates, after giving each failure domain
-// its minimum. In any failure domain at most perDomain VMs may be lost with it.
+// the MinPerDomain of the target. If any one failure domain is lost, at most maxAtRisk VMs
+// may be lost with it.
 func (f *allocation) allocate(total, maxAtRisk int) {
 	clear(f.counts)
 	clear(f.vmsByDomain)
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -125,7 +125,8 @@
 	return n
 }
 
-// surplusStops returns the VMs to stop once the surplus has lasted for SurplusHold.
+// surplusStops returns the IDs of the VMs to stop once the surplus has lasted for
+// SurplusHold.
 func (t *planningRound) surplusStops() []string {
 	vmIDs := t.removableVMIDs()
 	if len(vmIDs) == 0 {
@@ -208,9 +209,10 @@
 type domainTotals struct {
 	total   int
 	domains map[ident.FailureDomain]int
-	// atRisk counts the VMs that are lost if their failure domain is lost.
+	// atRisk counts, for each failure domain, the VMs that are lost if the domain is lost.
 	atRisk map[ident.FailureDomain]int
-	// notAtRisk holds the pools that lose no VMs with their failure domain.
+	// notAtRisk holds the pools whose VMs are assumed to survive the loss of their failure
+	// domain: those that are not reclaimable if the target only has to survive reclaims.
 	notAtRisk map[Pool]bool
 }
 
@@ -238,8 +240,8 @@
 	return s
 }
 
-// meets reports whether the VMs meet the target w. If the target must survive the loss of
-// a failure domain, the domain with the most VMs at risk is assumed to be lost.
+// meets reports whether the VMs meet the target. If the target must survive the loss of a
+// failure domain, the domain with the most VMs at risk is assumed to be lost.
 func (s *domainTotals) meets(target Target) bool {
 	for _, n := range s.domains {
 		if n < target.MinPerDomain {
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -60,8 +60,8 @@
 	PrefillRate float64
 	// MaxPromptWait is how long a prompt may wait before its answer counts as late.
 	MaxPromptWait time.Duration
-	// Requests is the number of requests in progress, Slots the number of slots in the
-	// batch of one runner.
+	// Requests is the number of requests in progress, SlotsPerRunner the number of slots
+	// in the batch of one runner.
 	Requests       int
 	SlotsPerRunner int
 }
@@ -75,8 +75,8 @@
 	cfg DemandConfig
 	// neverServed is set if the service has not served before.
 	neverServed bool
-	// prefill is the load of reading prompts, in runners kept busy; batch is the number of
-	// requests in progress.
+	// prefill is the load of reading prompts, as the number of runners that it keeps busy;
+	// batch is the load of requests in progress, as their number.
 	prefill, batch loadStats
 	// comfortable holds the same loads with ComfortableFallTime, for runners that cost
 	// little.
@@ -93,7 +93,8 @@
 	firstSampleAt time.Duration
 	firstWorkAt   time.Duration
 	lastSampleAt  time.Duration
-	// resumesAt is when blocks count again after this daemon was suspended.
+	// resumesAt is when blocks are evaluated again after one that was longer than
+	// maxBlock.
 	resumesAt time.Duration
 	// initialRunners is the largest number of runners in any sample taken within
 	// MinWorkTime after the first sample.
--- a/coordination/fleet/demand_test.go
+++ b/coordination/fleet/demand_test.go
@@ -28,7 +28,9 @@
 	}
 }
 
-// run adds perSecond prompt tokens per second, in prompts that arrive independently.
+// run samples the work every sampleEvery for the given span and returns the estimate at
+// its end. It adds tokensPerSecond prompt tokens per second, in prompts that arrive
+// independently.
 func (l *load) run(span time.Duration, tokensPerSecond float64, requests int) fleet.Estimate {
 	l.work.Requests = requests
 	for end := l.now + span; l.now < end; l.now += sampleEvery {
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -46,7 +46,8 @@
 	Starting bool
 }
 
-// Target is what a service needs.
+// Target is what a service needs from its fleet: how many runners, what loss they must
+// survive, and at what cost.
 type Target struct {
 	// Runners is the number of runners that must serve.
 	Runners int
--- a/coordination/freshness/freshness_test.go
+++ b/coordination/freshness/freshness_test.go
@@ -38,8 +38,8 @@
 	f.RecordRead(5, 0)
 	peer := freshness.New()
 	peer.RecordRead(5, time.Second)
-	// The stamp sent at 0.9 s reaches the peer, which answers; then the daemon is suspended
-	// until 9 s.
+	// The daemon's stamp, sent at 0.9 s, reaches the peer at 1 s. The peer answers with
+	// its statement. Then the daemon is suspended until 9 s.
 	w := peer.StatementFor(&freshness.Stamp{Sent: 900 * time.Millisecond, Received: time.Second})
 	f.Receive(w)
 	is.True(f.Age(9*time.Second) >= 8*time.Second)
--- a/coordination/membership/evidence.go
+++ b/coordination/membership/evidence.go
@@ -284,10 +284,10 @@
 	return vmIDs
 }
 
-// matches reports whether the notice applies to the daemon. If the VM IDs of both are
-// known, only they decide, and a notice whose time is over never matches by address.
-// Otherwise a late notice would match the VM that replaced the noticed one at the same
-// address.
+// matches reports whether the notice applies to the daemon m. If the VM IDs of both are
+// known, the daemon is matched by VM ID only. Otherwise it is matched by address, but only
+// until the time of the notice is over. A late notice would else match the VM that
+// replaced the noticed one at the same address.
 func (n Notice) matches(m Member) bool {
 	if m.VM != "" && n.VM != "" {
 		return m.VM == n.VM
--- a/coordination/membership/gateways.go
+++ b/coordination/membership/gateways.go
@@ -21,7 +21,7 @@
 	suspectWeight     = 1
 )
 
-// Gateway is an entry VM that a caller may use.
+// Gateway is the daemon of an entry VM, to which a caller may connect.
 type Gateway struct {
 	ID            ident.DaemonID
 	Address       string
--- a/coordination/relays/relays.go
+++ b/coordination/relays/relays.go
@@ -112,7 +112,8 @@
 	slices.SortFunc(p.OtherRelays, func(a, b peers.Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
 	switch {
 	case len(relaysInOwnDomain) == 0:
-		// There is no relay to follow.
+		// This daemon knows no other relay in its failure domain to follow, so it must be
+		// one.
 		p.Relay, p.WatchesStore = true, true
 	case !p.Relay:
 		p.Followed = chooseRelays(v.Self.ID, relaysInOwnDomain)
@@ -161,7 +162,7 @@
 	return domain[:min(n, len(domain))]
 }
 
-// chooseRelays returns the relays that the daemon self follows. It distributes the
+// chooseRelays returns the relays that the daemon follower follows. It distributes the
 // followers by rendezvous hashing: each follower takes the relays with the highest hash of
 // both IDs, so that the end of a relay moves only its own followers.
 func chooseRelays(follower ident.DaemonID, relays []peers.Member) []peers.Member {
--- a/coordination/spread/tree.go
+++ b/coordination/spread/tree.go
@@ -229,7 +229,8 @@
 	return sends
 }
 
-// Interval returns the time between two rounds of probes.
+// Interval returns the time between two rounds of probes, which is the same for any number
+// of members.
 func (t *HierarchicalTree) Interval() time.Duration { return treeInterval }
 
 // Version returns the highest known version.
