--- a/coordination/canary/canary_test.go
+++ b/coordination/canary/canary_test.go
@@ -17,36 +17,37 @@
 const rollbackTime = 5 * time.Second
 
 var badVersions = map[string]version{
-	"fails all":        {failureFraction: 1},
-	"fails half":       {failureFraction: 0.5},
-	"fails 30%":        {failureFraction: 0.3},
-	"fails lookups":    {failureFraction: 0.5, route: "lookup"},
-	"fails pledges":    {failureFraction: 0.5, route: "pledge"},
+	"fails all":        {failureRate: 1},
+	"fails half":       {failureRate: 0.5},
+	"fails 30%":        {failureRate: 0.3},
+	"fails lookups":    {failureRate: 0.5, route: "lookup"},
+	"fails pledges":    {failureRate: 0.5, route: "pledge"},
 	"slow all x4":      {slowFraction: 1, slowFactor: 4},
 	"slow half x5":     {slowFraction: 0.5, slowFactor: 5},
 	"slow lookups x4":  {slowFraction: 1, slowFactor: 4, route: "lookup"},
-	"fails from 5 s":   {failureFraction: 0.4, badFrom: 5 * time.Second},
+	"fails from 5 s":   {failureRate: 0.4, badFrom: 5 * time.Second},
 	"slow from 6 s":    {slowFraction: 1, slowFactor: 4, badFrom: 6 * time.Second},
-	"fails under load": {failureFraction: 0.6, minInFlight: 3},
+	"fails under load": {failureRate: 0.6, minInFlight: 3},
 	"slow under load":  {slowFraction: 1, slowFactor: 5, minInFlight: 3},
 }
 
-// withinBounds reports whether a bad version got no more than its share of requests, got none
-// too late, and whether the verdict stayed final.
+// withinBounds reports whether a bad version got at most exposureShare of all requests plus
+// exposureSlack, got none later than rollbackTime after its fiftieth failed answer, and whether the
+// verdict stayed final.
 func (p *simulation) withinBounds() bool {
-	return float64(p.exposed) <= share*float64(p.total)+slack &&
-		(p.fiftiethBadAt == 0 || p.lastNewAt <= p.fiftiethBadAt+rollbackTime) && !p.verdictChanged
+	return float64(p.newVersionRequests) <= exposureShare*float64(p.totalRequests)+exposureSlack &&
+		(p.fiftiethFailureAt == 0 || p.lastNewVersionRequestAt <= p.fiftiethFailureAt+rollbackTime) && !p.verdictChanged
 }
 
-// Guards against a bad version that is promoted, or that gets more than its share of requests
-// before it is found to be bad. Each case is bad in a different way.
+// Guards against a bad version that is promoted, or that gets more requests than the
+// bound allows before it is found to be bad. Each case is bad in a different way.
 func TestBadVersionsAreRolledBack(t *testing.T) {
 	for name, v := range badVersions {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range *seeds {
 				p := newSimulation(seed)
-				p.bad = v
+				p.newVersion = v
 				p.run()
 				is.Equal(p.record.State, canary.RolledBack)
 				is.True(p.withinBounds())
@@ -63,7 +64,7 @@
 	for seed := range *seeds {
 		p := newSimulation(seed).run()
 		is.Equal(p.record.State, canary.Completed)
-		is.Equal(p.interrupted+p.refused, 0)
+		is.Equal(p.interruptedRequests+p.refused, 0)
 		is.True(p.completedAt < p.duration)
 	}
 }
@@ -83,10 +84,10 @@
 			at += time.Duration(rapid.IntRange(5, 40).Draw(t, "tenure")) * 100 * time.Millisecond
 			p.holderReplacementTimes = append(p.holderReplacementTimes, at)
 		}
-		p.bad = version{failureFraction: rapid.Float64Range(0.3, 1).Draw(t, "fails"), badFrom: time.Duration(rapid.IntRange(0, 4).Draw(t, "from")) * time.Second}
+		p.newVersion = version{failureRate: rapid.Float64Range(0.3, 1).Draw(t, "fails"), badFrom: time.Duration(rapid.IntRange(0, 4).Draw(t, "from")) * time.Second}
 		p.run()
 		if !p.withinBounds() {
-			t.Fatalf("%d of %d requests exposed, %d bad answers, fiftieth at %v, last request at %v, verdict changed: %v", p.exposed, p.total, p.badAnswers, p.fiftiethBadAt, p.lastNewAt, p.verdictChanged)
+			t.Fatalf("%d of %d requests exposed, %d bad answers, fiftieth at %v, last request at %v, verdict changed: %v", p.newVersionRequests, p.totalRequests, p.newVersionFailures, p.fiftiethFailureAt, p.lastNewVersionRequestAt, p.verdictChanged)
 		}
 		if p.record.State != canary.RolledBack {
 			t.Fatalf("state of the bad version is %s, want rolled_back", p.record.State)
@@ -98,19 +99,19 @@
 // fixedSteps, a Comparison that judges batches of a fixed number of answers.
 func TestCUSUMExposesLessThanFixedSteps(t *testing.T) {
 	is := is.New(t)
-	exposed := func(compare func() canary.Comparison) (sum int) {
+	newVersionRequests := func(compare func() canary.Comparison) (sum int) {
 		for _, v := range badVersions {
 			for seed := range *seeds {
 				p := newSimulation(seed)
-				p.bad, p.compare = v, compare
-				sum += p.run().exposed
+				p.newVersion, p.compare = v, compare
+				sum += p.run().newVersionRequests
 			}
 		}
 		return sum
 	}
-	sums := exposed(func() canary.Comparison { return canary.NewCUSUM() })
-	short := exposed(func() canary.Comparison { return newSteps(15) })
-	long := exposed(func() canary.Comparison { return newSteps(30) })
+	sums := newVersionRequests(func() canary.Comparison { return canary.NewCUSUM() })
+	short := newVersionRequests(func() canary.Comparison { return newSteps(15) })
+	long := newVersionRequests(func() canary.Comparison { return newSteps(30) })
 	t.Logf("requests exposed to bad versions: CUSUM %d, fixed steps of 15 %d, fixed steps of 30 %d", sums, short, long)
 	is.True(sums < short)
 	is.True(short < long)
--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -62,14 +62,15 @@
 
 // evidence holds the counts and the cumulative sums of one series.
 type evidence struct {
-	// answers and failed count the old version's answers, with decay; times is the
-	// histogram of their durations.
-	answers, failed float64
-	times           [timeBuckets]float64
-	// failingSum and slowSum are the cumulative sums of log likelihood ratios for failed and
+	// oldAnswers and oldFailed count the old version's answers and the failed ones among them.
+	// oldDurations is the histogram of the durations of the others. All three decay with
+	// baselineHalfLife.
+	oldAnswers, oldFailed float64
+	oldDurations          [durationBuckets]float64
+	// failing and slow are the cumulative sums of log likelihood ratios for failed and
 	// for slow answers of the new version.
-	failingSum, slowSum float64
-	// allOld and allNew count all answers, without decay.
+	failing, slow float64
+	// allOld and allNew count all answers since the order began, without decay.
 	allOld, allNew outcomes
 }
 
@@ -93,38 +94,38 @@
 	}
 	e.allOld.add(old)
 	e.allNew.add(fresh)
-	e.answers += float64(old.Answers)
-	e.failed += float64(old.Failed)
+	e.oldAnswers += float64(old.Answers)
+	e.oldFailed += float64(old.Failed)
 	for i, n := range old.Times {
-		e.times[i] += float64(n)
+		e.oldDurations[i] += float64(n)
 	}
 	if fresh.Answers == 0 {
 		return
 	}
-	e.failingSum = cusum(e.failingSum, e.failed/max(1, e.answers), failureRateIncrease, fresh.Failed, fresh.Answers)
+	e.failing = cusum(e.failing, e.oldFailed/max(1, e.oldAnswers), failureRateIncrease, fresh.Failed, fresh.Answers)
 	limit, slowRate := e.slowLimit()
 	slow := 0
 	for _, n := range fresh.Times[limit:] {
 		slow += n
 	}
-	e.slowSum = cusum(e.slowSum, slowRate, slowRateIncrease, slow, fresh.Answers-fresh.Failed)
+	e.slow = cusum(e.slow, slowRate, slowRateIncrease, slow, fresh.Answers-fresh.Failed)
 }
 
-// slowLimit returns the first histogram bucket of slow answers and the share of the old
-// version's answers in it and above.
+// slowLimit returns the first histogram bucket of slow answers and the fraction of the old
+// version's complete answers in that bucket and above.
 func (e *evidence) slowLimit() (int, float64) {
-	total := e.answers - e.failed
+	total := e.oldAnswers - e.oldFailed
 	if total < 1 {
-		return timeBuckets, 0
+		return durationBuckets, 0
 	}
-	above, i := 0.0, timeBuckets
-	for i > 0 && above+e.times[i-1] <= usualSlowFraction*total {
+	above, i := 0.0, durationBuckets
+	for i > 0 && above+e.oldDurations[i-1] <= usualSlowFraction*total {
 		i--
-		above += e.times[i]
+		above += e.oldDurations[i]
 	}
-	i = min(timeBuckets, i+slowLimitMarginBuckets)
+	i = min(durationBuckets, i+slowLimitMarginBuckets)
 	above = 0
-	for _, n := range e.times[i:] {
+	for _, n := range e.oldDurations[i:] {
 		above += n
 	}
 	return i, above / total
@@ -156,10 +157,10 @@
 	decay := math.Exp2(-float64(now-j.decayedAt) / float64(baselineHalfLife))
 	j.decayedAt = now
 	for _, e := range j.series {
-		e.answers *= decay
-		e.failed *= decay
-		for i := range e.times {
-			e.times[i] *= decay
+		e.oldAnswers *= decay
+		e.oldFailed *= decay
+		for i := range e.oldDurations {
+			e.oldDurations[i] *= decay
 		}
 	}
 }
@@ -181,9 +182,9 @@
 func (j *CUSUM) Bad() (Series, Reason, bool) {
 	for s, e := range j.series {
 		switch {
-		case e.failingSum >= evidenceThreshold || e.excess() >= excessThreshold:
+		case e.failing >= evidenceThreshold || e.excess() >= excessThreshold:
 			return s, MoreFailures, true
-		case e.slowSum >= evidenceThreshold:
+		case e.slow >= evidenceThreshold:
 			return s, Slower, true
 		}
 	}
--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -41,15 +41,15 @@
 	record Record
 	// completedAt is when the gate learned that the order is completed.
 	completedAt time.Duration
-	// sent counts the requests sent to the new version while Running, total all requests to the
-	// service, both since the daemon created the gate.
-	sent, total int
+	// trialRequests counts the requests sent to the new version while Running, totalRequests all
+	// requests to the service, both since the daemon created the gate.
+	trialRequests, totalRequests int
 	// reportNumber and reportedAt are the number and time of the latest report.
-	reportNumber uint64
-	reportedAt   time.Duration
-	allowance    Allowance
-	expiresAt    time.Duration
-	tally        Tally
+	reportNumber       uint64
+	reportedAt         time.Duration
+	allowance          Allowance
+	allowanceExpiresAt time.Duration
+	tally              Tally
 }
 
 // Allowance permits a daemon to send requests to the new version.
@@ -132,14 +132,15 @@
 	if placement != OldOnly || g.State() != Running {
 		return placement
 	}
-	if now >= g.expiresAt || g.sent >= g.allowance.Ceiling || random >= g.trialShare(route) {
+	if now >= g.allowanceExpiresAt || g.trialRequests >= g.allowance.Ceiling || random >= g.trialShare(route) {
 		return OldOnly
 	}
-	g.sent++
+	g.trialRequests++
 	return Trial
 }
 
-// trialShare returns the fraction of a route's requests to send to the new version.
+// trialShare returns the fraction of a route's requests that this daemon sends to the new version
+// while Running.
 func (g *Gate) trialShare(route string) float64 {
 	switch g.allowance.FavouredRoute {
 	case "":
@@ -150,7 +151,8 @@
 	return g.allowance.Share * otherFactor
 }
 
-// PlaceRetry decides where a request goes after a failed attempt.
+// PlaceRetry decides where a request goes after a failed attempt. Unlike PlaceRequest it never
+// returns Trial, so a retry does not use up the allowance.
 func (g *Gate) PlaceRetry(now time.Duration) Placement {
 	switch g.State() {
 	case Promoting:
@@ -168,7 +170,7 @@
 }
 
 // Dispatched counts a request that is sent for the first time.
-func (g *Gate) Dispatched() { g.total++ }
+func (g *Gate) Dispatched() { g.totalRequests++ }
 
 // TrialRunners returns how many of the new runners may get trial requests.
 func (g *Gate) TrialRunners() int { return g.allowance.Runners }
@@ -183,10 +185,10 @@
 	g.reportNumber++
 	g.reportedAt = now
 	r := Report{
-		Order: g.order.Revision, Ask: g.reportNumber, Total: g.total, Sent: g.sent,
+		Order: g.order.Revision, Ask: g.reportNumber, Total: g.totalRequests, Sent: g.trialRequests,
 		KnownState: g.State(), OldInFlight: oldInFlight, Tally: g.tally.clone(),
 	}
-	if now < g.expiresAt {
+	if now < g.allowanceExpiresAt {
 		r.Ceiling = g.allowance.Ceiling
 	}
 	return r
@@ -198,5 +200,5 @@
 		return
 	}
 	a.Halt = a.Halt || g.allowance.Halt
-	g.allowance, g.expiresAt = a, g.reportedAt+allowanceTTL
+	g.allowance, g.allowanceExpiresAt = a, g.reportedAt+allowanceTTL
 }
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -82,7 +82,8 @@
 	burstOpen bool
 	// firstRecordUnwritten is set until the first record of the order has been written.
 	firstRecordUnwritten bool
-	// promotedAt is when this holder first saw the order as Promoting; negative before.
+	// promotedAt is the time of the first call of Tick at which this holder found the order in
+	// state Promoting; negative before.
 	promotedAt time.Duration
 	fleet      Fleet
 	// badReason and badSeries are the reason for a verdict against the new version and the
@@ -100,9 +101,9 @@
 	// report to this holder. Earlier holders granted that part, so it is counted in
 	// reservedByEarlierHolders and not again for the daemon.
 	firstReportedCeiling, ceiling int
-	// perSecond is the number of requests to the service that the daemon handled per second
+	// requestsPerSecond is the number of requests to the service that the daemon handled per second
 	// between its last two reports, whichever version served them.
-	perSecond float64
+	requestsPerSecond float64
 }
 
 // NewHolder returns a holder that continues an order. If the record found belongs to another
@@ -131,10 +132,10 @@
 // SetWritten records that r has been written.
 func (h *Holder) SetWritten(r Record) { h.record, h.firstRecordUnwritten = r, false }
 
-// SentOrReserved returns an upper bound on the number of requests that have gone to the new
+// Sent returns an upper bound on the number of requests that have gone to the new
 // version while Running: all that earlier holders had reserved, plus those that daemons report
 // to have sent beyond their firstReportedCeiling.
-func (h *Holder) SentOrReserved() int {
+func (h *Holder) Sent() int {
 	sent := h.reservedByEarlierHolders
 	for _, a := range h.daemons {
 		sent += a.report.Sent - min(a.firstReportedCeiling, a.report.Sent)
@@ -173,7 +174,7 @@
 	}
 	h.compare(a, &r)
 	if elapsed := (now - a.reportedAt).Seconds(); known && elapsed > 0 {
-		a.perSecond = float64(r.Total-a.report.Total) / elapsed
+		a.requestsPerSecond = float64(r.Total-a.report.Total) / elapsed
 	}
 	a.report, a.reportedAt, a.ceiling = r, now, heldCeiling
 	return h.grant(a), true
@@ -213,11 +214,11 @@
 
 // burstSize returns how many requests must still be grantable for a burst to start.
 func (h *Holder) burstSize() int {
-	perSecond := 0.0
+	requestsPerSecond := 0.0
 	for _, a := range h.daemons {
-		perSecond += a.perSecond
+		requestsPerSecond += a.requestsPerSecond
 	}
-	return min(max(int(burstFraction*perSecond*burstDuration.Seconds()), minBurst), maxBurst)
+	return min(max(int(burstFraction*requestsPerSecond*burstDuration.Seconds()), minBurst), maxBurst)
 }
 
 // grant raises a daemon's ceiling so that the daemon can send trial requests until its next
@@ -244,7 +245,7 @@
 	if h.fleet.OldRunners > 0 {
 		allowance.Share = min(allowance.Share, 0.5)
 	}
-	needed := int(math.Ceil(allowance.Share * a.perSecond * allowanceTTL.Seconds()))
+	needed := int(math.Ceil(allowance.Share * a.requestsPerSecond * allowanceTTL.Seconds()))
 	remaining := a.ceiling - a.report.Sent
 	a.ceiling += max(0, min(available, needed-remaining))
 	allowance.Ceiling = a.ceiling
@@ -267,15 +268,15 @@
 // leastTestedRoute returns the route with the fewest answers of the new version, and their
 // number. Routes with less than minRouteFraction of the old version's answers are left out.
 func (h *Holder) leastTestedRoute() (route string, answers int) {
-	type known struct{ old, fresh int }
-	routes, total := map[string]known{}, 0
+	type routeAnswers struct{ old, fresh int }
+	routes, total := map[string]routeAnswers{}, 0
 	for _, a := range h.daemons {
 		for s, b := range a.report.Tally {
 			if s.Pace {
 				continue
 			}
 			k := routes[s.Route]
-			routes[s.Route] = known{k.old + b.Old.Answers, k.fresh + b.New.Answers}
+			routes[s.Route] = routeAnswers{k.old + b.Old.Answers, k.fresh + b.New.Answers}
 			total += b.Old.Answers
 		}
 	}
@@ -306,6 +307,8 @@
 	return h.running(unixMillis, self, f, r)
 }
 
+// running returns the next record of an order in state Running: promoted, rolled back, completed
+// if no old runners are left, or with a higher Reserved.
 func (h *Holder) running(unixMillis int64, self string, f Fleet, r Record) Record {
 	if r.Holder != self {
 		r.Holder, r.Reason = self, TookOver
@@ -314,14 +317,14 @@
 		r.State, r.Reason = Completed, AlreadyInUse
 		return r
 	}
-	elapsedFraction := h.elapsedFractionOfDuration(unixMillis)
+	elapsedFractionOfDuration := h.elapsedFractionOfDuration(unixMillis)
 	answers, _ := h.Answers()
 	_, least := h.leastTestedRoute()
 	enoughRunners := float64(f.NewRunners) >= minRunnerRatio*float64(f.OldRunners) && f.NewRunners > 0
 	switch {
-	case elapsedFraction >= promoteAfter && answers >= minAnswersToPromote && least >= minAnswersPerRoute && enoughRunners:
+	case elapsedFractionOfDuration >= promoteAfter && answers >= minAnswersToPromote && least >= minAnswersPerRoute && enoughRunners:
 		r.State, r.Reason = Promoting, NoDifference
-	case elapsedFraction < completeBy-h.propagationFractionOfDuration():
+	case elapsedFractionOfDuration < completeBy-h.propagationFractionOfDuration():
 	case answers >= minAnswersAtDeadline && enoughRunners:
 		r.State, r.Reason = Promoting, TimeOver
 	case enoughRunners:
@@ -338,6 +341,8 @@
 	return r
 }
 
+// promoting returns the next record of an order in state Promoting: completed once the old runners
+// are idle or the order's time is over.
 func (h *Holder) promoting(now time.Duration, unixMillis int64, r Record) Record {
 	if h.promotedAt < 0 {
 		h.promotedAt = now
--- a/coordination/config/follower.go
+++ b/coordination/config/follower.go
@@ -7,20 +7,20 @@
 	"geraniumstack.org/geraniumstack/state/manifest"
 )
 
-// StoreSource denotes the key-value service as the source of a fetch; every other source is
-// a peer's address.
+// StoreSource denotes the key-value service as the source of an announcement or a fetch. Every
+// other source is a peer's address.
 const StoreSource = ""
 
 const (
 	// fetchTimeout is the time after which a fetch counts as unanswered.
 	fetchTimeout = 2 * time.Second
-	// fetchRetry is the delay before the next source is asked after a source has answered
+	// fetchRetryDelay is the delay before the next source is asked after a source has answered
 	// without all of the sections.
-	fetchRetry = 200 * time.Millisecond
-	// startGrace is how long a daemon without a configuration in force waits for heads from
-	// peers if the key-value service doesn't answer. After that, the highest generation that
-	// a peer has announced comes into force.
-	startGrace = time.Second
+	fetchRetryDelay = 200 * time.Millisecond
+	// startupHeadWait is how long a daemon without a configuration in force waits for further
+	// announcements after the first one, if the key-value service has not announced one. After
+	// that, the highest generation that a peer has announced comes into force.
+	startupHeadWait = time.Second
 	// maxSources bounds the number of peers remembered as having the wanted generation.
 	maxSources = 8
 )
@@ -61,15 +61,17 @@
 	manifest *manifest.Manifest
 	// wanted is the accepted configuration whose sections are being fetched.
 	wanted Accepted
-	// rejected is the latest generation that this program can't read.
-	rejected ident.Generation
-	sections map[manifest.Hash][]byte
+	// rejectedGeneration is the latest accepted generation that this program version can't read;
+	// zero if there is none.
+	rejectedGeneration ident.Generation
+	sections           map[manifest.Hash][]byte
 
-	// sources are the sources that have announced wanted; sourceIndex selects the next one.
-	sources     []string
-	sourceIndex int
-	fetchedAt   time.Time
-	// lastFetchFromStore is set if the last fetch went to the key-value service.
+	// wantedSources are the peers' addresses and StoreSource, as far as they have announced the
+	// wanted generation. sourceIndex counts the fetches from them; the next source is chosen by it.
+	wantedSources []string
+	sourceIndex   int
+	lastFetchAt   time.Time
+	// lastFetchFromStore says that the last fetch went to the key-value service, not to a peer.
 	lastFetchFromStore bool
 
 	// firstHeadAt is when the first head arrived. storeHeadSeen is set once a head has
@@ -93,7 +95,7 @@
 // generation, and the daemon must not return to it.
 func (f *Follower) Learn(now time.Time, head Accepted, source string) []Effect {
 	f.recordHead(now, head, source)
-	if head.Generation <= f.inForce.Generation || head.Generation <= f.rejected {
+	if head.Generation <= f.inForce.Generation || head.Generation <= f.rejectedGeneration {
 		return nil
 	}
 	switch {
@@ -126,14 +128,14 @@
 // generation yet. Without the wait, a daemon that had the newest generation in force before
 // its restart would bring an older one into force.
 func (f *Follower) starting(now time.Time) bool {
-	return f.manifest == nil && !f.storeHeadSeen && now.Sub(f.firstHeadAt) < startGrace
+	return f.manifest == nil && !f.storeHeadSeen && now.Sub(f.firstHeadAt) < startupHeadWait
 }
 
 func (f *Follower) setWanted(head Accepted) {
 	f.wanted = head
-	f.sources = nil
+	f.wantedSources = nil
 	f.sourceIndex = 0
-	f.fetchedAt = time.Time{}
+	f.lastFetchAt = time.Time{}
 	f.lastFetchFromStore = false
 }
 
@@ -141,7 +143,7 @@
 // sections already and need not fetch them.
 func (f *Follower) Adopt(now time.Time, head Accepted, sections map[manifest.Hash][]byte) []Effect {
 	f.recordHead(now, head, StoreSource)
-	known := max(f.inForce.Generation, f.rejected)
+	known := max(f.inForce.Generation, f.rejectedGeneration)
 	if head.Generation <= known || head.Generation < f.wanted.Generation {
 		return nil
 	}
@@ -152,13 +154,13 @@
 }
 
 func (f *Follower) addSource(source string) {
-	for _, known := range f.sources {
+	for _, known := range f.wantedSources {
 		if known == source {
 			return
 		}
 	}
-	if len(f.sources) < maxSources {
-		f.sources = append(f.sources, source)
+	if len(f.wantedSources) < maxSources {
+		f.wantedSources = append(f.wantedSources, source)
 	}
 }
 
@@ -171,7 +173,7 @@
 			f.sections[hash] = data
 		}
 	}
-	f.fetchedAt = now.Add(fetchRetry - fetchTimeout)
+	f.lastFetchAt = now.Add(fetchRetryDelay - fetchTimeout)
 	return f.advance(now)
 }
 
@@ -196,7 +198,7 @@
 		}
 		return f.activate()
 	}
-	if now.Sub(f.fetchedAt) < fetchTimeout {
+	if now.Sub(f.lastFetchAt) < fetchTimeout {
 		return nil
 	}
 	return f.fetch(now, f.nextSource())
@@ -206,15 +208,15 @@
 // announces the wanted generation while only the key-value service has been asked: the service
 // may be slow, and the peer has the sections.
 func (f *Follower) fetch(now time.Time, source string) []Effect {
-	f.fetchedAt = now
+	f.lastFetchAt = now
 	f.lastFetchFromStore = source == StoreSource
 	return []Effect{&Fetch{Source: source, Hashes: manifest.Missing(f.wanted.Sections, f.sections)}}
 }
 
 func (f *Follower) nextSource() string {
-	candidates := f.sources
+	candidates := f.wantedSources
 	if f.sourceIndex > 0 || len(candidates) == 0 {
-		candidates = append([]string{StoreSource}, f.sources...)
+		candidates = append([]string{StoreSource}, f.wantedSources...)
 	}
 	source := candidates[f.sourceIndex%len(candidates)]
 	f.sourceIndex++
@@ -225,7 +227,7 @@
 	head := f.wanted
 	m, err := manifest.Join(head.Sections, f.sections)
 	if err != nil {
-		f.rejected = head.Generation
+		f.rejectedGeneration = head.Generation
 		f.wanted = Accepted{}
 		f.prune()
 		return []Effect{&Reject{Head: head, Err: err}}
--- a/coordination/journal/writer.go
+++ b/coordination/journal/writer.go
@@ -14,7 +14,8 @@
 	// WritesPerSecond is the most writes per second that this owner makes to the key-value
 	// service, entries and deletions together.
 	WritesPerSecond float64
-	// Burst is how many writes may be made in a row after an idle period.
+	// Burst is the size of the token bucket that limits writes: how many writes may be made in a
+	// row after an idle period.
 	Burst float64
 	// MaxBytes bounds the size of an entry; the service stores values of up to a megabyte.
 	MaxBytes int
@@ -105,23 +106,24 @@
 // Writer groups intents and outcomes into entries. It keeps at most one write in flight and
 // limits its rate of writes with a token bucket. It is not safe for concurrent use.
 type Writer struct {
-	cfg      Config
-	next     uint64
-	intents  []Intent
-	outcomes []Outcome
+	cfg       Config
+	nextIndex uint64
+	intents   []Intent
+	outcomes  []Outcome
 	// outcomeBytes is the total size of the queued outcomes.
 	outcomeBytes int
-	// outcomesSince is when the oldest queued outcome was added.
-	outcomesSince time.Time
-	seal          *Seal
-
-	// inFlight is the entry that is being written, or nil; the next fields belong to it.
-	inFlight       *Entry
-	inFlightValue  []byte
-	awaitingAnswer bool
-	retryAt        time.Time
-	inFlightSince  time.Time
-	inFlightExpiry time.Time
+	// oldestOutcomeAt is when the oldest queued outcome was added. After an entry has taken some of
+	// the outcomes, it is the time of that entry.
+	oldestOutcomeAt time.Time
+	seal            *Seal
+
+	// inFlightEntry is the entry that is being written, or nil; the next fields belong to it.
+	inFlightEntry      *Entry
+	inFlightValue      []byte
+	awaitingAnswer     bool
+	retryAt            time.Time
+	inFlightSince      time.Time
+	inFlightLastExpiry time.Time
 
 	// writeTokens is the content of the token bucket at time writeTokensAt.
 	writeTokens   float64
@@ -145,7 +147,7 @@
 		o.Body, o.Headers, o.NotKept = nil, nil, true
 	}
 	if len(w.outcomes) == 0 {
-		w.outcomesSince = now
+		w.oldestOutcomeAt = now
 	}
 	w.outcomes = append(w.outcomes, o)
 	w.outcomeBytes += outcomeSize(o)
@@ -159,8 +161,8 @@
 // journal.
 func (w *Writer) DropIntents() { w.intents = nil }
 
-// End queues the seal with which the owner ends its own log.
-func (w *Writer) End(successor ident.Incarnation) {
+// QueueSeal queues the seal with which the owner ends its own log.
+func (w *Writer) QueueSeal(successor ident.Incarnation) {
 	if w.seal == nil {
 		w.seal = &Seal{By: w.cfg.Owner, Successor: successor}
 	}
@@ -172,13 +174,13 @@
 // Unavailable reports whether the write in flight has been without an answer for longer than
 // Config.Timeout.
 func (w *Writer) Unavailable(now time.Time) bool {
-	return w.inFlight != nil && now.Sub(w.inFlightSince) >= w.cfg.Timeout
+	return w.inFlightEntry != nil && now.Sub(w.inFlightSince) >= w.cfg.Timeout
 }
 
 // UnavailableAt returns when the write in flight will reach Config.Timeout; zero if there is
 // none.
 func (w *Writer) UnavailableAt() time.Time {
-	if w.inFlight == nil {
+	if w.inFlightEntry == nil {
 		return time.Time{}
 	}
 	return w.inFlightSince.Add(w.cfg.Timeout)
@@ -194,7 +196,7 @@
 	if w.writeTokens < 1 {
 		return Write{}, false
 	}
-	if w.inFlight == nil {
+	if w.inFlightEntry == nil {
 		if !w.entryDue(now) {
 			return Write{}, false
 		}
@@ -204,7 +206,7 @@
 	}
 	w.writeTokens--
 	w.awaitingAnswer = true
-	return Write{Index: w.next, Value: w.inFlightValue}, true
+	return Write{Index: w.nextIndex, Value: w.inFlightValue}, true
 }
 
 // CollectNext returns an entry to delete if one has expired and the rate limit allows it.
@@ -214,7 +216,7 @@
 	// first, so an entry that is due gets the token and does not wait for deletions. While the
 	// write of an entry has no answer, nothing is deleted, because the key-value service may be
 	// down.
-	if w.sealed || w.inFlight != nil || w.writeTokens < 1 || len(w.retained) < 2 {
+	if w.sealed || w.inFlightEntry != nil || w.writeTokens < 1 || len(w.retained) < 2 {
 		return Collect{}, false
 	}
 	oldest := w.retained[0]
@@ -228,7 +230,7 @@
 
 // HandleWritten processes the result of a write.
 func (w *Writer) HandleWritten(now time.Time, r Written) Progress {
-	if w.inFlight == nil || r.Index != w.next || w.sealed {
+	if w.inFlightEntry == nil || r.Index != w.nextIndex || w.sealed {
 		return Progress{}
 	}
 	w.awaitingAnswer = false
@@ -236,7 +238,7 @@
 		w.retryAt = now.Add(w.cfg.RetryDelay)
 		return Progress{}
 	}
-	if r.Status == Conflict && r.Existing.Nonce != w.inFlight.Nonce {
+	if r.Status == Conflict && r.Existing.Nonce != w.inFlightEntry.Nonce {
 		w.sealed = true
 		return Progress{Sealed: true}
 	}
@@ -244,16 +246,16 @@
 }
 
 func (w *Writer) advance(revision uint64) Progress {
-	e := w.inFlight
+	e := w.inFlightEntry
 	p := Progress{Sealed: e.Seal != nil}
 	for _, i := range e.Intents {
 		p.Durable = append(p.Durable, i.ID)
 	}
 	w.sealed = p.Sealed
-	w.retained = append(w.retained, retained{Collect: Collect{Index: w.next, Revision: revision}, lastExpiry: w.inFlightExpiry})
+	w.retained = append(w.retained, retained{Collect: Collect{Index: w.nextIndex, Revision: revision}, lastExpiry: w.inFlightLastExpiry})
 	w.floor = max(w.floor, e.Floor)
-	w.inFlight, w.inFlightValue = nil, nil
-	w.next++
+	w.inFlightEntry, w.inFlightValue = nil, nil
+	w.nextIndex++
 	return p
 }
 
@@ -265,12 +267,12 @@
 	}
 	var due time.Time
 	switch {
-	case w.inFlight != nil:
+	case w.inFlightEntry != nil:
 		due = w.retryAt
 	case len(w.intents) > 0 || w.seal != nil:
 		due = now
 	case len(w.outcomes) > 0:
-		due = w.outcomesSince.Add(w.cfg.OutcomeDelay)
+		due = w.oldestOutcomeAt.Add(w.cfg.OutcomeDelay)
 	case len(w.retained) > 1 && millis(w.retained[0].lastExpiry) < w.floor:
 		due = now
 	default:
@@ -286,14 +288,14 @@
 	if len(w.intents) > 0 || w.seal != nil {
 		return true
 	}
-	return len(w.outcomes) > 0 && !now.Before(w.outcomesSince.Add(w.cfg.OutcomeDelay))
+	return len(w.outcomes) > 0 && !now.Before(w.oldestOutcomeAt.Add(w.cfg.OutcomeDelay))
 }
 
 // prepareEntry builds the next entry from the queued items. The seal gets an entry of its own
 // after all of them.
 func (w *Writer) prepareEntry(now time.Time) {
 	e := &Entry{
-		Nonce: fmt.Sprintf("%s/%d", w.cfg.Owner, w.next),
+		Nonce: fmt.Sprintf("%s/%d", w.cfg.Owner, w.nextIndex),
 		Floor: millis(now.Add(-w.cfg.KeyRetention)),
 	}
 	size := 0
@@ -308,13 +310,13 @@
 		w.outcomeBytes -= outcomeSize(w.outcomes[n])
 	}
 	e.Outcomes, w.outcomes = w.outcomes[:n:n], w.outcomes[n:]
-	w.outcomesSince = now
+	w.oldestOutcomeAt = now
 	if n == 0 && len(e.Intents) == 0 {
 		e.Seal, w.seal = w.seal, nil
 	}
-	w.inFlight = e
+	w.inFlightEntry = e
 	w.inFlightSince = now
-	w.inFlightExpiry = latestExpiry(e)
+	w.inFlightLastExpiry = latestExpiry(e)
 	w.inFlightValue = mustEncode(e)
 }
 
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -35,10 +35,11 @@
 	// waits this long plus MaxOrderLatency before it sends orders to such runners; see
 	// Quarantine.
 	MaxPause time.Duration
-	// Drift is the fraction, from 0 to 1, by which clock rates may differ.
+	// Drift is the largest difference between the rates of two clocks, as a fraction from 0 to 1.
+	// 0.01 means that a clock may gain or lose a second in 100.
 	Drift float64
-	// Retry is the delay after a failed call.
-	Retry time.Duration
+	// RetryDelay is the delay after a failed call to the key-value service before the next call.
+	RetryDelay time.Duration
 	// ReadKey is the time between reads of the key by a daemon that waits to become the holder.
 	ReadKey time.Duration
 }
@@ -51,7 +52,7 @@
 		MaxOrderLatency: 2 * time.Second,
 		MaxPause:        20 * time.Second,
 		Drift:           0.01,
-		Retry:           time.Second,
+		RetryDelay:      time.Second,
 		ReadKey:         2 * time.Second,
 	}
 }
@@ -65,15 +66,17 @@
 // MaxTakeover returns the longest time from the end of a holder to its successor's first order
 // to runners that don't check fencing tokens, not counting the calls to the key-value service.
 func (t Timing) MaxTakeover() time.Duration {
-	return withDrift(t.TTL, t.Drift) + max(t.ReadKey, t.Retry) + t.Quarantine()
+	return withDrift(t.TTL, t.Drift) + max(t.ReadKey, t.RetryDelay) + t.Quarantine()
 }
 
 func withDrift(d time.Duration, drift float64) time.Duration {
 	return d + time.Duration(float64(d)*drift)
 }
 
-// usableFor returns how long after sending a renewal the holder may rely on it.
-func (t Timing) usableFor() time.Duration {
+// renewalUsableFor returns how long after sending a successful renewal the holder may still send
+// orders. An order sent up to then arrives before the lease expires, even if the holder's clock is
+// slow by Drift.
+func (t Timing) renewalUsableFor() time.Duration {
 	return t.TTL - time.Duration(float64(t.TTL)*t.Drift) - t.MaxOrderLatency
 }
 
@@ -103,7 +106,8 @@
 type Effect struct {
 	Kind  Kind
 	Lease uint64
-	// Attempt must be copied into the Result.
+	// Attempt is the number of the call. The caller copies it into the Result, so that Step can
+	// ignore results of earlier calls.
 	Attempt uint64
 }
 
@@ -148,20 +152,21 @@
 	Stopped
 )
 
-// Machine competes for one responsibility on behalf of one daemon.
+// Machine is the state machine by which one daemon competes for one responsibility. callSentAt is
+// when the pending call was sent, renewedAt when the last successful Grant or Renew was sent.
 type Machine struct {
 	timing Timing
 	state  State
 	// pending is the outstanding call; its Kind is zero if there is none.
-	pending   Effect
-	sentAt    time.Duration
-	attempts  uint64
-	lease     uint64
-	token     uint64
-	renewedAt time.Duration
-	heldSince time.Duration
-	nextCall  time.Duration
-	stopping  bool
+	pending      Effect
+	callSentAt   time.Duration
+	lastAttempt  uint64
+	lease        uint64
+	fencingToken uint64
+	renewedAt    time.Duration
+	heldSince    time.Duration
+	nextCallAt   time.Duration
+	stopping     bool
 }
 
 // New returns a Machine that holds nothing.
@@ -175,7 +180,7 @@
 	if m.state != Holding {
 		return 0
 	}
-	return m.token
+	return m.fencingToken
 }
 
 // MayOrder reports whether an order may be sent at time now. checked says that the runner
@@ -184,7 +189,7 @@
 	if m.state != Holding || m.stopping {
 		return false
 	}
-	if now >= m.renewedAt+m.timing.usableFor() {
+	if now >= m.renewedAt+m.timing.renewalUsableFor() {
 		return false
 	}
 	return checked || now >= m.heldSince+m.timing.Quarantine()
@@ -194,7 +199,7 @@
 // should try to hold the responsibility.
 func (m *Machine) Tick(now time.Duration, candidate bool) []Effect {
 	m.expire(now)
-	if m.pending.Kind != 0 || now < m.nextCall {
+	if m.pending.Kind != 0 || now < m.nextCallAt {
 		return nil
 	}
 	switch {
@@ -209,15 +214,16 @@
 	return nil
 }
 
-// expire ends the holding by the holder's own clock. The key-value service may have been
-// unreachable for the whole lease, and another daemon may hold the key by now.
+// expire makes a holder give up the responsibility once its lease has expired by its own clock. The
+// key-value service may have been unreachable since the last renewal, and another daemon may hold
+// the key by now.
 func (m *Machine) expire(now time.Duration) {
 	if m.state == Holding && now >= m.renewedAt+m.timing.TTL {
 		m.reset(now)
 	}
 }
 
-// reset ends the holding or the attempt to acquire it.
+// reset gives up the responsibility, or the attempt to acquire it, without a call to the service.
 func (m *Machine) reset(now time.Duration) {
 	m.state = Idle
 	if m.stopping {
@@ -225,23 +231,23 @@
 	}
 	m.pending = Effect{}
 	m.lease = 0
-	m.token = 0
-	m.nextCall = now + m.timing.Retry
+	m.fencingToken = 0
+	m.nextCallAt = now + m.timing.RetryDelay
 }
 
 func (m *Machine) call(now time.Duration, k Kind) []Effect {
-	m.attempts++
-	m.pending = Effect{Kind: k, Lease: m.lease, Attempt: m.attempts}
-	m.sentAt = now
+	m.lastAttempt++
+	m.pending = Effect{Kind: k, Lease: m.lease, Attempt: m.lastAttempt}
+	m.callSentAt = now
 	return []Effect{m.pending}
 }
 
 func (m *Machine) release(now time.Duration) []Effect {
 	lease := m.lease
 	m.reset(now)
-	m.attempts++
+	m.lastAttempt++
 	// The answer is not awaited: if the call is lost, the lease expires by itself.
-	return []Effect{{Kind: Revoke, Lease: lease, Attempt: m.attempts}}
+	return []Effect{{Kind: Revoke, Lease: lease, Attempt: m.lastAttempt}}
 }
 
 // Stop begins a graceful shutdown. It allows no more orders and revokes the lease at once, so
@@ -288,7 +294,7 @@
 	}
 	if r.FoundLease != 0 {
 		m.reset(now)
-		m.nextCall = now + m.timing.ReadKey
+		m.nextCallAt = now + m.timing.ReadKey
 		return nil
 	}
 	return m.call(now, Grant)
@@ -301,7 +307,7 @@
 	}
 	m.lease = r.Lease
 	// The service may have started the lease as early as when the request was sent.
-	m.renewedAt = m.sentAt
+	m.renewedAt = m.callSentAt
 	return m.call(now, Create)
 }
 
@@ -332,18 +338,18 @@
 		return
 	}
 	m.state = Holding
-	m.token = revision
+	m.fencingToken = revision
 	m.heldSince = now
 }
 
 func (m *Machine) handleRenew(now time.Duration, r Result) []Effect {
 	switch r.Outcome {
 	case Done:
-		m.renewedAt = m.sentAt
+		m.renewedAt = m.callSentAt
 	case Refused:
 		m.reset(now)
 	case Lost:
-		m.nextCall = now + m.timing.Retry
+		m.nextCallAt = now + m.timing.RetryDelay
 	}
 	return nil
 }
--- a/coordination/owners/owners.go
+++ b/coordination/owners/owners.go
@@ -1,4 +1,5 @@
-// Package owners selects the daemons that issue action tokens. Each daemon selects on its own
+// Package owners selects the daemons that issue action tokens. An owner is a daemon that issues
+// tokens for actions, executes these actions and keeps a journal of them (see package journal). Each daemon selects on its own
 // from its view of the directory. If views differ, a few more daemons keep journals for a while;
 // no guarantee is lost, because any daemon can be an owner.
 package owners
@@ -13,17 +14,19 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// DefaultMax is the default number of daemons that issue tokens. Each makes at most 30 writes per
+// DefaultMax is the default limit for Select. Each owner makes at most 30 writes per
 // second, together 240 of the several hundred that the key-value service handles.
 const DefaultMax = 8
 
-// candidate is a live daemon with its sort keys.
+// candidate is a live daemon with its sort keys. idHash and domainHash are the hashes of its ID and of
+// the name of its failure domain.
 type candidate struct {
 	daemon *view.Daemon
-	score  uint64
-	// rank is the position within the failure domain by score, from zero.
-	rank        int
-	domainScore uint64
+	idHash uint64
+	// rankInDomain is the daemon's position among the candidates of its failure domain in
+	// descending order of idHash, from zero.
+	rankInDomain int
+	domainHash   uint64
 }
 
 // Select returns the daemons that issue tokens: limit of the live ones, or all if there are
@@ -34,8 +37,8 @@
 	rankWithinDomains(list)
 	slices.SortFunc(list, func(a, b candidate) int {
 		return cmp.Or(
-			cmp.Compare(a.rank, b.rank),
-			cmp.Compare(b.domainScore, a.domainScore),
+			cmp.Compare(a.rankInDomain, b.rankInDomain),
+			cmp.Compare(b.domainHash, a.domainHash),
 			cmp.Compare(a.daemon.FailureDomain, b.daemon.FailureDomain),
 		)
 	})
@@ -54,9 +57,9 @@
 			continue
 		}
 		list = append(list, candidate{
-			daemon:      d,
-			score:       xxhash.Sum64String(string(d.ID)),
-			domainScore: xxhash.Sum64String(string(d.FailureDomain)),
+			daemon:     d,
+			idHash:     xxhash.Sum64String(string(d.ID)),
+			domainHash: xxhash.Sum64String(string(d.FailureDomain)),
 		})
 	}
 	return list
@@ -64,8 +67,8 @@
 
 func rankWithinDomains(list []candidate) {
 	slices.SortFunc(list, func(a, b candidate) int {
-		if a.score != b.score {
-			return cmp.Compare(b.score, a.score)
+		if a.idHash != b.idHash {
+			return cmp.Compare(b.idHash, a.idHash)
 		}
 		return cmp.Or(
 			cmp.Compare(a.daemon.ID, b.daemon.ID),
@@ -75,7 +78,7 @@
 	ranks := map[ident.FailureDomain]int{}
 	for i := range list {
 		domain := list[i].daemon.FailureDomain
-		list[i].rank = ranks[domain]
+		list[i].rankInDomain = ranks[domain]
 		ranks[domain]++
 	}
 }
@@ -94,7 +97,7 @@
 	slices.SortFunc(ordered, func(a, b view.Daemon) int {
 		return cmp.Or(
 			cmp.Compare(distance(self, a), distance(self, b)),
-			cmp.Compare(pairScore(self, b), pairScore(self, a)),
+			cmp.Compare(pairHash(self, b), pairHash(self, a)),
 			cmp.Compare(a.Incarnation, b.Incarnation),
 		)
 	})
@@ -108,7 +111,7 @@
 	return 1
 }
 
-func pairScore(self, owner view.Daemon) uint64 {
+func pairHash(self, owner view.Daemon) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(self.ID))
--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -13,7 +13,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// Target is a runner of a service whose reports are read.
+// Target is a runner of a service whose load reports and cache events are read.
 type Target struct {
 	Service string
 	Runner  ident.RunnerID
@@ -26,12 +26,13 @@
 	// IdleInterval replaces Interval once this daemon has used no target for IdleAfter.
 	IdleInterval time.Duration
 	IdleAfter    time.Duration
-	// InitialReadBytes is the assumed size of a load report until one has been read.
-	InitialReadBytes float64
-	// MaxSaved is how much unused budget can accumulate, as a time at the full rate.
+	// InitialReportBytes is the assumed size of a load report until one has been read.
+	InitialReportBytes float64
+	// MaxSaved bounds the unused credit: at most as many bytes as the budget allows in this time.
 	MaxSaved time.Duration
-	// EventsBackoff is how long a target's cache events are not read after a page with a
-	// gap before it. It doubles up to MaxEventsBackoff.
+	// EventsBackoff is how long a target's cache events are not read after a read that
+	// showed a gap: events between its page and the previous page were lost. It doubles with each
+	// such read in a row, up to MaxEventsBackoff.
 	EventsBackoff    time.Duration
 	MaxEventsBackoff time.Duration
 }
@@ -39,24 +40,26 @@
 // Default returns the settings used in production.
 func Default() Config {
 	return Config{
-		Interval:         500 * time.Millisecond,
-		IdleInterval:     2 * time.Second,
-		IdleAfter:        5 * time.Second,
-		InitialReadBytes: 600,
-		MaxSaved:         time.Second,
-		EventsBackoff:    10 * time.Minute,
-		MaxEventsBackoff: time.Hour,
+		Interval:           500 * time.Millisecond,
+		IdleInterval:       2 * time.Second,
+		IdleAfter:          5 * time.Second,
+		InitialReportBytes: 600,
+		MaxSaved:           time.Second,
+		EventsBackoff:      10 * time.Minute,
+		MaxEventsBackoff:   time.Hour,
 	}
 }
 
-// meanGain is the weight of the latest report in the mean size.
-const meanGain = 0.1
+// reportSizeWeight is the weight of the latest load report in the moving average of report sizes.
+const reportSizeWeight = 0.1
 
 // Read is one read to make: a load report and, if Events is set, a page of cache events.
 type Read struct {
 	Target Target
 	Events bool
-	charge float64
+	// chargedBytes is the expected size that Next has already subtracted from the credit for load
+	// reports. HandleResult corrects it to the real size.
+	chargedBytes float64
 }
 
 // Result describes a completed read. Byte counts include both directions; zero means unknown.
@@ -70,32 +73,35 @@
 type target struct {
 	reading  bool
 	lastRead time.Time
-	// used counts the daemon's own attempts that started or ended since the last read.
-	used          int
-	eventsAfter   time.Time
-	eventsBackoff time.Duration
+	// used counts this daemon's attempts that started or ended since the last read.
+	used            int
+	eventsNotBefore time.Time
+	eventsBackoff   time.Duration
 }
 
 // Planner holds the budget and the targets of one daemon. It is not safe for concurrent use.
 type Planner struct {
-	cfg     Config
+	cfg Config
+	// budget is the number of bytes per second that all reads together may use.
 	budget  float64
 	targets map[Target]*target
-	// loadCredit is the number of bytes that load reports may use now, events the number
-	// that cache events may use. Both become negative after a read that was larger.
-	loadCredit    float64
-	events        float64
-	filledAt      time.Time
-	meanReadBytes float64
-	started       bool
-	// used is set by RecordUse until the next call of Next, which then sets lastUsed.
+	// loadCredit is the number of bytes that reads of load reports may use now, events the number
+	// that reads of cache events may use. Either becomes negative after a read that was larger
+	// than its credit.
+	loadCredit      float64
+	events          float64
+	creditAddedAt   time.Time
+	meanReportBytes float64
+	started         bool
+	// used says that RecordUse was called since the last call of Next. lastUsed is when Next
+	// last found it set.
 	used     bool
 	lastUsed time.Time
 }
 
 // New returns a planner without targets and with a zero budget.
 func New(cfg Config) *Planner {
-	return &Planner{cfg: cfg, targets: map[Target]*target{}, meanReadBytes: cfg.InitialReadBytes}
+	return &Planner{cfg: cfg, targets: map[Target]*target{}, meanReportBytes: cfg.InitialReportBytes}
 }
 
 // SetBudget sets the bytes per second that all reads together may use.
@@ -131,15 +137,15 @@
 }
 
 // addCredit adds the budget for the time since the last call. Credit that load reports leave
-// unused goes to cache events. Cache events have their own debt, so that a large page does not
-// delay load reports.
+// unused beyond the limit goes to cache events. A page of cache events that is larger than the credit
+// for cache events does not reduce the credit for load reports, so it does not delay them.
 func (p *Planner) addCredit(now time.Time) {
 	if !p.started {
-		p.started, p.filledAt, p.lastUsed = true, now, now
+		p.started, p.creditAddedAt, p.lastUsed = true, now, now
 	}
-	p.loadCredit += p.budget * max(0, now.Sub(p.filledAt).Seconds())
-	p.filledAt = now
-	limit := max(p.budget*p.cfg.MaxSaved.Seconds(), p.meanReadBytes)
+	p.loadCredit += p.budget * max(0, now.Sub(p.creditAddedAt).Seconds())
+	p.creditAddedAt = now
+	limit := max(p.budget*p.cfg.MaxSaved.Seconds(), p.meanReportBytes)
 	if p.loadCredit > limit {
 		p.events = min(p.events+p.loadCredit-limit, limit)
 		p.loadCredit = limit
@@ -149,7 +155,7 @@
 // Next returns a read to make now, or else the time to wait before the next call.
 func (p *Planner) Next(now time.Time) (read Read, wait time.Duration, ok bool) {
 	p.addCredit(now)
-	if p.loadCredit < p.meanReadBytes {
+	if p.loadCredit < p.meanReportBytes {
 		return Read{}, p.waitForCredit(), false
 	}
 	next, wait := p.mostUrgent(now)
@@ -158,26 +164,27 @@
 	}
 	s := p.targets[next]
 	s.reading, s.lastRead, s.used = true, now, 0
-	p.loadCredit -= p.meanReadBytes
-	events := p.events > 0 && !now.Before(s.eventsAfter)
-	return Read{Target: next, Events: events, charge: p.meanReadBytes}, 0, true
+	p.loadCredit -= p.meanReportBytes
+	events := p.events > 0 && !now.Before(s.eventsNotBefore)
+	return Read{Target: next, Events: events, chargedBytes: p.meanReportBytes}, 0, true
 }
 
 func (p *Planner) waitForCredit() time.Duration {
 	if p.budget <= 0 {
 		return p.cfg.Interval
 	}
-	seconds := (p.meanReadBytes - p.loadCredit) / p.budget
+	seconds := (p.meanReportBytes - p.loadCredit) / p.budget
 	return min(p.cfg.Interval, time.Duration(math.Ceil(seconds*float64(time.Second))))
 }
 
-// mostUrgent returns the target with the highest product of the report's age and the number of
-// own attempts since, among the targets that are due. A target that has never been read comes
-// first. A target without attempts is also read once its report is old enough.
+// mostUrgent returns the target with the highest urgency among those that are due: the age of its
+// last report in seconds times one more than the number of this daemon's attempts there since. A
+// target that has never been read comes first. If no target is due, wait is the time until one is,
+// at most Config.Interval.
 func (p *Planner) mostUrgent(now time.Time) (best Target, wait time.Duration) {
 	wait = p.cfg.Interval
 	interval := p.interval(now)
-	most := -1.0
+	highestUrgency := -1.0
 	for t, s := range p.targets {
 		age := now.Sub(s.lastRead)
 		switch {
@@ -188,8 +195,8 @@
 			continue
 		}
 		urgency := age.Seconds() * float64(1+s.used)
-		if urgency > most || urgency == most && less(t, best) {
-			best, most = t, urgency
+		if urgency > highestUrgency || urgency == highestUrgency && less(t, best) {
+			best, highestUrgency = t, urgency
 		}
 	}
 	return best, wait
@@ -219,8 +226,8 @@
 func (p *Planner) HandleResult(now time.Time, read Read, result Result) {
 	p.addCredit(now)
 	if result.LoadBytes > 0 {
-		p.loadCredit += read.charge - float64(result.LoadBytes)
-		p.meanReadBytes += meanGain * (float64(result.LoadBytes) - p.meanReadBytes)
+		p.loadCredit += read.chargedBytes - float64(result.LoadBytes)
+		p.meanReportBytes += reportSizeWeight * (float64(result.LoadBytes) - p.meanReportBytes)
 	}
 	p.events -= float64(result.EventBytes)
 	s := p.targets[read.Target]
@@ -242,6 +249,6 @@
 		s.eventsBackoff = p.cfg.EventsBackoff
 		return
 	}
-	s.eventsAfter = now.Add(s.eventsBackoff)
+	s.eventsNotBefore = now.Add(s.eventsBackoff)
 	s.eventsBackoff = min(2*s.eventsBackoff, p.cfg.MaxEventsBackoff)
 }
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -1,6 +1,6 @@
 // Package rollout brings the models, adapters and versions on the runners to the state in the
 // manifest. It changes a few runners at a time to keep capacity, respects the rate limit of the
-// weight store, places a canary version on a share of the runners if the manifest has one, and
+// weight store, loads a canary version on a fraction of the runners if the manifest has one, and
 // backs off after failed loads.
 //
 // An order is a command to one runner. Orders describe the wanted state, so repeating them is safe. On every call the planner
@@ -79,7 +79,8 @@
 	// RepeatAfter is the time after which an order is given again if the runner's reports still
 	// don't show its effect.
 	RepeatAfter time.Duration
-	// FirstBackoff is the delay after a failed load; it doubles up to MaxBackoff.
+	// FirstBackoff is the delay before an order is given again after its first failure. The delay
+	// doubles with each further failure, up to MaxBackoff.
 	FirstBackoff time.Duration
 	MaxBackoff   time.Duration
 }
@@ -97,9 +98,9 @@
 
 // orderState holds what the reports don't show yet about an order.
 type orderState struct {
-	// acceptedAt is when Plan last returned the order; zero after HandleFailure or Defer.
-	acceptedAt time.Duration
-	failures   int
+	// plannedAt is when Plan last returned the order; zero after HandleFailure or Defer.
+	plannedAt time.Duration
+	failures  int
 	// retryAt is when the order may be given again.
 	retryAt time.Duration
 }
@@ -108,7 +109,7 @@
 type Planner struct {
 	limits Limits
 	orders map[Order]*orderState
-	// role is the wanted role of the runners; empty leaves their roles unchanged.
+	// role is the wanted role of the runners' engines; empty leaves their roles unchanged.
 	role string
 }
 
@@ -126,8 +127,8 @@
 	return name, version
 }
 
-// Targets returns the version that each runner should serve. The canary's share of the runners
-// is chosen by hash, so the choice remains stable when other runners are added or removed.
+// Targets returns the version that each runner should serve. The canary version goes to
+// the fraction Canary.Share of the runners, rounded up. These runners are chosen by hash, so the choice remains stable when other runners are added or removed.
 func Targets(m *manifest.Model, runners []ident.RunnerID) map[ident.RunnerID]string {
 	targets := make(map[ident.RunnerID]string, len(runners))
 	for _, r := range runners {
@@ -143,6 +144,8 @@
 	return targets
 }
 
+// byCanaryRank returns the runners in the order in which they get the canary version: by a hash of
+// the model's name, the canary version and the runner's ID.
 func byCanaryRank(m *manifest.Model, runners []ident.RunnerID) []ident.RunnerID {
 	type ranked struct {
 		id   ident.RunnerID
@@ -160,13 +163,14 @@
 	return out
 }
 
-// HandleFailure records that a runner refused an order or failed to execute it.
+// HandleFailure records that a runner refused an order or failed to execute it. The order is given
+// again after a delay that doubles with each failure.
 func (p *Planner) HandleFailure(now time.Duration, o Order) {
 	s := p.stateOf(o)
 	wait := p.limits.FirstBackoff << min(s.failures, 16)
 	s.failures++
 	s.retryAt = now + min(wait, p.limits.MaxBackoff)
-	s.acceptedAt = 0
+	s.plannedAt = 0
 }
 
 // Defer records that an order was not sent and must wait, for example for the weight store's
@@ -174,7 +178,7 @@
 func (p *Planner) Defer(now time.Duration, o Order, wait time.Duration) {
 	s := p.stateOf(o)
 	s.retryAt = now + wait
-	s.acceptedAt = 0
+	s.plannedAt = 0
 }
 
 // Pending reports whether some orders are not yet shown as done by the reports.
@@ -209,25 +213,26 @@
 
 func (p *Planner) recordSent(now time.Duration, o Order) {
 	s := p.stateOf(o)
-	s.acceptedAt = now
+	s.plannedAt = now
 	s.retryAt = now + p.limits.RepeatAfter
 }
 
 // planning is the state of one call of Plan.
 type planning struct {
-	p       *Planner
+	planner *Planner
 	now     time.Duration
 	models  []manifest.Model
 	runners []Runner
 	// targets holds the result of Targets for each of models.
 	targets []map[ident.RunnerID]string
-	// changing holds the runners that are loading or changing their role, or are about to.
+	// changing holds the runners that are loading or changing their role, and those with a load or
+	// role order that Plan has returned and that the reports don't show as done.
 	changing map[ident.RunnerID]bool
 	orders   []Order
 }
 
-func newPlanning(p *Planner, now time.Duration, models []manifest.Model, runners []Runner) *planning {
-	t := &planning{p: p, now: now, runners: runners, changing: map[ident.RunnerID]bool{}}
+func newPlanning(planner *Planner, now time.Duration, models []manifest.Model, runners []Runner) *planning {
+	t := &planning{planner: planner, now: now, runners: runners, changing: map[ident.RunnerID]bool{}}
 	t.models = slices.Clone(models)
 	slices.SortStableFunc(t.models, func(a, b manifest.Model) int { return cmp.Compare(b.Priority, a.Priority) })
 	ids := make([]ident.RunnerID, 0, len(runners))
@@ -248,27 +253,28 @@
 }
 
 // dropObsoleteOrders drops the orders that the reports show as done and those whose runner is
-// gone. A runner with another accepted order counts as changing until the order may be repeated.
+// gone. A runner with a remaining load or role order counts as changing until the order may be
+// repeated.
 func (t *planning) dropObsoleteOrders() {
 	reported := map[ident.RunnerID]Runner{}
 	for _, r := range t.runners {
 		reported[r.ID] = r
 	}
-	for o, s := range t.p.orders {
+	for o, s := range t.planner.orders {
 		r, ok := reported[o.Runner]
 		if !ok || o.Kind == Load && hasLoaded(r, o.Model, o.Version, o.Adapter) {
-			delete(t.p.orders, o)
+			delete(t.planner.orders, o)
 			continue
 		}
 		if o.Kind == Unload && !hasLoaded(r, o.Model, o.Version, o.Adapter) {
-			delete(t.p.orders, o)
+			delete(t.planner.orders, o)
 			continue
 		}
-		if o.Kind == ChangeRole && (r.Role == o.Role || o.Role != t.p.role) {
-			delete(t.p.orders, o)
+		if o.Kind == ChangeRole && (r.Role == o.Role || o.Role != t.planner.role) {
+			delete(t.planner.orders, o)
 			continue
 		}
-		if o.Kind != Unload && s.acceptedAt != 0 && t.now < s.retryAt {
+		if o.Kind != Unload && s.plannedAt != 0 && t.now < s.retryAt {
 			t.changing[o.Runner] = true
 		}
 	}
@@ -312,7 +318,7 @@
 		adding = append(adding, o)
 	}
 	for _, o := range adding {
-		t.addIfAllowed(o, t.p.limits.MaxLoads)
+		t.addIfAllowed(o, t.planner.limits.MaxLoads)
 	}
 	for _, o := range replacing {
 		t.addIfAllowed(o, t.maxConcurrentChanges())
@@ -321,19 +327,19 @@
 
 // maxConcurrentChanges returns how many serving runners may change at once.
 func (t *planning) maxConcurrentChanges() int {
-	share := int(t.p.limits.MaxLoadingShare * float64(len(t.runners)))
-	return min(t.p.limits.MaxLoads, max(share, 1))
+	share := int(t.planner.limits.MaxLoadingShare * float64(len(t.runners)))
+	return min(t.planner.limits.MaxLoads, max(share, 1))
 }
 
 // changeRoles changes a few runners at a time, because an engine may accept no requests during
 // the change.
 func (t *planning) changeRoles() {
-	if t.p.role == "" {
+	if t.planner.role == "" {
 		return
 	}
 	for _, r := range t.runners {
-		if r.Role != t.p.role {
-			t.addIfAllowed(Order{Runner: r.ID, Kind: ChangeRole, Role: t.p.role}, t.maxConcurrentChanges())
+		if r.Role != t.planner.role {
+			t.addIfAllowed(Order{Runner: r.ID, Kind: ChangeRole, Role: t.planner.role}, t.maxConcurrentChanges())
 		}
 	}
 }
@@ -365,7 +371,7 @@
 
 // delayed reports whether an order must not be given or repeated yet.
 func (t *planning) delayed(o Order) bool {
-	s, ok := t.p.orders[o]
+	s, ok := t.planner.orders[o]
 	return ok && t.now < s.retryAt
 }
 
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -113,8 +113,8 @@
 	return t.choice(best, r), nil
 }
 
-// ChoiceFor returns the Choice for a runner that the caller has already selected. It
-// returns false if the runner is not in the table.
+// ChoiceFor returns the Choice for a runner that the caller has already selected. It does not
+// check whether the runner accepts requests. It returns false if the runner is not in the table.
 func (t *Table) ChoiceFor(id ident.RunnerID, r *Request) (Choice, bool) {
 	i, ok := t.byID[id]
 	if !ok {
@@ -173,7 +173,8 @@
 // eligible returns the slots that may serve the request: live runners that have loaded
 // the wanted version, else any version of the model, else runners that have not
 // reported yet. Suspect and ejected runners are used only if no other runner is left:
-// an attempt, which the retry budget limits, serves the caller better than a refusal.
+// such a runner may still answer, which serves the caller better than a refusal.
+// The retry budget limits the number of these attempts.
 func (t *Table) eligible(r *Request) (prefix.Set, error) {
 	usable := t.live.Or(t.suspect)
 	if usable.Empty() {
@@ -185,23 +186,23 @@
 	p := t.loadedSlots[modelKey{r.Model, r.Adapter}]
 	for _, states := range [...]prefix.Set{t.live.Minus(t.ejected), usable} {
 		states = states.Minus(r.Exclude)
-		for _, loaded := range [...]prefix.Set{p.wanted, p.other, t.reported.Not()} {
+		for _, loaded := range [...]prefix.Set{p.wantedVersion, p.otherVersion, t.reported.Not()} {
 			if found := states.And(loaded); !found.Empty() {
 				return found, nil
 			}
 		}
 	}
-	if !usable.And(p.wanted.Or(p.other)).Empty() {
+	if !usable.And(p.wantedVersion.Or(p.otherVersion)).Empty() {
 		return prefix.Set{}, errAllTried
 	}
 	return prefix.Set{}, errNotLoaded
 }
 
-// matchPrefix finds the slots that have cached a part of the request's prefix.
+// matchPrefix sets prefixMatch to the slots that have cached a part of the request's prefix.
 func (t *Table) matchPrefix(r *Request) {
-	t.depths.Held, t.depths.Deepest = prefix.Set{}, prefix.Set{}
+	t.prefixMatch.Held, t.prefixMatch.Deepest = prefix.Set{}, prefix.Set{}
 	if !t.cfg.IgnorePrefix {
-		t.index.Match(r.Prefix, &t.depths)
+		t.index.Match(r.Prefix, &t.prefixMatch)
 	}
 }
 
@@ -212,7 +213,7 @@
 	if t.cfg.Samples <= 0 || from.Len() <= t.cfg.Samples {
 		return from
 	}
-	chosen := from.And(t.depths.Deepest)
+	chosen := from.And(t.prefixMatch.Deepest)
 	if t.homeSlot != noHome && from.Has(t.homeSlot) {
 		chosen = chosen.With(t.homeSlot)
 	}
@@ -286,11 +287,13 @@
 	return seconds
 }
 
+// cachedBlocks returns how many elements of Request.Prefix, from the first one on, slot i is
+// expected to have cached. It uses the result of the last call of matchPrefix.
 func (t *Table) cachedBlocks(i int) int {
-	if !t.depths.Held.Has(i) {
+	if !t.prefixMatch.Held.Has(i) {
 		return 0
 	}
-	return int(t.depths.Blocks[i])
+	return int(t.prefixMatch.Blocks[i])
 }
 
 // uncached returns the number of prompt tokens that slot i would have to compute. It is
@@ -299,6 +302,8 @@
 	return max(1, r.PromptTokens-t.cachedTokens(i, r))
 }
 
+// cachedTokens returns the number of prompt tokens that slot i is expected to have cached. The home
+// slot is assumed to have cached the shared prefix.
 func (t *Table) cachedTokens(i int, r *Request) int {
 	cached := 0
 	if n := t.cachedBlocks(i); n > 0 && r.PrefixTokens != nil {
@@ -387,5 +392,5 @@
 // price expressed in the same unit.
 func (t *Table) risk(i int, r *Request) float64 {
 	s := &t.scores[i]
-	return s.hazardPerToken*float64(r.OutputTokens) + s.priceRisk
+	return s.hazard*float64(r.OutputTokens) + s.priceRisk
 }
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// defaultMeanOutput is the initial estimate of the mean output length in tokens.
-// meanOutputWeight is the weight of each new answer in the moving average.
+// defaultMeanOutput is the initial value of Table.meanOutput, the moving average of the output
+// lengths in tokens. meanOutputWeight is the weight of each new answer in this average.
 const (
 	defaultMeanOutput = 200
 	meanOutputWeight  = 0.02
@@ -21,10 +21,10 @@
 // the first token from it, or sees a request end there. prefill is in prompt tokens still to
 // compute, kv in tokens of KV cache, requests in requests in progress.
 type loadChange struct {
-	at       time.Time
-	prefill  float64
-	kv       float64
-	requests int
+	at            time.Time
+	prefillTokens float64
+	kvTokens      float64
+	requests      int
 }
 
 // changeLog is a ring buffer of a runner's latest load changes. nextEntry is the index that the
@@ -37,7 +37,8 @@
 // score holds the values of a slot that a choice reads. It is separate from slot and
 // small because every choice reads the scores of all candidates.
 type score struct {
-	// remotePenalty is added for a runner in another failure domain, in seconds.
+	// remotePenalty is the number of seconds added to the expected time to first token because
+	// the runner is in another failure domain; zero if it is not.
 	remotePenalty float64
 	// prefillSecondsPerToken is the prefill time per prompt token in seconds.
 	// secondsPerFreedToken is the mean time in seconds until the running requests free KV cache
@@ -53,54 +54,56 @@
 	batchWait float64
 	// inFlight is the number of this gateway's requests in progress at the runner.
 	inFlight int
-	// hazardPerToken is the probability that the runner's VM is reclaimed while the runner
+	// hazard is the probability that the runner's VM is reclaimed while the runner
 	// computes one output token. priceRisk is the runner's price, converted to the reclaim
 	// probability that weighs as much: Config.PriceWeight for the highest price in the table.
-	hazardPerToken float64
-	priceRisk      float64
+	hazard    float64
+	priceRisk float64
 }
 
-// sumChangesSinceReport recomputes the sums of the own changes after the last report of slot i.
+// sumChangesSinceReport recomputes the sums of this gateway's load changes after the AsOf time of
+// the last report of slot i.
 func (t *Table) sumChangesSinceReport(i int) {
 	s := &t.slots[i]
-	s.sincePrefill, s.sinceKV, s.sinceRequests = 0, 0, 0
+	s.prefillSinceReport, s.kvSinceReport, s.requestsSinceReport = 0, 0, 0
 	log := &t.logs[i].entries
 	for j := range log {
 		if log[j].at.After(s.report.AsOf) {
-			s.sincePrefill += log[j].prefill
-			s.sinceKV += log[j].kv
-			s.sinceRequests += log[j].requests
+			s.prefillSinceReport += log[j].prefillTokens
+			s.kvSinceReport += log[j].kvTokens
+			s.requestsSinceReport += log[j].requests
 		}
 	}
 }
 
-// recordChange applies an own change to the load of slot i and keeps it for later reports.
+// recordChange adds a load change to the load of slot i. It also stores the change, because the
+// next report may have been made before it.
 func (t *Table) recordChange(i int, c loadChange) {
 	log := &t.logs[i]
 	log.entries[log.nextEntry] = c
 	log.nextEntry = (log.nextEntry + 1) % changeLogSize
 	s := &t.slots[i]
-	s.sincePrefill += c.prefill
-	s.sinceKV += c.kv
-	s.sinceRequests += c.requests
-	s.pendingPrefill += c.prefill
-	s.pendingKV += c.kv
+	s.prefillSinceReport += c.prefillTokens
+	s.kvSinceReport += c.kvTokens
+	s.requestsSinceReport += c.requests
+	s.pendingPrefill += c.prefillTokens
+	s.pendingKV += c.kvTokens
 	t.scores[i].inFlight += c.requests
 	t.rescore(i)
 }
 
-// rescore computes the score of slot i from the last report and own changes.
+// rescore computes the score of slot i from the last report and the load changes since.
 func (t *Table) rescore(i int) {
 	s, c := &t.slots[i], &t.scores[i]
 	c.prefillSecondsPerToken = 1 / s.prefillRate
 	c.secondsPerFreedToken = 1 / (s.decodeRate * float64(max(1, s.report.Running)))
-	c.queuedTokens = max(s.pendingPrefill, float64(s.report.QueuedTokens)+s.sincePrefill)
+	c.queuedTokens = max(s.pendingPrefill, float64(s.report.QueuedTokens)+s.prefillSinceReport)
 	c.freeTokens = math.Inf(1)
 	if s.reported && s.report.KVBlocksTotal > 0 {
-		c.freeTokens = s.freeTokens - s.sinceKV
+		c.freeTokens = s.freeTokens - s.kvSinceReport
 	}
 	c.batchWait = t.waitForBatch(s, c.inFlight)
-	c.hazardPerToken = s.hazard / s.decodeRate
+	c.hazard = s.hazard / s.decodeRate
 	c.priceRisk = 0
 	if t.maxPrice > 0 {
 		c.priceRisk = t.cfg.PriceWeight * s.runner.PricePerHour / t.maxPrice
@@ -111,12 +114,14 @@
 // report plus this gateway's load changes since. It returns at least own, the number of this
 // gateway's requests in progress there, because the report may lag behind.
 func (s *slot) requestsInProgress(own int) int {
-	return max(own, s.report.Running+s.report.Waiting+s.sinceRequests)
+	return max(own, s.report.Running+s.report.Waiting+s.requestsSinceReport)
 }
 
 // waitForBatch returns the time in seconds until a request that arrives now gets a slot
-// in the batch. The queued prompt tokens don't tell this, because many queued prompts can
-// be short. Slots become free at the rate at which the running requests finish.
+// in the batch: the number of requests that must finish before, divided by the rate at which the
+// requests of a full batch finish. own is the number of this gateway's requests in progress at
+// the runner. The wait can't be derived from the number of queued prompt tokens, because many
+// short prompts can be queued.
 func (t *Table) waitForBatch(s *slot, own int) float64 {
 	ahead := s.requestsInProgress(own) - s.batchSize + 1
 	if ahead <= 0 {
@@ -126,17 +131,18 @@
 	return float64(ahead) / perSecond
 }
 
-// Capacity is the total capacity of the usable runners according to their reports.
+// Capacity is the total capacity of the live runners that are not ejected, by their reports.
 type Capacity struct {
 	Runners int
-	// Batch is the total number of requests that can run at a time. DecodeRate is the
+	// BatchSlots is the total number of requests that can run at a time. DecodeRate is the
 	// total number of output tokens per second.
-	Batch      int
+	BatchSlots int
 	DecodeRate float64
-	// Free is the number of free batch slots by the last reports and this gateway's load
+	// FreeSlots is the number of free batch slots by the last reports and this gateway's load
 	// changes since.
-	Free int
-	// PromptCost is the cost of one uncached prompt token in output tokens.
+	FreeSlots int
+	// PromptCost is the number of output tokens that all runners together could generate in the
+	// time in which they compute one uncached prompt token.
 	PromptCost float64
 }
 
@@ -154,17 +160,17 @@
 // The result is the equal share of all slots or, if that is more, running plus
 // claimableFreeFraction of the free slots. Callers are not spread evenly over the gateways, and a gateway with many
 // callers must not refuse requests while runners are idle.
-func (c Capacity) Share(gateways, running int) (slots, perSecond float64) {
-	if c.Batch == 0 {
+func (c Capacity) Share(gateways, running int) (slots, tokensPerSecond float64) {
+	if c.BatchSlots == 0 {
 		return 0, 0
 	}
-	equal := float64(c.Batch) / float64(max(1, gateways))
-	free := max(0, float64(c.Free)-reservedFraction*float64(c.Batch))
+	equal := float64(c.BatchSlots) / float64(max(1, gateways))
+	free := max(0, float64(c.FreeSlots)-reservedFraction*float64(c.BatchSlots))
 	slots = equal
 	if free > 0 {
 		slots = max(equal, float64(running)+claimableFreeFraction*free)
 	}
-	return slots, c.DecodeRate * slots / float64(c.Batch)
+	return slots, c.DecodeRate * slots / float64(c.BatchSlots)
 }
 
 // Capacity returns the total capacity of the runners that are live and not ejected.
@@ -174,8 +180,8 @@
 	for i := range t.live.Minus(t.ejected).All() {
 		s := &t.slots[i]
 		c.Runners++
-		c.Batch += s.batchSize
-		c.Free += max(0, s.batchSize-s.report.Running-s.report.Waiting-s.sinceRequests)
+		c.BatchSlots += s.batchSize
+		c.FreeSlots += max(0, s.batchSize-s.report.Running-s.report.Waiting-s.requestsSinceReport)
 		c.DecodeRate += float64(s.batchSize) * s.decodeRate
 		prefillRate += s.prefillRate
 	}
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -48,12 +48,12 @@
 	seq  int
 }
 
-func (r *attemptLog) add(seed int64, k requestKind, key, daemon string) *attempt {
+func (r *attemptLog) add(seed int64, k requestKind, key, daemonAddress string) *attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seq++
 	id := fmt.Sprintf("s%d-%d", seed, r.seq)
-	c := &attempt{requestKind: k, id: id, key: key, daemonAddress: daemon, sent: time.Now()}
+	c := &attempt{requestKind: k, id: id, key: key, daemonAddress: daemonAddress, sent: time.Now()}
 	if k.method == http.MethodPost {
 		c.body = "body of " + id
 	}
@@ -66,7 +66,7 @@
 // until they break, and sometimes abandons a request.
 type caller struct {
 	fleet           *fleet
-	attempts        *attemptLog
+	attemptLog      *attemptLog
 	seed            int64
 	rng             *rand.Rand
 	client          *http.Client
@@ -82,7 +82,7 @@
 
 func newCaller(f *fleet, r *attemptLog, seed int64, n int) *caller {
 	return &caller{
-		fleet: f, attempts: r, seed: seed, rng: rand.New(rand.NewPCG(uint64(seed), uint64(100+n))),
+		fleet: f, attemptLog: r, seed: seed, rng: rand.New(rand.NewPCG(uint64(seed), uint64(100+n))),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}},
 	}
 }
@@ -90,18 +90,18 @@
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		address := c.pickAddress(ctx)
+		address := c.address(ctx)
 		if address != "" {
 			k := requestKinds[c.rng.IntN(len(requestKinds))]
-			c.send(ctx, c.attempts.add(c.seed, k, c.fleet.pickKey(c.rng.IntN(8)), address))
+			c.send(ctx, c.attemptLog.add(c.seed, k, c.fleet.pickKey(c.rng.IntN(8)), address))
 		}
 		time.Sleep(time.Duration(c.rng.IntN(30)) * time.Millisecond)
 	}
 }
 
-// pickAddress returns one of the addresses from the directory, and resolves them anew
+// address returns one of the addresses from the directory, and resolves them anew
 // when they have expired. It returns "" if there are none.
-func (c *caller) pickAddress(ctx context.Context) string {
+func (c *caller) address(ctx context.Context) string {
 	if time.Now().After(c.addressesExpire) {
 		d := c.fleet.daemons[c.rng.IntN(len(c.fleet.daemons))]
 		if found := c.resolve(ctx, d); len(found) > 0 {
@@ -135,8 +135,8 @@
 		ID: a.id, Method: a.method, Host: site.Host, Path: a.path, Body: a.body, APIKey: a.key,
 		Timeout: callerTimeout, SpoofedWorkspace: "forged",
 	})
-	c.attempts.mu.Lock()
-	defer c.attempts.mu.Unlock()
+	c.attemptLog.mu.Lock()
+	defer c.attemptLog.mu.Unlock()
 	if err != nil {
 		a.truncated = true
 		return
--- a/standin/cloudapi/cloudapi_test.go
+++ b/standin/cloudapi/cloudapi_test.go
@@ -27,8 +27,9 @@
 	}
 }
 
-// serve runs a test in a bubble with a client of the handler.
-func serve(t *testing.T, handler func() http.Handler, test func(is *is.I, c *cloudapi.Client)) {
+// runWithClient runs a test in a testing/synctest bubble with a client that
+// is connected to the handler.
+func runWithClient(t *testing.T, handler func() http.Handler, test func(is *is.I, c *cloudapi.Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := pipe.NewNetwork()
@@ -43,12 +44,12 @@
 	})
 }
 
-// An operator sees one VM more than was asked for and pays for it. The start
-// took effect, its answer was lost and the start was repeated; the token tells
-// the cloud that it is the same.
+// A start takes effect but its response is lost, and the caller repeats the
+// start with the same token. The cloud must not start a second VM, for which
+// the customer would pay.
 func TestLostStartIsRepeatedSafely(t *testing.T) {
 	var cloud *Cloud
-	serve(t, func() http.Handler { cloud = New(settings()); return cloud.Handler() }, func(is *is.I, c *cloudapi.Client) {
+	runWithClient(t, func() http.Handler { cloud = New(settings()); return cloud.Handler() }, func(is *is.I, c *cloudapi.Client) {
 		ctx := context.Background()
 		cloud.SetFaults(Faults{LoseAnswers: 1})
 		request := cloudapi.StartRequest{Token: "t1", FailureDomain: "a", Class: "spot", Service: "s"}
@@ -64,7 +65,7 @@
 
 func TestRefusedStarts(t *testing.T) {
 	var cloud *Cloud
-	serve(t, func() http.Handler { cloud = New(settings()); return cloud.Handler() }, func(is *is.I, c *cloudapi.Client) {
+	runWithClient(t, func() http.Handler { cloud = New(settings()); return cloud.Handler() }, func(is *is.I, c *cloudapi.Client) {
 		ctx := context.Background()
 		cloud.SetFaults(Faults{RefuseDomains: []ident.FailureDomain{"a"}})
 		_, err := c.Start(ctx, cloudapi.StartRequest{Token: "t1", FailureDomain: "a", Class: "spot"})
@@ -79,8 +80,9 @@
 	})
 }
 
-// Starts are refused just when replacements are needed: the reclaim that took
-// the VMs shows that the failure domain has none to give.
+// After a reclaim, the cloud has no reclaimable capacity left in that failure
+// domain and refuses starts there for a while, which is just when
+// replacements are needed.
 func TestRefusedAfterReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -105,11 +107,11 @@
 	is := is.New(t)
 	w := NewWeights(1, 1, cloudapi.Weight{Name: "m", Version: "1", Bytes: 100})
 	now := time.Now()
-	is.Equal(w.Transfer(now, "m", "1"), time.Duration(0))
+	is.Equal(w.TransferTime(now, "m", "1"), time.Duration(0))
 	w.LimitTransfers(10)
-	is.Equal(w.Transfer(now, "m", "1"), 10*time.Second)
-	is.Equal(w.Transfer(now, "m", "1"), 20*time.Second)
-	is.Equal(w.Transfer(now.Add(time.Minute), "m", "1"), 10*time.Second)
+	is.Equal(w.TransferTime(now, "m", "1"), 10*time.Second)
+	is.Equal(w.TransferTime(now, "m", "1"), 20*time.Second)
+	is.Equal(w.TransferTime(now.Add(time.Minute), "m", "1"), 10*time.Second)
 }
 
 func TestNoticeListLagAndRemoval(t *testing.T) {
@@ -121,7 +123,7 @@
 		cloud = New(s)
 		return cloud.Handler()
 	}
-	serve(t, handler, func(is *is.I, c *cloudapi.Client) {
+	runWithClient(t, handler, func(is *is.I, c *cloudapi.Client) {
 		ctx := context.Background()
 		cloud.Register(cloudapi.VM{ID: "r1", FailureDomain: "a", Reclaimable: true, PricePerHour: 6})
 		cloud.Register(cloudapi.VM{ID: "r2", FailureDomain: "a"})
@@ -136,7 +138,7 @@
 		is.Equal(notices, []cloudapi.Notice{{Sequence: 1, VM: "r1", LeftMillis: 30000}})
 		listed, err := c.List(ctx)
 		is.NoErr(err)
-		is.Equal(listed[0].State, cloudapi.VMLive) // the list lags
+		is.Equal(listed[0].State, cloudapi.VMLive) // the list shows the state of 10 s ago
 		time.Sleep(10 * time.Second)
 		listed, err = c.List(ctx)
 		is.NoErr(err)
@@ -150,7 +152,7 @@
 		is.Equal(len(more), 0)
 		cost := cloud.Cost()
 		time.Sleep(time.Hour)
-		is.Equal(cloud.Cost(), cost) // a VM that is gone costs nothing more
+		is.Equal(cloud.Cost(), cost) // a removed VM adds no cost
 	})
 }
 
@@ -193,7 +195,7 @@
 	store := func() http.Handler {
 		return NewWeights(1, 2, cloudapi.Weight{Name: "m", Version: "1", Bytes: 9}).Handler()
 	}
-	serve(t, store, func(is *is.I, c *cloudapi.Client) {
+	runWithClient(t, store, func(is *is.I, c *cloudapi.Client) {
 		ctx := context.Background()
 		weight, err := c.Stat(ctx, "m", "1")
 		is.NoErr(err)
