--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -1,6 +1,11 @@
 // Package peers keeps what one daemon knows of the other daemons of its fleet: which ones
 // are alive, which ones accept callers and which ones have ended.
 //
+// In a small fleet all daemons send messages to each other. In a large one, most daemons are
+// followers: they send only to a few relays, which pass on what they receive. A daemon is
+// heard if it sends messages directly to this daemon, and mentioned if a message, roster or
+// introduction names it.
+//
 // A daemon is alive while this daemon receives its messages, or while a relay whose
 // messages are received lists it in a roster, i.e. the list of daemons that the relay hears
 // directly. Followers don't pass a relay's roster on as a roster of their own, otherwise
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -89,8 +89,8 @@
 	// take once while it is uninformed, i.e. while some peer has not been heard for
 	// BudgetInterval but is not yet considered silent.
 	uninformedShare = 1.0
-	// uninformedMaxShares is the largest cost, in such fractions, that a single long
-	// prompt may take from an uninformed daemon.
+	// uninformedMaxShares is the largest cost of a single long prompt that an uninformed
+	// daemon may grant, as a multiple of the amount that uninformedShare allows.
 	uninformedMaxShares = 2.0
 	// usageDecay is the time constant with which recent use decays when shares are
 	// computed. It is several intervals long, so that a single request changes little.
