--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -44,7 +44,7 @@
 	d.Starts = t.allowedMoves(starts)
 }
 
-// missingStarts returns the VMs of the plan that the fleet lacks.
+// missingStarts returns one start for each VM by which a pool has fewer VMs than the plan.
 func (t *planningRound) missingStarts() []Start {
 	var starts []Start
 	for id, n := range t.plan {
@@ -58,8 +58,9 @@
 	return starts
 }
 
-// requiredStarts returns the first starts that are enough to meet the target together with
-// all current VMs, including those in pools that the plan would not choose.
+// requiredStarts returns as many of the given starts, from the first on, as are needed to
+// meet the target together with all current VMs, including those in pools that the plan
+// would not choose.
 func (t *planningRound) requiredStarts(starts []Start) []Start {
 	totals := t.domainTotals(t.current)
 	for i, s := range starts {
@@ -124,7 +125,8 @@
 	return n
 }
 
-// surplusStops returns the VMs to stop once the surplus has lasted for SurplusHold.
+// surplusStops returns the IDs of the VMs to stop once the surplus has lasted for
+// SurplusHold.
 func (t *planningRound) surplusStops() []string {
 	vmIDs := t.removableVMIDs()
 	if len(vmIDs) == 0 {
@@ -175,7 +177,7 @@
 	return vmIDs
 }
 
-// excessByPool returns by how many VMs each pool exceeds the plan, without pools that don't.
+// excessByPool returns, for each pool that holds more VMs than the plan, by how many.
 func (t *planningRound) excessByPool() map[Pool]int {
 	surplus := map[Pool]int{}
 	for id, n := range t.current {
@@ -203,13 +205,14 @@
 	})
 }
 
-// domainTotals counts VMs by failure domain.
+// domainTotals counts the VMs of a fleet in total and by failure domain.
 type domainTotals struct {
 	total   int
 	domains map[ident.FailureDomain]int
-	// atRisk counts the VMs that are lost if their failure domain is lost.
+	// atRisk counts, for each failure domain, the VMs that are lost if the domain is lost.
 	atRisk map[ident.FailureDomain]int
-	// notAtRisk holds the pools that lose no VMs with their failure domain.
+	// notAtRisk holds the pools whose VMs are assumed to survive the loss of their failure
+	// domain: those that are not reclaimable if the target only has to survive reclaims.
 	notAtRisk map[Pool]bool
 }
 
@@ -237,8 +240,8 @@
 	return s
 }
 
-// meets reports whether the VMs meet the target w. If the target must survive the loss of
-// a failure domain, the domain with the most VMs at risk is assumed to be lost.
+// meets reports whether the VMs meet the target. If the target must survive the loss of a
+// failure domain, the domain with the most VMs at risk is assumed to be lost.
 func (s *domainTotals) meets(target Target) bool {
 	for _, n := range s.domains {
 		if n < target.MinPerDomain {
