--- a/coordination/canary/cusum.go
+++ b/coordination/canary/cusum.go
@@ -34,8 +34,8 @@
 	minFailed       = 4
 	minFailureRate  = 0.01
 	// baselineHalfLife is the time in which the old version's answers lose half of their
-	// weight in the baseline that the cumulative sums use, so that a fault that makes both versions fail for a while does not count
-	// against the new one.
+	// weight in the baseline that the cumulative sums use, so that a fault that makes both
+	// versions fail for a while does not count against the new one.
 	baselineHalfLife = 4 * time.Second
 )
 
--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -10,8 +10,9 @@
 	// it. This long after a verdict, no daemon sends trial requests any more, even if it has not
 	// received the verdict.
 	allowanceTTL = time.Second
-	// preferNewFor is how long after an order was completed the old runners are still used
-	// as a last resort. They are being stopped, and their directory entries expire meanwhile.
+	// preferNewFor is how long after the gate has learned that the order is completed old runners
+	// get requests only if there are no new runners. The old runners are being stopped, but the
+	// directory lists them until their entries expire.
 	preferNewFor = 10 * time.Second
 	// favouredFactor and otherFactor scale Allowance.Share: the former for requests of
 	// Allowance.FavouredRoute, the latter for requests of all other routes.
@@ -39,7 +40,7 @@
 type Gate struct {
 	order  Order
 	record Record
-	// completedAt is when the gate learned that the order is completed.
+	// completedAt is the time at which the gate learned that the order is completed.
 	completedAt time.Duration
 	// trialRequests counts the requests sent to the new version while Running, totalRequests all
 	// requests to the service, both since the daemon created the gate.
@@ -113,12 +114,12 @@
 	}
 }
 
-// HasRecord reports whether a holder has written a record for the order.
+// HasRecord reports whether the latest known record belongs to the gate's order.
 func (g *Gate) HasRecord() bool { return g.record.Order == g.order.Revision }
 
-// Avoids reports whether runners of a version get no new requests. That holds for the
-// order's target while the order is open or after it was rolled back, and for the targets of
-// earlier orders that were not completed.
+// Avoids reports whether v is the order's target or the target of an earlier order that was not
+// completed. A request with placement OldOnly must not go to runners of such a version. The state of
+// the order does not matter: after its completion no request has this placement.
 func (g *Gate) Avoids(v Version) bool {
 	if g.record.Order != g.order.Revision {
 		return v == g.order.Target || slices.Contains(g.record.versionsToAvoid(g.order.Target), v)
@@ -169,7 +170,7 @@
 	return OldOnly
 }
 
-// Dispatched counts a request that is sent for the first time.
+// Dispatched counts a request to the service at its first attempt, whichever version gets it.
 func (g *Gate) Dispatched() { g.totalRequests++ }
 
 // TrialRunners returns how many of the new runners may get trial requests.
@@ -194,7 +195,8 @@
 	return r
 }
 
-// SetAllowance applies an allowance if it answers the latest report.
+// SetAllowance applies an allowance if it answers the latest report. Once an allowance has had Halt
+// set, all later ones count as if they had it set.
 func (g *Gate) SetAllowance(a Allowance) {
 	if a.Order != g.order.Revision || a.Ask != g.reportNumber {
 		return
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -60,8 +60,8 @@
 	FirstEjection time.Duration
 	MaxEjection   time.Duration
 	// MaxEjectedFraction is the fraction of a service's runners that may be ejected at once. If
-	// the service has two or more runners, one may always be ejected. If more fail, the cause is not in single runners, and
-	// without any runner no request could be served.
+	// the service has two or more runners, one may always be ejected. If more runners fail, the
+	// cause is not in single runners, and without any runner no request could be served.
 	MaxEjectedFraction float64
 	// ProbeTimeout is the time after which an unanswered probe counts as failed.
 	ProbeTimeout time.Duration
--- a/coordination/owners/owners.go
+++ b/coordination/owners/owners.go
@@ -1,7 +1,7 @@
 // Package owners selects the daemons that issue action tokens. An owner is a daemon that issues
-// tokens for actions, executes these actions and keeps a journal of them (see package journal). Each daemon selects on its own
-// from its view of the directory. If views differ, a few more daemons keep journals for a while;
-// no guarantee is lost, because any daemon can be an owner.
+// tokens for actions, executes these actions and keeps a journal of them (see package journal).
+// Each daemon makes the selection from its view of the directory. If views differ, a few more daemons
+// keep journals for a while; no guarantee is lost, because any daemon can be an owner.
 package owners
 
 import (
--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -23,7 +23,8 @@
 type Config struct {
 	// Interval is the minimum time between two reads of one target.
 	Interval time.Duration
-	// IdleInterval replaces Interval once this daemon has used no target for IdleAfter.
+	// IdleInterval replaces Interval once RecordUse has not been called for the time IdleAfter:
+	// this daemon has started and ended no attempt at any target.
 	IdleInterval time.Duration
 	IdleAfter    time.Duration
 	// InitialReportBytes is the assumed size of a load report until one has been read.
--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -25,7 +25,8 @@
 	Remaining int
 	// CacheBytes is the size of the stream's KV cache.
 	CacheBytes int64
-	// Pinned streams can't be exported, for example because they were exported before.
+	// Pinned streams can't be moved: their KV cache can't be exported from the runner, for example
+	// because it was exported before.
 	Pinned bool
 	// CachedAt maps runners to the number of context tokens that they have cached.
 	CachedAt map[ident.RunnerID]int
@@ -273,7 +274,7 @@
 	return order < 0
 }
 
-// slotsPerCrowdRank is the number of free slots per step of crowdRank.
+// slotsPerCrowdRank is how many free slots more improve a target's crowdRank by one.
 const slotsPerCrowdRank = 8
 
 // crowdRank ranks targets coarsely by their free slots, so that the streams of a whole batch
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -3,9 +3,9 @@
 // weight store, loads a canary version on a fraction of the runners if the manifest has one, and
 // backs off after failed loads.
 //
-// An order is a command to one runner. Orders describe the wanted state, so repeating them is safe. On every call the planner
-// compares the wanted with the reported state, and it stores only what the reports don't show
-// yet. A new holder of the responsibility starts with an empty planner.
+// An order is a command to one runner. Orders describe the wanted state, so repeating them is safe.
+// On every call the planner compares the wanted with the reported state, and it stores only what the
+// reports don't show yet. A new holder of the responsibility starts with an empty planner.
 package rollout
 
 import (
@@ -128,7 +128,8 @@
 }
 
 // Targets returns the version that each runner should serve. The canary version goes to
-// the fraction Canary.Share of the runners, rounded up. These runners are chosen by hash, so the choice remains stable when other runners are added or removed.
+// the fraction Canary.Share of the runners, rounded up. These runners are chosen by hash, so the
+// choice remains stable when other runners are added or removed.
 func Targets(m *manifest.Model, runners []ident.RunnerID) map[ident.RunnerID]string {
 	targets := make(map[ident.RunnerID]string, len(runners))
 	for _, r := range runners {
--- a/coordination/routing/pick.go
+++ b/coordination/routing/pick.go
@@ -21,14 +21,14 @@
 	PrefixTokens []int
 	PromptTokens int
 	// Shared is the last element of Prefix that other requests have in common with
-	// this one; zero if there is none. SharedTokens is the number of tokens up to it.
-	// See Table.home.
+	// this one; zero if there is none. SharedTokens is the number of prompt tokens up to the
+	// end of that element. Table.home describes what they are used for.
 	Shared       prefix.Hash
 	SharedTokens int
 	// OutputTokens is the expected number of output tokens.
 	OutputTokens int
-	// Long requests go to the runners with the lowest reclaim risk whose expected time
-	// to first token is at most Slack above that of the fastest runner.
+	// Long requests go to the runners with the lowest risk (see Table.risk) among those whose
+	// expected time to first token is at most Slack above that of the fastest runner.
 	Long  bool
 	Slack time.Duration
 	// Fetchable says that a runner can copy the KV cache of the shared prefix from
@@ -50,7 +50,7 @@
 	// Uncached is the number of prompt tokens that the runner has to compute.
 	Uncached int
 	// QueuedAhead is the number of prompt tokens queued at the runner before this
-	// request. Running is the number of requests in progress there.
+	// request. Running is the number of requests running or waiting at the runner.
 	QueuedAhead int
 	Running     int
 	// FetchFrom is the address of a runner to copy the shared prefix from; empty if
--- a/coordination/routing/score.go
+++ b/coordination/routing/score.go
@@ -18,8 +18,9 @@
 const changeLogSize = 128
 
 // loadChange is the change in a runner's load when this gateway dispatches a request to it, gets
-// the first token from it, or sees a request end there. prefill is in prompt tokens still to
-// compute, kv in tokens of KV cache, requests in requests in progress.
+// the first token from it, or sees a request end there. prefillTokens is the change in the number of
+// prompt tokens still to compute, kvTokens the change in the number of tokens in the KV cache, and
+// requests the change in the number of requests in progress.
 type loadChange struct {
 	at            time.Time
 	prefillTokens float64
@@ -158,8 +159,8 @@
 // Share returns the batch slots and the output tokens per second that one of the given
 // number of gateways may use. running is the number of batch slots that the gateway uses now.
 // The result is the equal share of all slots or, if that is more, running plus
-// claimableFreeFraction of the free slots. Callers are not spread evenly over the gateways, and a gateway with many
-// callers must not refuse requests while runners are idle.
+// claimableFreeFraction of the free slots. Callers are not spread evenly over the gateways, and a
+// gateway with many callers must not refuse requests while runners are idle.
 func (c Capacity) Share(gateways, running int) (slots, tokensPerSecond float64) {
 	if c.BatchSlots == 0 {
 		return 0, 0
--- a/coordination/servicetime/servicetime.go
+++ b/coordination/servicetime/servicetime.go
@@ -25,9 +25,9 @@
 // New returns a Mean with an initial guess.
 func New(first time.Duration) *Mean { return &Mean{first.Seconds()} }
 
-// Observe updates the mean with the time from sending a request to its answer. running is the number of requests in
-// progress at the runner when the request was sent, slots the number that the runner can process at
-// once. An answer that may have waited for a slot does not count.
+// Observe updates the mean with the time from sending a request to its answer. running is the number
+// of requests in progress at the runner when the request was sent, slots the number that the runner
+// can process at once. An answer that may have waited for a slot does not count.
 func (m *Mean) Observe(serviceTime time.Duration, running, slots int) {
 	if running >= slots {
 		return
