--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -51,7 +51,9 @@
 	propagationTime = 1500 * time.Millisecond
 	// The new version is promoted before the deadline only with minAnswersToPromote answers
 	// in all and minAnswersPerRoute on each route with at least minRouteFraction of the
-	// answers. At the deadline, minAnswersAtDeadline answers in all are enough.
+	// answers. At the deadline, minAnswersAtDeadline answers in all are enough. The deadline is
+	// propagationTime before completeBy, so that all daemons learn of a promotion before the old
+	// runners are stopped.
 	minAnswersToPromote  = 40
 	minAnswersPerRoute   = 20
 	minAnswersAtDeadline = 8
@@ -86,8 +88,8 @@
 	// state Promoting; negative before.
 	promotedAt time.Duration
 	fleet      Fleet
-	// badReason and badSeries are the reason for a verdict against the new version and the
-	// series that showed it.
+	// badReason is the reason for a verdict against the new version, badSeries the series whose
+	// answers led to it. Both are zero until then and don't change afterwards.
 	badReason Reason
 	badSeries Series
 }
@@ -157,8 +159,8 @@
 	return answers, failed
 }
 
-// HandleReport processes a daemon's report and returns the daemon's new allowance. It returns
-// false for an outdated report and for a report on another order.
+// HandleReport processes a report and returns the reporting daemon's new allowance. daemon is the
+// daemon's incarnation. HandleReport returns false for an outdated report and for a report on another order.
 func (h *Holder) HandleReport(now time.Duration, daemon string, r Report) (Allowance, bool) {
 	if r.Order != h.order.Revision {
 		return Allowance{}, false
@@ -289,7 +291,8 @@
 	return least, fewest
 }
 
-// Tick returns the record as it should be now. It equals Record if there is nothing to write.
+// Tick returns the record that the holder should write now. It equals Record if there is nothing to
+// write. now is a monotonic time, unixMillis the wall-clock time, and self the holder's peer address.
 func (h *Holder) Tick(now time.Duration, unixMillis int64, self string, f Fleet) Record {
 	h.fleet = f
 	defer h.comparison.Decay(now)
@@ -307,8 +310,9 @@
 	return h.running(unixMillis, self, f, r)
 }
 
-// running returns the next record of an order in state Running: promoted, rolled back, completed
-// if no old runners are left, or with a higher Reserved.
+// running returns the next record of an order in state Running. The record is promoted, rolled back,
+// or gets a higher Reserved. It is completed at once if there were only new runners before the first
+// record was written.
 func (h *Holder) running(unixMillis int64, self string, f Fleet, r Record) Record {
 	if r.Holder != self {
 		r.Holder, r.Reason = self, TookOver
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -102,7 +102,8 @@
 	reportInterval     = 250 * time.Millisecond
 	holderTickInterval = 200 * time.Millisecond
 	meanServiceTime    = 60 * time.Millisecond
-	// replacedHolderRunsFor is how long a replaced holder may go on granting allowances.
+	// replacedHolderRunsFor is how long a holder may go on granting allowances after another
+	// daemon has taken over, because its lease has not expired by its own clock.
 	replacedHolderRunsFor = 2 * time.Second
 	serviceTimeSigma      = 0.5
 	exposureSlack         = 50
--- a/coordination/canary/steps_test.go
+++ b/coordination/canary/steps_test.go
@@ -7,7 +7,7 @@
 )
 
 // fixedSteps is an alternative Comparison that the tests measure against CUSUM. It judges
-// each batch of a fixed number of answers per series on its own by thresholds.
+// each batch of batchSize answers of the new version per series on its own by thresholds.
 type fixedSteps struct {
 	batchSize int
 	series    map[canary.Series]*seriesBatch
@@ -18,6 +18,8 @@
 	reason     canary.Reason
 }
 
+// A batch shows the new version to be bad if its failure rate is more than failureRateThreshold above
+// the old version's, or if more than the fraction slowFractionThreshold of its answers are slow.
 const (
 	failureRateThreshold  = 0.15
 	slowFractionThreshold = 0.25
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -96,9 +96,10 @@
 	}
 }
 
-// orderState holds what the reports don't show yet about an order.
+// orderState holds what the planner remembers of an order until the reports show its effect.
 type orderState struct {
-	// plannedAt is when Plan last returned the order; zero after HandleFailure or Defer.
+	// plannedAt is the time of the call of Plan that last returned the order; zero after a call of
+	// HandleFailure or Defer for it.
 	plannedAt time.Duration
 	failures  int
 	// retryAt is when the order may be given again.
@@ -182,7 +183,8 @@
 	s.plannedAt = 0
 }
 
-// Pending reports whether some orders are not yet shown as done by the reports.
+// Pending reports whether the planner has given orders whose effect the runners' reports did not show
+// at the last call of Plan.
 func (p *Planner) Pending() bool { return len(p.orders) > 0 }
 
 // Plan returns the orders to give now. models are the models of the service; runners are its
