--- a/daemon/decisions/decisions.go
+++ b/daemon/decisions/decisions.go
@@ -81,7 +81,7 @@
 	metrics.GetOrRegisterCounter(name, l.registry).Inc(1)
 }
 
-// Time adds a duration, in microseconds, to a histogram.
+// Time adds a duration to the histogram of the given name, which counts in microseconds.
 func (l *Log) Time(name string, d time.Duration) {
 	h := l.registry.GetOrRegister(name, newHistogram).(metrics.Histogram)
 	h.Update(d.Microseconds())
@@ -95,8 +95,8 @@
 	return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, decayAlpha))
 }
 
-// Run writes the queued lines to w until the context ends, and then those that are left. It
-// redirects klog's output to w.
+// Run writes the queued lines to w until the context ends, and then those that are still queued.
+// It redirects the output of klog, a process-wide logger, to w.
 func (l *Log) Run(ctx context.Context, w io.Writer) {
 	buffer := bufio.NewWriterSize(w, writeBufferBytes)
 	klog.SetOutput(buffer)
--- a/daemon/edge/confirm.go
+++ b/daemon/edge/confirm.go
@@ -23,10 +23,11 @@
 	// refused without another read of the service. A key or route that was added a moment
 	// before must not be refused.
 	denialAgeShare = 0.35
-	// confirmTimeout bounds such a read, since a request waits for it. A store that normally
+	// confirmTimeout bounds a read that confirms the configuration, since a request waits for it.
+	// A store that normally
 	// answers in milliseconds is unreachable if it takes that long.
 	confirmTimeout = 500 * time.Millisecond
-	// confirmSpacing is the minimum time between reads. It keeps requests with unknown keys or
+	// confirmSpacing is the minimum time between two reads that confirm the configuration. It keeps requests with unknown keys or
 	// routes from causing a flood of reads.
 	confirmSpacing = 100 * time.Millisecond
 )
@@ -116,7 +117,8 @@
 	}
 }
 
-// markConfirmed records that the configuration at a revision was the newest one at a time.
+// markConfirmed records that the configuration with the given revision was the newest one at the
+// given time.
 func (e *Edge) markConfirmed(revision uint64, at time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -14,14 +14,14 @@
 	dutyName = "cloud"
 	// dutyInterval is the least time between two runs of the duties.
 	dutyInterval = 200 * time.Millisecond
-	// callTimeout bounds a call to the cloud. The holder's lease is valid for at least that
-	// long when a call begins. The timeout allows for a cloud that answers fifty times more
+	// callTimeout bounds a call to the cloud, and one to the key-value service on behalf of the
+	// duties. The holder's lease is valid for at least that long when a call begins. The timeout allows for a cloud that answers fifty times more
 	// slowly than usual.
 	callTimeout = 500 * time.Millisecond
 	// renewalsPerLease is the number of renewals during the life of a lease, so that one or
 	// two may fail.
 	renewalsPerLease = 4
-	// clockDrift is the fraction by which the rates of two clocks may differ.
+	// clockDrift is the fraction by which the rates of two VMs' clocks may differ.
 	clockDrift = 0.01
 	// rankDelay is multiplied by a daemon's place in the order of IDs to get the time that it
 	// waits before it takes over a free lease, so that the daemons don't all write at once.
@@ -29,13 +29,14 @@
 )
 
 // duties holds the state of the work that one daemon of the fleet, the holder of the lease,
-// does for all: calls to the cloud for usage reports and runner orders.
+// does for all: the calls to the cloud, for usage reports and orders of runners, and the decisions
+// about trials of software versions.
 type duties struct {
 	holder *holder.Holder
 	usage  usageReportState
 	saved  savedCounts
 	fleets map[string]*fleetScaler
-	// token is the lease token under which the present state was created.
+	// token is the fencing token of the tenure in which usage and fleets were created.
 	token uint64
 	// wakeup is signalled when it may be time to run the duties.
 	wakeup chan struct{}
@@ -73,8 +74,9 @@
 	})
 }
 
-// runDuties tries to hold the lease and performs the duties while it does. It is woken by
-// tickLoop, so a daemon that is no relay runs it less often.
+// runDuties tries to get the lease of the duties and performs the duties while this daemon holds
+// it. tickLoop wakes it whenever this daemon is about to send messages, which a follower does less often
+// than a relay.
 func (e *Edge) runDuties(ctx context.Context) {
 	lastRun := -dutyInterval
 	for {
@@ -100,9 +102,9 @@
 	}
 }
 
-// shouldHoldDuties reports whether this daemon should hold the lease. A holder keeps it while
-// it is a relay. Another daemon takes it once it has been free for long enough that the daemons
-// before it in the order of IDs would have taken it. The watch of the key-value service shows
+// shouldHoldDuties reports whether this daemon should hold the lease of the duties. A holder keeps
+// the lease while it is a relay. Another relay takes a lease that has been free for so long that
+// every relay before it in the order of IDs would have taken it. The watch of the key-value service shows
 // the current holder, so waiting for the lease costs no calls.
 //
 // Only relays receive all usage counts and all work. A relay that no other relay elects ranks
--- a/daemon/edge/export_test.go
+++ b/daemon/edge/export_test.go
@@ -51,10 +51,10 @@
 	return e.elects(other.self)
 }
 
-// HoldsDuties reports whether the daemon holds the lease for calls to the cloud.
+// HoldsDuties reports whether the daemon holds the lease of the duties.
 func (e *Edge) HoldsDuties() bool { return e.duties.holder.Token() != 0 }
 
-// FleetSize returns the number of daemons by which the daemon divides shared budgets.
+// FleetSize returns the number of daemons among which the daemon divides the retry budget.
 func (e *Edge) FleetSize() int { return e.fleetSize() }
 
 // AlivePeers returns the number of other daemons that the daemon considers alive.
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -188,7 +188,7 @@
 	return sum
 }
 
-// setReclaimableUnavailable sets whether the cloud refuses orders of reclaimable runners.
+// setReclaimableUnavailable sets whether the simulated cloud refuses orders of reclaimable runners.
 func (c *cloud) setReclaimableUnavailable(noReclaimable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -35,8 +35,8 @@
 	// lateGrantPeriod is the time for which an answer is still recognised after its request
 	// stopped waiting, so that the granted quota can be returned.
 	lateGrantPeriod = 5 * time.Second
-	// quotaUnknownRetryAfter is the retry delay sent to the caller if no relay answered.
-	// Another relay has taken over by then.
+	// quotaUnknownRetryAfter is the retry delay sent to the caller if no relay answered. By then
+	// other relays have been elected in place of relays that have ended.
 	quotaUnknownRetryAfter = 300 * time.Millisecond
 )
 
@@ -183,8 +183,8 @@
 	return own, true, e.relaysToAsk()
 }
 
-// takeFromLimiter takes a cost out of this daemon's share of a quota. The caller must hold
-// e.mu.
+// takeFromLimiter takes a cost out of this daemon's share of a workspace's quota. If the share is
+// too small, the result says whether other relays' shares may suffice. The caller must hold e.mu.
 func (e *Edge) takeFromLimiter(now time.Duration, ws ident.Workspace, cost float64) *peersv1.Grant {
 	wait, ok := e.limiter.Take(now, ws, cost)
 	return &peersv1.Grant{Taken: ok, WaitNs: int64(wait), Elsewhere: !ok && e.limiter.Covers(now, ws, cost)}
@@ -305,7 +305,8 @@
 	e.sendTo(relay, &peersv1.Datagram{Refund: &peersv1.Refund{Workspace: string(ws), Cost: cost}})
 }
 
-// handleRefund returns quota to this relay's share that a daemon has given back.
+// handleRefund adds quota that another daemon gives back, because its request never ran, to this
+// relay's share again.
 func (e *Edge) handleRefund(r *peersv1.Refund) {
 	if r.Cost <= 0 {
 		e.log.Note("message_ignored", decisions.F("reason", "refund of nothing"))
--- a/daemon/edge/roles.go
+++ b/daemon/edge/roles.go
@@ -36,10 +36,10 @@
 	// they share quotas with one more relay.
 	maxIntroducedRelays = 4
 	// demotionRepeats is the number of times that a former relay announces its demotion to the
-	// other relays, which wait for its quota use until they know.
+	// other relays. Until they know of it, they expect messages about its quota use.
 	demotionRepeats = 4
-	// firstStartPeriod is the time after the first start ever of the fleet in which no quota
-	// can have been used yet.
+	// firstStartPeriod is the time after the start of a daemon of a fleet that has never served
+	// in which a daemon that becomes a relay assumes that no quota has been used yet.
 	firstStartPeriod = 5 * time.Second
 )
 
@@ -47,18 +47,19 @@
 type follower struct {
 	address   string
 	lastHeard time.Duration
-	// primary is true if the follower's work is counted by this relay.
+	// primary is true if this relay is the follower's primary relay, the one that counts its
+	// work.
 	primary bool
 	// includedSeq is the sequence number of the follower's latest message whose loads are
 	// included in the sums that this relay sends.
 	includedSeq uint64
-	// feedRevision is the revision of the key-value service up to which the follower is up to
-	// date.
+	// feedRevision is the revision of the key-value service up to which the follower has all
+	// changes.
 	feedRevision uint64
 }
 
-// tickPeers updates the peer table, the elected relays, the quota limiter and the usage book to
-// the present time.
+// tickPeers updates everything that depends on the time and on which daemons are alive: the peer
+// table, the elected relays, the quota limiter, the usage ledger and this daemon's phase.
 func (e *Edge) tickPeers() {
 	now := e.deps.Steady()
 	e.mu.Lock()
--- a/daemon/edge/runner_health.go
+++ b/daemon/edge/runner_health.go
@@ -53,7 +53,8 @@
 	return c
 }
 
-// observe records the outcome of a call to a runner.
+// observe records the outcome of a request or connection to a runner, which may eject the runner
+// or start a probe of its health.
 func (p *pool) observe(id ident.RunnerID, o health.Outcome) {
 	if !p.edge.settings.Policy.Uses(Ejection) {
 		return
--- a/daemon/edge/storesync.go
+++ b/daemon/edge/storesync.go
@@ -64,8 +64,8 @@
 // received from relays.
 type directory struct {
 	mu sync.Mutex
-	// changeLog holds all entries and changes that followers need. at is the revision up to
-	// which this copy has every change, unless incomplete is set.
+	// changeLog holds all entries and changes that followers need. at is the revision of the
+	// key-value service up to which this copy has every change, unless incomplete is set.
 	changeLog  *feed.Log
 	at         kv.Revision
 	incomplete bool
@@ -324,8 +324,8 @@
 	e.confirmedByWatch(at)
 }
 
-// confirmedByWatch records that the active configuration was the newest one at a time, unless
-// the watch has returned a newer one that could not be decoded.
+// confirmedByWatch records that a watch has proved the active configuration to be the newest one
+// at the given time, unless the watch has returned a newer one that could not be decoded.
 func (e *Edge) confirmedByWatch(at time.Duration) {
 	e.dir.mu.Lock()
 	e.dir.currentAt = max(e.dir.currentAt, at)
--- a/daemon/edge/trials.go
+++ b/daemon/edge/trials.go
@@ -41,7 +41,8 @@
 	maxReporters = 64
 )
 
-// trials holds the orders to change a service's software version that this daemon knows of.
+// trials holds the operator's orders to change a service's software version that this daemon knows
+// of, and the records of the trials that they have started.
 type trials struct {
 	// hasOrders lets requests skip the lock while no service has an order.
 	hasOrders atomic.Bool
@@ -273,9 +274,9 @@
 	return true
 }
 
-// countVersions counts the runners that accept new requests, by the version in use (old) and
-// the order's target (fresh), and this daemon's attempts in progress at runners of versions
-// other than the target.
+// countVersions counts the service's runners that accept new requests: oldRunners run the version
+// in use, newRunners the target of the operator's order. oldInFlight is the number of this
+// daemon's attempts in progress at runners of versions other than the target.
 func (p *pool) countVersions(g *canary.Gate) (oldRunners, newRunners, oldInFlight int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -320,7 +321,7 @@
 	return xxhash.Sum64String(string(e.self)+"/"+o.Service)%uint64(fleet) < maxReporters
 }
 
-// reporterShare returns the share of the daemons that report on a trial.
+// reporterShare returns the fraction of the fleet's daemons that report on a trial.
 func reporterShare(fleet int) float64 { return min(1, maxReporters/float64(max(1, fleet))) }
 
 // reportTrials requests allowances from the duty holder and reports the requests and answers
@@ -345,8 +346,8 @@
 	}
 }
 
-// openGates returns the gates of trials that aren't decided and have a duty holder to report
-// to.
+// openGates returns the gates of the undecided trials on which this daemon has to report and for
+// which a duty holder takes reports.
 func (e *Edge) openGates(fleet int) []*canary.Gate {
 	e.trials.mu.Lock()
 	defer e.trials.mu.Unlock()
@@ -369,7 +370,7 @@
 	}
 }
 
-// countTrialDispatch counts a request at its first attempt.
+// countTrialDispatch counts a request for its trial when its first attempt is sent.
 func (s *requestHandler) countTrialDispatch() {
 	if s.gate == nil || s.exchange.Sent() > 0 {
 		return
@@ -397,7 +398,8 @@
 	return trialAttribution{g, s.pool.runners[id].Version == g.Order().Target}
 }
 
-// took counts the latency of a whole answer or, with pace, the time between a stream's events.
+// took counts a latency for the attempt's trial: that of a whole answer or, with betweenEvents, the
+// mean time between a stream's events.
 func (a *attempt) took(d time.Duration, betweenEvents bool) {
 	a.recordSample(betweenEvents, func(c *canary.Counts) { c.CountAnswer(d) })
 }
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -227,7 +227,7 @@
 	withTrialIn(t, run, daemons, bad, faults)
 }
 
-// withTrialIn is withTrial in a given kind of fleet.
+// withTrialIn does the same as withTrial in a fleet that run starts.
 func withTrialIn(t *testing.T, run fleetSetup, daemons int, bad, faults func(tw *trialTest)) {
 	run(t, daemons, config(1), func(w *testFleet) {
 		tw := newTrial(w)
--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -29,8 +29,10 @@
 	Counts accounting.Counts `json:"counts"`
 }
 
-// usageReportState is what the holder of the duties knows of the reports during its tenure.
+// usageReportState is what the holder of the duties knows of the usage reports during its tenure.
 type usageReportState struct {
+	// loaded says that intentKey has been read since the start of the tenure or the last failed
+	// write.
 	loaded bool
 	// revision is that of intentKey, zero if the key doesn't exist.
 	revision kv.Revision
@@ -198,7 +200,8 @@
 	return true
 }
 
-// reportTooLate reports whether a window's report would arrive too late to count.
+// reportTooLate reports whether a usage window's report is past its due time, UsageDue after the
+// end of the window.
 func (e *Edge) reportTooLate(w accounting.Window) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -22,8 +22,8 @@
 	// of them.
 	followerCountMessages = 3
 	maxCountsBytes        = 8 << 10
-	// refollowWithin is the time for which a daemon may be unheard that has lost both relays
-	// that it followed, one after the other.
+	// refollowWithin is the longest time for which the relays may not hear a running daemon whose
+	// two followed relays ended one after the other, until it follows new ones.
 	refollowWithin = 4500 * time.Millisecond
 	// countsRelayedWithin is the time that relays take to send each other what they know of a
 	// daemon that has ended.
@@ -51,7 +51,7 @@
 }
 
 // openWindowCounts returns a daemon's counts for the windows that can still be reported.
-// Workspaces are encoded by their index in the usage book's list. The caller must hold e.mu.
+// Workspaces are encoded by their index in the usage ledger's list. The caller must hold e.mu.
 func (e *Edge) openWindowCounts(now time.Duration, id ident.Incarnation) []*peersv1.Window {
 	return encodeWindows(e.usageLedger.Workspaces(), e.usageLedger.OpenWindows(e.wallClock.At(now), id))
 }
@@ -123,9 +123,9 @@
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: open}}
 }
 
-// uncounted returns the daemons whose counts have not been received since a time. It includes
-// daemons that may have lost both their relays and are therefore not heard. The caller must
-// hold e.mu.
+// uncounted returns the daemons whose usage counts have not been received since the given time. It
+// includes daemons that were last heard up to refollowWithin ago, since they may still run and
+// only have lost both relays that they followed. The caller must hold e.mu.
 func (e *Edge) uncounted(now, since time.Duration) []ident.Incarnation {
 	return e.coverage.Missing(e.peers.SeenSince(now-refollowWithin), since)
 }
--- a/daemon/edge/usage_saved.go
+++ b/daemon/edge/usage_saved.go
@@ -21,7 +21,7 @@
 
 // savedCounts is what this daemon knows of the saved counts. Only runDuties uses it.
 type savedCounts struct {
-	// loaded says that the saved counts were merged into the usage book, as of revision.
+	// loaded says that the saved counts were merged into the usage ledger, as of revision.
 	loaded   bool
 	revision kv.Revision
 	// lastWrite is the time of this daemon's last write, data the value written.
@@ -89,7 +89,7 @@
 	return ok
 }
 
-// applySavedCounts merges the saved counts into the usage book. A value that can't be decoded
+// applySavedCounts merges the saved counts into the usage ledger. A value that can't be decoded
 // is ignored and overwritten by the next write.
 func (e *Edge) applySavedCounts(entry kv.Entry) {
 	s := &e.duties.saved
--- a/daemon/holder/holder.go
+++ b/daemon/holder/holder.go
@@ -1,6 +1,9 @@
 // Package holder runs a daemon's candidacy for a responsibility that one daemon at a time may
-// hold. It drives the state machine of package lease and makes the calls to the key-value
-// service that the machine asks for.
+// hold, such as the calls to the cloud provider. The responsibility is held by a lease in the
+// key-value service. The time from getting the lease to losing it is a tenure; each tenure has a
+// fencing token that is greater than all earlier ones. The messages that only the holder may send
+// are called orders. The package drives the state machine of package lease and makes the calls to
+// the key-value service that the machine asks for.
 package holder
 
 import (
@@ -18,7 +21,8 @@
 
 // Options are the parameters of a candidacy.
 type Options struct {
-	// Name is the responsibility. Self is the value that its holder writes into the key.
+	// Name is the name of the responsibility. Self identifies this candidate; a holder writes it
+	// as the value of the responsibility's key.
 	Name   string
 	Self   string
 	Store  kv.Store
@@ -66,14 +70,16 @@
 	return h.machine.Token()
 }
 
-// Idle reports whether the responsibility isn't held and no call is in progress.
+// Idle reports whether this candidate neither holds the responsibility nor tries to get or give up
+// the lease.
 func (h *Holder) Idle() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.machine.State() == lease.Idle || h.machine.State() == lease.Stopped
 }
 
-// Tick advances the time and makes the calls that are due; see lease.Machine.Tick.
+// Tick advances the candidacy to the present time and makes the calls that are due. candidate says
+// whether this daemon should get or keep the responsibility.
 func (h *Holder) Tick(ctx context.Context, candidate bool) {
 	h.runEffects(ctx, h.step(func(now time.Duration) []lease.Effect { return h.machine.Tick(now, candidate) }))
 }
