--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -283,7 +283,7 @@
 		failure.Reason, failure.Sent, failure.MayHaveRun = send.Reason, send.Sent, send.Sent
 	}
 	if ctx.Err() != nil {
-		a.interrupted(failure.Sent)
+		a.endInterrupted(failure.Sent)
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			a.recordFailure()
 		}
@@ -297,25 +297,25 @@
 		a.finish()
 		a.recordFailure()
 	} else {
-		a.s.pool.notStarted(&a.ticket, &a.s.routingRequest)
+		a.s.pool.recordNotStarted(&a.ticket, &a.s.routingRequest)
 	}
 	a.s.pool.observe(a.choice.Runner, health.Failure)
 	return failure
 }
 
-// interrupted ends an attempt because the caller has disconnected or the deadline has passed.
-func (a *attempt) interrupted(sent bool) {
+// endInterrupted ends an attempt because the caller has disconnected or the deadline has passed.
+func (a *attempt) endInterrupted(sent bool) {
 	if sent {
 		a.s.exchange.RecordInterrupted()
 	}
 	a.finish()
 }
 
-func (a *attempt) finish() { a.s.pool.finished(&a.ticket, 0) }
+func (a *attempt) finish() { a.s.pool.recordFinished(&a.ticket, 0) }
 
 // handleNotRun handles a runner's statement that it did not run the request.
 func (a *attempt) handleNotRun(answer *Answer) *forward.FailedAttempt {
-	a.s.pool.notStarted(&a.ticket, &a.s.routingRequest)
+	a.s.pool.recordNotStarted(&a.ticket, &a.s.routingRequest)
 	failure := &forward.FailedAttempt{Reason: retry.Busy, Sent: true, RetryAfter: 0}
 	if answer.Misdirected {
 		failure.Reason = retry.NotLoaded
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -124,7 +124,7 @@
 	e.mu.Unlock()
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
-	return grantsQuota && e.dir.dutyHolder == "" && e.dir.dutyFreeSince != 0 && now-e.dir.dutyFreeSince >= time.Duration(rank)*rankDelay
+	return grantsQuota && e.dir.dutyHolder == "" && e.dir.leaseFreeSince != 0 && now-e.dir.leaseFreeSince >= time.Duration(rank)*rankDelay
 }
 
 // performDuties does the work of the lease holder, with new state if the lease was acquired
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -120,7 +120,7 @@
 // takeQuota takes the cost of a request out of its workspace's quota. It returns the answer of
 // the relay that granted it, an empty answer if this daemon granted it itself, or a refusal.
 func (e *Edge) takeQuota(ctx context.Context, ws ident.Workspace, cost float64, lister candidateLister) (grantAnswer, *refusal.Refusal) {
-	own, elsewhere, addresses := e.takeLocally(ws, cost)
+	own, elsewhere, addresses := e.takeFromOwnShare(ws, cost)
 	if own != nil && (own.Taken || !elsewhere) {
 		return grantAnswer{}, quotaRefusal(own, cost)
 	}
@@ -167,10 +167,10 @@
 	return addresses
 }
 
-// takeLocally takes a cost out of this daemon's own share of the quota. own is nil if this
+// takeFromOwnShare takes a cost out of this daemon's own share of the quota. own is nil if this
 // daemon grants no quota. elsewhere says that another relay may grant the cost; addresses lists
 // the relays to ask.
-func (e *Edge) takeLocally(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, addresses []string) {
+func (e *Edge) takeFromOwnShare(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, addresses []string) {
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -148,7 +148,7 @@
 func (e *Edge) applyPeerLoads() {
 	now := e.deps.Steady()
 	e.reported.mu.Lock()
-	if e.reported.expire(now) || e.reported.changed {
+	if e.reported.removeSilentDaemons(now) || e.reported.changed {
 		e.reported.changed = false
 	} else {
 		e.reported.mu.Unlock()
@@ -176,9 +176,9 @@
 	return 0
 }
 
-// expire drops daemons that are no longer heard, since these have most likely ended together
+// removeSilentDaemons drops daemons that are no longer heard, since these have most likely ended together
 // with their requests. It reports whether there were any.
-func (t *peerLoadTable) expire(now time.Duration) bool {
+func (t *peerLoadTable) removeSilentDaemons(now time.Duration) bool {
 	expired := false
 	for id, load := range t.byDaemon {
 		if now-load.receivedAt <= peers.RelayedAliveFor {
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -52,9 +52,9 @@
 
 // placement records that the shared parts of a prompt were sent to a runner.
 type placement struct {
-	at     time.Duration
-	origin placementOrigin
-	sent   *peersv1.Placed
+	at      time.Duration
+	origin  placementOrigin
+	message *peersv1.Placed
 }
 
 // placements holds the placements of the last seconds.
@@ -63,16 +63,16 @@
 	known map[placementKey]placement
 }
 
-// note records a placement so that it is sent to other daemons. It does nothing and returns
+// record records a placement so that it is sent to other daemons. It does nothing and returns
 // false if the same placement was recorded less than quiet ago.
-func (p *placements) note(now, quiet time.Duration, origin placementOrigin, message *peersv1.Placed) bool {
+func (p *placements) record(now, repeatInterval time.Duration, origin placementOrigin, message *peersv1.Placed) bool {
 	if len(message.Prefix) == 0 {
 		return false
 	}
 	key := placementKey{ident.RunnerID(message.Runner), message.Prefix[len(message.Prefix)-1]}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if before, known := p.known[key]; known && now-before.at < quiet {
+	if before, known := p.known[key]; known && now-before.at < repeatInterval {
 		return false
 	}
 	if p.known == nil {
@@ -84,7 +84,7 @@
 
 // recent lists the newest placements of the given origin that are at most as old as sent, and
 // drops those that are too old to matter.
-func (p *placements) recent(now, sent time.Duration, origin placementOrigin) []*peersv1.Placed {
+func (p *placements) recent(now, maxAge time.Duration, origin placementOrigin) []*peersv1.Placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var recent []placement
@@ -92,14 +92,14 @@
 		switch age := now - entry.at; {
 		case age > placementRepeatInterval:
 			delete(p.known, key)
-		case age <= sent && entry.origin <= origin:
+		case age <= maxAge && entry.origin <= origin:
 			recent = append(recent, entry)
 		}
 	}
 	slices.SortFunc(recent, func(a, b placement) int { return cmp.Compare(b.at, a.at) })
 	list := make([]*peersv1.Placed, 0, maxPlacements)
 	for _, entry := range recent[:min(maxPlacements, len(recent))] {
-		list = append(list, entry.sent)
+		list = append(list, entry.message)
 	}
 	return list
 }
@@ -125,7 +125,7 @@
 	if !e.settings.Policy.Uses(TellPlacements) {
 		return
 	}
-	e.placements.note(e.deps.Steady(), e.placementRepeatTime(), originSelf, &peersv1.Placed{Service: service, Runner: string(runner), Prefix: chain})
+	e.placements.record(e.deps.Steady(), e.placementRepeatTime(), originSelf, &peersv1.Placed{Service: service, Runner: string(runner), Prefix: chain})
 }
 
 // receivePlacements applies the placements that another daemon has sent, and passes on those
@@ -140,7 +140,7 @@
 	}
 	now, quiet := e.deps.Steady(), e.placementRepeatTime()
 	for _, message := range messages {
-		e.placements.note(now, quiet, by, message)
+		e.placements.record(now, quiet, by, message)
 		if p := e.pool(message.Service); p != nil {
 			p.assumeCached(ident.RunnerID(message.Runner), message.Prefix)
 		}
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -278,7 +278,7 @@
 	return p.service.Engine != nil
 }
 
-func (p *pool) notStarted(k *routing.Ticket, r *routing.Request) {
+func (p *pool) recordNotStarted(k *routing.Ticket, r *routing.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.NotStarted(time.Now(), k, r.Prefix)
@@ -297,7 +297,7 @@
 	}
 }
 
-func (p *pool) finished(k *routing.Ticket, tokens int) {
+func (p *pool) recordFinished(k *routing.Ticket, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.Finished(time.Now(), k)
--- a/daemon/edge/serial_failures_test.go
+++ b/daemon/edge/serial_failures_test.go
@@ -17,14 +17,14 @@
 		daemons, workspaces = 12, 2
 		spacing             = 1600 * time.Millisecond
 		settle              = 20 * time.Second
-		first               = 0
+		firstHolder         = 0
 	)
 	for offset := range offsets {
 		withFleet(t, daemons, manyWorkspaces(workspaces), func(w *testFleet) {
 			w.addRunner("r1", "app")
 			time.Sleep(4*time.Second + time.Duration(offset)*250*time.Millisecond)
 			served := int64(0)
-			for _, i := range []int{first, 9, 10, 11} {
+			for _, i := range []int{firstHolder, 9, 10, 11} {
 				for _, d := range w.daemons {
 					for i := range workspaces {
 						if !d.stopped() && w.ask(d, "/read/", fmt.Sprintf("key-%d", i)).status == 200 {
@@ -32,12 +32,12 @@
 						}
 					}
 				}
-				w.checkFor(spacing, check)
-				if !keepSecondHolder || i == first || w.anotherDaemonHoldsDuties(i) {
+				w.checkDuring(spacing, check)
+				if !keepSecondHolder || i == firstHolder || w.anotherDaemonHoldsDuties(i) {
 					w.daemons[i].kill()
 				}
 			}
-			w.checkFor(settle, check)
+			w.checkDuring(settle, check)
 			after(w, served)
 		})
 	}
@@ -53,7 +53,7 @@
 	return false
 }
 
-func (w *testFleet) checkFor(span time.Duration, check func(w *testFleet)) {
+func (w *testFleet) checkDuring(span time.Duration, check func(w *testFleet)) {
 	for range int(span / loadInterval) {
 		check(w)
 		time.Sleep(loadInterval)
--- a/daemon/edge/serve.go
+++ b/daemon/edge/serve.go
@@ -39,8 +39,8 @@
 	priority  int
 	// cost is the amount charged to the quota; zero if nothing was charged. granter is the
 	// address of the relay that charged it, empty for this daemon.
-	cost    float64
-	granter string
+	cost          float64
+	grantingRelay string
 	// recommended is the runner that the relay recommended; empty if there is none.
 	recommended    ident.RunnerID
 	deadline       time.Time
@@ -75,7 +75,7 @@
 // that certainly wasn't executed is returned.
 func (s *requestHandler) refuse(r *refusal.Refusal) {
 	if s.cost > 0 && r.Executed == refusal.ExecutedNo {
-		s.edge.returnQuota(s.granter, s.workspace, s.cost)
+		s.edge.returnQuota(s.grantingRelay, s.workspace, s.cost)
 	}
 	s.note("refused", decisions.F("reason", r.Reason), decisions.F("executed", r.Executed),
 		decisions.F("retry_after", r.RetryAfter), decisions.F("detail", r.Detail))
@@ -231,7 +231,7 @@
 	if r != nil {
 		return r
 	}
-	s.cost, s.granter = cost, granted.relay
+	s.cost, s.grantingRelay = cost, granted.relay
 	if granted.Grant != nil {
 		s.recommended = ident.RunnerID(granted.Runner)
 	}
--- a/daemon/edge/silent_runners.go
+++ b/daemon/edge/silent_runners.go
@@ -18,11 +18,11 @@
 // may be repeated go to other runners while their callers still wait.
 
 const (
-	// silentAfter is the time without data after which a runner with work is probed. Engines
+	// silenceBeforeProbe is the time without data after which a runner with work is probed. Engines
 	// process a prompt in between the tokens of other requests, so only a runner that
 	// processes a single long prompt is silent for that long without a fault; it costs one
 	// probe.
-	silentAfter = 500 * time.Millisecond
+	silenceBeforeProbe = 500 * time.Millisecond
 	// silenceProbeInterval is the time between two probes of one silent runner.
 	silenceProbeInterval = 2 * time.Second
 )
@@ -73,7 +73,7 @@
 				since = due
 			}
 		}
-		if now.Sub(since) < silentAfter || now.Sub(act.lastProbe) < silenceProbeInterval {
+		if now.Sub(since) < silenceBeforeProbe || now.Sub(act.lastProbe) < silenceProbeInterval {
 			continue
 		}
 		act.lastProbe = now
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -22,9 +22,9 @@
 	// of them.
 	followerCountMessages = 3
 	maxCountsBytes        = 8 << 10
-	// refollowWithin is the longest time for which the relays may not hear a running daemon whose
+	// maxRefollowTime is the longest time for which the relays may not hear a running daemon whose
 	// two followed relays ended one after the other, until it follows new ones.
-	refollowWithin = 4500 * time.Millisecond
+	maxRefollowTime = 4500 * time.Millisecond
 	// countsRelayedWithin is the time that relays take to send each other what they know of a
 	// daemon that has ended.
 	countsRelayedWithin = 2400 * time.Millisecond
@@ -58,8 +58,8 @@
 
 // relayCounts holds the counts that one message carries to the relays that may report windows.
 type relayCounts struct {
-	// to are the relays that are sent counts.
-	to map[ident.Incarnation]bool
+	// recipients are the relays that are sent counts.
+	recipients map[ident.Incarnation]bool
 	// hello holds the counts of this relay or of some of its followers; ended holds those of
 	// one daemon that has ended.
 	hello *peersv1.Hello
@@ -85,12 +85,12 @@
 	if e.relayPlan.Direct {
 		return relayCounts{}
 	}
-	c := relayCounts{to: e.reportingRelays(), hello: &peersv1.Hello{}, ended: e.endedCounts(now)}
+	c := relayCounts{recipients: e.reportingRelays(), hello: &peersv1.Hello{}, ended: e.endedCounts(now)}
 	if sendsRoster(messageNumber) {
 		e.addOwnCounts(now, c.hello)
 		return c
 	}
-	c.uncounted = e.uncounted(now, max(e.relayConfirmation.RelaySince(), now-requestCountsAfter))
+	c.uncounted = e.daemonsWithoutCounts(now, max(e.relayConfirmation.RelaySince(), now-requestCountsAfter))
 	c.hello.Workspaces = convertNames[string](e.usageLedger.Workspaces())
 	c.hello.Ended = e.followerCounts(now)
 	return c
@@ -99,7 +99,7 @@
 // addRelayCounts adds the counts for one relay to the message sent to it. The caller must hold
 // e.mu.
 func (e *Edge) addRelayCounts(now time.Duration, to ident.Incarnation, c relayCounts, h *peersv1.Hello) {
-	if !c.to[to] {
+	if !c.recipients[to] {
 		return
 	}
 	h.Counts, h.Windows, h.Workspaces = c.hello.Counts, c.hello.Windows, c.hello.Workspaces
@@ -123,11 +123,11 @@
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: open}}
 }
 
-// uncounted returns the daemons whose usage counts have not been received since the given time. It
+// daemonsWithoutCounts returns the daemons whose usage counts have not been received since the given time. It
 // includes daemons that were last heard up to refollowWithin ago, since they may still run and
 // only have lost both relays that they followed. The caller must hold e.mu.
-func (e *Edge) uncounted(now, since time.Duration) []ident.Incarnation {
-	return e.coverage.Missing(e.peers.SeenSince(now-refollowWithin), since)
+func (e *Edge) daemonsWithoutCounts(now, since time.Duration) []ident.Incarnation {
+	return e.coverage.Missing(e.peers.SeenSince(now-maxRefollowTime), since)
 }
 
 // followerCounts returns the counts of some of the followers whose primary this relay is, in
