--- a/daemon/edge/feed.go
+++ b/daemon/edge/feed.go
@@ -41,7 +41,7 @@
 	e.dir.mu.Lock()
 	defer e.dir.mu.Unlock()
 	oldest := e.deps.Steady() - time.Duration(feedAgeShare*float64(e.settings.Bounds.DrainWithin))
-	return !watches && !e.dir.incomplete && e.dir.revision != 0 && e.dir.currentAt >= oldest
+	return !watches && !e.dir.incomplete && e.dir.at != 0 && e.dir.currentAt >= oldest
 }
 
 // feedAfter returns the changes after a revision for a daemon that is up to date until then.
@@ -68,7 +68,7 @@
 func (e *Edge) applyFeed(f *peersv1.Feed) {
 	now := e.deps.Steady()
 	e.dir.mu.Lock()
-	at, age := uint64(e.dir.revision), time.Duration(f.AgeNs)
+	at, age := uint64(e.dir.at), time.Duration(f.AgeNs)
 	usable := !f.Gap && f.Through != 0 && f.After <= at && at != 0
 	switch {
 	case f.Gap && f.After == at && at != 0:
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -52,9 +52,9 @@
 
 // placement records that the shared parts of a prompt were sent to a runner.
 type placement struct {
-	at      time.Duration
-	origin  placementOrigin
-	message *peersv1.Placed
+	at     time.Duration
+	origin placementOrigin
+	sent   *peersv1.Placed
 }
 
 // placements holds the placements of the last seconds.
@@ -84,7 +84,7 @@
 
 // recent lists the newest placements of the given origin that are at most as old as sent, and
 // drops those that are too old to matter.
-func (p *placements) recent(now, maxAge time.Duration, origin placementOrigin) []*peersv1.Placed {
+func (p *placements) recent(now, sent time.Duration, origin placementOrigin) []*peersv1.Placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var recent []placement
@@ -92,14 +92,14 @@
 		switch age := now - entry.at; {
 		case age > placementRepeatInterval:
 			delete(p.known, key)
-		case age <= maxAge && entry.origin <= origin:
+		case age <= sent && entry.origin <= origin:
 			recent = append(recent, entry)
 		}
 	}
 	slices.SortFunc(recent, func(a, b placement) int { return cmp.Compare(b.at, a.at) })
 	list := make([]*peersv1.Placed, 0, maxPlacements)
 	for _, entry := range recent[:min(maxPlacements, len(recent))] {
-		list = append(list, entry.message)
+		list = append(list, entry.sent)
 	}
 	return list
 }
--- a/daemon/edge/storesync.go
+++ b/daemon/edge/storesync.go
@@ -67,7 +67,7 @@
 	// changeLog holds all entries and changes that followers need. at is the revision of the
 	// key-value service up to which this copy has every change, unless incomplete is set.
 	changeLog  *feed.Log
-	revision   kv.Revision
+	at         kv.Revision
 	incomplete bool
 	// currentAt is the last time at which the copy was known to be up to date.
 	currentAt time.Duration
@@ -101,7 +101,7 @@
 func (f *directory) revisionReached() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return uint64(f.revision)
+	return uint64(f.at)
 }
 
 // holder returns the daemon that holds the duties; empty if nobody does.
@@ -162,7 +162,7 @@
 // catchUp lists all keys if this daemon has not read them yet or has missed changes.
 func (e *Edge) catchUp(ctx context.Context) error {
 	e.dir.mu.Lock()
-	complete := e.dir.revision != 0 && !e.dir.incomplete
+	complete := e.dir.at != 0 && !e.dir.incomplete
 	e.dir.mu.Unlock()
 	if complete {
 		return nil
@@ -230,7 +230,7 @@
 	}
 	e.noteDutyHolder(newHolder)
 	e.dir.changeLog.Reset(e.feedChanges(events), uint64(from))
-	e.dir.revision = max(e.dir.revision, from)
+	e.dir.at = max(e.dir.at, from)
 	e.dir.incomplete = false
 	e.dir.mu.Unlock()
 	for _, entry := range entries {
@@ -379,7 +379,7 @@
 		}
 	}
 	e.dir.changeLog.Apply(e.feedChanges(events), uint64(through))
-	e.dir.revision = max(e.dir.revision, through)
+	e.dir.at = max(e.dir.at, through)
 	e.dir.mu.Unlock()
 	for _, event := range events {
 		switch {
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -58,8 +58,8 @@
 
 // relayCounts holds the counts that one message carries to the relays that may report windows.
 type relayCounts struct {
-	// recipients are the relays that are sent counts.
-	recipients map[ident.Incarnation]bool
+	// to are the relays that are sent counts.
+	to map[ident.Incarnation]bool
 	// hello holds the counts of this relay or of some of its followers; ended holds those of
 	// one daemon that has ended.
 	hello *peersv1.Hello
@@ -85,7 +85,7 @@
 	if e.relayPlan.Direct {
 		return relayCounts{}
 	}
-	c := relayCounts{recipients: e.reportingRelays(), hello: &peersv1.Hello{}, ended: e.endedCounts(now)}
+	c := relayCounts{to: e.reportingRelays(), hello: &peersv1.Hello{}, ended: e.endedCounts(now)}
 	if sendsRoster(messageNumber) {
 		e.addOwnCounts(now, c.hello)
 		return c
@@ -99,7 +99,7 @@
 // addRelayCounts adds the counts for one relay to the message sent to it. The caller must hold
 // e.mu.
 func (e *Edge) addRelayCounts(now time.Duration, to ident.Incarnation, c relayCounts, h *peersv1.Hello) {
-	if !c.recipients[to] {
+	if !c.to[to] {
 		return
 	}
 	h.Counts, h.Windows, h.Workspaces = c.hello.Counts, c.hello.Windows, c.hello.Workspaces
