--- a/daemon/edge/usage.go
+++ b/daemon/edge/usage.go
@@ -96,7 +96,7 @@
 	defer e.mu.Unlock()
 	endedFor := e.usageLedger.TimeSinceEnd(e.wallClock.At(now), w)
 	since := now - endedFor + accounting.SettleAfter
-	uncounted := append(e.daemonsWithoutCounts(now, since), e.coverage.InTransit(now, countsRelayedWithin, since)...)
+	uncounted := append(e.uncounted(now, since), e.coverage.InTransit(now, countsRelayedWithin, since)...)
 	if len(uncounted) == 0 {
 		return false
 	}
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -90,7 +90,7 @@
 		e.addOwnCounts(now, c.hello)
 		return c
 	}
-	c.uncounted = e.daemonsWithoutCounts(now, max(e.relayConfirmation.RelaySince(), now-requestCountsAfter))
+	c.uncounted = e.uncounted(now, max(e.relayConfirmation.RelaySince(), now-requestCountsAfter))
 	c.hello.Workspaces = convertNames[string](e.usageLedger.Workspaces())
 	c.hello.Ended = e.followerCounts(now)
 	return c
@@ -123,10 +123,10 @@
 	return []*peersv1.Ended{{Incarnation: string(id), Windows: open}}
 }
 
-// daemonsWithoutCounts returns the daemons whose usage counts have not been received since the given time. It
+// uncounted returns the daemons whose usage counts have not been received since the given time. It
 // includes daemons that were last heard up to refollowWithin ago, since they may still run and
 // only have lost both relays that they followed. The caller must hold e.mu.
-func (e *Edge) daemonsWithoutCounts(now, since time.Duration) []ident.Incarnation {
+func (e *Edge) uncounted(now, since time.Duration) []ident.Incarnation {
 	return e.coverage.Missing(e.peers.SeenSince(now-maxRefollowTime), since)
 }
 
