--- a/daemon/edge/edge.go
+++ b/daemon/edge/edge.go
@@ -103,8 +103,9 @@
 	rosterSendsLeft int
 	// configUnreadable says that the newest configuration could not be decoded.
 	configUnreadable bool
-	// lastEndedSent is the ended daemon whose usage counts were sent last, lastFollowerSent the
-	// follower whose counts were sent last. The next message continues after them.
+	// lastEndedSent is the ended daemon whose usage counts this daemon sent last, lastFollowerSent
+	// the follower whose counts it sent last. The next message continues with the daemons after
+	// these in the order of incarnations.
 	lastEndedSent, lastFollowerSent ident.Incarnation
 
 	// poolsMu guards the map pools; each pool has a lock of its own.
@@ -164,8 +165,8 @@
 			Length: settings.Bounds.UsageWindow, Due: settings.Bounds.UsageDue, Settle: accounting.SettleAfter,
 		}),
 		limiter: quota.New(now, settings.Bounds.QuotaWindow, settings.Bounds.QuotaTolerance, settings.FleetNeverServed),
-		// Each daemon begins at its own ID, so that all daemons together have sent the counts
-		// of all ended daemons within a few messages.
+		// Each daemon begins to send the usage counts of ended daemons after its own incarnation,
+		// so that all daemons together have sent those of all ended daemons within a few messages.
 		lastEndedSent: self,
 		pools:         map[string]*pool{},
 	}
--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -31,7 +31,7 @@
 	return c
 }
 
-// addFleet adds runners in each failure domain.
+// addFleet adds perDomain runners in each failure domain.
 func (w *testFleet) addFleet(perDomain int, reclaimable bool) {
 	for _, domain := range domains {
 		for i := range perDomain {
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// candidateLister lists the runners that a request may be sent to. The relay that grants the
-// quota chooses one of them: it learns of its followers' choices before the followers learn of
-// each other's.
+// candidateLister lists the runners that are best for a request. They are sent along with the Ask
+// for quota, and the relay that grants the quota recommends one of them: a relay knows at once
+// which runners its followers use, and a follower learns later which ones other followers use.
 type candidateLister interface {
 	candidates() (service string, runners []*peersv1.Candidate)
 }
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -44,7 +44,8 @@
 	// of all daemons, this one included, as reported by the primary relay.
 	byDaemon     map[ident.Incarnation]peerLoad
 	primaryTotal peerLoad
-	// sent holds this daemon's own loads in its latest messages, by sequence number.
+	// sent holds the loads of this daemon's own requests as reported in its latest messages, by the
+	// sequence number of the message.
 	sent map[uint64][]routing.OwnLoad
 	// offeredTokens counts the uncached prompt tokens that callers brought to other daemons, by
 	// service.
@@ -68,8 +69,8 @@
 	includedOwnSeq uint64
 }
 
-// offeredTally counts the work that was brought to one service at the followers and at all
-// other daemons.
+// offeredTally counts the uncached prompt tokens of one service that callers brought to this
+// daemon's followers, and to all other daemons.
 type offeredTally struct{ followers, all fleet.Tally }
 
 func (t *peerLoadTable) init() {
@@ -78,8 +79,8 @@
 	t.offeredTokens = map[string]*offeredTally{}
 }
 
-// primaryTotalID returns the name under which the total reported by a daemon is counted, as distinct
-// from that daemon's own work.
+// primaryTotalID returns the key under which the tallies of offered tokens count the total of the
+// fleet that a primary relay reports. It differs from the key for that relay's own work.
 func primaryTotalID(id ident.Incarnation) ident.Incarnation { return id + "/all" }
 
 // receiveWork stores the work that a daemon reports. The pools get it with the next call of
@@ -176,8 +177,9 @@
 	return 0
 }
 
-// removeSilentDaemons drops daemons that are no longer heard, since these have most likely ended together
-// with their requests. It reports whether there were any.
+// removeSilentDaemons drops the loads of daemons from which no message has come for
+// peers.RelayedAliveFor, since these have most likely ended together with their requests. It
+// reports whether there were any.
 func (t *peerLoadTable) removeSilentDaemons(now time.Duration) bool {
 	expired := false
 	for id, load := range t.byDaemon {
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -18,8 +18,8 @@
 	// cacheLearningPeriod is how long after a restart a daemon knows too little about what the
 	// runners have cached. Most prompts that recur do so within seconds.
 	cacheLearningPeriod = 20 * time.Second
-	// placementSendPeriod is how long a placement is included in messages: about three messages
-	// of a small fleet. relayedPlacementSendPeriod is the same in a large fleet: two messages
+	// placementSendPeriod is how long after it was recorded a placement is included in messages:
+	// for about three messages of a small fleet. relayedPlacementSendPeriod is the same in a large fleet: two messages
 	// to the daemons that are sent to least often.
 	placementSendPeriod        = 350 * time.Millisecond
 	relayedPlacementSendPeriod = 850 * time.Millisecond
@@ -63,7 +63,7 @@
 	known map[placementKey]placement
 }
 
-// record records a placement so that it is sent to other daemons. It does nothing and returns
+// record adds a placement so that it is sent to other daemons. It does nothing and returns
 // false if the same placement was recorded less than quiet ago.
 func (p *placements) record(now, repeatInterval time.Duration, origin placementOrigin, message *peersv1.Placed) bool {
 	if len(message.Prefix) == 0 {
@@ -82,8 +82,9 @@
 	return true
 }
 
-// recent lists the newest placements of the given origin that are at most as old as sent, and
-// drops those that are too old to matter.
+// recent lists the newest placements of the given origin, or of an origin that it includes, that
+// were recorded within the time sent before now. It drops placements that are older than
+// placementRepeatInterval.
 func (p *placements) recent(now, sent time.Duration, origin placementOrigin) []*peersv1.Placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -24,7 +24,8 @@
 	// firstPrefillRate, in tokens per second, is the assumed prefill rate until first tokens
 	// have been timed. It is the rate of a 70B model's engine on eight accelerators.
 	firstPrefillRate = 40_000
-	// engineDecodeRate is the number of tokens per second of one request in a half-full batch.
+	// engineDecodeRate is the assumed number of tokens per second that an engine generates for each
+	// request while half of its batch is in use.
 	engineDecodeRate = 150
 	// initialServiceTime is the assumed mean duration of a plain service's request until
 	// answers have been timed. A plain service is one whose runners are not model engines.
@@ -38,8 +39,8 @@
 	// remotePenalty is the least cost of choosing a runner in another failure domain: the
 	// network round trip. Traffic between failure domains also costs money.
 	remotePenalty = 5 * time.Millisecond
-	// largeFleetSamples is the number of random runners that a daemon of a large fleet chooses
-	// from.
+	// largeFleetSamples is the number of random runners from which a daemon of a large fleet
+	// chooses, in addition to the runners that have the longest part of the prompt cached.
 	largeFleetSamples = 2
 	// retryBudgetShare is the part of the shared retry budget that is used. The rest covers
 	// daemons that have restarted with a new budget.
@@ -59,7 +60,8 @@
 	tracker *health.Tracker
 	retry   *retry.Policy
 	runners map[ident.RunnerID]Runner
-	// peerLoads is the other daemons' load at each runner, as known at peerLoadsAt.
+	// peerLoads is the load at each runner that the other daemons' requests cause, as known at
+	// peerLoadsAt, a time of Deps.Steady.
 	peerLoads   map[ident.RunnerID]routing.OwnLoad
 	peerLoadsAt time.Duration
 	// activities records for each runner the attempts in progress there.
@@ -264,7 +266,7 @@
 	return p.table.Dispatch(now, c, r)
 }
 
-// isScaled reports whether this system orders the service's runners.
+// isScaled reports whether the duty holder orders this service's runners from the cloud.
 func (p *pool) isScaled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/edge/receive.go
+++ b/daemon/edge/receive.go
@@ -178,9 +178,11 @@
 type workSource int
 
 const (
-	// sourceIgnored is work that is not counted.
+	// sourceIgnored is work that this daemon doesn't count, for example that of a follower whose
+	// primary is another relay.
 	sourceIgnored workSource = iota
-	// sourceFollower is the work of one follower that only this relay counts.
+	// sourceFollower is the work of one follower whose primary relay is this daemon, so that no
+	// other relay counts it.
 	sourceFollower
 	// sourceRelay is the work of a relay and its followers.
 	sourceRelay
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -201,7 +201,8 @@
 	}
 }
 
-// run sends requests for a while to the daemons for which serves returns true.
+// run sends requests for the given span to the daemons whose index serves accepts, and waits for
+// their answers.
 func (l *promptLoad) run(span time.Duration, serves func(i int) bool) {
 	var wg sync.WaitGroup
 	due := make([]float64, len(l.perSecond))
--- a/daemon/edge/silent_runners.go
+++ b/daemon/edge/silent_runners.go
@@ -19,7 +19,7 @@
 
 const (
 	// silenceBeforeProbe is the time without data after which a runner with work is probed. Engines
-	// process a prompt in between the tokens of other requests, so only a runner that
+	// alternate between reading a prompt and generating tokens of other requests, so only a runner that
 	// processes a single long prompt is silent for that long without a fault; it costs one
 	// probe.
 	silenceBeforeProbe = 500 * time.Millisecond
--- a/daemon/edge/storesync.go
+++ b/daemon/edge/storesync.go
@@ -82,9 +82,10 @@
 	leavingSince map[ident.RunnerID]time.Duration
 	// storeFailedAt is when the service last failed to answer.
 	storeFailedAt time.Duration
-	// dutyHolder is the daemon that holds the duties; empty if nobody does.
+	// dutyHolder is the daemon that holds the lease of the duties; empty if no daemon does.
 	dutyHolder ident.Incarnation
-	// leaseFreeSince is the time since when nobody has held the duties.
+	// leaseFreeSince is the time since when no daemon has held the lease of the duties; zero until
+	// the key-value service has been read.
 	leaseFreeSince time.Duration
 }
 
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -25,8 +25,8 @@
 	// maxRefollowTime is the longest time for which the relays may not hear a running daemon whose
 	// two followed relays ended one after the other, until it follows new ones.
 	maxRefollowTime = 4500 * time.Millisecond
-	// countsRelayedWithin is the time that relays take to send each other what they know of a
-	// daemon that has ended.
+	// countsRelayedWithin is the time within which relays have sent each other the usage counts
+	// that they hold of a daemon that has ended.
 	countsRelayedWithin = 2400 * time.Millisecond
 	// requestCountsAfter is the time without a daemon's counts after which a relay asks the
 	// other relays for them.
