--- a/daemon/edge/cloud_test.go
+++ b/daemon/edge/cloud_test.go
@@ -14,10 +14,11 @@
 	mu      sync.Mutex
 	reports []usageReport
 	orders  []edge.Order
-	// lostAnswers is the number of next reports that are accepted although their answers are
-	// lost.
+	// lostAnswers is the number of usage reports, from the next one on, that the cloud accepts but
+	// whose answers are lost.
 	lostAnswers int
-	// noReclaimable refuses orders of reclaimable runners; refusals counts these.
+	// noReclaimable makes the cloud refuse orders of reclaimable runners; refusals counts the
+	// refused orders.
 	noReclaimable bool
 	refusals      int
 }
--- a/daemon/edge/duties_test.go
+++ b/daemon/edge/duties_test.go
@@ -8,7 +8,7 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// lastReporter returns the daemon that sent the last report.
+// lastReporter returns the daemon that sent the latest usage report.
 func (w *testFleet) lastReporter() *daemon {
 	received := w.cloud.received()
 	if len(received) == 0 {
@@ -23,9 +23,9 @@
 	return nil
 }
 
-// checkReports checks that the cloud never received different counts for one window, a lower
-// token after a higher one, or the same token from two daemons. It returns the counts of each
-// window.
+// checkReports checks that the cloud never received usage reports with different counts for one
+// usage window, with a lower fencing token after a higher one, or with the same fencing token from
+// two daemons. It returns the counts of each window.
 func (w *testFleet) checkReports() map[accounting.Window]string {
 	counts := map[accounting.Window]string{}
 	holders := map[uint64]ident.DaemonID{}
--- a/daemon/edge/harness_test.go
+++ b/daemon/edge/harness_test.go
@@ -56,10 +56,10 @@
 	// domains are the failure domains that daemons are assigned to in turn. If empty, all
 	// daemons are in one.
 	domains []ident.FailureDomain
-	// tolerance is the amount by which quotas may be exceeded.
+	// tolerance is the amount by which workspaces may exceed their quotas in a quota window.
 	tolerance quota.Tolerance
-	// directFleet is the number of daemons up to which all send to each other; zero is the
-	// program's default.
+	// directFleet is the size of the largest fleet whose daemons all send messages to each other,
+	// without relays; zero stands for the program's default.
 	directFleet int
 }
 
@@ -175,7 +175,7 @@
 	return r
 }
 
-// leaving marks a runner's entry as leaving.
+// leaving writes a runner's entry with the state in which it announces that it is leaving.
 func (w *testFleet) leaving(id, service string) {
 	w.put(runnerPrefix+id, edge.Runner{Runner: view.Runner{
 		ID: ident.RunnerID(id), Address: id, Service: service, FailureDomain: "north", State: view.Leaving,
--- a/daemon/edge/relay_election_test.go
+++ b/daemon/edge/relay_election_test.go
@@ -47,8 +47,9 @@
 
 func peerAddress(i int) string { return fmt.Sprintf("10.0.0.%d:7600", i+1) }
 
-// Guards against quota granted beyond the relays' shares by a daemon that wrongly claims to be
-// a relay, because it hears some relays but no daemon of its own failure domain.
+// Guards against quota that is granted in addition to the relays' shares, which together make up
+// the whole quota, by a daemon that wrongly claims to be a relay. It does so because it hears some
+// relays but no daemon of its own failure domain.
 func TestMistakenRelayGivesOutNoQuota(t *testing.T) {
 	const (
 		daemons, last              = 60, 59
@@ -118,8 +119,8 @@
 	}
 }
 
-// Guards against relays that share a quota without counting each other, because they were
-// partitioned for so long that they dropped each other's addresses.
+// Guards against relays that each divide a quota among fewer relays than there are, because they
+// were partitioned for so long that they dropped each other's addresses.
 func TestRelaysThatLostEachOtherMeetAgain(t *testing.T) {
 	const (
 		daemons, partitionedFor = 60, peers.ForgetAfter + 5*time.Second
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -17,8 +17,9 @@
 	"geraniumstack.org/geraniumstack/state/route"
 )
 
-// allToAllMessages is the number of messages per second of a fleet of largeFleet daemons in
-// which every daemon sends to every other one five times a second.
+// largeFleet, largeDomains and largeWorkspaces are the numbers of daemons, failure domains and
+// workspaces of the large fleet in these tests. allToAllMessages is the number of messages per second
+// if every daemon of that fleet sent to every other one five times a second.
 const (
 	largeFleet       = 119
 	largeDomains     = 6
--- a/daemon/edge/runners_test.go
+++ b/daemon/edge/runners_test.go
@@ -14,7 +14,8 @@
 	"geraniumstack.org/geraniumstack/state/ident"
 )
 
-// runner is one fake runner. script answers an attempt; nil answers 200 after 10 ms.
+// runner is one fake runner. script answers an attempt; without a script the runner answers with
+// status 200 after 10 ms.
 type runner struct {
 	mu       sync.Mutex
 	attempts []*edge.Attempt
--- a/daemon/edge/storesync_test.go
+++ b/daemon/edge/storesync_test.go
@@ -35,7 +35,7 @@
 const batchingDaemons = 12
 
 // checkWatchesWhileRunnersChange lets a runner come or go every 100 ms in a fleet spread over
-// some failure domains, and checks the number of watches.
+// some failure domains, and checks the number of watch calls that the key-value service received.
 func checkWatchesWhileRunnersChange(t *testing.T, domains []ident.FailureDomain) {
 	const daemons = batchingDaemons
 	withFleet(t, 0, config(1), func(w *testFleet) {
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -33,10 +33,11 @@
 	newVersion          = canary.Version("v2")
 )
 
-// trialTest plays an operator's order while callers send requests to all daemons.
+// trialTest simulates an operator's order of a new software version while callers send requests to
+// all daemons.
 type trialTest struct {
 	*testFleet
-	// loadRandom draws the load, answerRandom the new version's answers.
+	// loadRandom is the source of random requests, answerRandom that of the new version's failures.
 	loadRandom, answerRandom *rand.Rand
 	// fails returns the new version's current failure rate for a path, slowdown the factor by
 	// which its answers take longer.
@@ -44,8 +45,8 @@
 	slowdown func(path string) float64
 
 	mu sync.Mutex
-	// asked counts the requests from the order until its time is over, exposed those of them
-	// that the new version received, and badAnswers the new version's bad answers.
+	// asked counts the requests sent between the operator's order and its time limit, exposed
+	// those of them that the new version received, and badAnswers the new version's bad answers.
 	// toleranceReachedAt is the time of its fiftieth bad answer, lastExposedAt that of its last
 	// request.
 	asked, exposed, badAnswers        int
@@ -134,7 +135,8 @@
 	return fails
 }
 
-// order orders a version; the tests start its runners a second later.
+// order writes an operator's order of a version to the key-value service; the tests start the
+// runners of that version a second later.
 func (tw *trialTest) order(target canary.Version) {
 	tw.orderedAt = tw.steady()
 	tw.put(orderPrefix+"app", canary.Order{Service: "app", Target: target, Duration: trialDuration})
@@ -150,7 +152,7 @@
 	return s
 }
 
-// runLoad sends callers' requests for a time. As soon as the status says that the new version
+// runLoad sends callers' requests for the given span. As soon as the status says that the new version
 // is in use, the operator stops the old runners.
 func (tw *trialTest) runLoad(length time.Duration) {
 	var asking sync.WaitGroup
@@ -205,7 +207,9 @@
 	}
 }
 
-// checkResult checks the requirements on every order, and those on a bad version.
+// checkResult checks what must hold for every trial: the limit on the time in which a bad version
+// still gets requests, and that a decision is final. For a bad version it also checks the limit on
+// its part of the requests.
 func (tw *trialTest) checkResult(bad bool) {
 	tw.t.Logf("%v: %d of %d requests exposed, %d bad, served %d refused %d failed %d %v",
 		tw.states, tw.exposed, tw.asked, tw.badAnswers, tw.served, tw.refused, tw.failed, tw.reasons)
@@ -362,7 +366,8 @@
 	}
 }
 
-// Guards against shares that are handed out twice because messages are lost.
+// Guards against allowances (numbers of requests that a daemon may send to the new version) that
+// the duty holder hands out twice because messages are lost.
 func TestTrialWithLostMessages(t *testing.T) {
 	withTrial(t, 5, func(tw *trialTest) { tw.fails = failsOn("/read/1") }, func(tw *trialTest) {
 		tw.network.setLossRate(0.3, rand.New(rand.NewPCG(2, 0)))
--- a/daemon/edge/usage_load_test.go
+++ b/daemon/edge/usage_load_test.go
@@ -46,7 +46,7 @@
 	return accounting.Window(time.Now().UnixMilli() / usageWindow.Milliseconds())
 }
 
-// run sends requests to the daemons in turn for a while.
+// run sends requests to the daemons in turn for the given span.
 func (l *servedLoad) run(span time.Duration) {
 	const step, requests = 50 * time.Millisecond, 3
 	for range int(span / step) {
@@ -66,7 +66,8 @@
 	}
 }
 
-// servedSince returns the number of a window's requests that were served at a time or later.
+// servedSince returns the number of requests of a usage window that were served at the given time or
+// later.
 func (l *servedLoad) servedSince(at time.Duration, window accounting.Window) int64 {
 	n := int64(0)
 	for _, s := range l.servedRequests {
