--- a/daemon/edge/attempt.go
+++ b/daemon/edge/attempt.go
@@ -50,8 +50,8 @@
 	sent   time.Time
 	// firstEventAfter is the time from the send to the stream's first event, zero before it.
 	firstEventAfter time.Duration
-	// activity records when the last data was received from the runner. cancel ends the attempt on this daemon's
-	// side, and abandoned says that it was ended because the runner is silent.
+	// activity records when the last data was received from the runner. cancel ends the attempt
+	// on this daemon's side, and abandoned says that it was ended because the runner is silent.
 	activity  *activity
 	cancel    context.CancelFunc
 	abandoned atomic.Bool
--- a/daemon/edge/confirm.go
+++ b/daemon/edge/confirm.go
@@ -27,8 +27,8 @@
 	// A store that normally
 	// answers in milliseconds is unreachable if it takes that long.
 	confirmTimeout = 500 * time.Millisecond
-	// confirmSpacing is the minimum time between two reads that confirm the configuration. It keeps requests with unknown keys or
-	// routes from causing a flood of reads.
+	// confirmSpacing is the minimum time between two reads that confirm the configuration. It
+	// keeps requests with unknown keys or routes from causing a flood of reads.
 	confirmSpacing = 100 * time.Millisecond
 )
 
--- a/daemon/edge/duties.go
+++ b/daemon/edge/duties.go
@@ -15,8 +15,8 @@
 	// dutyInterval is the least time between two runs of the duties.
 	dutyInterval = 200 * time.Millisecond
 	// callTimeout bounds a call to the cloud, and one to the key-value service on behalf of the
-	// duties. The holder's lease is valid for at least that long when a call begins. The timeout allows for a cloud that answers fifty times more
-	// slowly than usual.
+	// duties. The holder's lease is valid for at least that long when a call begins. The timeout
+	// allows for a cloud that answers fifty times more slowly than usual.
 	callTimeout = 500 * time.Millisecond
 	// renewalsPerLease is the number of renewals during the life of a lease, so that one or
 	// two may fail.
@@ -75,8 +75,8 @@
 }
 
 // runDuties tries to get the lease of the duties and performs the duties while this daemon holds
-// it. tickLoop wakes it whenever this daemon is about to send messages, which a follower does less often
-// than a relay.
+// it. tickLoop wakes it whenever this daemon is about to send messages, which a follower does
+// less often than a relay.
 func (e *Edge) runDuties(ctx context.Context) {
 	lastRun := -dutyInterval
 	for {
@@ -102,10 +102,10 @@
 	}
 }
 
-// shouldHoldDuties reports whether this daemon should hold the lease of the duties. A holder keeps
-// the lease while it is a relay. Another relay takes a lease that has been free for so long that
-// every relay before it in the order of IDs would have taken it. The watch of the key-value service shows
-// the current holder, so waiting for the lease costs no calls.
+// shouldHoldDuties reports whether this daemon should hold the lease of the duties. A holder
+// keeps the lease while it is a relay. Another relay takes a lease that has been free for so
+// long that every relay before it in the order of IDs would have taken it. The watch of the
+// key-value service shows the current holder, so waiting for the lease costs no calls.
 //
 // Only relays receive all usage counts and all work. A relay that no other relay elects ranks
 // itself first and would report its own counts as those of the whole fleet; a daemon that has
--- a/daemon/edge/fleet.go
+++ b/daemon/edge/fleet.go
@@ -30,10 +30,10 @@
 	// when the new ones serve, and replacing them in parts would incur the full price for
 	// several boot times.
 	minMoveSaving = 0.1
-	// scarcityPeriod is how long a scarcity lasts, in which runners are kept that would otherwise
-	// be given back: the time after a reclaim, which is the cloud's withdrawal of a reclaimable
-	// runner, or after an order that the cloud has refused. Refusals last for ten to fifteen seconds, and reclaims come a
-	// few seconds apart.
+	// scarcityPeriod is how long a scarcity lasts, in which runners are kept that would
+	// otherwise be given back: the time after a reclaim, which is the cloud's withdrawal of a
+	// reclaimable runner, or after an order that the cloud has refused. Refusals last for ten to
+	// fifteen seconds, and reclaims come a few seconds apart.
 	scarcityPeriod = 8 * time.Second
 	// scarcityHeadroom times the needed number of runners are kept at the full price during
 	// that period. The needed number already has headroom (see fleet.DemandConfig); this covers
--- a/daemon/edge/loads.go
+++ b/daemon/edge/loads.go
@@ -198,7 +198,8 @@
 
 // workKnownFor reports whether at least half of the other relays have reported their work for
 // minDuration or longer; it is always true in a fleet in which all daemons watch the key-value
-// service, since every daemon reports to every other one there. Right after all daemons have started, each knows only the work of its own callers.
+// service, since every daemon reports to every other one there. Right after all daemons have
+// started, each knows only the work of its own callers.
 func (e *Edge) workKnownFor(now, minDuration time.Duration) bool {
 	if e.allWatch.Load() {
 		return true
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -19,8 +19,8 @@
 	// runners have cached. Most prompts that recur do so within seconds.
 	cacheLearningPeriod = 20 * time.Second
 	// placementSendPeriod is how long after it was recorded a placement is included in messages:
-	// for about three messages of a small fleet. relayedPlacementSendPeriod is the same in a large fleet: two messages
-	// to the daemons that are sent to least often.
+	// for about three messages of a small fleet. relayedPlacementSendPeriod is the same in a
+	// large fleet: two messages to the daemons that are sent to least often.
 	placementSendPeriod        = 350 * time.Millisecond
 	relayedPlacementSendPeriod = 850 * time.Millisecond
 	// maxPlacements bounds the placements in a message to the newest ones. After a crash of
--- a/daemon/edge/pool.go
+++ b/daemon/edge/pool.go
@@ -238,7 +238,8 @@
 }
 
 // pick chooses a runner: the one that a relay has recommended if it still accepts new work,
-// otherwise the best one by this daemon's own routing table. first says that this is the request's first attempt.
+// otherwise the best one by this daemon's own routing table. first says that this is the
+// request's first attempt.
 func (p *pool) pick(now time.Time, r *routing.Request, recommendedRunner ident.RunnerID, first bool) (routing.Choice, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -18,8 +18,8 @@
 )
 
 // largeFleet, largeDomains and largeWorkspaces are the numbers of daemons, failure domains and
-// workspaces of the large fleet in these tests. allToAllMessages is the number of messages per second
-// if every daemon of that fleet sent to every other one five times a second.
+// workspaces of the large fleet in these tests. allToAllMessages is the number of messages per
+// second if every daemon of that fleet sent to every other one five times a second.
 const (
 	largeFleet       = 119
 	largeDomains     = 6
--- a/daemon/edge/silent_runners.go
+++ b/daemon/edge/silent_runners.go
@@ -18,10 +18,10 @@
 // may be repeated go to other runners while their callers still wait.
 
 const (
-	// silenceBeforeProbe is the time without data after which a runner with work is probed. Engines
-	// alternate between reading a prompt and generating tokens of other requests, so only a runner that
-	// processes a single long prompt is silent for that long without a fault; it costs one
-	// probe.
+	// silenceBeforeProbe is the time without data after which a runner with work is probed.
+	// Engines alternate between reading a prompt and generating tokens of other requests, so
+	// only a runner that processes a single long prompt is silent for that long without a fault;
+	// it costs one probe.
 	silenceBeforeProbe = 500 * time.Millisecond
 	// silenceProbeInterval is the time between two probes of one silent runner.
 	silenceProbeInterval = 2 * time.Second
--- a/daemon/edge/trials_test.go
+++ b/daemon/edge/trials_test.go
@@ -152,8 +152,8 @@
 	return s
 }
 
-// runLoad sends callers' requests for the given span. As soon as the status says that the new version
-// is in use, the operator stops the old runners.
+// runLoad sends callers' requests for the given span. As soon as the status says that the new
+// version is in use, the operator stops the old runners.
 func (tw *trialTest) runLoad(length time.Duration) {
 	var asking sync.WaitGroup
 	for end := tw.steady() + length; tw.steady() < end; {
--- a/daemon/edge/usage_load_test.go
+++ b/daemon/edge/usage_load_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// servedSince returns the number of requests of a usage window that were served at the given time or
-// later.
+// servedSince returns the number of requests of a usage window that were served at the given
+// time or later.
 func (l *servedLoad) servedSince(at time.Duration, window accounting.Window) int64 {
 	n := int64(0)
 	for _, s := range l.servedRequests {
