--- a/daemon/edge/recommendations_test.go
+++ b/daemon/edge/recommendations_test.go
@@ -54,10 +54,10 @@
 		daemons, engines = 60, 24
 		rate, prompt     = 64_000.0, 3000
 		perSecond        = 200
-		warm, played     = 3 * time.Second, 20 * time.Second
+		warmup, measured = 3 * time.Second, 20 * time.Second
 		target           = 300 * time.Millisecond
 		spacing          = time.Second / perSecond
-		warmupPrompts    = int(warm / spacing)
+		warmupPrompts    = int(warmup / spacing)
 	)
 	c := config(1)
 	c.Services = []route.Service{{Name: "app", Engine: &route.Engine{Slots: 32, KVTokens: 500_000}}}
@@ -71,7 +71,7 @@
 		random := rand.New(rand.NewPCG(1, 1))
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		for i := range int((warm + played) / spacing) {
+		for i := range int((warmup + measured) / spacing) {
 			d := w.daemons[random.IntN(daemons)]
 			wg.Go(func() {
 				asked := time.Now()
@@ -91,7 +91,7 @@
 		}
 		wg.Wait()
 	})
-	return float64(late) / (played.Seconds() * perSecond)
+	return float64(late) / (measured.Seconds() * perSecond)
 }
 
 // Guards against messages that grow with the number of prompts sent to new runners, as after a
@@ -133,12 +133,12 @@
 // Guards against daemons that all send to the runner that was idle a second ago. The relay that
 // grants a request's quota must also choose its runner.
 func TestRecommendedRunnersReduceLateTokens(t *testing.T) {
-	var alone, advised float64
-	t.Run("alone", func(t *testing.T) { alone = lateShare(t, 0) })
-	t.Run("advised", func(t *testing.T) { advised = lateShare(t, 10_000_000) })
-	t.Logf("late: %.3f alone, %.3f advised", alone, advised)
+	var lateShareWithout, lateShareWith float64
+	t.Run("alone", func(t *testing.T) { lateShareWithout = lateShare(t, 0) })
+	t.Run("advised", func(t *testing.T) { lateShareWith = lateShare(t, 10_000_000) })
+	t.Logf("late: %.3f alone, %.3f advised", lateShareWithout, lateShareWith)
 	// The target is that 95% of first tokens come in time.
-	if advised >= alone || advised > 0.05 {
-		t.Errorf("share of late first tokens: %.3f with recommendations, %.3f without; want less than without and at most 0.05", advised, alone)
+	if lateShareWith >= lateShareWithout || lateShareWith > 0.05 {
+		t.Errorf("share of late first tokens: %.3f with recommendations, %.3f without; want less than without and at most 0.05", lateShareWith, lateShareWithout)
 	}
 }
