--- a/daemon/edge/fleet_test.go
+++ b/daemon/edge/fleet_test.go
@@ -31,7 +31,7 @@
 	return c
 }
 
-// addFleet adds runners in each failure domain.
+// addFleet adds perDomain runners in each failure domain.
 func (w *testFleet) addFleet(perDomain int, reclaimable bool) {
 	for _, domain := range domains {
 		for i := range perDomain {
@@ -188,7 +188,7 @@
 	return sum
 }
 
-// setReclaimableUnavailable sets whether the cloud refuses orders of reclaimable runners.
+// setReclaimableUnavailable sets whether the simulated cloud refuses orders of reclaimable runners.
 func (c *cloud) setReclaimableUnavailable(noReclaimable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/daemon/edge/relays_test.go
+++ b/daemon/edge/relays_test.go
@@ -17,8 +17,9 @@
 	"geraniumstack.org/geraniumstack/state/route"
 )
 
-// allToAllMessages is the number of messages per second of a fleet of largeFleet daemons in
-// which every daemon sends to every other one five times a second.
+// largeFleet, largeDomains and largeWorkspaces are the numbers of daemons, failure domains and
+// workspaces of the large fleet in these tests. allToAllMessages is the number of messages per
+// second if every daemon of that fleet sent to every other one five times a second.
 const (
 	largeFleet       = 119
 	largeDomains     = 6
@@ -201,7 +202,8 @@
 	}
 }
 
-// run sends requests for a while to the daemons for which serves returns true.
+// run sends requests for the given span to the daemons whose index serves accepts, and waits for
+// their answers.
 func (l *promptLoad) run(span time.Duration, serves func(i int) bool) {
 	var wg sync.WaitGroup
 	due := make([]float64, len(l.perSecond))
--- a/daemon/edge/storesync.go
+++ b/daemon/edge/storesync.go
@@ -64,8 +64,8 @@
 // received from relays.
 type directory struct {
 	mu sync.Mutex
-	// changeLog holds all entries and changes that followers need. at is the revision up to
-	// which this copy has every change, unless incomplete is set.
+	// changeLog holds all entries and changes that followers need. at is the revision of the
+	// key-value service up to which this copy has every change, unless incomplete is set.
 	changeLog  *feed.Log
 	at         kv.Revision
 	incomplete bool
@@ -82,10 +82,11 @@
 	leavingSince map[ident.RunnerID]time.Duration
 	// storeFailedAt is when the service last failed to answer.
 	storeFailedAt time.Duration
-	// dutyHolder is the daemon that holds the duties; empty if nobody does.
+	// dutyHolder is the daemon that holds the lease of the duties; empty if no daemon does.
 	dutyHolder ident.Incarnation
-	// dutyFreeSince is the time since when nobody has held the duties.
-	dutyFreeSince time.Duration
+	// leaseFreeSince is the time since when no daemon has held the lease of the duties; zero until
+	// the key-value service has been read.
+	leaseFreeSince time.Duration
 }
 
 func (f *directory) init() {
@@ -324,8 +325,8 @@
 	e.confirmedByWatch(at)
 }
 
-// confirmedByWatch records that the active configuration was the newest one at a time, unless
-// the watch has returned a newer one that could not be decoded.
+// confirmedByWatch records that a watch has proved the active configuration to be the newest one
+// at the given time, unless the watch has returned a newer one that could not be decoded.
 func (e *Edge) confirmedByWatch(at time.Duration) {
 	e.dir.mu.Lock()
 	e.dir.currentAt = max(e.dir.currentAt, at)
@@ -396,8 +397,8 @@
 
 // noteDutyHolder records who holds the duties. The caller must hold dir.mu.
 func (e *Edge) noteDutyHolder(newHolder ident.Incarnation) {
-	if e.dir.dutyHolder != "" && newHolder == "" || e.dir.dutyFreeSince == 0 {
-		e.dir.dutyFreeSince = max(1, e.deps.Steady())
+	if e.dir.dutyHolder != "" && newHolder == "" || e.dir.leaseFreeSince == 0 {
+		e.dir.leaseFreeSince = max(1, e.deps.Steady())
 	}
 	e.dir.dutyHolder = newHolder
 }
