--- a/daemon/models/reader.go
+++ b/daemon/models/reader.go
@@ -31,7 +31,7 @@
 type RequestNotFoundError struct{ ID ident.RequestID }
 
 func (e *RequestNotFoundError) Error() string {
-	return "this daemon does not know request " + string(e.ID)
+	return "request is not here: " + string(e.ID)
 }
 
 // StreamBrokenError is returned when the stream from a peer ended before the
@@ -45,7 +45,7 @@
 // SinkError wraps an error that the reader's sink returned.
 type SinkError struct{ Err error }
 
-func (e *SinkError) Error() string { return "pass event to the reader: " + e.Err.Error() }
+func (e *SinkError) Error() string { return "reader: " + e.Err.Error() }
 
 // Unwrap returns the error of the sink.
 func (e *SinkError) Unwrap() error { return e.Err }
--- a/protocol/action/history_test.go
+++ b/protocol/action/history_test.go
@@ -44,7 +44,7 @@
 		sim.lossProbability = 0.2 * sim.rng.Float64()
 	}
 	if sim.chance(0.4) {
-		sim.doubtfulProbability = 0.4 * sim.rng.Float64()
+		sim.unknownOutcomeProbability = 0.4 * sim.rng.Float64()
 	}
 	if sim.chance(0.4) {
 		from := sim.now.Add(at())
@@ -118,7 +118,7 @@
 	for range copies {
 		delay := sim.randomDuration(3 * second)
 		if sim.chance(0.2) {
-			delay = sim.randomDuration(lifetime + 4*second)
+			delay = sim.randomDuration(tokenLifetime + 4*second)
 		}
 		body := name
 		if sim.chance(0.05) {
@@ -152,7 +152,7 @@
 // partitions, mistaken failure detection and drains occur at random times, also
 // at once and repeatedly.
 func TestHistories(t *testing.T) {
-	var yes, no, unknown, runs atomic.Int64
+	var executedCount, notExecutedCount, unknownCount, runCount atomic.Int64
 	var mu sync.Mutex
 	var total eventCounts
 	var wg sync.WaitGroup
@@ -167,12 +167,12 @@
 				seed := *firstSeed + uint64(i)
 				sim := runHistory(options{seed: seed})
 				if !sim.history.IsValid() {
-					t.Errorf("seed %d: history is not legal", seed)
+					t.Errorf("seed %d: history violates the guarantees", seed)
 				}
-				yes.Add(int64(sim.history.Yes))
-				no.Add(int64(sim.history.No))
-				unknown.Add(int64(sim.history.Unknown))
-				runs.Add(int64(sim.history.Runs))
+				executedCount.Add(int64(sim.history.Yes))
+				notExecutedCount.Add(int64(sim.history.No))
+				unknownCount.Add(int64(sim.history.Unknown))
+				runCount.Add(int64(sim.history.Runs))
 				mu.Lock()
 				total.add(sim.eventCounts)
 				mu.Unlock()
@@ -181,22 +181,22 @@
 	}
 	wg.Wait()
 	t.Logf("%d histories: %d executions; callers were told executed %d, not executed %d, unknown %d times",
-		*histories, runs.Load(), yes.Load(), no.Load(), unknown.Load())
+		*histories, runCount.Load(), executedCount.Load(), notExecutedCount.Load(), unknownCount.Load())
 	t.Logf("event counts: %+v", total)
-	if yes.Load() == 0 || no.Load() == 0 || unknown.Load() == 0 || !total.all() {
+	if executedCount.Load() == 0 || notExecutedCount.Load() == 0 || unknownCount.Load() == 0 || !total.all() {
 		t.Error("some kind of answer or event occurred in no history")
 	}
 }
 
 // Checks the history checker: with each safety check disabled in turn, some
-// history must be reported as illegal.
+// history must be reported as invalid.
 func TestCheckerSeesEachBrokenGuard(t *testing.T) {
 	const tries = 3000
 	broken := []options{
 		{fault: action.FaultDispatchBeforeJournal},
-		{fault: action.FaultExpiredNotExecuted},
-		{fault: action.FaultNoTombstones},
-		{fault: action.FaultUnjournaledPromise},
+		{fault: action.FaultExpiredIsNotExecuted},
+		{fault: action.FaultForgetRefused},
+		{fault: action.FaultRunPromisedUnjournaled},
 		{brokenGuard: guardSealBeforeAnswer},
 		{brokenGuard: guardNoTransportRetry},
 		{brokenGuard: guardCompleteTable},
--- a/protocol/action/owner.go
+++ b/protocol/action/owner.go
@@ -24,7 +24,8 @@
 	// durable is set once the journal holds the intent.
 	durable bool
 	policy  manifest.OutagePolicy
-	// call is set to nil once the action has been dispatched or settled.
+	// call is set to nil once the action has been dispatched or has its final
+	// state.
 	call          *call.ServiceCall
 	result        Result
 	answerDropped bool
@@ -39,14 +40,14 @@
 	writer  *journal.Writer
 	records map[actionkey.ID]*record
 	expiry  expiryQueue
-	// received lists the actions that wait for the journal, oldest first.
-	received   []*record
-	dispatched int
-	bytes      int
-	tombstones tombstones
-	draining   bool
-	ended      bool
-	effects    []Effect
+	// awaitingJournal lists the actions that wait for the journal, oldest first.
+	awaitingJournal []*record
+	dispatched      int
+	bytes           int
+	tombstones      tombstones
+	draining        bool
+	ended           bool
+	effects         []Effect
 }
 
 // NewOwner returns an owner with an empty table.
@@ -162,7 +163,7 @@
 // key may have been dropped after its action ran.
 func (o *Owner) expiredRefusal() *refusal.Refusal {
 	expired := refusal.New(refusal.KeyExpired, "key is over; nothing is known of it")
-	if o.cfg.Fault == FaultExpiredNotExecuted {
+	if o.cfg.Fault == FaultExpiredIsNotExecuted {
 		return expired
 	}
 	return expired.Unknown()
@@ -183,14 +184,14 @@
 // "not executed" only if a tombstone keeps the key from being accepted later.
 func (o *Owner) tableFullRefusal(id actionkey.ID, key actionkey.Key) *refusal.Refusal {
 	refused := refusal.New(refusal.ActionTableFull, "too many actions").After(newKeyRetryAfter)
-	if o.cfg.Fault == FaultNoTombstones || o.tombstones.add(id, key.Expires()) {
+	if o.cfg.Fault == FaultForgetRefused || o.tombstones.add(id, key.Expires()) {
 		return refused
 	}
 	return refused.Unknown()
 }
 
 // accept adds the action to the table and starts its journal entry. An action
-// that must not run is settled at once as not executed.
+// that must not run becomes NotExecuted at once.
 func (o *Owner) accept(r Request) {
 	key, err := actionkey.Parse(r.ID.Key)
 	if err != nil {
@@ -211,10 +212,10 @@
 	o.records[r.ID] = rec
 	heap.Push(&o.expiry, expiryEntry{rec: rec, at: rec.expires.Add(o.cfg.KeyRetention).UnixMilli()})
 	if refused := o.admissionRefusal(r); refused != nil {
-		o.settle(rec, NotExecuted, Result{Refusal: refused})
+		o.finalize(rec, NotExecuted, Result{Refusal: refused})
 		return
 	}
-	o.received = append(o.received, rec)
+	o.awaitingJournal = append(o.awaitingJournal, rec)
 	o.writer.AddIntent(journal.Intent{ID: rec.id, BodyHash: rec.bodyHash})
 	if o.cfg.Fault == FaultDispatchBeforeJournal {
 		o.dispatch(rec)
@@ -242,15 +243,14 @@
 		return nil
 	}
 	o.dispatched--
-	o.settle(rec, stateForResult(r), r)
+	o.finalize(rec, stateForResult(r), r)
 	o.writer.AddOutcome(now, journalOutcome(rec))
 	o.retainAnswer(rec)
 	return o.flush(now)
 }
 
 // AbandonWait ends the wait of a caller whose deadline has passed. An action
-// that has not been dispatched and has no other waiter is settled as not
-// executed.
+// that has not been dispatched and has no other waiter becomes NotExecuted.
 func (o *Owner) AbandonWait(now time.Time, id actionkey.ID, w Waiter) []Effect {
 	rec, ok := o.records[id]
 	if !ok || rec.state.final() {
@@ -263,7 +263,7 @@
 		return o.flush(now)
 	}
 	rec.waiters = append(rec.waiters, w)
-	o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.DeadlineExceeded,
+	o.finalize(rec, NotExecuted, Result{Refusal: refusal.New(refusal.DeadlineExceeded,
 		"not dispatched in time")})
 	return o.flush(now)
 }
@@ -303,7 +303,7 @@
 	if progress.Sealed {
 		o.markEnded()
 	}
-	o.pruneReceived()
+	o.pruneAwaitingJournal()
 	return o.flush(now)
 }
 
@@ -328,7 +328,7 @@
 // NextDue returns when Tick must be called next. The zero time means never.
 func (o *Owner) NextDue(now time.Time) time.Time {
 	due := o.writer.NextDue(now)
-	if len(o.received) > 0 && !o.writer.Unavailable(now) {
+	if len(o.awaitingJournal) > 0 && !o.writer.Unavailable(now) {
 		due = earliest(due, o.writer.UnavailableAt())
 	}
 	if len(o.expiry) > 0 {
@@ -385,20 +385,20 @@
 // all, its keys become intents without an outcome, and such a gateway answers
 // "unknown".
 func (o *Owner) applyOutagePolicies(now time.Time) {
-	for _, rec := range o.received {
+	for _, rec := range o.awaitingJournal {
 		if rec.state != Received {
 			continue
 		}
-		promised := rec.journalPromised && o.cfg.Fault != FaultUnjournaledPromise
+		promised := rec.journalPromised && o.cfg.Fault != FaultRunPromisedUnjournaled
 		if rec.policy == manifest.OutageRun && !promised {
 			o.dispatch(rec)
 			continue
 		}
-		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.JournalUnavailable,
+		o.finalize(rec, NotExecuted, Result{Refusal: refusal.New(refusal.JournalUnavailable,
 			"journal is unavailable; take a new token").After(newKeyRetryAfter)})
 	}
-	clear(o.received)
-	o.received = o.received[:0]
+	clear(o.awaitingJournal)
+	o.awaitingJournal = o.awaitingJournal[:0]
 	o.writer.DropIntents()
 }
 
@@ -408,14 +408,14 @@
 // owner's journal write fail.
 func (o *Owner) dispatchUnlessExpired(now time.Time, rec *record) {
 	if rec.state == Received && !now.Before(rec.expires) {
-		o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.KeyExpired, "key was over before its dispatch")})
+		o.finalize(rec, NotExecuted, Result{Refusal: refusal.New(refusal.KeyExpired, "key was over before its dispatch")})
 		return
 	}
 	o.dispatch(rec)
 }
 
-// dispatch hands the action over to a runner, unless it was dispatched or
-// settled before or the owner has ended.
+// dispatch hands the action over to a runner, unless the action has left the
+// state Received or the owner has ended.
 func (o *Owner) dispatch(rec *record) {
 	if rec.state != Received || o.ended {
 		return
@@ -437,25 +437,25 @@
 	rec.call = nil
 }
 
-// markEnded stops the owner and settles every action that has not been
-// dispatched as not executed, since no other daemon can dispatch it.
+// markEnded stops the owner and makes every action that has not been dispatched
+// NotExecuted, since no other daemon can dispatch it.
 func (o *Owner) markEnded() {
 	if o.ended {
 		return
 	}
 	o.ended = true
-	for _, rec := range o.received {
+	for _, rec := range o.awaitingJournal {
 		if rec.state == Received {
-			o.settle(rec, NotExecuted, Result{Refusal: refusal.New(refusal.OwnerGone,
+			o.finalize(rec, NotExecuted, Result{Refusal: refusal.New(refusal.OwnerGone,
 				"owner was sealed; take a new token").After(newKeyRetryAfter)})
 		}
 	}
-	o.received = nil
+	o.awaitingJournal = nil
 	o.effects = append(o.effects, &Ended{Owner: o.cfg.Owner})
 }
 
-// settle gives the action its final state and replies to all waiters.
-func (o *Owner) settle(rec *record, s State, r Result) {
+// finalize gives the action its final state and replies to all waiters.
+func (o *Owner) finalize(rec *record, s State, r Result) {
 	rec.state = s
 	rec.result = r
 	for _, w := range rec.waiters {
@@ -482,17 +482,17 @@
 	o.effects = append(o.effects, &Reply{Waiter: w, Result: r})
 }
 
-// pruneReceived removes the actions that no longer wait for the journal from the
+// pruneAwaitingJournal removes the actions that no longer wait for the journal from the
 // received list.
-func (o *Owner) pruneReceived() {
-	waiting := o.received[:0]
-	for _, rec := range o.received {
+func (o *Owner) pruneAwaitingJournal() {
+	waiting := o.awaitingJournal[:0]
+	for _, rec := range o.awaitingJournal {
 		if rec.state == Received {
 			waiting = append(waiting, rec)
 		}
 	}
-	clear(o.received[len(waiting):])
-	o.received = waiting
+	clear(o.awaitingJournal[len(waiting):])
+	o.awaitingJournal = waiting
 }
 
 // expire drops the records whose retention has ended. The record of an action
--- a/protocol/action/types.go
+++ b/protocol/action/types.go
@@ -2,6 +2,12 @@
 // at most once. An Owner is a deterministic state machine that performs no I/O
 // and reads no clock: each method takes an input, with the current time where
 // it matters, and returns the effects that the caller must carry out.
+//
+// The owner of an action is the daemon incarnation named by the action's key. It
+// writes the intent to run an action to its journal before it dispatches the
+// action. To seal the journal of an owner is to add a last entry that makes
+// all later writes of the owner fail. A tombstone is a remembered key that was
+// refused because the table was full.
 package action
 
 import (
@@ -126,22 +132,23 @@
 	Fault Fault
 }
 
-// Fault names a safety check to disable in a test.
+// Fault names a safety check to disable in a test. The values name the
+// behavior without the check; tests use them as the names of subtests.
 type Fault string
 
 // Faults that tests inject.
 const (
 	// FaultDispatchBeforeJournal dispatches before the intent is journaled.
 	FaultDispatchBeforeJournal Fault = "dispatch_before_journal"
-	// FaultExpiredNotExecuted answers "not executed" for an expired key, whose
+	// FaultExpiredIsNotExecuted answers "not executed" for an expired key, whose
 	// action may have run.
-	FaultExpiredNotExecuted Fault = "expired_is_no"
-	// FaultUnjournaledPromise dispatches without a journal entry an action whose
+	FaultExpiredIsNotExecuted Fault = "expired_is_no"
+	// FaultRunPromisedUnjournaled dispatches without a journal entry an action whose
 	// token promises that it is journaled first.
-	FaultUnjournaledPromise Fault = "run_promised_unjournaled"
-	// FaultNoTombstones does not remember keys refused because the table was
+	FaultRunPromisedUnjournaled Fault = "run_promised_unjournaled"
+	// FaultForgetRefused does not remember keys refused because the table was
 	// full.
-	FaultNoTombstones Fault = "forget_refused"
+	FaultForgetRefused Fault = "forget_refused"
 )
 
 // DefaultConfig is sized for an entry VM that serves 400 actions per second of
--- a/protocol/admission/admission.go
+++ b/protocol/admission/admission.go
@@ -34,10 +34,10 @@
 	Cost float64
 	// Bytes is the memory that the item occupies while it is queued.
 	Bytes int
-	// FirstToken is the expected time from admission to the first token.
-	FirstToken time.Duration
-	// Service is the expected time from admission to the last token.
-	Service time.Duration
+	// TimeToFirstToken is the expected time from admission to the first token.
+	TimeToFirstToken time.Duration
+	// ServiceTime is the expected time from admission to the last token.
+	ServiceTime time.Duration
 	// Deadline is the time after which the answer is useless to the caller. The
 	// zero time means that there is none.
 	Deadline time.Time
@@ -122,12 +122,12 @@
 // entry is an item that is queued or admitted.
 type entry struct {
 	Item
-	flow    *flow
-	offered time.Time
-	started time.Time
-	// expires is the time after which it is too late to admit the item. The
-	// zero time means never.
-	expires  time.Time
+	flow       *flow
+	offeredAt  time.Time
+	admittedAt time.Time
+	// admitBy is the latest time at which admission still lets the item meet its
+	// target and its deadline. The zero time means that there is none.
+	admitBy  time.Time
 	admitted bool
 }
 
@@ -148,18 +148,20 @@
 	active      []*flow
 	virtualTime float64
 	queuedCost  float64
-	// credit is the cost that this class may have admitted ahead of higher
-	// classes.
-	credit   float64
-	admitted decayingRate
-	refused  decayingRate
-	offered  decayingRate
-	// served is the admitted cost, averaged over a longer time than admitted.
-	served  decayingRate
-	running int
-	// residence is the mean time in seconds from admission to the end of a
+	// costCredit is the cost in output tokens that this class may have admitted
+	// ahead of other classes of the same or a higher priority. It accrues while
+	// those classes are served.
+	costCredit float64
+	admitted   decayingRate
+	refused    decayingRate
+	offered    decayingRate
+	// longTermAdmitted is the rate of admitted cost like admitted, but with the
+	// half-life useHalfLife instead of rateHalfLife.
+	longTermAdmitted decayingRate
+	running          int
+	// meanResidence is the mean time in seconds from admission to the end of a
 	// request.
-	residence float64
+	meanResidence float64
 }
 
 // workspace is the state of one workspace over all classes.
@@ -167,7 +169,7 @@
 	manifest.Workspace
 	running   int
 	queued    int
-	tokens    bucket
+	tokens    tokenBucket
 	recentUse decayingRate
 }
 
@@ -183,7 +185,7 @@
 	entries     map[ID]*entry
 	running     int
 	queued      int
-	bytes       int
+	queuedBytes int
 	throughput  throughput
 	recentUse   decayingRate
 }
@@ -202,12 +204,12 @@
 
 func newClass(k manifest.Class) *class {
 	return &class{
-		Class:    k,
-		flows:    map[ident.Workspace]*flow{},
-		admitted: decayingRate{halfLife: rateHalfLife},
-		refused:  decayingRate{halfLife: rateHalfLife},
-		offered:  decayingRate{halfLife: rateHalfLife},
-		served:   decayingRate{halfLife: useHalfLife},
+		Class:            k,
+		flows:            map[ident.Workspace]*flow{},
+		admitted:         decayingRate{halfLife: rateHalfLife},
+		refused:          decayingRate{halfLife: rateHalfLife},
+		offered:          decayingRate{halfLife: rateHalfLife},
+		longTermAdmitted: decayingRate{halfLife: useHalfLife},
 	}
 }
 
@@ -256,8 +258,8 @@
 // SetCapacity sets the capacity of this gateway's share of the runners, as
 // they report it: the number of concurrent requests and the cost per second.
 func (c *Controller) SetCapacity(requests, costPerSecond float64) {
-	c.limiter.SetHint(requests)
-	c.throughput.setHint(costPerSecond)
+	c.limiter.SetReportedConcurrency(requests)
+	c.throughput.setReportedRate(costPerSecond)
 }
 
 // Limit returns the number of requests that may be in progress at once.
@@ -279,7 +281,7 @@
 	if !ok || !known {
 		return c.refuse(dst, it, 0, refusal.New(refusal.BadRequest, "unknown class %q or workspace", it.Class))
 	}
-	e := &entry{Item: it, flow: c.flowOf(k, w), offered: now, expires: admissionDeadline(now, k, it)}
+	e := &entry{Item: it, flow: c.flowOf(k, w), offeredAt: now, admitBy: admissionDeadline(now, k, it)}
 	k.recordOffer(now, it)
 	if r := c.offerRefusal(now, e); r != nil {
 		k.refused.add(now, it.Cost)
@@ -303,8 +305,8 @@
 // recordOffer updates the arrival rate of the class. The first item also
 // provides the initial estimate of the residence time.
 func (k *class) recordOffer(now time.Time, it Item) {
-	if k.residence == 0 {
-		k.residence = it.Service.Seconds()
+	if k.meanResidence == 0 {
+		k.meanResidence = it.ServiceTime.Seconds()
 	}
 	k.offered.add(now, 1)
 }
@@ -315,12 +317,12 @@
 func admissionDeadline(now time.Time, k *class, it Item) time.Time {
 	var at time.Time
 	if !k.Deferrable {
-		at = now.Add(max(k.target()/minWaitDivisor, k.target()-it.FirstToken))
+		at = now.Add(max(k.target()/minWaitDivisor, k.target()-it.TimeToFirstToken))
 	}
 	if it.Deadline.IsZero() {
 		return at
 	}
-	if last := it.Deadline.Add(-it.Service); at.IsZero() || last.Before(at) {
+	if last := it.Deadline.Add(-it.ServiceTime); at.IsZero() || last.Before(at) {
 		return last
 	}
 	return at
@@ -346,16 +348,16 @@
 			return r
 		}
 	}
-	if c.queued >= c.queueLimit(w) || c.bytes+e.Bytes > c.cfg.MaxQueuedBytes {
+	if c.queued >= c.queueLimit(w) || c.queuedBytes+e.Bytes > c.cfg.MaxQueuedBytes {
 		return refusal.New(refusal.Overloaded, "too much work waits").After(c.retryAfter(now, k, 0))
 	}
 	expectedWait := c.expectedWait(now, e)
 	at := now.Add(expectedWait)
-	if !e.Deadline.IsZero() && at.Add(e.Service).After(e.Deadline) {
-		return refusal.New(refusal.DeadlineUnreachable, "the answer would take %s", (expectedWait + e.Service).Round(time.Millisecond)).After(c.retryAfter(now, k, expectedWait))
+	if !e.Deadline.IsZero() && at.Add(e.ServiceTime).After(e.Deadline) {
+		return refusal.New(refusal.DeadlineUnreachable, "the answer would take %s", (expectedWait + e.ServiceTime).Round(time.Millisecond)).After(c.retryAfter(now, k, expectedWait))
 	}
-	if !e.expires.IsZero() && expectedWait > time.Duration(maxWaitFraction*float64(e.expires.Sub(now))) {
-		return refusal.New(refusal.Overloaded, "the first token would take %s", (expectedWait + e.FirstToken).Round(time.Millisecond)).After(c.retryAfter(now, k, at.Sub(e.expires)))
+	if !e.admitBy.IsZero() && expectedWait > time.Duration(maxWaitFraction*float64(e.admitBy.Sub(now))) {
+		return refusal.New(refusal.Overloaded, "the first token would take %s", (expectedWait + e.TimeToFirstToken).Round(time.Millisecond)).After(c.retryAfter(now, k, at.Sub(e.admitBy)))
 	}
 	return nil
 }
@@ -376,11 +378,11 @@
 // overload.
 func (c *Controller) retryAfter(now time.Time, k *class, excess time.Duration) time.Duration {
 	admitted, refused := k.admitted.perSecond(now), k.refused.perSecond(now)
-	times := 1.0
+	targetMultiple := 1.0
 	if refused > 0 {
-		times += min(10, refused/max(admitted, 1))
+		targetMultiple += min(10, refused/max(admitted, 1))
 	}
-	after := excess + time.Duration(times*float64(k.target()))
+	after := excess + time.Duration(targetMultiple*float64(k.target()))
 	return min(max(after, 100*time.Millisecond), c.cfg.MaxRetryAfter)
 }
 
@@ -398,21 +400,21 @@
 	if perSecond <= 0 {
 		return 0
 	}
-	higher, taken := 0.0, 0.0
+	queuedAbove, admittedAbove := 0.0, 0.0
 	for _, o := range c.byPriority {
 		if o.Priority > k.Priority {
-			higher += o.queuedCost
-			taken += o.admitted.perSecond(now)
+			queuedAbove += o.queuedCost
+			admittedAbove += o.admitted.perSecond(now)
 		}
 	}
-	left := perSecond - taken
+	remainingRate := perSecond - admittedAbove
 	if k != c.byPriority[0] && len(k.active) > 0 {
 		// The recent rate of the class also reflects the turns that it yields to
 		// lower classes.
-		left = min(left, maxServedGrowth*k.served.perSecond(now))
+		remainingRate = min(remainingRate, maxServedGrowth*k.longTermAdmitted.perSecond(now))
 	}
-	perSecond = max(left, c.cfg.MinClassShare*perSecond)
-	seconds := (higher + k.costAhead(e.flow) + c.meanCost()) / perSecond
+	perSecond = max(remainingRate, c.cfg.MinClassShare*perSecond)
+	seconds := (queuedAbove + k.costAhead(e.flow) + c.meanCost()) / perSecond
 	expectedWait := time.Duration(min(seconds, time.Hour.Seconds()) * float64(time.Second))
 	if len(e.flow.items) == 0 {
 		return expectedWait
@@ -420,7 +422,7 @@
 	// At a steady rate, a new item waits as long as the item at the head of the
 	// queue has waited. This accounts for effects that the rates above don't
 	// capture.
-	return max(expectedWait, now.Sub(e.flow.items[0].offered))
+	return max(expectedWait, now.Sub(e.flow.items[0].offeredAt))
 }
 
 // meanCost returns the mean cost of the finished requests. Divided by the
@@ -487,7 +489,7 @@
 // occupies if everything offered is admitted: the mean plus headroom standard
 // deviations of a Poisson distribution.
 func (k *class) expectedSlots(now time.Time, headroom float64) float64 {
-	mean := k.offered.perSecond(now) * k.residence
+	mean := k.offered.perSecond(now) * k.meanResidence
 	return mean + headroom*math.Sqrt(mean)
 }
 
--- a/protocol/admission/meter.go
+++ b/protocol/admission/meter.go
@@ -13,51 +13,52 @@
 	useHalfLife  = 10 * time.Second
 )
 
-// decayingRate measures a rate as an exponentially decaying sum.
+// decayingRate measures a rate as an exponentially decaying sum. at is the time
+// of the last update.
 type decayingRate struct {
-	halfLife time.Duration
-	sum      float64
-	at       time.Time
+	halfLife   time.Duration
+	decayedSum float64
+	at         time.Time
 }
 
 // decay reduces the sum by the time that has passed since the last update.
 func (m *decayingRate) decay(now time.Time) {
 	if now.After(m.at) {
-		m.sum *= math.Exp2(-now.Sub(m.at).Seconds() / m.halfLife.Seconds())
+		m.decayedSum *= math.Exp2(-now.Sub(m.at).Seconds() / m.halfLife.Seconds())
 		m.at = now
 	}
 }
 
 func (m *decayingRate) add(now time.Time, cost float64) {
 	m.decay(now)
-	m.sum += cost
+	m.decayedSum += cost
 }
 
 func (m *decayingRate) perSecond(now time.Time) float64 {
 	m.decay(now)
-	return m.sum * math.Ln2 / m.halfLife.Seconds()
+	return m.decayedSum * math.Ln2 / m.halfLife.Seconds()
 }
 
-// bucket is a token bucket. The last spender may overdraw it.
-type bucket struct {
+// tokenBucket is a token tokenBucket. The last spender may overdraw it.
+type tokenBucket struct {
 	tokens float64
 	at     time.Time
 }
 
-func (b *bucket) spend(cost float64) { b.tokens -= cost }
+func (b *tokenBucket) spend(cost float64) { b.tokens -= cost }
 
 // timeUntilTokens refills the bucket and returns how long it takes until the
 // bucket has tokens, or zero if it has some now.
-func (b *bucket) timeUntilTokens(now time.Time, perSecond float64, burst time.Duration) time.Duration {
+func (b *tokenBucket) timeUntilTokens(now time.Time, perSecond float64, burst time.Duration) time.Duration {
 	if perSecond <= 0 {
 		b.tokens, b.at = 0, now
 		return 0
 	}
-	most := perSecond * burst.Seconds()
+	capacity := perSecond * burst.Seconds()
 	if b.at.IsZero() {
-		b.tokens = most
+		b.tokens = capacity
 	} else if now.After(b.at) {
-		b.tokens = min(most, b.tokens+perSecond*now.Sub(b.at).Seconds())
+		b.tokens = min(capacity, b.tokens+perSecond*now.Sub(b.at).Seconds())
 	}
 	b.at = now
 	if b.tokens > 0 {
@@ -77,48 +78,50 @@
 // load. A window counts only if work is queued when it ends; a window in which
 // the queue becomes empty is discarded.
 type throughput struct {
-	perSecond     float64
-	hintPerSecond float64
-	finishedCount int
-	finishedCost  float64
-	windowCost    float64
-	windowStart   time.Time
-	saturated     bool
+	perSecond         float64
+	reportedPerSecond float64
+	finishedCount     int
+	finishedCost      float64
+	windowCost        float64
+	windowStart       time.Time
+	saturated         bool
 }
 
-// setHint sets the throughput that the runners report. The first hint becomes
-// the estimate; later hints scale the measured estimate in proportion.
-func (r *throughput) setHint(perSecond float64) {
+// setReportedRate sets the throughput that the runners report, as cost per
+// second. The first report becomes the estimate. Later reports scale the
+// measured estimate in proportion, so that the estimate follows a change in the
+// number of runners at once.
+func (r *throughput) setReportedRate(perSecond float64) {
 	switch {
 	case perSecond <= 0:
 		return
-	case r.hintPerSecond == 0:
+	case r.reportedPerSecond == 0:
 		r.perSecond = perSecond
 	default:
-		r.perSecond *= perSecond / r.hintPerSecond
+		r.perSecond *= perSecond / r.reportedPerSecond
 	}
-	r.hintPerSecond = perSecond
+	r.reportedPerSecond = perSecond
 }
 
 // finish records the cost of a finished request. workWaits tells whether
 // requests are queued.
-func (r *throughput) finish(now time.Time, cost float64, workWaits bool) {
+func (r *throughput) finish(now time.Time, cost float64, workQueued bool) {
 	r.finishedCount++
 	r.finishedCost += cost
-	if r.windowStart.IsZero() || !workWaits && r.saturated {
-		r.startWindow(now, workWaits)
+	if r.windowStart.IsZero() || !workQueued && r.saturated {
+		r.startWindow(now, workQueued)
 		return
 	}
-	r.saturated = workWaits
+	r.saturated = workQueued
 	r.windowCost += cost
 	passed := now.Sub(r.windowStart)
 	if passed < throughputWindow {
 		return
 	}
-	if measured := r.windowCost / passed.Seconds(); workWaits {
+	if measured := r.windowCost / passed.Seconds(); workQueued {
 		r.perSecond += throughputGain * (measured - r.perSecond)
 	}
-	r.startWindow(now, workWaits)
+	r.startWindow(now, workQueued)
 }
 
 func (r *throughput) startWindow(now time.Time, saturated bool) {
--- a/protocol/admission/queue.go
+++ b/protocol/admission/queue.go
@@ -26,7 +26,7 @@
 	f.workspace.queued++
 	c.entries[e.ID] = e
 	c.queued++
-	c.bytes += e.Bytes
+	c.queuedBytes += e.Bytes
 }
 
 // dequeue removes the entry at the index from the queue of its flow.
@@ -37,13 +37,13 @@
 	f.class.queuedCost -= e.Cost
 	f.workspace.queued--
 	c.queued--
-	c.bytes -= e.Bytes
+	c.queuedBytes -= e.Bytes
 	if len(f.items) == 0 {
 		f.queuedCost = 0
 		f.class.active = slices.DeleteFunc(f.class.active, func(o *flow) bool { return o == f })
 	}
 	if len(f.class.active) == 0 {
-		f.class.queuedCost, f.class.credit = 0, 0
+		f.class.queuedCost, f.class.costCredit = 0, 0
 	}
 	return e
 }
@@ -82,8 +82,8 @@
 			first = f
 			continue
 		}
-		if k.credit >= f.items[0].Cost {
-			k.credit -= f.items[0].Cost
+		if k.costCredit >= f.items[0].Cost {
+			k.costCredit -= f.items[0].Cost
 			return f
 		}
 	}
@@ -117,11 +117,11 @@
 // usedShareRatio returns the workspace's recent use divided by its weighted
 // share of the recent use of all workspaces.
 func (c *Controller) usedShareRatio(now time.Time, w *workspace) float64 {
-	all := c.recentUse.perSecond(now)
-	if all == 0 {
+	totalUse := c.recentUse.perSecond(now)
+	if totalUse == 0 {
 		return 0
 	}
-	return w.recentUse.perSecond(now) / all * c.totalWeight / w.Weight
+	return w.recentUse.perSecond(now) / totalUse * c.totalWeight / w.Weight
 }
 
 // creditOtherClasses credits the other classes that have work waiting: a class
@@ -132,9 +132,9 @@
 		switch {
 		case k == served.class || len(k.active) == 0:
 		case k.Priority < served.class.Priority:
-			k.credit += c.cfg.MinClassShare * served.items[0].Cost
+			k.costCredit += c.cfg.MinClassShare * served.items[0].Cost
 		case k.Priority == served.class.Priority:
-			k.credit += served.items[0].Cost
+			k.costCredit += served.items[0].Cost
 		}
 	}
 }
@@ -161,17 +161,17 @@
 	f.class.virtualTime = max(f.class.virtualTime, f.start)
 	f.start += e.Cost / f.workspace.Weight
 	f.class.admitted.add(now, e.Cost)
-	f.class.served.add(now, e.Cost)
+	f.class.longTermAdmitted.add(now, e.Cost)
 	f.workspace.running++
 	f.workspace.tokens.spend(e.Cost)
 	f.workspace.recentUse.add(now, e.Cost)
 	c.recentUse.add(now, e.Cost)
 	c.delayLowerFlows(f, e.Cost)
 	e.admitted = true
-	e.started = now
+	e.admittedAt = now
 	f.class.running++
 	c.running++
-	return Effect{Kind: Admit, ID: e.ID, Waited: now.Sub(e.offered)}
+	return Effect{Kind: Admit, ID: e.ID, Waited: now.Sub(e.offeredAt)}
 }
 
 // delayLowerFlows advances the virtual start times of the workspace's flows in
@@ -186,8 +186,8 @@
 			continue
 		}
 		o := c.flowOf(k, w)
-		most := k.virtualTime + c.cfg.MaxVirtualLead.Seconds()*c.throughput.perSecond/w.Weight
-		o.start = max(o.start, min(o.start+cost/w.Weight, most))
+		maxStart := k.virtualTime + c.cfg.MaxVirtualLead.Seconds()*c.throughput.perSecond/w.Weight
+		o.start = max(o.start, min(o.start+cost/w.Weight, maxStart))
 	}
 }
 
@@ -220,7 +220,7 @@
 	w.running--
 	c.running--
 	e.flow.class.running--
-	e.flow.class.residence += residenceWeight * (now.Sub(e.started).Seconds() - e.flow.class.residence)
+	e.flow.class.meanResidence += residenceWeight * (now.Sub(e.admittedAt).Seconds() - e.flow.class.meanResidence)
 	w.tokens.spend(cost - e.Cost)
 	e.flow.start += (cost - e.Cost) / w.Weight
 	c.throughput.finish(now, cost, c.queued > 0)
@@ -256,14 +256,14 @@
 func (c *Controller) refuseExpired(now time.Time, f *flow, dst []Effect) []Effect {
 	for i := 0; i < len(f.items); {
 		e := f.items[i]
-		if e.expires.IsZero() || now.Before(e.expires) {
+		if e.admitBy.IsZero() || now.Before(e.admitBy) {
 			i++
 			continue
 		}
 		c.dequeue(f, i)
 		delete(c.entries, e.ID)
 		f.class.refused.add(now, e.Cost)
-		dst = c.refuse(dst, e.Item, now.Sub(e.offered), c.expiredRefusal(now, e))
+		dst = c.refuse(dst, e.Item, now.Sub(e.offeredAt), c.expiredRefusal(now, e))
 	}
 	return dst
 }
@@ -271,10 +271,10 @@
 func (c *Controller) expiredRefusal(now time.Time, e *entry) *refusal.Refusal {
 	k := e.flow.class
 	reason := refusal.Overloaded
-	if !e.Deadline.IsZero() && now.Add(e.Service).After(e.Deadline) {
+	if !e.Deadline.IsZero() && now.Add(e.ServiceTime).After(e.Deadline) {
 		reason = refusal.DeadlineUnreachable
 	}
-	return refusal.New(reason, "waited %s in vain", now.Sub(e.offered).Round(time.Millisecond)).After(c.retryAfter(now, k, 0))
+	return refusal.New(reason, "waited %s in vain", now.Sub(e.offeredAt).Round(time.Millisecond)).After(c.retryAfter(now, k, 0))
 }
 
 // limitRefusal returns a refusal if the workspace has reached one of its own
--- a/protocol/forward/forward_test.go
+++ b/protocol/forward/forward_test.go
@@ -102,13 +102,13 @@
 // their retries together must stay within the shared budget.
 func TestShareHoldsBudgetWithoutTalking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const ratio, slack, keep = 0.2, 52, 0.9
+		const ratio, slack, usedFraction = 0.2, 52, 0.9
 		window := 10 * time.Second
 		n := rapid.IntRange(1, 8).Draw(t, "daemons")
 		var policies []*retry.Policy
 		for range n {
 			cfg := retry.Default()
-			cfg.Ratio, cfg.PerSecond, cfg.Burst = retry.BudgetShare(ratio, slack, keep, window, n)
+			cfg.Ratio, cfg.PerSecond, cfg.Burst = retry.BudgetShare(ratio, slack, usedFraction, window, n)
 			policies = append(policies, retry.New(cfg))
 		}
 		firsts := rapid.IntRange(0, 5).Draw(t, "first attempts a tick")
@@ -164,15 +164,15 @@
 func TestEventsAreWholeForAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 10).Draw(t, "events")
-		var all strings.Builder
+		var input strings.Builder
 		for i := range n {
 			if rapid.Bool().Draw(t, "crlf") {
-				all.WriteString(strings.ReplaceAll(eventText(i), "\n", "\r\n"))
+				input.WriteString(strings.ReplaceAll(eventText(i), "\n", "\r\n"))
 			} else {
-				all.WriteString(eventText(i))
+				input.WriteString(eventText(i))
 			}
 		}
-		left := []byte(all.String())
+		left := []byte(input.String())
 		s := forward.NewEventStream("")
 		var out []byte
 		for len(left) > 0 {
@@ -183,8 +183,8 @@
 			}
 			left = left[cut:]
 		}
-		if string(out) != all.String() || s.HasPartialEvent() || s.Events() != n {
-			t.Fatalf("passed on %q, want %q", out, all.String())
+		if string(out) != input.String() || s.HasPartialEvent() || s.Events() != n {
+			t.Fatalf("passed on %q, want %q", out, input.String())
 		}
 	})
 }
--- a/protocol/request/request.go
+++ b/protocol/request/request.go
@@ -29,7 +29,8 @@
 	MaxFailures int
 	// BackoffMin and BackoffMax limit the wait for capacity.
 	BackoffMin, BackoffMax time.Duration
-	// RetryAfter is the retry delay that callers of failed requests are given.
+	// RetryAfter is the retry delay that callers of failed requests are given
+	// if the refusal has no delay of its own and a later attempt could succeed.
 	RetryAfter time.Duration
 }
 
@@ -85,18 +86,21 @@
 	answer *stream.SplicedAnswer
 	phase  phase
 
-	attempts     int
-	attempt      ident.AttemptID
-	runner       ident.RunnerID
-	lastActivity time.Time
+	// attemptNumber is the number of attempts started by this machine. It is
+	// part of the ID of each attempt.
+	attemptNumber int
+	attempt       ident.AttemptID
+	runner        ident.RunnerID
+	lastActivity  time.Time
 	// attemptStarted is the start time of the current attempt.
 	attemptStarted time.Time
-	// startedAttempts counts the attempts that may have run.
-	startedAttempts int
-	reopens         int
-	failures        int
-	excluded        []ident.RunnerID
-	leaving         map[ident.RunnerID]bool
+	// possiblyRunAttempts counts the attempts of this machine that may have
+	// reached a runner, plus one if an earlier owner may have started one.
+	possiblyRunAttempts int
+	reopens             int
+	failures            int
+	excluded            []ident.RunnerID
+	leaving             map[ident.RunnerID]bool
 	// moveTarget is the runner to which the KV cache of the current attempt is
 	// being moved.
 	moveTarget ident.RunnerID
@@ -116,7 +120,7 @@
 		leaving: map[ident.RunnerID]bool{},
 	}
 	if spec.MayHaveRun {
-		m.startedAttempts = 1
+		m.possiblyRunAttempts = 1
 	}
 	return m
 }
@@ -167,7 +171,7 @@
 }
 
 // MayHaveRun reports whether any attempt may have reached a runner.
-func (m *Machine) MayHaveRun() bool { return m.startedAttempts > 0 }
+func (m *Machine) MayHaveRun() bool { return m.possiblyRunAttempts > 0 }
 
 // MoveTarget returns the runner to which the KV cache is being moved, or an
 // empty ID if no move is in progress.
@@ -294,13 +298,13 @@
 // generate starts a new attempt at a runner. handle identifies a KV cache that
 // was exported there, if any.
 func (m *Machine) generate(now time.Time, runner ident.RunnerID, handle string) {
-	m.attempts++
-	m.attempt = ident.AttemptID(fmt.Sprintf("%s.%d.%d", m.spec.ID, m.spec.Epoch, m.attempts))
+	m.attemptNumber++
+	m.attempt = ident.AttemptID(fmt.Sprintf("%s.%d.%d", m.spec.ID, m.spec.Epoch, m.attemptNumber))
 	m.runner = runner
 	m.moveTarget = ""
 	m.lastActivity, m.attemptStarted = now, now
 	m.phase = running
-	m.startedAttempts++
+	m.possiblyRunAttempts++
 	m.answer.BeginAttempt(m.attempt)
 	m.emit(Generate{Attempt: m.attempt, Runner: runner, Handle: handle})
 }
@@ -381,7 +385,7 @@
 		m.handleAttemptFailure(now, in.Cause)
 		return
 	}
-	m.startedAttempts--
+	m.possiblyRunAttempts--
 	m.answer.EndAttempt()
 	m.handleRunnerFailure(now, in.Cause)
 }
@@ -491,7 +495,7 @@
 // executed" only if no attempt can have reached a runner.
 func (m *Machine) fail(r *refusal.Refusal) {
 	failure := *r
-	if m.startedAttempts > 0 {
+	if m.possiblyRunAttempts > 0 {
 		failure.Executed = refusal.ExecutedUnknown
 	}
 	if failure.RetryAfter == 0 && !permanentRefusal(failure.Reason) {
--- a/state/prefix/index.go
+++ b/state/prefix/index.go
@@ -1,7 +1,9 @@
 // Package prefix maintains an approximate index of the prompt prefixes that
 // the runners hold in their KV caches. A prefix is identified by the hash of
 // its last block, which package prefixhash computes over the whole prefix.
-// Each runner occupies a numbered slot of the index.
+// Each runner occupies a numbered slot of the index. A block is a run of
+// BlockTokens tokens, and a chain is the list of the hashes of a prompt's
+// blocks in order.
 package prefix
 
 import (
@@ -38,7 +40,8 @@
 
 func (e *GapError) Error() string { return fmt.Sprintf("%d cache events lost", e.Lost) }
 
-// maxLostEvents is the number of events of a slot that may be lost before the
+// maxLostEvents is the number of events of a slot that may be lost since the
+// slot was last cleared before the
 // slot is cleared. Only few lost events are evictions that matter, while
 // clearing the slot costs many cache hits.
 const maxLostEvents = 64
@@ -58,13 +61,13 @@
 // decisions will produce are added in advance. It is not safe for concurrent
 // use.
 type Index struct {
-	byHash     map[Hash]int32
-	entries    []entry
-	newest     int32
-	oldest     int32
-	freeList   int32
-	cursor     [Slots]uint64
-	lostEvents [Slots]uint64
+	byHash       map[Hash]int32
+	entries      []entry
+	newest       int32
+	oldest       int32
+	freeList     int32
+	nextSequence [Slots]uint64
+	lostEvents   [Slots]uint64
 }
 
 // NewIndex returns an empty index of at most capacity prefixes.
@@ -92,7 +95,7 @@
 
 // Cursor returns the sequence number at which the next read of the slot's
 // events must start.
-func (x *Index) Cursor(slot int) uint64 { return x.cursor[slot] }
+func (x *Index) Cursor(slot int) uint64 { return x.nextSequence[slot] }
 
 // ApplyPage applies a page of the slot's events and ignores events that were
 // applied before. If too many events were lost, or if the runner's sequence
@@ -102,17 +105,17 @@
 // them, while lost additions only cost a cache hit.
 func (x *Index) ApplyPage(slot int, p Page) error {
 	var gap error
-	if p.Next < x.cursor[slot] {
-		gap = x.resetSlot(slot, p.First, x.cursor[slot]-p.Next)
+	if p.Next < x.nextSequence[slot] {
+		gap = x.resetSlot(slot, p.First, x.nextSequence[slot]-p.Next)
 	}
 	for _, e := range p.Events {
-		if e.Sequence < x.cursor[slot] {
+		if e.Sequence < x.nextSequence[slot] {
 			continue
 		}
 		if lost := x.advanceCursor(slot, e.Sequence); lost > maxLostEvents {
 			gap = x.resetSlot(slot, e.Sequence, lost)
 		}
-		x.cursor[slot] = e.Sequence + 1
+		x.nextSequence[slot] = e.Sequence + 1
 		if e.Stored {
 			x.store(slot, e.Block)
 		} else {
@@ -129,8 +132,8 @@
 // and returns the number of events lost since the slot was last cleared. The
 // first read of a slot counts no events as lost.
 func (x *Index) advanceCursor(slot int, to uint64) uint64 {
-	from := x.cursor[slot]
-	x.cursor[slot] = max(from, to)
+	from := x.nextSequence[slot]
+	x.nextSequence[slot] = max(from, to)
 	if from > 0 && to > from {
 		x.lostEvents[slot] += to - from
 	}
@@ -139,10 +142,10 @@
 
 // resetSlot clears the slot and sets its cursor after a gap in the sequence
 // numbers.
-func (x *Index) resetSlot(slot int, cursor, lost uint64) error {
+func (x *Index) resetSlot(slot int, nextSequence, lostEvents uint64) error {
 	x.Clear(slot)
-	x.cursor[slot] = cursor
-	return &GapError{Lost: lost}
+	x.nextSequence[slot] = nextSequence
+	return &GapError{Lost: lostEvents}
 }
 
 // Assume adds the prefixes of a request that is about to be computed at
@@ -156,8 +159,8 @@
 }
 
 // WithdrawAssumed removes the prefixes that Assume added for a request that
-// did not start at the slot. It keeps the first blocks of the chain, as many
-// as started says.
+// did not start at the slot. It keeps the first blocks of the chain, whose
+// number is started.
 func (x *Index) WithdrawAssumed(slot int, chain []Hash, started int) {
 	for _, h := range chain[min(started, len(chain)):] {
 		x.evict(slot, h)
@@ -172,7 +175,7 @@
 		x.removeSlot(i, slot)
 		i = next
 	}
-	x.cursor[slot], x.lostEvents[slot] = 0, 0
+	x.nextSequence[slot], x.lostEvents[slot] = 0, 0
 }
 
 func (x *Index) store(slot int, h Hash) {
