--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -3,9 +3,9 @@
 // weight store, loads a canary version on a fraction of the runners if the manifest has one, and
 // backs off after failed loads.
 //
-// An order is a command to one runner. Orders describe the wanted state, so repeating them is safe. On every call the planner
-// compares the wanted with the reported state, and it stores only what the reports don't show
-// yet. A new holder of the responsibility starts with an empty planner.
+// An order is a command to one runner. Orders describe the wanted state, so repeating them is safe.
+// On every call the planner compares the wanted with the reported state, and it stores only what the
+// reports don't show yet. A new holder of the responsibility starts with an empty planner.
 package rollout
 
 import (
@@ -96,9 +96,10 @@
 	}
 }
 
-// orderState holds what the reports don't show yet about an order.
+// orderState holds what the planner remembers of an order until the reports show its effect.
 type orderState struct {
-	// plannedAt is when Plan last returned the order; zero after HandleFailure or Defer.
+	// plannedAt is the time of the call of Plan that last returned the order; zero after a call of
+	// HandleFailure or Defer for it.
 	plannedAt time.Duration
 	failures  int
 	// retryAt is when the order may be given again.
@@ -128,7 +129,8 @@
 }
 
 // Targets returns the version that each runner should serve. The canary version goes to
-// the fraction Canary.Share of the runners, rounded up. These runners are chosen by hash, so the choice remains stable when other runners are added or removed.
+// the fraction Canary.Share of the runners, rounded up. These runners are chosen by hash, so the
+// choice remains stable when other runners are added or removed.
 func Targets(m *manifest.Model, runners []ident.RunnerID) map[ident.RunnerID]string {
 	targets := make(map[ident.RunnerID]string, len(runners))
 	for _, r := range runners {
@@ -181,7 +183,8 @@
 	s.plannedAt = 0
 }
 
-// Pending reports whether some orders are not yet shown as done by the reports.
+// Pending reports whether the planner has given orders whose effect the runners' reports did not show
+// at the last call of Plan.
 func (p *Planner) Pending() bool { return len(p.orders) > 0 }
 
 // Plan returns the orders to give now. models are the models of the service; runners are its
--- a/coordination/spread/tree.go
+++ b/coordination/spread/tree.go
@@ -27,7 +27,7 @@
 	source  string
 	// pending holds the children that have not acknowledged the current version.
 	pending map[int]pendingAck
-	// sentTo holds the members to which the current version was sentTo.
+	// sentTo holds the members to which this member has sent the current version.
 	sentTo map[int]bool
 }
 
@@ -229,7 +229,8 @@
 	return sends
 }
 
-// Interval returns the time between two rounds of probes.
+// Interval returns the time between two rounds of probes, which is the same for any number
+// of members.
 func (t *HierarchicalTree) Interval() time.Duration { return treeInterval }
 
 // Version returns the highest known version.
--- a/daemon/edge/grants.go
+++ b/daemon/edge/grants.go
@@ -35,8 +35,8 @@
 	// lateGrantPeriod is the time for which an answer is still recognised after its request
 	// stopped waiting, so that the granted quota can be returned.
 	lateGrantPeriod = 5 * time.Second
-	// quotaUnknownRetryAfter is the retry delay sent to the caller if no relay answered.
-	// Another relay has taken over by then.
+	// quotaUnknownRetryAfter is the retry delay sent to the caller if no relay answered. By then
+	// other relays have been elected in place of relays that have ended.
 	quotaUnknownRetryAfter = 300 * time.Millisecond
 )
 
@@ -110,9 +110,9 @@
 	}
 }
 
-// candidateLister lists the runners that a request may be sent to. The relay that grants the
-// quota chooses one of them: it learns of its followers' choices before the followers learn of
-// each other's.
+// candidateLister lists the runners that are best for a request. They are sent along with the Ask
+// for quota, and the relay that grants the quota recommends one of them: a relay knows at once
+// which runners its followers use, and a follower learns later which ones other followers use.
 type candidateLister interface {
 	candidates() (service string, runners []*peersv1.Candidate)
 }
@@ -120,7 +120,7 @@
 // takeQuota takes the cost of a request out of its workspace's quota. It returns the answer of
 // the relay that granted it, an empty answer if this daemon granted it itself, or a refusal.
 func (e *Edge) takeQuota(ctx context.Context, ws ident.Workspace, cost float64, lister candidateLister) (grantAnswer, *refusal.Refusal) {
-	own, elsewhere, addresses := e.takeLocally(ws, cost)
+	own, elsewhere, addresses := e.takeFromOwnShare(ws, cost)
 	if own != nil && (own.Taken || !elsewhere) {
 		return grantAnswer{}, quotaRefusal(own, cost)
 	}
@@ -167,10 +167,10 @@
 	return addresses
 }
 
-// takeLocally takes a cost out of this daemon's own share of the quota. own is nil if this
+// takeFromOwnShare takes a cost out of this daemon's own share of the quota. own is nil if this
 // daemon grants no quota. elsewhere says that another relay may grant the cost; addresses lists
 // the relays to ask.
-func (e *Edge) takeLocally(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, addresses []string) {
+func (e *Edge) takeFromOwnShare(ws ident.Workspace, cost float64) (own *peersv1.Grant, elsewhere bool, addresses []string) {
 	now := e.deps.Steady()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -183,8 +183,8 @@
 	return own, true, e.relaysToAsk()
 }
 
-// takeFromLimiter takes a cost out of this daemon's share of a quota. The caller must hold
-// e.mu.
+// takeFromLimiter takes a cost out of this daemon's share of a workspace's quota. If the share is
+// too small, the result says whether other relays' shares may suffice. The caller must hold e.mu.
 func (e *Edge) takeFromLimiter(now time.Duration, ws ident.Workspace, cost float64) *peersv1.Grant {
 	wait, ok := e.limiter.Take(now, ws, cost)
 	return &peersv1.Grant{Taken: ok, WaitNs: int64(wait), Elsewhere: !ok && e.limiter.Covers(now, ws, cost)}
@@ -305,7 +305,8 @@
 	e.sendTo(relay, &peersv1.Datagram{Refund: &peersv1.Refund{Workspace: string(ws), Cost: cost}})
 }
 
-// handleRefund returns quota to this relay's share that a daemon has given back.
+// handleRefund adds quota that another daemon gives back, because its request never ran, to this
+// relay's share again.
 func (e *Edge) handleRefund(r *peersv1.Refund) {
 	if r.Cost <= 0 {
 		e.log.Note("message_ignored", decisions.F("reason", "refund of nothing"))
--- a/daemon/edge/placements.go
+++ b/daemon/edge/placements.go
@@ -18,9 +18,9 @@
 	// cacheLearningPeriod is how long after a restart a daemon knows too little about what the
 	// runners have cached. Most prompts that recur do so within seconds.
 	cacheLearningPeriod = 20 * time.Second
-	// placementSendPeriod is how long a placement is included in messages: about three messages
-	// of a small fleet. relayedPlacementSendPeriod is the same in a large fleet: two messages
-	// to the daemons that are sent to least often.
+	// placementSendPeriod is how long after it was recorded a placement is included in messages:
+	// for about three messages of a small fleet. relayedPlacementSendPeriod is the same in a
+	// large fleet: two messages to the daemons that are sent to least often.
 	placementSendPeriod        = 350 * time.Millisecond
 	relayedPlacementSendPeriod = 850 * time.Millisecond
 	// maxPlacements bounds the placements in a message to the newest ones. After a crash of
@@ -63,16 +63,16 @@
 	known map[placementKey]placement
 }
 
-// note records a placement so that it is sent to other daemons. It does nothing and returns
+// record adds a placement so that it is sent to other daemons. It does nothing and returns
 // false if the same placement was recorded less than quiet ago.
-func (p *placements) note(now, quiet time.Duration, origin placementOrigin, message *peersv1.Placed) bool {
+func (p *placements) record(now, repeatInterval time.Duration, origin placementOrigin, message *peersv1.Placed) bool {
 	if len(message.Prefix) == 0 {
 		return false
 	}
 	key := placementKey{ident.RunnerID(message.Runner), message.Prefix[len(message.Prefix)-1]}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if before, known := p.known[key]; known && now-before.at < quiet {
+	if before, known := p.known[key]; known && now-before.at < repeatInterval {
 		return false
 	}
 	if p.known == nil {
@@ -82,8 +82,9 @@
 	return true
 }
 
-// recent lists the newest placements of the given origin that are at most as old as sent, and
-// drops those that are too old to matter.
+// recent lists the newest placements of the given origin, or of an origin that it includes, that
+// were recorded within the time sent before now. It drops placements that are older than
+// placementRepeatInterval.
 func (p *placements) recent(now, sent time.Duration, origin placementOrigin) []*peersv1.Placed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +126,7 @@
 	if !e.settings.Policy.Uses(TellPlacements) {
 		return
 	}
-	e.placements.note(e.deps.Steady(), e.placementRepeatTime(), originSelf, &peersv1.Placed{Service: service, Runner: string(runner), Prefix: chain})
+	e.placements.record(e.deps.Steady(), e.placementRepeatTime(), originSelf, &peersv1.Placed{Service: service, Runner: string(runner), Prefix: chain})
 }
 
 // receivePlacements applies the placements that another daemon has sent, and passes on those
@@ -140,7 +141,7 @@
 	}
 	now, quiet := e.deps.Steady(), e.placementRepeatTime()
 	for _, message := range messages {
-		e.placements.note(now, quiet, by, message)
+		e.placements.record(now, quiet, by, message)
 		if p := e.pool(message.Service); p != nil {
 			p.assumeCached(ident.RunnerID(message.Runner), message.Prefix)
 		}
