--- a/state/load/load.go
+++ b/state/load/load.go
@@ -45,7 +45,7 @@
 	Models     []Model
 	// Leaving is set once the cloud has announced that the VM will be stopped.
 	Leaving bool
-	// TimeUntilStop is the time until the VM is stopped. It is valid only if Leaving
-	// is set.
+	// TimeUntilStop is the time that was left until the VM is stopped when the
+	// runner answered the query for its load. It is valid only if Leaving is set.
 	TimeUntilStop time.Duration
 }
