--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -121,7 +121,7 @@
 	sealLimiter *rate.Limiter
 	lease       sharedLease
 	draining    drainOnce
-	tokens      tokenSource
+	tokens      tokenState
 
 	ctx   context.Context
 	stop  context.CancelFunc
--- a/daemon/actions/forward.go
+++ b/daemon/actions/forward.go
@@ -52,13 +52,13 @@
 			return result
 		}
 	}
-	return s.ownerUnreachable(owner)
+	return s.giveUpOnOwner(owner)
 }
 
-// ownerUnreachable returns a refusal that leaves open whether the call ran, even
+// giveUpOnOwner returns a refusal that leaves open whether the call ran, even
 // if this daemon sent nothing: a copy of the call may reach the owner through
 // another gateway.
-func (s *Service) ownerUnreachable(owner ident.Incarnation) action.Result {
+func (s *Service) giveUpOnOwner(owner ident.Incarnation) action.Result {
 	s.tokens.drop(owner)
 	return refused(refusal.New(refusal.OwnerUnreachable, "no answer from %s; ask for the outcome", owner).
 		Unknown().After(time.Second))
@@ -148,7 +148,7 @@
 		}
 		return decodeResult(resp.GetOutcome()), resp.GetInProgress()
 	}
-	return s.ownerUnreachable(owner), false
+	return s.giveUpOnOwner(owner), false
 }
 
 func (s *Service) queryPeer(ctx context.Context, d view.Daemon, owner ident.Incarnation, id actionkey.ID,
--- a/daemon/actions/history_test.go
+++ b/daemon/actions/history_test.go
@@ -78,13 +78,13 @@
 
 // caller sends copies of one call through random gateways and queries its
 // outcome.
-func (w *workload) caller(name string) {
+func (w *workload) caller(callName string) {
 	w.sleep(20 * time.Second)
-	key := w.node().key(name)
+	key := w.node().key(callName)
 	for range 1 + w.intN(4) {
 		w.wg.Go(func() {
 			w.sleep(5 * time.Second)
-			w.send(key, name)
+			w.send(key, callName)
 		})
 	}
 	w.wg.Go(func() {
--- a/daemon/actions/seal.go
+++ b/daemon/actions/seal.go
@@ -24,10 +24,10 @@
 	// and seals logs: callers can send keys with any number of invented owners.
 	sealsPerSecond = 5
 	sealBurst      = 20
-	// expiredWithoutLogAfter is the time since its expiry after which a key is
+	// skipLogAfterExpiry is the time since its expiry after which a key is
 	// refused as expired without reading the log, which may have been deleted.
 	// It is longer than the clocks of daemons differ.
-	expiredWithoutLogAfter = sealLifetime / 2
+	skipLogAfterExpiry = sealLifetime / 2
 )
 
 // daemonIncarnation returns the incarnation of the daemon that runs an owner. The
@@ -44,7 +44,7 @@
 	if r, _, ok := s.lookUpLocal(owner, id, hash); ok {
 		return r
 	}
-	if key, err := actionkey.Parse(id.Key); err != nil || s.now().Sub(key.Expires()) > expiredWithoutLogAfter {
+	if key, err := actionkey.Parse(id.Key); err != nil || s.now().Sub(key.Expires()) > skipLogAfterExpiry {
 		return refused(refusal.New(refusal.KeyExpired, "key was over long ago").Unknown())
 	}
 	log, err := s.readSealedLog(ctx, owner, "")
--- a/daemon/actions/tokens.go
+++ b/daemon/actions/tokens.go
@@ -59,9 +59,9 @@
 
 func (t *fetchedToken) age(now time.Time) time.Duration { return now.Sub(t.requestedAt) }
 
-// tokenSource holds the fetched token that a daemon hands out while it issues
+// tokenState holds the fetched token that a daemon hands out while it issues
 // none of its own.
-type tokenSource struct {
+type tokenState struct {
 	mu sync.Mutex
 	// issuing is true while this daemon hands out its own tokens.
 	issuing bool
@@ -73,14 +73,14 @@
 	unresponsive map[ident.Incarnation]time.Time
 }
 
-func (t *tokenSource) current() (fetched *fetchedToken, issuing bool) {
+func (t *tokenState) current() (fetched *fetchedToken, issuing bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fetched, t.issuing
 }
 
 // useOwnToken drops the fetched token and makes this daemon hand out its own.
-func (t *tokenSource) useOwnToken() {
+func (t *tokenState) useOwnToken() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.issuing = true
@@ -88,7 +88,7 @@
 	t.refreshAt = time.Time{}
 }
 
-func (t *tokenSource) storeFetched(f *fetchedToken, refreshAt time.Time) {
+func (t *tokenState) storeFetched(f *fetchedToken, refreshAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fetched = f
@@ -98,7 +98,7 @@
 
 // drop discards the fetched token if it names the daemon that runs owner. The
 // next check fetches another token.
-func (t *tokenSource) drop(owner ident.Incarnation) {
+func (t *tokenState) drop(owner ident.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.fetched != nil && t.fetched.owner == daemonIncarnation(owner) {
@@ -108,7 +108,7 @@
 
 // refreshNow makes the next check replace the fetched token if it names the
 // daemon that runs owner. The token is kept until then.
-func (t *tokenSource) refreshNow(owner ident.Incarnation) {
+func (t *tokenState) refreshNow(owner ident.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.fetched != nil && t.fetched.owner == daemonIncarnation(owner) {
@@ -118,7 +118,7 @@
 
 // needsFetch drops the fetched token if its owner is no longer live, and reports
 // whether a token must be fetched.
-func (t *tokenSource) needsFetch(now time.Time, daemons, issuing []view.Daemon) bool {
+func (t *tokenState) needsFetch(now time.Time, daemons, issuing []view.Daemon) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.issuing = false
@@ -137,7 +137,7 @@
 	})
 }
 
-func (t *tokenSource) markUnresponsive(now time.Time, owner ident.Incarnation) {
+func (t *tokenState) markUnresponsive(now time.Time, owner ident.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.unresponsive == nil {
@@ -151,7 +151,7 @@
 
 // unresponsiveLast moves owners that recently didn't answer to the end of the
 // list.
-func (t *tokenSource) unresponsiveLast(now time.Time, ordered []view.Daemon) []view.Daemon {
+func (t *tokenState) unresponsiveLast(now time.Time, ordered []view.Daemon) []view.Daemon {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var answering, unresponsive []view.Daemon
--- a/daemon/orders/candidacy_test.go
+++ b/daemon/orders/candidacy_test.go
@@ -40,14 +40,14 @@
 	for _, daemon := range d.list {
 		d.self = daemon.ID
 		e := newCandidateSelector(d)
-		perDaemon := 0
+		candidacies := 0
 		for shard := range 157 {
 			if name := fmt.Sprintf("rollout/chat/157/%d", shard); e.selectsSelf(name) {
 				candidates[name]++
-				perDaemon++
+				candidacies++
 			}
 		}
-		maxPerDaemon = max(maxPerDaemon, perDaemon)
+		maxPerDaemon = max(maxPerDaemon, candidacies)
 	}
 	is.Equal(len(candidates), 157)
 	for _, n := range candidates {
--- a/daemon/orders/fleet_test.go
+++ b/daemon/orders/fleet_test.go
@@ -71,7 +71,7 @@
 		for _, vm := range c.runningVMs() {
 			c.cloud.Kill(vm.ID)
 		}
-		c.waitSettled(2, "1")
+		c.waitServingAndIdle(2, "1")
 		c.Equal(len(c.runningVMs()), 2)
 	})
 }
@@ -83,7 +83,7 @@
 	m := baseManifest(4, true)
 	m.Fleet.SurviveDomainLoss = true
 	withCluster(t, m, lease.DefaultTiming(), func(c *cluster) {
-		c.waitSettled(8, "1")
+		c.waitServingAndIdle(8, "1")
 		lost := len(c.cloud.ReclaimDomain("a", 30*time.Second))
 		c.True(lost > 0)
 		c.waitUntil(10*time.Second, "replacements", func() bool { return c.runningOutside("a") >= 4 && c.runningOutside("b") >= 4 })
@@ -108,7 +108,7 @@
 // period before it is stopped.
 func TestPlannedStopIsGraceful(t *testing.T) {
 	withCluster(t, baseManifest(6, true), lease.DefaultTiming(), func(c *cluster) {
-		c.waitSettled(6, "1")
+		c.waitServingAndIdle(6, "1")
 		c.setRunners(2)
 		c.waitUntil(10*time.Minute, "stops", func() bool { return len(c.runningVMs()) == 2 })
 		c.expectGracefulStops(4)
@@ -135,7 +135,7 @@
 // and must still give the VMs the whole grace period.
 func TestHolderDiesBeforeAnnouncingStop(t *testing.T) {
 	withCluster(t, baseManifest(4, true), lease.DefaultTiming(), func(c *cluster) {
-		c.waitSettled(4, "1")
+		c.waitServingAndIdle(4, "1")
 		first := c.holder(fleetResponsibility)
 		// The next write to the key-value service is that of the ledger with the stops.
 		first.beforeNext("swapped", first.kill)
--- a/daemon/orders/harness_test.go
+++ b/daemon/orders/harness_test.go
@@ -232,8 +232,8 @@
 	return time.Since(began)
 }
 
-// waitSettled waits until n runners serve a version, and then another minute.
-func (c *cluster) waitSettled(n int, version string) {
+// waitServingAndIdle waits until n runners serve a version, and then another minute.
+func (c *cluster) waitServingAndIdle(n int, version string) {
 	c.waitUntil(10*time.Minute, "runners serve version "+version, func() bool { return c.servingCount(version) == n })
 	time.Sleep(time.Minute)
 }
--- a/daemon/orders/lease_test.go
+++ b/daemon/orders/lease_test.go
@@ -23,7 +23,7 @@
 	for _, checksFencing := range []bool{true, false} {
 		timing := lease.DefaultTiming()
 		withCluster(t, baseManifest(2, checksFencing), timing, func(c *cluster) {
-			c.waitSettled(2, "1")
+			c.waitServingAndIdle(2, "1")
 			dead := c.holder(shardResponsibility)
 			dead.kill()
 			c.setVersion("2")
@@ -44,7 +44,7 @@
 // runners serve in the end.
 func testPausedHolder(t *testing.T, checksFencing bool, timing lease.Timing, check func(c *cluster, late int)) {
 	withCluster(t, baseManifest(2, checksFencing), timing, func(c *cluster) {
-		c.waitSettled(2, "1")
+		c.waitServingAndIdle(2, "1")
 		paused := c.holder(shardResponsibility)
 		paused.beforeNext("order", paused.pause)
 		c.setVersion("2")
@@ -113,7 +113,7 @@
 func TestLongStoreOutage(t *testing.T) {
 	timing := lease.DefaultTiming()
 	withCluster(t, baseManifest(2, false), timing, func(c *cluster) {
-		c.waitSettled(2, "1")
+		c.waitServingAndIdle(2, "1")
 		c.store.SetFaults(kvserver.Faults{Outage: true})
 		time.Sleep(timing.TTL)
 		before := len(c.deliveredOrders())
@@ -126,7 +126,7 @@
 		c.Equal(len(c.runningVMs()), 2)
 		c.store.SetFaults(kvserver.Faults{})
 		c.waitUntil(timing.MaxTakeover()+reactionTime, "orders again", func() bool { return len(c.deliveredOrders()) > before })
-		c.waitSettled(4, "2")
+		c.waitServingAndIdle(4, "2")
 		c.Equal(len(c.runningVMs()), 4)
 	})
 }
@@ -148,7 +148,7 @@
 // successor doesn't have to wait until they expire.
 func TestShutdownReleasesLeases(t *testing.T) {
 	withCluster(t, baseManifest(1, true), lease.DefaultTiming(), func(c *cluster) {
-		c.waitSettled(1, "1")
+		c.waitServingAndIdle(1, "1")
 		first := c.holder(shardResponsibility)
 		first.cancel()
 		time.Sleep(lease.DefaultTiming().ReadKey + time.Second)
--- a/daemon/orders/rollout_test.go
+++ b/daemon/orders/rollout_test.go
@@ -36,7 +36,7 @@
 // new one is loaded. In the end the runners have only the new version.
 func TestRollingUpdate(t *testing.T) {
 	withCluster(t, baseManifest(8, false), lease.DefaultTiming(), func(c *cluster) {
-		c.waitSettled(8, "1")
+		c.waitServingAndIdle(8, "1")
 		c.setVersion("2")
 		c.checkInvariantUntil(10*time.Minute, func() bool { return c.servingCount("2") == 8 && c.servingCount("1") == 0 }, func() {
 			loadingCount := 0
@@ -55,7 +55,7 @@
 // keep the old version, and all must have it again after the canary is removed.
 func TestCanary(t *testing.T) {
 	withCluster(t, baseManifest(8, false), lease.DefaultTiming(), func(c *cluster) {
-		c.waitSettled(8, "1")
+		c.waitServingAndIdle(8, "1")
 		c.updateManifest(func(m *manifest.Manifest) { m.Models[0].Canary = &manifest.Canary{Version: "2", Share: 0.25} })
 		c.waitUntil(2*time.Minute, "the canary", func() bool { return c.servingCount("2") == 2 && c.servingCount("1") == 6 })
 		time.Sleep(2 * time.Minute)
@@ -80,7 +80,7 @@
 			}
 			return n
 		}
-		c.waitSettled(4, "1")
+		c.waitServingAndIdle(4, "1")
 		c.updateManifest(func(m *manifest.Manifest) { m.Services[0].Role = "decode" })
 		c.waitUntil(2*time.Minute, "the role", func() bool { return inRole("decode") == 4 })
 		c.updateManifest(func(m *manifest.Manifest) { m.Services[0].Runners = 6 })
@@ -96,7 +96,7 @@
 // must not be queried every second forever.
 func TestMissingWeightsBackOff(t *testing.T) {
 	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
-		c.waitSettled(2, "1")
+		c.waitServingAndIdle(2, "1")
 		before, _ := c.weights.Calls()
 		c.setVersion("nowhere")
 		time.Sleep(10 * time.Minute)
@@ -112,7 +112,7 @@
 // it load weights in vain.
 func TestLeavingRunnerGetsNoOrder(t *testing.T) {
 	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
-		c.waitSettled(2, "1")
+		c.waitServingAndIdle(2, "1")
 		leaving := c.runningVMs()[0]
 		c.engine(leaving.Address).Notice(time.Minute)
 		time.Sleep(time.Second)
@@ -133,7 +133,7 @@
 // often. A runner that loses a model must still be repaired within seconds.
 func TestSettledShardIsPolledRarely(t *testing.T) {
 	withCluster(t, baseManifest(2, true), lease.DefaultTiming(), func(c *cluster) {
-		c.waitSettled(2, "1")
+		c.waitServingAndIdle(2, "1")
 		before := c.reportCount()
 		time.Sleep(5 * time.Minute)
 		c.True(c.reportCount()-before <= 2*31)
