--- a/daemon/actions/actions.go
+++ b/daemon/actions/actions.go
@@ -76,7 +76,9 @@
 	// that is missing from the directory as ended: the directory may still be
 	// incomplete.
 	StartupGrace time.Duration
-	// Seal is how long a drain waits until the owners' logs are sealed.
+	// Seal is how long a drain waits at most until the owners' logs are sealed.
+	// After that, the owners end without seals. It is also the pause before a
+	// failed attempt to seal the log of an adopted owner is repeated.
 	Seal time.Duration
 	// RetryPause is the pause before a failed call to another daemon is
 	// repeated.
@@ -445,7 +447,10 @@
 	return o, request.Waiter, ch
 }
 
-// detach ends a wait without a result; the action goes on.
+// detach ends the wait of a caller whose poll time is over. The action goes on,
+// and the caller asks for its result again. If a result has arrived in the
+// meantime, detach returns it; otherwise the boolean is true: the action is still
+// pending.
 func (s *Service) detach(o *action.Owner, id actionkey.ID, w action.Waiter, ch chan action.Result) (
 	action.Result, bool) {
 	s.mu.Lock()
--- a/daemon/actions/actions_test.go
+++ b/daemon/actions/actions_test.go
@@ -105,8 +105,9 @@
 }
 
 // The key-value service is down for ten minutes. Calls of a route whose outage
-// policy allows it (/pledges) must run without the journal; others (/closures)
-// are refused.
+// policy allows it (/pledges) must run without the journal if their token was
+// issued during the outage. Calls with an older token and calls of other routes
+// (/closures) must be refused.
 func TestLongStoreOutage(t *testing.T) {
 	withThreeGateways(t, func(f *fleet) {
 		old := f.key(1, "old")
--- a/daemon/actions/claim.go
+++ b/daemon/actions/claim.go
@@ -21,8 +21,8 @@
 	// claimLifetime is the minimum time for which a key without a token is
 	// remembered.
 	claimLifetime = 24 * time.Hour
-	// claimRenewal is the time after which a new lease is granted for further
-	// claims.
+	// claimRenewal is how long new claims and seals of this daemon are attached to
+	// the same lease. After that, a new lease is granted for further ones.
 	claimRenewal     = time.Hour
 	maxClaimAttempts = 3
 )
--- a/daemon/actions/collect.go
+++ b/daemon/actions/collect.go
@@ -25,8 +25,9 @@
 	collectMargin = time.Minute
 	// sealLifetime is the minimum time for which a seal is kept.
 	sealLifetime = claimLifetime
-	// maxEpochs limits how many successive owners of one incarnation are
-	// searched for.
+	// maxEpochs limits for how many successive owners of one incarnation logs are
+	// searched. A daemon starts a further owner if another daemon has sealed the
+	// log of its current owner by mistake.
 	maxEpochs = 64
 )
 
@@ -192,8 +193,10 @@
 
 func (e *NotSealedError) Error() string { return fmt.Sprintf("journal entry %q is not a seal", e.Key) }
 
-// markCollected sets the seal's floor to its maximum. Entries of keys that expired
-// before the floor may be missing from the log.
+// markCollected marks a sealed log as one whose entries are being deleted. It sets
+// the floor of the seal to the maximum. The floor of a log is a time: entries of
+// keys that expired before it may be missing. With the maximum, the entries of all
+// keys may be missing.
 func (s *Service) markCollected(ctx context.Context, last kv.Entry) error {
 	seal, err := journal.Decode(last.Key, last.Value)
 	if err != nil {
--- a/daemon/actions/drain.go
+++ b/daemon/actions/drain.go
@@ -21,9 +21,9 @@
 	recordsPerPart    = 256
 	maxAdoptedBytes   = 16 << 20
 	drainPollInterval = 20 * time.Millisecond
-	// idleWaitDivisor limits the wait for actions in progress: the time that a
-	// drain has is divided by it. The rest is left for sealing the logs and for
-	// the hand-off.
+	// idleWaitDivisor limits the wait for actions in progress to a part of the
+	// time until the drain's deadline: one third if it is 3. The rest is left for
+	// sealing the logs and for handing the tables to the successor.
 	idleWaitDivisor = 3
 )
 
--- a/daemon/actions/forward.go
+++ b/daemon/actions/forward.go
@@ -55,9 +55,9 @@
 	return s.giveUpOnOwner(owner)
 }
 
-// giveUpOnOwner returns a refusal that leaves open whether the call ran, even
-// if this daemon sent nothing: a copy of the call may reach the owner through
-// another gateway.
+// giveUpOnOwner drops the fetched token if it names the unreachable owner. It
+// returns a refusal that leaves open whether the call ran, even if this daemon sent
+// nothing: a copy of the call may reach the owner through another gateway.
 func (s *Service) giveUpOnOwner(owner ident.Incarnation) action.Result {
 	s.tokens.drop(owner)
 	return refused(refusal.New(refusal.OwnerUnreachable, "no answer from %s; ask for the outcome", owner).
--- a/daemon/actions/seal.go
+++ b/daemon/actions/seal.go
@@ -26,7 +26,7 @@
 	sealBurst      = 20
 	// skipLogAfterExpiry is the time since its expiry after which a key is
 	// refused as expired without reading the log, which may have been deleted.
-	// It is longer than the clocks of daemons differ.
+	// It exceeds the largest difference between the clocks of daemons.
 	skipLogAfterExpiry = sealLifetime / 2
 )
 
@@ -231,8 +231,8 @@
 	return s.cfg.Store.List(ctx, journal.Prefix(owner), after, listLimit)
 }
 
-// logCache caches the least recently used sealed logs. Sealed logs don't change
-// until they are deleted.
+// logCache keeps the sealed logs that were used most recently, at most
+// maxCachedLogs. Sealed logs don't change until they are deleted.
 type logCache struct {
 	mu   sync.Mutex
 	logs map[ident.Incarnation]cachedLog
--- a/daemon/actions/tokens.go
+++ b/daemon/actions/tokens.go
@@ -59,8 +59,8 @@
 
 func (t *fetchedToken) age(now time.Time) time.Duration { return now.Sub(t.requestedAt) }
 
-// tokenState holds the fetched token that a daemon hands out while it issues
-// none of its own.
+// tokenState says whether a daemon hands out its own tokens. If not, it holds the
+// fetched token that the daemon hands out instead.
 type tokenState struct {
 	mu sync.Mutex
 	// issuing is true while this daemon hands out its own tokens.
--- a/daemon/actions/tokens_test.go
+++ b/daemon/actions/tokens_test.go
@@ -221,8 +221,9 @@
 	})
 }
 
-// After a caller was refused because the owner's journal is unavailable, a
-// gateway soon hands out a newly fetched token that is marked accordingly.
+// After a call was refused because the owner's journal is unavailable, the gateway
+// must soon hand out a newly fetched token. This token says that its keys are not
+// journaled, and calls with it must succeed.
 func TestFetchedTokenFollowsTheJournal(t *testing.T) {
 	withMediumFleet(t, func(f *fleet) {
 		gateway, _ := f.gatewayWithFetchedToken()
--- a/daemon/orders/fleet.go
+++ b/daemon/orders/fleet.go
@@ -39,8 +39,9 @@
 	ledger       *ledger
 	lastListed   map[string]cloudapi.VM
 	lastListedAt time.Duration
-	// confirmedAt is, by start token, when the holder first knew the VM of a
-	// pending start.
+	// confirmedAt maps the token of a pending start to the time of the first
+	// round in which this holder had the ID of the started VM, from the cloud's
+	// answer or from the ledger.
 	confirmedAt map[string]time.Duration
 	// stopAt is when each VM whose stop was announced may be stopped.
 	stopAt    map[string]time.Duration
@@ -384,8 +385,9 @@
 	return vm, nil
 }
 
-// executeStops shuts down VMs gracefully: it announces the runner as leaving to
-// all daemons first, and stops the VM after StopGrace.
+// executeStops executes the step of each graceful stop that is due in this round,
+// and doesn't wait. It announces to all daemons that the VM's runner is leaving,
+// and stops the VM in the first round after StopGrace has passed.
 func (f *fleetDuty) executeStops(ctx context.Context, listed map[string]cloudapi.VM) error {
 	for _, s := range f.tenure.ledger.state.Stops {
 		if _, ok := listed[s.VM]; !ok || f.tenure.stopped[s.VM] || !f.announceStop(s) {
--- a/daemon/orders/harness_test.go
+++ b/daemon/orders/harness_test.go
@@ -31,8 +31,9 @@
 	stopGrace = 30 * time.Second
 	startTime = 5 * time.Second
 	listLag   = 3 * time.Second
-	// longLag is longer than a takeover by a holder that doesn't have to wait
-	// for orders of the previous one.
+	// longLag is a delay until the cloud's list shows a started VM. A new holder
+	// that needn't wait for orders of the previous holder takes over in less
+	// time, so that VMs started by the previous holder aren't listed yet.
 	longLag  = 30 * time.Second
 	loadTime = 10 * time.Second
 )
@@ -232,7 +233,8 @@
 	return time.Since(began)
 }
 
-// waitServingAndIdle waits until n runners serve a version, and then another minute.
+// waitServingAndIdle waits until n runners serve a version, and then another
+// minute, so that no work is left in progress.
 func (c *cluster) waitServingAndIdle(n int, version string) {
 	c.waitUntil(10*time.Minute, "runners serve version "+version, func() bool { return c.servingCount(version) == n })
 	time.Sleep(time.Minute)
--- a/daemon/orders/lease_test.go
+++ b/daemon/orders/lease_test.go
@@ -84,9 +84,10 @@
 	})
 }
 
-// Without the quarantine, the time that a new holder waits before its first order,
-// runners that don't check fencing tokens must carry out a stale order. Otherwise
-// the tests with a paused holder would prove nothing.
+// This test checks that the tests with a paused holder can fail. It removes the
+// quarantine, which is the time that a new holder waits before its first order. It
+// then expects that runners that don't check fencing tokens carry out at least one
+// stale order.
 func TestMissingQuarantineIsDetected(t *testing.T) {
 	broken := lease.DefaultTiming()
 	broken.MaxPause = 0
--- a/daemon/orders/ledger.go
+++ b/daemon/orders/ledger.go
@@ -34,7 +34,10 @@
 // ledgerState is the ledger's value in the key-value service, encoded as JSON.
 type ledgerState struct {
 	// Holder is the fencing token of the tenure that last wrote the ledger.
-	Holder        uint64         `json:"holder"`
+	Holder uint64 `json:"holder"`
+	// PendingStarts are planned starts whose VMs aren't in the cloud's list yet.
+	// The stored key is "slots" and must stay, because ledgers already stored use
+	// it.
 	PendingStarts []pendingStart `json:"slots,omitempty"`
 	Stops         []stop         `json:"stops,omitempty"`
 }
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -162,7 +162,9 @@
 	running.Go(func() { r.run(ctx) })
 }
 
-// removeReleased reports whether it removed any responsibility.
+// removeReleased removes the responsibilities whose goroutines have ended from
+// the active ones, and reports whether there were any. If this daemon is still a
+// candidate for one of them, refresh starts it again.
 func (d *Driver) removeReleased() bool {
 	removed := false
 	for name, r := range d.active {
