--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -125,7 +125,7 @@
 		return
 	}
 	removed := d.removeReleased()
-	if !d.candidaciesOutdated(generation) && !removed {
+	if !d.noteChanges(generation) && !removed {
 		return
 	}
 	wanted := d.candidateDuties(m)
@@ -178,10 +178,10 @@
 	return removed
 }
 
-// candidaciesOutdated reports whether the configuration or the directory has
+// noteChanges reports whether the configuration or the directory has
 // changed since candidacies were computed. In a large fleet, computing them at
 // each tick would cost a daemon more than all its orders.
-func (d *Driver) candidaciesOutdated(generation ident.Generation) bool {
+func (d *Driver) noteChanges(generation ident.Generation) bool {
 	changed := d.directoryChanged == nil || generation != d.generation
 	select {
 	case <-d.directoryChanged:
