--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -178,9 +178,11 @@
 	return removed
 }
 
-// noteChanges reports whether the configuration or the directory has
-// changed since candidacies were computed. In a large fleet, computing them at
-// each tick would cost a daemon more than all its orders.
+// noteChanges reports whether the directory or the generation of the
+// configuration has changed since the previous call, so that the candidacies must
+// be computed again. It remembers the new state: a second call returns false. In a
+// large fleet, computing the candidacies at each tick would cost a daemon more
+// than all its orders.
 func (d *Driver) noteChanges(generation ident.Generation) bool {
 	changed := d.directoryChanged == nil || generation != d.generation
 	select {
