--- a/daemon/actions/seal.go
+++ b/daemon/actions/seal.go
@@ -24,10 +24,10 @@
 	// and seals logs: callers can send keys with any number of invented owners.
 	sealsPerSecond = 5
 	sealBurst      = 20
-	// expiredWithoutLogAfter is the time since its expiry after which a key is
+	// skipLogAfterExpiry is the time since its expiry after which a key is
 	// refused as expired without reading the log, which may have been deleted.
-	// It is longer than the clocks of daemons differ.
-	expiredWithoutLogAfter = sealLifetime / 2
+	// It exceeds the largest difference between the clocks of daemons.
+	skipLogAfterExpiry = sealLifetime / 2
 )
 
 // daemonIncarnation returns the incarnation of the daemon that runs an owner. The
@@ -44,7 +44,7 @@
 	if r, _, ok := s.lookUpLocal(owner, id, hash); ok {
 		return r
 	}
-	if key, err := actionkey.Parse(id.Key); err != nil || s.now().Sub(key.Expires()) > expiredWithoutLogAfter {
+	if key, err := actionkey.Parse(id.Key); err != nil || s.now().Sub(key.Expires()) > skipLogAfterExpiry {
 		return refused(refusal.New(refusal.KeyExpired, "key was over long ago").Unknown())
 	}
 	log, err := s.readSealedLog(ctx, owner, "")
@@ -231,8 +231,8 @@
 	return s.cfg.Store.List(ctx, journal.Prefix(owner), after, listLimit)
 }
 
-// logCache caches the least recently used sealed logs. Sealed logs don't change
-// until they are deleted.
+// logCache keeps the sealed logs that were used most recently, at most
+// maxCachedLogs. Sealed logs don't change until they are deleted.
 type logCache struct {
 	mu   sync.Mutex
 	logs map[ident.Incarnation]cachedLog
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -125,7 +125,7 @@
 		return
 	}
 	removed := d.removeReleased()
-	if !d.candidaciesOutdated(generation) && !removed {
+	if !d.noteChanges(generation) && !removed {
 		return
 	}
 	wanted := d.candidateDuties(m)
@@ -162,7 +162,9 @@
 	running.Go(func() { r.run(ctx) })
 }
 
-// removeReleased reports whether it removed any responsibility.
+// removeReleased removes the responsibilities whose goroutines have ended from
+// the active ones, and reports whether there were any. If this daemon is still a
+// candidate for one of them, refresh starts it again.
 func (d *Driver) removeReleased() bool {
 	removed := false
 	for name, r := range d.active {
@@ -176,10 +178,12 @@
 	return removed
 }
 
-// candidaciesOutdated reports whether the configuration or the directory has
-// changed since candidacies were computed. In a large fleet, computing them at
-// each tick would cost a daemon more than all its orders.
-func (d *Driver) candidaciesOutdated(generation ident.Generation) bool {
+// noteChanges reports whether the directory or the generation of the
+// configuration has changed since the previous call, so that the candidacies must
+// be computed again. It remembers the new state: a second call returns false. In a
+// large fleet, computing the candidacies at each tick would cost a daemon more
+// than all its orders.
+func (d *Driver) noteChanges(generation ident.Generation) bool {
 	changed := d.directoryChanged == nil || generation != d.generation
 	select {
 	case <-d.directoryChanged:
