--- a/coordination/canary/canary_test.go
+++ b/coordination/canary/canary_test.go
@@ -65,7 +65,7 @@
 		p := newSimulation(seed).run()
 		is.Equal(p.record.State, canary.Completed)
 		is.Equal(p.interruptedRequests+p.refused, 0)
-		is.True(p.completedAt < p.duration)
+		is.True(p.completedAt < p.orderDuration)
 	}
 }
 
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -57,10 +57,10 @@
 	minAnswersToPromote  = 40
 	minAnswersPerRoute   = 20
 	minAnswersAtDeadline = 8
-	// minRouteFraction is the smallest fraction of the old version's answers that must belong
+	// minRouteAnswerShare is the smallest fraction of the old version's answers that must belong
 	// to a route for the route to count. Only routes that count can become
 	// Allowance.FavouredRoute and need minAnswersPerRoute answers before a promotion.
-	minRouteFraction = 0.05
+	minRouteAnswerShare = 0.05
 	// minRunnerRatio is the minimum number of new runners for a promotion, as a fraction of the
 	// number of old runners.
 	minRunnerRatio = 0.75
@@ -214,8 +214,8 @@
 	return int(grantableShareFraction*h.bounds.Share*float64(total) + grantableSlackFraction*h.bounds.Slack)
 }
 
-// burstSize returns how many requests must still be grantable for a burst to start.
-func (h *Holder) burstSize() int {
+// burstStartAt returns how many requests must still be grantable for a burst to start.
+func (h *Holder) burstStartAt() int {
 	requestsPerSecond := 0.0
 	for _, a := range h.daemons {
 		requestsPerSecond += a.requestsPerSecond
@@ -229,7 +229,7 @@
 	allowance := Allowance{Order: h.order.Revision, Ask: a.report.Ask, Ceiling: a.ceiling}
 	available := min(h.grantLimit(), h.record.Reserved) - h.granted()
 	switch {
-	case available >= h.burstSize():
+	case available >= h.burstStartAt():
 		h.burstOpen = true
 	case available < burstEndBelow:
 		h.burstOpen = false
@@ -284,7 +284,7 @@
 	}
 	least, fewest := "", math.MaxInt
 	for name, k := range routes {
-		if float64(k.old) >= minRouteFraction*float64(total) && (k.fresh < fewest || k.fresh == fewest && name < least) {
+		if float64(k.old) >= minRouteAnswerShare*float64(total) && (k.fresh < fewest || k.fresh == fewest && name < least) {
 			least, fewest = name, k.fresh
 		}
 	}
--- a/coordination/canary/simulation_test.go
+++ b/coordination/canary/simulation_test.go
@@ -38,7 +38,7 @@
 	oldRunners, newRunners int
 	slotsPerRunner         int
 	bootTime               time.Duration
-	duration               time.Duration
+	orderDuration          time.Duration
 	newVersion             version
 	messageLoss            float64
 	// holderReplacementTimes are the times since the start of the simulation at which another
@@ -114,14 +114,14 @@
 	return &simulation{
 		rng:          rand.New(rand.NewPCG(seed, 0)),
 		requestKinds: []requestKind{{"pledge", 134, 0.004}, {"lookup", 31, 0.14}},
-		daemons:      33, oldRunners: 4, newRunners: 4, slotsPerRunner: 6, bootTime: 1500 * time.Millisecond, duration: 12 * time.Second,
+		daemons:      33, oldRunners: 4, newRunners: 4, slotsPerRunner: 6, bootTime: 1500 * time.Millisecond, orderDuration: 12 * time.Second,
 		compare:     func() canary.Comparison { return canary.NewCUSUM() },
 		oldInFlight: map[*canary.Gate]int{},
 	}
 }
 
 func (p *simulation) order() canary.Order {
-	return canary.Order{Service: "app", Target: "v2", Duration: p.duration, Revision: 7}
+	return canary.Order{Service: "app", Target: "v2", Duration: p.orderDuration, Revision: 7}
 }
 
 func (p *simulation) run() *simulation {
@@ -131,7 +131,7 @@
 		p.incarnations = append(p.incarnations, 0)
 	}
 	p.newHolder()
-	for ; p.now < p.duration+2*time.Second; p.now += tick {
+	for ; p.now < p.orderDuration+2*time.Second; p.now += tick {
 		if p.runners[true] == nil && p.now >= p.bootTime {
 			p.runners[true] = p.backends(p.newRunners)
 		}
@@ -197,7 +197,7 @@
 // serve sends one request to the version that the gate of a random daemon chooses.
 func (p *simulation) serve(k requestKind) {
 	gate := p.gates[p.rng.IntN(len(p.gates))]
-	if p.now <= p.duration {
+	if p.now <= p.orderDuration {
 		p.totalRequests++
 	}
 	placement := gate.PlaceRequest(p.now, k.route, p.rng.Float64())
@@ -237,7 +237,7 @@
 
 // countNewVersionRequest counts a request that went to the new version.
 func (p *simulation) countNewVersionRequest(failed bool) {
-	if p.now <= p.duration {
+	if p.now <= p.orderDuration {
 		p.newVersionRequests++
 	}
 	p.lastNewVersionRequestAt = p.now
--- a/coordination/config/submission.go
+++ b/coordination/config/submission.go
@@ -114,7 +114,7 @@
 		s.nextStep = &StoreSections{Sections: s.sections}
 		return
 	}
-	s.nextStep = &SwapHead{Expected: revision, Head: head.prepend(s.nextAccepted(now, head))}
+	s.nextStep = &SwapHead{Expected: revision, Head: head.prepend(s.proposal(now, head))}
 }
 
 // mayBeTruncated reports whether a swap whose answer was lost may have been accepted and
@@ -126,11 +126,11 @@
 	return head.Past[len(head.Past)-1].Generation > s.lostSwapGeneration
 }
 
-// nextAccepted returns the new configuration with a generation above both the head and the
+// proposal returns the new configuration with a generation above both the head and the
 // configuration in force at the submitter's daemon. After an outage the key-value service may
 // return an older head. A generation derived from that head alone could repeat one that daemons
 // already have in force, and they would ignore the new content as already applied.
-func (s *Submission) nextAccepted(now time.Time, head Head) Accepted {
+func (s *Submission) proposal(now time.Time, head Head) Accepted {
 	return Accepted{
 		Generation:         max(head.Generation, s.knownGeneration) + 1,
 		Sections:           manifest.Hashes(s.sections),
--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -143,8 +143,8 @@
 // first ones need not wait for the prefill of all others.
 func Plan(b Batch) []Decision {
 	p := newPlan(b)
-	unfinished := p.decideFinish()
-	placed := p.assignTargets(unfinished)
+	mayNotFinish := p.decideFinish()
+	placed := p.assignTargets(mayNotFinish)
 	rest := p.scheduleMoves(placed)
 	p.scheduleResumes(rest)
 	slices.SortFunc(p.decisions, func(a, b Decision) int { return cmp.Compare(a.Request, b.Request) })
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -151,13 +151,13 @@
 func byCanaryRank(m *manifest.Model, runners []ident.RunnerID) []ident.RunnerID {
 	type ranked struct {
 		id   ident.RunnerID
-		rank uint64
+		hash uint64
 	}
 	list := make([]ranked, len(runners))
 	for i, r := range runners {
-		list[i] = ranked{id: r, rank: xxhash.Sum64String(m.Name + "/" + m.Canary.Version + "/" + string(r))}
+		list[i] = ranked{id: r, hash: xxhash.Sum64String(m.Name + "/" + m.Canary.Version + "/" + string(r))}
 	}
-	slices.SortFunc(list, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
+	slices.SortFunc(list, func(a, b ranked) int { return cmp.Compare(a.hash, b.hash) })
 	out := make([]ident.RunnerID, len(list))
 	for i, r := range list {
 		out[i] = r.id
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -399,8 +399,8 @@
 // PrefixBlocks returns the number of blocks in the prefix index.
 func (t *Table) PrefixBlocks() int { return t.index.Len() }
 
-// Runners appends the runners in the table that are not leaving to dst.
-func (t *Table) Runners(dst []view.Runner) []view.Runner {
+// AppendRemaining appends the runners in the table that are not leaving to dst.
+func (t *Table) AppendRemaining(dst []view.Runner) []view.Runner {
 	for i := range t.live.Or(t.suspect).All() {
 		dst = append(dst, t.slots[i].runner)
 	}
--- a/daemon/dispatch/poll.go
+++ b/daemon/dispatch/poll.go
@@ -153,5 +153,5 @@
 func (s *service) polledRunners() []ident.RunnerID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return runnerIDs(s.table.Runners(nil))
+	return runnerIDs(s.table.AppendRemaining(nil))
 }
--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -110,7 +110,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.SetRunners(now, runners)
-	s.health.SetRunners(runnerIDs(s.table.Runners(nil)))
+	s.health.SetRunners(runnerIDs(s.table.AppendRemaining(nil)))
 	s.updateCapacity(gateways)
 }
 
