--- a/coordination/canary/gate.go
+++ b/coordination/canary/gate.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// allowanceTTL is how long an allowance is valid, counted from the report that asked for
-	// it. This long after a verdict, no daemon sends trial requests any more, even if it has not
-	// received the verdict.
+	// allowanceTTL is how long an allowance is valid, counted from the daemon's report that asked
+	// for the allowance. Once this time has passed after the holder's verdict against the new
+	// version, no daemon sends trial requests any more, even a daemon that has not received the
+	// verdict.
 	allowanceTTL = time.Second
 	// preferNewFor is how long after the gate has learned that the order is completed old runners
 	// get requests only if there are no new runners. The old runners are being stopped, but the
@@ -58,8 +59,9 @@
 	Order uint64
 	// Ask is the number of the Report that the allowance answers.
 	Ask uint64
-	// Ceiling is the most requests that the daemon may send to the new version in total since
-	// the order began, while Running.
+	// Ceiling is the most requests that the daemon may send to the new version while the order is
+	// in state Running, counted since the daemon created the order's gate. Requests that earlier
+	// allowances permitted count, too.
 	Ceiling int
 	// Share is the fraction of the daemon's requests to send to the new version. Runners is
 	// how many of the new runners to use. The two are chosen together so that each of these
@@ -68,7 +70,8 @@
 	Runners int
 	// FavouredRoute is the route with the fewest answers of the new version; empty if none.
 	FavouredRoute string
-	// Halt stops all requests to the new version because a verdict against it is being written.
+	// Halt stops all requests to the new version, because the holder has found the new version bad
+	// and is about to write the rollback to the record.
 	Halt bool
 }
 
@@ -77,8 +80,10 @@
 	Order uint64
 	// Ask numbers the reports of one daemon.
 	Ask uint64
-	// Total counts the requests to the service since the order began, Sent those that went to
-	// the new version while Running. Ceiling is that of the allowance in force, zero if none is.
+	// Total counts the daemon's requests to the service since the daemon created the order's gate.
+	// Sent counts those of them that went to the new version while the order was in state Running.
+	// Ceiling is Allowance.Ceiling of the daemon's latest allowance, zero if that has expired or
+	// there is none. Allowance.Ceiling limits Sent.
 	Total, Sent, Ceiling int
 	// KnownState is the latest state of the order that the daemon knows of. OldInFlight is
 	// the number of its requests in progress at old runners.
@@ -118,8 +123,8 @@
 func (g *Gate) HasRecord() bool { return g.record.Order == g.order.Revision }
 
 // Avoids reports whether v is the order's target or the target of an earlier order that was not
-// completed. A request with placement OldOnly must not go to runners of such a version. The state of
-// the order does not matter: after its completion no request has this placement.
+// completed. A request with placement OldOnly must not go to runners of such a version. Avoids
+// ignores the state of the order: once the order is completed, no request has the placement OldOnly.
 func (g *Gate) Avoids(v Version) bool {
 	if g.record.Order != g.order.Revision {
 		return v == g.order.Target || slices.Contains(g.record.versionsToAvoid(g.order.Target), v)
--- a/coordination/canary/holder.go
+++ b/coordination/canary/holder.go
@@ -50,22 +50,25 @@
 	// version.
 	propagationTime = 1500 * time.Millisecond
 	// The new version is promoted before the deadline only with minAnswersToPromote answers
-	// in all and minAnswersPerRoute on each route with at least minRouteFraction of the
-	// answers. At the deadline, minAnswersAtDeadline answers in all are enough. The deadline is
-	// propagationTime before completeBy, so that all daemons learn of a promotion before the old
-	// runners are stopped.
+	// in all and minAnswersPerRoute on each route with at least minRouteAnswerShare of the old
+	// version's answers. At the deadline, minAnswersAtDeadline answers in all are enough. The
+	// deadline is propagationTime before completeBy, so that all daemons learn of a promotion
+	// before the old runners are stopped.
 	minAnswersToPromote  = 40
 	minAnswersPerRoute   = 20
 	minAnswersAtDeadline = 8
-	// minRouteAnswerShare is the smallest fraction of the old version's answers that must belong
-	// to a route for the route to count. Only routes that count can become
-	// Allowance.FavouredRoute and need minAnswersPerRoute answers before a promotion.
+	// minRouteAnswerShare decides which routes count: those with (old version's answers on the
+	// route) / (old version's answers on all routes) >= minRouteAnswerShare. Only routes that
+	// count can become Allowance.FavouredRoute and need minAnswersPerRoute answers before a
+	// promotion.
 	minRouteAnswerShare = 0.05
 	// minRunnerRatio is the minimum number of new runners for a promotion, as a fraction of the
 	// number of old runners.
 	minRunnerRatio = 0.75
-	// reportTimeout is the time after its last report after which a daemon no longer delays the
-	// end of a promotion.
+	// reportTimeout is the time after a daemon's last report from which on the holder no longer
+	// waits for the daemon. Before completeBy the holder completes a promoted order only when all
+	// daemons that it waits for know of the promotion and have no requests in progress at old
+	// runners.
 	reportTimeout = 2 * time.Second
 )
 
@@ -268,7 +271,7 @@
 }
 
 // leastTestedRoute returns the route with the fewest answers of the new version, and their
-// number. Routes with less than minRouteFraction of the old version's answers are left out.
+// number. Routes with less than minRouteAnswerShare of the old version's answers are left out.
 func (h *Holder) leastTestedRoute() (route string, answers int) {
 	type routeAnswers struct{ old, fresh int }
 	routes, total := map[string]routeAnswers{}, 0
--- a/coordination/canary/order.go
+++ b/coordination/canary/order.go
@@ -85,7 +85,9 @@
 	return avoid && reflect.DeepEqual(r, other)
 }
 
-// versionsToAvoid returns the versions to avoid after a newer order, in addition to its target.
+// versionsToAvoid returns the versions whose runners must get no requests once an order with the
+// given target replaces r's order: those in r.Avoid and, unless r's order is completed, r.Target. The
+// given target itself is left out.
 func (r *Record) versionsToAvoid(target Version) []Version {
 	avoid := slices.Clone(r.Avoid)
 	if r.State != Completed && r.Target != "" {
--- a/coordination/journal/entry.go
+++ b/coordination/journal/entry.go
@@ -24,7 +24,8 @@
 	indexDigits = 12
 )
 
-// Intent permits the owner to dispatch the action once the intent has been written.
+// Intent permits the owner of the log, the daemon that executes the action, to dispatch the action
+// once the intent has been written.
 type Intent struct {
 	ID actionkey.ID `json:"id"`
 	// BodyHash is the hash of the request body. It detects a different body under the same key.
@@ -39,7 +40,8 @@
 
 // Outcome is the result of an action.
 type Outcome struct {
-	ID       actionkey.ID     `json:"id"`
+	ID actionkey.ID `json:"id"`
+	// BodyHash is the hash of the request body, as in the action's Intent.
 	BodyHash string           `json:"h"`
 	Executed refusal.Executed `json:"x"`
 	// Reason and Detail are set if the action was refused.
@@ -49,14 +51,15 @@
 	NotKept bool     `json:"nk,omitempty"`
 	Status  int      `json:"s,omitempty"`
 	Headers []Header `json:"hd,omitempty"`
-	Body    []byte   `json:"b,omitempty"`
+	// Body is the body of the answer.
+	Body []byte `json:"b,omitempty"`
 }
 
 // Seal marks the end of a log.
 type Seal struct {
 	By ident.Incarnation `json:"by"`
-	// Successor is the incarnation to which the owner's complete table was handed over; empty
-	// if it was not.
+	// Successor is the incarnation of the daemon to which the owner handed over its complete table
+	// of actions and their outcomes. It is empty if the owner handed over no complete table.
 	Successor ident.Incarnation `json:"to,omitempty"`
 }
 
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -83,7 +83,8 @@
 // Kind is the call that an Effect asks for.
 type Kind int
 
-// Calls to the key-value service, in the order in which a holder makes them.
+// Calls to the key-value service, in the order in which a daemon makes them. A daemon makes
+// the calls from ReadKey to VerifyCreate before it becomes the holder, and Renew as the holder.
 const (
 	// ReadKey reads the key. A standby writes nothing while another daemon holds the key,
 	// because the service handles far fewer writes than reads and there are two standbys per
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -93,7 +93,8 @@
 }
 
 // stepCandidate lets a daemon send an order, or pause between the check of MayOrder and the
-// sending. Fencing tokens exist for the latter case.
+// sending. Fencing tokens exist because of such pauses: the order may be sent after another daemon
+// has become the holder.
 func (r *simulation) stepCandidate(now time.Duration, c *candidate) {
 	if now < c.pausedUntil {
 		return
@@ -157,6 +158,7 @@
 		is.Equal(r.countStaleOrders(), 0) // if this fails, the seed is the number of the iteration
 		takeovers += r.store.revision
 	}
+	// The sum counts every creation of the key, including the first one in each of the 60 runs.
 	is.True(takeovers > 120) // the simulation must include takeovers
 }
 
--- a/coordination/polling/polling.go
+++ b/coordination/polling/polling.go
@@ -86,9 +86,9 @@
 	// budget is the number of bytes per second that all reads together may use.
 	budget  float64
 	targets map[Target]*target
-	// loadCredit is the number of bytes that reads of load reports may use now, events the number
-	// that reads of cache events may use. Either becomes negative after a read that was larger
-	// than its credit.
+	// loadCredit is the number of bytes that reads of load reports may use now. events is the
+	// number of bytes that reads of cache events may use now. Each of the two becomes negative
+	// after a read that used more bytes than were left.
 	loadCredit      float64
 	events          float64
 	creditAddedAt   time.Time
@@ -241,10 +241,11 @@
 	}
 }
 
-// delayEvents suspends reading a target's cache events for a while after a gap. Without the
-// delay, if events arrive faster than the budget allows to read, each page would follow a gap.
-// At each gap the prefix index drops all that it knows of the runner's cache, including the
-// prompts that this gateway itself sent there.
+// delayEvents suspends the reads of a target's cache events for s.eventsBackoff after a read that
+// showed a gap, and doubles s.eventsBackoff. After a read without a gap it resets s.eventsBackoff.
+// If events arrive faster than the budget allows to read them, every read would show a gap without
+// the delay. At each gap the prefix index drops all that it knows of the runner's cache, including
+// the prompts that this gateway itself sent there.
 func (p *Planner) delayEvents(now time.Time, s *target, gap bool) {
 	if !gap {
 		s.eventsBackoff = p.cfg.EventsBackoff
--- a/coordination/reclaim/plan.go
+++ b/coordination/reclaim/plan.go
@@ -35,7 +35,7 @@
 // Source is a leaving runner.
 type Source struct {
 	Runner ident.RunnerID
-	// TimeLeft is the time until its VM is reclaimed.
+	// TimeLeft is the time from the plan until the leaving runner's VM is reclaimed.
 	TimeLeft time.Duration
 	// DecodeRate is the number of tokens per second that each of its streams emits.
 	DecodeRate float64
@@ -120,7 +120,9 @@
 	Target
 	freeSlots  int
 	freeTokens int
-	// prefillBusyUntil is when the target has computed all tokens assigned so far.
+	// prefillBusyUntil is when the target has computed all prompt tokens that were queued there
+	// at the time of the plan and all context tokens that the plan has assigned to it so far. It
+	// is an offset from the time of the plan.
 	prefillBusyUntil time.Duration
 }
 
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -35,8 +35,8 @@
 type Runner struct {
 	ID     ident.RunnerID
 	Loaded []Loaded
-	// Role is the role that the runner's engine reports, in the engine's own words, such as
-	// "decode".
+	// Role is the part of the work on a request that the runner's engine takes on, as the engine
+	// itself names it. For example, an engine with the role "decode" generates the output tokens.
 	Role string
 }
 
@@ -62,7 +62,8 @@
 	Version string
 	// Adapter is "name@version"; empty means the model itself.
 	Adapter string
-	// Role is set only in orders of kind Role.
+	// Role is the role that the runner's engine should take. It is set only in orders of kind
+	// ChangeRole.
 	Role string
 }
 
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -447,11 +447,13 @@
 	is.Equal(other.Uncached, 1000) // its home is assumed to hold it
 }
 
-// In a new fleet the caches of all runners are empty, so each shared prefix has to be
-// computed once. When its home was assumed to hold it, the largest work of the first
-// minute was not counted: too few runners were started, and prompts were queued behind
-// uncounted ones. Homes may only be trusted when the runners hold prefixes that the
-// daemons don't know of, as after a restart of the daemons.
+// The home of a shared prefix is the runner that all gateways choose for it by hash while no runner
+// is known to have it cached. In a new fleet the caches of all runners are empty, so each shared
+// prefix has to be computed once. When Pick assumed that the home already had the prefix cached, the
+// prefill of the shared prefixes, the largest part of the work in the fleet's first minute, was not
+// counted: too few runners were started, and prompts were queued behind uncounted ones. The
+// assumption is only right when the runners hold prefixes that the daemons don't know of, as after a
+// restart of the daemons.
 func TestUncachedPromptsCountAsWork(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/daemon/holder/holder.go
+++ b/daemon/holder/holder.go
@@ -52,7 +52,7 @@
 func (h *Holder) Now() time.Duration { return h.opts.Clock() }
 
 // Permit returns the fencing token if an order may be sent now. It must be called right before
-// sending: the result is valid for a single order that takes no longer than Timing.MaxOrder.
+// sending: the result is valid for a single order that takes no longer than Timing.MaxOrderLatency.
 // checked says that the receiver of the order refuses outdated fencing tokens.
 func (h *Holder) Permit(checked bool) (uint64, bool) {
 	h.mu.Lock()
