--- a/bench/spread/spread.go
+++ b/bench/spread/spread.go
@@ -52,7 +52,7 @@
 			return spread.NewAntiEntropy(antiEntropyFanout, seed)
 		}},
 		{name: "tree", make: func(self string, all []string, _ uint64) spread.Strategy {
-			return spread.NewHierarchicalTree(self, all)
+			return spread.NewVCubeTree(self, all)
 		}},
 	}
 }
--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -188,7 +188,7 @@
 	return surplus
 }
 
-func compareVMs(a, b *VM) int {
+func compareByPoolAndID(a, b *VM) int {
 	return cmp.Or(
 		cmp.Compare(a.Pool.FailureDomain, b.Pool.FailureDomain),
 		cmp.Compare(a.Pool.Class, b.Pool.Class),
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -179,9 +179,9 @@
 	d.comfortable.batch.add(&d.cfg, d.cfg.ComfortableFallTime, float64(w.Requests), span)
 }
 
-// withHeadroom returns the capacity needed for a load: the mean plus the given deviation,
+// neededCapacity returns the capacity needed for a load: the mean plus the given deviation,
 // but at least enough to keep requests in progress within MaxSlowdown.
-func (d *Demand) withHeadroom(mean, deviation float64) float64 {
+func (d *Demand) neededCapacity(mean, deviation float64) float64 {
 	return max(mean+deviation, mean/(1-1/d.cfg.MaxSlowdown))
 }
 
@@ -189,9 +189,9 @@
 // number of standard deviations, and at least the initial minimum of a service that has
 // never served (see DemandConfig.MinWorkTime).
 func (d *Demand) requiredRunners(prefill, batch *loadStats, deviations, initialShare float64) int {
-	neededRunners := d.withHeadroom(prefill.mean, deviations*d.deviation(prefill))
+	neededRunners := d.neededCapacity(prefill.mean, deviations*d.deviation(prefill))
 	if d.slotsPerRunner > 0 {
-		neededSlots := d.withHeadroom(batch.mean, deviations*math.Sqrt(batch.mean))
+		neededSlots := d.neededCapacity(batch.mean, deviations*math.Sqrt(batch.mean))
 		neededRunners = max(neededRunners, neededSlots/float64(d.slotsPerRunner))
 	}
 	n := int(math.Ceil(neededRunners))
--- a/coordination/fleet/demand_test.go
+++ b/coordination/fleet/demand_test.go
@@ -63,7 +63,7 @@
 // prompts, and longer prompts make the work more uneven.
 func TestHeadroomFollowsVarianceNotSize(t *testing.T) {
 	is := is.New(t)
-	headroom := func(tokensPerSecond, meanPrompt float64, wait time.Duration) float64 {
+	relativeDeviation := func(tokensPerSecond, meanPrompt float64, wait time.Duration) float64 {
 		l := newLoad(false)
 		l.meanPrompt, l.work.MaxPromptWait = meanPrompt, wait
 		sum := 0.0
@@ -73,10 +73,10 @@
 		}
 		return sum / 40
 	}
-	small := headroom(100_000, 2000, 500*time.Millisecond)
-	is.True(headroom(1_000_000, 2000, 500*time.Millisecond) < 0.5*small)
-	is.True(headroom(100_000, 8000, 500*time.Millisecond) > 1.5*small)
-	is.True(headroom(100_000, 2000, 2*time.Second) < 0.7*small)
+	small := relativeDeviation(100_000, 2000, 500*time.Millisecond)
+	is.True(relativeDeviation(1_000_000, 2000, 500*time.Millisecond) < 0.5*small)
+	is.True(relativeDeviation(100_000, 8000, 500*time.Millisecond) > 1.5*small)
+	is.True(relativeDeviation(100_000, 2000, 2*time.Second) < 0.7*small)
 }
 
 // Requests with few prompt tokens and many output tokens fill the batches without taking
--- a/coordination/fleet/orders.go
+++ b/coordination/fleet/orders.go
@@ -78,7 +78,7 @@
 			vms = append(vms, VM{Pool: id, Starting: true})
 		}
 	}
-	slices.SortFunc(vms, func(a, b VM) int { return compareVMs(&a, &b) })
+	slices.SortFunc(vms, func(a, b VM) int { return compareByPoolAndID(&a, &b) })
 	return vms
 }
 
--- a/coordination/fleet/releasable.go
+++ b/coordination/fleet/releasable.go
@@ -28,7 +28,7 @@
 		}
 	}
 	slices.SortFunc(nonReclaimable, func(a, b VM) int {
-		return cmp.Or(cmp.Compare(nonReclaimablePrice[b.Pool], nonReclaimablePrice[a.Pool]), compareVMs(&a, &b))
+		return cmp.Or(cmp.Compare(nonReclaimablePrice[b.Pool], nonReclaimablePrice[a.Pool]), compareByPoolAndID(&a, &b))
 	})
 	var releasable []string
 	for _, v := range nonReclaimable {
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -139,8 +139,8 @@
 
 // decayingSum is an amount that decays exponentially with time constant usageDecay.
 type decayingSum struct {
-	amount    float64
-	updatedAt time.Duration
+	valueAtUpdate float64
+	updatedAt     time.Duration
 }
 
 func (r *decayingSum) add(now time.Duration, amount float64) {
@@ -148,7 +148,7 @@
 }
 
 func (r *decayingSum) value(now time.Duration) float64 {
-	return r.amount * math.Exp(-(now-r.updatedAt).Seconds()/usageDecay.Seconds())
+	return r.valueAtUpdate * math.Exp(-(now-r.updatedAt).Seconds()/usageDecay.Seconds())
 }
 
 // peerState is what this daemon knows of another daemon.
@@ -188,9 +188,9 @@
 
 // New returns a limiter without workspaces and peers. firstStart states that the fleet has
 // never served before.
-func New(now, window time.Duration, tolerance Tolerance, firstStart bool) *Limiter {
+func New(now, window time.Duration, tolerance Tolerance, firstFleetStart bool) *Limiter {
 	return &Limiter{
-		window: window, tolerance: tolerance, startedAt: now, firstFleetStart: firstStart,
+		window: window, tolerance: tolerance, startedAt: now, firstFleetStart: firstFleetStart,
 		buckets: map[ident.Workspace]*bucket{}, peers: map[ident.Incarnation]*peerState{},
 	}
 }
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -261,8 +261,8 @@
 	const (
 		step, heardEvery = 50 * time.Millisecond, 200 * time.Millisecond
 		killed, down     = 13 * time.Second, time.Second
-		// disconnectedAfterStart is how long after their start the daemons receive nothing.
-		disconnectedAfterStart = 500 * time.Millisecond
+		// disconnectedFor is how long after their start the daemons receive nothing.
+		disconnectedFor = 500 * time.Millisecond
 	)
 	for _, n := range []int{2, 5, 12, 33} {
 		for _, rateMultiple := range []float64{1.2, 3, 6, 12} {
@@ -274,7 +274,7 @@
 				if f.now == killed+down {
 					f.restart()
 				}
-				if f.now%heardEvery == 0 && (f.now < killed || f.now >= killed+down+disconnectedAfterStart) {
+				if f.now%heardEvery == 0 && (f.now < killed || f.now >= killed+down+disconnectedFor) {
 					f.exchangeStates()
 				}
 				const cost = 5000
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -1,7 +1,7 @@
 // Package spread holds strategies to propagate a growing version number (of an accepted
 // configuration generation or a membership change) from one member to all others: one
 // interface with four implementations that do no I/O. Daemons run Neighbours; Flat,
-// AntiEntropy and HierarchicalTree exist for comparison.
+// AntiEntropy and VCubeTree exist for comparison.
 package spread
 
 import (
@@ -12,7 +12,7 @@
 type Kind string
 
 // Push and Reply are the two messages of one exchange, as in a remote call. Tree, Deliver
-// and Ack are the messages of HierarchicalTree.
+// and Ack are the messages of VCubeTree.
 const (
 	Push    Kind = "push"
 	Reply   Kind = "reply"
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -81,7 +81,7 @@
 	return missing
 }
 
-func newTree(self string, all []string) spread.Strategy { return spread.NewHierarchicalTree(self, all) }
+func newTree(self string, all []string) spread.Strategy { return spread.NewVCubeTree(self, all) }
 
 func firstIndex(int) int { return 0 }
 
--- a/coordination/spread/tree.go
+++ b/coordination/spread/tree.go
@@ -10,14 +10,14 @@
 // members it costs about as much traffic as OutDegree links at HeartbeatInterval.
 const treeInterval = 5 * time.Second
 
-// HierarchicalTree is the reliable broadcast of Jeanneau, Rodrigues, Arantes and Duarte
+// VCubeTree is the reliable broadcast of Jeanneau, Rodrigues, Arantes and Duarte
 // over VCube ("An autonomic hierarchical reliable broadcast protocol for asynchronous
 // distributed systems with failure detection"). A member groups the others into clusters of
 // doubling size. It sends a Tree message to the first member of each cluster that it does
 // not suspect, which forwards the message into its own smaller clusters. Suspect members
 // before that one get a Deliver message, which is not forwarded. As versions only grow,
 // only the newest one is broadcast.
-type HierarchicalTree struct {
+type VCubeTree struct {
 	self    int
 	members []string
 	index   map[string]int
@@ -39,27 +39,27 @@
 // noParent is the parent of a broadcast that this member started.
 const noParent = -1
 
-var _ Strategy = (*HierarchicalTree)(nil)
+var _ Strategy = (*VCubeTree)(nil)
 
-// NewHierarchicalTree returns the strategy of the member self. The argument members is the
+// NewVCubeTree returns the strategy of the member self. The argument members is the
 // complete sorted list and must be the same at every member; only suspicions change.
-func NewHierarchicalTree(self string, members []string) *HierarchicalTree {
-	t := &HierarchicalTree{members: members, index: map[string]int{}, suspect: map[int]bool{}}
+func NewVCubeTree(self string, members []string) *VCubeTree {
+	t := &VCubeTree{members: members, index: map[string]int{}, suspect: map[int]bool{}}
 	for i, id := range members {
 		t.index[id] = i
 	}
 	t.self = t.index[self]
-	t.reset()
+	t.resetBroadcast()
 	return t
 }
 
-func (t *HierarchicalTree) reset() {
+func (t *VCubeTree) resetBroadcast() {
 	t.pending = map[int]pendingAck{}
 	t.sentTo = map[int]bool{}
 }
 
 // cluster appends to into the members of c(i,s), the cluster of member i with size index s
-// in the paper named at HierarchicalTree: first the member whose index is i with bit s-1
+// in the paper named at VCubeTree: first the member whose index is i with bit s-1
 // inverted, then that member's own clusters with a smaller size index.
 func cluster(i, s int, into []int) []int {
 	first := i ^ (1 << (s - 1))
@@ -74,13 +74,13 @@
 // member j.
 func clusterOf(i, j int) int { return bits.Len(uint(i ^ j)) }
 
-func (t *HierarchicalTree) dimensions() int { return bits.Len(uint(len(t.members) - 1)) }
+func (t *VCubeTree) dimensions() int { return bits.Len(uint(len(t.members) - 1)) }
 
 // SetMembers updates the suspicions. If a newly suspected member has not acknowledged the
 // current version, the version is sent to the next member of its cluster instead. If the
 // source of the current broadcast is newly suspected, this member starts the broadcast
 // again.
-func (t *HierarchicalTree) SetMembers(_ time.Time, peers []Peer) []Send {
+func (t *VCubeTree) SetMembers(_ time.Time, peers []Peer) []Send {
 	previous := t.suspect
 	t.suspect = map[int]bool{}
 	var newlySuspected []int
@@ -105,7 +105,7 @@
 	return sends
 }
 
-func (t *HierarchicalTree) handleSuspected(j int) []Send {
+func (t *VCubeTree) handleSuspected(j int) []Send {
 	var sends []Send
 	if ack, ok := t.pending[j]; ok {
 		delete(t.pending, j)
@@ -119,18 +119,18 @@
 }
 
 // Publish starts a broadcast from this member.
-func (t *HierarchicalTree) Publish(_ time.Time, version uint64) []Send {
+func (t *VCubeTree) Publish(_ time.Time, version uint64) []Send {
 	if version <= t.version {
 		return nil
 	}
 	t.version = version
 	t.source = t.members[t.self]
-	t.reset()
+	t.resetBroadcast()
 	return t.broadcastTree(t.dimensions(), noParent)
 }
 
 // Receive handles the three messages of the paper; Push and Reply are probes.
-func (t *HierarchicalTree) Receive(_ time.Time, from string, m Message) []Send {
+func (t *VCubeTree) Receive(_ time.Time, from string, m Message) []Send {
 	j := t.index[from]
 	switch m.Kind {
 	case Push:
@@ -154,20 +154,20 @@
 
 // adoptVersion adopts a version that is not known yet. If its source is suspected, this
 // member starts the broadcast again.
-func (t *HierarchicalTree) adoptVersion(m Message) []Send {
+func (t *VCubeTree) adoptVersion(m Message) []Send {
 	if m.Version <= t.version {
 		return nil
 	}
 	t.version = m.Version
 	t.source = m.Source
-	t.reset()
+	t.resetBroadcast()
 	if t.suspect[t.index[m.Source]] {
 		return t.broadcastTree(t.dimensions(), noParent)
 	}
 	return nil
 }
 
-func (t *HierarchicalTree) broadcastTree(height, parent int) []Send {
+func (t *VCubeTree) broadcastTree(height, parent int) []Send {
 	var sends []Send
 	for s := 1; s <= height; s++ {
 		sends = append(sends, t.broadcastCluster(s, parent)...)
@@ -175,7 +175,7 @@
 	return sends
 }
 
-func (t *HierarchicalTree) broadcastCluster(s, parent int) []Send {
+func (t *VCubeTree) broadcastCluster(s, parent int) []Send {
 	var sends []Send
 	for _, k := range cluster(t.self, s, nil) {
 		if k >= len(t.members) {
@@ -199,7 +199,7 @@
 	return sends
 }
 
-func (t *HierarchicalTree) checkAcks(parent int) []Send {
+func (t *VCubeTree) checkAcks(parent int) []Send {
 	if parent == noParent {
 		return nil
 	}
@@ -211,12 +211,12 @@
 	return []Send{t.send(parent, Ack)}
 }
 
-func (t *HierarchicalTree) send(to int, kind Kind) Send {
+func (t *VCubeTree) send(to int, kind Kind) Send {
 	return Send{To: t.members[to], Message: Message{Kind: kind, Version: t.version, Source: t.source}}
 }
 
 // Tick probes the first member of each cluster that is not suspected.
-func (t *HierarchicalTree) Tick(time.Time) []Send {
+func (t *VCubeTree) Tick(time.Time) []Send {
 	var sends []Send
 	for s := 1; s <= t.dimensions(); s++ {
 		for _, k := range cluster(t.self, s, nil) {
@@ -231,7 +231,7 @@
 
 // Interval returns the time between two rounds of probes, which is the same for any number
 // of members.
-func (t *HierarchicalTree) Interval() time.Duration { return treeInterval }
+func (t *VCubeTree) Interval() time.Duration { return treeInterval }
 
 // Version returns the highest known version.
-func (t *HierarchicalTree) Version() uint64 { return t.version }
+func (t *VCubeTree) Version() uint64 { return t.version }
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -72,8 +72,8 @@
 	Runners(service string) []Runner
 	// Changed returns a channel that is closed at the next change of any daemon or runner.
 	Changed() <-chan struct{}
-	// NoteLeaving records that the runner at an address is leaving, as learned from the
+	// NoteRunnerLeaving records that the runner at an address is leaving, as learned from the
 	// runner itself or from its refusal of a request. timeLeft is the time until the
 	// runner ends. The information spreads to the other daemons.
-	NoteLeaving(address string, timeLeft time.Duration)
+	NoteRunnerLeaving(address string, timeLeft time.Duration)
 }
--- a/daemon/actions/harness_test.go
+++ b/daemon/actions/harness_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-func (d *directory) Changed() <-chan struct{}          { return nil }
-func (d *directory) NoteLeaving(string, time.Duration) {}
+func (d *directory) Changed() <-chan struct{}                { return nil }
+func (d *directory) NoteRunnerLeaving(string, time.Duration) {}
 
 type config struct{}
 
--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -294,8 +294,8 @@
 	return runners
 }
 
-// NoteLeaving implements view.Directory.
-func (c *Control) NoteLeaving(address string, left time.Duration) {
+// NoteRunnerLeaving implements view.Directory.
+func (c *Control) NoteRunnerLeaving(address string, left time.Duration) {
 	c.applyNotices([]membership.Notice{{Address: address, TimeLeft: left}})
 }
 
--- a/daemon/control/control_test.go
+++ b/daemon/control/control_test.go
@@ -255,7 +255,7 @@
 			}
 		}
 		f.waitUntil(5*time.Second, "runner listed", state(view.Live))
-		f.daemons[1].NoteLeaving("10.1.0.1:9000", 20*time.Second)
+		f.daemons[1].NoteRunnerLeaving("10.1.0.1:9000", 20*time.Second)
 		took := f.waitUntil(3*time.Second, "leaving everywhere", state(view.Leaving))
 		f.t.Logf("leaving everywhere %s after the first report", took)
 	})
--- a/daemon/control/leaving_test.go
+++ b/daemon/control/leaving_test.go
@@ -68,7 +68,7 @@
 func TestLastNewRequestOnLeavingVM(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	viaDaemon := func(f *fleet) { f.daemons[1].NoteLeaving("10.0.0.3", time.Minute) }
+	viaDaemon := func(f *fleet) { f.daemons[1].NoteRunnerLeaving("10.0.0.3", time.Minute) }
 	viaCloud := func(f *fleet) { f.cloud.addNotice("vm-2", "10.0.0.3", time.Minute) }
 	outage := func(f *fleet) { f.store.SetFaults(kvserver.Faults{Outage: true}) }
 	cut := func(f *fleet) {
--- a/daemon/dispatch/dispatch_test.go
+++ b/daemon/dispatch/dispatch_test.go
@@ -54,7 +54,7 @@
 	return env.changed
 }
 
-func (env *fakeEnvironment) NoteLeaving(address string, _ time.Duration) {
+func (env *fakeEnvironment) NoteRunnerLeaving(address string, _ time.Duration) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.leavingNoted = append(env.leavingNoted, address)
--- a/daemon/dispatch/poll.go
+++ b/daemon/dispatch/poll.go
@@ -101,7 +101,7 @@
 	}
 	now := time.Now()
 	if l.Leaving {
-		d.cfg.Directory.NoteLeaving(address, time.Duration(l.DeadlineMillis)*time.Millisecond)
+		d.cfg.Directory.NoteRunnerLeaving(address, time.Duration(l.DeadlineMillis)*time.Millisecond)
 	}
 	s.handleReport(now, id, loadReport(now, l), int(d.gateways.Load()))
 	if !read.Events {
--- a/daemon/models/harness_test.go
+++ b/daemon/models/harness_test.go
@@ -150,7 +150,7 @@
 	return d.c.changed
 }
 
-func (directory) NoteLeaving(string, time.Duration) {}
+func (directory) NoteRunnerLeaving(string, time.Duration) {}
 
 // gateway is the Models of one daemon, with its metrics.
 type gateway struct {
--- a/daemon/models/request_state.go
+++ b/daemon/models/request_state.go
@@ -309,7 +309,7 @@
 		return
 	}
 	if refusedAsLeaving(err) {
-		rs.m.c.Directory.NoteLeaving(choice.Address, 0)
+		rs.m.c.Directory.NoteRunnerLeaving(choice.Address, 0)
 	}
 	in := request.StreamClosed{Attempt: id, Cause: closeCause(err), NotStarted: notStarted(err)}
 	rs.mu.Lock()
--- a/daemon/orders/fleet.go
+++ b/daemon/orders/fleet.go
@@ -413,7 +413,7 @@
 		klog.InfoS("VM will be stopped after its grace period", "service", f.service, "vm", s.VM, "grace", f.driver.StopGrace)
 	}
 	remaining := f.tenure.stopAt[s.VM] - now
-	f.driver.Directory.NoteLeaving(s.Address, max(remaining, 0))
+	f.driver.Directory.NoteRunnerLeaving(s.Address, max(remaining, 0))
 	return remaining <= 0
 }
 
--- a/daemon/orders/harness_test.go
+++ b/daemon/orders/harness_test.go
@@ -132,7 +132,7 @@
 // real fleet the membership protocol informs the directory.
 func (c *cluster) notifyLeaving(vm cloudapi.VM, left time.Duration) {
 	c.engine(vm.ID).Notice(left)
-	directory{c.daemons[0]}.NoteLeaving(vm.Address, left)
+	directory{c.daemons[0]}.NoteRunnerLeaving(vm.Address, left)
 }
 
 func (c *cluster) recordRemoval(vm cloudapi.VM) {
@@ -417,7 +417,7 @@
 
 func (d directory) Changed() <-chan struct{} { return nil }
 
-func (d directory) NoteLeaving(address string, _ time.Duration) {
+func (d directory) NoteRunnerLeaving(address string, _ time.Duration) {
 	c := d.p.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/daemon/orders/rollout.go
+++ b/daemon/orders/rollout.go
@@ -164,7 +164,7 @@
 		return load, false
 	}
 	if load.Leaving {
-		r.driver.Directory.NoteLeaving(runner.Address, time.Duration(load.DeadlineMillis)*time.Millisecond)
+		r.driver.Directory.NoteRunnerLeaving(runner.Address, time.Duration(load.DeadlineMillis)*time.Millisecond)
 		return load, false
 	}
 	return load, true
--- a/daemon/services/services_test.go
+++ b/daemon/services/services_test.go
@@ -40,12 +40,12 @@
 	return w
 }
 
-func (w *fakeEnvironment) Self() view.Daemon                      { return view.Daemon{FailureDomain: "d0"} }
-func (w *fakeEnvironment) Daemons() []view.Daemon                 { return nil }
-func (w *fakeEnvironment) Runners(string) []view.Runner           { return w.runners }
-func (w *fakeEnvironment) Changed() <-chan struct{}               { return nil }
-func (w *fakeEnvironment) NoteLeaving(string, time.Duration)      {}
-func (w *fakeEnvironment) dial(_ context.Context, _ string) error { return nil }
+func (w *fakeEnvironment) Self() view.Daemon                       { return view.Daemon{FailureDomain: "d0"} }
+func (w *fakeEnvironment) Daemons() []view.Daemon                  { return nil }
+func (w *fakeEnvironment) Runners(string) []view.Runner            { return w.runners }
+func (w *fakeEnvironment) Changed() <-chan struct{}                { return nil }
+func (w *fakeEnvironment) NoteRunnerLeaving(string, time.Duration) {}
+func (w *fakeEnvironment) dial(_ context.Context, _ string) error  { return nil }
 func (w *fakeEnvironment) Current() (*manifest.Manifest, ident.Generation) {
 	return &manifest.Manifest{Services: []manifest.Service{{
 		Name: "casos", Kind: manifest.KindPlain,
--- a/transport/gateway/gateway_test.go
+++ b/transport/gateway/gateway_test.go
@@ -44,7 +44,7 @@
 func (f *fakeBackend) Changed() <-chan struct{}                        { return nil }
 func (f *fakeBackend) Self() view.Daemon                               { return f.Daemons()[0] }
 func (f *fakeBackend) Runners(string) []view.Runner                    { return nil }
-func (f *fakeBackend) NoteLeaving(string, time.Duration)               {}
+func (f *fakeBackend) NoteRunnerLeaving(string, time.Duration)         {}
 func (f *fakeBackend) Daemons() []view.Daemon {
 	return []view.Daemon{
 		{ID: "a", FailureDomain: "x", CallerAddress: "10.0.0.1:1", State: view.Live},
