--- a/coordination/fleet/decide.go
+++ b/coordination/fleet/decide.go
@@ -72,9 +72,10 @@
 	return starts
 }
 
-// worthMoving reports whether the plan saves at least MinMoveSaving of the cost of the
-// current fleet without its surplus. Compared with the whole fleet, a surplus alone would
-// look like a saving, and VMs would be started to replace VMs that merely had to stay.
+// worthMoving reports whether the plan costs less than the current VMs without the surplus,
+// by at least the fraction MinMoveSaving. The surplus is the VMs that the target does not
+// need. If it were included in the current cost, removing it would look like a saving of
+// the plan, and new VMs would be started in place of VMs that could simply be kept.
 func (t *planningRound) worthMoving() bool {
 	currentCost := cost(t.withoutSurplus(), t.offers)
 	return currentCost-cost(t.plan, t.offers) >= t.p.limits.MinMoveSaving*currentCost
--- a/coordination/fleet/demand.go
+++ b/coordination/fleet/demand.go
@@ -24,8 +24,8 @@
 	// VarianceTime is the time constant with which the variance follows changes of the
 	// load.
 	VarianceTime time.Duration
-	// MinWorkTime is how long after the first sample with requests in progress the
-	// measurements must continue before the estimate relies on them alone. Until then, the
+	// MinWorkTime is how much time must pass between the first sample with requests in
+	// progress and the last sample before the estimate relies on samples alone. Until then, the
 	// estimate for a service that has never served is at least InitialShare (for
 	// Estimate.Runners) or ComfortableInitialShare (for Estimate.Comfortable) of the
 	// largest number of runners seen within MinWorkTime after the first sample.
@@ -101,7 +101,9 @@
 	initialRunners int
 }
 
-// loadStats holds the mean of a load and its variance, converted to blocks of one second.
+// loadStats holds the mean of a load, and the variance that the load would have if it were
+// measured in blocks of one second. Only the variance is scaled by the length of the
+// measured blocks, because the mean does not depend on that length.
 type loadStats struct {
 	mean, variance float64
 	blockCount     int
@@ -180,7 +182,10 @@
 }
 
 // neededCapacity returns the capacity needed for a load: the mean plus the given deviation,
-// but at least enough to keep requests in progress within MaxSlowdown.
+// but at least enough to keep requests in progress within MaxSlowdown. A request on a
+// runner with utilisation u takes about 1/(1-u) times as long as alone. The slowdown stays
+// within MaxSlowdown if u = mean/capacity is at most 1-1/MaxSlowdown, so the capacity must
+// be at least mean/(1-1/MaxSlowdown).
 func (d *Demand) neededCapacity(mean, deviation float64) float64 {
 	return max(mean+deviation, mean/(1-1/d.cfg.MaxSlowdown))
 }
@@ -210,7 +215,8 @@
 	// standard deviation of the prefill work arriving while a prompt may wait, in the same
 	// unit.
 	Busy, Deviation float64
-	// Settled is set if there has been work for at least DemandConfig.MinWorkTime.
+	// Settled is set if at least DemandConfig.MinWorkTime has passed between the first
+	// sample with requests in progress and the last sample.
 	Settled bool
 }
 
--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -38,7 +38,8 @@
 type VM struct {
 	ID   string
 	Pool Pool
-	// Token is the token of the start while the VM is not yet in the VM list.
+	// Token identifies the request to the cloud that starts the VM. It is set instead of ID
+	// while the VM is not yet in the VM list.
 	Token string
 	// Leaving VMs are ignored.
 	Leaving bool
@@ -165,8 +166,9 @@
 // consecutive refusals.
 func (p *Planner) RecordStart(id Pool) { p.pool(id).consecutiveRefusals = 0 }
 
-// ResetBackoff records that scarce VMs are available again in all pools. Earlier refusals
-// are dropped, and moves to these pools need not wait.
+// ResetBackoff must be called when pools that refused starts have VMs again. It clears the
+// count of refusals and the backoff of every pool, and lets the next moves of VMs to
+// cheaper pools start without waiting for Limits.SurplusHold.
 func (p *Planner) ResetBackoff() {
 	p.skipMoveHold = true
 	for _, s := range p.pools {
--- a/coordination/fleet/tally.go
+++ b/coordination/fleet/tally.go
@@ -37,7 +37,9 @@
 // SetViaRelays sets whether the counters arrive through relays, as in a large fleet.
 func (t *Tally) SetViaRelays(viaRelays bool) { t.viaRelays = viaRelays }
 
-// Receive adds the growth of a daemon's counter since its last message.
+// Receive adds the growth of a daemon's counter since the daemon's last message. It adds
+// nothing for the first message of a daemon and for the first one after a silence of more
+// than maxSilence, or maxRelayedSilence if counters arrive through relays.
 func (t *Tally) Receive(now time.Duration, id ident.Incarnation, count float64) {
 	if t.lastReadings == nil {
 		t.lastReadings = map[ident.Incarnation]counterReading{}
--- a/coordination/membership/gateways.go
+++ b/coordination/membership/gateways.go
@@ -60,8 +60,8 @@
 	return Gateway{ID: d.ID, Address: d.CallerAddress, FailureDomain: d.FailureDomain, Weight: weight}
 }
 
-// splitByDomain returns the indexes of the daemons in a state, separately for those inside
-// and outside of a failure domain.
+// splitByDomain returns the indexes of the daemons that are in a state and have a caller
+// address, separately for those inside and outside of a failure domain.
 func splitByDomain(daemons []view.Daemon, domain ident.FailureDomain, state view.State) (sameDomain, otherDomains []int) {
 	for i := range daemons {
 		d := &daemons[i]
--- a/coordination/membership/types.go
+++ b/coordination/membership/types.go
@@ -92,7 +92,8 @@
 type Message struct {
 	From    Member
 	Changes []Change
-	// Seq is the position in the sender's log up to which Changes are complete.
+	// Seq is the position in the sender's log up to which the receiver has all changes once
+	// it has applied this message. If Seq is less than Last, further messages are needed.
 	Seq uint64
 	// Last is the newest position in the sender's log.
 	Last uint64
--- a/coordination/peers/peers.go
+++ b/coordination/peers/peers.go
@@ -162,7 +162,7 @@
 
 // Receive applies a message of a daemon; seq orders the messages of one incarnation. It
 // returns false if the same or a later message was already received, and it returns the
-// incarnations that have ended because this one listens at their address.
+// incarnations that have ended because the sender now listens at their address.
 func (t *Table) Receive(now time.Duration, m Member, seq uint64) (isNew bool, ended []ident.Incarnation) {
 	if m.Incarnation == t.self.Incarnation {
 		return false, nil
@@ -184,7 +184,8 @@
 }
 
 // ReceiveRoster applies the roster of a relay, which replaces the relay's previous one. It
-// returns the incarnations that have ended because another one listens at their address.
+// returns the incarnations that have ended because a daemon that this daemon learned of
+// from the roster now listens at their address.
 func (t *Table) ReceiveRoster(now time.Duration, relay ident.Incarnation, rows []Row, fleetSize, domainCount int) []ident.Incarnation {
 	received := roster{receivedAt: now, rows: make(map[ident.Incarnation]bool, len(rows)), fleetSize: fleetSize, domainCount: domainCount}
 	var ended []ident.Incarnation
@@ -207,9 +208,11 @@
 	t.Reintroduce(now, r)
 }
 
-// Reintroduce records another daemon's introduction of a daemon that this daemon may be
-// unable to reach. The introduced daemon counts as alive for IntroductionTTL. An
-// introduction within ReintroduceAfter of the last accepted one is ignored.
+// Reintroduce records that the daemon of the row may exist, as stated by another daemon's
+// introduction or, through Introduce, by a registration. This daemon may be unable to reach
+// the introduced daemon, so that one counts as alive only for IntroductionTTL, also if it
+// was known before. An introduction is ignored if it comes within ReintroduceAfter of the
+// last accepted introduction of the same daemon.
 func (t *Table) Reintroduce(now time.Duration, r Row) {
 	e, known := t.entries[r.Incarnation]
 	if known && now-e.lastIntroduced < ReintroduceAfter || t.shouldIgnore(now, r) {
@@ -226,7 +229,7 @@
 }
 
 // mergeRow updates or adds the daemon of a row. It returns the incarnations that have ended
-// because a newly added one listens at their address.
+// because the daemon of the row, if it was not known before, now listens at their address.
 func (t *Table) mergeRow(now time.Duration, r Row) []ident.Incarnation {
 	e, known := t.entries[r.Incarnation]
 	if known {
@@ -414,7 +417,9 @@
 	return list
 }
 
-// Directory returns the daemons that callers may use, including this one, sorted by ID.
+// Directory returns this daemon and all daemons that are alive with their states, sorted by
+// ID. A starting daemon is listed as view.Gone. Callers may use only those that are
+// view.Live.
 func (t *Table) Directory(now time.Duration) []view.Daemon {
 	var list []view.Daemon
 	for _, m := range append(t.Alive(now), t.self) {
--- a/coordination/peers/peers_test.go
+++ b/coordination/peers/peers_test.go
@@ -92,7 +92,7 @@
 	is.Equal(liveIDs(table, peers.AliveFor+1), []string{"a"})
 	table.Receive(peers.AliveFor+1, member("r", "1"), 2)
 	table.ReceiveRoster(peers.AliveFor+1, "r~1", rows("c"), 7, 2)
-	is.Equal(liveIDs(table, peers.AliveFor+1), []string{"a", "c", "r"}) // b has ended
+	is.Equal(liveIDs(table, peers.AliveFor+1), []string{"a", "c", "r"}) // the relay's new roster no longer lists b
 }
 
 // Guards against an old roster that overrides what a daemon reported about itself.
@@ -107,8 +107,10 @@
 	is.Equal(liveIDs(table, 0), []string{"a", "r"})
 }
 
-// Guards against a registration in the key-value service that is still there after its
-// daemon has ended, and makes the daemon look alive again.
+// A daemon's registration stays in the key-value service for a while after the daemon has
+// ended. Guards against the daemon counting as alive again each time that the registration
+// is read, and against a registration of a former incarnation adding that incarnation to
+// the fleet.
 func TestIntroductionExpires(t *testing.T) {
 	is := is.New(t)
 	table := peers.New(member("a", "1"))
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -75,22 +75,25 @@
 	// ForgetAfter is how long after its last message the share of a silent daemon stays
 	// reserved.
 	ForgetAfter = 10 * time.Second
-	// minRateShare is the fraction of one interval's refill that each daemon may take in
-	// any case. Without it a workspace below its quota whose callers all use one daemon
-	// would be refused. Up to fullMinShareDaemons daemons have the full fraction; together
-	// they may take 6 × 0.7 = 4.2 times the rate in this way. Above that number the
-	// fraction falls in proportion, so that the sum stays the same: with the full
-	// fraction, 33 daemons could take 33 × 0.7 × 250 ms = 5.8 seconds' worth of the rate
-	// before any hears of the others. In a large fleet, a workspace whose callers use few
-	// daemons therefore relies on budgetShare.
+	// minRateShare sets the smallest budget of a daemon: this fraction of what the refill
+	// adds to a bucket in one BudgetInterval. Without this minimum, a workspace below its
+	// quota whose callers all use one daemon would be refused. The full fraction applies
+	// in fleets of up to fullMinShareDaemons daemons. The minimum budgets of that many
+	// daemons add up to 6 × 0.7 = 4.2 times the refill. In a larger fleet the fraction is
+	// smaller in inverse proportion to the number of daemons, so that the sum stays the
+	// same. With the full fraction, 33 daemons could take 33 × 0.7 × 250 ms = 5.8 seconds'
+	// worth of the rate before any of them hears of the others. In a large fleet, the
+	// budget of a daemon that serves most of a workspace's requests therefore comes from
+	// budgetShare, which follows the recent use.
 	minRateShare        = 0.7
 	fullMinShareDaemons = 6
 	// uninformedShare is the fraction of an equal share of the bucket that a daemon may
 	// take once while it is uninformed, i.e. while some peer has not been heard for
 	// BudgetInterval but is not yet considered silent.
 	uninformedShare = 1.0
-	// uninformedMaxShares is the largest cost of a single long prompt that an uninformed
-	// daemon may grant, as a multiple of the amount that uninformedShare allows.
+	// uninformedMaxShares limits the cost of a single prompt for which an uninformed
+	// daemon raises its budget beyond the amount that uninformedShare allows. The limit is
+	// a multiple of that amount.
 	uninformedMaxShares = 2.0
 	// usageDecay is the time constant with which recent use decays when shares are
 	// computed. It is several intervals long, so that a single request changes little.
@@ -98,10 +101,11 @@
 	// burstTolerance is the fraction of the tolerance that is added to the burst. A single
 	// prompt may cost a third of a second's worth of the rate, and the level is partly an
 	// estimate; the addition keeps such a prompt from being refused. For example, with a
-	// rate of 300,000 per second, a burst of 300,000, a window of 8 s, an Overage of 0.1
-	// and a Slack of 190,000, the tolerance is 460,000 and the addition 174,800, while
-	// such a prompt costs 100,000. The rest of the tolerance covers what daemons take
-	// before they hear of each other.
+	// rate of 300,000 per second, a burst of 300,000 and a window of 8 s, the quota of a
+	// window is rate × window + burst = 2,700,000. With an Overage of 0.1 and a Slack of
+	// 190,000, the tolerance is 0.1 × 2,700,000 + 190,000 = 460,000 and the addition
+	// 0.38 × 460,000 = 174,800, while such a prompt costs 100,000. The rest of the
+	// tolerance covers what daemons take before they hear of each other.
 	burstTolerance = 0.38
 	// minRetryWait is the shortest wait that a refusal reports, so that callers don't retry
 	// at once.
@@ -186,8 +190,10 @@
 	synced bool
 }
 
-// New returns a limiter without workspaces and peers. firstStart states that the fleet has
-// never served before.
+// New returns a limiter without workspaces and peers. The time now is the start of this
+// daemon. The quotas bound what a workspace uses in any span of the length window. If
+// firstFleetStart is set, the fleet has never served before and the buckets start full;
+// otherwise they start empty.
 func New(now, window time.Duration, tolerance Tolerance, firstFleetStart bool) *Limiter {
 	return &Limiter{
 		window: window, tolerance: tolerance, startedAt: now, firstFleetStart: firstFleetStart,
@@ -262,12 +268,14 @@
 	}
 	switch allPeersRecent := l.allPeersRecent(now); {
 	case now < b.budgetEnds:
-	// A peer is overdue. The daemon keeps its previous budget, because daemons that have just
-	// lost contact with each other would take the same tokens again from a new one. It adds
-	// uninformedShare of an equal share once. Otherwise, from the end of any daemon until it
-	// counts as silent, the others would refuse requests of workspaces that they had not
-	// served a moment before.
+		// The budget of the current interval is still valid.
 	case !allPeersRecent && !b.uninformedBudgetUsed && l.daemonCount() > 1:
+		// A peer is overdue. This daemon gets no new budget, because daemons that have just
+		// lost contact with each other would take the same tokens again from a new budget.
+		// Only once, the budget is raised to uninformedShare of an equal share of the
+		// bucket. Otherwise, from the end of any daemon until it counts as silent, the
+		// others would refuse requests of workspaces that they had not served a moment
+		// before.
 		b.uninformedBudgetUsed = true
 		uninformedBudget := uninformedShare * b.level / float64(l.daemonCount())
 		if neededLevel <= uninformedMaxShares*uninformedBudget {
--- a/coordination/spread/tree.go
+++ b/coordination/spread/tree.go
@@ -60,7 +60,8 @@
 
 // cluster appends to into the members of c(i,s), the cluster of member i with size index s
 // in the paper named at VCubeTree: first the member whose index is i with bit s-1
-// inverted, then that member's own clusters with a smaller size index.
+// inverted, then that member's own clusters with a smaller size index. For example, the
+// clusters of member 0 are c(0,1) = 1, c(0,2) = 2, 3 and c(0,3) = 4, 5, 6, 7.
 func cluster(i, s int, into []int) []int {
 	first := i ^ (1 << (s - 1))
 	into = append(into, first)
