--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -127,7 +127,7 @@
 			s.configure(current)
 		}
 		s.setRunners(now, d.cfg.Directory.Runners(s.name), gateways)
-		d.startPolling(s)
+		d.updatePolling(s)
 	}
 }
 
--- a/daemon/dispatch/poll.go
+++ b/daemon/dispatch/poll.go
@@ -12,9 +12,9 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// startPolling adds the runners of the service to the poll planner and updates
+// updatePolling adds the runners of the service to the poll planner and updates
 // the polling budget.
-func (d *Dispatcher) startPolling(s *service) {
+func (d *Dispatcher) updatePolling(s *service) {
 	ids := s.polledRunners()
 	d.pollMu.Lock()
 	defer d.pollMu.Unlock()
--- a/daemon/dispatch/poll_budget_test.go
+++ b/daemon/dispatch/poll_budget_test.go
@@ -89,10 +89,10 @@
 				loads += metrics.GetOrRegisterCounter("dispatch."+s.Name+".polls.load_bytes", fleet.metrics).Count()
 				events += metrics.GetOrRegisterCounter("dispatch."+s.Name+".polls.event_bytes", fleet.metrics).Count()
 			}
-			perSecond := float64(loads+events) / duration.Seconds()
+			bytesPerSecond := float64(loads+events) / duration.Seconds()
 			t.Logf("%d services of 64 runners each: %.0f bytes/s in total, of which %.0f bytes/s for cache events",
-				services, perSecond, float64(events)/duration.Seconds())
-			is.True(perSecond <= 2400*1.02) // 2% tolerance for the budget that is saved up at the start
+				services, bytesPerSecond, float64(events)/duration.Seconds())
+			is.True(bytesPerSecond <= 2400*1.02) // 2% tolerance for the budget that is saved up at the start
 			is.True(loads > 0)
 		})
 	}
--- a/daemon/models/models.go
+++ b/daemon/models/models.go
@@ -230,12 +230,12 @@
 		return refusal.New(refusal.Overloaded, "too many requests in progress").After(overloadedRetryAfter)
 	}
 	m.requestState[rs.req.ID] = rs
-	if rs.recorded {
+	if rs.needsRecord {
 		m.outbox.Track(rs.req.ID)
 		m.keeper.Claim(rs.req.ID, handoff.Claim{Owner: m.c.Self, Epoch: rs.spec.Epoch})
 	}
 	m.mu.Unlock()
-	if !rs.recorded {
+	if !rs.needsRecord {
 		return nil
 	}
 	if err := m.storeFirstRecord(ctx, rs); err != nil {
--- a/daemon/models/reclaim.go
+++ b/daemon/models/reclaim.go
@@ -37,14 +37,14 @@
 // These defaults apply where neither the configuration nor the picker gives a
 // value.
 const (
-	defaultBytesPerToken = 128 << 10
-	defaultLinkRate      = 1.25e9
-	defaultSetup         = 20 * time.Millisecond
-	defaultDecodeRate    = 15
-	defaultNotice        = 10 * time.Second
-	defaultSlots         = 16
-	defaultFreeTokens    = 64 << 10
-	defaultPrefillRate   = 8000
+	defaultBytesPerToken    = 128 << 10
+	defaultLinkRate         = 1.25e9
+	defaultSetup            = 20 * time.Millisecond
+	defaultDecodeRate       = 15
+	defaultNotice           = 10 * time.Second
+	defaultStreamsPerRunner = 16
+	defaultFreeTokens       = 64 << 10
+	defaultPrefillRate      = 8000
 	// minFreeTokens is the share of free tokens that covers one long stream.
 	minFreeTokens = 16 << 10
 )
@@ -92,14 +92,14 @@
 		return
 	}
 	now := time.Now()
-	pending, streams, link := m.unplanned(requests, listed, leaving)
+	pending, streams, linkBusyUntil := m.collectUnplanned(requests, listed, leaving)
 	if len(streams) == 0 {
 		return
 	}
 	b := reclaim.Batch{
 		Streams:      streams,
 		Targets:      m.targetShares(service, requests),
-		Link:         m.link(now, link),
+		Link:         m.link(now, linkBusyUntil),
 		SafetyMargin: m.c.Limits.ReclaimMargin,
 	}
 	for _, r := range leaving {
@@ -111,9 +111,9 @@
 	}
 }
 
-// unplanned returns the requests and streams that need a plan, and the time
+// collectUnplanned returns the requests and streams that need a plan, and the time
 // until which the moves of earlier plans occupy the link.
-func (m *Models) unplanned(requests []*requestState, listed map[ident.RunnerID]view.Runner, leaving []view.Runner) (map[ident.RequestID]*requestState, []reclaim.Stream, time.Time) {
+func (m *Models) collectUnplanned(requests []*requestState, listed map[ident.RunnerID]view.Runner, leaving []view.Runner) (map[ident.RequestID]*requestState, []reclaim.Stream, time.Time) {
 	pending := map[ident.RequestID]*requestState{}
 	var streams []reclaim.Stream
 	var linkBusyUntil time.Time
@@ -126,7 +126,7 @@
 			continue
 		}
 		if plan.isValid(listed) {
-			linkBusyUntil = plan.busyUntil(linkBusyUntil)
+			linkBusyUntil = plan.linkBusyUntilAfter(linkBusyUntil)
 			continue
 		}
 		pending[rs.req.ID] = rs
@@ -145,12 +145,12 @@
 	return ok && r.State != view.Leaving
 }
 
-// busyUntil returns the later of linkBusyUntil and the end of this plan's move.
-func (p reclaimPlan) busyUntil(earlier time.Time) time.Time {
-	if p.kind == reclaim.Move && p.endsAt.After(earlier) {
+// linkBusyUntilAfter returns the later of linkBusyUntil and the end of this plan's move.
+func (p reclaimPlan) linkBusyUntilAfter(linkBusyUntil time.Time) time.Time {
+	if p.kind == reclaim.Move && p.endsAt.After(linkBusyUntil) {
 		return p.endsAt
 	}
-	return earlier
+	return linkBusyUntil
 }
 
 func findSource(sources []reclaim.Source, id ident.RunnerID) reclaim.Source {
@@ -228,7 +228,7 @@
 		}
 		targets = append(targets, reclaim.Target{
 			Runner:      r.ID,
-			Slots:       max(defaultSlots-ownStreams[r.ID], 0),
+			Slots:       max(defaultStreamsPerRunner-ownStreams[r.ID], 0),
 			FreeTokens:  defaultFreeTokens,
 			PrefillRate: defaultPrefillRate,
 		})
--- a/daemon/models/reclaim_test.go
+++ b/daemon/models/reclaim_test.go
@@ -13,11 +13,11 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// submitAndRun submits a bulletin that runs at runner 0 and waits until it has
+// submitAndRunOneSecond submits a bulletin that runs at runner 0 and waits until it has
 // emitted some tokens.
-func submitAndRun(t *testing.T, g *gateway, tokens int) call.ModelRequest {
+func submitAndRunOneSecond(t *testing.T, g *gateway, maxTokens int) call.ModelRequest {
 	t.Helper()
-	r := g.request("bulletin", tokens)
+	r := g.request("bulletin", maxTokens)
 	if err := g.Submit(t.Context(), r); err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
 		g := c.startGateway(0)
-		r := submitAndRun(t, g, 2000)
+		r := submitAndRunOneSecond(t, g, 2000)
 		c.announceReclaim(20*time.Second, 0)
 		is.True(readAll(t, g, r, 0) < time.Second)
 		is.Equal(g.counter("reclaim.planned.move"), int64(1))
@@ -41,7 +41,7 @@
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
 		g := c.startGateway(0)
-		r := submitAndRun(t, g, 150)
+		r := submitAndRunOneSecond(t, g, 150)
 		c.announceReclaim(20*time.Second, 0)
 		readAll(t, g, r, 0)
 		is.Equal(g.counter("reclaim.planned.finish"), int64(1))
@@ -56,7 +56,7 @@
 		is := is.New(t)
 		g := c.startGateway(0)
 		c.engines[0].SetFaults(engine.Faults{FailExports: 1})
-		r := submitAndRun(t, g, 2000)
+		r := submitAndRunOneSecond(t, g, 2000)
 		c.announceReclaim(20*time.Second, 0)
 		is.True(readAll(t, g, r, 0) < time.Second)
 		is.Equal(g.counter("attempts.abandoned.export_failed"), int64(1))
@@ -69,7 +69,7 @@
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
 		g := c.startGateway(0)
-		r := submitAndRun(t, g, 3000)
+		r := submitAndRunOneSecond(t, g, 3000)
 		c.announceReclaim(30*time.Second, 0)
 		time.Sleep(20 * time.Millisecond)
 		firstTarget := 1
@@ -89,7 +89,7 @@
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
 		g := c.startGateway(0)
-		r := submitAndRun(t, g, 2000)
+		r := submitAndRunOneSecond(t, g, 2000)
 		c.announceReclaim(20*time.Second, 0)
 		time.Sleep(50 * time.Millisecond)
 		c.engines[0].Die()
@@ -103,7 +103,7 @@
 func TestDeferrableRequestWaitsForNewRunner(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		g := c.startGateway(0)
-		r := submitAndRun(t, g, 3000)
+		r := submitAndRunOneSecond(t, g, 3000)
 		c.announceReclaim(5*time.Second, 0, 1)
 		time.Sleep(5 * time.Minute)
 		cfg := engine.DefaultConfig("runner-9", model, "1")
@@ -150,21 +150,21 @@
 func TestIsolatedOwnerYieldsToAdopter(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		is := is.New(t)
-		first, second, third := c.startGateway(0), c.startGateway(1), c.startGateway(2)
-		r := first.request("bulletin", 3000)
-		is.NoErr(first.Submit(t.Context(), r))
+		firstGateway, second, third := c.startGateway(0), c.startGateway(1), c.startGateway(2)
+		r := firstGateway.request("bulletin", 3000)
+		is.NoErr(firstGateway.Submit(t.Context(), r))
 		time.Sleep(3 * time.Second)
-		first.isolated.Store(true)
-		c.removeFromDirectory(first) // although it still runs
-		d := view.Daemon{ID: "gw-0", Incarnation: first.self, FailureDomain: failureDomain(0), PeerAddress: first.address, State: view.Live}
-		for _, g := range []*gateway{first, second, third} {
+		firstGateway.isolated.Store(true)
+		c.removeFromDirectory(firstGateway) // although it still runs
+		d := view.Daemon{ID: "gw-0", Incarnation: firstGateway.self, FailureDomain: failureDomain(0), PeerAddress: firstGateway.address, State: view.Live}
+		for _, g := range []*gateway{firstGateway, second, third} {
 			c.Silence(g.address)
 		}
 		time.Sleep(20 * time.Second)
-		first.isolated.Store(false)
+		firstGateway.isolated.Store(false)
 		c.updateDirectory(func() { c.daemons = append(c.daemons, d) })
-		readAll(t, first, r, 0)
-		is.Equal(first.counter("requests.superseded")+second.counter("requests.superseded")+third.counter("requests.superseded"), int64(1))
+		readAll(t, firstGateway, r, 0)
+		is.Equal(firstGateway.counter("requests.superseded")+second.counter("requests.superseded")+third.counter("requests.superseded"), int64(1))
 	})
 }
 
--- a/daemon/models/request_records.go
+++ b/daemon/models/request_records.go
@@ -302,7 +302,7 @@
 		Deadline:  r.Deadline,
 		Async:     r.Async,
 	}, model.Service, class)
-	rs.recorded = true
+	rs.needsRecord = true
 	rs.spec.Epoch = r.Epoch
 	rs.spec.Emitted = r.Emitted
 	rs.spec.MayHaveRun = r.MayHaveRun
--- a/daemon/models/request_state.go
+++ b/daemon/models/request_state.go
@@ -41,11 +41,11 @@
 	spec     request.Spec
 	service  string
 	priority int
-	// recorded is true if the record of the request is stored at a second
+	// needsRecord is true if the record of the request is stored at a second
 	// daemon.
-	recorded bool
-	ctx      context.Context
-	cancel   context.CancelFunc
+	needsRecord bool
+	ctx         context.Context
+	cancel      context.CancelFunc
 
 	mu       sync.Mutex
 	machine  *request.Machine
@@ -68,16 +68,16 @@
 func (m *Models) newRequestState(r call.ModelRequest, service string, class manifest.Class) *requestState {
 	ctx, cancel := context.WithCancel(m.ctx)
 	rs := &requestState{
-		m:        m,
-		req:      r,
-		service:  service,
-		priority: class.Priority,
-		recorded: class.Deferrable || r.Async,
-		ctx:      ctx,
-		cancel:   cancel,
-		changed:  make(chan struct{}),
-		attempts: map[ident.AttemptID]*attempt{},
-		choices:  map[ident.RunnerID]Choice{},
+		m:           m,
+		req:         r,
+		service:     service,
+		priority:    class.Priority,
+		needsRecord: class.Deferrable || r.Async,
+		ctx:         ctx,
+		cancel:      cancel,
+		changed:     make(chan struct{}),
+		attempts:    map[ident.AttemptID]*attempt{},
+		choices:     map[ident.RunnerID]Choice{},
 		spec: request.Spec{
 			ID:         r.ID,
 			Epoch:      1,
