--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -171,9 +171,10 @@
 	return d.services[name]
 }
 
-// runTicks advances the time of the services. It ticks often while a request
-// waits or a runner is ejected, and rarely otherwise: fifty ticks per second
-// without any work cost a daemon more than its heartbeats.
+// runTicks advances the time of the services. It ticks every TickInterval while
+// a request waits or a runner is ejected, and every IdleTickInterval otherwise:
+// the default TickInterval gives 50 ticks per second, which cost an idle daemon
+// more CPU time than its heartbeats.
 func (d *Dispatcher) runTicks(ctx context.Context) {
 	busy := true
 	for d.waitForTick(ctx, busy) {
--- a/daemon/dispatch/grant.go
+++ b/daemon/dispatch/grant.go
@@ -33,7 +33,8 @@
 // counts as long.
 const longOutputTokens = 400
 
-// grant is the share of the capacity that a request holds or waits for.
+// grant is the share of the service's capacity that a request holds, or that it
+// waits for in the admission queue.
 type grant struct {
 	id      admission.ID
 	class   string
--- a/daemon/dispatch/poll.go
+++ b/daemon/dispatch/poll.go
@@ -12,8 +12,9 @@
 	"geraniumstack.org/geraniumstack/transport/engineapi"
 )
 
-// updatePolling adds the runners of the service to the poll planner and updates
-// the polling budget.
+// updatePolling replaces the set of runners that the poll planner polls for the
+// service and updates the polling budget. Each
+// refresh of the dispatcher calls it.
 func (d *Dispatcher) updatePolling(s *service) {
 	ids := s.polledRunners()
 	d.pollMu.Lock()
--- a/daemon/dispatch/service.go
+++ b/daemon/dispatch/service.go
@@ -16,14 +16,15 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// attemptKey identifies an attempt by the data that the client of the engine
-// knows.
+// attemptKey identifies an attempt by the request and the address of the runner.
+// The code that calls an engine knows both, but not the attempt's ticket.
 type attemptKey struct {
 	request ident.RequestID
 	address string
 }
 
-// attempt is an attempt in progress at a runner.
+// attempt is one try to answer a request at a runner. It lasts from the routing
+// decision until the try ends, with or without a complete answer.
 type attempt struct {
 	ticket       routing.Ticket
 	grant        *grant
@@ -35,8 +36,8 @@
 	expectedCached int
 }
 
-// service holds the scheduling state of one model service, guarded by one lock.
-// No call that is made with the lock held blocks.
+// service holds the scheduling state of one model service. The mutex mu guards
+// the fields below it. Code that holds mu must not make a call that blocks.
 type service struct {
 	name string
 	cfg  Config
@@ -149,7 +150,8 @@
 }
 
 // tick advances the time of admission and health tracking and returns the
-// effects that the health tracker requested.
+// effects that the health tracker requested. tick has already applied the
+// ejections and readmissions among them; only the probes are left to the caller.
 func (s *service) tick(now time.Time) []health.Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/models/config.go
+++ b/daemon/models/config.go
@@ -99,7 +99,9 @@
 // defaults.
 type Limits struct {
 	Request request.Limits
-	// MaxInProgress bounds the number of requests in progress.
+	// MaxInProgress bounds the number of requests that this daemon runs and that
+	// have not ended. A new request beyond it is refused as overloaded. Requests
+	// adopted from other daemons count, but are never refused for it.
 	MaxInProgress int
 	// MaxFinished bounds the number of ended requests that are kept for late
 	// readers; Retention is how long each of them is kept.
--- a/daemon/models/diverged_test.go
+++ b/daemon/models/diverged_test.go
@@ -13,8 +13,9 @@
 	"geraniumstack.org/geraniumstack/standin/engine"
 )
 
-// readFirstResponse reads from a gateway like a relay that has received tokens
-// from an earlier owner, and returns the first message.
+// readFirstResponse sends a read to a gateway as another gateway does that has
+// received the tokens known from an earlier owner, and returns the first
+// message.
 func (c *cluster) readFirstResponse(t *testing.T, g *gateway, id string, known []string) (first *requestv1.ReadResponse) {
 	t.Helper()
 	client := c.Client()
--- a/daemon/models/reader.go
+++ b/daemon/models/reader.go
@@ -17,8 +17,8 @@
 	// lookupInterval is the pause between two searches for the owner of a
 	// request.
 	lookupInterval = 250 * time.Millisecond
-	// maxReopens is how often the stream from a peer is reopened without any
-	// progress before other peers are asked.
+	// maxReopens is how many times in a row the stream from a peer is reopened
+	// without receiving a token, before other peers are asked.
 	maxReopens = 2
 )
 
@@ -50,8 +50,9 @@
 // Unwrap returns the error of the sink.
 func (e *SinkError) Unwrap() error { return e.Err }
 
-// reader delivers the answer of one request to one sink, wherever the request
-// runs, and follows the request when it moves to another daemon.
+// reader carries out one call of Read: it delivers the answer of one request to
+// the caller's sink, wherever the request runs, and follows the request when it
+// moves to another daemon.
 type reader struct {
 	m         *Models
 	workspace ident.Workspace
@@ -60,9 +61,9 @@
 	sink      func(call.Event) error
 	// startOffset is the offset at which the reader began, and received holds
 	// the tokens that it has delivered since. They are sent to a new owner: if
-	// the new owner lacks these tokens, it adopts them; if it has different
-	// tokens at the same offsets, it refuses the reader. Without this check the
-	// answer could be a mix of two different answers.
+	// the new owner lacks these tokens, it appends them to its answer; if it has
+	// different tokens at the same offsets, it refuses the read. Without this
+	// check the answer could be a mix of two different answers.
 	startOffset int
 	received    []string
 	// ownerHint is the most recent owner that a daemon reported.
@@ -109,7 +110,7 @@
 
 // waitBeforeRetry prepares the next search for the owner after a failed one. It
 // returns at once if another daemon was named as the owner; otherwise it sends
-// a heartbeat to the reader and waits. It returns an error if the read ends
+// a heartbeat to the sink and waits. It returns an error if the read ends
 // because the request does not exist or its owner cannot be reached.
 func (r *reader) waitBeforeRetry(ctx context.Context, err error) error {
 	var moved *MovedError
@@ -244,8 +245,8 @@
 	return &StreamBrokenError{Cause: err.Error()}
 }
 
-// handleMessage delivers a message from a peer to the reader. Each offset
-// reaches the reader once and in order, even when the stream is reopened or
+// handleMessage delivers a message from a peer to the sink. Each offset
+// reaches the sink once and in order, even when the stream is reopened or
 // another peer takes over.
 func (r *reader) handleMessage(m *requestv1.ReadResponse) (done bool, err error) {
 	switch {
@@ -312,7 +313,7 @@
 	}
 }
 
-// readLocal serves the reader from a request of this daemon.
+// readLocal delivers the answer of a request that this daemon runs to the sink.
 func (r *reader) readLocal(ctx context.Context, rs *requestState) error {
 	heartbeat := time.NewTicker(r.m.c.Limits.Heartbeat)
 	defer heartbeat.Stop()
--- a/daemon/models/reclaim.go
+++ b/daemon/models/reclaim.go
@@ -34,8 +34,11 @@
 	Notice time.Duration
 }
 
-// These defaults apply where neither the configuration nor the picker gives a
-// value.
+// The first five defaults replace zero fields of Transfer: bytes per token of KV
+// cache, bytes per second, setup time of a transfer, tokens per second of a
+// stream, and time until a leaving VM ends. The other defaults describe the
+// capacity of one runner if the picker is no CapacitySource: concurrent streams,
+// free tokens of KV cache, and prefilled tokens per second.
 const (
 	defaultBytesPerToken    = 128 << 10
 	defaultLinkRate         = 1.25e9
@@ -111,8 +114,9 @@
 	}
 }
 
-// collectUnplanned returns the requests and streams that need a plan, and the time
-// until which the moves of earlier plans occupy the link.
+// collectUnplanned returns the requests whose attempt runs at a leaving runner
+// and has no valid plan, the streams of these attempts, and the time until which
+// the KV cache transfers of earlier plans occupy the network link.
 func (m *Models) collectUnplanned(requests []*requestState, listed map[ident.RunnerID]view.Runner, leaving []view.Runner) (map[ident.RequestID]*requestState, []reclaim.Stream, time.Time) {
 	pending := map[ident.RequestID]*requestState{}
 	var streams []reclaim.Stream
@@ -145,7 +149,9 @@
 	return ok && r.State != view.Leaving
 }
 
-// linkBusyUntilAfter returns the later of linkBusyUntil and the end of this plan's move.
+// linkBusyUntilAfter returns the time until which the network link is busy once
+// this plan is counted too: the later of linkBusyUntil and, if the plan moves a
+// KV cache, the end of that transfer.
 func (p reclaimPlan) linkBusyUntilAfter(linkBusyUntil time.Time) time.Time {
 	if p.kind == reclaim.Move && p.endsAt.After(linkBusyUntil) {
 		return p.endsAt
--- a/daemon/models/reclaim_test.go
+++ b/daemon/models/reclaim_test.go
@@ -13,8 +13,9 @@
 	"geraniumstack.org/geraniumstack/state/refusal"
 )
 
-// submitAndRunOneSecond submits a bulletin that runs at runner 0 and waits until it has
-// emitted some tokens.
+// submitAndRunOneSecond submits a request of the deferrable class "bulletin",
+// whose whole answer has maxTokens tokens, and waits one second, in which runner
+// 0 emits the first tokens.
 func submitAndRunOneSecond(t *testing.T, g *gateway, maxTokens int) call.ModelRequest {
 	t.Helper()
 	r := g.request("bulletin", maxTokens)
@@ -155,7 +156,7 @@
 		is.NoErr(firstGateway.Submit(t.Context(), r))
 		time.Sleep(3 * time.Second)
 		firstGateway.isolated.Store(true)
-		c.removeFromDirectory(firstGateway) // although it still runs
+		c.removeFromDirectory(firstGateway) // although firstGateway still runs
 		d := view.Daemon{ID: "gw-0", Incarnation: firstGateway.self, FailureDomain: failureDomain(0), PeerAddress: firstGateway.address, State: view.Live}
 		for _, g := range []*gateway{firstGateway, second, third} {
 			c.Silence(g.address)
--- a/daemon/models/record_test.go
+++ b/daemon/models/record_test.go
@@ -10,9 +10,9 @@
 	requestv1 "geraniumstack.org/geraniumstack/gen/geranium/request/v1"
 )
 
-// BenchmarkRecord reports the size on the wire of the record of a long request:
-// the complete record at acceptance without its prompt, and the renewals per
-// token.
+// BenchmarkRecord reports the encoded size in bytes of the records of long
+// requests: the size of the complete record that is stored when a request is
+// accepted, without its prompt, and the size of a renewal per emitted token.
 func BenchmarkRecord(b *testing.B) {
 	prompt := strings.Repeat("manifest ", 7500)
 	whole := &requestv1.PutRequest{Records: []*requestv1.Record{{
--- a/daemon/models/request_records.go
+++ b/daemon/models/request_records.go
@@ -118,8 +118,10 @@
 	return handoff.Progress{Offset: answer.Offset(), Done: answer.Done()}
 }
 
-// storeFirstRecord stores the record of a request that is being accepted. If no
-// other daemon is live, the request is accepted without a stored record.
+// storeFirstRecord stores the record of a deferrable or asynchronous request
+// that is being accepted at another daemon, its keeper. Other requests have no
+// record. If no other daemon is live, storeFirstRecord returns nil, so that the
+// request is accepted without a stored record.
 func (m *Models) storeFirstRecord(ctx context.Context, rs *requestState) error {
 	self := m.c.Directory.Self()
 	keepers := handoff.RankKeepers(rs.req.ID, self, m.c.Directory.Daemons())
@@ -237,9 +239,10 @@
 	m.mu.Unlock()
 }
 
-// adoptOrphans starts running the requests whose owner is missing from the
-// directory and has not renewed its records for ownerTimeout. Without a
-// configuration the requests cannot run, and their records are kept.
+// adoptOrphans makes this daemon the owner of requests whose records it keeps,
+// if their owner is missing from the directory and has not renewed the records
+// for ownerTimeout. While no configuration is in force, the requests cannot run,
+// and adoptOrphans leaves their records as they are.
 func (m *Models) adoptOrphans(ownerTimeout time.Duration) {
 	if conf, _ := m.c.Config.Current(); conf == nil {
 		return
@@ -259,8 +262,11 @@
 	}
 }
 
-// adopt makes this daemon the owner of a request of another daemon. It returns
-// false if this daemon cannot run the request.
+// adopt makes this daemon the owner of a request of another daemon and runs it.
+// A request that is done does not run again; it is only kept for late readers.
+// adopt returns false if no configuration is in force yet or if this daemon
+// knows the request with a later epoch. If this daemon already knows the request
+// with the same epoch, adopt has no effect and returns true.
 func (m *Models) adopt(r handoff.Record) bool {
 	conf, _ := m.c.Config.Current()
 	if conf == nil {
--- a/daemon/models/request_state.go
+++ b/daemon/models/request_state.go
@@ -24,7 +24,8 @@
 	finishCancelled = "cancelled"
 )
 
-// attempt is an open engine stream.
+// attempt is one try to answer a request at a runner, from the call to the
+// runner's engine until the stream of that call is closed.
 type attempt struct {
 	cancel       context.CancelFunc
 	choice       Choice
@@ -41,8 +42,8 @@
 	spec     request.Spec
 	service  string
 	priority int
-	// needsRecord is true if the record of the request is stored at a second
-	// daemon.
+	// needsRecord is true if a record of the request must be stored at a second
+	// daemon: the request is deferrable or asynchronous, or was adopted.
 	needsRecord bool
 	ctx         context.Context
 	cancel      context.CancelFunc
--- a/daemon/models/rpc_handler.go
+++ b/daemon/models/rpc_handler.go
@@ -137,10 +137,11 @@
 	}
 }
 
-// extendAnswer adds the tokens that a reader received from an earlier owner to
-// the answer. It returns false if they differ from the tokens of the answer. It
-// ignores them if another daemon runs the request, or if they begin beyond the
-// end of the answer.
+// extendAnswer takes the tokens that a caller has already received from an
+// earlier owner, starting at offset from, and appends those that the answer
+// lacks. It returns false if any of them differs from the answer's token at the
+// same offset. It ignores the tokens and returns true if another daemon runs the
+// request, or if from lies beyond the end of the answer.
 func (rs *requestState) extendAnswer(from int, known []string) bool {
 	if len(known) == 0 {
 		return true
--- a/daemon/models/streams_test.go
+++ b/daemon/models/streams_test.go
@@ -113,7 +113,8 @@
 	})
 }
 
-// Guards against the refusal of a bulletin although every gateway is healthy:
+// Guards against the refusal of a request of the deferrable class "bulletin"
+// although every gateway is healthy:
 // the pooled connections to all keepers of its record have gone silent, but new
 // connections work.
 func TestRecordIsStoredDespiteSilentConnections(t *testing.T) {
