--- a/daemon/models/reader.go
+++ b/daemon/models/reader.go
@@ -50,9 +50,9 @@
 // Unwrap returns the error of the sink.
 func (e *SinkError) Unwrap() error { return e.Err }
 
-// reader carries out one call of Read: it delivers the answer of one request to
-// the caller's sink, wherever the request runs, and follows the request when it
-// moves to another daemon.
+// reader serves one read, of a local caller or of a peer: it delivers the answer
+// of one request to one sink. A read of a local caller follows the request when
+// the request moves to another daemon; a read of a peer does not.
 type reader struct {
 	m         *Models
 	workspace ident.Workspace
