--- a/daemon/models/reclaim.go
+++ b/daemon/models/reclaim.go
@@ -95,14 +95,14 @@
 		return
 	}
 	now := time.Now()
-	pending, streams, linkBusyUntil := m.collectUnplanned(requests, listed, leaving)
+	pending, streams, link := m.collectUnplanned(requests, listed, leaving)
 	if len(streams) == 0 {
 		return
 	}
 	b := reclaim.Batch{
 		Streams:      streams,
 		Targets:      m.targetShares(service, requests),
-		Link:         m.link(now, linkBusyUntil),
+		Link:         m.link(now, link),
 		SafetyMargin: m.c.Limits.ReclaimMargin,
 	}
 	for _, r := range leaving {
