--- a/daemon/models/request_state.go
+++ b/daemon/models/request_state.go
@@ -24,7 +24,8 @@
 	finishCancelled = "cancelled"
 )
 
-// attempt is an open engine stream.
+// attempt is one try to answer a request at a runner, from the call to the
+// runner's engine until the stream of that call is closed.
 type attempt struct {
 	cancel       context.CancelFunc
 	choice       Choice
@@ -41,11 +42,11 @@
 	spec     request.Spec
 	service  string
 	priority int
-	// recorded is true if the record of the request is stored at a second
-	// daemon.
-	recorded bool
-	ctx      context.Context
-	cancel   context.CancelFunc
+	// needsRecord is true if a record of the request must be stored at a second
+	// daemon: the request is deferrable or asynchronous, or was adopted.
+	needsRecord bool
+	ctx         context.Context
+	cancel      context.CancelFunc
 
 	mu       sync.Mutex
 	machine  *request.Machine
@@ -68,16 +69,16 @@
 func (m *Models) newRequestState(r call.ModelRequest, service string, class manifest.Class) *requestState {
 	ctx, cancel := context.WithCancel(m.ctx)
 	rs := &requestState{
-		m:        m,
-		req:      r,
-		service:  service,
-		priority: class.Priority,
-		recorded: class.Deferrable || r.Async,
-		ctx:      ctx,
-		cancel:   cancel,
-		changed:  make(chan struct{}),
-		attempts: map[ident.AttemptID]*attempt{},
-		choices:  map[ident.RunnerID]Choice{},
+		m:           m,
+		req:         r,
+		service:     service,
+		priority:    class.Priority,
+		needsRecord: class.Deferrable || r.Async,
+		ctx:         ctx,
+		cancel:      cancel,
+		changed:     make(chan struct{}),
+		attempts:    map[ident.AttemptID]*attempt{},
+		choices:     map[ident.RunnerID]Choice{},
 		spec: request.Spec{
 			ID:         r.ID,
 			Epoch:      1,
