--- a/transport/dispatch/dispatch_test.go
+++ b/transport/dispatch/dispatch_test.go
@@ -23,7 +23,8 @@
 type breakingRunner struct {
 	listener     net.Listener
 	requestsRead atomic.Int32
-	// breakFirst makes the runner close the connection already after the first request.
+	// breakFirst makes the runner close each connection after reading the first request, without
+	// answering it.
 	breakFirst bool
 }
 
--- a/transport/engine/traffic.go
+++ b/transport/engine/traffic.go
@@ -9,12 +9,13 @@
 	// requestOverheadBytes is the average size of the request line without the path and of the
 	// headers that net/http sends with a GET.
 	requestOverheadBytes = 110
-	// packetOverheadBytes is the size of the IP and TCP headers of a request, its answer and their
-	// acknowledgements on an open connection.
+	// packetOverheadBytes is the size of the IP and TCP headers (52 bytes a packet) of four packets
+	// on an open connection: a request, its answer and their acknowledgements.
 	packetOverheadBytes = 4 * 52
-	// segmentBytes is the payload of one TCP segment. Each further segment costs another packet's
-	// headers and half an acknowledgement.
-	segmentBytes       = 1400
+	// segmentBytes is the assumed payload of one TCP segment.
+	segmentBytes = 1400
+	// extraSegmentBytes is the overhead of each segment of an answer after the first: 52 bytes of
+	// IP and TCP headers, and half of a 52-byte acknowledgement, which serves two segments.
 	extraSegmentBytes  = 52 + 26
 	statusLineBytes    = 17
 	headerLineOverhead = 4
--- a/transport/engineapi/engineapi.go
+++ b/transport/engineapi/engineapi.go
@@ -30,7 +30,7 @@
 	// Emitted holds the output tokens that the caller already has. The engine continues after them.
 	Emitted   []string `json:"emitted,omitempty"`
 	MaxTokens int      `json:"max_tokens"`
-	// Priority orders the engine's queue. Higher values are served first.
+	// Priority orders the engine's queue. The highest value is the most urgent and is served first.
 	Priority int `json:"priority"`
 	// ImportedHandle is the handle of a KV cache that was imported for this attempt.
 	ImportedHandle string `json:"imported_handle,omitempty"`
@@ -99,7 +99,8 @@
 	RunnerID string `json:"runner_id"`
 	// First is the oldest sequence number that the engine still keeps. A reader that requested an
 	// earlier one has missed events.
-	First  uint64       `json:"first"`
+	First uint64 `json:"first"`
+	// Next is the sequence number from which the reader requests the next page.
 	Next   uint64       `json:"next"`
 	Events []CacheEvent `json:"events"`
 }
@@ -107,7 +108,8 @@
 // CacheEvent says that a block was stored in or evicted from the prefix cache.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
-	// Block is the chained hash of the prefix that ends with the block.
+	// Block identifies the block by a chained hash: the hash of its tokens and of the previous
+	// block's hash. It therefore stands for the whole prefix that ends with the block.
 	Block  uint64 `json:"block,string"`
 	Stored bool   `json:"stored"`
 }
--- a/transport/gateway/errors.go
+++ b/transport/gateway/errors.go
@@ -27,7 +27,9 @@
 	Message  string           `json:"message"`
 	Type     string           `json:"type"`
 	Executed refusal.Executed `json:"executed"`
-	// RetryAfterMillis is omitted if a retry would be refused again.
+	// RetryAfterMillis is how long the caller should wait before it retries. It is omitted if no
+	// delay is known, for example because a retry would be refused again or because the outcome of
+	// the request is unknown.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
@@ -71,7 +73,8 @@
 	}}
 }
 
-// writeError sends every refusal that precedes the answer, and counts it by its reason.
+// writeError counts a failed request by the reason of its refusal and sends the refusal to the
+// caller. If the answer has already begun, writeError sends nothing.
 func (g *Gateway) writeError(c *echo.Context, err error) {
 	r := toRefusal(err)
 	g.countRefusal(c, r)
@@ -99,8 +102,10 @@
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// toRefusal converts the errors of the router and the body reader. They occur before anything is
-// dispatched, so they count as not executed.
+// toRefusal converts an error to a refusal. A refusal is returned unchanged. A body over the limit,
+// an unknown path and an unsupported method are detected before anything is dispatched, so their
+// refusals say that the request wasn't executed. Any other error becomes an internal error whose
+// refusal says that it is unknown whether the request was executed.
 func toRefusal(err error) *refusal.Refusal {
 	var known *refusal.Refusal
 	if errors.As(err, &known) {
--- a/transport/gateway/gateways.go
+++ b/transport/gateway/gateways.go
@@ -14,9 +14,11 @@
 type GatewayList struct {
 	Gateways       []GatewayEntry `json:"gateways"`
 	LifetimeMillis int64          `json:"lifetime_ms"`
-	// KeyToken must be the beginning of the Idempotency-Key of calls that may run at most once.
-	KeyToken               string `json:"key_token"`
-	KeyTokenLifetimeMillis int64  `json:"key_token_lifetime_ms"`
+	// KeyToken is a prefix that the gateway hands out. In calls that may run at most once, the caller's
+	// Idempotency-Key header must begin with it.
+	KeyToken string `json:"key_token"`
+	// KeyTokenLifetimeMillis is how long, counted from this answer, keys with the prefix are valid.
+	KeyTokenLifetimeMillis int64 `json:"key_token_lifetime_ms"`
 }
 
 // GatewayEntry is one gateway. Callers choose among the gateways in proportion to Weight.
--- a/transport/gateway/models.go
+++ b/transport/gateway/models.go
@@ -172,8 +172,9 @@
 	}, nil
 }
 
-// defaultClass returns the interactive class with the lowest priority. A caller must not gain
-// priority by omitting the class.
+// defaultClass returns the class of requests that name none: the non-deferrable class with the lowest
+// priority, so that a caller doesn't gain priority by omitting the class. If all classes are
+// deferrable, it returns the manifest's first class.
 func defaultClass(m *manifest.Manifest) *manifest.Class {
 	var lowest *manifest.Class
 	for i := range m.Classes {
--- a/transport/kv/history_test.go
+++ b/transport/kv/history_test.go
@@ -63,6 +63,9 @@
 	unknown int
 }
 
+// record runs a call and adds it to the history. A failed read is dropped: it returned no value and
+// changed nothing, so there is nothing to check. A failed write may still take effect at any later
+// time, so its end is set to math.MaxInt64.
 func (h *history) record(client int, call operation, run func() (string, error)) {
 	op := porcupine.Operation{ClientId: client, Input: call, Call: h.clock.Add(1)}
 	value, err := run()
@@ -80,7 +83,9 @@
 	h.ops = append(h.ops, op)
 }
 
-// compareAndSwap replaces the entry that a client read last by a new value.
+// compareAndSwap writes value if the key still has the revision of current, the entry that the client
+// read last. It returns the key's value after the call: the new value, or the value that another
+// client has written in the meantime.
 func compareAndSwap(ctx context.Context, c kv.Store, current kv.Entry, value string) (string, error) {
 	_, err := c.CompareAndSwap(ctx, current.Key, current.Revision, []byte(value), 0)
 	var conflict *kv.ConflictError
--- a/transport/kv/kv.go
+++ b/transport/kv/kv.go
@@ -12,8 +12,9 @@
 // missing key.
 type Revision uint64
 
-// LeaseID identifies a lease; zero stands for none. IDs are never reused and grow with each grant,
-// so they serve as fencing tokens.
+// LeaseID identifies a lease; zero stands for none. IDs are never reused and grow with each grant, so
+// they serve as fencing tokens: a receiver that remembers the largest ID seen can reject requests
+// that carry a smaller one, because they come from a holder whose lease has been replaced.
 type LeaseID uint64
 
 // Entry is a key with its value.
