--- a/daemon/control/control.go
+++ b/daemon/control/control.go
@@ -63,7 +63,7 @@
 	table    *membership.Table
 	strategy *spread.Neighbours
 	links    map[ident.Incarnation]*link
-	// newestHead is the newestHead head read from the key-value service, with its
+	// newestHead is the newest head read from the key-value service, with its
 	// history. It is zero if the configuration came only from peers.
 	newestHead config.Head
 	// activated is when this daemon activated the configuration now in force.
--- a/daemon/edge/usage_counts.go
+++ b/daemon/edge/usage_counts.go
@@ -124,7 +124,7 @@
 }
 
 // uncounted returns the daemons whose usage counts have not been received since the given time. It
-// includes daemons that were last heard up to refollowWithin ago, since they may still run and
+// includes daemons that were last heard up to maxRefollowTime ago, since they may still run and
 // only have lost both relays that they followed. The caller must hold e.mu.
 func (e *Edge) uncounted(now, since time.Duration) []ident.Incarnation {
 	return e.coverage.Missing(e.peers.MentionedSince(now-maxRefollowTime), since)
--- a/protocol/admission/meter.go
+++ b/protocol/admission/meter.go
@@ -105,7 +105,7 @@
 	r.reportedPerSecond = perSecond
 }
 
-// finish records the cost of a finished request. workWaits tells whether
+// finish records the cost of a finished request. workQueued states whether
 // requests are queued.
 func (r *throughput) finish(now time.Time, cost float64, workQueued bool) {
 	r.finishedCount++
--- a/transport/dispatch/dispatch_test.go
+++ b/transport/dispatch/dispatch_test.go
@@ -19,7 +19,8 @@
 )
 
 // breakingRunner counts the requests that it has read completely. It answers the first request on
-// each connection and closes the connection after the second one without an answer.
+// each connection and closes the connection after the second one without an answer, or as
+// breakFirst says.
 type breakingRunner struct {
 	listener     net.Listener
 	requestsRead atomic.Int32
